--- /dev/null
+++ b/tests/test_golden_stored.py
@@ -0,0 +1,944 @@
+"""Stored forms and messages are read and written byte for byte as the files in ``corpus/golden`` have them.
+
+The files were written by the build that this test came with; a later build must read them and write the same
+bytes from the same values, whatever its types and fields are called. Each form has one builder below, which
+names every field that is not plain data in one place.
+
+A form that is added gets its file by ``GOLDEN_WRITE=1 python -m pytest -n 0 tests/test_golden_stored.py``.
+Files that are there are never replaced, and without the variable nothing is written: a file that is missing
+is a failure. The variable is set by hand only, never in a test run that is to judge anything.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+from collections.abc import Callable
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any, get_args
+
+import msgspec
+import pytest
+from conftest import SETTINGS, T0
+
+from orchidlane import interface as api
+from orchidlane import messages as module_messages
+from orchidlane import record
+from orchidlane.change import ledger as fleet_ledger
+from orchidlane.change import messages as version_messages
+from orchidlane.change import version
+from orchidlane.change.judge import Tally
+from orchidlane.change.quorum import Kept as VoterKept
+from orchidlane.gateway import datagram, limits, nodelist, probe, rolling
+from orchidlane.gateway.memory import Memory
+from orchidlane.gateway.versions import desk, files, shell
+from orchidlane.limits import Holder
+from orchidlane.limits import Ledger as GrantLedger
+from orchidlane.limits.ledger import Outcome as GrantOutcome
+from orchidlane.record import segments
+from orchidlane.record.dump import dump_account
+from orchidlane.rules import Gateway
+from orchidlane.state import Account
+from orchidlane.upgrade import messages as restart_messages
+from orchidlane.upgrade import roll
+from orchidlane.upgrade.health import Answers
+
+GOLDEN = Path(__file__).parent / "corpus" / "golden"
+SECRET = b"the golden fleet's key"
+BUILD = "1.2.3+0123456789ab"  # fixed: the real name changes with the sources
+CLASS_NAMES = ("safe", "keyed in a cell", "unsafe", "keyed", "keyed in a zone")
+PLAN_NAMES = ("plain", "capped", "with a ceiling", "idle earns")
+
+
+class Disk:
+    """A clock that stands still, and files in memory, for the parts of the program that keep files."""
+
+    def __init__(self, **kept: bytes) -> None:
+        self.files: dict[str, bytes] = kept
+        self.world = self
+
+    def now(self) -> int:
+        return T0
+
+    def call_at(self, *_: Any) -> None:
+        """No file grows too old here."""
+
+    def aside(self, work: Callable[[], Any]) -> Any:
+        return work()
+
+    def read_file(self, path: str) -> bytes | None:
+        return self.files.get(path)
+
+    def write_file(self, path: str, data: bytes) -> None:
+        self.files[path] = data
+
+
+# What the golden bytes hold
+
+
+def golden_accounts() -> list[Account]:
+    """Two accounts; all fields of the first are other than a new account's."""
+    first = Account(
+        customer=7,
+        key=(2, 1, 3),
+        limit=24.5,
+        risen=T0 - 40,
+        counts={0: (15_900, 3.25), 2: (15_950, 4.5)},
+        spent=7.75,
+        total=9.25,
+        news=(2, 0),
+        fresh=False,
+        out=2,
+        others=(T0 - 9, T0 - 5),
+        spread=T0 - 3,
+        ceiling=5.5,
+        asked=1.5,
+        closed=True,
+    )
+    return [first, Account(customer=4_000_000_000, key=(0, 0, 1), limit=10.0, risen=T0)]
+
+
+def golden_state() -> record.Dump:
+    """The state of a module with servers, accounts, requests under way and all else that a state holds."""
+    return msgspec.msgpack.decode(golden("module-state.msgpack"), type=record.Dump)
+
+
+def golden_module() -> Gateway:
+    """The module that the golden state makes, with whole numbers for times as in one that was never read."""
+    module = record.restore(SETTINGS, golden_state())
+    for known in (module.met, *module.zones_met.values()):
+        known.seen = int(known.seen)
+    return module
+
+
+def golden_settings() -> dict[str, Any]:
+    """A module's settings as plain values, the way they are read."""
+    return msgspec.msgpack.decode(msgspec.msgpack.encode(SETTINGS))
+
+
+def golden_events() -> list[api.Event]:
+    """Each type of event at least once, with each value of the enumerations that an event holds."""
+    entries = tuple(
+        api.ServerEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, T0 - 90, 1.5) for phase in api.Phase
+    )
+    return [
+        *(api.ServerListed(kind, 12, entries) for kind in api.ListKind),
+        api.RequestArrived(1, 7, 2, 1, 1.5, 2_000_000, 1, 3, True),
+        api.TakeArrived(2, 7, 2, 3, 2.5, 1, 3),
+        *(
+            api.AttemptEnded(1, 4, b"10.0.0.1:80", outcome, 50_000, True, 9, 2.25, (0.5, 1.5))
+            for outcome in api.Outcome
+        ),
+        api.StreamStarted(1, 5, b"10.0.0.1:80", 60_000),
+        api.ClientGone(3),
+        api.TimerFired(17),
+        *(api.ProbeEnded(b"10.0.0.2:80", outcome, 700, (0.25,)) for outcome in api.Outcome),
+        api.PeerMessage(2, bytes(range(0, 256, 5))),
+        *(api.CounterAnswered(8, outcome, 6.5, 800) for outcome in api.Outcome),
+        api.Counted(7, 2, 1, 3, 15_900, 3.25),
+        api.SetMoved(7, 2, 1, 3),
+    ]
+
+
+def golden_actions() -> list[api.Action]:
+    """Each type of action once."""
+    return [
+        api.Send(1, b"10.0.0.1:80", T0 + 5_000),
+        api.Cancel(1, 4),
+        api.Grant(2),
+        api.Refuse(1, 250_000, True),
+        api.Fail(3),
+        api.SetTimer(40_000, 17),
+        api.TellPeer(2, b"\x02\x01rows"),
+        api.Probe(b"10.0.0.2:80"),
+        api.AskList(),
+        api.FetchList(),
+    ]
+
+
+def golden_header() -> record.Header:
+    """The head of a traffic record."""
+    return record.Header(
+        format=2,
+        build=BUILD,
+        gateway="gateway-1",
+        life=T0 - 1_000_000,
+        number=3,
+        settings=golden_settings(),
+        state=msgspec.structs.replace(golden_state(), accounts=[]),
+        class_names=CLASS_NAMES,
+        plan_names=PLAN_NAMES,
+        about={"now": T0, "incarnation": T0 - 1_000_000, "list": ["epoch-1", 12, 2], "draining": True},
+    )
+
+
+def golden_view() -> probe.View:
+    """What a gateway tells tools of itself and one customer."""
+    return probe.View(
+        format=1,
+        build=BUILD,
+        gateway="gateway-1",
+        now=T0,
+        settings=golden_settings(),
+        state=golden_state(),
+        class_names=CLASS_NAMES,
+        plan_names=PLAN_NAMES,
+        customer=(7, 2, 1, 3),
+    )
+
+
+def golden_node_list() -> bytes:
+    """A line of the watch for nodes, as a discovery service writes it."""
+    nodes = [
+        {"address": "10.0.0.1:80", "phase": "ready", "zone": "z1", "cell": "c1", "launched": 55, "size": 1.5},
+        {
+            "address": "10.0.0.2:80",
+            "phase": "draining",
+            "zone": "z2",
+            "cell": "c2",
+            "launched": 66,
+            "size": 2,
+        },
+    ]
+    line = {"kind": "whole", "epoch": "epoch-1", "version": 12, "nodes": nodes}
+    return json.dumps(line).encode()
+
+
+def golden_tracker() -> nodelist.ListTracker:
+    """The list of nodes as one gateway knows it."""
+    tracker = nodelist.ListTracker("z1", 100)
+    tracker.take(golden_node_list())
+    return tracker
+
+
+def golden_roll(phase: roll.Phase) -> rolling.Kept:
+    """A roll's state in some phase, with one gateway in each place."""
+    ones = [
+        roll.One(
+            place, 4_000 + number, T0 + number, 2, Answers(900, 30, 4), 3_000 + number, True, "done", True
+        )
+        for number, place in enumerate(roll.Place)
+    ]
+    state = roll.State(ones, phase, T0 + 99, True, 4, [3, 1, 2], "gateway-2: it serves less")
+    names = [f"gateway-{number}" for number in range(len(ones))]
+    return rolling.Kept(
+        names, ("orchidlane-old serve", "orchidlane-new serve"), [1.5, 2.5, 3.5, 0.5, 9.0], state
+    )
+
+
+def golden_limits_carried() -> dict[str, Any]:
+    """What a successor is told of takes, tokens and reservations, beside the tables' rows."""
+    return {
+        "life": T0 - 1_000_000,
+        "numbers": T0 - 999_000,
+        "sure_from": T0 - 500_000,
+        "credits": [[7, 2.5, T0 + 60_000_000]],
+        "answered": [[1, 55, b"an answer told before"]],
+    }
+
+
+def golden_rows() -> dict[str, list[Any]]:
+    """Rows of each table that a successor is told of."""
+    ends = [outcome.value for outcome in GrantOutcome]
+    return {
+        "accounts": [
+            [
+                *(7, [2, 1, 3], 24.5, T0 - 40, [[0, 15_900, 3.25], [2, 15_950, 4.5]], 7.75, 9.25, [2, 0]),
+                *(False, 2, [T0 - 9, T0 - 5], T0 - 3, 5.5, 1.5, True),
+            ]
+        ],
+        "tokens": [[b"token-1", 1, 55, T0 + 5_000_000, True, 2.5]],
+        "grants": [
+            [b"grant-%d" % number, 7, 2.5, T0 + 6_000_000, True, end]
+            for number, end in enumerate(["", *ends])
+        ],
+    }
+
+
+def golden_peers() -> list[Any]:
+    """What came of each peer: rank, incarnation, latest number, which of those before it came."""
+    return [[1, T0 - 70, 900, bytes(range(128))], [2, T0 - 60, 800, bytes(range(127, -1, -1))]]
+
+
+def golden_restart_messages() -> dict[str, Any]:
+    """One of each message of a hot restart; every field is other than its default."""
+    told = restart_messages
+    return {
+        "hello": told.Hello(1, BUILD, "gateway-1", 1, 3, PLAN_NAMES),
+        "warm": told.Warm(),
+        "started": told.Started(),
+        "pulse": told.Pulse(900, 30, 4, 5_000, 6_000),
+        "unfit": told.Unfit("its settings are another fleet's"),
+        "taken": told.Taken(55, True),
+        "heard": told.Heard(2, b"\x01an answer"),
+        "count": told.Count(7, 2, 1, 3, 15_900, 3.25),
+        "reading": told.Reading(81),
+        "began": told.Began(82),
+        "answering": told.Answering(83),
+        "idle": told.Idle(84, True, b"GET / HT", (3, b"client", False)),
+        "opened": told.Opened(85, "resp"),
+        "ended": told.Ended(86),
+        "took": told.Took(87, True),
+        "returned": told.Returned(),
+        "offer": told.Offer(BUILD, T0, T0 - 1_000_000, 4, ("http", "resp", "peers")),
+        "place": told.Place("http"),
+        "rows of accounts": told.Rows("accounts", golden_rows()["accounts"], [8, 9]),
+        "rows of tokens": told.Rows("tokens", golden_rows()["tokens"], [b"token-2"]),
+        "rows of grants": told.Rows("grants", golden_rows()["grants"], [b"grant-9"]),
+        "whole": told.Whole(),
+        "final": told.Final(
+            msgspec.structs.replace(golden_state(), accounts=[]),
+            golden_limits_carried(),
+            msgspec.to_builtins(golden_tracker().carried()),
+            golden_peers(),
+            5_000,
+            6_000,
+            CLASS_NAMES,
+        ),
+        "connection": told.Connection(88, "resp", b"*1\r\n", T0 - 30, T0 - 20, (3, b"client", False)),
+        "take": told.Take(56, 7, 2, 1, 2.5, 1, 3),
+        "tell": told.Tell(2, b"\x02a datagram's body"),
+        "granted": told.Granted(b"grant-1", 7, 2.5, 60_000_000),
+        "abort": told.Abort("it does not read"),
+        "recall": told.Recall("it serves less"),
+        "release": told.Release(),
+        "ask": told.Ask(),
+        "status": told.Status("trial", BUILD, 4_001, "done", 900, 30, 4),
+    }
+
+
+def golden_limit_messages() -> dict[str, Any]:
+    """One of each message of the limits between gateways."""
+    return {
+        "question": limits.Question(55, 1, b"token-1", 7, 66, 2.5),
+        "reply": limits.Reply(55, 2, 1, 2.5, "done before"),
+    }
+
+
+def golden_module_row() -> module_messages.Row:
+    """What one gateway's module tells another of one customer."""
+    return module_messages.Row(7, 2, 1, 3, 2, 15.25, 9.25, 1.5, ((1, 15_900, 3.25), (2, 15_950, 4.5)))
+
+
+def golden_parts(letter: str) -> version.Parts:
+    """The names of a version's contents."""
+    return version.Parts(*(digit + 63 * letter for digit in "0123"))
+
+
+def golden_version(number: int) -> version.Version:
+    """A version with all its fields."""
+    return version.Version(
+        number=number,
+        parts=golden_parts("a"),
+        base=number - 1,
+        author="an author",
+        reason="a reason",
+        undoes=number - 2,
+        proposal=f"proposal-{number}",
+        then=(golden_parts("b"), golden_parts("c")),
+    )
+
+
+def golden_seats() -> tuple[version.Seat, ...]:
+    """Three voters."""
+    return tuple(version.Seat(rank, 9_000_000_000 + rank) for rank in range(3))
+
+
+def golden_certificate(number: int) -> version.Certificate:
+    """What proves that all three voters approved a version."""
+    approved, seats = golden_version(number), golden_seats()
+    votes = tuple(version.cast(SECRET, seat, approved, 5, True, "it fits") for seat in seats)
+    return version.Certificate(approved, 5, seats, votes)
+
+
+def golden_ledger() -> fleet_ledger.Ledger:
+    """A ledger with a change that is asked about, one that it takes back, and a history."""
+    asked = fleet_ledger.Change(golden_version(23), 6, fleet_ledger.Stage.ASKED, None, b"", "a pause")
+    halted = fleet_ledger.Change(
+        golden_version(22),
+        5,
+        fleet_ledger.Stage.ADOPTING,
+        golden_certificate(22),
+        fleet_ledger.ranks_as_bits([0, 2, 9], 12),
+        "stopped by hand",
+    )
+    return fleet_ledger.Ledger(
+        index=40,
+        seats=golden_seats(),
+        current=golden_certificate(21),
+        term=6,
+        leader=2,
+        before=golden_seats()[:2],
+        change=asked,
+        halted=halted,
+        latest=23,
+        history=tuple(
+            fleet_ledger.Entry(golden_version(number), state, "why it ended so")
+            for number, state in ((18, "done"), (19, "refused"), (20, "undone"))
+        ),
+    )
+
+
+def golden_voter_file() -> files.VoterFile:
+    """A voter's disk."""
+    kept = VoterKept(
+        store=9_000_000_001,
+        promised=(8, 2, 9_000_000_002),
+        accepted=(7, 1, 9_000_000_001),
+        name=version.name_of(fleet_ledger.encode(golden_ledger())),
+        mark=33,
+        marks={0: (9_000_000_000, 31), 2: (9_000_000_002, 32)},
+        said=(
+            6,
+            23,
+            version.cast(SECRET, golden_seats()[1], golden_version(23), 6, False, "a rule is broken"),
+        ),
+    )
+    ledger = fleet_ledger.encode(golden_ledger())
+    return files.VoterFile(kept, ledger, ledger[::-1])
+
+
+def golden_running_file() -> files.RunningFile:
+    """The version that a gateway runs, with its latest ledger."""
+    contents = tuple(golden_parts("a").names())
+    return files.RunningFile(fleet_ledger.encode(golden_ledger()), golden_certificate(21), contents)
+
+
+def golden_version_messages() -> dict[str, Any]:
+    """One of each message between gateways on the fleet's versions; every field is other than its default."""
+    told, name, ballot = version_messages, version.name_of(b"a ledger"), (8, 2, 9_000_000_002)
+    return {
+        "ask": told.Ask(555, 40),
+        "told": told.Told(555, 40, name, 1_200, True),
+        "hint": told.Hint(41),
+        "report": told.Report(21, 22, 900, "its contents did not come"),
+        "noted": told.Noted(21, 22),
+        "prepare": told.Prepare(ballot, 33),
+        "promise": told.Promise(ballot, (7, 1, 9_000_000_001), name, 9_000_000_000, 31),
+        "nack": told.Nack(ballot, (9, 0, 9_000_000_000)),
+        "accept": told.Accept(ballot, name, 34),
+        "accepted": told.Accepted(ballot, 9_000_000_001, 35),
+        "beat": told.Beat(6, ballot, 77, 40, name),
+        "beaten": told.Beaten(77, 9_000_000_001),
+        "voted": told.Voted(6, 23, 9_000_000_001, True, bytes(range(16)), "it fits"),
+        "waiting": told.Waiting(9_000_000_001, name, bytes(range(16, 32))),
+        "mark ask": told.MarkAsk(9_000_000_001),
+        "mark told": told.MarkTold(9_000_000_001, 33, True),
+    }
+
+
+def golden_order() -> desk.Order:
+    """A command at the admin address."""
+    then = (golden_parts("b"),)
+    return desk.Order(
+        "order-1", "propose", 21, "an author", "a reason", golden_parts("a"), 20, then, passed_on=True
+    )
+
+
+def golden_status() -> desk.Status:
+    """How the fleet's versions stand, as the gateway that leads tells it."""
+    ledger = golden_ledger()
+    assert ledger.change is not None and ledger.halted is not None
+    return desk.Status(
+        gateway=2,
+        leads=True,
+        term=6,
+        leader=2,
+        confirmed=1_200,
+        serves="no quorum for a lease",
+        running="21:0123456789ab",
+        index=40,
+        current=ledger.current.version,
+        change=ledger.change.version,
+        stage="asked",
+        paused="a pause",
+        halted=ledger.halted.version,
+        history=ledger.history,
+        seats=(0, 1, 2),
+        votes={0: "yes", 1: "a rule is broken"},
+        gateways=(
+            desk.GatewayState(0),
+            desk.GatewayState(1, 21, 22, "its contents did not come", 700, 9_000),
+        ),
+    )
+
+
+def golden_tallies() -> dict[str, Tally]:
+    """What a gateway answered, by class and plan."""
+    return {"safe plain": Tally(900, 30, 4, 5, 6, 7), "unsafe capped": Tally(80, 3, 2, 1, 9, 8)}
+
+
+def golden_outcome() -> shell.Outcome:
+    """What became of a command."""
+    return shell.Outcome(True, "known already as version 21", True)
+
+
+# How the program writes them
+
+
+def as_hex(encoded: dict[Any, bytes]) -> bytes:
+    """Several small examples as one file: a name for each, and its bytes in hexadecimal."""
+    return (json.dumps({name: data.hex() for name, data in encoded.items()}, indent=1) + "\n").encode()
+
+
+def write_state() -> bytes:
+    """The state of the golden module."""
+    return msgspec.msgpack.encode(record.dump(golden_module()))
+
+
+def write_record() -> bytes:
+    """A segment with its accounts in two pages, each event, all actions with the first, and an answer."""
+    rows = [dump_account(account) for account in golden_accounts()]
+    parts = [record.pack_header(golden_header()), record.pack_accounts(T0 + 1, rows[:1], last=False)]
+    for number, event in enumerate(golden_events()):
+        parts.append(record.pack_entry(T0 + 2 + number, event, [] if number else golden_actions()))
+    parts.append(record.pack_accounts(T0 + 90, rows[1:], last=True))
+    parts.append(segments.pack_answer(T0 + 91, 1, 429, "refused", 6_000))
+    return b"".join(parts)
+
+
+NO_ACCOUNTS: dict[str, list[Any]] = {
+    name: [] for name in ("idle_queue", "changed", "asked", "requests", "detached", "owed", "closed", "told")
+}
+
+
+def account_store(disk: Disk) -> Memory:
+    """The account store of a gateway whose module holds the golden accounts, or none where they are read."""
+    gateway = record.restore(SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS))
+    record.track(gateway)
+    about = {"now": T0, "incarnation": T0 - 1_000_000, "sequence": 5_000, "generation": 4, "open": 2}
+    program = SimpleNamespace(
+        loop=disk,
+        host=SimpleNamespace(loop=disk, rules=gateway, settings=SETTINGS),
+        fleet=SimpleNamespace(
+            restart=SimpleNamespace(every=2_000_000), plans=dict.fromkeys(PLAN_NAMES), gateways=[]
+        ),
+        entry=SimpleNamespace(name="gateway-1"),
+        incarnation=T0 - 1_000_000,
+        names=lambda: (CLASS_NAMES, PLAN_NAMES),
+        about=lambda: about,
+        quiet=False,
+        stopping=False,
+        log=SimpleNamespace(error=lambda what, **why: pytest.fail(f"{what}: {why}")),
+    )
+    return Memory(program, "accounts")  # type: ignore[arg-type]
+
+
+def write_account_store() -> bytes:
+    """As the program writes its accounts down at its end."""
+    disk = Disk()
+    store = account_store(disk)
+    store.program.host.rules.accounts.update({one.customer: one for one in golden_accounts()})
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr(record, "build_name", lambda: BUILD)
+        store.finish()
+    return disk.files["accounts"]
+
+
+def rolling_of(disk: Disk) -> rolling.Rolling:
+    """What carries out a roll of the golden gateways."""
+    gateways = [SimpleNamespace(name=name) for name in golden_roll(roll.Phase.ROLLING).names]
+    fleet = SimpleNamespace(state="state", gateways=gateways)
+    return rolling.Rolling(disk, fleet, None, print)  # type: ignore[arg-type]
+
+
+def write_roll(phase: roll.Phase) -> bytes:
+    """As a roll writes its state down."""
+    disk = Disk()
+    written = rolling_of(disk)
+    written.kept = golden_roll(phase)
+    written._save()
+    return disk.files["state/roll.json"]
+
+
+def write_version_file(kind: str) -> bytes:
+    """As a gateway writes its voter's file or the one of the version that runs."""
+    disk = Disk()
+    kept = files.Files(disk, "gateway-1")  # type: ignore[arg-type]
+    if kind == "voter":
+        kept.write_voter(golden_voter_file())
+    else:
+        kept.write_running(golden_running_file())
+    return disk.files[f"gateway-1.{kind}"]
+
+
+def write_module_message() -> bytes:
+    """As the module tells its peers."""
+    sent = T0 // 1000
+    return module_messages.pack(sent, True, True, [module_messages.pack_row(golden_module_row(), sent, 3)])
+
+
+def write_datagrams() -> dict[str, bytes]:
+    """One sealed datagram of each kind."""
+    kinds = {"module": datagram.MODULE, "limits": datagram.LIMITS, "versions": datagram.CHANGE}
+    return {
+        name: datagram.seal(SECRET, 1, 2, T0 - 5, 900 + kind, b"a body", kind) for name, kind in kinds.items()
+    }
+
+
+def write_messages(messages: dict[str, Any], encode: Callable[[Any], bytes]) -> bytes:
+    """Each of some messages."""
+    return as_hex({name: encode(message) for name, message in messages.items()})
+
+
+PACK = msgspec.msgpack.encode
+WRITERS: dict[str, Callable[[], bytes]] = {  # file -> what the program writes today
+    "module-state.msgpack": write_state,
+    "traffic-record.olr": write_record,
+    "account-store.olr": write_account_store,
+    "view.msgpack": lambda: PACK(golden_view()),
+    "node-list-cache.json": lambda: golden_tracker().cached(),
+    "roll-states.json": lambda: as_hex({phase.value: write_roll(phase) for phase in roll.Phase}),
+    "hot-restart-messages.json": lambda: write_messages(golden_restart_messages(), restart_messages.encode),
+    "limit-messages.json": lambda: write_messages(golden_limit_messages(), PACK),
+    "module-message.bin": write_module_message,
+    "datagrams.json": lambda: as_hex(write_datagrams()),
+    "ledger.msgpack": lambda: fleet_ledger.encode(golden_ledger()),
+    "ledger-name.txt": lambda: version.name_of(fleet_ledger.encode(golden_ledger())).encode(),
+    "content-name.txt": lambda: golden_parts("a").content.encode(),
+    "voter-file.bin": lambda: write_version_file("voter"),
+    "running-file.bin": lambda: write_version_file("running"),
+    "version-messages.json": lambda: write_messages(golden_version_messages(), version_messages.encode),
+    "admin-order.msgpack": lambda: PACK(golden_order()),
+    "admin-outcome.msgpack": lambda: PACK(golden_outcome()),
+    "admin-status.msgpack": lambda: PACK(golden_status()),
+    "admin-status.json": lambda: msgspec.json.encode(golden_status()),
+    "admin-history.json": lambda: msgspec.json.encode(golden_status().history),
+    "admin-counts.msgpack": lambda: PACK(golden_tallies()),
+}
+
+
+def golden(name: str) -> bytes:
+    """The golden bytes of a form."""
+    return (GOLDEN / name).read_bytes()
+
+
+def golden_examples(name: str) -> dict[str, bytes]:
+    """The golden bytes of a file with several examples."""
+    return {label: bytes.fromhex(data) for label, data in json.loads(golden(name)).items()}
+
+
+def read_restart_message(name: str) -> Any:
+    """A golden message of a hot restart, as the other side reads it."""
+    parser = restart_messages.Parser()
+    parser.receive(golden_examples("hot-restart-messages.json")[name])
+    message = parser.next_message()
+    assert parser.next_message() is None, "bytes that belong to no message"
+    return message
+
+
+def write_missing() -> None:
+    """Write the golden files that are not there yet, where ``GOLDEN_WRITE=1`` asks for it."""
+    if os.environ.get("GOLDEN_WRITE") != "1":
+        return
+    for name, write in WRITERS.items():
+        path = GOLDEN / name
+        if not path.exists():
+            path.write_bytes(first_state() if name == "module-state.msgpack" else write())
+
+
+def first_state() -> bytes:
+    """A state to begin with: that of a module that lived through random events, all of its fields filled."""
+    from test_record import Story
+
+    story = Story(20)
+    for _ in range(38):
+        story.step()
+    gateway = story.bench.gateway
+    customers = list(gateway.accounts)
+    gateway.owed = {1: {customers[0]: 1}, 2: {customers[1]: 2}}
+    gateway.closed = dict.fromkeys(gateway.closed, 2)
+    return msgspec.msgpack.encode(record.dump(gateway))
+
+
+write_missing()
+
+
+def has_default(message: msgspec.Struct) -> list[str]:
+    """The fields of a message that have their default."""
+    found = []
+    for field in msgspec.structs.fields(message):
+        made = field.default if field.default_factory is msgspec.NODEFAULT else field.default_factory()
+        if getattr(message, field.name) == made:
+            found.append(field.name)
+    return found
+
+
+# The files
+
+
+def test_every_golden_file_has_its_form_and_every_form_its_file():
+    assert {path.name for path in GOLDEN.iterdir()} == set(WRITERS)
+
+
+@pytest.mark.parametrize("name", WRITERS)
+def test_the_same_bytes_are_written_from_the_same_values(name):
+    assert WRITERS[name]() == golden(name)
+
+
+# States, records, accounts
+
+
+def test_the_golden_state_fills_every_field_of_a_state():
+    state = golden_state()
+    assert [name for name in state.__struct_fields__ if not getattr(state, name)] == []
+
+
+def test_a_golden_state_makes_a_module_that_is_told_in_the_same_bytes():
+    module = golden_module()
+    assert msgspec.msgpack.encode(record.dump(module)) == golden("module-state.msgpack")
+    assert module.accounts and module.hosts and module.requests and module.attempts
+
+
+def test_every_value_of_the_golden_state_stands_where_the_module_looks_for_it():
+    module, state = golden_module(), golden_state()
+    assert [module.now, module.filled, module.born] == [1_000_549_025, 1_000_470_794, T0]
+    assert [module.last_sent, module.budget] == [1_000_412_080, 2.4499999999999984]
+    assert [module.unheard, module.allowance] == [0.14782969, 39.0]
+    assert module.usual == [125_000.0, 125_000.0, 125_000.0, 125_000.0, 122_750.0]
+    server, other = (b"\n\x00\x00%c\x00P" % number for number in (2, 4))
+    host = module.hosts[server]
+    assert host.entry == api.ServerEntry(server, api.Phase.READY, 0, 0, 0, 1.0)
+    assert [host.seen, host.slow, host.fails] == [1_000_184_111, 1.0, 0.0]
+    assert [host.out, host.active, host.typical] == [3, 1_000_135_937, 2.0]
+    host = module.hosts[other]
+    assert [host.seen, host.slow, host.fails] == [1_000_378_452, 0.91, 1.942900986755272]
+    assert module.zones_met[0].fails == 4.747282621307491
+    assert [[one.out for one in pool.hosts] for pool in (module.warm, module.cold)] == [[0, 1, 3], [0]]
+    assert [len(pool.hosts) for pool in (module.cells[0], module.zones[0], module.warm)] == [4, 4, 3]
+    assert [host.entry.launched for host in module.warming] == [1_000_518_714]
+    request = module.requests[1]
+    assert request.event == api.RequestArrived(1, 5, 0, 2, 1.0, 2_000_000, 0, 3, False)
+    assert [request.until, request.lot] == [1_002_009_909, 0.1723255663561437]
+    assert request.account is module.accounts[5]
+    first, second = request.attempts
+    assert [first.sent, first.load, first.out, first.ran] == [1_000_009_909, 2.0, False, False]
+    assert [second.sent, second.load, second.out, second.ran] == [1_000_412_080, 4.0, True, True]
+    assert module.attempts[1, 1] == (second, request)
+    attempt, ended = module.attempts[2, 2]
+    assert [attempt.sent, attempt.load, ended.until] == [1_000_378_452, 3.0, 1_002_052_372]
+    assert attempt.host is module.hosts[server] and ended.account is module.accounts[2]
+    assert list(module.idle_queue) == state.idle_queue == [1, 4, 5, 0, 2]
+    assert list(module.changed) == [1, 0] and module.closed == {2: 2}
+    assert module.heard == {1: 1_000_413_638} and module.owed == {1: {5: 1}, 2: {2: 2}}
+    assert list(module.asked) == [(1_000_470_794, 2, 5, 0)]
+
+
+def test_a_snapshot_of_the_golden_module_holds_the_golden_state():
+    module = golden_module()
+    record.track(module)
+    snapshot = record.Snapshot(module)
+    rows = [row for page in snapshot.pages() for row in page]
+    state = golden_state()
+    told = msgspec.msgpack.decode(msgspec.msgpack.encode((snapshot.head, rows)))
+    head = msgspec.structs.replace(state, accounts=[])
+    assert told[0] == msgspec.msgpack.decode(msgspec.msgpack.encode(head))
+    assert sorted(told[1]) == sorted(msgspec.to_builtins(state.accounts))
+
+
+def test_the_golden_record_has_every_event_action_and_enumerated_value():
+    events, actions = golden_events(), golden_actions()
+    assert {type(event) for event in events} == set(get_args(api.Event)) == set(record.EVENTS.values())
+    assert {type(action) for action in actions} == set(get_args(api.Action)) == set(record.ACTIONS.values())
+    for kind in (api.AttemptEnded, api.ProbeEnded, api.CounterAnswered):
+        assert {one.outcome for one in events if type(one) is kind} == set(api.Outcome)
+    listed = [event for event in events if isinstance(event, api.ServerListed)]
+    assert {event.kind for event in listed} == set(api.ListKind)
+    assert {entry.phase for event in listed for entry in event.entries} == set(api.Phase)
+
+
+def test_a_golden_record_is_read_as_its_values():
+    reader = record.SegmentReader("golden", golden("traffic-record.olr"))
+    assert reader.header == golden_header()
+    assert reader.header.module_settings() == SETTINGS
+    assert [record.load_account(row) for row in reader.state().accounts] == golden_accounts()
+    *entries, answer = reader.entries()
+    assert reader.broken is None
+    assert [entry.event for entry in entries] == golden_events()
+    assert [entry.now for entry in entries] == [T0 + 2 + number for number in range(len(entries))]
+    assert entries[0].actions == golden_actions()
+    assert (answer.now, answer.event, answer.facts) == (T0 + 91, None, (1, 429, "refused", 6_000))
+
+
+def test_a_golden_account_store_brings_back_its_accounts():
+    reader = record.SegmentReader("golden", golden("account-store.olr"))
+    rows = {row[0]: row for row in reader.state().accounts}
+    assert [record.load_account(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
+    store = account_store(Disk(accounts=golden("account-store.olr")))
+    assert store.load() == len(golden_accounts())
+    accounts = store.program.host.rules.accounts
+    for one in golden_accounts():
+        found = accounts[one.customer]
+        assert (found.key, found.total, found.spent) == (one.key, one.total, one.spent)
+        assert (found.limit, found.risen) == (max(one.limit, one.total), T0)
+
+
+def test_a_golden_view_is_read_as_its_values():
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr(record, "build_name", lambda: BUILD)
+        assert probe.read_view(golden("view.msgpack")) == golden_view()
+
+
+# Nodes and rolls
+
+
+def test_a_golden_cache_of_the_node_list_is_read_as_its_nodes():
+    tracker = nodelist.ListTracker("z1", 100)
+    assert tracker.restore(golden("node-list-cache.json")) == api.ServerListed(
+        api.ListKind.CACHED,
+        0,
+        (
+            api.ServerEntry(b"10.0.0.1:80", api.Phase.READY, 0, 1, 55, 1.5),
+            api.ServerEntry(b"10.0.0.2:80", api.Phase.DRAINING, 2, 3, 66, 2.0),
+        ),
+    )
+    assert tracker.nodes == golden_tracker().nodes
+
+
+def test_a_golden_roll_is_read_in_every_phase():
+    examples = golden_examples("roll-states.json")
+    assert set(examples) == {phase.value for phase in roll.Phase}
+    for name, data in examples.items():
+        kept = rolling_of(Disk(**{"state/roll.json": data})).left()
+        assert kept == golden_roll(roll.Phase(name))
+        assert {one.place for one in kept.state.ones} == set(roll.Place)
+
+
+# Hot restart
+
+
+def test_golden_examples_cover_every_message_of_a_hot_restart():
+    messages = golden_restart_messages()
+    assert {type(one) for one in messages.values()} == set(get_args(restart_messages.AnyMessage))
+    assert set(golden_examples("hot-restart-messages.json")) == set(messages)
+    assert {name: has_default(one) for name, one in messages.items() if has_default(one)} == {}
+
+
+@pytest.mark.parametrize("name", golden_restart_messages())
+def test_a_golden_message_of_a_hot_restart_is_read_as_its_values(name):
+    assert read_restart_message(name) == golden_restart_messages()[name]
+
+
+def test_rows_of_every_table_are_taken_and_told_again():
+    accounts = read_restart_message("rows of accounts").rows
+    assert [record.load_account(row) for row in accounts] == golden_accounts()[:1]
+    assert PACK([dump_account(record.load_account(row)) for row in accounts]) == PACK(accounts)
+    holder, grants = Holder(1, 10, T0), GrantLedger(100, 1, 1)
+    for kept, name in ((holder, "rows of tokens"), (grants, "rows of grants")):
+        rows = read_restart_message(name).rows
+        for row in rows:
+            kept.load(row)
+        assert PACK([kept.row(row[0]) for row in rows]) == PACK(rows)
+
+
+def test_what_the_last_message_before_a_successor_serves_carries_is_taken_and_told_again():
+    final = read_restart_message("final")
+    terms = SimpleNamespace(token_life=1, tokens=10, grants=10, grant_life=1, credit_life=1)
+    fleet = SimpleNamespace(limits=terms, gateways=[None] * 3)
+    service = limits.LimitService(Disk(), fleet, 0, None, print, None)  # type: ignore[arg-type]
+    service.carry_on(final.limits)
+    again = {**final.limits, "numbers": final.limits["numbers"] + limits.NUMBERS_APART}
+    assert PACK(service.carried()) == PACK(again)
+    inbox = datagram.Inbox(SECRET, 0, 3, T0, 9.0)
+    inbox.carry_on(final.peers)
+    assert PACK(inbox.carried()) == PACK(final.peers)
+    tracker = nodelist.ListTracker("z1", 100)
+    tracker.carry_on(final.nodes)
+    assert PACK(tracker.carried()) == PACK(final.nodes) == PACK(golden_tracker().carried())
+    head = msgspec.structs.replace(golden_state(), accounts=[])
+    assert final.module == head
+
+
+# Between gateways
+
+
+def test_golden_messages_of_the_limits_are_read_as_their_values():
+    here = [one for one in vars(limits).values() if getattr(one, "__module__", "") == limits.__name__]
+    structs = {one for one in here if isinstance(one, type) and issubclass(one, msgspec.Struct)}
+    assert {type(one) for one in golden_limit_messages().values()} == structs
+    for name, message in golden_limit_messages().items():
+        assert has_default(message) == []
+        data = golden_examples("limit-messages.json")[name]
+        assert msgspec.msgpack.decode(data, type=limits.Question | limits.Reply) == message
+
+
+def test_a_golden_message_of_the_module_is_read_as_its_values():
+    found = module_messages.unpack(golden("module-message.bin"), T0 // 1000, 3, len(PLAN_NAMES))
+    assert found == module_messages.Message(T0 // 1000, True, True, (golden_module_row(),))
+
+
+def test_golden_datagrams_of_every_kind_are_taken():
+    for number, data in enumerate(golden_examples("datagrams.json").values()):
+        inbox = datagram.Inbox(SECRET, 2, 3, T0, 9.0, 9.0, 9.0)
+        assert inbox.take(T0, data) == (number, 1, b"a body")
+
+
+# Fleet versions
+
+
+def test_golden_examples_cover_every_message_on_fleet_versions():
+    messages = golden_version_messages()
+    assert {type(one) for one in messages.values()} == set(get_args(version_messages.Message))
+    assert set(golden_examples("version-messages.json")) == set(messages)
+    assert {name: has_default(one) for name, one in messages.items() if has_default(one)} == {}
+
+
+@pytest.mark.parametrize("name", golden_version_messages())
+def test_a_golden_message_on_fleet_versions_is_read_as_its_values(name):
+    data = golden_examples("version-messages.json")[name]
+    assert version_messages.decode(data) == golden_version_messages()[name]
+
+
+def test_the_golden_ledger_is_read_as_its_values_under_its_name():
+    data = golden("ledger.msgpack")
+    assert fleet_ledger.decode(data) == golden_ledger()
+    assert version.name_of(data).encode() == golden("ledger-name.txt")
+
+
+def test_the_golden_ledger_has_changes_in_every_stage_and_fills_every_field():
+    ledger = golden_ledger()
+    assert ledger.change is not None and ledger.halted is not None
+    assert {ledger.change.stage, ledger.halted.stage} == set(fleet_ledger.Stage)
+    filled = (
+        ledger,
+        ledger.halted,
+        ledger.current,
+        *ledger.history,
+        ledger.current.version,
+        golden_parts("a"),
+    )
+    assert {type(one).__name__: has_default(one) for one in filled if has_default(one)} == {}
+
+
+def test_golden_certificates_are_sealed_for_their_versions():
+    ledger = fleet_ledger.decode(golden("ledger.msgpack"))
+    assert ledger.halted is not None and ledger.halted.certificate is not None
+    for certificate in (ledger.current, ledger.halted.certificate):
+        assert version.why_not_certified(SECRET, certificate) == ""
+
+
+def test_golden_files_of_the_voter_and_of_what_runs_are_read_as_their_values():
+    voter, running = golden("voter-file.bin"), golden("running-file.bin")
+    kept = files.Files(Disk(**{"gateway-1.voter": voter, "gateway-1.running": running}), "gateway-1")  # type: ignore[arg-type]
+    assert kept.read_voter() == golden_voter_file()
+    assert kept.read_running() == golden_running_file()
+    assert list(kept.contents) == golden_parts("a").names()
+    for file in (golden_voter_file(), golden_voter_file().kept, golden_running_file()):
+        assert has_default(file) == []
+
+
+def test_golden_bodies_of_the_admin_address_are_read_as_their_values():
+    read = msgspec.msgpack.decode
+    assert read(golden("admin-order.msgpack"), type=desk.Order) == golden_order()
+    assert read(golden("admin-outcome.msgpack"), type=shell.Outcome) == golden_outcome()
+    assert read(golden("admin-status.msgpack"), type=desk.Status) == golden_status()
+    assert read(golden("admin-counts.msgpack"), type=dict[str, Tally]) == golden_tallies()
+    for body in (golden_order(), golden_outcome(), golden_status().gateways[1]):
+        assert has_default(body) == []
+
+
+def test_what_tools_print_of_fleet_versions_names_every_field_as_before():
+    assert msgspec.json.decode(golden("admin-status.json"), type=desk.Status) == golden_status()
+    history = msgspec.json.decode(golden("admin-history.json"), type=tuple[fleet_ledger.Entry, ...])
+    assert history == golden_status().history
