--- /dev/null
+++ b/tests/golden.py
@@ -0,0 +1,26 @@
+"""Golden data: what an earlier build wrote, which every later one must give byte by byte.
+
+The files in ``tests/corpus/golden`` are written anew only on purpose, by a run of the tests with
+``GOLDEN_WRITE=1`` in the environment; where ``CI`` is set nothing is written. A change of a file is a change
+of a wire, a command or a page, and its commit says why.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+from pathlib import Path
+from typing import Any
+
+FOLDER = Path(__file__).parent / "corpus" / "golden"
+
+
+def check_golden(name: str, found: Any) -> None:
+    """Whether plain values are those of the golden file of this name."""
+    path = FOLDER / f"{name}.json"
+    text = json.dumps(found, indent=1, sort_keys=True) + "\n"
+    if os.environ.get("GOLDEN_WRITE") == "1":
+        assert "CI" not in os.environ, "golden files are not written in CI"
+        FOLDER.mkdir(parents=True, exist_ok=True)
+        path.write_text(text)
+    assert json.loads(text) == json.loads(path.read_text()), f"differs from {path.name}"
--- /dev/null
+++ b/tests/test_golden_surface.py
@@ -0,0 +1,593 @@
+"""What others see of the code, byte by byte: datagrams, the binary wire, pages, the command, settings.
+
+Golden data in ``tests/corpus/golden`` was written by an earlier build (``golden.py`` tells how); today's code
+must give exactly the same. The code's own types are built in the first part of this file only.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import re
+import struct
+from pathlib import Path
+from typing import Any, get_args
+
+import click
+import msgspec
+import pytest
+from click.testing import CliRunner
+from golden import check_golden
+from house import GET, REPORT, UPLOAD, House, good, resets_after
+from platformhouse import PlatformHouse, call, settings
+
+from orchidlane import config, messages, wire
+from orchidlane import interface as api
+from orchidlane.change import messages as change_messages
+from orchidlane.cli.main import main
+from orchidlane.gateway import datagram, limits
+from orchidlane.gateway import settings as fleet_settings
+from orchidlane.lab import day as lab_day
+from orchidlane.upgrade import messages as upgrade_messages
+
+MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
+SECOND = 1_000_000
+SERVER = bytes.fromhex("0a124a072b23")
+OTHER_SERVER = bytes.fromhex("0a9011f25423")
+SECRET = b"0123456789abcdef"
+
+# The code's own types, each built in one place from plain values
+
+
+def counts_row(customer, plan, first, size, reach, room, total, rights, counts) -> messages.Row:
+    """What a message tells of one customer."""
+    return messages.Row(customer, plan, first, size, reach, room, total, rights, counts)
+
+
+def row_values(row: messages.Row) -> list:
+    """The same as plain values."""
+    amounts = [row.room, row.total, row.rights, [list(count) for count in row.counts]]
+    return [row.customer, row.plan, row.set_first, row.set_size, row.reach, *amounts]
+
+
+def message_values(message: messages.Message | None) -> list | None:
+    """A decoded message as plain values."""
+    if message is None:
+        return None
+    return [message.sent, message.ask, message.keep, [row_values(row) for row in message.rows]]
+
+
+def request_values(event: api.RequestArrived) -> list:
+    """A client's request as plain values."""
+    counts = [event.units, event.time_left, event.set_first, event.set_size, event.is_repeat]
+    return [event.request, event.customer, event.plan, event.kind, *counts]
+
+
+def outcome_values(event: api.AttemptEnded) -> list:
+    """How an attempt ended as plain values."""
+    ended = [event.outcome.value, event.took, event.answered, event.use, event.true_units]
+    return [event.request, event.attempt, event.server.hex(), *ended, list(event.report)]
+
+
+def list_values(event: api.ServerListed) -> list:
+    """News of discovery as plain values."""
+    entries = [
+        [one.server.hex(), one.phase.value, one.zone, one.cell, one.launched, one.size]
+        for one in event.entries
+    ]
+    return [event.kind.value, event.version, entries]
+
+
+def start_values(event: wire.Start) -> list:
+    """A gateway's start as plain values."""
+    return [event.seed, settings_values(event.settings)]
+
+
+EVENT_VALUES: dict[type, Any] = {
+    api.TimerFired: lambda event: [event.token],
+    api.PeerMessage: lambda event: [event.sender, event.body.hex()],
+    api.ClientGone: lambda event: [event.request],
+    api.StreamStarted: lambda event: [event.request, event.attempt, event.server.hex(), event.took],
+    api.RequestArrived: request_values,
+    api.AttemptEnded: outcome_values,
+    api.ServerListed: list_values,
+    api.CounterAnswered: lambda event: [event.name, event.outcome.value, event.value, event.took],
+    api.ProbeEnded: lambda event: [event.server.hex(), event.outcome.value, event.took, list(event.report)],
+    wire.Start: start_values,
+    wire.Stop: lambda event: [],
+}
+
+ACTIONS: dict[int, list[api.Action]] = {  # by the code of its record
+    65: [api.Send(0x5D3A91C4, SERVER, 0x8194DA), api.Send(7, SERVER, 0)],
+    66: [api.Refuse(7, 9), api.Refuse(7, 0, True)],
+    67: [api.Fail(7)],
+    68: [api.Cancel(7, 2)],
+    69: [api.SetTimer(500_000, 77)],
+    70: [api.Probe(SERVER)],
+    72: [api.TellPeer(0xFFFF, b"hi 7"), api.TellPeer(2, b"")],
+    75: [api.AskList()],
+    76: [api.FetchList()],
+}
+NOT_OF_THE_WIRE = {api.Grant}
+
+
+def settings_values(s: api.Settings) -> dict:
+    """Settings as plain values under names of their own."""
+    return {
+        "rank and fleet": [s.rank, s.gateways, s.zone],
+        "classes": [
+            [c.aim, c.deadline, c.worth, c.late_worth, c.effect.value, c.group.value, c.window]
+            for c in s.classes
+        ],
+        "plans": [[p.rate, p.burst, p.open, p.price, p.beyond_earns, p.beyond_costs] for p in s.plans],
+        "ceilings": [[p.ceiling_rate, p.ceiling_burst, p.ceiling_slack] for p in s.plans],
+        "permissions": [s.may_tell_peers, s.may_probe, s.may_cancel, s.may_copy],
+        "attempts": [s.max_attempts, s.max_retry_after],
+        "charges": [s.peer_intake, s.peer_charge, s.probe_charge, s.waste_charge, s.cross_zone_charge],
+        "counter and list": [s.has_counter, s.asks_for_list, s.ask_within],
+        "reports": [s.reports.value, list(s.report_names)],
+        "nodes": [s.cold_from, s.warm_within, s.fall_multiple, s.overload_for, s.drain_grace],
+    }
+
+
+def sealed(kind: int, body: bytes, sequence: int = 5, incarnation: int = 900) -> bytes:
+    """A datagram from gateway 1 to gateway 2."""
+    return datagram.seal(SECRET, 1, 2, incarnation, sequence, body, kind)
+
+
+# Messages between gateways
+
+ROWS = {
+    "one row": [counts_row(7, 0, 0, 3, 0, 4.5, 11.25, 0.0, ((0, 1_000, 6.0), (2, 990, 5.25)))],
+    "a brief row": [counts_row(1 << 33, 1, 2, 3, 2, 0.0, 300.0625, 0.0, ())],
+    "rights of a ceiling": [counts_row(9, 2, 1, 2, 1, 0.0, 0.0, 12.75, ((1, 15_000, 0.0625),))],
+    "a set of all, wrapped": [counts_row(8, 0, 2, 3, 0, 2.0, 9.0, 0.0, ((1, 16_000, 1.0), (2, 0, 8.0)))],
+    "no row": [],
+    "several": [counts_row(one, one % 3, one % 3, 1 + one % 3, 0, one, one, 0.0, ()) for one in range(9)],
+}
+SENT = {"early": 1_000_000, "its low bits repeat": (1 << 32) + 5, "just before they repeat": (1 << 32) - 1}
+
+
+def packed_messages() -> dict[str, bytes]:
+    """Every kind of message, by what it is."""
+    found = {}
+    for what, rows in ROWS.items():
+        for when, sent in SENT.items():
+            for ask, keep in ((False, False), (True, False), (False, True), (True, True)):
+                parts = messages.fit(messages.pack_row(row, sent, 3) for row in rows)
+                found[f"{what}, {when}, {ask:d}{keep:d}"] = messages.pack(sent, ask, keep, parts)
+    return found
+
+
+def test_messages_between_gateways_are_packed_to_the_golden_bytes():
+    check_golden("peer-messages", {what: body.hex() for what, body in packed_messages().items()})
+
+
+def test_messages_between_gateways_are_read_as_the_golden_values():
+    """The bytes are those of the golden file; so are damaged ones, most of which are no message."""
+    found, all_bytes = (
+        {},
+        json.loads((Path(__file__).parent / "corpus/golden/peer-messages.json").read_text()),
+    )
+    for what, text in all_bytes.items():
+        body = bytes.fromhex(text)
+        for now in (1_000_400, (1 << 32) + 300):
+            found[f"{what}, read at {now}"] = message_values(messages.unpack(body, now, 3, 3))
+    body = bytes.fromhex(all_bytes["one row, early, 11"])
+    for place in range(len(body)):
+        changed = body[:place] + bytes((body[place] ^ 0x81,)) + body[place + 1 :]
+        found[f"byte {place} changed"] = message_values(messages.unpack(changed, 1_000_400, 3, 3))
+        found[f"cut at {place}"] = message_values(messages.unpack(body[:place], 1_000_400, 3, 3))
+    found["a number too long"] = message_values(messages.unpack(body[:6] + b"\xff" * 12, 1_000_400, 3, 3))
+    assert None in found.values()
+    check_golden("peer-messages-read", found)
+
+
+def test_what_does_not_fit_into_a_message_is_left_out():
+    rows = [counts_row(1 << 30, 0, 0, 3, 0, 1.0, one, 0.0, ((0, 0, one),)) for one in range(60)]
+    parts = messages.fit(messages.pack_row(row, 1_000_000, 3) for row in rows)
+    check_golden("peer-messages-full", {"rows": len(parts), "bytes": b"".join(parts).hex()})
+
+
+# Sealed datagrams
+
+
+def test_datagrams_are_sealed_to_the_golden_bytes_and_taken():
+    kinds = {"module": 0, "limits": 1, "versions": 2}
+    found = {what: sealed(kind, b"body of " + what.encode()).hex() for what, kind in kinds.items()}
+    found["empty"] = sealed(0, b"").hex()
+    found["largest"] = sealed(1, bytes(range(256))).hex()
+    check_golden("sealed-datagrams", found)
+    inbox = datagram.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
+    assert [
+        inbox.take(1_000, sealed(kind, b"x", sequence)) for sequence, kind in enumerate(kinds.values(), 1)
+    ] == [(kind, 1, b"x") for kind in kinds.values()]
+
+
+def test_datagrams_that_are_not_for_us_are_refused_by_the_golden_reasons():
+    good_one = sealed(0, b"x")
+    wrong = {
+        "short": good_one[:20],
+        "too long": good_one + bytes(300),
+        "another magic": b"XX" + good_one[2:],
+        "another format": good_one[:2] + b"\2" + good_one[3:],
+        "an unknown kind": sealed(9, b"x"),
+        "to another": datagram.seal(SECRET, 1, 0, 900, 5, b"x"),
+        "of our own rank": datagram.seal(SECRET, 2, 2, 900, 5, b"x"),
+        "of no gateway": datagram.seal(SECRET, 9, 2, 900, 5, b"x"),
+        "of another key": datagram.seal(b"another key, long enough", 1, 2, 900, 5, b"x"),
+        "changed": good_one[:-1] + bytes((good_one[-1] ^ 1,)),
+        "a life far ahead": sealed(0, b"x", incarnation=61_000_000_000),
+    }
+    found = {}
+    for what, data in wrong.items():
+        inbox = datagram.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
+        assert inbox.take(1_000, data) is None
+        found[what] = inbox.refused
+    inbox = datagram.Inbox(SECRET, 2, 3, 1_000, 2.0)
+    taken = [inbox.take(1_000, sealed(0, b"x", number)) is not None for number in (7, 7, 6, 8)]
+    found["7, 7, 6, 8 with an intake of two"] = [taken, inbox.refused]
+    found["carried to a successor"] = [[*row[:3], row[3].hex()] for row in inbox.carried()]
+    check_golden("refused-datagrams", found)
+
+
+# Messages of MessagePack: of the limits, of the fleet's versions, of an upgrade
+
+
+def sample(kind: Any, number: int) -> Any:
+    """A value of a type, drawn from nothing but its place: names play no part."""
+    if kind is int:
+        return 1_000 + 37 * number
+    if kind is float:
+        return number + 0.5
+    if kind is bool:
+        return number % 2 == 0
+    if kind is str:
+        return f"text {number}"
+    if kind is bytes:
+        return bytes((number, 0, 255))
+    if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
+        return sample_struct(kind)
+    parts = get_args(kind)
+    if type(None) in parts:
+        return sample(parts[0], number)
+    if not parts:
+        return [1, b"any", 0.5] if kind is list else 7
+    origin = getattr(kind, "__origin__", None)
+    if origin is dict:
+        return {sample(parts[0], number): sample(parts[1], number)}
+    if origin is tuple and parts[-1] is not Ellipsis:
+        return tuple(sample(part, number + place) for place, part in enumerate(parts))
+    return origin(sample(parts[0], number + place) for place in range(2)) if origin else 7
+
+
+def sample_struct(kind: type[msgspec.Struct]) -> msgspec.Struct:
+    """A message with a value in each field."""
+    fields = msgspec.structs.fields(kind)
+    return kind(*(sample(field.type, number) for number, field in enumerate(fields)))
+
+
+def samples(union: Any) -> dict[str, msgspec.Struct]:
+    """A message of each type of a union, by the tag on the wire."""
+    return {str(kind.__struct_config__.tag): sample_struct(kind) for kind in get_args(union)}
+
+
+def test_questions_of_the_limits_have_the_golden_bytes():
+    found = samples(limits.Question | limits.Reply)
+    bodies = {tag: msgspec.msgpack.encode(message) for tag, message in found.items()}
+    for tag, body in bodies.items():
+        assert msgspec.msgpack.decode(body, type=limits.Question | limits.Reply) == found[tag]
+    shortest = [limits.Question(5, limits.Op.LOOK, b"name"), limits.Reply(5)]
+    more = {f"shortest {place}": msgspec.msgpack.encode(one) for place, one in enumerate(shortest)}
+    more |= {f"op {op.value}": bytes((op.value,)) for op in limits.Op}
+    check_golden("limit-messages", {what: body.hex() for what, body in (bodies | more).items()})
+
+
+def test_messages_of_the_fleets_versions_have_the_golden_bytes():
+    found = samples(change_messages.Message)
+    bodies = {tag: change_messages.encode(message) for tag, message in found.items()}
+    assert {tag: change_messages.decode(body) for tag, body in bodies.items()} == found
+    check_golden("change-messages", {tag: body.hex() for tag, body in bodies.items()})
+
+
+def test_messages_of_an_upgrade_have_the_golden_bytes():
+    """An old process and a new one talk to each other across builds."""
+    found = samples(upgrade_messages.AnyMessage)
+    frames = {tag: upgrade_messages.encode(message) for tag, message in found.items()}
+    check_golden("upgrade-messages", {tag: data.hex() for tag, data in frames.items()})
+    for tag, data in frames.items():
+        parser = upgrade_messages.Parser()
+        parser.receive(data)
+        assert upgrade_messages.encode(parser.next_message()) == data, tag
+
+
+# The binary wire
+
+
+def record(code: int, layout: str, *values) -> bytes:
+    """A record of an event, by the protocol's layout."""
+    return struct.pack("<B" + layout, code, *values).ljust(wire.EVENT_SIZE, b"\0")
+
+
+def frames_of_the_wire() -> dict[str, list[tuple[list[bytes], bytes]]]:
+    """Batches by the record code that they are about: records and tail."""
+    text = json.dumps(settings()).encode()
+    entries = struct.pack("<fB6sBQBH", 1.5, 0, SERVER, 2, 77, 1, 9)
+    entries += struct.pack("<fB6sBQBH", 1.0, 1, OTHER_SERVER, 0, 0, 2, 300)
+    entries += struct.pack("<fB6sBQBH", 1.0, 0, OTHER_SERVER, 0, 0, 0, 300)
+    listed = record(12, "HII", 4, 0, 3)
+    outcomes = (100, 301, 302, 303, 304, 305, 306, 307)
+    report = 3, 0.5, 14.5, 7.0, 0.0
+    ended = [
+        record(6, "HIH6sHIBHHB4f", 3, 9, 1, SERVER, outcome, 18_500, outcome == 100, 86, 3, *report)
+        for outcome in outcomes
+    ]
+    return {
+        "1": [([record(1, "HQ", 3, 1 << 40)], b"")],
+        "2": [([record(2, "HHII", 3, 1, 2, 5)], b"..hello..")],
+        "3": [([record(3, "HI", 5, 0x0E6F2B19)], b"")],
+        "4": [([record(4, "HIH6sI", 3, 9, 1, SERVER, 2_150)], b"")],
+        "5": [
+            ([record(5, "HIBHQIfffH", 3, 9, 2, 1, 1 << 40, 240_000, 2.5, 3.0, 1.0, bits)], b"")
+            for bits in (0, 2, 3)
+        ],
+        "6": [([one], b"") for one in ended],
+        "7": [([record(7, "HQII", 3, 1 << 60, 0, len(text))], text)],
+        "8": [([record(8, "H", 3)], b"")],
+        "9": [([listed, record(9, "HBHQ", 3, kind, 4, 41)], entries) for kind in range(4)],
+        "10": [([record(10, "HfIHQ", 3, 38.0, 2_150, outcome, 77)], b"") for outcome in outcomes],
+        "11": [
+            ([record(11, "HIH6sB4f", 3, 900, outcome, SERVER, 2, 0.25, 2.0, 3.0, 4.0)], b"")
+            for outcome in outcomes
+        ],
+        "12": [([listed], entries)],
+    }
+
+
+def test_each_record_of_the_wire_is_read_as_the_golden_values():
+    found: dict[str, list] = {}
+    for code, batches in frames_of_the_wire().items():
+        for records, tail in batches:
+            body = b"".join(records) + tail
+            events = [
+                [gateway, EVENT_VALUES[type(event)](event)]
+                for gateway, event in wire.Decoder().frame(len(records), body)
+            ]
+            found.setdefault(code, []).append({"records": len(records), "body": body.hex(), "events": events})
+    assert {int(code) for code in found} == set(wire._READERS)
+    check_golden("wire-events", found)
+
+
+def test_each_event_that_the_wire_has_is_covered():
+    of_code = {"take_arrived", "counted", "set_moved"}  # not of the wire
+    covered = {kind for kind in EVENT_VALUES if kind not in (wire.Start, wire.Stop)}
+    assert {kind.topic for kind in set(get_args(api.Event)) - covered} == of_code
+
+
+def test_each_action_has_the_golden_record():
+    found = {}
+    for code, actions in ACTIONS.items():
+        encoder = wire.Encoder()
+        for action in actions:
+            encoder.add(3, action)
+        found[str(code)] = encoder.reply().hex()
+        assert encoder.reply()[8] == code
+    encoder = wire.Encoder()
+    encoder.bug(3, "ValueError: what happened")
+    found["74"] = encoder.reply().hex()
+    covered = {type(action) for actions in ACTIONS.values() for action in actions}
+    assert covered | NOT_OF_THE_WIRE == set(get_args(api.Action))
+    check_golden("wire-actions", found)
+
+
+def test_settings_of_the_wire_are_read_as_the_golden_values():
+    texts = {
+        "plain": settings(),
+        "other words": settings(
+            discovery="on_request",
+            loadReport={"how": "off", "names": []},
+            familyInfo={"peerIntake": 7, "sharedCounter": True, "unitsTop": 2},
+            permissions={**settings()["permissions"], "retryAfter": False, "peers": True, "probes": True},
+        ),
+        "by probes": settings(loadReport={"how": "on_probe", "names": ["util"]}, rank=2, balancers=5),
+    }
+    found = {
+        what: settings_values(wire.parse_settings(json.dumps(text).encode())) for what, text in texts.items()
+    }
+    check_golden("wire-settings", {"texts": texts, "values": found})
+
+
+# The platform's datagrams
+
+
+def test_the_platforms_gateways_send_the_golden_datagrams():
+    bodies = []
+
+    def test(house):
+        peer = house.world.datagrams(("127.0.0.1", 7947))
+
+        def hear() -> None:
+            while True:
+                bodies.append(peer.recv()[0].hex())
+
+        house.scope.spawn(hear)
+        for number in range(4):
+            asked = call(number=f"r{number}", client=f"{number:016x}", extras="units=1,spread=2,first=0")
+            assert house.ask(asked)[0] == 200
+        house.loop.sleep(2 * SECOND)
+
+    may = {**settings()["permissions"], "peers": True}
+    addresses = ["127.0.0.1:7946", "127.0.0.1:7947"]
+    PlatformHouse(good, good, peers=addresses, settings=settings(balancers=2, permissions=may)).run(test)
+    assert bodies
+    check_golden("platform-datagrams", bodies)
+
+
+# Admin answers and the metrics page
+
+
+def without_build(value: Any) -> Any:
+    """Bytes as text, and the build left out: each build has a name of its own."""
+    if isinstance(value, dict):
+        return {str(key): "" if key == "build" else without_build(part) for key, part in value.items()}
+    if isinstance(value, (list, tuple)):
+        return [without_build(part) for part in value]
+    return value.hex() if isinstance(value, bytes) else value
+
+
+def samples_of(page: bytes) -> list[str]:
+    """Names, labels, types and values of a page of metrics; its prose may change."""
+    return [line for line in page.decode().splitlines() if not line.startswith("# HELP ")]
+
+
+def ask_admin(house: House, target: str) -> tuple[int, dict[str, str], bytes]:
+    """Status, headers and body of an answer at the admin address."""
+    stream = house.world.connect(("127.0.0.1", 8280))
+    stream.send(f"GET {target} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
+    status, headers, body = house.answer(stream)
+    return status, {name.decode(): value.decode() for name, value in headers}, body
+
+
+def admin_answers() -> dict[str, Any]:
+    """What the admin address of a gateway answers after a few requests."""
+    found: dict[str, Any] = {}
+
+    def test(house):
+        for raw in (GET, REPORT, UPLOAD, GET, GET, b"nonsense\r\n\r\n"):
+            house.ask(raw)
+        for target in ("/health", "/nothing", "/view?customer=nobody", "/change/status", "/change/content/x"):
+            status, headers, body = ask_admin(house, target)
+            found[target] = [status, headers, body.decode()]
+        status, headers, body = ask_admin(house, "/metrics")
+        del headers["content-length"]
+        found["/metrics"] = [status, headers, samples_of(body)]
+        for target in ("/view", "/view?customer=1"):
+            body = ask_admin(house, target)[2]
+            found[target] = without_build(msgspec.msgpack.decode(body))
+        body, at, frames = ask_admin(house, "/state")[2], 7, []
+        found["/state"] = [body[:at].decode(), frames]
+        while at < len(body):
+            length, _ = struct.unpack_from("<II", body, at)
+            frames.append(without_build(msgspec.msgpack.decode(body[at + 8 : at + 8 + length])))
+            at += 8 + length
+
+    House(good, resets_after, good, seed=5).run(test)
+    return found
+
+
+def test_the_admin_address_gives_the_golden_answers():
+    check_golden("admin-answers", admin_answers())
+
+
+# The command
+
+
+def flags(command: click.Command) -> dict[str, Any]:
+    """Verbs, arguments and options of a command and of all below it; prose may change."""
+    found: dict[str, Any] = {"hidden": command.hidden, "parameters": []}
+    for one in command.params:
+        kind = one.type.to_info_dict()
+        row = {"kind": one.param_type_name, "words": [*one.opts, *one.secondary_opts], "count": one.nargs}
+        row |= {"type": kind["param_type"], "required": one.required, "many": one.multiple}
+        row |= {"choices": list(kind.get("choices", ()))}
+        if isinstance(one, click.Option):
+            given = isinstance(one.default, (str, int, float))  # else click's own mark for no default
+            row |= {"flag": one.is_flag, "default": str(one.default) if given else ""}
+        else:
+            row["words"] = []  # an argument's name is prose
+        found["parameters"].append(row)
+    if isinstance(command, click.Group):
+        found["verbs"] = {name: flags(one) for name, one in command.commands.items()}
+    return found
+
+
+def verbs(command: click.Command, words: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
+    """Each command by its words."""
+    below = command.commands.items() if isinstance(command, click.Group) else ()
+    return [words] + [found for name, one in below for found in verbs(one, (*words, name))]
+
+
+def run(*arguments: str) -> tuple[int, str]:
+    """Exit code and output of the command."""
+    result = CliRunner().invoke(main, arguments)
+    assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
+    return result.exit_code, result.output
+
+
+def test_the_command_has_the_golden_verbs_and_flags():
+    check_golden("command", flags(main))
+
+
+@pytest.mark.parametrize("words", verbs(main), ids=" ".join)
+def test_each_command_tells_of_its_flags(words):
+    code, text = run(*words, "--help")
+    command = main
+    for word in words:
+        command = command.commands[word]
+    assert code == 0
+    for one in command.params:
+        assert one.param_type_name == "argument" or any(word in text for word in one.opts)
+
+
+def test_settings_and_routes_are_shown_as_golden():
+    found = {
+        "config show": run("config", "show", str(MATERIALS / "fleet.cue")),
+        "routes": run("routes", str(MATERIALS / "openapi.yaml")),
+        "routes --match": run("routes", str(MATERIALS / "openapi.yaml"), "--match", "PUT /v1/tests/7"),
+    }
+    check_golden("command-output", {what: list(pair) for what, pair in found.items()})
+
+
+@pytest.mark.parametrize("script", ["bad", "quiet"])
+def test_a_simulated_day_gives_the_golden_verdict(script, tmp_path):
+    report = tmp_path / "verdict.json"
+    source = str(MATERIALS / f"{script}.cue")
+    code, _ = run("day", source, "--world", "simulated", "--seed", "3", "--json", str(report))
+    digest = hashlib.sha256(report.read_bytes()).hexdigest()
+    verdict = json.loads(report.read_bytes())
+    check_golden(f"day-{script}", {"exit": code, "sha256": digest, "verdict": verdict})
+
+
+# Settings
+
+
+SMALLEST = """
+description: "d.yaml"
+customers:   "c.json"
+gateways: [{name: "a", listen: "127.0.0.1:1", peer: "127.0.0.1:2"}]
+plans: p: {rate: 1, burst: 2}
+plans: q: {rate: 0, burst: 0, ceiling: {rate: 1, burst: 2}}
+nodes: list: "127.0.0.1:3"
+peers: secret_file: "s"
+"""
+SMALLEST_DAY = """
+fleet: "f.cue"
+gateways: 1
+racks: 1
+rack_size: 1
+customers: 1
+rate: 1
+span: "1s"
+kinds: [{class: "c", share: 1, method: "GET", target: "/", work: "1ms"}]
+steps: [{at: "1s", do: "kill_gateway"}]
+"""
+
+
+def schema_without_comments(text: str) -> list[str]:
+    """The lines of a schema: names, bounds and defaults."""
+    lines = [re.sub(r"\s*//.*", "", line) for line in text.splitlines()]
+    return [" ".join(line.split()) for line in lines if line.strip()]
+
+
+def test_settings_have_the_golden_names_and_defaults():
+    schema = fleet_settings.schema()
+    found = config.plain(SMALLEST, "smallest.cue", schema, "#Fleet")
+    fleet_settings.parse_fleet(SMALLEST, "smallest.cue")
+    check_golden("settings", {"defaults": found, "schema": schema_without_comments(schema)})
+
+
+def test_scripted_days_have_the_golden_names_and_defaults():
+    schema = lab_day.DAY_SCHEMA.read_text()
+    found = config.plain(SMALLEST_DAY, "smallest.cue", schema, "#Day")
+    config.load(SMALLEST_DAY, "smallest.cue", schema, "#Day", lab_day.Day)
+    check_golden("settings-of-a-day", {"defaults": found, "schema": schema_without_comments(schema)})
