--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -9,7 +9,10 @@
 import hashlib
 import json
 import re
+import shutil
 import struct
+import sys
+from enum import Enum
 from pathlib import Path
 from typing import Any, get_args
 
@@ -18,16 +21,21 @@
 import pytest
 from click.testing import CliRunner
 from golden import check_golden
-from house import GET, REPORT, UPLOAD, House, good, resets_after
+from house import GET, KEY, REPORT, SETTINGS, UPLOAD, House, good, request, resets_after
 from platformhouse import PlatformHouse, call, settings
+from platformhouse import file as platform_file
 
-from orchidlane import config, messages, wire
+from orchidlane import config, messages, resp, wire
 from orchidlane import interface as api
+from orchidlane.change import judge, ledger, version
 from orchidlane.change import messages as change_messages
 from orchidlane.cli.main import main
 from orchidlane.gateway import datagram, limits
 from orchidlane.gateway import settings as fleet_settings
+from orchidlane.gateway.versions import desk
+from orchidlane.gateway.versions import shell as versions_shell
 from orchidlane.lab import day as lab_day
+from orchidlane.platform import config as platform_config
 from orchidlane.upgrade import messages as upgrade_messages
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
@@ -246,6 +254,8 @@
         return f"text {number}"
     if kind is bytes:
         return bytes((number, 0, 255))
+    if isinstance(kind, type) and issubclass(kind, Enum):
+        return next(iter(kind))
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return sample_struct(kind)
     parts = get_args(kind)
@@ -301,6 +311,36 @@
         assert upgrade_messages.encode(parser.next_message()) == data, tag
 
 
+def test_ledgers_commands_and_states_of_versions_have_the_golden_names_and_values():
+    """What gateways and tools send each other over the admin address, and what names contents and seals."""
+    kinds = {
+        "command": desk.Order,
+        "how things stand": desk.Status,
+        "a gateway's state": desk.GatewayState,
+        "what became of a command": versions_shell.Outcome,
+        "answers counted": judge.Tally,
+        "ledger": ledger.Ledger,
+        "certificate": version.Certificate,
+        "change": ledger.Change,
+    }
+    found: dict[str, Any] = {}
+    for what, kind in kinds.items():
+        body = msgspec.msgpack.encode(sample_struct(kind))
+        assert msgspec.msgpack.decode(body, type=kind) == sample_struct(kind)
+        found[what] = [body.hex(), without_build(msgspec.msgpack.decode(body))]
+    found["name of a content"] = version.name_of(b"a content")
+    found["name of a version's contents"] = sample_struct(version.Version).content
+    found["seal"] = version.seal_of(SECRET, "admin", "GET", b"/change/status", b"").hex()
+    vote = version.cast(SECRET, version.Seat(1, 77), sample_struct(version.Version), 5, True, "why")
+    found["vote"] = without_build(msgspec.to_builtins(vote, builtin_types=(bytes,)))
+    check_golden("versions", found)
+
+
+def test_steps_of_the_ledger_have_the_golden_bytes():
+    steps = [sample_struct(kind) for kind in get_args(ledger.Step)]
+    check_golden("ledger-steps", [msgspec.msgpack.encode(one).hex() for one in steps])
+
+
 # The binary wire
 
 
@@ -492,7 +532,8 @@
         row |= {"choices": list(kind.get("choices", ()))}
         if isinstance(one, click.Option):
             given = isinstance(one.default, (str, int, float))  # else click's own mark for no default
-            row |= {"flag": one.is_flag, "default": str(one.default) if given else ""}
+            default = str(one.default).replace(sys.executable, "python") if given else ""
+            row |= {"flag": one.is_flag, "default": default}
         else:
             row["words"] = []  # an argument's name is prose
         found["parameters"].append(row)
@@ -548,6 +589,139 @@
     check_golden(f"day-{script}", {"exit": code, "sha256": digest, "verdict": verdict})
 
 
+def without_place(text: str, folder: Path) -> str:
+    """An output without what differs by machine and build: the folder, and the build's name."""
+    return re.sub(r'"build": ".*?"', '"build": ""', text.replace(str(folder), "FOLDER"))
+
+
+def test_tools_tell_the_golden_json_of_a_saved_state(tmp_path):
+    path = tmp_path / "state.olr"
+
+    def test(house):
+        for raw in (GET, REPORT, UPLOAD, GET, GET):
+            house.ask(raw)
+        path.write_bytes(ask_admin(house, "/state")[2])
+
+    House(good, resets_after, good, seed=5).run(test)
+    calls = {
+        "state": ("state", str(path), "--json"),
+        "counts of a customer": ("counts", str(path), "1", "--json"),
+        "counts beyond": ("counts", str(path), "1", "--units", "100000", "--json"),
+        "counts of a plan": ("counts", str(path), "--plan", "basico", "--json"),
+        "diff": ("diff", str(path), str(path), "1", "--json"),
+    }
+    found = {what: run(*words) for what, words in calls.items()}
+    check_golden(
+        "tools-of-a-state",
+        {what: [code, without_place(text, tmp_path)] for what, (code, text) in found.items()},
+    )
+
+
+def test_tools_tell_the_golden_json_of_a_record(tmp_path):
+    """A record of a released format, so that none of it depends on what this build writes."""
+    shutil.copy(Path(__file__).parent / "corpus/record/format-2.olr", tmp_path / "gw-1-0.olr")
+    folder = str(tmp_path)
+    calls = {
+        "replay": ("replay", folder, "--json"),
+        "audit": ("audit", folder, "--json"),
+    }
+    found = {what: run(*words) for what, words in calls.items()}
+    check_golden(
+        "tools-of-a-record",
+        {what: [code, without_place(text, tmp_path)] for what, (code, text) in found.items()},
+    )
+
+
+@pytest.mark.parametrize("words", [("38",), ("--customer", "3")], ids=["request", "customer"])
+def test_explain_tells_the_golden_json(words, tmp_path):
+    """Its events and actions are told as text with the names of their types and fields."""
+    shutil.copy(Path(__file__).parent / "corpus/record/format-2.olr", tmp_path / "gw-1-0.olr")
+    code, text = run("explain", str(tmp_path), *words, "--json")
+    check_golden(f"explain-{words[0].lstrip('-')}", [code, json.loads(text)])
+
+
+# What clients of the gateway are answered
+
+
+def http_answer(house: House, raw: bytes) -> list:
+    """Status, headers and body of an answer; of a problem its keys, whose prose may change."""
+    status, headers, body = house.ask(raw)
+    fields = {name.decode(): value.decode() for name, value in headers}
+    if fields.get("content-type") != "application/problem+json":
+        return [status, fields, body.decode()]
+    fields.pop("content-length", None)
+    problem = json.loads(body)
+    return [status, fields, sorted(problem), problem["status"]]
+
+
+def test_clients_over_http_get_the_golden_answers():
+    """Status, headers and body: served, each error, and beyond the quota."""
+    asked = {
+        "served": GET,
+        "served under a key": UPLOAD,
+        "without a key": b"GET /v1/sheets/a HTTP/1.1\r\nHost: g\r\n\r\n",
+        "of no customer": b"GET /v1/sheets/a HTTP/1.1\r\nHost: g\r\nX-Api-Key: other\r\n\r\n",
+        "no such path": request("GET", "/v1/nothing"),
+        "no such method": request("DELETE", "/v1/reports"),
+        "a wrong patience": request("GET", "/v1/sheets/a", "Give-Up-After-Ms: soon\r\n"),
+        "without its key": request("PUT", "/v1/tests/1", body=b"x"),
+        "broken": b"nonsense\r\n\r\n",
+    }
+    found: dict[str, Any] = {}
+
+    def test(house):
+        for what, raw in asked.items():
+            found[what] = http_answer(house, raw)
+        for number in range(30):
+            found[f"request {number}"] = http_answer(house, GET)
+
+    def test_broken(house):
+        found["may have run"] = http_answer(house, REPORT)
+
+    House(good, good, seed=5, plans=fleet_settings.parse_fleet(SETTINGS, "fleet.cue").plans).run(test)
+    House(resets_after, seed=5).run(test_broken)
+    assert {answer[0] for answer in found.values()} >= {200, 400, 401, 404, 405, 429, 502}
+    check_golden("http-answers", found)
+
+
+def test_clients_over_resp_get_the_golden_replies():
+    """Each command once at least, by the bytes of its reply."""
+    key = KEY.decode()
+    commands = [
+        ["PING"], ["PING", "x"], ["ECHO", "x"], ["HELLO"], ["HELLO", "3"], ["SELECT", "0"], ["SELECT", "1"],
+        ["CLIENT", "SETNAME", "a"], ["CLIENT", "GETNAME"], ["COMMAND", "COUNT"], ["COMMAND", "DOCS"],
+        ["LIMIT.INFO"], ["LIMIT.PEEK", key], ["LIMIT.TAKE", key, "2"], ["LIMIT.TAKE", key, "100000"],
+        ["LIMIT.TAKE", key, "1", "WITHIN", "5", "CLASS", "sheet-read"],
+        ["LIMIT.TAKE", key, "2", "IDEMPOTENT", "t"], ["LIMIT.TAKE", key, "2", "IDEMPOTENT", "t"],
+        ["LIMIT.GIVEBACK", key, "t"], ["LIMIT.GIVEBACK", key, "t"], ["LIMIT.GIVEBACK", key, "other"],
+        ["LIMIT.RESERVE", key, "3", "FOR", "10000"], ["LIMIT.COMMIT", key, "RESERVED"],
+        ["LIMIT.RELEASE", key, "RESERVED"],
+        ["LIMIT.RELEASE", key, "0-0-1"], ["LIMIT.RELEASE", key, "none"],
+        ["CL.THROTTLE", key, "2999", "1000", "1"], ["CL.THROTTLE", key, "2999", "1000", "1", "5"],
+        ["CL.THROTTLE", key, "9", "10", "1"],
+        ["LIMIT.TAKE", "of nobody", "1"], ["LIMIT.TAKE", key, "many"], ["LIMIT.TAKE"], ["NOTHING"],
+        ["AUTH", "a password"], ["RESET"], ["QUIT"],
+    ]  # fmt: skip
+    found = []
+
+    def test(house):
+        house.loop.sleep(4 * SECOND)  # tokens are sure from then on
+        stream = house.world.connect(("127.0.0.1", 8380))
+        reserved = ""
+        for words in commands:
+            named = [reserved if word == "RESERVED" else word for word in words]
+            stream.send(resp.encode(named))
+            house.loop.sleep(500_000)
+            reply = stream.recv(deadline=house.loop.now() + SECOND).decode()
+            reserved = reply.split("\r\n")[1] if words[0] == "LIMIT.RESERVE" else reserved
+            # Of an error its first word counts, the rest is prose.
+            found.append([words, reply.split()[0] if reply.startswith("-") else reply])
+
+    fleet = fleet_settings.parse_fleet(SETTINGS, "fleet.cue")
+    House(good, gateways=fleet.gateways[:1], seed=5).run(test)
+    check_golden("resp-replies", found)
+
+
 # Settings
 
 
@@ -579,6 +753,37 @@
     return [" ".join(line.split()) for line in lines if line.strip()]
 
 
+def paths_of(value: Any, *path: Any) -> list[tuple[Any, ...]]:
+    """The path of each key within a value."""
+    inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
+    return [found for key, part in inner for found in [(*path, key), *paths_of(part, *path, key)]]
+
+
+def is_accepted(value: dict) -> bool:
+    """Whether the platform's configuration file may be so."""
+    try:
+        platform_config.parse(json.dumps(value).encode(), "config.json")
+    except platform_config.ConfigError:
+        return False
+    return True
+
+
+def test_the_platforms_configuration_has_the_golden_keys():
+    """Which keys may be missing, and which may not."""
+    known = {"generation": 3, "reset": True, "instances": []}
+    whole = platform_file(known=known)
+    found = {"whole": is_accepted(whole)}
+    for path in paths_of(whole):
+        value = json.loads(json.dumps(whole))
+        inner = value
+        for key in path[:-1]:
+            inner = inner[key]
+        del inner[path[-1]]
+        found["without " + "/".join(map(str, path))] = is_accepted(value)
+    assert found["whole"]
+    check_golden("platform-configuration", found)
+
+
 def test_settings_have_the_golden_names_and_defaults():
     schema = fleet_settings.schema()
     found = config.plain(SMALLEST, "smallest.cue", schema, "#Fleet")
