--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -327,7 +327,7 @@
         if cut or self.random.random() < 0.03:
             return
         for _ in range(1 + (self.random.random() < 0.03)):
-            late = 6 * SECOND if self.random.random() < 0.01 else 0
+            late = self.random.randrange(3 * SECOND, 6 * SECOND) if self.random.random() < 0.02 else 0
             if self.random.random() < 0.01:
                 body = body[: self.random.randrange(len(body))]
             self.later(self.random.randrange(1, 30) * MS + late, self.deliver, sender, receiver, body)
@@ -342,7 +342,7 @@
         """A customer with its plan and set: a few are fast, many come once."""
         number = min(int(4 * self.random.paretovariate(0.5)), 5_000)
         sizes = (1, 2, 3, self.count, self.count, min(13, self.count))
-        return number, number % 6, number * 7 % self.count, min(sizes[number % 6], self.count)
+        return number, number % 6, number * 7 % self.count, min(sizes[number // 2 % 6], self.count)
 
     def ask(self, burst: int) -> None:
         """A client's requests."""
@@ -443,7 +443,7 @@
 
 
 SESSIONS = {
-    "large-sets": {"seed": 1, "gateways": 16, "span": 12 * SECOND, "with_takes": False},
+    "large-sets": {"seed": 1, "gateways": 24, "span": 12 * SECOND, "with_takes": False},
     "three-gateways": {"seed": 2, "gateways": 3, "span": 14 * SECOND, "with_takes": False, "maxAttempts": 2},
     "takes-and-moves": {"seed": 3, "gateways": 5, "span": 12 * SECOND, "with_takes": True},
     "gateways-alone": {
