--- a/tests/golden.py
+++ b/tests/golden.py
@@ -1,6 +1,6 @@
 """Golden data: what an earlier build wrote, which every later one must give byte by byte.
 
-The files in ``tests/corpus/golden`` are written anew only on purpose, by a run of the tests with
+The files in ``tests/corpus/golden_surface`` are written anew only on purpose, by a run of the tests with
 ``GOLDEN_WRITE=1`` in the environment; where ``CI`` is set nothing is written. A change of a file is a change
 of a wire, a command or a page, and its commit says why.
 """
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-FOLDER = Path(__file__).parent / "corpus" / "golden"
+FOLDER = Path(__file__).parent / "corpus" / "golden_surface"
 
 
 def check_golden(name: str, found: Any) -> None:
