--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -1,6 +1,6 @@
 """What others see of the code, byte by byte: datagrams, the binary wire, pages, the command, settings.
 
-Golden data in ``tests/corpus/golden`` was written by an earlier build (``golden.py`` tells how); today's code
+Golden data in ``tests/corpus/golden_surface`` was written by an earlier build (``golden.py`` tells how); today's code
 must give exactly the same. The code's own types are built in the first part of this file only.
 """
 
@@ -175,7 +175,7 @@
     """The bytes are those of the golden file; so are damaged ones, most of which are no message."""
     found, all_bytes = (
         {},
-        json.loads((Path(__file__).parent / "corpus/golden/peer-messages.json").read_text()),
+        json.loads((Path(__file__).parent / "corpus/golden_surface/peer-messages.json").read_text()),
     )
     for what, text in all_bytes.items():
         body = bytes.fromhex(text)
