--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -96,9 +96,9 @@
 
 def list_server(port: int, node_port: int) -> None:
     """A node list with one node that is ready."""
-    from orchidlane.gateway.nodelist import NodeLine
-    from orchidlane.lab.standins import NodeList
-    from orchidlane.loop import Loop, RealWorld
+    from orchidlane.gateway.control.endpoint_list import (NodeLine)
+    from orchidlane.simulation.fake_servers import (NodeList)
+    from orchidlane.runtime import (Loop, RealWorld)
 
     loop = Loop(RealWorld())
 
--- a/benchmarks/index.py
+++ b/benchmarks/index.py
@@ -14,12 +14,12 @@
 import msgspec
 
 from benchmarks.layers import MATERIALS
-from orchidlane import interface as api
-from orchidlane import record
-from orchidlane.gateway.settings import module_settings, parse_fleet
-from orchidlane.record.index import request_of
-from orchidlane.routes import build, load_description
-from orchidlane.rules import Gateway
+from orchidlane.policy import (interface as api)
+from orchidlane import (recording)
+from orchidlane.gateway.control.settings import (module_settings, parse_fleet)
+from orchidlane.recording.index import (request_of)
+from orchidlane.routes import (build, load_description)
+from orchidlane.policy.gateway import (Gateway)
 
 LOOKS = 50
 
@@ -34,17 +34,17 @@
     entries = tuple(api.ServerEntry(b"s%d" % n, api.Phase.READY, 0, 0, 0, 1.0) for n in range(24))
     gateway.handle(now, api.ServerListed(api.ListKind.WHOLE, 1, entries))
     plain = msgspec.to_builtins(settings)
-    header = record.Header(record.FORMAT, "b", "g", now, 0, plain, record.dump(gateway))
+    header = recording.Header(recording.FORMAT, "b", "g", now, 0, plain, recording.dump(gateway))
     with path.open("wb") as out:
-        out.write(record.pack_header(header))
+        out.write(recording.pack_header(header))
         for number in range(requests):
             now += 5_000
             arrived = api.RequestArrived(number, number % 997, 0, 0, 1.0, 2_000_000, 0, 3, False)
             actions = gateway.handle(now, arrived)
-            out.write(record.pack_entry(now, arrived, actions))
+            out.write(recording.pack_entry(now, arrived, actions))
             for send in (one for one in actions if isinstance(one, api.Send)):
                 ended = api.AttemptEnded(number, 0, send.server, api.Outcome.SERVED, 900, True, 0, 0.0, ())
-                out.write(record.pack_entry(now + 900, ended, gateway.handle(now + 900, ended)))
+                out.write(recording.pack_entry(now + 900, ended, gateway.handle(now + 900, ended)))
 
 
 def timed(work) -> float:
@@ -58,24 +58,24 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "a.olr"
         write(path, requests)
-        reader = record.SegmentReader(str(path))
+        reader = recording.SegmentReader(str(path))
         held: list = []
-        built = timed(lambda: held.append(record.Index(reader, record.request_of)))
+        built = timed(lambda: held.append(recording.Index(reader, recording.request_of)))
         index = held.pop()
         wanted = [n * (requests // LOOKS) for n in range(LOOKS)]
         look = timed(lambda: [index.entries(n) for n in wanted]) / LOOKS
-        again = record.SegmentReader(str(path))
+        again = recording.SegmentReader(str(path))
         pairs: list = []
         list_built = timed(
             lambda: pairs.extend(sorted((request_of(e) or 0, e.place, e) for e in again if e.event))
         )
         list_look = timed(lambda: [pairs[bisect_left(pairs, (n, 0))] for n in wanted]) / LOOKS
-        scanner = record.SegmentReader(str(path))
+        scanner = recording.SegmentReader(str(path))
         scan = timed(lambda: [e for e in scanner if request_of(e) == wanted[-1]])
         small = sys.getsizeof(index.keys) + sys.getsizeof(index.places)
         large = sum(sys.getsizeof(p) + sys.getsizeof(p[2]) + sys.getsizeof(p[2].event) for p in pairs)
         times: list = []
-        by_time = timed(lambda: times.append(record.TimeIndex(reader)))
+        by_time = timed(lambda: times.append(recording.TimeIndex(reader)))
         middle = times[0].times[len(times[0].times) // 2]
         span = timed(lambda: list(times[0].between(middle, middle + 100_000)))
         spanned = timed(lambda: [e for e in scanner.entries() if middle <= e.now < middle + 100_000])
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -19,11 +19,11 @@
 import msgspec
 
 from benchmarks.layers import MATERIALS
-from orchidlane import interface as api
-from orchidlane import record
-from orchidlane.gateway.settings import module_settings, parse_fleet
-from orchidlane.routes import build, load_description
-from orchidlane.rules import Gateway
+from orchidlane.policy import (interface as api)
+from orchidlane import (recording)
+from orchidlane.gateway.control.settings import (module_settings, parse_fleet)
+from orchidlane.routes import (build, load_description)
+from orchidlane.policy.gateway import (Gateway)
 
 EVENTS = 4_000
 START = 10**15
@@ -35,7 +35,7 @@
     generation = build(load_description(file.read_bytes(), str(file)), str(file))
     fleet = parse_fleet((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
     gateway = Gateway(module_settings(fleet, 0, generation), 1, START)
-    record.track(gateway)
+    recording.track(gateway)
     entries = tuple(api.ServerEntry(b"s%d" % n, api.Phase.READY, 0, 0, 0, 1.0) for n in range(24))
     gateway.handle(START, api.ServerListed(api.ListKind.WHOLE, 1, entries))
     for number in range(customers):
@@ -66,9 +66,9 @@
     gateway = made(customers)
     gc.collect()
     gc.disable()
-    whole = timed(lambda: msgspec.msgpack.encode(record.dump(gateway)))
-    held: list[record.Snapshot] = []
-    begin = timed(lambda: held.append(record.Snapshot(gateway)))
+    whole = timed(lambda: msgspec.msgpack.encode(recording.dump(gateway)))
+    held: list[recording.Snapshot] = []
+    begin = timed(lambda: held.append(recording.Snapshot(gateway)))
     head = timed(lambda: msgspec.msgpack.encode(held[0].head))
     pages = held[0].pages()
     spans = []
@@ -77,10 +77,10 @@
         rows = next(pages, None)
         if rows is None:
             break
-        record.pack_accounts(0, rows, last=False)
+        recording.pack_accounts(0, rows, last=False)
         spans.append((time.perf_counter() - began) * 1e3)
     before = events(gateway, customers, 10**7)
-    held.append(record.Snapshot(gateway))
+    held.append(recording.Snapshot(gateway))
     during = events(gateway, customers, 2 * 10**7)
     held[1].close()
     gc.enable()
@@ -96,10 +96,10 @@
         sizes = []
         for name, counted in (("empty", False), ("whole", True)):
             path = Path(folder) / f"{name}.olr"
-            snapshot = record.Snapshot(gateway)
-            header = record.Header(
-                record.FORMAT,
-                record.build_name(),
+            snapshot = recording.Snapshot(gateway)
+            header = recording.Header(
+                recording.FORMAT,
+                recording.build_name(),
                 "g",
                 START,
                 0,
@@ -110,14 +110,14 @@
                 {"now": START + 10**7},
             )
             with path.open("wb") as out:
-                out.write(record.pack_header(header))
+                out.write(recording.pack_header(header))
                 for rows in snapshot.pages() if counted else ():
-                    out.write(record.pack_accounts(0, rows, last=False))
-                out.write(record.pack_accounts(0, [], last=True))
+                    out.write(recording.pack_accounts(0, rows, last=False))
+                out.write(recording.pack_accounts(0, [], last=True))
             snapshot.close()
             program = (
                 "import resource; from orchidlane import record;"
-                "from orchidlane.gateway.probe import plan_counts;"
+                "from orchidlane.gateway.telemetry.policy_views import plan_counts;"
                 f"plan_counts(record.SegmentReader({str(path)!r}), 10);"
                 "print(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss)"
             )
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -23,17 +23,17 @@
 import msgspec
 
 from benchmarks.layers import MATERIALS
-from orchidlane import record
-from orchidlane.cli.views import open_state
-from orchidlane.config import Duration
-from orchidlane.gateway.settings import address, parse_fleet
-from orchidlane.lab.audit import Verdict
-from orchidlane.lab.backing import RealBacking, play_while
-from orchidlane.lab.broken import BROKEN, make_build
-from orchidlane.lab.day import Runner, Step, load_day, make_plan
-from orchidlane.lab.records import Try
-from orchidlane.loop import Loop, RealWorld
-from orchidlane.resp import encode
+from orchidlane import (recording)
+from orchidlane.cli.views import (open_state)
+from orchidlane.config import (Duration)
+from orchidlane.gateway.control.settings import (address, parse_fleet)
+from orchidlane.simulation.audit import (Verdict)
+from orchidlane.simulation.backends import (RealBacking, play_while)
+from orchidlane.simulation.mutants import (BROKEN, make_build)
+from orchidlane.simulation.scenario import (Runner, Step, load_day, make_plan)
+from orchidlane.simulation.observations import (Try)
+from orchidlane.runtime import (Loop, RealWorld)
+from orchidlane.resp import (encode)
 
 RATE = 100.0  # requests a second
 SPAN = 3_600  # seconds: the load ends with the work
@@ -106,7 +106,7 @@
     def counted(self) -> float:
         """Units by the gateway's own count."""
         with open_state(self.plan.fleet.gateways[0].admin) as state:
-            return sum(record.load_account(row).counts[0][1] for row in state.accounts())
+            return sum(recording.load_account(row).counts[0][1] for row in state.accounts())
 
 
 def percentile(times: list[float], share: float) -> float:
@@ -216,7 +216,7 @@
     parser.add_argument("--restarts", type=int, default=10)
     parser.add_argument("--customers", type=int, default=100_000)
     asked = parser.parse_args()
-    print(f"build {record.build_name()}")
+    print(f"build {recording.build_name()}")
     for work, number in ((upgrades, asked.upgrades), (cold, asked.restarts), (many, asked.customers)):
         if number:
             work(number)
--- a/orchidlane/__init__.py
+++ b/orchidlane/__init__.py
@@ -1,3 +1,3 @@
-"""An API gateway that keeps quotas and priorities across a fleet; the decisions are in ``rules.py``."""
+"""An API gateway that keeps quotas and priorities across a fleet; ``policy`` holds the decisions."""
 
 __version__ = "0.2.0"
--- a/orchidlane/cli/roll.py
+++ b/orchidlane/cli/roll.py
@@ -14,12 +14,12 @@
 
 import click
 
-from ..gateway.rolling import Kept, Rolling, UnfinishedRoll
-from ..gateway.settings import Fleet, load_fleet
-from ..loop import Loop, RealWorld
-from ..upgrade import roll as decisions
-from .errors import UNUSABLE, clear_errors
-from .upgrade import OWN, successor_command
+from orchidlane.gateway.lifecycle.rolling_upgrade import (Kept, Rolling, UnfinishedRoll)
+from orchidlane.gateway.control.settings import (Fleet, load_fleet)
+from orchidlane.runtime import (Loop, RealWorld)
+from orchidlane.hot_restart import (rolling_upgrade as decisions)
+from orchidlane.cli.errors import (UNUSABLE, clear_errors)
+from orchidlane.cli.upgrade import (OWN, successor_command)
 
 WAITS = ("/bin/sh", "-c", 'read -r go && exec "$@"', "sh")  # ends by itself if nobody lets it run
 
--- a/orchidlane/cli/tools.py
+++ b/orchidlane/cli/tools.py
@@ -11,16 +11,16 @@
 import click
 from click.shell_completion import get_completion_class
 
-from .. import record
-from ..gateway.probe import Next, View, ViewError, next_nodes, next_request, plan_counts
-from ..gateway.settings import address, load_fleet, module_settings
-from ..lab.audit import audit_folder
-from ..loop import Loop, RealWorld
-from ..record.segments import SUFFIX, Entry
-from ..routes import build, load_description
-from .errors import UNCHECKED, clear_errors
-from .screen import EVERY, Screen, as_rows
-from .views import SETTINGS, customer_view, node_view, open_state, places, save_state
+from orchidlane import (recording)
+from orchidlane.gateway.telemetry.policy_views import (Next, View, ViewError, next_nodes, next_request, plan_counts)
+from orchidlane.gateway.control.settings import (address, load_fleet, module_settings)
+from orchidlane.simulation.audit import (audit_folder)
+from orchidlane.runtime import (Loop, RealWorld)
+from orchidlane.recording.segments import (SUFFIX, Entry)
+from orchidlane.routes import (build, load_description)
+from orchidlane.cli.errors import (UNCHECKED, clear_errors)
+from orchidlane.cli.screen import (EVERY, Screen, as_rows)
+from orchidlane.cli.views import (SETTINGS, customer_view, node_view, open_state, places, save_state)
 
 PRESSED = 10  # customers of each plan that are told by their numbers
 
@@ -220,10 +220,10 @@
     Exit 0: no difference; 1: the first one is shown; 3: none, but a broken part could not be checked.
     """
     with clear_errors():
-        paths = record.read_folder(folder)
+        paths = recording.read_folder(folder)
         if instead:
             return _what_if(paths, instead, as_json)
-        found = [record.replay(life) for life in record.lives_of(paths)]
+        found = [recording.replay(life) for life in recording.lives_of(paths)]
     different = [one.difference for one in found if one.difference is not None]
     unchecked = [one for life in found for one in life.unchecked]
     behind = sum(one.events for one in unchecked)
@@ -250,11 +250,11 @@
     fleet = load_fleet(instead)
     with open(fleet.description, "rb") as file:
         generation = build(load_description(file.read(), fleet.description), fleet.description)
-    reader = record.SegmentReader(paths[0])
+    reader = recording.SegmentReader(paths[0])
     rank = int(reader.header.settings["rank"])
     reader.close()
     settings = module_settings(fleet, min(rank, len(fleet.gateways) - 1), generation)
-    found = record.what_if(paths, settings, tuple(fleet.plans))
+    found = recording.what_if(paths, settings, tuple(fleet.plans))
     rows = {
         f"{kind} {plan}": {"recorded": found.recorded[kind, plan], "instead": found.instead[kind, plan]}
         for kind, plan in sorted(found.recorded)
@@ -288,7 +288,7 @@
     with clear_errors():
         if (request is None) == (customer is None):
             raise ValueError("either REQUEST or --customer is wanted")
-        paths = record.read_folder(folder)
+        paths = recording.read_folder(folder)
         steps = _steps(paths, request) if request is not None else _arrivals(paths, customer, since, until)
     steps = [step for step in steps if gateway in (None, step["gateway"])]
     if not steps:
@@ -308,8 +308,8 @@
 def _steps(paths: list[str], request: int) -> list[dict[str, Any]]:
     steps = []
     for path in paths:
-        with contextlib.closing(record.SegmentReader(path)) as reader:
-            for entry in record.Index(reader, record.request_of).entries(request):
+        with contextlib.closing(recording.SegmentReader(path)) as reader:
+            for entry in recording.Index(reader, recording.request_of).entries(request):
                 steps.append(_step(reader.header, entry))
     return steps
 
@@ -319,17 +319,17 @@
     steps: list[dict[str, Any]] = []
     began: int | None = None
     for path in paths:
-        with contextlib.closing(record.SegmentReader(path)) as reader:
+        with contextlib.closing(recording.SegmentReader(path)) as reader:
             begins = int(reader.header.about.get("now", reader.header.life))
             began = min(begins, began or begins)
             span = began + int(since * 1e6), began + int(until * 1e6)
-            for entry in record.TimeIndex(reader).between(*span):
-                if record.customer_of(entry) == customer:
+            for entry in recording.TimeIndex(reader).between(*span):
+                if recording.customer_of(entry) == customer:
                     steps.append(_step(reader.header, entry))
     return sorted(steps, key=lambda step: step["now"])
 
 
-def _step(header: record.Header, entry: Entry) -> dict[str, Any]:
+def _step(header: recording.Header, entry: Entry) -> dict[str, Any]:
     told, actions = repr(entry.event), [repr(one) for one in entry.actions]
     if entry.event is None:
         _, status, kind, span = entry.facts
@@ -380,7 +380,7 @@
         if kept is None and not paths:
             raise ValueError(f"{folder}: no records of gateways, nodes or clients")
         arrivals = [(one.attempt, one.at) for one in kept[1]] if kept else None
-        found = record.audit_records(paths, arrivals) if paths else None
+        found = recording.audit_records(paths, arrivals) if paths else None
     value: dict[str, Any] = {}
     held: list[bool] = []
     if kept is not None:
@@ -397,7 +397,7 @@
     sys.exit(1 if not all(held) else UNCHECKED if unread else 0)
 
 
-def _found(found: record.Findings) -> dict[str, Any]:
+def _found(found: recording.Findings) -> dict[str, Any]:
     return {
         "rules": found.rules,
         "lives": found.lives,
--- a/orchidlane/cli/up.py
+++ b/orchidlane/cli/up.py
@@ -11,12 +11,12 @@
 import click
 import msgspec
 
-from ..config import Duration
-from ..gateway.settings import Fleet, address, load_fleet
-from ..lab.backing import RealBacking
-from ..lab.day import Day, KindEntry, Runner, make_plan
-from ..loop import BACKGROUND, Loop, RealWorld
-from .screen import Screen
+from orchidlane.config import (Duration)
+from orchidlane.gateway.control.settings import (Fleet, address, load_fleet)
+from orchidlane.simulation.backends import (RealBacking)
+from orchidlane.simulation.scenario import (Day, KindEntry, Runner, make_plan)
+from orchidlane.runtime import (BACKGROUND, Loop, RealWorld)
+from orchidlane.cli.screen import (Screen)
 
 PLACES = ("listen", "peer", "admin", "resp")
 KEPT = 100_000  # tries remembered for the closing line
--- a/orchidlane/cli/views.py
+++ b/orchidlane/cli/views.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterator
 from urllib.parse import quote
 
-from .. import http1, record
-from ..gateway.probe import View, ViewError, read_view, saved_view
-from ..gateway.settings import address, load_fleet
-from ..http1 import Data, End, Malformed, Response
+from orchidlane import (http1, recording)
+from orchidlane.gateway.telemetry.policy_views import (View, ViewError, read_view, saved_view)
+from orchidlane.gateway.control.settings import (address, load_fleet)
+from orchidlane.http1 import (Data, End, Malformed, Response)
 
 PATIENCE = 5.0  # seconds for each piece of a gateway's answer
 VIEW_MOST = 64 << 20  # bytes of a view; a whole state goes to a file instead
@@ -42,7 +42,7 @@
     if is_saved(where):
         if not customer.isdigit():
             raise ViewError(f"{where}: a saved state knows customers by their numbers only")
-        with contextlib.closing(record.SegmentReader(where)) as reader:
+        with contextlib.closing(recording.SegmentReader(where)) as reader:
             return saved_view(reader, int(customer))
     name = quote(os.fsencode(customer), safe="")  # names need not be printable
     return read_view(b"".join(fetch(where, f"/view?customer={name}", VIEW_MOST)))
@@ -54,14 +54,14 @@
 
 
 @contextlib.contextmanager
-def open_state(where: str) -> Iterator[record.SegmentReader]:
+def open_state(where: str) -> Iterator[recording.SegmentReader]:
     """A gateway's whole state, saved or told now; it goes through a file, so memory does not grow with it."""
     with contextlib.ExitStack() as stack:
         path = where
         if not is_saved(where):
             path = stack.enter_context(tempfile.NamedTemporaryFile(suffix=".olr")).name
             save_state(where, path)
-        yield stack.enter_context(contextlib.closing(record.SegmentReader(path)))
+        yield stack.enter_context(contextlib.closing(recording.SegmentReader(path)))
 
 
 def save_state(admin: str, path: str) -> None:
--- a/orchidlane/gateway/host.py
+++ b/orchidlane/gateway/forwarding/policy_driver.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
-from .. import interface as api
-from ..loop import Loop
-from ..rules import Gateway
-from .counts import Counts
-from .exchange import Answer, Exchange
-from .seam import Clients, Payer
+from orchidlane.policy import (interface as api)
+from orchidlane.runtime import (Loop)
+from orchidlane.policy.gateway import (Gateway)
+from orchidlane.gateway.telemetry.counters import (Counts)
+from orchidlane.gateway.forwarding.pending_request import (Answer, Exchange)
+from orchidlane.gateway.forwarding.protocol_adapter import (Clients, Payer)
 
 if TYPE_CHECKING:
-    from .recorder import Recorder
-    from .upstream import AttemptRun
+    from orchidlane.gateway.telemetry.traffic_recorder import (Recorder)
+    from orchidlane.gateway.forwarding.connection_pool import (AttemptRun)
 
 
 class Lent(Protocol):
--- a/orchidlane/gateway/memory.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -11,17 +11,17 @@
 
 import msgspec
 
-from .. import record
-from ..state import Account
-from ..upgrade.restart import Life, survivors
-from .admin import StateFrames
+from orchidlane import (recording)
+from orchidlane.policy.state import (Account)
+from orchidlane.hot_restart.account_recovery import (Life, survivors)
+from orchidlane.gateway.telemetry.admin_api import (StateFrames)
 
 if TYPE_CHECKING:
-    from .program import Program
+    from orchidlane.gateway.lifecycle.process import (Program)
 
 SHARE = 20  # of the time, one part at most goes into it
 LATE = 5_000_000  # microseconds beyond two rounds, for a disk or a machine that is slow
-BAD = (record.FormatError, msgspec.ValidationError, ValueError, KeyError, TypeError, IndexError, OSError)
+BAD = (recording.FormatError, msgspec.ValidationError, ValueError, KeyError, TypeError, IndexError, OSError)
 
 
 class Memory:
@@ -42,7 +42,7 @@
         if data is None:
             return 0
         try:
-            reader = record.SegmentReader(self.path, data)
+            reader = recording.SegmentReader(self.path, data)
             accounts = {account.customer: account for account in self._read(reader)}
         except BAD as wrong:
             self.program.log.error("accounts not read", file=self.path, why=str(wrong))
@@ -52,10 +52,10 @@
         rules.idle_queue.extend(accounts)
         return len(accounts)
 
-    def _read(self, reader: record.SegmentReader) -> Iterator[Account]:
+    def _read(self, reader: recording.SegmentReader) -> Iterator[Account]:
         header, program = reader.header, self.program
         if header.gateway != program.entry.name:
-            raise record.FormatError(f"it is {header.gateway}'s")
+            raise recording.FormatError(f"it is {header.gateway}'s")
         about = header.about
         life = Life(
             int(header.settings["rank"]),
--- a/orchidlane/gateway/handover.py
+++ b/orchidlane/gateway/lifecycle/hot_restart.py
@@ -1,4 +1,4 @@
-"""Carries an upgrade out between two processes of one gateway; ``orchidlane.upgrade`` decides on both sides.
+"""Carries out a hot restart between two processes of a gateway; ``orchidlane.hot_restart`` decides.
 
 The old process, ``GivingSide``, listens at a Unix socket. A new one, ``TakingSide``, calls there, and gets
 the listeners as descriptors and the state by rows while traffic goes on. At the moment the old one stops
@@ -21,35 +21,24 @@
 
 import msgspec
 
-from .. import interface as api
-from .. import record
-from ..loop import (
-    BACKGROUND,
-    CONTROL,
-    REQUESTS,
-    Cancelled,
-    Closed,
-    Expired,
-    NotConnected,
-    Scope,
-    Stream,
-    Task,
-)
-from ..loop.world import Handle, show
-from ..rules import Gateway
-from ..upgrade import giver, messages, taker
-from ..upgrade.health import Answers
-from ..upgrade.precopy import PreCopy
-from ..upgrade.tables import AccountsTable, Carried, NamedTable, hold_back, module_at_moment, module_of
-from .answers import failed
-from .customers import Customer
-from .front import Connection
-from .respfront import Session
-from .seam import Payer
-from .settings import upgrade_address
+from orchidlane.policy import (interface as api)
+from orchidlane import (recording)
+from orchidlane.runtime import (BACKGROUND, CONTROL, REQUESTS, Cancelled, Closed, Expired, NotConnected, Scope, Stream, Task)
+from orchidlane.runtime.backend import (Handle, show)
+from orchidlane.policy.gateway import (Gateway)
+from orchidlane.hot_restart import (old_process, messages, new_process)
+from orchidlane.hot_restart.probation import (Answers)
+from orchidlane.hot_restart.pre_copy import (PreCopy)
+from orchidlane.hot_restart.tables import (AccountsTable, Carried, NamedTable, hold_back, module_at_moment, module_of)
+from orchidlane.gateway.server.error_responses import (failed)
+from orchidlane.gateway.control.customers import (Customer)
+from orchidlane.gateway.server.http_server import (Connection)
+from orchidlane.gateway.server.resp_server import (Session)
+from orchidlane.gateway.forwarding.protocol_adapter import (Payer)
+from orchidlane.gateway.control.settings import (upgrade_address)
 
 if TYPE_CHECKING:
-    from .program import Program
+    from orchidlane.gateway.lifecycle.process import (Program)
 
 HTTP, RESP = "http", "resp"
 WRITE_WITHIN = 5_000_000  # microseconds for a message to be taken
@@ -57,7 +46,7 @@
 TAKE_WITHIN = 1_000_000  # microseconds for an answer on units
 SAMPLE, SAMPLES = 5_000_000, 6  # microseconds between two looks at our answers, and how many are kept
 JUMP = 1 << 20  # numbers left out after another process used ours
-ROWS_BAD = (ValueError, KeyError, TypeError, IndexError, msgspec.ValidationError, record.FormatError)
+ROWS_BAD = (ValueError, KeyError, TypeError, IndexError, msgspec.ValidationError, recording.FormatError)
 
 
 class Channel:
@@ -243,19 +232,19 @@
 
 
 class GivingSide:
-    """Hands a running gateway over; decisions are ``giver.Giver``'s."""
+    """Hands a running gateway over; decisions are ``old_process.Giver``'s."""
 
     def __init__(self, program: Program, scope: Scope) -> None:
         self.program = program
         self.loop = program.loop
         self.scope = scope
         terms = program.fleet.upgrade
-        layout = giver.Layout(
+        layout = old_process.Layout(
             program.entry.name, program.rank, len(program.fleet.gateways), tuple(program.fleet.plans)
         )
         silence = int(terms.silence)
-        spans = giver.Terms(int(terms.warm), silence, trial=int(terms.trial), silence=silence)
-        self.machine = giver.Giver(layout, spans)
+        spans = old_process.Terms(int(terms.warm), silence, trial=int(terms.trial), silence=silence)
+        self.machine = old_process.Giver(layout, spans)
         self.channels: dict[int, Channel] = {}
         self.reserve: dict[int, Kept] = {}
         self.lent: Lent | None = None
@@ -272,7 +261,7 @@
     @property
     def on_trial(self) -> bool:
         """Whether another process serves in our place, and all could come back."""
-        return self.machine.phase in (giver.Phase.COMMITTED, giver.Phase.RECALLING, giver.Phase.FENCING)
+        return self.machine.phase in (old_process.Phase.COMMITTED, old_process.Phase.RECALLING, old_process.Phase.FENCING)
 
     def listen(self) -> None:
         """Take calls, if the settings have a folder for the Unix socket."""
@@ -295,7 +284,7 @@
 
     def _sample(self) -> None:
         while True:
-            if self.machine.phase is giver.Phase.SERVING:
+            if self.machine.phase is old_process.Phase.SERVING:
                 self._samples.append(answers_of(self.program))
             self.loop.sleep(SAMPLE)
 
@@ -305,14 +294,14 @@
                 for message in channel.received():
                     self._hear(channel, message)
             except (messages.Garbled, *ROWS_BAD) as wrong:
-                self.feed(giver.WasUnfit(channel.number, f"garbage: {wrong}"))
+                self.feed(old_process.WasUnfit(channel.number, f"garbage: {wrong}"))
                 channel.await_end()
-            self.feed(giver.Lost(channel.number))
+            self.feed(old_process.Lost(channel.number))
         finally:
             self.channels.pop(channel.number, None)
             channel.close()
 
-    def feed(self, event: giver.Event) -> None:
+    def feed(self, event: old_process.Event) -> None:
         """Tell the machine one event and carry out what it decides."""
         before = self.machine.phase
         actions = self.machine.handle(self.loop.now(), event)
@@ -323,30 +312,30 @@
         for action in actions:
             self._carry_out(action)
 
-    def _carry_out(self, action: giver.Action) -> None:
+    def _carry_out(self, action: old_process.Action) -> None:
         match action:
-            case giver.MakeOffer():
+            case old_process.MakeOffer():
                 self.scope.spawn(self._offer, self.channels[action.channel], kind=CONTROL, name="offer")
-            case giver.TurnAway():
+            case old_process.TurnAway():
                 self._turn_away(action)
-            case giver.Commit():
+            case old_process.Commit():
                 self.scope.spawn(self._commit, self.channels[action.channel], kind=CONTROL, name="commit")
-            case giver.AskBack():
+            case old_process.AskBack():
                 self.channels[action.channel].send(messages.Recall(action.why))
-            case giver.Kill():
+            case old_process.Kill():
                 self.channels[action.channel].stream.kill_peer()
-            case giver.TakeBack():
+            case old_process.TakeBack():
                 self._take_back()
-            case giver.Settle():
+            case old_process.Settle():
                 self._settle()
-            case giver.LetGo():
+            case old_process.LetGo():
                 self._let_go(self.channels[action.channel])
-            case giver.Wake():
-                self.loop.call_at(self.loop.now() + action.span, lambda _: self.feed(giver.Ticked()))
-            case giver.End():
+            case old_process.Wake():
+                self.loop.call_at(self.loop.now() + action.span, lambda _: self.feed(old_process.Ticked()))
+            case old_process.End():
                 pass  # the program ends by itself
 
-    def _turn_away(self, action: giver.TurnAway) -> None:
+    def _turn_away(self, action: old_process.TurnAway) -> None:
         channel = self.channels.get(action.channel)
         if self._copy is not None and action.channel == self._copying:
             self._copy.close()
@@ -368,23 +357,23 @@
             case messages.Ask():
                 channel.send(self.status())
             case messages.Hello():
-                self.feed(giver.Called(number, message))
+                self.feed(old_process.Called(number, message))
             case _ if number != self.machine.channel:
-                self.feed(giver.WasUnfit(number, f"{type(message).__name__} without a call"))
+                self.feed(old_process.WasUnfit(number, f"{type(message).__name__} without a call"))
             case messages.Warm():
-                self.feed(giver.WasWarm(number))
+                self.feed(old_process.WasWarm(number))
             case messages.Started():
                 self.pause = self.loop.now() - self._moment
                 self.program.log.info("successor serves", pause_ms=self.pause / 1_000)
-                self.feed(giver.HasStarted(number))
+                self.feed(old_process.HasStarted(number))
             case messages.Pulse():
                 self.used = message.sequence, message.number
                 answers = Answers(message.served, message.refused, message.failed)
-                self.feed(giver.Pulsed(number, answers, self._before))
+                self.feed(old_process.Pulsed(number, answers, self._before))
             case messages.Unfit():
-                self.feed(giver.WasUnfit(number, message.why))
+                self.feed(old_process.WasUnfit(number, message.why))
             case messages.Returned():
-                self.feed(giver.WasReturned(number))
+                self.feed(old_process.WasReturned(number))
             case messages.Taken():
                 if self.lent is not None:
                     self.lent.answered(message.id, message.granted)
@@ -413,7 +402,7 @@
         machine = self.machine
         answers = answers_of(self.program)
         pid = self.loop.world.process_id()
-        return messages.Status(machine.phase.value, record.build_name(), pid, machine.latest, *answers)
+        return messages.Status(machine.phase.value, recording.build_name(), pid, machine.latest, *answers)
 
     def _follow(self, message: Any) -> None:
         """What becomes of a connection in the successor."""
@@ -444,7 +433,7 @@
         places = program.places
         channel.send(
             messages.Offer(
-                record.build_name(),
+                recording.build_name(),
                 self.loop.world.clock_base(),
                 program.incarnation,
                 program.knowledge.generation.number,
@@ -468,7 +457,7 @@
                 channel.flush()
                 self.loop.give_way()
         except Expired:
-            return self.feed(giver.WasUnfit(channel.number, "it does not read"))
+            return self.feed(old_process.WasUnfit(channel.number, "it does not read"))
         if self._copy is copy:
             channel.send(messages.Whole())
 
@@ -482,8 +471,8 @@
                 channel.send(messages.Rows(*page))
                 channel.flush()
         except Expired:
-            return self.feed(giver.WasUnfit(channel.number, "it does not read"))
-        if self.machine.phase is giver.Phase.COMMITTED:
+            return self.feed(old_process.WasUnfit(channel.number, "it does not read"))
+        if self.machine.phase is old_process.Phase.COMMITTED:
             self._make_moment(channel, copy)
 
     def _make_moment(self, channel: Channel, copy: PreCopy) -> None:
@@ -606,7 +595,7 @@
 
     def part(self) -> None:
         """Our last request is answered: wait until what we pass on is handed over."""
-        self.feed(giver.Drained())
+        self.feed(old_process.Drained())
         for channel in list(self.channels.values()):
             with contextlib.suppress(Expired):
                 channel.flush()
@@ -647,13 +636,13 @@
 
 
 class TakingSide:
-    """Takes a running gateway over; decisions are ``taker.Taker``'s."""
+    """Takes a running gateway over; decisions are ``new_process.Taker``'s."""
 
     def __init__(self, program: Program, scope: Scope) -> None:
         self.program = program
         self.loop = program.loop
         self.scope = scope
-        self.machine = taker.Taker(taker.Terms(warm=int(program.fleet.upgrade.warm)))
+        self.machine = new_process.Taker(new_process.Terms(warm=int(program.fleet.upgrade.warm)))
         self.channel: Channel
         self.places: dict[str, Handle] = {}
         self.wanted: tuple[str, ...] = ()
@@ -679,7 +668,7 @@
         self.scope.spawn(self._serve, kind=CONTROL, name="upgrade channel")
         self._carry_out_all(self.machine.start(self.loop.now()))
         self._waiting = self.loop.current
-        while self.machine.phase not in (taker.Phase.TRIAL, taker.Phase.FREE, taker.Phase.ENDED):
+        while self.machine.phase not in (new_process.Phase.TRIAL, new_process.Phase.FREE, new_process.Phase.ENDED):
             self.loop.park()
         self._waiting = None
         return not self.ended_because
@@ -690,16 +679,16 @@
                 for message in self.channel.received():
                     self._hear(message)
             except (messages.Garbled, *ROWS_BAD) as wrong:
-                self.feed(taker.WasUnfit(f"garbage: {type(wrong).__name__} {wrong}"))
+                self.feed(new_process.WasUnfit(f"garbage: {type(wrong).__name__} {wrong}"))
                 self.channel.await_end()
-            self.feed(taker.Lost())
+            self.feed(new_process.Lost())
         except Cancelled:
             raise
         except Exception as wrong:  # what a build can't do it finds out here: it is unfit, not hung
-            self.feed(taker.WasUnfit(f"{type(wrong).__name__}: {wrong}"))
+            self.feed(new_process.WasUnfit(f"{type(wrong).__name__}: {wrong}"))
             raise
 
-    def feed(self, event: taker.Event) -> None:
+    def feed(self, event: new_process.Event) -> None:
         """Tell the machine one event and carry out what it decides."""
         before = self.machine.phase
         actions = self.machine.handle(self.loop.now(), event)
@@ -709,38 +698,38 @@
         if self._waiting is not None:
             self.loop.wake(self._waiting)
 
-    def _carry_out_all(self, actions: list[taker.Action]) -> None:
+    def _carry_out_all(self, actions: list[new_process.Action]) -> None:
         for action in actions:
             self._carry_out(action)
 
-    def _carry_out(self, action: taker.Action) -> None:
+    def _carry_out(self, action: new_process.Action) -> None:
         match action:
-            case taker.SayHello():
+            case new_process.SayHello():
                 self._say_hello()
-            case taker.Check():
+            case new_process.Check():
                 self._check()
-            case taker.SayWarm():
+            case new_process.SayWarm():
                 self.channel.send(messages.Warm())
-            case taker.Serve():
+            case new_process.Serve():
                 self._begin_trial()
-            case taker.SayPulse():
+            case new_process.SayPulse():
                 program = self.program
                 answers = answers_of(program)
                 self.channel.send(messages.Pulse(*answers, program.sequence, program.host.numbers))
-            case taker.StandAlone():
+            case new_process.StandAlone():
                 self._stand_alone(action.cold)
-            case taker.StopServing():
+            case new_process.StopServing():
                 self._stop_serving()
-            case taker.BeFree():
+            case new_process.BeFree():
                 self._be_free()
-            case taker.Exit():
+            case new_process.Exit():
                 self.ended_because = action.why
                 self.program.log.error("take-over ended", why=action.why)
                 self.channel.send(messages.Unfit(action.why))
                 self.program.stopping = True
                 self.scope.spawn(self._close, kind=CONTROL, name="take-over ends")
-            case taker.Wake():
-                self.loop.call_at(self.loop.now() + action.span, lambda _: self.feed(taker.Ticked()))
+            case new_process.Wake():
+                self.loop.call_at(self.loop.now() + action.span, lambda _: self.feed(new_process.Ticked()))
 
     def _close(self) -> None:
         with contextlib.suppress(Expired):
@@ -752,7 +741,7 @@
         self.channel.send(
             messages.Hello(
                 messages.FORMAT,
-                record.build_name(),
+                recording.build_name(),
                 program.entry.name,
                 program.rank,
                 len(program.fleet.gateways),
@@ -769,13 +758,13 @@
             case messages.Place():
                 handle = self.channel.stream.take_handle()
                 if handle is None:
-                    self.feed(taker.WasUnfit(f"the listener {message.name} got lost: no descriptor left?"))
+                    self.feed(new_process.WasUnfit(f"the listener {message.name} got lost: no descriptor left?"))
                 else:
                     self.places[message.name] = handle
             case messages.Rows():
                 self.carried.take(message.table, message.rows, message.gone, self.loop.now())
             case messages.Whole():
-                self.feed(taker.CameWhole())
+                self.feed(new_process.CameWhole())
             case messages.Final():
                 self._final(message)
             case messages.Connection():
@@ -789,13 +778,13 @@
                 ledger = self.program.limits.ledger
                 ledger.grant(self.loop.now(), message.name, message.customer, message.units, span)
             case messages.Recall():
-                self.feed(taker.Recalled(message.why))
+                self.feed(new_process.Recalled(message.why))
             case messages.Release():
-                self.feed(taker.Released())
+                self.feed(new_process.Released())
             case messages.Abort():
-                self.feed(taker.Aborted(message.why))
+                self.feed(new_process.Aborted(message.why))
             case _:
-                self.feed(taker.WasUnfit(f"{type(message).__name__} is not the old side's to say"))
+                self.feed(new_process.WasUnfit(f"{type(message).__name__} is not the old side's to say"))
 
     def _offered(self, offer: messages.Offer) -> None:
         """Go on with its clock and life; our own description and customers are read and checked anew."""
@@ -807,20 +796,20 @@
         program.build(self.scope)
         self._built = True
         self.carried = Carried(program.limits.holder, program.limits.ledger)
-        self.feed(taker.Offered())
+        self.feed(new_process.Offered())
 
     def _check(self) -> None:
         """Everything came, and a module of this build makes something of a request."""
         missing = [name for name in self.wanted if name not in self.places]
         if missing:
-            return self.feed(taker.WasUnfit(f"these listeners did not come: {', '.join(missing)}"))
+            return self.feed(new_process.WasUnfit(f"these listeners did not come: {', '.join(missing)}"))
         settings = self.program.host.settings
         gateway = Gateway(settings, 0, self.loop.now())
         deadline = settings.classes[0].deadline
         asked = api.RequestArrived(1, 1, 0, 0, 1.0, deadline, 0, 1, False)
         if not gateway.handle(self.loop.now(), asked):
-            return self.feed(taker.WasUnfit("its module makes nothing of a request"))
-        self.feed(taker.WasFit())
+            return self.feed(new_process.WasUnfit("its module makes nothing of a request"))
+        self.feed(new_process.WasFit())
 
     def _final(self, final: messages.Final) -> None:
         """The moment: all that the old side had is ours."""
@@ -830,13 +819,13 @@
         self.kinds = {old[name]: number for number, name in enumerate(names) if name in old}
         kinds = [old.get(name) for name in names]
         rules = module_of(program.host.settings, final.module, self.carried.accounts, kinds)
-        record.track(rules)
+        recording.track(rules)
         program.host.go_on_with(rules, final.number)
         program.limits.carry_on(final.limits)
         program.tracker.carry_on(final.nodes)
         program.inbox.carry_on([tuple(row) for row in final.peers])
         program.sequence = final.sequence
-        self.feed(taker.CameFinal())
+        self.feed(new_process.CameFinal())
 
     def _begin_trial(self) -> None:
         program = self.program
@@ -941,4 +930,4 @@
     def _until_drained(self) -> None:
         while self.program.front.connections or self.program.resp.sessions:
             self.loop.sleep(10_000)
-        self.feed(taker.Drained())
+        self.feed(new_process.Drained())
--- a/orchidlane/gateway/program.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -8,32 +8,32 @@
 
 import structlog
 
-from .. import interface as api
-from ..loop import BACKGROUND, CONTROL, PEERS, Loop, Scope, Task
-from ..loop.world import Handle
-from ..record import track
-from ..routes import DescriptionError
-from ..rules import Gateway
-from ..upgrade import giver, messages, taker
-from . import front as http_front
-from .admin import Admin, Names
-from .datagram import CHANGE, LIMITS, MODULE, SIZE_MOST, Inbox, seal
-from .front import Front
-from .handover import GivingSide, Lent, TakingSide
-from .host import Host
-from .knowledge import Knowledge, make_knowledge, read_sources
-from .limits import LimitService
-from .memory import Memory
-from .metrics import Metrics
-from .nodelist import ListTracker
-from .openapi import OpenApiClients, OpenApiNodes
-from .recorder import Recorder
-from .respfront import RespFront, Session
-from .settings import Fleet, address, module_settings, upgrade_address
-from .upstream import Upstream
-from .versions.desk import Desk
-from .versions.shell import Versions
-from .watch import Watch
+from orchidlane.policy import (interface as api)
+from orchidlane.runtime import (BACKGROUND, CONTROL, PEERS, Loop, Scope, Task)
+from orchidlane.runtime.backend import (Handle)
+from orchidlane.recording import (track)
+from orchidlane.routes import (DescriptionError)
+from orchidlane.policy.gateway import (Gateway)
+from orchidlane.hot_restart import (old_process, messages, new_process)
+from orchidlane.gateway.server import (http_server as http_front)
+from orchidlane.gateway.telemetry.admin_api import (Admin, Names)
+from orchidlane.gateway.peers.datagrams import (CHANGE, LIMITS, MODULE, SIZE_MOST, Inbox, seal)
+from orchidlane.gateway.server.http_server import (Front)
+from orchidlane.gateway.lifecycle.hot_restart import (GivingSide, Lent, TakingSide)
+from orchidlane.gateway.forwarding.policy_driver import (Host)
+from orchidlane.gateway.control.configuration import (Knowledge, make_knowledge, read_sources)
+from orchidlane.gateway.peers.token_requests import (LimitService)
+from orchidlane.gateway.lifecycle.account_store import (Memory)
+from orchidlane.gateway.telemetry.metrics import (Metrics)
+from orchidlane.gateway.control.endpoint_list import (ListTracker)
+from orchidlane.gateway.forwarding.openapi_adapter import (OpenApiClients, OpenApiNodes)
+from orchidlane.gateway.telemetry.traffic_recorder import (Recorder)
+from orchidlane.gateway.server.resp_server import (RespFront, Session)
+from orchidlane.gateway.control.settings import (Fleet, address, module_settings, upgrade_address)
+from orchidlane.gateway.forwarding.connection_pool import (Upstream)
+from orchidlane.gateway.rollout_agent.admin_api import (Desk)
+from orchidlane.gateway.rollout_agent.agent import (Versions)
+from orchidlane.gateway.control.endpoint_watch import (Watch)
 
 DRAIN_LOOK = 10_000  # microseconds between two looks whether all is answered
 
@@ -310,9 +310,9 @@
 
     def stop(self) -> None:
         """Begin to drain; while a successor is on trial, let it go on alone or give everything back first."""
-        self.giving.feed(giver.Stopped())
-        if self.take_over and self.taking.machine.phase is taker.Phase.TRIAL:
-            self.taking.feed(taker.Stopped())
+        self.giving.feed(old_process.Stopped())
+        if self.take_over and self.taking.machine.phase is new_process.Phase.TRIAL:
+            self.taking.feed(new_process.Stopped())
         else:
             self.stopping = True
 
--- a/orchidlane/gateway/rolling.py
+++ b/orchidlane/gateway/lifecycle/rolling_upgrade.py
@@ -12,13 +12,13 @@
 
 import msgspec
 
-from ..loop import CONTROL, Loop, Scope
-from ..upgrade import messages, roll
-from ..upgrade.batch import Fleet as Layout
-from ..upgrade.batch import Limits, Member
-from ..upgrade.health import Answers
-from .settings import Fleet, upgrade_address
-from .status import ask_status
+from orchidlane.runtime import (CONTROL, Loop, Scope)
+from orchidlane.hot_restart import (messages, rolling_upgrade)
+from orchidlane.hot_restart.rolling_batches import (Fleet as Layout)
+from orchidlane.hot_restart.rolling_batches import (Limits, Member)
+from orchidlane.hot_restart.probation import (Answers)
+from orchidlane.gateway.control.settings import (Fleet, upgrade_address)
+from orchidlane.gateway.lifecycle.status_query import (ask_status)
 
 LOOK_EVERY = 200_000  # microseconds
 LOOKS = 16  # gateways looked at each time, beside none but those under way
@@ -48,7 +48,7 @@
     names: list[str]
     programs: tuple[str, str]  # the commands of the old and the new build
     loads: list[float]
-    state: roll.State
+    state: rolling_upgrade.State
 
 
 class UnfinishedRoll(ValueError):
@@ -65,7 +65,7 @@
         self.tell = tell
         self.path = f"{fleet.state}/roll.json"
         self.kept: Kept
-        self.roller: roll.Roller
+        self.roller: rolling_upgrade.Roller
         self._written = b""
         self._next = 0  # the gateway to be looked at next
 
@@ -93,7 +93,7 @@
         Raises UnfinishedRoll, and ValueError where a gateway is not there to be upgraded.
         """
         left = self.left()
-        if left is not None and left.state.phase not in roll.ENDS:
+        if left is not None and left.state.phase not in rolling_upgrade.ENDS:
             raise UnfinishedRoll(
                 f"{self.path}: a roll is {left.state.phase.value}; resume or recall it first"
             )
@@ -102,17 +102,17 @@
         first = self._look_at_all()
         served = zip(first, before, strict=True)
         loads = [max(0, one.answers.all - earlier.answers.all) * 1e6 / MEASURE for one, earlier in served]
-        self.roller = roll.begin(self._layout(loads), self._terms(), first)
+        self.roller = rolling_upgrade.begin(self._layout(loads), self._terms(), first)
         self.kept = Kept(self._names(), programs, loads, self.roller.state)
         self._save()
 
-    def resume(self) -> list[roll.Action]:
+    def resume(self) -> list[rolling_upgrade.Action]:
         """Go on from where an earlier roll was left. Raises ValueError where there is none."""
         left = self.left()
-        if left is None or left.state.phase in roll.ENDS:
+        if left is None or left.state.phase in rolling_upgrade.ENDS:
             raise ValueError(f"{self.path}: no unfinished roll")
         self.kept = left
-        self.roller = roll.Roller(self._layout(left.loads), self._terms(), left.state)
+        self.roller = rolling_upgrade.Roller(self._layout(left.loads), self._terms(), left.state)
         actions = self.roller.resume(self.loop.now())
         self._save()
         return actions
@@ -122,14 +122,14 @@
         members = tuple(Member(rank, halls[rank], load) for rank, load in enumerate(loads))
         return Layout(members, tuple(sorted({plan.spread for plan in self.fleet.plans.values()})))
 
-    def _terms(self) -> roll.Terms:
+    def _terms(self) -> rolling_upgrade.Terms:
         terms = self.fleet.roll
         limits = Limits(terms.share, terms.set_share, terms.halls, terms.load)
-        return roll.Terms(limits, int(terms.soak), self.fleet.upgrade.most, terms.growth)
+        return rolling_upgrade.Terms(limits, int(terms.soak), self.fleet.upgrade.most, terms.growth)
 
     # -- looks
 
-    def _look_at_all(self) -> list[roll.Seen]:
+    def _look_at_all(self) -> list[rolling_upgrade.Seen]:
         found = []
         for rank, entry in enumerate(self.fleet.gateways):
             status = self._ask(rank)
@@ -146,9 +146,9 @@
         return ask_status(self.loop, at)
 
     @staticmethod
-    def _seen(rank: int, status: messages.Status, alive: bool) -> roll.Seen:
+    def _seen(rank: int, status: messages.Status, alive: bool) -> rolling_upgrade.Seen:
         answers = Answers(status.served, status.refused, status.failed)
-        return roll.Seen(rank, status.pid, status.phase == SERVING, status.latest, answers, alive)
+        return rolling_upgrade.Seen(rank, status.pid, status.phase == SERVING, status.latest, answers, alive)
 
     def _look(self, rank: int) -> None:
         """Ask a gateway; whether its successor lives is looked up first, so that its end is never early."""
@@ -157,7 +157,7 @@
         status = self._ask(rank)
         if self.roller.state.ones[rank].pid != pid:
             return  # decided meanwhile
-        self._feed(roll.Silent(rank, alive) if status is None else self._seen(rank, status, alive))
+        self._feed(rolling_upgrade.Silent(rank, alive) if status is None else self._seen(rank, status, alive))
 
     def _some(self) -> list[int]:
         """Those under way, and as many of the others in turn as there is room for."""
@@ -171,20 +171,20 @@
 
     # -- the run
 
-    def run(self, actions: list[roll.Action] | None = None, recall: str = "") -> roll.State:
+    def run(self, actions: list[rolling_upgrade.Action] | None = None, recall: str = "") -> rolling_upgrade.State:
         """Until the end."""
         self._carry_out(actions or [])
         if recall:
-            self._feed(roll.Recalled(recall))
-        while self.roller.state.phase not in roll.ENDS:
+            self._feed(rolling_upgrade.Recalled(recall))
+        while self.roller.state.phase not in rolling_upgrade.ENDS:
             with Scope(self.loop) as scope:
                 for rank in self._some():
                     scope.spawn(self._look, rank, kind=CONTROL, name="look")
-            self._feed(roll.Ticked())
+            self._feed(rolling_upgrade.Ticked())
             self.loop.sleep(LOOK_EVERY)
         return self.roller.state
 
-    def _feed(self, event: roll.Event) -> None:
+    def _feed(self, event: rolling_upgrade.Event) -> None:
         state = self.roller.state
         before = state.phase, [one.place for one in state.ones]
         actions = self.roller.handle(self.loop.now(), event)
@@ -198,7 +198,7 @@
             self.loop.world.write_file(self.path, data)
             self._written = data
 
-    def _say(self, phase: roll.Phase, places: list[roll.Place]) -> None:
+    def _say(self, phase: rolling_upgrade.Phase, places: list[rolling_upgrade.Place]) -> None:
         state = self.roller.state
         for rank, (was, one) in enumerate(zip(places, state.ones, strict=True)):
             if one.place is not was:
@@ -206,11 +206,11 @@
         if state.phase is not phase:
             self.tell(f"{phase.value} -> {state.phase.value}" + (f": {state.why}" if state.why else ""))
 
-    def _carry_out(self, actions: list[roll.Action]) -> None:
+    def _carry_out(self, actions: list[rolling_upgrade.Action]) -> None:
         for action in actions:
-            if isinstance(action, roll.Start):
+            if isinstance(action, rolling_upgrade.Start):
                 pid = self.starter.prepare(action.rank, action.new)
-                self._feed(roll.Prepared(action.rank, pid))
+                self._feed(rolling_upgrade.Prepared(action.rank, pid))
                 self.starter.release(pid)
-            elif isinstance(action, roll.Kill):
+            elif isinstance(action, rolling_upgrade.Kill):
                 self.starter.kill(action.pid)
--- /dev/null
+++ b/orchidlane/gateway/peers/__init__.py
@@ -0,0 +1,1 @@
+"""What gateways tell one another: sealed datagrams and token requests."""
--- a/orchidlane/gateway/versions/__init__.py
+++ b/orchidlane/gateway/rollout_agent/__init__.py
@@ -1,1 +1,1 @@
-"""The shell of fleet versions: datagrams, files, contents by hash; ``orchidlane.change`` decides."""
+"""The shell of fleet versions: datagrams, files, contents by hash; ``orchidlane.rollout`` decides."""
--- a/orchidlane/gateway/versions/shell.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -1,4 +1,4 @@
-"""Carries out, at one gateway, what ``orchidlane.change`` decides on the fleet's versions.
+"""Carries out, at one gateway, what ``orchidlane.rollout`` decides on the fleet's versions.
 
 One task works on the voter's events in turn: what they ask to be kept is on disk before anything after it is
 told. Ledgers and contents that a datagram names are fetched beside it. A version is read and checked beside
@@ -14,31 +14,31 @@
 
 import msgspec
 
-from ...change import conduct, ledger, messages, quorum, spread
-from ...change.conduct import Conductor
-from ...change.found import found, own_waiting
-from ...change.judge import Tallies, Tally, between
-from ...change.ledger import Change, Ledger, Stage, Step
-from ...change.mixing import Account, Material, moves, why_not_beside
-from ...change.quorum import STORE_BITS, Chosen, Dropped, Hold, Keep, Kept, Register, Said
-from ...change.spread import Spread
-from ...change.stages import Look, Terms
-from ...change.version import Certificate, Parts, Seat, cast, is_name, name_of, why_not_certified
-from ...interface import SetMoved
-from ...loop import BACKGROUND, CONTROL, Expired, Scope, Task
-from ...loop.world import Address
-from ...routes import DescriptionError
-from ...upgrade.batch import Limits
-from ..customers import CustomersError
-from ..exchange import Answer, Exchange
-from ..knowledge import Knowledge, UnfitContent, make_knowledge
-from ..settings import Fleet, address
-from .fetch import PREFIX, FetchError, call
-from .files import Damaged, Files, RunningFile, VoterFile
-from .tally import Book
+from orchidlane.rollout import (leader as conduct, replicated_state, messages, consensus, dissemination)
+from orchidlane.rollout.leader import (Conductor)
+from orchidlane.rollout.bootstrap import (found, own_waiting)
+from orchidlane.rollout.canary_analysis import (Tallies, Tally, between)
+from orchidlane.rollout.replicated_state import (Change, Ledger, Stage, Step)
+from orchidlane.rollout.compatibility import (Account, Material, moves, why_not_beside)
+from orchidlane.rollout.consensus import (STORE_BITS, Chosen, Dropped, Hold, Keep, Kept, Register, Said)
+from orchidlane.rollout.dissemination import (Spread)
+from orchidlane.rollout.phases import (Look, Terms)
+from orchidlane.rollout.version import (Certificate, Parts, Seat, cast, is_name, name_of, why_not_certified)
+from orchidlane.policy.interface import (SetMoved)
+from orchidlane.runtime import (BACKGROUND, CONTROL, Expired, Scope, Task)
+from orchidlane.runtime.backend import (Address)
+from orchidlane.routes import (DescriptionError)
+from orchidlane.hot_restart.rolling_batches import (Limits)
+from orchidlane.gateway.control.customers import (CustomersError)
+from orchidlane.gateway.forwarding.pending_request import (Answer, Exchange)
+from orchidlane.gateway.control.configuration import (Knowledge, UnfitContent, make_knowledge)
+from orchidlane.gateway.control.settings import (Fleet, address)
+from orchidlane.gateway.rollout_agent.admin_client import (PREFIX, FetchError, call)
+from orchidlane.gateway.rollout_agent.storage import (Damaged, Files, RunningFile, VoterFile)
+from orchidlane.gateway.rollout_agent.answer_tally import (Book)
 
 if TYPE_CHECKING:
-    from ..program import Program
+    from orchidlane.gateway.lifecycle.process import (Program)
 
 TICK = 20_000  # microseconds between two looks at what is due
 QUEUE_MOST = 1_000  # events that wait for the voter; more are lost, as datagrams may be
@@ -107,7 +107,7 @@
             kept = self.files.read_running()
             if kept is None:
                 return None
-            latest = ledger.decode(kept.ledger)
+            latest = replicated_state.decode(kept.ledger)
             why = why_not_certified(self.secret, kept.running)
             if why:
                 raise Damaged(f"its certificate: {why}")
@@ -156,7 +156,7 @@
             self.log.error("the voter's disk is lost: it waits to be admitted", why=str(wrong))
             file = voted = chosen = None
         if chosen is not None and (self.ledger is None or chosen.index > self.ledger.index):
-            data = ledger.encode(chosen)
+            data = replicated_state.encode(chosen)
             self._learn(chosen, name_of(data), data, None)
         kept = file.kept if file is not None else Kept(self.world.random.getrandbits(STORE_BITS) + 1)
         rng, again = self.world.random, file is not None
@@ -168,7 +168,7 @@
         if not data:
             return None
         self.files.hold(name_of(data), data)
-        return ledger.decode(data)
+        return replicated_state.decode(data)
 
     # -- what others ask
 
@@ -249,13 +249,13 @@
         else:
             self.program.tell_change(rank, messages.encode(message))
 
-    def _tell_all(self, tells: list[quorum.Tell]) -> None:
+    def _tell_all(self, tells: list[consensus.Tell]) -> None:
         for tell in tells:
             self._tell(tell.rank, tell.message)
 
-    def _carry_spread(self, actions: list[spread.Action]) -> None:
+    def _carry_spread(self, actions: list[dissemination.Action]) -> None:
         for action in actions:
-            if isinstance(action, spread.Fetch):
+            if isinstance(action, dissemination.Fetch):
                 self._fetch_ledger(action.rank, action.name, action.at)
             else:
                 self._tell(action.rank, action.message)
@@ -271,7 +271,7 @@
                 before = self._register().kept, self._register().voted
                 self._carry_out(event(), *before)
 
-    def _carry_out(self, actions: list[quorum.Action], kept: Kept, voted: Ledger | None) -> None:
+    def _carry_out(self, actions: list[consensus.Action], kept: Kept, voted: Ledger | None) -> None:
         for action in actions:
             match action:
                 case Hold():
@@ -279,7 +279,7 @@
                 case Keep():
                     if not self._write_voter(action.kept):
                         return self._carry_out(self._register().failed(kept, voted), kept, voted)
-                case quorum.Tell():
+                case consensus.Tell():
                     self._tell(action.rank, action.message)
                 case Chosen():
                     self._chosen(action)
@@ -290,8 +290,8 @@
 
     def _write_voter(self, kept: Kept) -> bool:
         register = self._register()
-        voted = ledger.encode(register.voted) if register.voted is not None else b""
-        chosen = ledger.encode(register.ledger) if register.ledger is not None else b""
+        voted = replicated_state.encode(register.voted) if register.voted is not None else b""
+        chosen = replicated_state.encode(register.ledger) if register.ledger is not None else b""
         try:
             self.files.write_voter(VoterFile(kept, voted, chosen))
         except OSError as wrong:
@@ -303,7 +303,7 @@
         return True
 
     def _chosen(self, chosen: Chosen) -> None:
-        data = ledger.encode(chosen.ledger)
+        data = replicated_state.encode(chosen.ledger)
         self._learn(chosen.ledger, chosen.name, data, None)
         if chosen.step is not None:
             self._outcome(chosen.step, Outcome(True))
@@ -356,7 +356,7 @@
 
     def _fetch_ledger(self, rank: int, name: str, at: int | None) -> None:
         def learn(found: Ledger) -> None:
-            self._learn(found, name, ledger.encode(found), at)
+            self._learn(found, name, replicated_state.encode(found), at)
 
         self._with_ledger(rank, name, learn)
 
@@ -385,7 +385,7 @@
 
     def _use_ledger(self, data: bytes, use: Callable[[Ledger], None]) -> None:
         try:
-            found = ledger.decode(data)
+            found = replicated_state.decode(data)
         except msgspec.DecodeError as wrong:
             self.log.error("not a ledger", why=str(wrong))
             return
@@ -476,7 +476,7 @@
                 self._founded_wait = first
                 self.log.info("no ledger is founded yet", why=first)
             return
-        data = ledger.encode(first)
+        data = replicated_state.encode(first)
         assert self.conductor is not None
         register = self.conductor.register
         register.ledger = first
@@ -705,7 +705,7 @@
             self._dirty = False
             known = {name for one in self.ledger.versions() for name in one.parts.names()}
             self.files.drop_others(known | set(self.running.version.parts.names()))
-            data = ledger.encode(self.ledger)
+            data = replicated_state.encode(self.ledger)
             try:
                 self.files.write_running(RunningFile(data, self.running, tuple(self.files.contents)))
             except OSError as wrong:
--- a/orchidlane/gateway/versions/files.py
+++ b/orchidlane/gateway/rollout_agent/storage.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ...change.quorum import Kept
-from ...change.version import Certificate, name_of
-from ...loop.world import World
+from orchidlane.rollout.consensus import (Kept)
+from orchidlane.rollout.version import (Certificate, name_of)
+from orchidlane.runtime.backend import (World)
 
 DIGEST = 64
 UPLOADS_MOST = 32  # contents that wait for their proposal
--- /dev/null
+++ b/orchidlane/gateway/server/__init__.py
@@ -0,0 +1,1 @@
+"""What clients talk to: the HTTP and RESP servers and their connections."""
--- a/orchidlane/gateway/respfront.py
+++ b/orchidlane/gateway/server/resp_server.py
@@ -11,17 +11,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from .. import resp
-from ..limits import LedgerError, Outcome
-from ..loop import REQUESTS, Closed, Expired, Lingering, Listener, Loop, Scope, Stream, Task
-from ..resp import ErrorReply, Simple
-from ..routes import Generation
-from .customers import Customer
-from .door import accept_clients
-from .front import Watcher, recv_watched, send_all
-from .knowledge import Knowledge
-from .limits import LimitService, NoAnswer
-from .settings import Fleet
+from orchidlane import (resp)
+from orchidlane.limits import (LedgerError, Outcome)
+from orchidlane.runtime import (REQUESTS, Closed, Expired, Lingering, Listener, Loop, Scope, Stream, Task)
+from orchidlane.resp import (ErrorReply, Simple)
+from orchidlane.routes import (Generation)
+from orchidlane.gateway.control.customers import (Customer)
+from orchidlane.gateway.server.accept_loop import (accept_clients)
+from orchidlane.gateway.server.http_server import (Watcher, recv_watched, send_all)
+from orchidlane.gateway.control.configuration import (Knowledge)
+from orchidlane.gateway.peers.token_requests import (LimitService, NoAnswer)
+from orchidlane.gateway.control.settings import (Fleet)
 
 FLUSH = 16_384  # bytes of replies that are written at once
 TOKEN_MOST = 256  # bytes
--- a/orchidlane/gateway/admin.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -14,15 +14,15 @@
 
 import msgspec
 
-from .. import http1, record
-from ..http1 import Data, End, Malformed, Request
-from ..loop import BACKGROUND, Closed, Expired, Listener, Loop, Scope, Stream, Task
-from .customers import Customer
-from .door import accept_clients
-from .host import Host
-from .knowledge import Knowledge
-from .metrics import Metrics
-from .probe import make_view
+from orchidlane import (http1, recording)
+from orchidlane.http1 import (Data, End, Malformed, Request)
+from orchidlane.runtime import (BACKGROUND, Closed, Expired, Listener, Loop, Scope, Stream, Task)
+from orchidlane.gateway.control.customers import (Customer)
+from orchidlane.gateway.server.accept_loop import (accept_clients)
+from orchidlane.gateway.forwarding.policy_driver import (Host)
+from orchidlane.gateway.control.configuration import (Knowledge)
+from orchidlane.gateway.telemetry.metrics import (Metrics)
+from orchidlane.gateway.telemetry.policy_views import (make_view)
 
 PATIENCE = 5_000_000  # microseconds for a question, and for each piece of an answer to be taken
 STATE_WITHIN = 30_000_000  # microseconds for the whole state to be read
@@ -50,12 +50,12 @@
         self, host: Host, name: str, life: int, number: int, names: Names, about: dict[str, Any]
     ) -> None:
         self._loop = host.loop
-        self._snapshot = record.Snapshot(host.rules)
+        self._snapshot = recording.Snapshot(host.rules)
         self._pages = self._snapshot.pages()
         self._done = False
-        header = record.Header(
-            format=record.FORMAT,
-            build=record.build_name(),
+        header = recording.Header(
+            format=recording.FORMAT,
+            build=recording.build_name(),
             gateway=name,
             life=life,
             number=number,
@@ -65,7 +65,7 @@
             plan_names=names[1],
             about=about,
         )
-        self.head = record.pack_header(header)
+        self.head = recording.pack_header(header)
 
     def __iter__(self) -> Iterator[bytes]:
         return self
@@ -75,7 +75,7 @@
             raise StopIteration
         rows = next(self._pages, [])
         self._done = not rows
-        return record.pack_accounts(self._loop.now(), rows, last=self._done)
+        return recording.pack_accounts(self._loop.now(), rows, last=self._done)
 
     def close(self) -> None:
         """No more frames are wanted."""
--- a/orchidlane/gateway/probe.py
+++ b/orchidlane/gateway/telemetry/policy_views.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from .. import interface as api
-from .. import record
-from ..rules import Gateway
-from ..state import Account
+from orchidlane.policy import (interface as api)
+from orchidlane import (recording)
+from orchidlane.policy.gateway import (Gateway)
+from orchidlane.policy.state import (Account)
 
 VIEW_FORMAT = 1
 NUMBER = (1 << 32) - 1  # of the request that is asked about
@@ -37,7 +37,7 @@
     gateway: str
     now: int
     settings: dict[str, object]
-    state: record.Dump
+    state: recording.Dump
     class_names: tuple[str, ...]
     plan_names: tuple[str, ...]
     customer: tuple[int, int, int, int] | None
@@ -58,11 +58,11 @@
     chosen = [customer[0]] if customer else []
     view = View(
         format=VIEW_FORMAT,
-        build=record.build_name(),
+        build=recording.build_name(),
         gateway=name,
         now=now,
         settings=msgspec.to_builtins(gateway.s),
-        state=record.dump(gateway, chosen),
+        state=recording.dump(gateway, chosen),
         class_names=names[0],
         plan_names=names[1],
         customer=customer,
@@ -75,7 +75,7 @@
     try:
         view = msgspec.msgpack.decode(data, type=View)
     except (msgspec.DecodeError, UnicodeDecodeError) as wrong:
-        raise ViewError(f"not a view that this build ({record.build_name()}) can read: {wrong}") from None
+        raise ViewError(f"not a view that this build ({recording.build_name()}) can read: {wrong}") from None
     if view.format != VIEW_FORMAT:
         raise ViewError(f"a view of format {view.format}; this build reads {VIEW_FORMAT}")
     check_build(view.build)
@@ -84,12 +84,12 @@
 
 def check_build(build: str) -> None:
     """Raises ViewError where what is told came from a build whose decisions could differ."""
-    own = record.build_name()
+    own = recording.build_name()
     if build != own:
         raise ViewError(f"told by build {build}, this is {own}: its decisions could differ, so none is told")
 
 
-def saved_view(reader: record.SegmentReader, number: int) -> View:
+def saved_view(reader: recording.SegmentReader, number: int) -> View:
     """The view of a customer, by its number, in a saved state. Raises ViewError, FormatError."""
     header = reader.header
     check_build(header.build)
@@ -119,7 +119,7 @@
     )
 
 
-def _moment(header: record.Header) -> int:
+def _moment(header: recording.Header) -> int:
     return int(header.about.get("now", header.life))
 
 
@@ -136,7 +136,7 @@
     pressed: list[tuple[float, int]] = field(default_factory=list)  # the least share of the burst first
 
 
-def plan_counts(reader: record.SegmentReader, most: int) -> dict[str, PlanCounts]:
+def plan_counts(reader: recording.SegmentReader, most: int) -> dict[str, PlanCounts]:
     """Each plan's counts, brought up to the state's moment by the module; ``most`` pressed ones of each.
 
     Raises ViewError, FormatError. Memory does not grow with the customers.
@@ -144,13 +144,13 @@
     header = reader.header
     check_build(header.build)
     state = msgspec.structs.replace(header.state, accounts=[], requests=[], detached=[], idle_queue=[])
-    gateway = record.restore(
+    gateway = recording.restore(
         header.module_settings(), msgspec.structs.replace(state, changed=[], closed=[], told=[], asked=[])
     )
     gateway.now = _moment(header)
     found: dict[str, PlanCounts] = defaultdict(PlanCounts)
     for row in reader.accounts():
-        account = record.load_account(row)
+        account = recording.load_account(row)
         gateway._lift(account)
         _count(found[header.plan_names[account.plan]], account, gateway.s.plans[account.plan], most)
     for counts in found.values():
@@ -174,8 +174,8 @@
 def _copy(view: View) -> Gateway:
     try:
         settings = msgspec.convert(view.settings, api.Settings)
-        return record.restore(settings, view.state)
-    except (msgspec.ValidationError, record.FormatError) as wrong:
+        return recording.restore(settings, view.state)
+    except (msgspec.ValidationError, recording.FormatError) as wrong:
         raise ViewError(str(wrong)) from None
 
 
--- a/orchidlane/gateway/recorder.py
+++ b/orchidlane/gateway/telemetry/traffic_recorder.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from .. import interface as api
-from .. import record
-from ..loop import Loop
-from ..record.segments import SUFFIX, pack_answer
-from .admin import Names, StateFrames
-from .host import Host
+from orchidlane.policy import (interface as api)
+from orchidlane import (recording)
+from orchidlane.runtime import (Loop)
+from orchidlane.recording.segments import (SUFFIX, pack_answer)
+from orchidlane.gateway.telemetry.admin_api import (Names, StateFrames)
+from orchidlane.gateway.forwarding.policy_driver import (Host)
 
 EVERY = 100_000  # microseconds between two writes
 BUFFER = 1 << 18  # bytes: written at once
@@ -56,7 +56,7 @@
     def event(self, now: int, event: api.Event, actions: list[api.Action]) -> None:
         """One event with the module's actions."""
         if not self.failed:
-            self._buffer += record.pack_entry(now, event, actions)
+            self._buffer += recording.pack_entry(now, event, actions)
             self._check()
 
     def answer(self, request: int, status: int, kind: str, span: int) -> None:
--- a/orchidlane/upgrade/taker.py
+++ b/orchidlane/hot_restart/new_process.py
@@ -7,7 +7,7 @@
     TRIAL      --release-->  FREE        it stands alone
     TRIAL      --recall-->   RETURNING   it has stopped; when its last request is answered it ends
 
-The channel is the fence (``giver``): its old side closes its end only in death or after ``Abort``. So a
+The channel is the fence (``old_process``): its old side closes its end only in death or after ``Abort``. So a
 channel that closes without a word means that the old one is dead, and what came decides: without the
 listeners we end; with them and before the moment we stand alone like a cold start, since what was spent
 meanwhile is not known; after the moment we have all. Whoever stands alone first makes sure of the other's
--- a/orchidlane/platform/__main__.py
+++ b/orchidlane/platform/__main__.py
@@ -6,10 +6,10 @@
 import os
 import sys
 
-from ..loop import Loop, RealWorld
-from ..loop.signals import hold_reload, serve
-from .config import ConfigError, parse, path_of
-from .life import Life
+from orchidlane.runtime import (Loop, RealWorld)
+from orchidlane.runtime.signals import (hold_reload, serve)
+from orchidlane.platform.configuration import (ConfigError, parse, path_of)
+from orchidlane.platform.lifecycle import (Life)
 
 
 def main() -> int:
--- a/orchidlane/platform/config.py
+++ b/orchidlane/platform/configuration.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from .. import interface as api
-from .. import wire
-from ..loop import Address
-from ..loop.world import parse_address
-from .discovery import ListLine
+from orchidlane.policy import (interface as api)
+from orchidlane.simulator_protocol import (codec)
+from orchidlane.runtime import (Address)
+from orchidlane.runtime.backend import (parse_address)
+from orchidlane.platform.discovery import (ListLine)
 
 SOCKETS_LEAST = 64  # descriptors: less leaves too few beside those that are kept free (``terms.py``)
 
@@ -93,8 +93,8 @@
         found = msgspec.json.decode(text, type=File)
         settings = bytes(found.settings)
         names = msgspec.json.decode(settings, type=Names)
-        module = wire.parse_settings(settings)
-    except (msgspec.DecodeError, UnicodeDecodeError, wire.WireError) as wrong:
+        module = codec.parse_settings(settings)
+    except (msgspec.DecodeError, UnicodeDecodeError, codec.WireError) as wrong:
         raise ConfigError(f"{file}: {wrong}") from None
     if not SOCKETS_LEAST <= found.limits.sockets < 1 << 31:
         raise ConfigError(
--- a/orchidlane/platform/life.py
+++ b/orchidlane/platform/lifecycle.py
@@ -15,22 +15,22 @@
 from contextlib import suppress
 from typing import Any
 
-from .. import interface as api
-from ..gateway.counts import Counts
-from ..gateway.front import Front
-from ..gateway.host import Host
-from ..gateway.upstream import Upstream
-from ..loop import BACKGROUND, CONTROL, PEERS, Address, Expired, Loop, Scope, Task
-from ..rules import Gateway
-from .asking import retry_interval
-from .calls import Reader
-from .clients import PlatformClients
-from .config import Config, ConfigError, parse
-from .discovery import ListRefused, Tracker, Watch
-from .log import Log
-from .outcomes import PlatformNodes
-from .shutdown import Shutdown, graceful_shutdown
-from .terms import terms_of
+from orchidlane.policy import (interface as api)
+from orchidlane.gateway.telemetry.counters import (Counts)
+from orchidlane.gateway.server.http_server import (Front)
+from orchidlane.gateway.forwarding.policy_driver import (Host)
+from orchidlane.gateway.forwarding.connection_pool import (Upstream)
+from orchidlane.runtime import (BACKGROUND, CONTROL, PEERS, Address, Expired, Loop, Scope, Task)
+from orchidlane.policy.gateway import (Gateway)
+from orchidlane.platform.polling import (retry_interval)
+from orchidlane.platform.request_parsing import (Reader)
+from orchidlane.platform.protocol_adapter import (PlatformClients)
+from orchidlane.platform.configuration import (Config, ConfigError, parse)
+from orchidlane.platform.discovery import (ListRefused, Tracker, Watch)
+from orchidlane.platform.rate_limited_log import (Log)
+from orchidlane.platform.response_outcomes import (PlatformNodes)
+from orchidlane.platform.shutdown import (Shutdown, graceful_shutdown)
+from orchidlane.platform.resource_limits import (terms_of)
 
 BIND_MOST = (
     8_000_000  # microseconds in which an address that a process of ours held may come free: ready in 10 s
--- a/orchidlane/platform/calls.py
+++ b/orchidlane/platform/request_parsing.py
@@ -9,11 +9,11 @@
 import re
 from dataclasses import dataclass
 
-from .. import interface as api
-from ..gateway.seam import Call
-from ..http1 import Request
-from ..interface import Effect
-from .config import Names
+from orchidlane.policy import (interface as api)
+from orchidlane.gateway.forwarding.protocol_adapter import (Call)
+from orchidlane.http1 import (Request)
+from orchidlane.policy.interface import (Effect)
+from orchidlane.platform.configuration import (Names)
 
 ID = re.compile(rb"[0-9A-Za-z_.\-]{1,64}")
 KEY = re.compile(rb"[\x21-\x7e]{1,128}")
--- a/orchidlane/rules.py
+++ b/orchidlane/policy/gateway.py
@@ -1,4 +1,4 @@
-"""All decisions of a gateway; its types, events and actions are in ``orchidlane/interface.py``.
+"""All decisions of a gateway; its types, events and actions are in ``orchidlane/policy/interface.py``.
 
 A request's life: arrived -> admitted by its customer's counts -> sent to the server that should answer
 soonest -> outcome -> perhaps another attempt -> exactly one final answer. Every send passes ``_send``, every
@@ -11,10 +11,10 @@
 import random
 from itertools import islice
 
-from . import interface as api
-from . import messages
-from .interface import Effect, Group, ListKind, Outcome, Phase
-from .state import Account, Attempt, Host, Memory, Request
+from orchidlane.policy import (interface as api)
+from orchidlane.policy import (gossip_codec)
+from orchidlane.policy.interface import (Effect, Group, ListKind, Outcome, Phase)
+from orchidlane.policy.state import (Account, Attempt, Host, Memory, Request)
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
 
@@ -329,7 +329,7 @@
         return (1 + account.size * (self._keeper(account) == self.rank)) / (2 * account.size)
 
     def _spend(self, account: Account, units: float) -> None:
-        start, value = account.counts.get(self.rank, (self.now // MS // messages.TICK, 0.0))
+        start, value = account.counts.get(self.rank, (self.now // MS // gossip_codec.TICK, 0.0))
         account.total += self._count(account, self.rank, start, value + units)
         account.ceiling -= units if self.s.plans[account.plan].ceiling_rate else 0.0
         if account.size > 1 and not self.alone:
@@ -394,7 +394,7 @@
         for customer in [one for one in islice(owed, LOOK_AT) if one not in self.accounts]:
             del owed[customer]
         first = [(self.accounts[one], owed[one]) for one in islice(owed, LOOK_AT) if one in self.accounts]
-        rows = messages.fit(self._owed_row(account) for account, _ in first)
+        rows = gossip_codec.fit(self._owed_row(account) for account, _ in first)
         told, heard = first[: len(rows)], self.now - self.heard.get(rank, 0) <= ANSWER_WITHIN
         asks = [(a.customer, number) for a, number in told if a.fresh or a.asked or not heard]
         for account, _ in told:
@@ -456,7 +456,7 @@
         looked = [self.accounts[customer] for customer in islice(self.changed, LOOK_AT)]
         shared = [a for a in looked if self._place(rank, a.first) < a.size]
         shared.sort(key=lambda a: a.room / (self.s.plans[a.plan].burst or 1.0))
-        rows = messages.fit(self._row(a, 0) for a in shared)
+        rows = gossip_codec.fit(self._row(a, 0) for a in shared)
         if self._tell(rank, rows, [(0, -1)]):
             for told in shared[: len(rows)]:
                 del self.changed[told.customer]
@@ -478,7 +478,7 @@
         for customer, number in asks:
             self.asked.append((self.now, rank, customer, number))
             self.actions.append(api.SetTimer(ANSWER_WITHIN, ASKED))
-        body = messages.pack(self.now // MS, bool(asks), keep, self._also(rank, rows))
+        body = gossip_codec.pack(self.now // MS, bool(asks), keep, self._also(rank, rows))
         self.actions.append(api.TellPeer(rank, body))
         return True
 
@@ -492,7 +492,7 @@
         # Its row lifts an account, which may open it.
         brief = ((a, row) for a in near if (row := self._row(a, 0, brief=True)) and a.closed)
         more = list(islice(brief, ALSO_MOST))
-        found = messages.fit((*rows, *(row for _, row in more)))
+        found = gossip_codec.fit((*rows, *(row for _, row in more)))
         for account, _ in more[: len(found) - len(rows)]:
             self.closed[account.customer] += 1
         return found
@@ -501,11 +501,11 @@
         """One customer's row; a brief one has no counts, its total is enough to close the customer there."""
         self._lift(account)
         counts = () if brief else tuple((rank, *account.counts[rank]) for rank in account.news)
-        row = messages.Row(account.customer, *account.key, reach, account.room, account.total, rights, counts)
-        return messages.pack_row(row, self.now // MS, self.s.gateways)
+        row = gossip_codec.Row(account.customer, *account.key, reach, account.room, account.total, rights, counts)
+        return gossip_codec.pack_row(row, self.now // MS, self.s.gateways)
 
     def _peer_message(self, event: api.PeerMessage) -> None:
-        message = messages.unpack(event.body, self.now // MS, self.s.gateways, len(self.s.plans))
+        message = gossip_codec.unpack(event.body, self.now // MS, self.s.gateways, len(self.s.plans))
         age = self.now - message.sent * MS if message else LATE_MOST
         if self.alone or not 0 <= event.sender < self.s.gateways or abs(age) >= LATE_MOST:
             return
@@ -525,7 +525,7 @@
                     self._keep(account)
         if message.ask and self._allowed():  # rights that are given are off our part
             rows = (self._row(account, 0, self._give(account, wanted)) for account, wanted in merged)
-            self._tell(event.sender, messages.fit(rows))
+            self._tell(event.sender, gossip_codec.fit(rows))
 
     def _give(self, account: Account, wanted: float) -> float:
         """Rights of a ceiling, off our part before they are told, so that loss is safe."""
@@ -533,7 +533,7 @@
         account.ceiling -= given
         return given
 
-    def _merge(self, row: messages.Row, sender: int, age: int, keep: bool) -> Account:
+    def _merge(self, row: gossip_codec.Row, sender: int, age: int, keep: bool) -> Account:
         """Newer start, then larger value; the larger limit."""
         account = self._account(row.customer, row.plan, row.set_first, row.set_size, trusted=False)
         account.fresh, plan = False, self.s.plans[account.plan]
--- a/orchidlane/interface.py
+++ b/orchidlane/policy/interface.py
@@ -1,7 +1,7 @@
 """What a gateway is told (settings, events) and what it answers (actions).
 
 Times are integers in microseconds of the caller's clock. Servers are opaque, sortable bytes; requests and
-customers are integers. Nothing here decides anything: the decisions are in ``rules.py``.
+customers are integers. Nothing here decides anything: the decisions are in ``policy/gateway.py``.
 """
 
 from __future__ import annotations
--- a/orchidlane/state.py
+++ b/orchidlane/policy/state.py
@@ -1,4 +1,4 @@
-"""What a gateway remembers, as plain records. Nothing here decides anything: ``rules.py`` does."""
+"""What a gateway remembers, as plain records. Nothing here decides anything: ``policy/gateway.py`` does."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field, replace
 
-from . import interface as api
+from orchidlane.policy import (interface as api)
 
 
 @dataclass(slots=True)
--- a/orchidlane/record/build.py
+++ b/orchidlane/recording/build_identity.py
@@ -10,16 +10,13 @@
 from functools import cache
 from pathlib import Path
 
-from .. import __version__
-
-DECIDES = ("rules.py", "state.py", "messages.py", "interface.py")
+from orchidlane import (__version__)
 
 
 @cache
 def build_name() -> str:
     """``version+digest``: equal where the decisions are."""
     digest = hashlib.blake2b(digest_size=6)
-    folder = Path(__file__).parent.parent
-    for name in DECIDES:
-        digest.update((folder / name).read_bytes())
+    for source in sorted((Path(__file__).parent.parent / "policy").glob("*.py")):
+        digest.update(source.read_bytes())
     return f"{__version__}+{digest.hexdigest()}"
--- a/orchidlane/lab/backing.py
+++ b/orchidlane/simulation/backends.py
@@ -16,18 +16,18 @@
 import msgspec
 import structlog
 
-from ..gateway.customers import load_customers
-from ..gateway.knowledge import Knowledge
-from ..gateway.program import Program
-from ..gateway.settings import Fleet, upgrade_address
-from ..gateway.status import ask_status
-from ..loop import Faults as NetFaults
-from ..loop import Loop, Process, RealWorld, SimWorld
-from ..loop.world import Address
-from ..upgrade import taker
-from .audit import Verdict
-from .day import SECRET, Day, Plan, Runner, customers_file, make_plan, own_settings
-from .node import Node, NodeSpec
+from orchidlane.gateway.control.customers import (load_customers)
+from orchidlane.gateway.control.configuration import (Knowledge)
+from orchidlane.gateway.lifecycle.process import (Program)
+from orchidlane.gateway.control.settings import (Fleet, upgrade_address)
+from orchidlane.gateway.lifecycle.status_query import (ask_status)
+from orchidlane.runtime import (Faults as NetFaults)
+from orchidlane.runtime import (Loop, Process, RealWorld, SimWorld)
+from orchidlane.runtime.backend import (Address)
+from orchidlane.hot_restart import (new_process)
+from orchidlane.simulation.audit import (Verdict)
+from orchidlane.simulation.scenario import (SECRET, Day, Plan, Runner, customers_file, make_plan, own_settings)
+from orchidlane.simulation.fake_endpoint import (Node, NodeSpec)
 
 WARM_UP = 120  # requests before any work begins
 END_WITHIN = 15.0  # seconds for a process to end by itself
@@ -90,7 +90,7 @@
 
     def upgraded(self, rank: int, loop: Loop) -> bool | None:
         process, found = self.successors[rank]
-        if found and found[0].taking.machine.phase is taker.Phase.FREE:
+        if found and found[0].taking.machine.phase is new_process.Phase.FREE:
             self.processes[f"gw-{rank}"], self.programs[rank] = process, found[0]
             return True
         return False if process.dead or (found and not process.tasks) else None
--- a/orchidlane/lab/node.py
+++ b/orchidlane/simulation/fake_endpoint.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from .. import http1
-from ..http1 import Data, End, Malformed, Request
-from ..loop import REQUESTS, Closed, Expired, Loop, Scope, Stream, Task
-from ..loop.world import Address
-from .records import Arrival, Fell, Run, encode
+from orchidlane import (http1)
+from orchidlane.http1 import (Data, End, Malformed, Request)
+from orchidlane.runtime import (REQUESTS, Closed, Expired, Loop, Scope, Stream, Task)
+from orchidlane.runtime.backend import (Address)
+from orchidlane.simulation.observations import (Arrival, Fell, Run, encode)
 
 FAULTS = "/_lab/faults"
 
--- a/orchidlane/lab/broken.py
+++ b/orchidlane/simulation/mutants.py
@@ -25,15 +25,15 @@
 def _soon(does: str) -> Change:
     """Does something 150 ms after it began to serve."""
     timer = f"        self.loop.call_at(self.loop.now() + 150_000, lambda _: {does})\n"
-    return Change("gateway/handover.py", _STARTED, _STARTED + timer)
+    return Change("gateway/lifecycle/hot_restart.py", _STARTED, _STARTED + timer)
 
 
 BROKEN = {
     "does not start": Change(
-        "gateway/handover.py", "class TakingSide:", "raise SystemExit(3)\n\n\nclass TakingSide:"
+        "gateway/lifecycle/hot_restart.py", "class TakingSide:", "raise SystemExit(3)\n\n\nclass TakingSide:"
     ),
     "crashes with the listeners": Change(
-        "gateway/handover.py",
+        "gateway/lifecycle/hot_restart.py",
         "            case taker.Check():\n",
         f"            case taker.Check():\n                {_CRASH}\n",
     ),
@@ -41,7 +41,7 @@
     "fails as it serves": _soon("1 // 0"),  # not a crash: all that it has is ended in order
     "hangs as it serves": _soon('__import__("time").sleep(60)'),
     "refuses everything": Change(
-        "rules.py",
+        "policy/gateway.py",
         "        self._lift(account)\n        if plan.ceiling_rate",
         "        self._lift(account)\n        return False\n        if plan.ceiling_rate",
     ),
--- a/orchidlane/lab/changes.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -20,15 +20,15 @@
 
 import msgspec
 
-from ..change.ledger import Ledger, Stage
-from ..change.version import Parts, name_of, why_not_certified
-from ..config import Duration
-from ..gateway.program import Program
-from ..gateway.settings import Fleet, address
-from ..gateway.versions.desk import Order, Status
-from ..gateway.versions.fetch import PREFIX, FetchError, call
-from ..gateway.versions.shell import Outcome
-from ..loop import Faults, Loop, Process, SimWorld
+from orchidlane.rollout.replicated_state import (Ledger, Stage)
+from orchidlane.rollout.version import (Parts, name_of, why_not_certified)
+from orchidlane.config import (Duration)
+from orchidlane.gateway.lifecycle.process import (Program)
+from orchidlane.gateway.control.settings import (Fleet, address)
+from orchidlane.gateway.rollout_agent.admin_api import (Order, Status)
+from orchidlane.gateway.rollout_agent.admin_client import (PREFIX, FetchError, call)
+from orchidlane.gateway.rollout_agent.agent import (Outcome)
+from orchidlane.runtime import (Faults, Loop, Process, SimWorld)
 
 SECRET = b"a secret for stand-ins only"
 SECOND = 1_000_000
--- a/orchidlane/wirehost.py
+++ b/orchidlane/simulator_protocol/process.py
@@ -5,32 +5,32 @@
 import sys
 from typing import BinaryIO
 
-from . import interface as api
-from . import wire
-from .rules import Gateway
+from orchidlane.policy import (interface as api)
+from orchidlane.simulator_protocol import (codec)
+from orchidlane.policy.gateway import (Gateway)
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
     data = source.read(size)
     if len(data) < size:
-        raise wire.WireError(f"input ended within a frame: {len(data)} of {size} bytes")
+        raise codec.WireError(f"input ended within a frame: {len(data)} of {size} bytes")
     return data
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer frames until the input ends."""
-    decoder = wire.Decoder()
+    decoder = codec.Decoder()
     gateways: dict[int, Gateway] = {}
     while first := source.read(1):
-        head = first + _read(source, wire.HEADER.size - 1)
-        count, length, now = wire.HEADER.unpack(head)
-        encoder = wire.Encoder()
+        head = first + _read(source, codec.HEADER.size - 1)
+        count, length, now = codec.HEADER.unpack(head)
+        encoder = codec.Encoder()
         for number, event in decoder.frame(count, _read(source, length)):
-            if isinstance(event, wire.Stop):
+            if isinstance(event, codec.Stop):
                 gateways.pop(number, None)
                 continue
-            if not isinstance(event, wire.Start) and number not in gateways:
-                raise wire.WireError(f"event for gateway {number}, which never started")
+            if not isinstance(event, codec.Start) and number not in gateways:
+                raise codec.WireError(f"event for gateway {number}, which never started")
             try:
                 actions = _decide(gateways, number, event, now)
             except Exception as failure:  # the wire wants every failure of the decisions as a record
@@ -43,9 +43,9 @@
 
 
 def _decide(
-    gateways: dict[int, Gateway], number: int, event: wire.Start | api.Event, now: int
+    gateways: dict[int, Gateway], number: int, event: codec.Start | api.Event, now: int
 ) -> list[api.Action]:
-    if isinstance(event, wire.Start):
+    if isinstance(event, codec.Start):
         gateways[number] = Gateway(event.settings, event.seed, now)
         return gateways[number].start()
     return gateways[number].handle(now, event)
@@ -55,7 +55,7 @@
     """Serve standard input and output; one plain line and 1 where the input is not of this wire."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except wire.WireError as wrong:
+    except codec.WireError as wrong:
         print(f"orchidlane: {wrong}", file=sys.stderr)
         return 1
     except BrokenPipeError:
--- /dev/null
+++ b/tests/harness/__init__.py
@@ -0,0 +1,1 @@
+"""Drivers and fixtures that several test files share."""
--- a/tests/house.py
+++ b/tests/harness/gateway_house.py
@@ -8,17 +8,17 @@
 import msgspec
 import structlog
 
-from orchidlane import http1
-from orchidlane.gateway.customers import load_customers
-from orchidlane.gateway.knowledge import Knowledge
-from orchidlane.gateway.nodelist import NodeLine
-from orchidlane.gateway.program import Program
-from orchidlane.gateway.settings import Fleet, parse_fleet
-from orchidlane.lab.standins import NodeList
-from orchidlane.loop import CONTROL, Closed, Expired, Faults, Loop, Scope, SimWorld
-from orchidlane.routes import build, load_description
-
-MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
+from orchidlane import (http1)
+from orchidlane.gateway.control.customers import (load_customers)
+from orchidlane.gateway.control.configuration import (Knowledge)
+from orchidlane.gateway.control.endpoint_list import (NodeLine)
+from orchidlane.gateway.lifecycle.process import (Program)
+from orchidlane.gateway.control.settings import (Fleet, parse_fleet)
+from orchidlane.simulation.fake_servers import (NodeList)
+from orchidlane.runtime import (CONTROL, Closed, Expired, Faults, Loop, Scope, SimWorld)
+from orchidlane.routes import (build, load_description)
+
+MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
 GENERATION = build(load_description((MATERIALS / "openapi.yaml").read_bytes(), "o"), "o")
 KEY = b"a-key"
 MS, SECOND = 1_000, 1_000_000
--- a/tests/platformhouse.py
+++ b/tests/harness/platform_house.py
@@ -6,11 +6,11 @@
 import os
 from contextlib import suppress
 
-from house import House
+from harness.gateway_house import (House)
 
-from orchidlane.loop import CONTROL, Closed, Faults, Loop, RealWorld, Scope, SimWorld
-from orchidlane.platform.config import Config, parse
-from orchidlane.platform.life import Life
+from orchidlane.runtime import (CONTROL, Closed, Faults, Loop, RealWorld, Scope, SimWorld)
+from orchidlane.platform.configuration import (Config, parse)
+from orchidlane.platform.lifecycle import (Life)
 
 MS, SECOND = 1_000, 1_000_000
 HALLS = ["hall-1", "hall-2"]
--- a/tests/processes/test_change_processes.py
+++ b/tests/processes/test_change_processes.py
@@ -11,10 +11,10 @@
 import msgspec
 import pytest
 
-from orchidlane.change import messages
-from orchidlane.gateway.customers import CustomerEntry, make_customer
-from orchidlane.gateway.settings import address
-from processes.fleets import COST, EDITED, SECOND, fleet_of, rules_hold
+from orchidlane.rollout import (messages)
+from orchidlane.gateway.control.customers import (CustomerEntry, make_customer)
+from orchidlane.gateway.control.settings import (address)
+from harness.process_fleets import (COST, EDITED, SECOND, fleet_of, rules_hold)
 
 LEASE = 2 * SECOND
 
--- a/tests/processes/test_platform_processes.py
+++ b/tests/processes/test_platform_processes.py
@@ -17,21 +17,10 @@
 from pathlib import Path
 
 import pytest
-from platformhouse import OK, call, file, settings
-
-from orchidlane.loop.world import show
-from processes.platforms import (
-    UP,
-    WAIT,
-    Agent,
-    Platform,
-    Serving,
-    free_port,
-    listener,
-    request_at,
-    to_the_end,
-    until,
-)
+from harness.platform_house import (OK, call, file, settings)
+
+from orchidlane.runtime.backend import (show)
+from harness.platform_processes import (UP, WAIT, Agent, Platform, Serving, free_port, listener, request_at, to_the_end, until)
 
 ROOT = Path(__file__).parent.parent.parent
 LAST = OK.replace(
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -6,15 +6,15 @@
 import test_lingering as lingering
 import test_narrow_moments as moments
 import test_watches as watches
-from platformhouse import SECOND, PlatformHouse
+from harness.platform_house import (SECOND, PlatformHouse)
 
-from orchidlane.gateway.front import Front
-from orchidlane.gateway.lines import Objects
-from orchidlane.gateway.upstream import Pool
-from orchidlane.loop import Lingering, Loop, RealWorld
-from orchidlane.loop.real import RealStream
-from orchidlane.platform import discovery, life, shutdown
-from orchidlane.platform.discovery import Tracker
+from orchidlane.gateway.server.http_server import (Front)
+from orchidlane.gateway.control.json_stream import (Objects)
+from orchidlane.gateway.forwarding.connection_pool import (Pool)
+from orchidlane.runtime import (Lingering, Loop, RealWorld)
+from orchidlane.runtime.real_backend import (RealStream)
+from orchidlane.platform import (discovery, lifecycle, shutdown)
+from orchidlane.platform.discovery import (Tracker)
 
 
 def closes_at_once(self, stream):
@@ -133,7 +133,7 @@
     "no watch of the end, FIN": (RealStream, "watch_end", no_more, HELD_BACK, ("half_close",)),
     "no watch of the end, RST": (RealStream, "watch_end", no_more, HELD_BACK, ("abort",)),
     "the old shutdown": (
-        life,
+        lifecycle,
         "graceful_shutdown",
         old_shutdown,
         moments.test_what_comes_before_a_gateway_leaves_has_all_its_time,
@@ -161,7 +161,7 @@
         (PlatformHouse,),
     ),
     "seldom asked": (
-        life,
+        lifecycle,
         "retry_interval",
         lambda grace: 3 * grace,
         watches.test_what_discovery_has_at_its_return_is_known_within_the_grace,
@@ -182,7 +182,7 @@
         (),
     ),
     "ready before it is told": (
-        life.Life,
+        lifecycle.Life,
         "_is_ready",
         yes,
         watches.test_ready_is_said_once_discovery_spoke,
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -6,43 +6,20 @@
 
 import msgspec
 import pytest
-from house import MATERIALS
+from harness.gateway_house import (MATERIALS)
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidlane.change import ledger as steps
-from orchidlane.change import messages, mixing
-from orchidlane.change.found import found, own_waiting
-from orchidlane.change.ledger import (
-    Admit,
-    Approve,
-    Claim,
-    Fenced,
-    Finish,
-    Ledger,
-    Propose,
-    Refused,
-    Resume,
-    Settle,
-    Stage,
-    Stop,
-    Widen,
-    ranks_as_bits,
-)
-from orchidlane.change.spread import Fetch, Spread
-from orchidlane.change.undo import Conflict, customers_without, rules_without
-from orchidlane.change.version import (
-    Certificate,
-    Parts,
-    Seat,
-    Version,
-    cast,
-    has_quorum,
-    why_not_certified,
-)
-from orchidlane.gateway.versions.files import Damaged, Files, VoterFile
-from orchidlane.loop import Loop, SimWorld
-from orchidlane.routes import build, load_description
+from orchidlane.rollout import (replicated_state as steps)
+from orchidlane.rollout import (messages, compatibility)
+from orchidlane.rollout.bootstrap import (found, own_waiting)
+from orchidlane.rollout.replicated_state import (Admit, Approve, Claim, Fenced, Finish, Ledger, Propose, Refused, Resume, Settle, Stage, Stop, Widen, ranks_as_bits)
+from orchidlane.rollout.dissemination import (Fetch, Spread)
+from orchidlane.rollout.rollback import (Conflict, customers_without, rules_without)
+from orchidlane.rollout.version import (Certificate, Parts, Seat, Version, cast, has_quorum, why_not_certified)
+from orchidlane.gateway.rollout_agent.storage import (Damaged, Files, VoterFile)
+from orchidlane.runtime import (Loop, SimWorld)
+from orchidlane.routes import (build, load_description)
 
 SECRET = b"a secret that is long enough"
 OTHER = b"another secret, as long as that"
@@ -358,9 +335,9 @@
 # What may serve side by side
 
 
-def material(data: bytes, **accounts: tuple) -> mixing.Material:
-    known = {int(key[1:]): mixing.Account(*told) for key, told in accounts.items()}
-    return mixing.Material(build(load_description(data, "o"), "o"), known)
+def material(data: bytes, **accounts: tuple) -> compatibility.Material:
+    known = {int(key[1:]): compatibility.Account(*told) for key, told in accounts.items()}
+    return compatibility.Material(build(load_description(data, "o"), "o"), known)
 
 
 MIXES = {
@@ -387,21 +364,21 @@
 @pytest.mark.parametrize("what", MIXES)
 def test_rules_that_may_serve_side_by_side(what):
     data, why = MIXES[what]
-    found_ = mixing.why_not_beside(material(RULES), material(data))
+    found_ = compatibility.why_not_beside(material(RULES), material(data))
     assert data != RULES
     assert (why in found_) if why else found_ == "", found_
 
 
 def test_sets_and_plans_go_by_steps_of_their_own():
-    def one(first: int, held: bool = False, ceiling: bool = True, plan: str = "amplio") -> mixing.Material:
+    def one(first: int, held: bool = False, ceiling: bool = True, plan: str = "amplio") -> compatibility.Material:
         return material(RULES, c2=(plan, first, 3, ceiling, held))
 
-    assert mixing.why_not_beside(one(1), material(RULES, c3=("amplio", 0, 3, True))) == ""
-    assert "sets move (customers 2): both sets would have" in mixing.why_not_beside(one(1), one(2))
-    assert mixing.why_not_beside(one(1), one(2, held=True)) == ""
-    assert mixing.why_not_beside(one(2, held=True), one(2)) == ""
-    assert mixing.why_not_beside(one(1, ceiling=False), one(2, ceiling=False)) == ""
-    assert "plans of customers change (2)" in mixing.why_not_beside(one(1), one(1, plan="basico"))
+    assert compatibility.why_not_beside(one(1), material(RULES, c3=("amplio", 0, 3, True))) == ""
+    assert "sets move (customers 2): both sets would have" in compatibility.why_not_beside(one(1), one(2))
+    assert compatibility.why_not_beside(one(1), one(2, held=True)) == ""
+    assert compatibility.why_not_beside(one(2, held=True), one(2)) == ""
+    assert compatibility.why_not_beside(one(1, ceiling=False), one(2, ceiling=False)) == ""
+    assert "plans of customers change (2)" in compatibility.why_not_beside(one(1), one(1, plan="basico"))
 
 
 # Who may serve
@@ -528,6 +505,6 @@
 
 
 def steps_kept():
-    from orchidlane.change.quorum import Kept
+    from orchidlane.rollout.consensus import (Kept)
 
     return Kept(7, (3, 1, 7), (2, 0, 5), "n" * 64, 4, {1: (8, 2)})
--- a/tests/test_change_model.py
+++ b/tests/test_change_model.py
@@ -15,11 +15,11 @@
 import msgspec
 import pytest
 
-from orchidlane.change import ledger as steps
-from orchidlane.change.ledger import Admit, Claim, Ledger, Stop
-from orchidlane.change.messages import Accept, Accepted, MarkTold, Nack, Promise
-from orchidlane.change.quorum import Chosen, Hold, Keep, Kept, Register, Stand, Tell
-from orchidlane.change.version import Certificate, Parts, Seat, Version, name_of
+from orchidlane.rollout import (replicated_state as steps)
+from orchidlane.rollout.replicated_state import (Admit, Claim, Ledger, Stop)
+from orchidlane.rollout.messages import (Accept, Accepted, MarkTold, Nack, Promise)
+from orchidlane.rollout.consensus import (Chosen, Hold, Keep, Kept, Register, Stand, Tell)
+from orchidlane.rollout.version import (Certificate, Parts, Seat, Version, name_of)
 
 VOTERS = range(3)
 FIRST = Ledger(
@@ -122,7 +122,7 @@
     def check_marks(self, rank: int) -> None:
         """It asks both others, and hears both; from its question on they take nothing of its earlier life.
 
-        The datagrams' incarnation sees to that (``gateway/datagram.py``).
+        The datagrams' incarnation sees to that (``gateway/peers/datagrams.py``).
         """
         voter = self.voters[rank]
         self.mail = frozenset(mail for mail in self.mail if mail.sender != rank)
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -10,16 +10,17 @@
 import pytest
 import structlog
 
-from orchidlane import interface as api
-from orchidlane.config import Duration
-from orchidlane.gateway import nodelist, upstream
-from orchidlane.gateway.exchange import Answer
-from orchidlane.gateway.front import Front
-from orchidlane.gateway.host import Host
-from orchidlane.lab.backing import play, simulate
-from orchidlane.lab.day import Day, Step, load_day
-from orchidlane.lab.trouble import broken, play_seeds
-from orchidlane.rules import Gateway
+from orchidlane.policy import (interface as api)
+from orchidlane.config import (Duration)
+from orchidlane.gateway.control import (endpoint_list)
+from orchidlane.gateway.forwarding import (connection_pool)
+from orchidlane.gateway.forwarding.pending_request import (Answer)
+from orchidlane.gateway.server.http_server import (Front)
+from orchidlane.gateway.forwarding.policy_driver import (Host)
+from orchidlane.simulation.backends import (play, simulate)
+from orchidlane.simulation.scenario import (Day, Step, load_day)
+from orchidlane.simulation.random_faults import (broken, play_seeds)
+from orchidlane.policy.gateway import (Gateway)
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 SECOND = 1_000_000
@@ -145,7 +146,7 @@
         ended(self, exchange, attempt, server, outcome, took, report, answer)
 
     monkeypatch.setattr(Host, "ended", lies)
-    monkeypatch.setattr(upstream, "why_not", lambda *_: None)
+    monkeypatch.setattr(connection_pool, "why_not", lambda *_: None)
     steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
     verdict = simulate(day(steps, span=4), 1)
     assert verdict.effects_twice
@@ -154,7 +155,7 @@
 
 def test_the_audit_objects_to_a_refusal_after_a_run(monkeypatch):
     monkeypatch.setattr(
-        "orchidlane.gateway.openapi.failed",
+        "orchidlane.gateway.forwarding.openapi_adapter.failed",
         lambda: Answer(503, [(b"retry-after", b"1")], b"", kind="refused"),
     )
     steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
@@ -162,8 +163,8 @@
 
 
 def test_the_audit_objects_to_work_for_a_draining_node(monkeypatch):
-    monkeypatch.setitem(nodelist.PHASES, "draining", api.Phase.READY)
-    monkeypatch.setattr(upstream, "why_not", lambda *_: None)
+    monkeypatch.setitem(endpoint_list.PHASES, "draining", api.Phase.READY)
+    monkeypatch.setattr(connection_pool, "why_not", lambda *_: None)
     verdict = simulate(day(step(0.5, "drain_node", 0, 1, span=3), span=4), 1)
     assert verdict.sent_after_drain
     assert not verdict.rules["3"]
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -20,9 +20,9 @@
 import pytest
 from golden import check_golden
 
-from orchidlane import interface as api
-from orchidlane import wire, wirehost
-from orchidlane.rules import Gateway
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.simulator_protocol import codec, process
 
 MS, SECOND = 1_000, 1_000_000
 BEGIN = 1_000 * SECOND
@@ -39,7 +39,7 @@
 
 def make_gateway(settings: bytes, seed: int, now: int) -> Gateway:
     """A gateway's decisions."""
-    return Gateway(wire.parse_settings(settings), seed, now)
+    return Gateway(codec.parse_settings(settings), seed, now)
 
 
 def take_event(request: int, customer: int, plan: int, kind: int, units: float, first: int, size: int):
@@ -61,7 +61,7 @@
     """An action as the wire has it; a grant, and why a request was refused, have no record there."""
     if isinstance(action, api.Grant):
         return struct.pack("<BHI", 200, gateway, action.request)
-    encoder = wire.Encoder()
+    encoder = codec.Encoder()
     encoder.add(gateway, action)
     found = encoder.reply()[8:]
     if isinstance(action, api.Refuse):
@@ -183,7 +183,7 @@
         self.order = 0
         self.events = 0
         self.frames: list[bytes] = []  # what a process of the wire is told
-        self.decoder = wire.Decoder()
+        self.decoder = codec.Decoder()
         self.digest = hashlib.sha256()
         self.digests: list[str] = []
         self.actions: Counter[int] = Counter()
@@ -475,7 +475,7 @@
 def test_a_process_of_the_wire_answers_a_session_with_the_same_bytes(name):
     session = played(name)
     sink = io.BytesIO()
-    wirehost.serve(io.BytesIO(b"".join(session.frames)), sink)
+    process.serve(io.BytesIO(b"".join(session.frames)), sink)
     replies, codes, at = sink.getvalue(), Counter(), 0
     while at < len(replies):
         count, length = struct.unpack_from("<II", replies, at)
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -22,27 +22,30 @@
 import pytest
 from conftest import SETTINGS, T0
 
-from orchidlane import interface as api
-from orchidlane import messages as module_messages
-from orchidlane import record
-from orchidlane.change import ledger as fleet_ledger
-from orchidlane.change import messages as version_messages
-from orchidlane.change import version
-from orchidlane.change.judge import Tally
-from orchidlane.change.quorum import Kept as VoterKept
-from orchidlane.gateway import datagram, limits, nodelist, probe, rolling
-from orchidlane.gateway.memory import Memory
-from orchidlane.gateway.versions import desk, files, shell
+from orchidlane import recording
+from orchidlane.gateway.control import endpoint_list
+from orchidlane.gateway.lifecycle import rolling_upgrade
+from orchidlane.gateway.lifecycle.account_store import Memory
+from orchidlane.gateway.peers import datagrams, token_requests
+from orchidlane.gateway.rollout_agent import admin_api, agent, storage
+from orchidlane.gateway.telemetry import policy_views
+from orchidlane.hot_restart import messages as restart_messages
+from orchidlane.hot_restart import rolling_upgrade
+from orchidlane.hot_restart.probation import Answers
 from orchidlane.limits import Holder
 from orchidlane.limits import Ledger as GrantLedger
-from orchidlane.limits.ledger import Outcome as GrantOutcome
-from orchidlane.record import segments
-from orchidlane.record.dump import dump_account
-from orchidlane.rules import Gateway
-from orchidlane.state import Account
-from orchidlane.upgrade import messages as restart_messages
-from orchidlane.upgrade import roll
-from orchidlane.upgrade.health import Answers
+from orchidlane.limits.reservations import Outcome as GrantOutcome
+from orchidlane.policy import gossip_codec as module_messages
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.policy.state import Account
+from orchidlane.recording import segments
+from orchidlane.recording.state_dump import dump_account
+from orchidlane.rollout import messages as version_messages
+from orchidlane.rollout import replicated_state as fleet_ledger
+from orchidlane.rollout import version
+from orchidlane.rollout.canary_analysis import Tally
+from orchidlane.rollout.consensus import Kept as VoterKept
 
 GOLDEN = Path(__file__).parent / "corpus" / "golden"
 SECRET = b"the golden fleet's key"
@@ -99,14 +102,14 @@
     return [first, Account(customer=4_000_000_000, key=(0, 0, 1), limit=10.0, risen=T0)]
 
 
-def golden_state() -> record.Dump:
+def golden_state() -> recording.Dump:
     """The state of a module with servers, accounts, requests under way and all else that a state holds."""
-    return msgspec.msgpack.decode(golden("module-state.msgpack"), type=record.Dump)
+    return msgspec.msgpack.decode(golden("module-state.msgpack"), type=recording.Dump)
 
 
 def golden_module() -> Gateway:
     """The module that the golden state makes, with whole numbers for times as in one that was never read."""
-    module = record.restore(SETTINGS, golden_state())
+    module = recording.restore(SETTINGS, golden_state())
     for known in (module.met, *module.zones_met.values()):
         known.seen = int(known.seen)
     return module
@@ -157,9 +160,9 @@
     ]
 
 
-def golden_header() -> record.Header:
+def golden_header() -> recording.Header:
     """The head of a traffic record."""
-    return record.Header(
+    return recording.Header(
         format=2,
         build=BUILD,
         gateway="gateway-1",
@@ -173,9 +176,9 @@
     )
 
 
-def golden_view() -> probe.View:
+def golden_view() -> policy_views.View:
     """What a gateway tells tools of itself and one customer."""
-    return probe.View(
+    return policy_views.View(
         format=1,
         build=BUILD,
         gateway="gateway-1",
@@ -205,24 +208,24 @@
     return json.dumps(line).encode()
 
 
-def golden_tracker() -> nodelist.ListTracker:
+def golden_tracker() -> endpoint_list.ListTracker:
     """The list of nodes as one gateway knows it."""
-    tracker = nodelist.ListTracker("z1", 100)
+    tracker = endpoint_list.ListTracker("z1", 100)
     tracker.take(golden_node_list())
     return tracker
 
 
-def golden_roll(phase: roll.Phase) -> rolling.Kept:
+def golden_roll(phase: rolling_upgrade.Phase) -> rolling_upgrade.Kept:
     """A roll's state in some phase, with one gateway in each place."""
     ones = [
-        roll.One(
+        rolling_upgrade.One(
             place, 4_000 + number, T0 + number, 2, Answers(900, 30, 4), 3_000 + number, True, "done", True
         )
-        for number, place in enumerate(roll.Place)
+        for number, place in enumerate(rolling_upgrade.Place)
     ]
-    state = roll.State(ones, phase, T0 + 99, True, 4, [3, 1, 2], "gateway-2: it serves less")
+    state = rolling_upgrade.State(ones, phase, T0 + 99, True, 4, [3, 1, 2], "gateway-2: it serves less")
     names = [f"gateway-{number}" for number in range(len(ones))]
-    return rolling.Kept(
+    return rolling_upgrade.Kept(
         names, ("orchidlane-old serve", "orchidlane-new serve"), [1.5, 2.5, 3.5, 0.5, 9.0], state
     )
 
@@ -311,8 +314,8 @@
 def golden_limit_messages() -> dict[str, Any]:
     """One of each message of the limits between gateways."""
     return {
-        "question": limits.Question(55, 1, b"token-1", 7, 66, 2.5),
-        "reply": limits.Reply(55, 2, 1, 2.5, "done before"),
+        "question": token_requests.Question(55, 1, b"token-1", 7, 66, 2.5),
+        "reply": token_requests.Reply(55, 2, 1, 2.5, "done before"),
     }
 
 
@@ -380,7 +383,7 @@
     )
 
 
-def golden_voter_file() -> files.VoterFile:
+def golden_voter_file() -> storage.VoterFile:
     """A voter's disk."""
     kept = VoterKept(
         store=9_000_000_001,
@@ -396,13 +399,13 @@
         ),
     )
     ledger = fleet_ledger.encode(golden_ledger())
-    return files.VoterFile(kept, ledger, ledger[::-1])
+    return storage.VoterFile(kept, ledger, ledger[::-1])
 
 
-def golden_running_file() -> files.RunningFile:
+def golden_running_file() -> storage.RunningFile:
     """The version that a gateway runs, with its latest ledger."""
     contents = tuple(golden_parts("a").names())
-    return files.RunningFile(fleet_ledger.encode(golden_ledger()), golden_certificate(21), contents)
+    return storage.RunningFile(fleet_ledger.encode(golden_ledger()), golden_certificate(21), contents)
 
 
 def golden_version_messages() -> dict[str, Any]:
@@ -428,19 +431,19 @@
     }
 
 
-def golden_order() -> desk.Order:
+def golden_order() -> admin_api.Order:
     """A command at the admin address."""
     then = (golden_parts("b"),)
-    return desk.Order(
+    return admin_api.Order(
         "order-1", "propose", 21, "an author", "a reason", golden_parts("a"), 20, then, passed_on=True
     )
 
 
-def golden_status() -> desk.Status:
+def golden_status() -> admin_api.Status:
     """How the fleet's versions stand, as the gateway that leads tells it."""
     ledger = golden_ledger()
     assert ledger.change is not None and ledger.halted is not None
-    return desk.Status(
+    return admin_api.Status(
         gateway=2,
         leads=True,
         term=6,
@@ -458,8 +461,8 @@
         seats=(0, 1, 2),
         votes={0: "yes", 1: "a rule is broken"},
         gateways=(
-            desk.GatewayState(0),
-            desk.GatewayState(1, 21, 22, "its contents did not come", 700, 9_000),
+            admin_api.GatewayState(0),
+            admin_api.GatewayState(1, 21, 22, "its contents did not come", 700, 9_000),
         ),
     )
 
@@ -469,9 +472,9 @@
     return {"safe plain": Tally(900, 30, 4, 5, 6, 7), "unsafe capped": Tally(80, 3, 2, 1, 9, 8)}
 
 
-def golden_outcome() -> shell.Outcome:
+def golden_outcome() -> agent.Outcome:
     """What became of a command."""
-    return shell.Outcome(True, "known already as version 21", True)
+    return agent.Outcome(True, "known already as version 21", True)
 
 
 # How the program writes them
@@ -484,16 +487,16 @@
 
 def write_state() -> bytes:
     """The state of the golden module."""
-    return msgspec.msgpack.encode(record.dump(golden_module()))
+    return msgspec.msgpack.encode(recording.dump(golden_module()))
 
 
 def write_record() -> bytes:
     """A segment with its accounts in two pages, each event, all actions with the first, and an answer."""
     rows = [dump_account(account) for account in golden_accounts()]
-    parts = [record.pack_header(golden_header()), record.pack_accounts(T0 + 1, rows[:1], last=False)]
+    parts = [recording.pack_header(golden_header()), recording.pack_accounts(T0 + 1, rows[:1], last=False)]
     for number, event in enumerate(golden_events()):
-        parts.append(record.pack_entry(T0 + 2 + number, event, [] if number else golden_actions()))
-    parts.append(record.pack_accounts(T0 + 90, rows[1:], last=True))
+        parts.append(recording.pack_entry(T0 + 2 + number, event, [] if number else golden_actions()))
+    parts.append(recording.pack_accounts(T0 + 90, rows[1:], last=True))
     parts.append(segments.pack_answer(T0 + 91, 1, 429, "refused", 6_000))
     return b"".join(parts)
 
@@ -505,8 +508,8 @@
 
 def account_store(disk: Disk) -> Memory:
     """The account store of a gateway whose module holds the golden accounts, or none where they are read."""
-    gateway = record.restore(SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS))
-    record.track(gateway)
+    gateway = recording.restore(SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS))
+    recording.track(gateway)
     about = {"now": T0, "incarnation": T0 - 1_000_000, "sequence": 5_000, "generation": 4, "open": 2}
     program = SimpleNamespace(
         loop=disk,
@@ -531,19 +534,19 @@
     store = account_store(disk)
     store.program.host.rules.accounts.update({one.customer: one for one in golden_accounts()})
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(record, "build_name", lambda: BUILD)
+        patch.setattr(recording, "build_name", lambda: BUILD)
         store.finish()
     return disk.files["accounts"]
 
 
-def rolling_of(disk: Disk) -> rolling.Rolling:
+def rolling_of(disk: Disk) -> rolling_upgrade.Rolling:
     """What carries out a roll of the golden gateways."""
-    gateways = [SimpleNamespace(name=name) for name in golden_roll(roll.Phase.ROLLING).names]
+    gateways = [SimpleNamespace(name=name) for name in golden_roll(rolling_upgrade.Phase.ROLLING).names]
     fleet = SimpleNamespace(state="state", gateways=gateways)
-    return rolling.Rolling(disk, fleet, None, print)  # type: ignore[arg-type]
+    return rolling_upgrade.Rolling(disk, fleet, None, print)  # type: ignore[arg-type]
 
 
-def write_roll(phase: roll.Phase) -> bytes:
+def write_roll(phase: rolling_upgrade.Phase) -> bytes:
     """As a roll writes its state down."""
     disk = Disk()
     written = rolling_of(disk)
@@ -555,7 +558,7 @@
 def write_version_file(kind: str) -> bytes:
     """As a gateway writes its voter's file or the one of the version that runs."""
     disk = Disk()
-    kept = files.Files(disk, "gateway-1")  # type: ignore[arg-type]
+    kept = storage.Files(disk, "gateway-1")  # type: ignore[arg-type]
     if kind == "voter":
         kept.write_voter(golden_voter_file())
     else:
@@ -571,9 +574,10 @@
 
 def write_datagrams() -> dict[str, bytes]:
     """One sealed datagram of each kind."""
-    kinds = {"module": datagram.MODULE, "limits": datagram.LIMITS, "versions": datagram.CHANGE}
+    kinds = {"module": datagrams.MODULE, "limits": datagrams.LIMITS, "versions": datagrams.CHANGE}
     return {
-        name: datagram.seal(SECRET, 1, 2, T0 - 5, 900 + kind, b"a body", kind) for name, kind in kinds.items()
+        name: datagrams.seal(SECRET, 1, 2, T0 - 5, 900 + kind, b"a body", kind)
+        for name, kind in kinds.items()
     }
 
 
@@ -589,7 +593,7 @@
     "account-store.olr": write_account_store,
     "view.msgpack": lambda: PACK(golden_view()),
     "node-list-cache.json": lambda: golden_tracker().cached(),
-    "roll-states.json": lambda: as_hex({phase.value: write_roll(phase) for phase in roll.Phase}),
+    "roll-states.json": lambda: as_hex({phase.value: write_roll(phase) for phase in rolling_upgrade.Phase}),
     "hot-restart-messages.json": lambda: write_messages(golden_restart_messages(), restart_messages.encode),
     "limit-messages.json": lambda: write_messages(golden_limit_messages(), PACK),
     "module-message.bin": write_module_message,
@@ -649,7 +653,7 @@
     customers = list(gateway.accounts)
     gateway.owed = {1: {customers[0]: 1}, 2: {customers[1]: 2}}
     gateway.closed = dict.fromkeys(gateway.closed, 2)
-    return msgspec.msgpack.encode(record.dump(gateway))
+    return msgspec.msgpack.encode(recording.dump(gateway))
 
 
 write_missing()
@@ -687,7 +691,7 @@
 
 def test_a_golden_state_makes_a_module_that_is_told_in_the_same_bytes():
     module = golden_module()
-    assert msgspec.msgpack.encode(record.dump(module)) == golden("module-state.msgpack")
+    assert msgspec.msgpack.encode(recording.dump(module)) == golden("module-state.msgpack")
     assert module.accounts and module.hosts and module.requests and module.attempts
 
 
@@ -727,8 +731,8 @@
 
 def test_a_snapshot_of_the_golden_module_holds_the_golden_state():
     module = golden_module()
-    record.track(module)
-    snapshot = record.Snapshot(module)
+    recording.track(module)
+    snapshot = recording.Snapshot(module)
     rows = [row for page in snapshot.pages() for row in page]
     state = golden_state()
     told = msgspec.msgpack.decode(msgspec.msgpack.encode((snapshot.head, rows)))
@@ -739,8 +743,10 @@
 
 def test_the_golden_record_has_every_event_action_and_enumerated_value():
     events, actions = golden_events(), golden_actions()
-    assert {type(event) for event in events} == set(get_args(api.Event)) == set(record.EVENTS.values())
-    assert {type(action) for action in actions} == set(get_args(api.Action)) == set(record.ACTIONS.values())
+    assert {type(event) for event in events} == set(get_args(api.Event)) == set(recording.EVENTS.values())
+    assert (
+        {type(action) for action in actions} == set(get_args(api.Action)) == set(recording.ACTIONS.values())
+    )
     for kind in (api.AttemptEnded, api.ProbeEnded, api.CounterAnswered):
         assert {one.outcome for one in events if type(one) is kind} == set(api.Outcome)
     listed = [event for event in events if isinstance(event, api.ServerListed)]
@@ -749,10 +755,10 @@
 
 
 def test_a_golden_record_is_read_as_its_values():
-    reader = record.SegmentReader("golden", golden("traffic-record.olr"))
+    reader = recording.SegmentReader("golden", golden("traffic-record.olr"))
     assert reader.header == golden_header()
     assert reader.header.module_settings() == SETTINGS
-    assert [record.load_account(row) for row in reader.state().accounts] == golden_accounts()
+    assert [recording.load_account(row) for row in reader.state().accounts] == golden_accounts()
     *entries, answer = reader.entries()
     assert reader.broken is None
     assert [entry.event for entry in entries] == golden_events()
@@ -762,9 +768,9 @@
 
 
 def test_a_golden_account_store_brings_back_its_accounts():
-    reader = record.SegmentReader("golden", golden("account-store.olr"))
+    reader = recording.SegmentReader("golden", golden("account-store.olr"))
     rows = {row[0]: row for row in reader.state().accounts}
-    assert [record.load_account(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
+    assert [recording.load_account(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
     store = account_store(Disk(accounts=golden("account-store.olr")))
     assert store.load() == len(golden_accounts())
     accounts = store.program.host.rules.accounts
@@ -776,15 +782,15 @@
 
 def test_a_golden_view_is_read_as_its_values():
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(record, "build_name", lambda: BUILD)
-        assert probe.read_view(golden("view.msgpack")) == golden_view()
+        patch.setattr(recording, "build_name", lambda: BUILD)
+        assert policy_views.read_view(golden("view.msgpack")) == golden_view()
 
 
 # Nodes and rolls
 
 
 def test_a_golden_cache_of_the_node_list_is_read_as_its_nodes():
-    tracker = nodelist.ListTracker("z1", 100)
+    tracker = endpoint_list.ListTracker("z1", 100)
     assert tracker.restore(golden("node-list-cache.json")) == api.ServerListed(
         api.ListKind.CACHED,
         0,
@@ -798,11 +804,11 @@
 
 def test_a_golden_roll_is_read_in_every_phase():
     examples = golden_examples("roll-states.json")
-    assert set(examples) == {phase.value for phase in roll.Phase}
+    assert set(examples) == {phase.value for phase in rolling_upgrade.Phase}
     for name, data in examples.items():
         kept = rolling_of(Disk(**{"state/roll.json": data})).left()
-        assert kept == golden_roll(roll.Phase(name))
-        assert {one.place for one in kept.state.ones} == set(roll.Place)
+        assert kept == golden_roll(rolling_upgrade.Phase(name))
+        assert {one.place for one in kept.state.ones} == set(rolling_upgrade.Place)
 
 
 # Hot restart
@@ -822,8 +828,8 @@
 
 def test_rows_of_every_table_are_taken_and_told_again():
     accounts = read_restart_message("rows of accounts").rows
-    assert [record.load_account(row) for row in accounts] == golden_accounts()[:1]
-    assert PACK([dump_account(record.load_account(row)) for row in accounts]) == PACK(accounts)
+    assert [recording.load_account(row) for row in accounts] == golden_accounts()[:1]
+    assert PACK([dump_account(recording.load_account(row)) for row in accounts]) == PACK(accounts)
     holder, grants = Holder(1, 10, T0), GrantLedger(100, 1, 1)
     for kept, name in ((holder, "rows of tokens"), (grants, "rows of grants")):
         rows = read_restart_message(name).rows
@@ -836,14 +842,14 @@
     final = read_restart_message("final")
     terms = SimpleNamespace(token_life=1, tokens=10, grants=10, grant_life=1, credit_life=1)
     fleet = SimpleNamespace(limits=terms, gateways=[None] * 3)
-    service = limits.LimitService(Disk(), fleet, 0, None, print, None)  # type: ignore[arg-type]
+    service = token_requests.LimitService(Disk(), fleet, 0, None, print, None)  # type: ignore[arg-type]
     service.carry_on(final.limits)
-    again = {**final.limits, "numbers": final.limits["numbers"] + limits.NUMBERS_APART}
+    again = {**final.limits, "numbers": final.limits["numbers"] + token_requests.NUMBERS_APART}
     assert PACK(service.carried()) == PACK(again)
-    inbox = datagram.Inbox(SECRET, 0, 3, T0, 9.0)
+    inbox = datagrams.Inbox(SECRET, 0, 3, T0, 9.0)
     inbox.carry_on(final.peers)
     assert PACK(inbox.carried()) == PACK(final.peers)
-    tracker = nodelist.ListTracker("z1", 100)
+    tracker = endpoint_list.ListTracker("z1", 100)
     tracker.carry_on(final.nodes)
     assert PACK(tracker.carried()) == PACK(final.nodes) == PACK(golden_tracker().carried())
     head = msgspec.structs.replace(golden_state(), accounts=[])
@@ -854,13 +860,17 @@
 
 
 def test_golden_messages_of_the_limits_are_read_as_their_values():
-    here = [one for one in vars(limits).values() if getattr(one, "__module__", "") == limits.__name__]
+    here = [
+        one
+        for one in vars(token_requests).values()
+        if getattr(one, "__module__", "") == token_requests.__name__
+    ]
     structs = {one for one in here if isinstance(one, type) and issubclass(one, msgspec.Struct)}
     assert {type(one) for one in golden_limit_messages().values()} == structs
     for name, message in golden_limit_messages().items():
         assert has_default(message) == []
         data = golden_examples("limit-messages.json")[name]
-        assert msgspec.msgpack.decode(data, type=limits.Question | limits.Reply) == message
+        assert msgspec.msgpack.decode(data, type=token_requests.Question | token_requests.Reply) == message
 
 
 def test_a_golden_message_of_the_module_is_read_as_its_values():
@@ -870,7 +880,7 @@
 
 def test_golden_datagrams_of_every_kind_are_taken():
     for number, data in enumerate(golden_examples("datagrams.json").values()):
-        inbox = datagram.Inbox(SECRET, 2, 3, T0, 9.0, 9.0, 9.0)
+        inbox = datagrams.Inbox(SECRET, 2, 3, T0, 9.0, 9.0, 9.0)
         assert inbox.take(T0, data) == (number, 1, b"a body")
 
 
@@ -920,7 +930,7 @@
 
 def test_golden_files_of_the_voter_and_of_what_runs_are_read_as_their_values():
     voter, running = golden("voter-file.bin"), golden("running-file.bin")
-    kept = files.Files(Disk(**{"gateway-1.voter": voter, "gateway-1.running": running}), "gateway-1")  # type: ignore[arg-type]
+    kept = storage.Files(Disk(**{"gateway-1.voter": voter, "gateway-1.running": running}), "gateway-1")  # type: ignore[arg-type]
     assert kept.read_voter() == golden_voter_file()
     assert kept.read_running() == golden_running_file()
     assert list(kept.contents) == golden_parts("a").names()
@@ -930,15 +940,15 @@
 
 def test_golden_bodies_of_the_admin_address_are_read_as_their_values():
     read = msgspec.msgpack.decode
-    assert read(golden("admin-order.msgpack"), type=desk.Order) == golden_order()
-    assert read(golden("admin-outcome.msgpack"), type=shell.Outcome) == golden_outcome()
-    assert read(golden("admin-status.msgpack"), type=desk.Status) == golden_status()
+    assert read(golden("admin-order.msgpack"), type=admin_api.Order) == golden_order()
+    assert read(golden("admin-outcome.msgpack"), type=agent.Outcome) == golden_outcome()
+    assert read(golden("admin-status.msgpack"), type=admin_api.Status) == golden_status()
     assert read(golden("admin-counts.msgpack"), type=dict[str, Tally]) == golden_tallies()
     for body in (golden_order(), golden_outcome(), golden_status().gateways[1]):
         assert has_default(body) == []
 
 
 def test_what_tools_print_of_fleet_versions_names_every_field_as_before():
-    assert msgspec.json.decode(golden("admin-status.json"), type=desk.Status) == golden_status()
+    assert msgspec.json.decode(golden("admin-status.json"), type=admin_api.Status) == golden_status()
     history = msgspec.json.decode(golden("admin-history.json"), type=tuple[fleet_ledger.Entry, ...])
     assert history == golden_status().history
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -21,22 +21,24 @@
 import pytest
 from click.testing import CliRunner
 from golden import check_golden
-from house import GET, KEY, REPORT, SETTINGS, UPLOAD, House, good, request, resets_after
-from platformhouse import PlatformHouse, call, settings
-from platformhouse import file as platform_file
-
-from orchidlane import config, messages, resp, wire
-from orchidlane import interface as api
-from orchidlane.change import judge, ledger, version
-from orchidlane.change import messages as change_messages
+from harness.gateway_house import GET, KEY, REPORT, SETTINGS, UPLOAD, House, good, request, resets_after
+from harness.platform_house import PlatformHouse, call, settings
+from harness.platform_house import file as platform_file
+
+from orchidlane import config, resp
 from orchidlane.cli.main import main
-from orchidlane.gateway import datagram, limits
-from orchidlane.gateway import settings as fleet_settings
-from orchidlane.gateway.versions import desk
-from orchidlane.gateway.versions import shell as versions_shell
-from orchidlane.lab import day as lab_day
-from orchidlane.platform import config as platform_config
-from orchidlane.upgrade import messages as upgrade_messages
+from orchidlane.gateway.control import settings as fleet_settings
+from orchidlane.gateway.peers import datagrams, token_requests
+from orchidlane.gateway.rollout_agent import admin_api
+from orchidlane.gateway.rollout_agent import agent as versions_shell
+from orchidlane.hot_restart import messages as upgrade_messages
+from orchidlane.platform import configuration as platform_config
+from orchidlane.policy import gossip_codec
+from orchidlane.policy import interface as api
+from orchidlane.rollout import canary_analysis, replicated_state, version
+from orchidlane.rollout import messages as change_messages
+from orchidlane.simulation import scenario as lab_day
+from orchidlane.simulator_protocol import codec
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 SECOND = 1_000_000
@@ -47,18 +49,18 @@
 # The code's own types, each built in one place from plain values
 
 
-def counts_row(customer, plan, first, size, reach, room, total, rights, counts) -> messages.Row:
+def counts_row(customer, plan, first, size, reach, room, total, rights, counts) -> gossip_codec.Row:
     """What a message tells of one customer."""
-    return messages.Row(customer, plan, first, size, reach, room, total, rights, counts)
+    return gossip_codec.Row(customer, plan, first, size, reach, room, total, rights, counts)
 
 
-def row_values(row: messages.Row) -> list:
+def row_values(row: gossip_codec.Row) -> list:
     """The same as plain values."""
     amounts = [row.room, row.total, row.rights, [list(count) for count in row.counts]]
     return [row.customer, row.plan, row.set_first, row.set_size, row.reach, *amounts]
 
 
-def message_values(message: messages.Message | None) -> list | None:
+def message_values(message: gossip_codec.Message | None) -> list | None:
     """A decoded message as plain values."""
     if message is None:
         return None
@@ -86,7 +88,7 @@
     return [event.kind.value, event.version, entries]
 
 
-def start_values(event: wire.Start) -> list:
+def start_values(event: codec.Start) -> list:
     """A gateway's start as plain values."""
     return [event.seed, settings_values(event.settings)]
 
@@ -101,8 +103,8 @@
     api.ServerListed: list_values,
     api.CounterAnswered: lambda event: [event.name, event.outcome.value, event.value, event.took],
     api.ProbeEnded: lambda event: [event.server.hex(), event.outcome.value, event.took, list(event.report)],
-    wire.Start: start_values,
-    wire.Stop: lambda event: [],
+    codec.Start: start_values,
+    codec.Stop: lambda event: [],
 }
 
 ACTIONS: dict[int, list[api.Action]] = {  # by the code of its record
@@ -140,7 +142,7 @@
 
 def sealed(kind: int, body: bytes, sequence: int = 5, incarnation: int = 900) -> bytes:
     """A datagram from gateway 1 to gateway 2."""
-    return datagram.seal(SECRET, 1, 2, incarnation, sequence, body, kind)
+    return datagrams.seal(SECRET, 1, 2, incarnation, sequence, body, kind)
 
 
 # Messages between gateways
@@ -162,8 +164,8 @@
     for what, rows in ROWS.items():
         for when, sent in SENT.items():
             for ask, keep in ((False, False), (True, False), (False, True), (True, True)):
-                parts = messages.fit(messages.pack_row(row, sent, 3) for row in rows)
-                found[f"{what}, {when}, {ask:d}{keep:d}"] = messages.pack(sent, ask, keep, parts)
+                parts = gossip_codec.fit(gossip_codec.pack_row(row, sent, 3) for row in rows)
+                found[f"{what}, {when}, {ask:d}{keep:d}"] = gossip_codec.pack(sent, ask, keep, parts)
     return found
 
 
@@ -180,20 +182,20 @@
     for what, text in all_bytes.items():
         body = bytes.fromhex(text)
         for now in (1_000_400, (1 << 32) + 300):
-            found[f"{what}, read at {now}"] = message_values(messages.unpack(body, now, 3, 3))
+            found[f"{what}, read at {now}"] = message_values(gossip_codec.unpack(body, now, 3, 3))
     body = bytes.fromhex(all_bytes["one row, early, 11"])
     for place in range(len(body)):
         changed = body[:place] + bytes((body[place] ^ 0x81,)) + body[place + 1 :]
-        found[f"byte {place} changed"] = message_values(messages.unpack(changed, 1_000_400, 3, 3))
-        found[f"cut at {place}"] = message_values(messages.unpack(body[:place], 1_000_400, 3, 3))
-    found["a number too long"] = message_values(messages.unpack(body[:6] + b"\xff" * 12, 1_000_400, 3, 3))
+        found[f"byte {place} changed"] = message_values(gossip_codec.unpack(changed, 1_000_400, 3, 3))
+        found[f"cut at {place}"] = message_values(gossip_codec.unpack(body[:place], 1_000_400, 3, 3))
+    found["a number too long"] = message_values(gossip_codec.unpack(body[:6] + b"\xff" * 12, 1_000_400, 3, 3))
     assert None in found.values()
     check_golden("peer-messages-read", found)
 
 
 def test_what_does_not_fit_into_a_message_is_left_out():
     rows = [counts_row(1 << 30, 0, 0, 3, 0, 1.0, one, 0.0, ((0, 0, one),)) for one in range(60)]
-    parts = messages.fit(messages.pack_row(row, 1_000_000, 3) for row in rows)
+    parts = gossip_codec.fit(gossip_codec.pack_row(row, 1_000_000, 3) for row in rows)
     check_golden("peer-messages-full", {"rows": len(parts), "bytes": b"".join(parts).hex()})
 
 
@@ -206,7 +208,7 @@
     found["empty"] = sealed(0, b"").hex()
     found["largest"] = sealed(1, bytes(range(256))).hex()
     check_golden("sealed-datagrams", found)
-    inbox = datagram.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
+    inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
     assert [
         inbox.take(1_000, sealed(kind, b"x", sequence)) for sequence, kind in enumerate(kinds.values(), 1)
     ] == [(kind, 1, b"x") for kind in kinds.values()]
@@ -220,19 +222,19 @@
         "another magic": b"XX" + good_one[2:],
         "another format": good_one[:2] + b"\2" + good_one[3:],
         "an unknown kind": sealed(9, b"x"),
-        "to another": datagram.seal(SECRET, 1, 0, 900, 5, b"x"),
-        "of our own rank": datagram.seal(SECRET, 2, 2, 900, 5, b"x"),
-        "of no gateway": datagram.seal(SECRET, 9, 2, 900, 5, b"x"),
-        "of another key": datagram.seal(b"another key, long enough", 1, 2, 900, 5, b"x"),
+        "to another": datagrams.seal(SECRET, 1, 0, 900, 5, b"x"),
+        "of our own rank": datagrams.seal(SECRET, 2, 2, 900, 5, b"x"),
+        "of no gateway": datagrams.seal(SECRET, 9, 2, 900, 5, b"x"),
+        "of another key": datagrams.seal(b"another key, long enough", 1, 2, 900, 5, b"x"),
         "changed": good_one[:-1] + bytes((good_one[-1] ^ 1,)),
         "a life far ahead": sealed(0, b"x", incarnation=61_000_000_000),
     }
     found = {}
     for what, data in wrong.items():
-        inbox = datagram.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
+        inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
         assert inbox.take(1_000, data) is None
         found[what] = inbox.refused
-    inbox = datagram.Inbox(SECRET, 2, 3, 1_000, 2.0)
+    inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 2.0)
     taken = [inbox.take(1_000, sealed(0, b"x", number)) is not None for number in (7, 7, 6, 8)]
     found["7, 7, 6, 8 with an intake of two"] = [taken, inbox.refused]
     found["carried to a successor"] = [[*row[:3], row[3].hex()] for row in inbox.carried()]
@@ -283,13 +285,13 @@
 
 
 def test_questions_of_the_limits_have_the_golden_bytes():
-    found = samples(limits.Question | limits.Reply)
+    found = samples(token_requests.Question | token_requests.Reply)
     bodies = {tag: msgspec.msgpack.encode(message) for tag, message in found.items()}
     for tag, body in bodies.items():
-        assert msgspec.msgpack.decode(body, type=limits.Question | limits.Reply) == found[tag]
-    shortest = [limits.Question(5, limits.Op.LOOK, b"name"), limits.Reply(5)]
+        assert msgspec.msgpack.decode(body, type=token_requests.Question | token_requests.Reply) == found[tag]
+    shortest = [token_requests.Question(5, token_requests.Op.LOOK, b"name"), token_requests.Reply(5)]
     more = {f"shortest {place}": msgspec.msgpack.encode(one) for place, one in enumerate(shortest)}
-    more |= {f"op {op.value}": bytes((op.value,)) for op in limits.Op}
+    more |= {f"op {op.value}": bytes((op.value,)) for op in token_requests.Op}
     check_golden("limit-messages", {what: body.hex() for what, body in (bodies | more).items()})
 
 
@@ -314,14 +316,14 @@
 def test_ledgers_commands_and_states_of_versions_have_the_golden_names_and_values():
     """What gateways and tools send each other over the admin address, and what names contents and seals."""
     kinds = {
-        "command": desk.Order,
-        "how things stand": desk.Status,
-        "a gateway's state": desk.GatewayState,
+        "command": admin_api.Order,
+        "how things stand": admin_api.Status,
+        "a gateway's state": admin_api.GatewayState,
         "what became of a command": versions_shell.Outcome,
-        "answers counted": judge.Tally,
-        "ledger": ledger.Ledger,
+        "answers counted": canary_analysis.Tally,
+        "ledger": replicated_state.Ledger,
         "certificate": version.Certificate,
-        "change": ledger.Change,
+        "change": replicated_state.Change,
     }
     found: dict[str, Any] = {}
     for what, kind in kinds.items():
@@ -337,7 +339,7 @@
 
 
 def test_steps_of_the_ledger_have_the_golden_bytes():
-    steps = [sample_struct(kind) for kind in get_args(ledger.Step)]
+    steps = [sample_struct(kind) for kind in get_args(replicated_state.Step)]
     check_golden("ledger-steps", [msgspec.msgpack.encode(one).hex() for one in steps])
 
 
@@ -346,7 +348,7 @@
 
 def record(code: int, layout: str, *values) -> bytes:
     """A record of an event, by the protocol's layout."""
-    return struct.pack("<B" + layout, code, *values).ljust(wire.EVENT_SIZE, b"\0")
+    return struct.pack("<B" + layout, code, *values).ljust(codec.EVENT_SIZE, b"\0")
 
 
 def frames_of_the_wire() -> dict[str, list[tuple[list[bytes], bytes]]]:
@@ -391,28 +393,28 @@
             body = b"".join(records) + tail
             events = [
                 [gateway, EVENT_VALUES[type(event)](event)]
-                for gateway, event in wire.Decoder().frame(len(records), body)
+                for gateway, event in codec.Decoder().frame(len(records), body)
             ]
             found.setdefault(code, []).append({"records": len(records), "body": body.hex(), "events": events})
-    assert {int(code) for code in found} == set(wire._READERS)
+    assert {int(code) for code in found} == set(codec._READERS)
     check_golden("wire-events", found)
 
 
 def test_each_event_that_the_wire_has_is_covered():
     of_code = {"take_arrived", "counted", "set_moved"}  # not of the wire
-    covered = {kind for kind in EVENT_VALUES if kind not in (wire.Start, wire.Stop)}
+    covered = {kind for kind in EVENT_VALUES if kind not in (codec.Start, codec.Stop)}
     assert {kind.topic for kind in set(get_args(api.Event)) - covered} == of_code
 
 
 def test_each_action_has_the_golden_record():
     found = {}
     for code, actions in ACTIONS.items():
-        encoder = wire.Encoder()
+        encoder = codec.Encoder()
         for action in actions:
             encoder.add(3, action)
         found[str(code)] = encoder.reply().hex()
         assert encoder.reply()[8] == code
-    encoder = wire.Encoder()
+    encoder = codec.Encoder()
     encoder.bug(3, "ValueError: what happened")
     found["74"] = encoder.reply().hex()
     covered = {type(action) for actions in ACTIONS.values() for action in actions}
@@ -432,7 +434,7 @@
         "by probes": settings(loadReport={"how": "on_probe", "names": ["util"]}, rank=2, balancers=5),
     }
     found = {
-        what: settings_values(wire.parse_settings(json.dumps(text).encode())) for what, text in texts.items()
+        what: settings_values(codec.parse_settings(json.dumps(text).encode())) for what, text in texts.items()
     }
     check_golden("wire-settings", {"texts": texts, "values": found})
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -10,20 +10,8 @@
 
 import pytest
 
-from orchidlane.loop import (
-    BACKGROUND,
-    REQUESTS,
-    Cancelled,
-    Closed,
-    Expired,
-    Faults,
-    Loop,
-    NotConnected,
-    RealWorld,
-    Scope,
-    SimWorld,
-)
-from orchidlane.loop.timers import Timers
+from orchidlane.runtime import (BACKGROUND, REQUESTS, Cancelled, Closed, Expired, Faults, Loop, NotConnected, RealWorld, Scope, SimWorld)
+from orchidlane.runtime.timers import (Timers)
 
 MS, SECOND = 1_000, 1_000_000
 ANY = ("127.0.0.1", 0)
@@ -227,8 +215,8 @@
     if event == "socket.__new__" and arguments[1] == 1:
         raise OSError("no Unix sockets here")
 sys.addaudithook(refuse)
-from orchidlane.loop import Loop, RealWorld
-from orchidlane.loop.signals import serve
+from orchidlane.runtime import Loop, RealWorld
+from orchidlane.runtime.signals import serve
 world = RealWorld(1)
 loop, told = Loop(world), []
 def work():
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,28 +8,16 @@
 from contextlib import suppress
 
 import pytest
-from house import resets_after
-from platformhouse import (
-    DISCOVERY,
-    MS,
-    OK,
-    SECOND,
-    Discovery,
-    PlatformHouse,
-    call,
-    configuration,
-    file,
-    instance,
-    settings,
-)
+from harness.gateway_house import (resets_after)
+from harness.platform_house import (DISCOVERY, MS, OK, SECOND, Discovery, PlatformHouse, call, configuration, file, instance, settings)
 
-from orchidlane.http1 import header
-from orchidlane.loop import CONTROL, Closed
-from orchidlane.platform.config import ConfigError, parse
-from orchidlane.platform.discovery import ListRefused, Tracker
-from orchidlane.platform.log import Log
-from orchidlane.platform.shutdown import STAY
-from orchidlane.platform.terms import terms_of
+from orchidlane.http1 import (header)
+from orchidlane.runtime import (CONTROL, Closed)
+from orchidlane.platform.configuration import (ConfigError, parse)
+from orchidlane.platform.discovery import (ListRefused, Tracker)
+from orchidlane.platform.rate_limited_log import (Log)
+from orchidlane.platform.shutdown import (STAY)
+from orchidlane.platform.resource_limits import (terms_of)
 
 
 def run(*handlers, test, **changes) -> PlatformHouse:
@@ -552,9 +540,10 @@
 def test_the_platforms_process_knows_nothing_of_fleet_versions():
     """It loads none of their modules nor their library, so it can open, read and send nothing of theirs."""
     code = (
-        "import sys, orchidlane.platform.__main__, orchidlane.platform.life;"
+        "import sys, orchidlane.platform.__main__, orchidlane.platform.lifecycle;"
         "print([name for name in sys.modules if name.startswith(("
-        "'orchidlane.change', 'orchidlane.gateway.versions', 'orchidlane.gateway.program', 'blake3'))])"
+        "'orchidlane.rollout', 'orchidlane.gateway.rollout_agent',"
+        "'orchidlane.gateway.lifecycle.process', 'blake3'))])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-SOURCES = sorted((ROOT / "orchidlane").glob("*.py"))
+SOURCES = sorted((ROOT / "orchidlane").rglob("*.py"))
 
 
 def test_the_module_is_short_enough_to_read_at_night():
-    lines = (ROOT / "orchidlane" / "rules.py").read_text().splitlines()
+    lines = (ROOT / "orchidlane" / "policy" / "gateway.py").read_text().splitlines()
     assert 0 < sum(bool(line.strip()) for line in lines) <= 550
 
 
@@ -21,11 +21,11 @@
 
 
 def test_the_module_names_its_interface_first():
-    assert "orchidlane/interface.py" in (ROOT / "orchidlane" / "rules.py").read_text().splitlines()[0]
+    assert "orchidlane/policy/interface.py" in (ROOT / "orchidlane" / "policy" / "gateway.py").read_text().splitlines()[0]
 
 
 def test_the_module_reads_no_clock_and_no_shared_randomness():
-    text = (ROOT / "orchidlane" / "rules.py").read_text().replace("self.random.", "")
+    text = (ROOT / "orchidlane" / "policy" / "gateway.py").read_text().replace("self.random.", "")
     assert not re.search(r"\bimport (time|datetime|os)\b|\brandom\.(random|choice|sample)\(|\bglobal\b", text)
 
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -15,15 +15,15 @@
 from hypothesis import strategies as st
 from test_day import MATERIALS, day, quiet, step  # noqa: F401
 
-from orchidlane import interface as api
-from orchidlane import record
-from orchidlane.cli.main import main
-from orchidlane.interface import Outcome, Phase
-from orchidlane.lab.backing import RealBacking, SimulatedBacking
-from orchidlane.lab.day import Runner, load_day, make_plan
-from orchidlane.loop import Loop, RealWorld, SimWorld
-from orchidlane.messages import Row, pack, pack_row
-from orchidlane.rules import Gateway
+from orchidlane.policy import (interface as api)
+from orchidlane import (recording)
+from orchidlane.cli.main import (main)
+from orchidlane.policy.interface import (Outcome, Phase)
+from orchidlane.simulation.backends import (RealBacking, SimulatedBacking)
+from orchidlane.simulation.scenario import (Runner, load_day, make_plan)
+from orchidlane.runtime import (Loop, RealWorld, SimWorld)
+from orchidlane.policy.gossip_codec import (Row, pack, pack_row)
+from orchidlane.policy.gateway import (Gateway)
 
 CORPUS = Path(__file__).parent / "corpus" / "record"
 
@@ -93,16 +93,16 @@
     story = Story(seed)
     for _ in range(cut):
         story.step()
-    kept = record.dump(story.bench.gateway)
+    kept = recording.dump(story.bench.gateway)
     packed = msgspec.msgpack.encode(kept)
-    again = record.restore(story.bench.settings, msgspec.msgpack.decode(packed, type=record.Dump))
+    again = recording.restore(story.bench.settings, msgspec.msgpack.decode(packed, type=recording.Dump))
     begun = len(story.log)
     for _ in range(100):
         story.step()
     assert msgspec.msgpack.encode(kept) == packed  # a state does not change with its module
     for now, event, actions in story.log[begun:]:
         assert again.handle(now, event) == actions
-    assert record.dump(again) == record.dump(story.bench.gateway)
+    assert recording.dump(again) == recording.dump(story.bench.gateway)
 
 
 @given(st.integers(0, 2**32))
@@ -111,33 +111,33 @@
     for _ in range(60):
         story.step()
     for _, event, actions in story.log:
-        wire = msgspec.msgpack.decode(msgspec.msgpack.encode(record.pack_event(event)))
-        assert record.unpack_event(wire) == event
+        wire = msgspec.msgpack.decode(msgspec.msgpack.encode(recording.pack_event(event)))
+        assert recording.unpack_event(wire) == event
         for action in actions:
-            wire = msgspec.msgpack.decode(msgspec.msgpack.encode(record.pack_action(action)))
-            assert record.unpack_action(wire) == action
+            wire = msgspec.msgpack.decode(msgspec.msgpack.encode(recording.pack_action(action)))
+            assert recording.unpack_action(wire) == action
 
 
 def test_every_event_and_action_has_its_number():
-    assert set(record.EVENTS.values()) == set(api.Event.__args__)
-    assert set(record.ACTIONS.values()) == set(api.Action.__args__)
+    assert set(recording.EVENTS.values()) == set(api.Event.__args__)
+    assert set(recording.ACTIONS.values()) == set(api.Action.__args__)
 
 
 @pytest.mark.parametrize("values", [[], [99, 1], [6, 1, 2], [4, 1], ["x"]])
 def test_what_a_later_build_wrote_is_refused(values):
-    with pytest.raises(record.FormatError):
-        record.unpack_event(values)
+    with pytest.raises(recording.FormatError):
+        recording.unpack_event(values)
 
 
 def test_a_state_of_another_format_or_that_does_not_fit_is_refused():
     bench = Bench()
-    kept = record.dump(bench.gateway)
-    with pytest.raises(record.FormatError, match="format 9"):
-        record.restore(bench.settings, msgspec.structs.replace(kept, format=9))
-    with pytest.raises(record.FormatError):
-        record.restore(bench.settings, msgspec.structs.replace(kept, pools=[[99], []]))
-    with pytest.raises(record.FormatError):
-        record.restore(bench.settings, msgspec.structs.replace(kept, plain={}))
+    kept = recording.dump(bench.gateway)
+    with pytest.raises(recording.FormatError, match="format 9"):
+        recording.restore(bench.settings, msgspec.structs.replace(kept, format=9))
+    with pytest.raises(recording.FormatError):
+        recording.restore(bench.settings, msgspec.structs.replace(kept, pools=[[99], []]))
+    with pytest.raises(recording.FormatError):
+        recording.restore(bench.settings, msgspec.structs.replace(kept, plain={}))
 
 
 # Segments
@@ -146,23 +146,23 @@
 def segment(
     story: Story, steps: int, path, number=0, life=1
 ) -> list[tuple[int, api.Event, list[api.Action]]]:
-    header = record.Header(
-        format=record.FORMAT,
+    header = recording.Header(
+        format=recording.FORMAT,
         build="x",
         gateway="gw",
         life=life,
         number=number,
         settings=msgspec.to_builtins(story.bench.settings),
-        state=record.dump(story.bench.gateway),
+        state=recording.dump(story.bench.gateway),
         class_names=("a", "b", "c", "d", "e"),
         plan_names=("p", "q", "r", "s"),
     )
     begun = len(story.log)
     for _ in range(steps):
         story.step()
-    data = record.pack_header(header) + record.pack_accounts(1, [], last=True)
+    data = recording.pack_header(header) + recording.pack_accounts(1, [], last=True)
     for now, event, actions in story.log[begun:]:
-        data += record.pack_entry(now, event, actions)
+        data += recording.pack_entry(now, event, actions)
     path.write_bytes(data)
     return story.log[begun:]
 
@@ -171,21 +171,21 @@
     whole = tmp_path / "a.olr"
     log = segment(Story(5), 25, whole)
     data = whole.read_bytes()
-    reader = record.SegmentReader(str(whole))
+    reader = recording.SegmentReader(str(whole))
     places = [one.place for one in reader if one.event is not None]
     assert reader.broken is None
     cut = tmp_path / "cut.olr"
     for size in range(len(data)):
         cut.write_bytes(data[:size])
         if size < places[0]:
-            with pytest.raises(record.CutHead):
-                record.SegmentReader(str(cut)).state()
-            found = record.replay([str(cut)])
+            with pytest.raises(recording.CutHead):
+                recording.SegmentReader(str(cut)).state()
+            found = recording.replay([str(cut)])
             assert (found.events, found.whole, len(found.unchecked)) == (0, True, 1)
             continue
-        replayed = record.replay([str(cut)])
+        replayed = recording.replay([str(cut)])
         assert (replayed.difference, replayed.whole) == (None, True)
-        reader = record.SegmentReader(str(cut))
+        reader = recording.SegmentReader(str(cut))
         found = [(one.now, one.event, one.actions) for one in reader if one.event is not None]
         reader.close()
         assert found == log[: len(found)]
@@ -197,12 +197,12 @@
     whole = tmp_path / "a.olr"
     log = segment(Story(6), 12, whole)
     data = whole.read_bytes()
-    first = next(one.place for one in record.SegmentReader(str(whole)) if one.event is not None)
+    first = next(one.place for one in recording.SegmentReader(str(whole)) if one.event is not None)
     for place in range(first, len(data)):
         spoilt = bytearray(data)
         spoilt[place] ^= 1 << place % 8
         whole.write_bytes(spoilt)
-        reader = record.SegmentReader(str(whole))
+        reader = recording.SegmentReader(str(whole))
         found = [(one.now, one.event, one.actions) for one in reader if one.event is not None]
         reader.close()
         assert reader.broken is not None
@@ -216,10 +216,10 @@
         path = tmp_path / f"{number}.olr"
         segment(story, 200, path, number)
         paths.append(str(path))
-    found = record.replay(paths)
+    found = recording.replay(paths)
     assert (found.difference, found.segments, found.events) == (None, 3, len(story.log))
-    monkeypatch.setattr("orchidlane.rules.CLOSE", 0.5)
-    other = record.replay(paths)
+    monkeypatch.setattr("orchidlane.policy.gateway.CLOSE", 0.5)
+    other = recording.replay(paths)
     assert other.difference is not None
     assert len(other.difference.lines()) >= 4
     assert 0 < other.events < found.events
@@ -231,7 +231,7 @@
         path = tmp_path / f"{number}.olr"
         segment(story, 100, path, number)
         paths.append(str(path))
-    found = record.replay([paths[0], paths[2]])
+    found = recording.replay([paths[0], paths[2]])
     assert (found.difference, found.segments) == (None, 2)
 
 
@@ -239,7 +239,7 @@
     story = Story(9)
     path = tmp_path / "0.olr"
     segment(story, 600, path)
-    same = record.what_if([str(path)])
+    same = recording.what_if([str(path)])
     assert same.recorded.keys() == same.instead.keys()
     arrivals = sum(map(sum, same.recorded.values()))
     assert same.turned <= 0.2 * arrivals  # timers of these stories fire late, the module's own do not
@@ -247,7 +247,7 @@
         dataclasses.replace(p, rate=900.0, burst=900.0, open=0, ceiling_rate=0.0)
         for p in story.bench.settings.plans
     )
-    other = record.what_if([str(path)], dataclasses.replace(story.bench.settings, plans=wide))
+    other = recording.what_if([str(path)], dataclasses.replace(story.bench.settings, plans=wide))
     admitted = [sum(row[0] for row in table.values()) for table in (other.recorded, other.instead)]
     assert admitted[1] > admitted[0]
 
@@ -255,9 +255,9 @@
 def test_the_index_finds_what_a_scan_finds(tmp_path):
     path = tmp_path / "a.olr"
     segment(Story(11), 300, path)
-    reader = record.SegmentReader(str(path))
-    index = record.Index(reader, record.request_of)
-    again = record.SegmentReader(str(path))
+    reader = recording.SegmentReader(str(path))
+    index = recording.Index(reader, recording.request_of)
+    again = recording.SegmentReader(str(path))
     scanned = [one for one in again if getattr(one.event, "request", None) == 5]
     assert [e for e in index.entries(5) if not isinstance(e.event, api.TimerFired)] == scanned
     assert index.entries(1 << 30) == []
@@ -266,11 +266,11 @@
 @pytest.mark.parametrize("file", sorted(CORPUS.iterdir()), ids=lambda file: file.name)
 def test_records_of_each_released_format_are_read(file):
     """Kept files of earlier formats: read whole, and their states restored, by every later build."""
-    reader = record.SegmentReader(str(file))
+    reader = recording.SegmentReader(str(file))
     entries = [entry for entry in reader if entry.event is not None]
     assert reader.broken is None
     assert len(entries) == 160
-    gateway = record.restore(reader.header.module_settings(), reader.state())
+    gateway = recording.restore(reader.header.module_settings(), reader.state())
     kinds = {type(one.event) for one in entries}
     assert {api.RequestArrived, api.TakeArrived, api.AttemptEnded, api.PeerMessage} <= kinds
     for one in entries:
@@ -340,7 +340,7 @@
     assert said["diff"][0] in (0, 1)
     state = json.loads(said["state"][1])
     assert (state["gateway"], state["draining"], len(state["peers heard"])) == ("gw-2", False, 2)
-    assert state["build"] == record.build_name()
+    assert state["build"] == recording.build_name()
     plans = json.loads(said["plan"][1])
     assert [row["gateway"] for row in plans] == ["gw-0", "gw-1", "gw-2"]
     assert all(row["customers"] > 0 and row["pressed"] for row in plans)
@@ -363,7 +363,7 @@
 
 def test_a_view_tells_the_decision_that_follows():
     """Thousands of next requests, foretold by a copy and then really made."""
-    from orchidlane.gateway.probe import make_view, next_request, read_view
+    from orchidlane.gateway.telemetry.policy_views import (make_view, next_request, read_view)
 
     compared = 0
     for seed in range(20):
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -16,14 +16,14 @@
 from hypothesis import strategies as st
 from test_day import day, quiet  # noqa: F401
 
-from orchidlane.config import Duration
-from orchidlane.gateway.rolling import Rolling, UnfinishedRoll
-from orchidlane.lab.backing import SimulatedBacking
-from orchidlane.lab.day import Runner, make_plan
-from orchidlane.lab.explore import explore
-from orchidlane.loop import CONTROL, Loop, SimWorld
-from orchidlane.upgrade import batch, roll
-from orchidlane.upgrade.health import Answers
+from orchidlane.config import (Duration)
+from orchidlane.gateway.lifecycle.rolling_upgrade import (Rolling, UnfinishedRoll)
+from orchidlane.simulation.backends import (SimulatedBacking)
+from orchidlane.simulation.scenario import (Runner, make_plan)
+from orchidlane.simulation.state_exploration import (explore)
+from orchidlane.runtime import (CONTROL, Loop, SimWorld)
+from orchidlane.hot_restart import (rolling_batches, rolling_upgrade)
+from orchidlane.hot_restart.probation import (Answers)
 
 MS = 1_000
 
@@ -35,15 +35,15 @@
 
 
 @st.composite
-def fleets(draw) -> tuple[batch.Fleet, batch.Limits]:
-    members = tuple(batch.Member(rank, *facts) for rank, facts in enumerate(draw(member_lists())))
+def fleets(draw) -> tuple[rolling_batches.Fleet, rolling_batches.Limits]:
+    members = tuple(rolling_batches.Member(rank, *facts) for rank, facts in enumerate(draw(member_lists())))
     spreads = tuple(draw(st.sets(st.integers(1, 8), max_size=3)))
     share = st.floats(0.05, 1.0)
-    limits = batch.Limits(draw(share), draw(share), draw(st.integers(1, 3)), draw(share))
-    return batch.Fleet(members, spreads), limits
+    limits = rolling_batches.Limits(draw(share), draw(share), draw(st.integers(1, 3)), draw(share))
+    return rolling_batches.Fleet(members, spreads), limits
 
 
-def plainly_allowed(fleet: batch.Fleet, limits: batch.Limits, risk: set[int]) -> bool:
+def plainly_allowed(fleet: rolling_batches.Fleet, limits: rolling_batches.Limits, risk: set[int]) -> bool:
     """The same by going through each customer's set."""
     size = len(fleet.members)
     if len(risk) <= 1:
@@ -64,7 +64,7 @@
 def test_what_may_be_at_risk_is_what_no_customers_set_forbids(made, data):
     fleet, limits = made
     risk = data.draw(st.sets(st.integers(0, len(fleet.members) - 1)))
-    assert batch.allowed(fleet, limits, risk) == plainly_allowed(fleet, limits, risk)
+    assert rolling_batches.allowed(fleet, limits, risk) == plainly_allowed(fleet, limits, risk)
 
 
 @settings(max_examples=60)
@@ -72,18 +72,18 @@
 def test_a_batch_is_allowed_and_never_beyond_the_bound(made):
     fleet, limits = made
     wanted = list(range(len(fleet.members)))
-    found = batch.largest(fleet, limits, wanted, (), len(wanted))
-    assert 1 <= len(found) <= batch.at_most(fleet, limits)
+    found = rolling_batches.largest(fleet, limits, wanted, (), len(wanted))
+    assert 1 <= len(found) <= rolling_batches.at_most(fleet, limits)
     assert plainly_allowed(fleet, limits, set(found))
-    assert batch.largest(fleet, limits, wanted, (), 1) == found[:1] or len(found) > 1
-    assert not set(batch.largest(fleet, limits, wanted[1:], [0], len(wanted))) & {0}
+    assert rolling_batches.largest(fleet, limits, wanted, (), 1) == found[:1] or len(found) > 1
+    assert not set(rolling_batches.largest(fleet, limits, wanted[1:], [0], len(wanted))) & {0}
 
 
 # Every state of the machine
 
-LIMITS = batch.Limits(share=0.7, set_share=1.0, halls=2, load=1.0)
-FLEET = batch.Fleet(tuple(batch.Member(rank, "h", 1.0) for rank in range(3)), ())
-TERMS = roll.Terms(LIMITS, soak=10, upgrade=1_000)
+LIMITS = rolling_batches.Limits(share=0.7, set_share=1.0, halls=2, load=1.0)
+FLEET = rolling_batches.Fleet(tuple(rolling_batches.Member(rank, "h", 1.0) for rank in range(3)), ())
+TERMS = rolling_upgrade.Terms(LIMITS, soak=10, upgrade=1_000)
 CALM, SICK = Answers(50, 0, 0), Answers(50, 0, 500)
 GRACE = 100_000  # a clock at which every span is over
 
@@ -104,37 +104,37 @@
 class Fleetwide:
     """A roll, its gateways, and what may befall them; what is kept is all that a killed roll leaves."""
 
-    machine = roll.Roller
+    machine = rolling_upgrade.Roller
 
     def __init__(self, faults: int) -> None:
         self.gates = [Gate() for _ in FLEET.members]
-        first = [roll.Seen(rank, 1, True, "", CALM, False) for rank in range(len(self.gates))]
-        self.roller = self.machine(FLEET, TERMS, roll.begin(FLEET, TERMS, first).state)
-        self.todo: tuple[roll.Action, ...] = ()
+        first = [rolling_upgrade.Seen(rank, 1, True, "", CALM, False) for rank in range(len(self.gates))]
+        self.roller = self.machine(FLEET, TERMS, rolling_upgrade.begin(FLEET, TERMS, first).state)
+        self.todo: tuple[rolling_upgrade.Action, ...] = ()
         self.faults = faults
-        self._feed(0, roll.Ticked())
+        self._feed(0, rolling_upgrade.Ticked())
 
     def key(self):
         return msgspec.json.encode((self.roller.state, self.gates, self.faults)), repr(self.todo)
 
-    def _feed(self, now: int, event: roll.Event) -> None:
+    def _feed(self, now: int, event: rolling_upgrade.Event) -> None:
         self.todo += tuple(self.roller.handle(now, event))
 
     def wrong(self) -> str | None:
         state = self.roller.state
         lost = {rank for rank, gate in enumerate(self.gates) if gate.gone}
         risk = {rank for rank, gate in enumerate(self.gates) if gate.successor and gate.runs}
-        if not batch.allowed(FLEET, LIMITS, risk):
+        if not rolling_batches.allowed(FLEET, LIMITS, risk):
             return "too many at risk"
         builds = {gate.new for rank, gate in enumerate(self.gates) if rank not in lost}
-        if state.phase is roll.Phase.DONE and builds != {True}:
+        if state.phase is rolling_upgrade.Phase.DONE and builds != {True}:
             return "done, and an old build runs"
-        if state.phase is roll.Phase.RETURNED and builds - {False}:
+        if state.phase is rolling_upgrade.Phase.RETURNED and builds - {False}:
             return "returned, and the new build runs"
         return None
 
     def good(self) -> bool:
-        return self.roller.state.phase in roll.ENDS
+        return self.roller.state.phase in rolling_upgrade.ENDS
 
     def moves(self) -> Iterable[tuple[str, Fleetwide]]:
         for name, change in self._all():
@@ -147,7 +147,7 @@
             yield name, after
 
     def _all(self) -> Iterable[tuple[str, Any]]:
-        if self.roller.state.phase in roll.ENDS:
+        if self.roller.state.phase in rolling_upgrade.ENDS:
             return
         for action in self.todo[:1]:
             yield repr(action), lambda w, a=action: w._carry_out(a)
@@ -157,7 +157,7 @@
             if gate.successor and gate.runs and not gate.hangs:
                 yield f"pass {rank}", lambda w, r=rank: w._end(r, True)
         if not self.todo:
-            yield "time", lambda w: w._feed(w.roller.state.since + TERMS.soak, roll.Ticked())
+            yield "time", lambda w: w._feed(w.roller.state.since + TERMS.soak, rolling_upgrade.Ticked())
             yield "late", lambda w: [w._look(rank, GRACE) for rank in w.roller.under_way()]
         if self.faults:
             yield from self._mishaps()
@@ -173,16 +173,16 @@
                     yield f"!gone {rank}", lambda w, r=rank: setattr(w.gates[r], "gone", True)
         yield "!kill", lambda w: w._die()
 
-    def _carry_out(self, action: roll.Action) -> None:
+    def _carry_out(self, action: rolling_upgrade.Action) -> None:
         self.todo = self.todo[1:]
-        if isinstance(action, roll.Start):
+        if isinstance(action, rolling_upgrade.Start):
             gate = self.gates[action.rank]
             gate.successor, gate.successor_new, gate.runs, gate.hangs = 3 - gate.pid, action.new, False, False
-            self._feed(0, roll.Prepared(action.rank, gate.successor))
+            self._feed(0, rolling_upgrade.Prepared(action.rank, gate.successor))
             gate.runs = True
             if gate.gone:
                 gate.successor = 0  # nobody hands over to it
-        elif isinstance(action, roll.Kill):
+        elif isinstance(action, rolling_upgrade.Kill):
             for rank, gate in enumerate(self.gates):
                 if gate.successor == action.pid and gate.hangs:
                     self._end(rank, False)
@@ -198,9 +198,9 @@
     def _look(self, rank: int, now: int, answers: Answers = CALM) -> None:
         gate = self.gates[rank]
         if gate.gone:
-            return self._feed(now, roll.Silent(rank, bool(gate.successor)))
+            return self._feed(now, rolling_upgrade.Silent(rank, bool(gate.successor)))
         serving = not (gate.successor and gate.runs)
-        self._feed(now, roll.Seen(rank, gate.pid, serving, gate.latest, answers, bool(gate.successor)))
+        self._feed(now, rolling_upgrade.Seen(rank, gate.pid, serving, gate.latest, answers, bool(gate.successor)))
 
     def _die(self) -> None:
         """Killed and resumed at once; what was prepared and not let run ends with it."""
@@ -218,19 +218,19 @@
     assert found.states > 2_000
 
 
-class Forgetful(roll.Roller):
+class Forgetful(rolling_upgrade.Roller):
     """Takes a successor that it finds dead for one that never ran."""
 
-    def _failed(self, rank: int, one: roll.One, why: str) -> None:
-        one.pid, one.place = 0, roll.Place.OLD
+    def _failed(self, rank: int, one: rolling_upgrade.One, why: str) -> None:
+        one.pid, one.place = 0, rolling_upgrade.Place.OLD
 
 
-class Hasty(roll.Roller):
+class Hasty(rolling_upgrade.Roller):
     """Starts all at once."""
 
-    def _next_batch(self) -> list[roll.Action]:
-        wanted = [rank for rank, one in enumerate(self.state.ones) if one.place is roll.Place.OLD]
-        return self._start(wanted, roll.Place.GOING) if wanted else self._end(roll.Phase.DONE)
+    def _next_batch(self) -> list[rolling_upgrade.Action]:
+        wanted = [rank for rank, one in enumerate(self.state.ones) if one.place is rolling_upgrade.Place.OLD]
+        return self._start(wanted, rolling_upgrade.Place.GOING) if wanted else self._end(rolling_upgrade.Phase.DONE)
 
 
 @pytest.mark.parametrize("broken", [Forgetful, Hasty])
@@ -351,7 +351,7 @@
     def drive(rolled: Rolled) -> None:
         rolling = rolled.rolling()
         rolling.begin(("old", "new"))
-        assert rolling.run().phase is roll.Phase.DONE
+        assert rolling.run().phase is rolling_upgrade.Phase.DONE
         assert rolled.builds() == [True] * 8
         with pytest.raises(ValueError, match="no unfinished roll"):
             rolled.rolling().resume()
@@ -375,7 +375,7 @@
 
     rolled = Rolled({3: broken})
     rolled.run(drive)
-    assert rolled.state.phase is roll.Phase.RETURNED
+    assert rolled.state.phase is rolling_upgrade.Phase.RETURNED
     assert "gateway" in rolled.state.why
     went = [rank for rank, new in rolled.starter.started if new]
     assert len(went) < 8
@@ -423,7 +423,7 @@
             with pytest.raises(UnfinishedRoll, match="resume or recall"):
                 rolled.rolling().begin(("old", "new"))
             state = rolling.run(rolling.resume())
-        assert state.phase is roll.Phase.DONE
+        assert state.phase is rolling_upgrade.Phase.DONE
         assert rolled.builds() == [True] * 8
 
     Rolled().run(drive)
@@ -434,12 +434,12 @@
         rolling = rolled.rolling()
         rolling.begin(("old", "new"))
         first = rolled.loop.spawn(rolling.run, kind=CONTROL)
-        while sum(one.place is roll.Place.NEW for one in rolling.roller.state.ones) < 3:
+        while sum(one.place is rolling_upgrade.Place.NEW for one in rolling.roller.state.ones) < 3:
             rolled.loop.sleep(20 * MS)
         rolled.loop.cancel(first)
         again = rolled.rolling()
         state = again.run(again.resume(), recall="asked for")
-        assert (state.phase, state.why) == (roll.Phase.RETURNED, "asked for")
+        assert (state.phase, state.why) == (rolling_upgrade.Phase.RETURNED, "asked for")
         assert rolled.builds() == [False] * 8
 
     Rolled().run(drive)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,11 +5,11 @@
 import pytest
 from conftest import SECOND, T0, Bench, entry, listed, of
 
-from orchidlane import interface as api
-from orchidlane import messages
-from orchidlane.interface import Outcome
-from orchidlane.messages import Row
-from orchidlane.state import Account
+from orchidlane.policy import (interface as api)
+from orchidlane.policy import (gossip_codec)
+from orchidlane.policy.interface import (Outcome)
+from orchidlane.policy.gossip_codec import (Row)
+from orchidlane.policy.state import (Account)
 
 SAFE_KIND, CELL_KIND, UNSAFE_KIND, ALL_KIND, ZONE_KIND = range(5)
 NEVER_RAN = (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
@@ -223,7 +223,7 @@
 def hear(bench: Bench, sender: int, row: Row, keep: bool) -> list:
     """A peer's word, which asks for an answer where it wants rights."""
     sent = bench.now // 1_000
-    body = messages.pack(sent, keep, keep, [messages.pack_row(row, sent, 3)])
+    body = gossip_codec.pack(sent, keep, keep, [gossip_codec.pack_row(row, sent, 3)])
     return bench.feed(api.PeerMessage(sender, body))
 
 
@@ -237,7 +237,7 @@
     given = 0.0
     for _ in range(5):
         for tell in of(hear(bench, other, ceiling_row(5.0), keep=True), api.TellPeer):
-            message = messages.unpack(tell.body, bench.now // 1_000, 3, 4)
+            message = gossip_codec.unpack(tell.body, bench.now // 1_000, 3, 4)
             given += message.rows[0].rights if not message.keep else 0.0
     assert 10.0 < given <= 16 * 2 / 3
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -14,20 +14,20 @@
 import msgspec
 import pytest
 from conftest import SECOND
-from house import GET, MS, House, good
+from harness.gateway_house import (GET, MS, House, good)
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_day import day, quiet, step  # noqa: F401
 from test_record import Story, run, segment
 
 import orchidlane
-from orchidlane import interface as api
-from orchidlane import record
-from orchidlane.gateway.probe import plan_counts
-from orchidlane.lab.backing import SimulatedBacking
-from orchidlane.lab.day import Runner, make_plan
-from orchidlane.loop import Loop, SimWorld
-from orchidlane.rules import Gateway
+from orchidlane.policy import (interface as api)
+from orchidlane import (recording)
+from orchidlane.gateway.telemetry.policy_views import (plan_counts)
+from orchidlane.simulation.backends import (SimulatedBacking)
+from orchidlane.simulation.scenario import (Runner, make_plan)
+from orchidlane.runtime import (Loop, SimWorld)
+from orchidlane.policy.gateway import (Gateway)
 
 NAMES = tuple("abcde"), tuple("pqrs")
 
@@ -35,11 +35,11 @@
 def save(story: Story, path: Path, touch: int = 0, build: str = "") -> None:
     """A whole state as a gateway tells it; so many more events happen between its pages."""
     gateway = story.bench.gateway
-    record.track(gateway)
-    snapshot = record.Snapshot(gateway)
-    header = record.Header(
-        format=record.FORMAT,
-        build=build or record.build_name(),
+    recording.track(gateway)
+    snapshot = recording.Snapshot(gateway)
+    header = recording.Header(
+        format=recording.FORMAT,
+        build=build or recording.build_name(),
         gateway="gw",
         life=story.bench.now,
         number=0,
@@ -49,12 +49,12 @@
         plan_names=NAMES[1],
         about={"now": story.bench.now},
     )
-    data = record.pack_header(header)
+    data = recording.pack_header(header)
     for rows in snapshot.pages():
-        data += record.pack_accounts(0, rows, last=False)
+        data += recording.pack_accounts(0, rows, last=False)
         for _ in range(touch):
             story.step()
-    path.write_bytes(data + record.pack_accounts(0, [], last=True))
+    path.write_bytes(data + recording.pack_accounts(0, [], last=True))
 
 
 # Snapshots
@@ -67,11 +67,11 @@
     for _ in range(before):
         story.step()
     gateway = story.bench.gateway
-    record.track(gateway)
+    recording.track(gateway)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("orchidlane.record.snapshot.PAGE", page)
-        wanted = msgspec.msgpack.encode(record.dump(gateway))
-        snapshots = record.Snapshot(gateway), record.Snapshot(gateway)  # two at once
+        patch.setattr("orchidlane.recording.snapshot.PAGE", page)
+        wanted = msgspec.msgpack.encode(recording.dump(gateway))
+        snapshots = recording.Snapshot(gateway), recording.Snapshot(gateway)  # two at once
         for snapshot in snapshots:
             rows = []
             for some in snapshot.pages():
@@ -80,12 +80,12 @@
                 for _ in range(4):
                     story.step()
             gateways.append((snapshot.head, rows))
-    kept = msgspec.msgpack.decode(wanted, type=record.Dump)
+    kept = msgspec.msgpack.decode(wanted, type=recording.Dump)
     for head, rows in gateways:
-        head = msgspec.msgpack.decode(msgspec.msgpack.encode(head), type=record.Dump)
+        head = msgspec.msgpack.decode(msgspec.msgpack.encode(head), type=recording.Dump)
         assert sorted(rows) == sorted(kept.accounts)
         assert msgspec.structs.replace(head, accounts=[]) == msgspec.structs.replace(kept, accounts=[])
-    assert type(gateway.accounts) is record.Accounts  # nothing is paid any more
+    assert type(gateway.accounts) is recording.Accounts  # nothing is paid any more
 
 
 def test_a_snapshot_that_is_given_up_costs_nothing_more():
@@ -93,11 +93,11 @@
     for _ in range(50):
         story.step()
     gateway = story.bench.gateway
-    record.track(gateway)
-    snapshot = record.Snapshot(gateway)
-    assert type(gateway.accounts) is not record.Accounts
+    recording.track(gateway)
+    snapshot = recording.Snapshot(gateway)
+    assert type(gateway.accounts) is not recording.Accounts
     snapshot.close()
-    assert type(gateway.accounts) is record.Accounts
+    assert type(gateway.accounts) is recording.Accounts
     assert list(snapshot.pages()) == []
 
 
@@ -108,11 +108,11 @@
     whole, cut = tmp_path / "whole.olr", tmp_path / "cut.olr"
     save(story, whole)
     data = whole.read_bytes()
-    assert plan_counts(record.SegmentReader(str(whole)), 3)["p"].customers > 0
+    assert plan_counts(recording.SegmentReader(str(whole)), 3)["p"].customers > 0
     for size in range(len(data)):
         cut.write_bytes(data[:size])
-        with pytest.raises(record.CutHead):
-            plan_counts(record.SegmentReader(str(cut)), 3)
+        with pytest.raises(recording.CutHead):
+            plan_counts(recording.SegmentReader(str(cut)), 3)
     assert run("counts", str(cut), "--plan", "p")[0] == 2
 
 
@@ -124,7 +124,7 @@
     save(story, path, touch=0)
     now, gateway = story.bench.now, story.bench.gateway
     gateway.now = now
-    found = plan_counts(record.SegmentReader(str(path)), 2)
+    found = plan_counts(recording.SegmentReader(str(path)), 2)
     for plan, name in enumerate(NAMES[1]):
         accounts = [one for one in gateway.accounts.values() if one.plan == plan]
         for account in accounts:
@@ -153,8 +153,8 @@
         assert status == 200
         path = tmp_path / "s.olr"
         path.write_bytes(body)
-        reader = record.SegmentReader(str(path))
-        assert reader.header.build == record.build_name()
+        reader = recording.SegmentReader(str(path))
+        assert reader.header.build == recording.build_name()
         assert reader.header.about["generation"] == 1
         assert [row[0] for row in reader.accounts()] == [1]
         assert run("counts", str(path), "1")[0] == 0
@@ -166,7 +166,7 @@
 
 
 def test_a_tool_that_hangs_slows_nothing_and_is_let_go(monkeypatch):
-    monkeypatch.setattr("orchidlane.loop.simulated.WINDOW", 4096)
+    monkeypatch.setattr("orchidlane.runtime.simulated_backend.WINDOW", 4096)
 
     def test(house: House) -> None:
         rules = house.program.host.rules
@@ -184,15 +184,15 @@
             assert house.loop.now() - began < 20 * MS
         house.loop.sleep(10 * SECOND)
         assert not house.program.admin.telling
-        assert type(rules.accounts) is record.Accounts
+        assert type(rules.accounts) is recording.Accounts
 
     House(good).run(test)
 
 
 def test_segments_begin_with_a_state_in_pages_and_replay_from_any_of_them(tmp_path, monkeypatch):
     """Small segments under load: each can be replayed alone, and all in a row."""
-    monkeypatch.setattr("orchidlane.gateway.recorder.SEGMENT", 30_000)
-    monkeypatch.setattr("orchidlane.record.snapshot.PAGE", 3)
+    monkeypatch.setattr("orchidlane.gateway.telemetry.traffic_recorder.SEGMENT", 30_000)
+    monkeypatch.setattr("orchidlane.recording.snapshot.PAGE", 3)
     world = SimWorld(6)
     loop = Loop(world)
     backing = SimulatedBacking(loop, world, record_to="rec")
@@ -202,13 +202,13 @@
     for name, data in world.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
-    paths = record.read_folder(str(tmp_path))
+    paths = recording.read_folder(str(tmp_path))
     alone = 0
     for path in paths:
-        found = record.replay([path])
+        found = recording.replay([path])
         assert found.difference is None
         alone += found.events
-    lives = [record.replay(life) for life in record.lives_of(paths)]
+    lives = [recording.replay(life) for life in recording.lives_of(paths)]
     assert len(paths) > 3 * len(lives)
     assert sum(one.events for one in lives) == alone > 2_500
     assert all(one.difference is None and not one.unchecked for one in lives)
@@ -230,7 +230,7 @@
         path = tmp_path / f"gw-1-{number}.olr"
         segment(story, 100, path, number)
         paths.append(path)
-    places = [one.place for one in record.SegmentReader(str(paths[0])) if one.event is not None]
+    places = [one.place for one in recording.SegmentReader(str(paths[0])) if one.event is not None]
     flip(paths[0], places[60] + offset)
     code, text = run("replay", str(tmp_path), "--json")
     assert code == 3, text
@@ -258,7 +258,7 @@
         for _ in range(30):
             story.step()
     segment(story, 60, path)
-    found = record.replay([str(path)])
+    found = recording.replay([str(path)])
     assert (found.difference, found.events) == (None, 60)
 
 
@@ -270,12 +270,12 @@
         for now, event, _ in log
         if isinstance(event, api.RequestArrived | api.TakeArrived) and event.customer == 3
     ]
-    reader = record.SegmentReader(str(path))
-    index = record.TimeIndex(reader)
+    reader = recording.SegmentReader(str(path))
+    index = recording.TimeIndex(reader)
     middle = arrived[len(arrived) // 2][0]
-    found = [one for one in index.between(0, middle) if record.customer_of(one) == 3]
+    found = [one for one in index.between(0, middle) if recording.customer_of(one) == 3]
     assert [(one.now, one.event) for one in found] == [one for one in arrived if one[0] < middle]
-    by_customer = record.Index(reader, record.customer_of).entries(3)
+    by_customer = recording.Index(reader, recording.customer_of).entries(3)
     assert [(one.now, one.event) for one in by_customer] == arrived
     code, text = run("explain", str(tmp_path), "--customer", "3", "--json")
     assert code == 0
@@ -291,7 +291,7 @@
     folder = tmp_path_factory.mktemp("other")
     source = Path(orchidlane.__file__).parent
     shutil.copytree(source, folder / "orchidlane", ignore=shutil.ignore_patterns("__pycache__"))
-    rules = folder / "orchidlane" / "rules.py"
+    rules = folder / "orchidlane" / "policy" / "gateway.py"
     text = rules.read_text()
     assert "CLOSE, REOPEN = 0.25, 0.6" in text
     rules.write_text(text.replace("CLOSE, REOPEN = 0.25, 0.6", "CLOSE, REOPEN = 0.9, 0.95"))
@@ -318,8 +318,8 @@
     save(story, state)
     code, text = run("counts", str(state), "3")
     assert code == 0, text
-    with pytest.raises(record.FormatError):  # what does not fit together is no state
-        record.restore(story.bench.settings, record.SegmentReader(str(state)).header.state)
+    with pytest.raises(recording.FormatError):  # what does not fit together is no state
+        recording.restore(story.bench.settings, recording.SegmentReader(str(state)).header.state)
     code, text = run_other(other_build, "counts", str(state), "3")
     assert (code, "its decisions could differ" in text) == (2, True), text
     assert run_other(other_build, "state", str(state))[0] == 2
@@ -395,7 +395,7 @@
 
 
 def test_the_audit_over_records_objects_to_a_request_that_no_one_decided_on(tmp_path, monkeypatch):
-    from orchidlane.gateway.upstream import AttemptRun
+    from orchidlane.gateway.forwarding.connection_pool import (AttemptRun)
 
     head = AttemptRun._head
     monkeypatch.setattr(
@@ -411,7 +411,7 @@
     """Entries taken out of, or changed in, a record that holds."""
     story = Story(5)
     header_now, settings_ = story.bench.now, story.bench.settings
-    record.track(story.bench.gateway)
+    recording.track(story.bench.gateway)
     entries = []
     story.tell(api.RequestArrived(1, 7, 0, 0, 1.0, 2 * SECOND, 0, 3, False))
     server = next(a.server for a in story.log[-1][2] if isinstance(a, api.Send))
@@ -423,22 +423,22 @@
 
     def faults(*some) -> dict[str, int]:
         empty = Story(5).bench.gateway
-        header = record.Header(
-            record.FORMAT,
+        header = recording.Header(
+            recording.FORMAT,
             "b",
             "gw",
             header_now,
             0,
             msgspec.to_builtins(settings_),
-            record.dump(empty),
+            recording.dump(empty),
             *NAMES,
         )
-        data = record.pack_header(header) + record.pack_accounts(header_now, [], last=True)
+        data = recording.pack_header(header) + recording.pack_accounts(header_now, [], last=True)
         for now, event, actions in some:
-            data += record.pack_entry(now, event, actions)
+            data += recording.pack_entry(now, event, actions)
         path = tmp_path / "gw-1-0.olr"
         path.write_bytes(data)
-        found = record.audit_records([str(path)])
+        found = recording.audit_records([str(path)])
         return dict(found.faults) | ({"ceiling": 1} if not found.rules["5"] else {})
 
     arrived, served = entries
@@ -459,7 +459,7 @@
 
 
 def test_top_shows_who_answers_and_who_does_not():
-    from orchidlane.cli.screen import Screen, as_rows
+    from orchidlane.cli.screen import (Screen, as_rows)
 
     def test(house: House) -> None:
         screen = Screen(house.loop, "t", [("gw-0", ("127.0.0.1", 8280)), ("gw-1", ("127.0.0.1", 8281))])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,18 +13,18 @@
 import pytest
 import structlog
 from conftest import SECOND
-from house import GENERATION, GET, MS, OK, REPORT, SETTINGS, House, good, request
+from harness.gateway_house import (GENERATION, GET, MS, OK, REPORT, SETTINGS, House, good, request)
 from test_day import quiet  # noqa: F401
 
-from orchidlane import http1, record
-from orchidlane.config import Duration
-from orchidlane.gateway import handover
-from orchidlane.gateway.knowledge import Knowledge
-from orchidlane.gateway.program import Program
-from orchidlane.gateway.settings import parse_fleet
-from orchidlane.loop import Expired, LoopError
-from orchidlane.rules import Gateway
-from orchidlane.upgrade import giver, messages, taker
+from orchidlane import (http1, recording)
+from orchidlane.config import (Duration)
+from orchidlane.gateway.lifecycle import (hot_restart)
+from orchidlane.gateway.control.configuration import (Knowledge)
+from orchidlane.gateway.lifecycle.process import (Program)
+from orchidlane.gateway.control.settings import (parse_fleet)
+from orchidlane.runtime import (Expired, LoopError)
+from orchidlane.policy.gateway import (Gateway)
+from orchidlane.hot_restart import (old_process, messages, new_process)
 
 
 class Upgraded(House):
@@ -144,7 +144,7 @@
 def settle(house: Upgraded) -> Program:
     """Wait for the end of load and upgrade: the one program that serves."""
     house.until(lambda: not house.loading)
-    phases = (giver.Phase.SERVING, giver.Phase.ENDED)
+    phases = (old_process.Phase.SERVING, old_process.Phase.ENDED)
     house.until(
         lambda: all(
             p.giving.machine.phase in phases
@@ -183,8 +183,8 @@
         assert house.longest < 60 * MS
         assert counted(program) == sent_on(house)
         old, new = house.programs
-        assert (old.giving.machine.phase, old.giving.machine.latest) == (giver.Phase.ENDED, "passed")
-        assert new.taking.machine.phase is taker.Phase.FREE
+        assert (old.giving.machine.phase, old.giving.machine.latest) == (old_process.Phase.ENDED, "passed")
+        assert new.taking.machine.phase is new_process.Phase.FREE
         assert new is program
         assert not house.processes[0].tasks
         assert new.incarnation == old.incarnation
@@ -213,7 +213,7 @@
     """A build that does something wrong when its machine is told this."""
 
     def spoil(program: Program) -> None:
-        def feed(self, told, feed=handover.TakingSide.feed) -> None:
+        def feed(self, told, feed=hot_restart.TakingSide.feed) -> None:
             if isinstance(told, event) and program.take_over and self.program is program:
                 if what == "raise" and program.loop.current is not None:
                     raise RuntimeError("a broken build")
@@ -237,7 +237,7 @@
 @pytest.fixture
 def spoilable(monkeypatch):
     """Lets a program break its own taking side."""
-    feed = handover.TakingSide.feed
+    feed = hot_restart.TakingSide.feed
 
     def own(self, told) -> None:
         spoilt = getattr(self.program, "feed_of_taking", None)
@@ -246,10 +246,10 @@
         else:
             spoilt(self, told, feed)
 
-    monkeypatch.setattr(handover.TakingSide, "feed", own)
+    monkeypatch.setattr(hot_restart.TakingSide, "feed", own)
 
 
-EVENTS = (taker.Offered, taker.CameWhole, taker.WasFit, taker.CameFinal, taker.Ticked)
+EVENTS = (new_process.Offered, new_process.CameWhole, new_process.WasFit, new_process.CameFinal, new_process.Ticked)
 
 
 @pytest.mark.parametrize("what", ["crash", "hang", "raise", "garbage"])
@@ -262,7 +262,7 @@
         house.loop.sleep(500 * MS)
         house.upgrade(broken_at(event, what))
         house.until(lambda: len(house.programs) == 2)
-        if event is taker.Released:  # it stands alone by then: what it held is lost with it, as in any crash
+        if event is new_process.Released:  # it stands alone by then: what it held is lost with it, as in any crash
             house.loop.sleep(8 * SECOND)
             return
         program = settle(house)
@@ -310,19 +310,19 @@
 
 def test_a_client_answered_as_its_successor_dies_returning_hears_nothing_more(monkeypatch):
     """Guards against an answer to a client that is owed none."""
-    send = handover.Channel.send
+    send = hot_restart.Channel.send
 
     def test(house: Upgraded) -> None:
         def dying(self, message, handle=None) -> None:
             send(self, message, handle)
-            returning = house.programs[-1].taking.machine.phase is taker.Phase.RETURNING
+            returning = house.programs[-1].taking.machine.phase is new_process.Phase.RETURNING
             if returning and isinstance(message, messages.Idle) and not message.back:
                 house.world.kill(house.processes[1])
                 house.loop.park()
 
         house.upgrade()
         house.until(lambda: len(house.programs) == 2 and house.programs[1] in house.serving())
-        monkeypatch.setattr(handover.Channel, "send", dying)
+        monkeypatch.setattr(hot_restart.Channel, "send", dying)
         client = house.connect()
         client.send(GET)
         house.loop.sleep(4 * MS)
@@ -343,7 +343,7 @@
 @pytest.mark.parametrize("side", ["old", "new"])
 def test_a_kill_of_either_side_at_any_message_leaves_one_that_serves(monkeypatch, side):
     """The n-th message of the channel is the last thing that one of the two lives to see."""
-    send = handover.Channel.send
+    send = hot_restart.Channel.send
 
     def run(point: int | str) -> tuple[str, int]:
         sent, ends = [0], []
@@ -358,7 +358,7 @@
                 if house.loop.process is victim and house.loop.current is not None:
                     house.loop.park()  # no line of it runs after that
 
-        monkeypatch.setattr(handover.Channel, "send", counting)
+        monkeypatch.setattr(hot_restart.Channel, "send", counting)
         house = Upgraded(slow, slow, slow, slow, trial=400 * MS)
 
         def test(house: Upgraded) -> None:
@@ -378,7 +378,7 @@
             lost = 6 if side == "old" else int(point == "Answering")
             assert house.statuses[0] <= lost, (point, ends, house.statuses)
             assert house.statuses[502] <= 3
-            moment = program is not house.programs[0] and program.taking.machine.phase is taker.Phase.FREE
+            moment = program is not house.programs[0] and program.taking.machine.phase is new_process.Phase.FREE
             if side == "new" or (moment and program.incarnation == house.programs[0].incarnation):
                 # what it counted may not have left any more: the one request that was on its way then
                 told_in_vain = 3 if point == "Count" else 1
@@ -565,13 +565,13 @@
         return False if self in broken else admits(self, request)
 
     monkeypatch.setattr(Gateway, "_admits", refuses)
-    go_on = handover.TakingSide._begin_trial
+    go_on = hot_restart.TakingSide._begin_trial
 
     def spoilt(self) -> None:
         broken.append(self.program.host.rules)
         go_on(self)
 
-    monkeypatch.setattr(handover.TakingSide, "_begin_trial", spoilt)
+    monkeypatch.setattr(hot_restart.TakingSide, "_begin_trial", spoilt)
 
     def test(house: Upgraded) -> None:
         house.load(6 * SECOND, clients=4)
@@ -645,13 +645,13 @@
 
 
 def test_clients_that_cannot_be_taken_are_closed_between_two_requests(monkeypatch):
-    begin = handover.TakingSide._begin_trial
+    begin = hot_restart.TakingSide._begin_trial
 
     def without_descriptors(self) -> None:
         begin(self)
         self.loop.world.no_descriptors = True
 
-    monkeypatch.setattr(handover.TakingSide, "_begin_trial", without_descriptors)
+    monkeypatch.setattr(hot_restart.TakingSide, "_begin_trial", without_descriptors)
 
     def test(house: Upgraded) -> None:
         idle = house.connect()
@@ -697,7 +697,7 @@
         hello = messages.Hello(messages.FORMAT, "b", "gw-0", 0, 3, plans)
         self.channel.send(msgspec.structs.replace(hello, **change))
 
-    monkeypatch.setattr(handover.TakingSide, "_say_hello", says)
+    monkeypatch.setattr(hot_restart.TakingSide, "_say_hello", says)
 
     def test(house: Upgraded) -> None:
         house.upgrade()
@@ -721,7 +721,7 @@
     for name, data in house.world.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
-    lives = [record.replay(life) for life in record.lives_of(record.read_folder(str(tmp_path)))]
+    lives = [recording.replay(life) for life in recording.lives_of(recording.read_folder(str(tmp_path)))]
     assert len(lives) == 2
     assert all(one.difference is None and not one.unchecked and one.events > 100 for one in lives)
-    assert record.audit_records(record.read_folder(str(tmp_path))).faults == {}
+    assert recording.audit_records(recording.read_folder(str(tmp_path))).faults == {}
