--- a/tests/test_upgrade_model.py
+++ b/tests/test_upgrade_model.py
@@ -14,12 +14,12 @@
 import pytest
 from test_day import quiet  # noqa: F401
 
-from orchidlane.lab.explore import explore
-from orchidlane.upgrade import giver, taker
-from orchidlane.upgrade.health import Answers
-from orchidlane.upgrade.messages import FORMAT, Hello
+from orchidlane.simulation.state_exploration import (explore)
+from orchidlane.hot_restart import (old_process, new_process)
+from orchidlane.hot_restart.probation import (Answers)
+from orchidlane.hot_restart.messages import (FORMAT, Hello)
 
-LAYOUT = giver.Layout("gw", 0, 3, ("p",))
+LAYOUT = old_process.Layout("gw", 0, 3, ("p",))
 HELLO = Hello(FORMAT, "b", "gw", 0, 3, ("p",))
 LATE = 10**12  # a clock at which every deadline is over
 WELL, SICK = Answers(50, 1, 0), Answers(0, 50, 0)
@@ -29,8 +29,8 @@
     """Both processes and the two ways of their channel."""
 
     def __init__(self, faults: int = 2) -> None:
-        self.giver = giver.Giver(LAYOUT)
-        self.taker = taker.Taker()
+        self.giver = old_process.Giver(LAYOUT)
+        self.taker = new_process.Taker()
         self.to_taker: tuple[str, ...] = ()
         self.to_giver: tuple[str, ...] = ()
         self.alive = [True, True]
@@ -70,8 +70,8 @@
 
     def good(self) -> bool:
         """One serves and has nothing more to do with the other; or both were ended."""
-        alone = self.giver.phase is giver.Phase.SERVING and self.serves[0]
-        free = self.taker.phase is taker.Phase.FREE and self.serves[1]
+        alone = self.giver.phase is old_process.Phase.SERVING and self.serves[0]
+        free = self.taker.phase is new_process.Phase.FREE and self.serves[1]
         return alone or free or not any(self.alive)
 
     def moves(self) -> Iterable[tuple[str, World]]:
@@ -93,23 +93,23 @@
             elif self.closed[1] and not self.told[0] and not self.closed[0]:
                 yield "giver hears the end", lambda w: w.end_heard(0)
             if self.waits[0]:
-                yield "giver's time is up", lambda w: w.give(w.giver.deadline, giver.Ticked())
-                yield "giver's time was up long ago", lambda w: w.give(LATE, giver.Ticked())
-            if self.giver.phase is giver.Phase.PARTING:
-                yield "giver is drained", lambda w: w.give(0, giver.Drained())
+                yield "giver's time is up", lambda w: w.give(w.giver.deadline, old_process.Ticked())
+                yield "giver's time was up long ago", lambda w: w.give(LATE, old_process.Ticked())
+            if self.giver.phase is old_process.Phase.PARTING:
+                yield "giver is drained", lambda w: w.give(0, old_process.Drained())
         if self._runs(1):
             if self.to_taker:
                 yield f"taker hears {self.to_taker[0]}", World.taker_hears
             elif self.closed[0] and not self.told[1] and not self.closed[1]:
                 yield "taker hears the end", lambda w: w.end_heard(1)
             if self.waits[1]:
-                yield "taker's time is up", lambda w: w.take(LATE, taker.Ticked())
+                yield "taker's time is up", lambda w: w.take(LATE, new_process.Ticked())
             if self.checking:
-                yield "taker is fit", lambda w: w.checked(taker.WasFit())
-                yield "taker is unfit", lambda w: w.checked(taker.WasUnfit("no"))
-            if self.taker.phase is taker.Phase.RETURNING:
-                yield "taker is drained", lambda w: w.take(0, taker.Drained())
-            if self.taker.phase is taker.Phase.TRIAL and len(self.to_giver) < 3:
+                yield "taker is fit", lambda w: w.checked(new_process.WasFit())
+                yield "taker is unfit", lambda w: w.checked(new_process.WasUnfit("no"))
+            if self.taker.phase is new_process.Phase.RETURNING:
+                yield "taker is drained", lambda w: w.take(0, new_process.Drained())
+            if self.taker.phase is new_process.Phase.TRIAL and len(self.to_giver) < 3:
                 yield "taker fares badly", lambda w: w.say(1, "sick")
 
     def _mishaps(self):
@@ -126,9 +126,9 @@
             if self._runs(side) and not self.closed[side]:
                 yield f"!{name} talks nonsense", lambda w, s=side: w.fault(lambda: w.say(s, "nonsense"))
         if self._runs(0) and not self.stopped:
-            yield "!giver is asked to end", lambda w: w.fault(lambda: w.give(0, giver.Stopped()))
+            yield "!giver is asked to end", lambda w: w.fault(lambda: w.give(0, old_process.Stopped()))
         if self._runs(1) and not self.stopped:
-            yield "!taker is asked to end", lambda w: w.fault(lambda: w.take(0, taker.Stopped()))
+            yield "!taker is asked to end", lambda w: w.fault(lambda: w.take(0, new_process.Stopped()))
 
     # -- what happens
 
@@ -152,64 +152,64 @@
     def end_heard(self, side: int) -> None:
         self.told[side] = True
         if side:
-            self.take(0, taker.Lost())
+            self.take(0, new_process.Lost())
         else:
-            self.give(0, giver.Lost(1))
+            self.give(0, old_process.Lost(1))
 
     def giver_hears(self) -> None:
         word, self.to_giver = self.to_giver[0], self.to_giver[1:]
         told: dict[str, Any] = {
-            "hello": giver.Called(1, HELLO),
-            "warm": giver.WasWarm(1),
-            "started": giver.HasStarted(1),
-            "pulse": giver.Pulsed(1, WELL, WELL),
-            "sick": giver.Pulsed(1, SICK, WELL),
-            "unfit": giver.WasUnfit(1, "no"),
-            "nonsense": giver.WasUnfit(1, "garbage"),
-            "returned": giver.WasReturned(1),
+            "hello": old_process.Called(1, HELLO),
+            "warm": old_process.WasWarm(1),
+            "started": old_process.HasStarted(1),
+            "pulse": old_process.Pulsed(1, WELL, WELL),
+            "sick": old_process.Pulsed(1, SICK, WELL),
+            "unfit": old_process.WasUnfit(1, "no"),
+            "nonsense": old_process.WasUnfit(1, "garbage"),
+            "returned": old_process.WasReturned(1),
         }
         self.give(LATE if word == "pulse" else 0, told[word])
 
     def taker_hears(self) -> None:
         word, self.to_taker = self.to_taker[0], self.to_taker[1:]
         told: dict[str, Any] = {
-            "offer": taker.Offered(),
-            "whole": taker.CameWhole(),
-            "final": taker.CameFinal(),
-            "recall": taker.Recalled("sick"),
-            "release": taker.Released(),
-            "abort": taker.Aborted("no"),
-            "nonsense": taker.WasUnfit("garbage"),
+            "offer": new_process.Offered(),
+            "whole": new_process.CameWhole(),
+            "final": new_process.CameFinal(),
+            "recall": new_process.Recalled("sick"),
+            "release": new_process.Released(),
+            "abort": new_process.Aborted("no"),
+            "nonsense": new_process.WasUnfit("garbage"),
         }
         self.take(0, told[word])
 
     def give(self, now: int, event) -> None:
-        self.waits[0] = False if isinstance(event, giver.Ticked) else self.waits[0]
+        self.waits[0] = False if isinstance(event, old_process.Ticked) else self.waits[0]
         self.giver.deadline = min(self.giver.deadline, 1)  # the clock's figure makes no other state
         for action in self.giver.handle(now, event):
             match action:
-                case giver.MakeOffer():
+                case old_process.MakeOffer():
                     self.say(0, "offer")
                     self.say(0, "whole")
-                case giver.TurnAway():
+                case old_process.TurnAway():
                     self.say(0, "abort")
                     self.closed[0] = True
-                case giver.Commit():
+                case old_process.Commit():
                     self.serves[0] = False
                     self.say(0, "final")
-                case giver.AskBack():
+                case old_process.AskBack():
                     self.say(0, "recall")
-                case giver.Kill():
+                case old_process.Kill():
                     self.die(1)
-                case giver.TakeBack():
+                case old_process.TakeBack():
                     self.serves[0] = True
-                case giver.Settle():
+                case old_process.Settle():
                     self.closed[0] = True
-                case giver.LetGo():
+                case old_process.LetGo():
                     self.say(0, "release")
-                case giver.End():
+                case old_process.End():
                     self.die(0)
-                case giver.Wake():
+                case old_process.Wake():
                     self.waits[0] = True
 
     def checked(self, event) -> None:
@@ -217,35 +217,35 @@
         self.take(0, event)
 
     def take(self, now: int, event) -> None:
-        self.waits[1] = False if isinstance(event, taker.Ticked) else self.waits[1]
+        self.waits[1] = False if isinstance(event, new_process.Ticked) else self.waits[1]
         self.carry_out(self.taker.handle(now, event))
 
     def carry_out(self, actions) -> None:
         for action in actions:
             match action:
-                case taker.SayHello():
+                case new_process.SayHello():
                     self.say(1, "hello")
-                case taker.Check():
+                case new_process.Check():
                     self.checking = True
-                case taker.SayWarm():
+                case new_process.SayWarm():
                     self.say(1, "warm")
-                case taker.Serve():
+                case new_process.Serve():
                     self.serves[1] = True
                     self.say(1, "started")
-                case taker.SayPulse():
+                case new_process.SayPulse():
                     if len(self.to_giver) < 3:
                         self.say(1, "pulse")
-                case taker.StandAlone():
+                case new_process.StandAlone():
                     if self.alive[0]:
                         self.die(0)
                     self.serves[1] = True
-                case taker.StopServing():
+                case new_process.StopServing():
                     self.serves[1] = False
                     self.say(1, "returned")
-                case taker.Exit():
+                case new_process.Exit():
                     self.say(1, "unfit")
                     self.die(1)
-                case taker.Wake():
+                case new_process.Wake():
                     self.waits[1] = True
 
 
@@ -266,26 +266,26 @@
     "phase, event, instead",
     [
         # takes back as soon as the successor is silent, without making sure
-        (giver.Phase.COMMITTED, giver.Ticked, lambda g, now, e: g.actions.append(giver.TakeBack("silent"))),
+        (old_process.Phase.COMMITTED, old_process.Ticked, lambda g, now, e: g.actions.append(old_process.TakeBack("silent"))),
         # takes back on a sick successor's word alone
-        (giver.Phase.COMMITTED, giver.WasUnfit, lambda g, now, e: g.actions.append(giver.TakeBack("unfit"))),
+        (old_process.Phase.COMMITTED, old_process.WasUnfit, lambda g, now, e: g.actions.append(old_process.TakeBack("unfit"))),
     ],
 )
 def test_a_giver_that_does_not_fence_is_found(monkeypatch, phase, event, instead):
-    monkeypatch.setitem(giver.TABLE, (phase, event), instead)
+    monkeypatch.setitem(old_process.TABLE, (phase, event), instead)
     assert explore(model()).wrong[0][0] == "both serve"
 
 
 def test_a_giver_that_forgets_a_dead_successor_is_found(monkeypatch):
-    monkeypatch.delitem(giver.TABLE, (giver.Phase.FENCING, giver.Lost))
+    monkeypatch.delitem(old_process.TABLE, (old_process.Phase.FENCING, old_process.Lost))
     assert explore(model()).stuck
 
 
 def test_a_taker_that_goes_on_after_a_recall_is_found(monkeypatch):
     monkeypatch.setitem(
-        taker.TABLE, (taker.Phase.TRIAL, taker.Recalled), lambda t, now, e: t.actions.append(taker.SayPulse())
+        new_process.TABLE, (new_process.Phase.TRIAL, new_process.Recalled), lambda t, now, e: t.actions.append(new_process.SayPulse())
     )
     found = explore(model())
     assert (found.stuck, found.wrong) == ([], [])  # it is killed after a while
-    monkeypatch.delitem(giver.TABLE, (giver.Phase.RECALLING, giver.Ticked))
+    monkeypatch.delitem(old_process.TABLE, (old_process.Phase.RECALLING, old_process.Ticked))
     assert explore(model()).stuck
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -7,23 +7,13 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platformhouse import (
-    MS,
-    SECOND,
-    Discovery,
-    PlatformHouse,
-    RealPlatformHouse,
-    call,
-    file,
-    instance,
-    settings,
-)
+from harness.platform_house import (MS, SECOND, Discovery, PlatformHouse, RealPlatformHouse, call, file, instance, settings)
 
-from orchidlane.gateway.lines import LineTooLong, Objects
-from orchidlane.loop import CONTROL, Closed, NotConnected
-from orchidlane.platform import asking
-from orchidlane.platform.asking import Asking, retry_interval
-from orchidlane.platform.discovery import LEFT_LEAST, NODES_MOST, ListRefused, Tracker
+from orchidlane.gateway.control.json_stream import (LineTooLong, Objects)
+from orchidlane.runtime import (CONTROL, Closed, NotConnected)
+from orchidlane.platform import (polling)
+from orchidlane.platform.polling import (Asking, retry_interval)
+from orchidlane.platform.discovery import (LEFT_LEAST, NODES_MOST, ListRefused, Tracker)
 
 WORLDS = pytest.mark.parametrize("world", [PlatformHouse, RealPlatformHouse])
 GRACE = SECOND  # of drains, in the settings of these tests
@@ -33,12 +23,12 @@
 
 
 def test_the_times_of_a_silent_watch_add_up_to_what_it_counts_as_told():
-    assert asking.SILENCE >= asking.HEARTBEAT + 100 * MS  # else a healthy one is broken
+    assert polling.SILENCE >= polling.HEARTBEAT + 100 * MS  # else a healthy one is broken
     for grace in (1, 300 * MS, 500 * MS, SECOND, 5 * SECOND):
         again = retry_interval(grace)
-        assert asking.SILENCE + 7 * again <= asking.TOLD
-        assert again <= max(asking.RETRY_LEAST, grace // 2)  # after an outage two calls fit into the grace
-    assert asking.SILENCE + 2 * asking.BACKOFF_MOST < asking.TOLD
+        assert polling.SILENCE + 7 * again <= polling.TOLD
+        assert again <= max(polling.RETRY_LEAST, grace // 2)  # after an outage two calls fit into the grace
+    assert polling.SILENCE + 2 * polling.BACKOFF_MOST < polling.TOLD
 
 
 EVENTS = st.lists(
@@ -64,10 +54,10 @@
         number, given_up = clock.ask(now)
         open_calls = [one for one in open_calls if one not in given_up]
         open_calls += [number] if number is not None else []
-        assert len(open_calls) <= asking.CALLS
+        assert len(open_calls) <= polling.CALLS
         assert set(open_calls) == {*clock.waiting, *([clock.following] if clock.following else [])}
         if clock.following is None:
-            assert clock.next_look() <= now + asking.BACKOFF_MOST
+            assert clock.next_look() <= now + polling.BACKOFF_MOST
         else:
             assert clock.next_look() is None and number is None and not clock.waiting
 
@@ -239,9 +229,9 @@
             ]
             house.scope.spawn(trickle, house, piece)
         drains(house)
-        house.until(lambda: is_known(house), within(house, asking.TOLD))
+        house.until(lambda: is_known(house), within(house, polling.TOLD))
         assert len(house.discovery.asked) == 2
-        assert house.loop.now() - began < within(house, asking.TOLD)
+        assert house.loop.now() - began < within(house, polling.TOLD)
 
     run(world, test)
 
@@ -249,7 +239,7 @@
 @WORLDS
 def test_a_watch_that_is_reset_is_opened_anew_at_once(world):
     def test(house):
-        house.loop.sleep(asking.HEARTBEAT)  # it spoke for a while
+        house.loop.sleep(polling.HEARTBEAT)  # it spoke for a while
         drains(house)
         house.discovery.streams[0].abort()
         house.until(lambda: is_known(house), within(house, GRACE // 2))
@@ -260,7 +250,7 @@
 @WORLDS
 def test_a_healthy_watch_that_only_beats_is_left_alone(world):
     def test(house):
-        house.loop.sleep(3 * asking.HEARTBEAT)
+        house.loop.sleep(3 * polling.HEARTBEAT)
         assert len(house.discovery.asked) == 1 and len(house.life.front.connections) == 0
 
     run(world, test)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from orchidlane import interface as api
-from orchidlane import wire, wirehost
+from orchidlane.policy import (interface as api)
+from orchidlane.simulator_protocol import (codec, process)
 
 ROOT = Path(__file__).parent.parent
 
@@ -70,19 +70,19 @@
 HOST = bytes.fromhex("0a124a072b23")
 
 
-def raw(text: str, size: int = wire.EVENT_SIZE) -> bytes:
+def raw(text: str, size: int = codec.EVENT_SIZE) -> bytes:
     """A record of the protocol note, zeros to its size."""
     return bytes.fromhex(text.replace(" ", "")).ljust(size, b"\0")
 
 
 def decode(*records: bytes, tail: bytes = b""):
     """The events of one frame."""
-    return wire.Decoder().frame(len(records), b"".join(records) + tail)
+    return codec.Decoder().frame(len(records), b"".join(records) + tail)
 
 
 def encode(*actions: api.Action) -> bytes:
     """The reply's bytes after its header."""
-    encoder = wire.Encoder()
+    encoder = codec.Encoder()
     for action in actions:
         encoder.add(3, action)
     return encoder.reply()[8:]
@@ -103,7 +103,7 @@
 def play(*frames: bytes) -> bytes:
     """What the process answers."""
     sink = io.BytesIO()
-    wirehost.serve(io.BytesIO(b"".join(frames)), sink)
+    process.serve(io.BytesIO(b"".join(frames)), sink)
     return sink.getvalue()
 
 
@@ -215,7 +215,11 @@
 @pytest.mark.parametrize("bad", BAD_INPUT.values(), ids=BAD_INPUT.keys())
 def test_malformed_input_ends_with_one_plain_line(bad):
     done = subprocess.run(
-        [sys.executable, "-m", "orchidlane.wirehost"], input=bad, capture_output=True, cwd=ROOT, check=False
+        [sys.executable, "-m", "orchidlane.simulator_protocol.process"],
+        input=bad,
+        capture_output=True,
+        cwd=ROOT,
+        check=False,
     )
     assert done.returncode != 0
     assert done.stdout == b""
@@ -225,13 +229,13 @@
 
 @pytest.mark.parametrize("path", [("rank",), ("rules", "coldFrom"), ("familyInfo", "peerIntake")])
 def test_a_missing_key_is_named(path):
-    with pytest.raises(wire.WireError, match=path[-1]):
-        wire.parse_settings(json.dumps(without(*path)).encode())
+    with pytest.raises(codec.WireError, match=path[-1]):
+        codec.parse_settings(json.dumps(without(*path)).encode())
 
 
 def test_unknown_keys_are_passed_over():
     more = {**SETTINGS, "new": 1, "rules": {**SETTINGS["rules"], "newer": 2}}
-    assert wire.parse_settings(json.dumps(more).encode()) == wire.parse_settings(
+    assert codec.parse_settings(json.dumps(more).encode()) == codec.parse_settings(
         json.dumps(SETTINGS).encode()
     )
 
@@ -242,7 +246,7 @@
     def broken(*_):
         raise RuntimeError("no such thing")
 
-    monkeypatch.setattr(wirehost.Gateway, "handle", broken)
+    monkeypatch.setattr(process.Gateway, "handle", broken)
     reply = play(frame(start, tail=text), frame(raw("01 0100")))
     assert b"RuntimeError: no such thing" in reply
     assert reply[-24 - len("RuntimeError: no such thing")] == 74
