--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -22,14 +22,14 @@
 import msgspec
 import structlog
 
-from orchidlane.rollout.canary_analysis import (KINDS, Judge, Tally)
-from orchidlane.rollout.version import (Parts, name_of)
-from orchidlane.config import (Duration)
-from orchidlane.gateway.control.settings import (parse_fleet)
-from orchidlane.gateway.rollout_agent.admin_api import (Order)
-from orchidlane.simulation.rollout_scenarios import (Story, VersionFleet)
-from orchidlane.simulation.scenario import (load_day)
-from orchidlane.simulation.process_fleet import (ProcessFleet, play_fleet)
+from orchidlane.config import Duration
+from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.gateway.rollout_agent.admin_api import Order
+from orchidlane.rollout.canary_analysis import KINDS, Judge, Tally
+from orchidlane.rollout.version import Parts, name_of
+from orchidlane.simulation.process_fleet import ProcessFleet, play_fleet
+from orchidlane.simulation.rollout_scenarios import Story, VersionFleet
+from orchidlane.simulation.scenario import load_day
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 RULES = (MATERIALS / "openapi.yaml").read_bytes()
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -96,9 +96,9 @@
 
 def list_server(port: int, node_port: int) -> None:
     """A node list with one node that is ready."""
-    from orchidlane.gateway.control.endpoint_list import (NodeLine)
-    from orchidlane.simulation.fake_servers import (NodeList)
-    from orchidlane.runtime import (Loop, RealWorld)
+    from orchidlane.gateway.control.endpoint_list import NodeLine
+    from orchidlane.runtime import Loop, RealWorld
+    from orchidlane.simulation.fake_servers import NodeList
 
     loop = Loop(RealWorld())
 
--- a/benchmarks/index.py
+++ b/benchmarks/index.py
@@ -14,12 +14,12 @@
 import msgspec
 
 from benchmarks.layers import MATERIALS
-from orchidlane.policy import (interface as api)
-from orchidlane import (recording)
-from orchidlane.gateway.control.settings import (module_settings, parse_fleet)
-from orchidlane.recording.index import (request_of)
-from orchidlane.routes import (build, load_description)
-from orchidlane.policy.gateway import (Gateway)
+from orchidlane import recording
+from orchidlane.gateway.control.settings import module_settings, parse_fleet
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.recording.index import request_of
+from orchidlane.routes import build, load_description
 
 LOOKS = 50
 
--- a/benchmarks/layers.py
+++ b/benchmarks/layers.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from orchidlane import (http1)
-from orchidlane.policy import (interface as api)
-from orchidlane.gateway.control.settings import (module_settings, parse_fleet)
-from orchidlane.routes import (build, load_description)
-from orchidlane.policy.gateway import (Gateway)
+from orchidlane import http1
+from orchidlane.gateway.control.settings import module_settings, parse_fleet
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.routes import build, load_description
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 REQUEST = (
--- a/benchmarks/roll.py
+++ b/benchmarks/roll.py
@@ -11,8 +11,8 @@
 import statistics
 import time
 
-from orchidlane.hot_restart import (rolling_batches, rolling_upgrade)
-from orchidlane.hot_restart.probation import (Answers)
+from orchidlane.hot_restart import rolling_batches, rolling_upgrade
+from orchidlane.hot_restart.probation import Answers
 
 FLEETS = 60
 
@@ -20,10 +20,14 @@
 def fleet(rng: random.Random, size: int) -> tuple[rolling_batches.Fleet, rolling_batches.Limits]:
     halls = rng.randint(1, 5)
     loads = [rng.lognormvariate(3, 0.6) for _ in range(size)]
-    members = tuple(rolling_batches.Member(n, f"hall-{n * halls // size}", load) for n, load in enumerate(loads))
+    members = tuple(
+        rolling_batches.Member(n, f"hall-{n * halls // size}", load) for n, load in enumerate(loads)
+    )
     spreads = tuple(sorted({rng.choice((1, 2, 3, 4, 6, 8)) for _ in range(rng.randint(1, 3))}))
     share, set_share, load = rng.choice((0.1, 0.25, 0.5)), rng.choice((0.34, 0.5)), rng.choice((0.2, 0.34))
-    return rolling_batches.Fleet(members, spreads), rolling_batches.Limits(share, set_share, rng.randint(1, 2), load)
+    return rolling_batches.Fleet(members, spreads), rolling_batches.Limits(
+        share, set_share, rng.randint(1, 2), load
+    )
 
 
 def batches(made: rolling_batches.Fleet, limits: rolling_batches.Limits) -> int:
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -9,7 +9,7 @@
 import re
 import time
 
-from orchidlane.routes import (Tree)
+from orchidlane.routes import Tree
 
 WORDS = [f"w{number}" for number in range(400)]
 
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -9,7 +9,7 @@
 import random
 import time
 
-from orchidlane.runtime.timers import (Timers)
+from orchidlane.runtime.timers import Timers
 
 SLOT_BITS, LEVELS, TICK = 8, 5, 1_000  # 256 slots a level, 1 ms a tick
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -23,17 +23,17 @@
 import msgspec
 
 from benchmarks.layers import MATERIALS
-from orchidlane import (recording)
-from orchidlane.cli.views import (open_state)
-from orchidlane.config import (Duration)
-from orchidlane.gateway.control.settings import (address, parse_fleet)
-from orchidlane.simulation.audit import (Verdict)
-from orchidlane.simulation.backends import (RealBacking, play_while)
-from orchidlane.simulation.mutants import (BROKEN, make_build)
-from orchidlane.simulation.scenario import (Runner, Step, load_day, make_plan)
-from orchidlane.simulation.observations import (Try)
-from orchidlane.runtime import (Loop, RealWorld)
-from orchidlane.resp import (encode)
+from orchidlane import recording
+from orchidlane.cli.views import open_state
+from orchidlane.config import Duration
+from orchidlane.gateway.control.settings import address, parse_fleet
+from orchidlane.resp import encode
+from orchidlane.runtime import Loop, RealWorld
+from orchidlane.simulation.audit import Verdict
+from orchidlane.simulation.backends import RealBacking, play_while
+from orchidlane.simulation.mutants import BROKEN, make_build
+from orchidlane.simulation.observations import Try
+from orchidlane.simulation.scenario import Runner, Step, load_day, make_plan
 
 RATE = 100.0  # requests a second
 SPAN = 3_600  # seconds: the load ends with the work
--- a/orchidlane/__main__.py
+++ b/orchidlane/__main__.py
@@ -1,5 +1,5 @@
 """``python -m orchidlane``."""
 
-from orchidlane.cli import (main)
+from orchidlane.cli import main
 
 main()
--- a/orchidlane/cli/change.py
+++ b/orchidlane/cli/change.py
@@ -12,17 +12,17 @@
 import msgspec
 import structlog
 
-from orchidlane.rollout.shard_migration import (versions_between)
-from orchidlane.rollout.rollback import (Conflict, customers_without, rules_without)
-from orchidlane.rollout.version import (Parts, Version, name_of)
-from orchidlane.gateway.control.configuration import (make_knowledge, read_sources)
-from orchidlane.gateway.control.settings import (Fleet, address, load_fleet, read_secret)
-from orchidlane.gateway.rollout_agent.admin_api import (Order, Status)
-from orchidlane.gateway.rollout_agent.admin_client import (PREFIX, FetchError, call)
-from orchidlane.gateway.rollout_agent.settings import (check_terms)
-from orchidlane.gateway.rollout_agent.agent import (Outcome, accounts_of)
-from orchidlane.runtime import (Loop, RealWorld)
-from orchidlane.cli.errors import (clear_errors)
+from orchidlane.cli.errors import clear_errors
+from orchidlane.gateway.control.configuration import make_knowledge, read_sources
+from orchidlane.gateway.control.settings import Fleet, address, load_fleet, read_secret
+from orchidlane.gateway.rollout_agent.admin_api import Order, Status
+from orchidlane.gateway.rollout_agent.admin_client import PREFIX, FetchError, call
+from orchidlane.gateway.rollout_agent.agent import Outcome, accounts_of
+from orchidlane.gateway.rollout_agent.settings import check_terms
+from orchidlane.rollout.rollback import Conflict, customers_without, rules_without
+from orchidlane.rollout.shard_migration import versions_between
+from orchidlane.rollout.version import Parts, Version, name_of
+from orchidlane.runtime import Loop, RealWorld
 
 CALL_WITHIN = 8_000_000  # microseconds
 INSIST = 15.0  # seconds that a command is told again while nobody leads
--- a/orchidlane/cli/errors.py
+++ b/orchidlane/cli/errors.py
@@ -8,11 +8,11 @@
 
 import click
 
-from orchidlane.config import (ConfigError)
-from orchidlane.gateway.control.customers import (CustomersError)
-from orchidlane.gateway.telemetry.policy_views import (ViewError)
-from orchidlane.recording import (FormatError)
-from orchidlane.routes import (DescriptionError)
+from orchidlane.config import ConfigError
+from orchidlane.gateway.control.customers import CustomersError
+from orchidlane.gateway.telemetry.policy_views import ViewError
+from orchidlane.recording import FormatError
+from orchidlane.routes import DescriptionError
 
 UNUSABLE = 2
 UNCHECKED = 3  # no, but not all of it could be checked
--- a/orchidlane/cli/main.py
+++ b/orchidlane/cli/main.py
@@ -15,14 +15,14 @@
 import click
 import structlog
 
-from orchidlane import (config)
-from orchidlane.gateway.control.settings import (load_fleet, schema)
-from orchidlane.routes import (Match, build, load_description)
-from orchidlane.cli import (tools)
-from orchidlane.cli.change import (change)
-from orchidlane.cli.errors import (clear_errors)
-from orchidlane.cli.roll import (roll)
-from orchidlane.cli.upgrade import (upgrade)
+from orchidlane import config
+from orchidlane.cli import tools
+from orchidlane.cli.change import change
+from orchidlane.cli.errors import clear_errors
+from orchidlane.cli.roll import roll
+from orchidlane.cli.upgrade import upgrade
+from orchidlane.gateway.control.settings import load_fleet, schema
+from orchidlane.routes import Match, build, load_description
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -51,7 +51,7 @@
 @click.option("--ready-fd", type=int, default=-1, help="A line is written to this descriptor once it serves.")
 def gateway(settings: str, rank: int, folder: str | None, take_over: bool, ready_fd: int) -> None:
     """Run one gateway of the fleet until SIGTERM."""
-    from orchidlane.cli.run import (run_gateway)
+    from orchidlane.cli.run import run_gateway
 
     with clear_errors():
         failed = run_gateway(load_fleet(settings), rank, folder, take_over, ready_fd)
@@ -67,7 +67,7 @@
 @click.option("--seconds", type=int, default=0, help="Stop by itself; 0 goes on until Ctrl-C.")
 def up(settings: str, rate: float, nodes: int, seconds: int) -> None:
     """Run a fleet with stand-ins for trying out, and show what it does."""
-    from orchidlane.cli.up import (run_fleet)
+    from orchidlane.cli.up import run_fleet
 
     with clear_errors():
         run_fleet(settings, rate, nodes, seconds)
@@ -77,7 +77,7 @@
 @click.argument("spec")
 def lab_node(spec: str) -> None:
     """Run one stand-in node."""
-    from orchidlane.cli.run import (run_node)
+    from orchidlane.cli.run import run_node
 
     run_node(spec)
 
@@ -93,9 +93,9 @@
     script: str, seed: int, world: str, report: str | None, keep: str | None, bench_day: str | None
 ) -> None:
     """Play a scripted day and audit it: exit 0 only when all five rules held."""
-    from orchidlane.simulation.backends import (play, simulate)
-    from orchidlane.simulation.bench_day import (map_bench_day)
-    from orchidlane.simulation.scenario import (load_day)
+    from orchidlane.simulation.backends import play, simulate
+    from orchidlane.simulation.bench_day import map_bench_day
+    from orchidlane.simulation.scenario import load_day
 
     with clear_errors():
         loaded = load_day(script)
@@ -124,8 +124,8 @@
 @click.option("--jobs", type=int, default=None, help="Days played at once; as many as cores if left out.")
 def seeds(script: str, first: int, count: int, jobs: int | None) -> None:
     """Play random troubles over a script's fleet in the simulated world, a day for each seed."""
-    from orchidlane.simulation.scenario import (load_day)
-    from orchidlane.simulation.random_faults import (broken, play_seeds)
+    from orchidlane.simulation.random_faults import broken, play_seeds
+    from orchidlane.simulation.scenario import load_day
 
     with clear_errors():
         loaded = load_day(script)
--- a/orchidlane/cli/roll.py
+++ b/orchidlane/cli/roll.py
@@ -14,12 +14,12 @@
 
 import click
 
-from orchidlane.gateway.lifecycle.rolling_upgrade import (Kept, Rolling, UnfinishedRoll)
-from orchidlane.gateway.control.settings import (Fleet, load_fleet)
-from orchidlane.runtime import (Loop, RealWorld)
-from orchidlane.hot_restart import (rolling_upgrade as decisions)
-from orchidlane.cli.errors import (UNUSABLE, clear_errors)
-from orchidlane.cli.upgrade import (OWN, successor_command)
+from orchidlane.cli.errors import UNUSABLE, clear_errors
+from orchidlane.cli.upgrade import OWN, successor_command
+from orchidlane.gateway.control.settings import Fleet, load_fleet
+from orchidlane.gateway.lifecycle.rolling_upgrade import Kept, Rolling, UnfinishedRoll
+from orchidlane.hot_restart import rolling_upgrade as decisions
+from orchidlane.runtime import Loop, RealWorld
 
 WAITS = ("/bin/sh", "-c", 'read -r go && exec "$@"', "sh")  # ends by itself if nobody lets it run
 
--- a/orchidlane/cli/run.py
+++ b/orchidlane/cli/run.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from orchidlane.gateway.lifecycle.process import (Program)
-from orchidlane.gateway.control.settings import (Fleet, read_secret)
-from orchidlane.gateway.rollout_agent.settings import (check_terms)
-from orchidlane.simulation.fake_endpoint import (Node, NodeSpec)
-from orchidlane.runtime import (Loop, RealWorld)
-from orchidlane.runtime.signals import (serve)
+from orchidlane.gateway.control.settings import Fleet, read_secret
+from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.gateway.rollout_agent.settings import check_terms
+from orchidlane.runtime import Loop, RealWorld
+from orchidlane.runtime.signals import serve
+from orchidlane.simulation.fake_endpoint import Node, NodeSpec
 
 
 def run_gateway(
--- a/orchidlane/cli/screen.py
+++ b/orchidlane/cli/screen.py
@@ -9,9 +9,9 @@
 from rich.live import Live
 from rich.table import Table
 
-from orchidlane import (http1)
-from orchidlane.runtime import (Expired, Loop, LoopError)
-from orchidlane.runtime.backend import (Address)
+from orchidlane import http1
+from orchidlane.runtime import Expired, Loop, LoopError
+from orchidlane.runtime.backend import Address
 
 EVERY = 1_000_000  # microseconds between two looks
 COLUMNS = {
--- a/orchidlane/cli/tools.py
+++ b/orchidlane/cli/tools.py
@@ -11,16 +11,23 @@
 import click
 from click.shell_completion import get_completion_class
 
-from orchidlane import (recording)
-from orchidlane.gateway.telemetry.policy_views import (Next, View, ViewError, next_nodes, next_request, plan_counts)
-from orchidlane.gateway.control.settings import (address, load_fleet, module_settings)
-from orchidlane.simulation.audit import (audit_folder)
-from orchidlane.runtime import (Loop, RealWorld)
-from orchidlane.recording.segments import (SUFFIX, Entry)
-from orchidlane.routes import (build, load_description)
-from orchidlane.cli.errors import (UNCHECKED, clear_errors)
-from orchidlane.cli.screen import (EVERY, Screen, as_rows)
-from orchidlane.cli.views import (SETTINGS, customer_view, node_view, open_state, places, save_state)
+from orchidlane import recording
+from orchidlane.cli.errors import UNCHECKED, clear_errors
+from orchidlane.cli.screen import EVERY, Screen, as_rows
+from orchidlane.cli.views import SETTINGS, customer_view, node_view, open_state, places, save_state
+from orchidlane.gateway.control.settings import address, load_fleet, module_settings
+from orchidlane.gateway.telemetry.policy_views import (
+    Next,
+    View,
+    ViewError,
+    next_nodes,
+    next_request,
+    plan_counts,
+)
+from orchidlane.recording.segments import SUFFIX, Entry
+from orchidlane.routes import build, load_description
+from orchidlane.runtime import Loop, RealWorld
+from orchidlane.simulation.audit import audit_folder
 
 PRESSED = 10  # customers of each plan that are told by their numbers
 
--- a/orchidlane/cli/up.py
+++ b/orchidlane/cli/up.py
@@ -11,12 +11,12 @@
 import click
 import msgspec
 
-from orchidlane.config import (Duration)
-from orchidlane.gateway.control.settings import (Fleet, address, load_fleet)
-from orchidlane.simulation.backends import (RealBacking)
-from orchidlane.simulation.scenario import (Day, KindEntry, Runner, make_plan)
-from orchidlane.runtime import (BACKGROUND, Loop, RealWorld)
-from orchidlane.cli.screen import (Screen)
+from orchidlane.cli.screen import Screen
+from orchidlane.config import Duration
+from orchidlane.gateway.control.settings import Fleet, address, load_fleet
+from orchidlane.runtime import BACKGROUND, Loop, RealWorld
+from orchidlane.simulation.backends import RealBacking
+from orchidlane.simulation.scenario import Day, KindEntry, Runner, make_plan
 
 PLACES = ("listen", "peer", "admin", "resp")
 KEPT = 100_000  # tries remembered for the closing line
--- a/orchidlane/cli/upgrade.py
+++ b/orchidlane/cli/upgrade.py
@@ -12,11 +12,11 @@
 
 import click
 
-from orchidlane.gateway.control.settings import (load_fleet, upgrade_address)
-from orchidlane.gateway.lifecycle.status_query import (ask_status)
-from orchidlane.runtime import (Loop, RealWorld)
-from orchidlane.hot_restart import (messages)
-from orchidlane.cli.errors import (clear_errors)
+from orchidlane.cli.errors import clear_errors
+from orchidlane.gateway.control.settings import load_fleet, upgrade_address
+from orchidlane.gateway.lifecycle.status_query import ask_status
+from orchidlane.hot_restart import messages
+from orchidlane.runtime import Loop, RealWorld
 
 LOOK_EVERY = 0.1  # seconds between two looks
 ANSWER_WITHIN = 5_000_000  # microseconds
--- a/orchidlane/cli/views.py
+++ b/orchidlane/cli/views.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterator
 from urllib.parse import quote
 
-from orchidlane import (http1, recording)
-from orchidlane.gateway.telemetry.policy_views import (View, ViewError, read_view, saved_view)
-from orchidlane.gateway.control.settings import (address, load_fleet)
-from orchidlane.http1 import (Data, End, Malformed, Response)
+from orchidlane import http1, recording
+from orchidlane.gateway.control.settings import address, load_fleet
+from orchidlane.gateway.telemetry.policy_views import View, ViewError, read_view, saved_view
+from orchidlane.http1 import Data, End, Malformed, Response
 
 PATIENCE = 5.0  # seconds for each piece of a gateway's answer
 VIEW_MOST = 64 << 20  # bytes of a view; a whole state goes to a file instead
--- a/orchidlane/config/load.py
+++ b/orchidlane/config/load.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from orchidlane.config.errors import (ConfigError, Place, Problem)
-from orchidlane.config.quantity import (Duration, Size)
-from orchidlane.config.syntax import (parse)
-from orchidlane.config.unify import (unify)
+from orchidlane.config.errors import ConfigError, Place, Problem
+from orchidlane.config.quantity import Duration, Size
+from orchidlane.config.syntax import parse
+from orchidlane.config.unify import unify
 
 Record = TypeVar("Record")
 FILE_MOST = 8 << 20  # bytes of a settings file
--- a/orchidlane/config/syntax.py
+++ b/orchidlane/config/syntax.py
@@ -18,7 +18,7 @@
 from lark.exceptions import VisitError
 from lark.lark import PostLex
 
-from orchidlane.config.errors import (ConfigError, Place, Problem)
+from orchidlane.config.errors import ConfigError, Place, Problem
 
 GRAMMAR = r"""
 start: (package ",")? body
--- a/orchidlane/config/unify.py
+++ b/orchidlane/config/unify.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from orchidlane.config.errors import (ConfigError, Place, Problem)
-from orchidlane.config.syntax import (Bound, Choice, Expr, List, Literal, Reference, Struct, Unify)
+from orchidlane.config.errors import ConfigError, Place, Problem
+from orchidlane.config.syntax import Bound, Choice, Expr, List, Literal, Reference, Struct, Unify
 
 OPTIONS_MOST = 512  # combinations of options tried for one field
 DEPTH_MOST = 60  # references and fields within each other
--- a/orchidlane/gateway/control/configuration.py
+++ b/orchidlane/gateway/control/configuration.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidlane.runtime.backend import (World)
-from orchidlane.routes import (Generation, build, load_description)
-from orchidlane.gateway.control.customers import (Customers, load_customers)
-from orchidlane.gateway.forwarding.pending_request import (Answer, Exchange)
-from orchidlane.gateway.forwarding.openapi_adapter import (call_of)
-from orchidlane.gateway.control.settings import (Fleet)
+from orchidlane.gateway.control.customers import Customers, load_customers
+from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.forwarding.openapi_adapter import call_of
+from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.routes import Generation, build, load_description
+from orchidlane.runtime.backend import World
 
 
 @dataclass
--- a/orchidlane/gateway/control/customers.py
+++ b/orchidlane/gateway/control/customers.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from orchidlane.gateway.control.settings import (Fleet)
+from orchidlane.gateway.control.settings import Fleet
 
 NUMBER_MOST = 1 << 33  # customers' numbers lie below it
 NUMBER_DIGITS = 12
--- a/orchidlane/gateway/control/endpoint_list.py
+++ b/orchidlane/gateway/control/endpoint_list.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from orchidlane.policy import (interface as api)
+from orchidlane.policy import interface as api
 
 PHASES = {"ready": api.Phase.READY, "draining": api.Phase.DRAINING, "gone": api.Phase.GONE}
 LINE_MOST = 8 << 20  # bytes of one line
--- a/orchidlane/gateway/control/endpoint_watch.py
+++ b/orchidlane/gateway/control/endpoint_watch.py
@@ -5,13 +5,13 @@
 import hashlib
 from collections.abc import Callable
 
-from orchidlane import (http1)
-from orchidlane.policy import (interface as api)
-from orchidlane.http1 import (Malformed)
-from orchidlane.runtime import (Loop, LoopError)
-from orchidlane.gateway.control.json_stream import (LineTooLong, whole_objects)
-from orchidlane.gateway.control.endpoint_list import (LINE_MOST, ListRefused, ListTracker)
-from orchidlane.gateway.control.settings import (Fleet, address)
+from orchidlane import http1
+from orchidlane.gateway.control.endpoint_list import LINE_MOST, ListRefused, ListTracker
+from orchidlane.gateway.control.json_stream import LineTooLong, whole_objects
+from orchidlane.gateway.control.settings import Fleet, address
+from orchidlane.http1 import Malformed
+from orchidlane.policy import interface as api
+from orchidlane.runtime import Loop, LoopError
 
 CONNECT = 2_000_000  # microseconds
 SILENCE = 15_000_000  # the list sends an empty line at least every few seconds; then it is asked anew
--- a/orchidlane/gateway/control/json_stream.py
+++ b/orchidlane/gateway/control/json_stream.py
@@ -5,9 +5,9 @@
 import re
 from collections.abc import Iterator
 
-from orchidlane import (http1)
-from orchidlane.http1 import (Data, End, Response)
-from orchidlane.runtime import (Closed, Loop, NotConnected, Stream)
+from orchidlane import http1
+from orchidlane.http1 import Data, End, Response
+from orchidlane.runtime import Closed, Loop, NotConnected, Stream
 
 STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
 
--- a/orchidlane/gateway/control/settings.py
+++ b/orchidlane/gateway/control/settings.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from orchidlane import (config)
-from orchidlane.policy import (interface as api)
-from orchidlane.config import (Duration, Size)
-from orchidlane.runtime import (Address)
-from orchidlane.routes import (Generation)
+from orchidlane import config
+from orchidlane.config import Duration, Size
+from orchidlane.policy import interface as api
+from orchidlane.routes import Generation
+from orchidlane.runtime import Address
 
 SCHEMA = Path(__file__).with_name("schema.cue")
 SECRET_LEAST = 16  # bytes
--- a/orchidlane/gateway/forwarding/connection_pool.py
+++ b/orchidlane/gateway/forwarding/connection_pool.py
@@ -16,18 +16,30 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from orchidlane import (http1)
-from orchidlane.policy import (interface as api)
-from orchidlane.http1 import (Data, End, Response)
-from orchidlane.policy.interface import (Effect, Outcome)
-from orchidlane.runtime import (BACKGROUND, Address, Cancelled, Closed, Expired, Lingering, Loop, NotConnected, Scope, Stream, Task)
-from orchidlane.gateway.forwarding.pending_request import (Answer, Exchange, Pieces)
-from orchidlane.gateway.forwarding.last_check import (CLIENT_LEFT, Leaving, why_not)
-from orchidlane.gateway.forwarding.connection_reuse import (Reuse)
-from orchidlane.gateway.forwarding.protocol_adapter import (Nodes, Terms)
+from orchidlane import http1
+from orchidlane.gateway.forwarding.connection_reuse import Reuse
+from orchidlane.gateway.forwarding.last_check import CLIENT_LEFT, Leaving, why_not
+from orchidlane.gateway.forwarding.pending_request import Answer, Exchange, Pieces
+from orchidlane.gateway.forwarding.protocol_adapter import Nodes, Terms
+from orchidlane.http1 import Data, End, Response
+from orchidlane.policy import interface as api
+from orchidlane.policy.interface import Effect, Outcome
+from orchidlane.runtime import (
+    BACKGROUND,
+    Address,
+    Cancelled,
+    Closed,
+    Expired,
+    Lingering,
+    Loop,
+    NotConnected,
+    Scope,
+    Stream,
+    Task,
+)
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.forwarding.policy_driver import (Host)
+    from orchidlane.gateway.forwarding.policy_driver import Host
 
 SLICE = 50_000  # microseconds that a write may wait before an early answer is looked for
 SWEEP = 1_000_000  # microseconds between two looks for idle connections
--- a/orchidlane/gateway/forwarding/last_check.py
+++ b/orchidlane/gateway/forwarding/last_check.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from orchidlane.policy import (interface as types)
+from orchidlane.policy import interface as types
 
 MARGIN = 30_000  # microseconds before a keyed window ends: for the way to the node
 CLIENT_LEFT = "client"
--- a/orchidlane/gateway/forwarding/openapi_adapter.py
+++ b/orchidlane/gateway/forwarding/openapi_adapter.py
@@ -7,24 +7,24 @@
 from typing import TYPE_CHECKING
 from urllib.parse import unquote_to_bytes
 
-from orchidlane import (http1)
-from orchidlane.policy import (interface as api)
-from orchidlane.http1 import (Request, Response)
-from orchidlane.policy.interface import (Outcome)
-from orchidlane.runtime import (Address)
-from orchidlane.routes import (Match, Miss, Operation)
-from orchidlane.routes.generation import (give_up_after)
-from orchidlane.gateway.server.error_responses import (HARMLESS, failed, problem, refused)
-from orchidlane.gateway.control.customers import (Customer)
-from orchidlane.gateway.forwarding.pending_request import (Answer, Exchange)
-from orchidlane.gateway.control.endpoint_list import (ListTracker)
-from orchidlane.gateway.forwarding.protocol_adapter import (Call)
-from orchidlane.gateway.control.settings import (Fleet, address)
+from orchidlane import http1
+from orchidlane.gateway.control.customers import Customer
+from orchidlane.gateway.control.endpoint_list import ListTracker
+from orchidlane.gateway.control.settings import Fleet, address
+from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.gateway.forwarding.protocol_adapter import Call
+from orchidlane.gateway.server.error_responses import HARMLESS, failed, problem, refused
+from orchidlane.http1 import Request, Response
+from orchidlane.policy import interface as api
+from orchidlane.policy.interface import Outcome
+from orchidlane.routes import Match, Miss, Operation
+from orchidlane.routes.generation import give_up_after
+from orchidlane.runtime import Address
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.forwarding.policy_driver import (Host)
-    from orchidlane.gateway.control.configuration import (Knowledge)
-    from orchidlane.gateway.telemetry.metrics import (Metrics)
+    from orchidlane.gateway.control.configuration import Knowledge
+    from orchidlane.gateway.forwarding.policy_driver import Host
+    from orchidlane.gateway.telemetry.metrics import Metrics
 
 DROPPED_MOST = 10_000  # operations whose dropped headers are remembered
 VIA = b"1.1 "
--- a/orchidlane/gateway/forwarding/pending_request.py
+++ b/orchidlane/gateway/forwarding/pending_request.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from orchidlane import (http1)
-from orchidlane.policy import (interface as api)
-from orchidlane.runtime import (Loop, Task)
-from orchidlane.gateway.forwarding.protocol_adapter import (Call)
+from orchidlane import http1
+from orchidlane.gateway.forwarding.protocol_adapter import Call
+from orchidlane.policy import interface as api
+from orchidlane.runtime import Loop, Task
 
 HINTS_MOST = 8  # interim answers that wait for a client at a time
 
--- a/orchidlane/gateway/forwarding/policy_driver.py
+++ b/orchidlane/gateway/forwarding/policy_driver.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
-from orchidlane.policy import (interface as api)
-from orchidlane.runtime import (Loop)
-from orchidlane.policy.gateway import (Gateway)
-from orchidlane.gateway.telemetry.counters import (Counts)
-from orchidlane.gateway.forwarding.pending_request import (Answer, Exchange)
-from orchidlane.gateway.forwarding.protocol_adapter import (Clients, Payer)
+from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.gateway.forwarding.protocol_adapter import Clients, Payer
+from orchidlane.gateway.telemetry.counters import Counts
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.runtime import Loop
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.telemetry.traffic_recorder import (Recorder)
-    from orchidlane.gateway.forwarding.connection_pool import (AttemptRun)
+    from orchidlane.gateway.forwarding.connection_pool import AttemptRun
+    from orchidlane.gateway.telemetry.traffic_recorder import Recorder
 
 
 class Lent(Protocol):
--- a/orchidlane/gateway/forwarding/protocol_adapter.py
+++ b/orchidlane/gateway/forwarding/protocol_adapter.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from orchidlane import (http1)
-from orchidlane.policy import (interface as api)
-from orchidlane.runtime import (Address)
+from orchidlane import http1
+from orchidlane.policy import interface as api
+from orchidlane.runtime import Address
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.forwarding.pending_request import (Answer, Exchange)
+    from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from orchidlane import (recording)
-from orchidlane.policy.state import (Account)
-from orchidlane.hot_restart.account_recovery import (Life, survivors)
-from orchidlane.gateway.telemetry.admin_api import (StateFrames)
+from orchidlane import recording
+from orchidlane.gateway.telemetry.admin_api import StateFrames
+from orchidlane.hot_restart.account_recovery import Life, survivors
+from orchidlane.policy.state import Account
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.lifecycle.process import (Program)
+    from orchidlane.gateway.lifecycle.process import Program
 
 SHARE = 20  # of the time, one part at most goes into it
 LATE = 5_000_000  # microseconds beyond two rounds, for a disk or a machine that is slow
--- a/orchidlane/gateway/lifecycle/hot_restart.py
+++ b/orchidlane/gateway/lifecycle/hot_restart.py
@@ -21,24 +21,42 @@
 
 import msgspec
 
-from orchidlane.policy import (interface as api)
-from orchidlane import (recording)
-from orchidlane.runtime import (BACKGROUND, CONTROL, REQUESTS, Cancelled, Closed, Expired, NotConnected, Scope, Stream, Task)
-from orchidlane.runtime.backend import (Handle, show)
-from orchidlane.policy.gateway import (Gateway)
-from orchidlane.hot_restart import (old_process, messages, new_process)
-from orchidlane.hot_restart.probation import (Answers)
-from orchidlane.hot_restart.pre_copy import (PreCopy)
-from orchidlane.hot_restart.tables import (AccountsTable, Carried, NamedTable, hold_back, module_at_moment, module_of)
-from orchidlane.gateway.server.error_responses import (failed)
-from orchidlane.gateway.control.customers import (Customer)
-from orchidlane.gateway.server.http_server import (Connection)
-from orchidlane.gateway.server.resp_server import (Session)
-from orchidlane.gateway.forwarding.protocol_adapter import (Payer)
-from orchidlane.gateway.control.settings import (upgrade_address)
+from orchidlane import recording
+from orchidlane.gateway.control.customers import Customer
+from orchidlane.gateway.control.settings import upgrade_address
+from orchidlane.gateway.forwarding.protocol_adapter import Payer
+from orchidlane.gateway.server.error_responses import failed
+from orchidlane.gateway.server.http_server import Connection
+from orchidlane.gateway.server.resp_server import Session
+from orchidlane.hot_restart import messages, new_process, old_process
+from orchidlane.hot_restart.pre_copy import PreCopy
+from orchidlane.hot_restart.probation import Answers
+from orchidlane.hot_restart.tables import (
+    AccountsTable,
+    Carried,
+    NamedTable,
+    hold_back,
+    module_at_moment,
+    module_of,
+)
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.runtime import (
+    BACKGROUND,
+    CONTROL,
+    REQUESTS,
+    Cancelled,
+    Closed,
+    Expired,
+    NotConnected,
+    Scope,
+    Stream,
+    Task,
+)
+from orchidlane.runtime.backend import Handle, show
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.lifecycle.process import (Program)
+    from orchidlane.gateway.lifecycle.process import Program
 
 HTTP, RESP = "http", "resp"
 WRITE_WITHIN = 5_000_000  # microseconds for a message to be taken
@@ -261,7 +279,11 @@
     @property
     def on_trial(self) -> bool:
         """Whether another process serves in our place, and all could come back."""
-        return self.machine.phase in (old_process.Phase.COMMITTED, old_process.Phase.RECALLING, old_process.Phase.FENCING)
+        return self.machine.phase in (
+            old_process.Phase.COMMITTED,
+            old_process.Phase.RECALLING,
+            old_process.Phase.FENCING,
+        )
 
     def listen(self) -> None:
         """Take calls, if the settings have a folder for the Unix socket."""
@@ -668,7 +690,11 @@
         self.scope.spawn(self._serve, kind=CONTROL, name="upgrade channel")
         self._carry_out_all(self.machine.start(self.loop.now()))
         self._waiting = self.loop.current
-        while self.machine.phase not in (new_process.Phase.TRIAL, new_process.Phase.FREE, new_process.Phase.ENDED):
+        while self.machine.phase not in (
+            new_process.Phase.TRIAL,
+            new_process.Phase.FREE,
+            new_process.Phase.ENDED,
+        ):
             self.loop.park()
         self._waiting = None
         return not self.ended_because
@@ -758,7 +784,9 @@
             case messages.Place():
                 handle = self.channel.stream.take_handle()
                 if handle is None:
-                    self.feed(new_process.WasUnfit(f"the listener {message.name} got lost: no descriptor left?"))
+                    self.feed(
+                        new_process.WasUnfit(f"the listener {message.name} got lost: no descriptor left?")
+                    )
                 else:
                     self.places[message.name] = handle
             case messages.Rows():
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -8,32 +8,32 @@
 
 import structlog
 
-from orchidlane.policy import (interface as api)
-from orchidlane.runtime import (BACKGROUND, CONTROL, PEERS, Loop, Scope, Task)
-from orchidlane.runtime.backend import (Handle)
-from orchidlane.recording import (track)
-from orchidlane.routes import (DescriptionError)
-from orchidlane.policy.gateway import (Gateway)
-from orchidlane.hot_restart import (old_process, messages, new_process)
-from orchidlane.gateway.server import (http_server as http_front)
-from orchidlane.gateway.telemetry.admin_api import (Admin, Names)
-from orchidlane.gateway.peers.datagrams import (CHANGE, LIMITS, MODULE, SIZE_MOST, Inbox, seal)
-from orchidlane.gateway.server.http_server import (Front)
-from orchidlane.gateway.lifecycle.hot_restart import (GivingSide, Lent, TakingSide)
-from orchidlane.gateway.forwarding.policy_driver import (Host)
-from orchidlane.gateway.control.configuration import (Knowledge, make_knowledge, read_sources)
-from orchidlane.gateway.peers.token_requests import (LimitService)
-from orchidlane.gateway.lifecycle.account_store import (Memory)
-from orchidlane.gateway.telemetry.metrics import (Metrics)
-from orchidlane.gateway.control.endpoint_list import (ListTracker)
-from orchidlane.gateway.forwarding.openapi_adapter import (OpenApiClients, OpenApiNodes)
-from orchidlane.gateway.telemetry.traffic_recorder import (Recorder)
-from orchidlane.gateway.server.resp_server import (RespFront, Session)
-from orchidlane.gateway.control.settings import (Fleet, address, module_settings, upgrade_address)
-from orchidlane.gateway.forwarding.connection_pool import (Upstream)
-from orchidlane.gateway.rollout_agent.admin_api import (Desk)
-from orchidlane.gateway.rollout_agent.agent import (Versions)
-from orchidlane.gateway.control.endpoint_watch import (Watch)
+from orchidlane.gateway.control.configuration import Knowledge, make_knowledge, read_sources
+from orchidlane.gateway.control.endpoint_list import ListTracker
+from orchidlane.gateway.control.endpoint_watch import Watch
+from orchidlane.gateway.control.settings import Fleet, address, module_settings, upgrade_address
+from orchidlane.gateway.forwarding.connection_pool import Upstream
+from orchidlane.gateway.forwarding.openapi_adapter import OpenApiClients, OpenApiNodes
+from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.lifecycle.account_store import Memory
+from orchidlane.gateway.lifecycle.hot_restart import GivingSide, Lent, TakingSide
+from orchidlane.gateway.peers.datagrams import CHANGE, LIMITS, MODULE, SIZE_MOST, Inbox, seal
+from orchidlane.gateway.peers.token_requests import LimitService
+from orchidlane.gateway.rollout_agent.admin_api import Desk
+from orchidlane.gateway.rollout_agent.agent import Versions
+from orchidlane.gateway.server import http_server as http_front
+from orchidlane.gateway.server.http_server import Front
+from orchidlane.gateway.server.resp_server import RespFront, Session
+from orchidlane.gateway.telemetry.admin_api import Admin, Names
+from orchidlane.gateway.telemetry.metrics import Metrics
+from orchidlane.gateway.telemetry.traffic_recorder import Recorder
+from orchidlane.hot_restart import messages, new_process, old_process
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.recording import track
+from orchidlane.routes import DescriptionError
+from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, Loop, Scope, Task
+from orchidlane.runtime.backend import Handle
 
 DRAIN_LOOK = 10_000  # microseconds between two looks whether all is answered
 
--- a/orchidlane/gateway/lifecycle/rolling_upgrade.py
+++ b/orchidlane/gateway/lifecycle/rolling_upgrade.py
@@ -12,13 +12,13 @@
 
 import msgspec
 
-from orchidlane.runtime import (CONTROL, Loop, Scope)
-from orchidlane.hot_restart import (messages, rolling_upgrade)
-from orchidlane.hot_restart.rolling_batches import (Fleet as Layout)
-from orchidlane.hot_restart.rolling_batches import (Limits, Member)
-from orchidlane.hot_restart.probation import (Answers)
-from orchidlane.gateway.control.settings import (Fleet, upgrade_address)
-from orchidlane.gateway.lifecycle.status_query import (ask_status)
+from orchidlane.gateway.control.settings import Fleet, upgrade_address
+from orchidlane.gateway.lifecycle.status_query import ask_status
+from orchidlane.hot_restart import messages, rolling_upgrade
+from orchidlane.hot_restart.probation import Answers
+from orchidlane.hot_restart.rolling_batches import Fleet as Layout
+from orchidlane.hot_restart.rolling_batches import Limits, Member
+from orchidlane.runtime import CONTROL, Loop, Scope
 
 LOOK_EVERY = 200_000  # microseconds
 LOOKS = 16  # gateways looked at each time, beside none but those under way
@@ -171,7 +171,9 @@
 
     # -- the run
 
-    def run(self, actions: list[rolling_upgrade.Action] | None = None, recall: str = "") -> rolling_upgrade.State:
+    def run(
+        self, actions: list[rolling_upgrade.Action] | None = None, recall: str = ""
+    ) -> rolling_upgrade.State:
         """Until the end."""
         self._carry_out(actions or [])
         if recall:
--- a/orchidlane/gateway/lifecycle/status_query.py
+++ b/orchidlane/gateway/lifecycle/status_query.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from orchidlane.runtime import (Closed, Expired, Loop, NotConnected)
-from orchidlane.runtime.backend import (Address)
-from orchidlane.hot_restart import (messages)
+from orchidlane.hot_restart import messages
+from orchidlane.runtime import Closed, Expired, Loop, NotConnected
+from orchidlane.runtime.backend import Address
 
 ANSWER_WITHIN = 1_000_000  # microseconds
 
--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -13,11 +13,21 @@
 
 import msgspec
 
-from orchidlane.limits import (Claim, Holder, Ledger, LedgerError, Outcome, State, Verdict, holders_of, token_name)
-from orchidlane.runtime import (Expired, Loop, Scope, Task)
-from orchidlane.gateway.control.customers import (Customer)
-from orchidlane.gateway.forwarding.policy_driver import (Host)
-from orchidlane.gateway.control.settings import (Fleet)
+from orchidlane.gateway.control.customers import Customer
+from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.limits import (
+    Claim,
+    Holder,
+    Ledger,
+    LedgerError,
+    Outcome,
+    State,
+    Verdict,
+    holders_of,
+    token_name,
+)
+from orchidlane.runtime import Expired, Loop, Scope, Task
 
 NUMBERS_APART = 1 << 32  # between the questions of a process and those of its successor
 ANSWERED_MOST = 4_096  # answers kept, so that a question that comes again is told the same
--- a/orchidlane/gateway/rollout_agent/admin_api.py
+++ b/orchidlane/gateway/rollout_agent/admin_api.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from orchidlane.rollout.replicated_state import (Entry, Ledger, Propose, Resume, Stop)
-from orchidlane.rollout.version import (TEXT_MOST, Parts, Version, is_name, is_sealed, name_of)
-from orchidlane.gateway.rollout_agent.admin_client import (PREFIX, PURPOSE, FetchError, call)
-from orchidlane.gateway.rollout_agent.agent import (OUTCOME_WITHIN, Outcome, Versions)
+from orchidlane.gateway.rollout_agent.admin_client import PREFIX, PURPOSE, FetchError, call
+from orchidlane.gateway.rollout_agent.agent import OUTCOME_WITHIN, Outcome, Versions
+from orchidlane.rollout.replicated_state import Entry, Ledger, Propose, Resume, Stop
+from orchidlane.rollout.version import TEXT_MOST, Parts, Version, is_name, is_sealed, name_of
 
 FORWARD_WITHIN = OUTCOME_WITHIN + 1_000_000  # microseconds
 THEN_MOST = 14  # versions that follow one proposal
--- a/orchidlane/gateway/rollout_agent/admin_client.py
+++ b/orchidlane/gateway/rollout_agent/admin_client.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from orchidlane import (http1)
-from orchidlane.rollout.version import (seal_of)
-from orchidlane.http1 import (Data, End, Malformed, Response)
-from orchidlane.runtime import (Closed, Expired, Loop, NotConnected)
-from orchidlane.runtime.backend import (Address)
+from orchidlane import http1
+from orchidlane.http1 import Data, End, Malformed, Response
+from orchidlane.rollout.version import seal_of
+from orchidlane.runtime import Closed, Expired, Loop, NotConnected
+from orchidlane.runtime.backend import Address
 
 SEAL = b"orchidlane-seal"
 PREFIX = b"/change/"
--- a/orchidlane/gateway/rollout_agent/agent.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -14,31 +14,32 @@
 
 import msgspec
 
-from orchidlane.rollout import (leader as conduct, replicated_state, messages, consensus, dissemination)
-from orchidlane.rollout.leader import (Conductor)
-from orchidlane.rollout.bootstrap import (found, own_waiting)
-from orchidlane.rollout.canary_analysis import (Tallies, Tally, between)
-from orchidlane.rollout.replicated_state import (Change, Ledger, Stage, Step)
-from orchidlane.rollout.compatibility import (Account, Material, moves, why_not_beside)
-from orchidlane.rollout.consensus import (STORE_BITS, Chosen, Dropped, Hold, Keep, Kept, Register, Said)
-from orchidlane.rollout.dissemination import (Spread)
-from orchidlane.rollout.phases import (Look, Terms)
-from orchidlane.rollout.version import (Certificate, Parts, Seat, cast, is_name, name_of, why_not_certified)
-from orchidlane.policy.interface import (SetMoved)
-from orchidlane.runtime import (BACKGROUND, CONTROL, Expired, Scope, Task)
-from orchidlane.runtime.backend import (Address)
-from orchidlane.routes import (DescriptionError)
-from orchidlane.hot_restart.rolling_batches import (Limits)
-from orchidlane.gateway.control.customers import (CustomersError)
-from orchidlane.gateway.forwarding.pending_request import (Answer, Exchange)
-from orchidlane.gateway.control.configuration import (Knowledge, UnfitContent, make_knowledge)
-from orchidlane.gateway.control.settings import (Fleet, address)
-from orchidlane.gateway.rollout_agent.admin_client import (PREFIX, FetchError, call)
-from orchidlane.gateway.rollout_agent.storage import (Damaged, Files, RunningFile, VoterFile)
-from orchidlane.gateway.rollout_agent.answer_tally import (Book)
+from orchidlane.gateway.control.configuration import Knowledge, UnfitContent, make_knowledge
+from orchidlane.gateway.control.customers import CustomersError
+from orchidlane.gateway.control.settings import Fleet, address
+from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.gateway.rollout_agent.admin_client import PREFIX, FetchError, call
+from orchidlane.gateway.rollout_agent.answer_tally import Book
+from orchidlane.gateway.rollout_agent.storage import Damaged, Files, RunningFile, VoterFile
+from orchidlane.hot_restart.rolling_batches import Limits
+from orchidlane.policy.interface import SetMoved
+from orchidlane.rollout import consensus, dissemination, messages, replicated_state
+from orchidlane.rollout import leader as conduct
+from orchidlane.rollout.bootstrap import found, own_waiting
+from orchidlane.rollout.canary_analysis import Tallies, Tally, between
+from orchidlane.rollout.compatibility import Account, Material, moves, why_not_beside
+from orchidlane.rollout.consensus import STORE_BITS, Chosen, Dropped, Hold, Keep, Kept, Register, Said
+from orchidlane.rollout.dissemination import Spread
+from orchidlane.rollout.leader import Conductor
+from orchidlane.rollout.phases import Look, Terms
+from orchidlane.rollout.replicated_state import Change, Ledger, Stage, Step
+from orchidlane.rollout.version import Certificate, Parts, Seat, cast, is_name, name_of, why_not_certified
+from orchidlane.routes import DescriptionError
+from orchidlane.runtime import BACKGROUND, CONTROL, Expired, Scope, Task
+from orchidlane.runtime.backend import Address
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.lifecycle.process import (Program)
+    from orchidlane.gateway.lifecycle.process import Program
 
 TICK = 20_000  # microseconds between two looks at what is due
 QUEUE_MOST = 1_000  # events that wait for the voter; more are lost, as datagrams may be
--- a/orchidlane/gateway/rollout_agent/answer_tally.py
+++ b/orchidlane/gateway/rollout_agent/answer_tally.py
@@ -4,9 +4,9 @@
 
 from collections import deque
 
-from orchidlane.rollout.canary_analysis import (STRATA_MOST, Tally)
-from orchidlane.gateway.forwarding.pending_request import (Answer, Exchange)
-from orchidlane.gateway.forwarding.openapi_adapter import (call_of)
+from orchidlane.gateway.forwarding.openapi_adapter import call_of
+from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.rollout.canary_analysis import STRATA_MOST, Tally
 
 SPAN = 2_000_000  # microseconds over which the load is measured
 MARKS = 8  # in it
--- a/orchidlane/gateway/rollout_agent/settings.py
+++ b/orchidlane/gateway/rollout_agent/settings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from orchidlane.gateway.control.settings import (Fleet)
+from orchidlane.gateway.control.settings import Fleet
 
 
 def check_terms(fleet: Fleet) -> None:
--- a/orchidlane/gateway/rollout_agent/storage.py
+++ b/orchidlane/gateway/rollout_agent/storage.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from orchidlane.rollout.consensus import (Kept)
-from orchidlane.rollout.version import (Certificate, name_of)
-from orchidlane.runtime.backend import (World)
+from orchidlane.rollout.consensus import Kept
+from orchidlane.rollout.version import Certificate, name_of
+from orchidlane.runtime.backend import World
 
 DIGEST = 64
 UPLOADS_MOST = 32  # contents that wait for their proposal
--- a/orchidlane/gateway/server/accept_loop.py
+++ b/orchidlane/gateway/server/accept_loop.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from orchidlane.runtime import (Closed, Listener, Loop, NotConnected, Stream)
+from orchidlane.runtime import Closed, Listener, Loop, NotConnected, Stream
 
 NO_DESCRIPTOR_WAIT = 20_000  # microseconds between two tries to accept without descriptors
 
--- a/orchidlane/gateway/server/error_responses.py
+++ b/orchidlane/gateway/server/error_responses.py
@@ -5,8 +5,8 @@
 import json
 from http import HTTPStatus
 
-from orchidlane.policy import (interface as api)
-from orchidlane.gateway.forwarding.pending_request import (Answer)
+from orchidlane.gateway.forwarding.pending_request import Answer
+from orchidlane.policy import interface as api
 
 TYPE = (b"content-type", b"application/problem+json")
 HARMLESS = "Not served; nothing was done, so trying again is harmless."
--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -11,15 +11,26 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING, Protocol
 
-from orchidlane import (http1)
-from orchidlane.http1 import (Data, End, Malformed, Request)
-from orchidlane.runtime import (REQUESTS, Closed, Expired, Lingering, Listener, Loop, NotConnected, Scope, Stream, Task)
-from orchidlane.gateway.server.accept_loop import (NO_DESCRIPTOR_WAIT, accept_clients)
-from orchidlane.gateway.forwarding.pending_request import (Answer, Body, Exchange)
-from orchidlane.gateway.forwarding.protocol_adapter import (Call, Clients, Terms)
+from orchidlane import http1
+from orchidlane.gateway.forwarding.pending_request import Answer, Body, Exchange
+from orchidlane.gateway.forwarding.protocol_adapter import Call, Clients, Terms
+from orchidlane.gateway.server.accept_loop import NO_DESCRIPTOR_WAIT, accept_clients
+from orchidlane.http1 import Data, End, Malformed, Request
+from orchidlane.runtime import (
+    REQUESTS,
+    Closed,
+    Expired,
+    Lingering,
+    Listener,
+    Loop,
+    NotConnected,
+    Scope,
+    Stream,
+    Task,
+)
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.forwarding.policy_driver import (Host)
+    from orchidlane.gateway.forwarding.policy_driver import Host
 
 OVERDUE = 5_000  # microseconds beyond a request's time: then the module's answer is waited for no more
 
--- a/orchidlane/gateway/server/resp_server.py
+++ b/orchidlane/gateway/server/resp_server.py
@@ -11,17 +11,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from orchidlane import (resp)
-from orchidlane.limits import (LedgerError, Outcome)
-from orchidlane.runtime import (REQUESTS, Closed, Expired, Lingering, Listener, Loop, Scope, Stream, Task)
-from orchidlane.resp import (ErrorReply, Simple)
-from orchidlane.routes import (Generation)
-from orchidlane.gateway.control.customers import (Customer)
-from orchidlane.gateway.server.accept_loop import (accept_clients)
-from orchidlane.gateway.server.http_server import (Watcher, recv_watched, send_all)
-from orchidlane.gateway.control.configuration import (Knowledge)
-from orchidlane.gateway.peers.token_requests import (LimitService, NoAnswer)
-from orchidlane.gateway.control.settings import (Fleet)
+from orchidlane import resp
+from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.customers import Customer
+from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.peers.token_requests import LimitService, NoAnswer
+from orchidlane.gateway.server.accept_loop import accept_clients
+from orchidlane.gateway.server.http_server import Watcher, recv_watched, send_all
+from orchidlane.limits import LedgerError, Outcome
+from orchidlane.resp import ErrorReply, Simple
+from orchidlane.routes import Generation
+from orchidlane.runtime import REQUESTS, Closed, Expired, Lingering, Listener, Loop, Scope, Stream, Task
 
 FLUSH = 16_384  # bytes of replies that are written at once
 TOKEN_MOST = 256  # bytes
--- a/orchidlane/gateway/telemetry/admin_api.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -14,15 +14,15 @@
 
 import msgspec
 
-from orchidlane import (http1, recording)
-from orchidlane.http1 import (Data, End, Malformed, Request)
-from orchidlane.runtime import (BACKGROUND, Closed, Expired, Listener, Loop, Scope, Stream, Task)
-from orchidlane.gateway.control.customers import (Customer)
-from orchidlane.gateway.server.accept_loop import (accept_clients)
-from orchidlane.gateway.forwarding.policy_driver import (Host)
-from orchidlane.gateway.control.configuration import (Knowledge)
-from orchidlane.gateway.telemetry.metrics import (Metrics)
-from orchidlane.gateway.telemetry.policy_views import (make_view)
+from orchidlane import http1, recording
+from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.customers import Customer
+from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.server.accept_loop import accept_clients
+from orchidlane.gateway.telemetry.metrics import Metrics
+from orchidlane.gateway.telemetry.policy_views import make_view
+from orchidlane.http1 import Data, End, Malformed, Request
+from orchidlane.runtime import BACKGROUND, Closed, Expired, Listener, Loop, Scope, Stream, Task
 
 PATIENCE = 5_000_000  # microseconds for a question, and for each piece of an answer to be taken
 STATE_WITHIN = 30_000_000  # microseconds for the whole state to be read
--- a/orchidlane/gateway/telemetry/metrics.py
+++ b/orchidlane/gateway/telemetry/metrics.py
@@ -9,8 +9,8 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily
 from prometheus_client.registry import Collector
 
-from orchidlane.policy import (interface as api)
-from orchidlane.gateway.telemetry.counters import (BUCKETS, Counts)
+from orchidlane.gateway.telemetry.counters import BUCKETS, Counts
+from orchidlane.policy import interface as api
 
 
 class Metrics(Counts, Collector):
--- a/orchidlane/gateway/telemetry/policy_views.py
+++ b/orchidlane/gateway/telemetry/policy_views.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from orchidlane.policy import (interface as api)
-from orchidlane import (recording)
-from orchidlane.policy.gateway import (Gateway)
-from orchidlane.policy.state import (Account)
+from orchidlane import recording
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.policy.state import Account
 
 VIEW_FORMAT = 1
 NUMBER = (1 << 32) - 1  # of the request that is asked about
--- a/orchidlane/gateway/telemetry/traffic_recorder.py
+++ b/orchidlane/gateway/telemetry/traffic_recorder.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from orchidlane.policy import (interface as api)
-from orchidlane import (recording)
-from orchidlane.runtime import (Loop)
-from orchidlane.recording.segments import (SUFFIX, pack_answer)
-from orchidlane.gateway.telemetry.admin_api import (Names, StateFrames)
-from orchidlane.gateway.forwarding.policy_driver import (Host)
+from orchidlane import recording
+from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.telemetry.admin_api import Names, StateFrames
+from orchidlane.policy import interface as api
+from orchidlane.recording.segments import SUFFIX, pack_answer
+from orchidlane.runtime import Loop
 
 EVERY = 100_000  # microseconds between two writes
 BUFFER = 1 << 18  # bytes: written at once
--- a/orchidlane/hot_restart/account_recovery.py
+++ b/orchidlane/hot_restart/account_recovery.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Any, NamedTuple
 
-from orchidlane.recording import (load_account)
-from orchidlane.policy.state import (Account)
+from orchidlane.policy.state import Account
+from orchidlane.recording import load_account
 
 
 class Life(NamedTuple):
--- a/orchidlane/hot_restart/messages.py
+++ b/orchidlane/hot_restart/messages.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from orchidlane.recording.state_dump import (Dump)
-from orchidlane.recording.segments import (FRAME, frame)
+from orchidlane.recording.segments import FRAME, frame
+from orchidlane.recording.state_dump import Dump
 
 FORMAT = 1
 FRAME_MOST = 64 << 20  # bytes of one frame
--- a/orchidlane/hot_restart/old_process.py
+++ b/orchidlane/hot_restart/old_process.py
@@ -22,8 +22,8 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from orchidlane.hot_restart.probation import (Answers, why_sick)
-from orchidlane.hot_restart.messages import (FORMAT, Hello)
+from orchidlane.hot_restart.messages import FORMAT, Hello
+from orchidlane.hot_restart.probation import Answers, why_sick
 
 
 class Phase(Enum):
--- a/orchidlane/hot_restart/rolling_upgrade.py
+++ b/orchidlane/hot_restart/rolling_upgrade.py
@@ -21,8 +21,8 @@
 
 import msgspec
 
-from orchidlane.hot_restart.rolling_batches import (Fleet, Limits, largest)
-from orchidlane.hot_restart.probation import (Answers, why_sick)
+from orchidlane.hot_restart.probation import Answers, why_sick
+from orchidlane.hot_restart.rolling_batches import Fleet, Limits, largest
 
 TRIES = 3  # to bring one gateway back
 
--- a/orchidlane/hot_restart/tables.py
+++ b/orchidlane/hot_restart/tables.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from orchidlane.policy import (interface as api)
-from orchidlane.limits import (Holder, Ledger)
-from orchidlane.recording import (Accounts, Dump, dump, load_account, restore, track)
-from orchidlane.recording.state_dump import (dump_account)
-from orchidlane.policy.gateway import (Gateway)
-from orchidlane.policy.state import (Account)
+from orchidlane.limits import Holder, Ledger
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.policy.state import Account
+from orchidlane.recording import Accounts, Dump, dump, load_account, restore, track
+from orchidlane.recording.state_dump import dump_account
 
 
 class AccountsTable:
--- a/orchidlane/http1/parser.py
+++ b/orchidlane/http1/parser.py
@@ -20,7 +20,17 @@
 from enum import Enum, auto
 from typing import ClassVar
 
-from orchidlane.http1.events import (Data, End, Event, Headers, Limits, Malformed, Request, Response, header_tokens)
+from orchidlane.http1.events import (
+    Data,
+    End,
+    Event,
+    Headers,
+    Limits,
+    Malformed,
+    Request,
+    Response,
+    header_tokens,
+)
 
 TOKEN = rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+"
 VALUE = rb"(?:[\x21-\x7e\x80-\xff](?:[\x20-\x7e\x80-\xff\t]*[\x21-\x7e\x80-\xff])?)?"
--- a/orchidlane/http1/writer.py
+++ b/orchidlane/http1/writer.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from http import HTTPStatus
 
-from orchidlane.http1.events import (Headers, header_tokens)
+from orchidlane.http1.events import Headers, header_tokens
 
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-connection proxy-authenticate proxy-authorization te trailer "
--- a/orchidlane/platform/__main__.py
+++ b/orchidlane/platform/__main__.py
@@ -6,10 +6,10 @@
 import os
 import sys
 
-from orchidlane.runtime import (Loop, RealWorld)
-from orchidlane.runtime.signals import (hold_reload, serve)
-from orchidlane.platform.configuration import (ConfigError, parse, path_of)
-from orchidlane.platform.lifecycle import (Life)
+from orchidlane.platform.configuration import ConfigError, parse, path_of
+from orchidlane.platform.lifecycle import Life
+from orchidlane.runtime import Loop, RealWorld
+from orchidlane.runtime.signals import hold_reload, serve
 
 
 def main() -> int:
--- a/orchidlane/platform/configuration.py
+++ b/orchidlane/platform/configuration.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from orchidlane.policy import (interface as api)
-from orchidlane.simulator_protocol import (codec)
-from orchidlane.runtime import (Address)
-from orchidlane.runtime.backend import (parse_address)
-from orchidlane.platform.discovery import (ListLine)
+from orchidlane.platform.discovery import ListLine
+from orchidlane.policy import interface as api
+from orchidlane.runtime import Address
+from orchidlane.runtime.backend import parse_address
+from orchidlane.simulator_protocol import codec
 
 SOCKETS_LEAST = 64  # descriptors: less leaves too few beside those that are kept free (``terms.py``)
 
--- a/orchidlane/platform/discovery.py
+++ b/orchidlane/platform/discovery.py
@@ -16,14 +16,14 @@
 
 import msgspec
 
-from orchidlane import (http1)
-from orchidlane.policy import (interface as api)
-from orchidlane.gateway.control.json_stream import (LineTooLong, whole_objects)
-from orchidlane.gateway.control.endpoint_list import (ListRefused)
-from orchidlane.http1 import (Malformed)
-from orchidlane.runtime import (CONTROL, Address, Expired, Loop, LoopError, Scope, Task)
-from orchidlane.runtime.backend import (parse_address, show)
-from orchidlane.platform.polling import (SILENCE, Asking)
+from orchidlane import http1
+from orchidlane.gateway.control.endpoint_list import ListRefused
+from orchidlane.gateway.control.json_stream import LineTooLong, whole_objects
+from orchidlane.http1 import Malformed
+from orchidlane.platform.polling import SILENCE, Asking
+from orchidlane.policy import interface as api
+from orchidlane.runtime import CONTROL, Address, Expired, Loop, LoopError, Scope, Task
+from orchidlane.runtime.backend import parse_address, show
 
 PHASES = {"active": api.Phase.READY, "leaving": api.Phase.DRAINING, "left": api.Phase.GONE}
 GUARD = {api.Phase.READY: "ready", api.Phase.DRAINING: "draining", api.Phase.GONE: "gone"}  # see ``guards``
--- a/orchidlane/platform/lifecycle.py
+++ b/orchidlane/platform/lifecycle.py
@@ -15,22 +15,22 @@
 from contextlib import suppress
 from typing import Any
 
-from orchidlane.policy import (interface as api)
-from orchidlane.gateway.telemetry.counters import (Counts)
-from orchidlane.gateway.server.http_server import (Front)
-from orchidlane.gateway.forwarding.policy_driver import (Host)
-from orchidlane.gateway.forwarding.connection_pool import (Upstream)
-from orchidlane.runtime import (BACKGROUND, CONTROL, PEERS, Address, Expired, Loop, Scope, Task)
-from orchidlane.policy.gateway import (Gateway)
-from orchidlane.platform.polling import (retry_interval)
-from orchidlane.platform.request_parsing import (Reader)
-from orchidlane.platform.protocol_adapter import (PlatformClients)
-from orchidlane.platform.configuration import (Config, ConfigError, parse)
-from orchidlane.platform.discovery import (ListRefused, Tracker, Watch)
-from orchidlane.platform.rate_limited_log import (Log)
-from orchidlane.platform.response_outcomes import (PlatformNodes)
-from orchidlane.platform.shutdown import (Shutdown, graceful_shutdown)
-from orchidlane.platform.resource_limits import (terms_of)
+from orchidlane.gateway.forwarding.connection_pool import Upstream
+from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.server.http_server import Front
+from orchidlane.gateway.telemetry.counters import Counts
+from orchidlane.platform.configuration import Config, ConfigError, parse
+from orchidlane.platform.discovery import ListRefused, Tracker, Watch
+from orchidlane.platform.polling import retry_interval
+from orchidlane.platform.protocol_adapter import PlatformClients
+from orchidlane.platform.rate_limited_log import Log
+from orchidlane.platform.request_parsing import Reader
+from orchidlane.platform.resource_limits import terms_of
+from orchidlane.platform.response_outcomes import PlatformNodes
+from orchidlane.platform.shutdown import Shutdown, graceful_shutdown
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, Address, Expired, Loop, Scope, Task
 
 BIND_MOST = (
     8_000_000  # microseconds in which an address that a process of ours held may come free: ready in 10 s
--- a/orchidlane/platform/protocol_adapter.py
+++ b/orchidlane/platform/protocol_adapter.py
@@ -5,11 +5,11 @@
 from collections import Counter
 from collections.abc import Callable
 
-from orchidlane.policy import (interface as api)
-from orchidlane.gateway.forwarding.pending_request import (Answer, Exchange)
-from orchidlane.gateway.forwarding.protocol_adapter import (Call)
-from orchidlane.http1 import (Request)
-from orchidlane.platform.request_parsing import (PlatformCall, Reader, Wrong)
+from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.gateway.forwarding.protocol_adapter import Call
+from orchidlane.http1 import Request
+from orchidlane.platform.request_parsing import PlatformCall, Reader, Wrong
+from orchidlane.policy import interface as api
 
 READY = b"/up"
 BEYOND, BUSY, FAILED = 429, 503, 500
--- a/orchidlane/platform/request_parsing.py
+++ b/orchidlane/platform/request_parsing.py
@@ -9,11 +9,11 @@
 import re
 from dataclasses import dataclass
 
-from orchidlane.policy import (interface as api)
-from orchidlane.gateway.forwarding.protocol_adapter import (Call)
-from orchidlane.http1 import (Request)
-from orchidlane.policy.interface import (Effect)
-from orchidlane.platform.configuration import (Names)
+from orchidlane.gateway.forwarding.protocol_adapter import Call
+from orchidlane.http1 import Request
+from orchidlane.platform.configuration import Names
+from orchidlane.policy import interface as api
+from orchidlane.policy.interface import Effect
 
 ID = re.compile(rb"[0-9A-Za-z_.\-]{1,64}")
 KEY = re.compile(rb"[\x21-\x7e]{1,128}")
--- a/orchidlane/platform/resource_limits.py
+++ b/orchidlane/platform/resource_limits.py
@@ -10,8 +10,8 @@
 
 from dataclasses import dataclass
 
-from orchidlane.platform.polling import (CALLS)
-from orchidlane.platform.configuration import (Config)
+from orchidlane.platform.configuration import Config
+from orchidlane.platform.polling import CALLS
 
 # Descriptors: 3 standard streams, a listener, datagrams, 2 of the pipe of signals, the file of a reload, a
 # client that was taken and has no room yet, and discovery: 2 watches, each with CALLS and one that it gives
--- a/orchidlane/platform/response_outcomes.py
+++ b/orchidlane/platform/response_outcomes.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from orchidlane import (http1)
-from orchidlane.gateway.forwarding.pending_request import (Answer, Exchange)
-from orchidlane.http1 import (Response)
-from orchidlane.policy.interface import (Outcome)
-from orchidlane.runtime import (Address)
-from orchidlane.runtime.backend import (show)
-from orchidlane.platform.request_parsing import (PlatformCall)
-from orchidlane.platform.discovery import (Tracker)
+from orchidlane import http1
+from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.http1 import Response
+from orchidlane.platform.discovery import Tracker
+from orchidlane.platform.request_parsing import PlatformCall
+from orchidlane.policy.interface import Outcome
+from orchidlane.runtime import Address
+from orchidlane.runtime.backend import show
 
 NOT_PROCESSED = b"x-not-processed"
 REPORT = b"x-server-load"
--- a/orchidlane/policy/gateway.py
+++ b/orchidlane/policy/gateway.py
@@ -11,10 +11,10 @@
 import random
 from itertools import islice
 
-from orchidlane.policy import (interface as api)
-from orchidlane.policy import (gossip_codec)
-from orchidlane.policy.interface import (Effect, Group, ListKind, Outcome, Phase)
-from orchidlane.policy.state import (Account, Attempt, Host, Memory, Request)
+from orchidlane.policy import gossip_codec
+from orchidlane.policy import interface as api
+from orchidlane.policy.interface import Effect, Group, ListKind, Outcome, Phase
+from orchidlane.policy.state import Account, Attempt, Host, Memory, Request
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
 
@@ -501,7 +501,9 @@
         """One customer's row; a brief one has no counts, its total is enough to close the customer there."""
         self._lift(account)
         counts = () if brief else tuple((rank, *account.counts[rank]) for rank in account.news)
-        row = gossip_codec.Row(account.customer, *account.key, reach, account.room, account.total, rights, counts)
+        row = gossip_codec.Row(
+            account.customer, *account.key, reach, account.room, account.total, rights, counts
+        )
         return gossip_codec.pack_row(row, self.now // MS, self.s.gateways)
 
     def _peer_message(self, event: api.PeerMessage) -> None:
--- a/orchidlane/policy/state.py
+++ b/orchidlane/policy/state.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field, replace
 
-from orchidlane.policy import (interface as api)
+from orchidlane.policy import interface as api
 
 
 @dataclass(slots=True)
--- a/orchidlane/recording/audit.py
+++ b/orchidlane/recording/audit.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from orchidlane.policy import (interface as api)
-from orchidlane.policy.interface import (Effect, Group, ListKind, Outcome, Phase)
-from orchidlane.recording.replay import (lives_of)
-from orchidlane.recording.segments import (CutHead, Entry, Header, SegmentReader)
-from orchidlane.recording.reference_quota import (TrueStore)
+from orchidlane.policy import interface as api
+from orchidlane.policy.interface import Effect, Group, ListKind, Outcome, Phase
+from orchidlane.recording.reference_quota import TrueStore
+from orchidlane.recording.replay import lives_of
+from orchidlane.recording.segments import CutHead, Entry, Header, SegmentReader
 
 NOT_RUN = (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
 STILL = 1_000_000  # microseconds without an entry: gossip's turns come more often, so the gateway stood still
--- a/orchidlane/recording/build_identity.py
+++ b/orchidlane/recording/build_identity.py
@@ -10,7 +10,7 @@
 from functools import cache
 from pathlib import Path
 
-from orchidlane import (__version__)
+from orchidlane import __version__
 
 
 @cache
--- a/orchidlane/recording/codec.py
+++ b/orchidlane/recording/codec.py
@@ -12,7 +12,7 @@
 from operator import attrgetter
 from typing import Any
 
-from orchidlane.policy import (interface as api)
+from orchidlane.policy import interface as api
 
 EVENTS: dict[int, type] = {
     1: api.ServerListed,
--- a/orchidlane/recording/index.py
+++ b/orchidlane/recording/index.py
@@ -12,8 +12,8 @@
 from bisect import bisect_left
 from collections.abc import Callable, Iterator
 
-from orchidlane.policy import (interface as api)
-from orchidlane.recording.segments import (Entry, SegmentReader)
+from orchidlane.policy import interface as api
+from orchidlane.recording.segments import Entry, SegmentReader
 
 STRIDE = 64  # entries between two kept times
 
--- a/orchidlane/recording/replay.py
+++ b/orchidlane/recording/replay.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from orchidlane.policy import (interface as api)
-from orchidlane.policy.interface import (Outcome)
-from orchidlane.policy.gateway import (Gateway)
-from orchidlane.recording.state_dump import (Dump, restore)
-from orchidlane.recording.segments import (CutHead, Entry, Header, SegmentReader, frames_behind)
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.policy.interface import Outcome
+from orchidlane.recording.segments import CutHead, Entry, Header, SegmentReader, frames_behind
+from orchidlane.recording.state_dump import Dump, restore
 
 TOOK_USUAL = 50_000  # microseconds: an answer time where the record has none of the class
 
--- a/orchidlane/recording/segments.py
+++ b/orchidlane/recording/segments.py
@@ -22,9 +22,9 @@
 
 import msgspec
 
-from orchidlane.policy import (interface as api)
-from orchidlane.recording.codec import (FormatError, pack_action, pack_event, unpack_action, unpack_event)
-from orchidlane.recording.state_dump import (Dump)
+from orchidlane.policy import interface as api
+from orchidlane.recording.codec import FormatError, pack_action, pack_event, unpack_action, unpack_event
+from orchidlane.recording.state_dump import Dump
 
 MAGIC = b"OLREC1\n"
 FORMAT, FORMATS = 2, (1, 2)  # written, read
--- a/orchidlane/recording/state_dump.py
+++ b/orchidlane/recording/state_dump.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from orchidlane.policy import (interface as api)
-from orchidlane.policy.gateway import (Gateway)
-from orchidlane.policy.state import (Account, Attempt, Host, Known, Pool, Request)
-from orchidlane.recording.codec import (FormatError, pack_event, unpack_event)
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.policy.state import Account, Attempt, Host, Known, Pool, Request
+from orchidlane.recording.codec import FormatError, pack_event, unpack_event
 
 FORMAT = 1
 PLAIN = ("now", "filled", "born", "last_sent", "usual", "budget", "unheard", "allowance")
--- a/orchidlane/resp/codec.py
+++ b/orchidlane/resp/codec.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidlane.resp.values import (Attributed, ErrorReply, Push, SetReply, Simple, Value, Verbatim)
+from orchidlane.resp.values import Attributed, ErrorReply, Push, SetReply, Simple, Value, Verbatim
 
 NUMBER = re.compile(rb"[+-]?[0-9]{1,19}")
 BIG_NUMBER = re.compile(rb"[+-]?[0-9]+")
--- a/orchidlane/rollout/bootstrap.py
+++ b/orchidlane/rollout/bootstrap.py
@@ -9,9 +9,9 @@
 
 from collections.abc import Mapping, Sequence
 
-from orchidlane.rollout.replicated_state import (Entry, Ledger)
-from orchidlane.rollout.messages import (Waiting)
-from orchidlane.rollout.version import (Certificate, Parts, Seat, Version, Vote, cast, is_cast)
+from orchidlane.rollout.messages import Waiting
+from orchidlane.rollout.replicated_state import Entry, Ledger
+from orchidlane.rollout.version import Certificate, Parts, Seat, Version, Vote, cast, is_cast
 
 
 def first_version(parts: Parts) -> Version:
--- a/orchidlane/rollout/compatibility.py
+++ b/orchidlane/rollout/compatibility.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from orchidlane.policy.interface import (Effect)
-from orchidlane.routes import (Generation, Operation)
+from orchidlane.policy.interface import Effect
+from orchidlane.routes import Generation, Operation
 
 MOVED_MOST = 10_000  # sets in one version: each gateway looks at each of them as it adopts
 NAMED_MOST = 5  # operations or customers that a reason names
--- a/orchidlane/rollout/consensus.py
+++ b/orchidlane/rollout/consensus.py
@@ -32,10 +32,22 @@
 
 import msgspec
 
-from orchidlane.rollout import (replicated_state as steps)
-from orchidlane.rollout.replicated_state import (Fenced, Ledger, Refused, Step)
-from orchidlane.rollout.messages import (ZERO, Accept, Accepted, Ballot, MarkAsk, MarkTold, Message, Nack, Prepare, Promise, Waiting)
-from orchidlane.rollout.version import (Seat, Version, Vote, has_quorum, name_of)
+from orchidlane.rollout import replicated_state as steps
+from orchidlane.rollout.messages import (
+    ZERO,
+    Accept,
+    Accepted,
+    Ballot,
+    MarkAsk,
+    MarkTold,
+    Message,
+    Nack,
+    Prepare,
+    Promise,
+    Waiting,
+)
+from orchidlane.rollout.replicated_state import Fenced, Ledger, Refused, Step
+from orchidlane.rollout.version import Seat, Version, Vote, has_quorum, name_of
 
 AGAIN = 100_000  # microseconds until those who did not answer are asked again
 GIVE_UP = 3_000_000  # microseconds: then no quorum answers
--- a/orchidlane/rollout/dissemination.py
+++ b/orchidlane/rollout/dissemination.py
@@ -18,7 +18,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from orchidlane.rollout.messages import (Ask, Hint, Message, Told)
+from orchidlane.rollout.messages import Ask, Hint, Message, Told
 
 FAN = 2  # gateways that get a hint from each that learns of a later ledger
 ASKED_MOST = 16  # questions that may still be answered
--- a/orchidlane/rollout/leader.py
+++ b/orchidlane/rollout/leader.py
@@ -15,11 +15,26 @@
 
 import msgspec
 
-from orchidlane.rollout import (phases as stages)
-from orchidlane.rollout.replicated_state import (Admit, Approve, Change, Claim, Finish, Ledger, Propose, Settle, Stage, Step, Stop, Widen, has_rank, ranks_as_bits)
-from orchidlane.rollout.messages import (Beat, Beaten, Noted, Report, Voted, Waiting)
-from orchidlane.rollout.consensus import (Register, Tell)
-from orchidlane.rollout.version import (Seat, Vote, has_quorum, is_cast, majority)
+from orchidlane.rollout import phases as stages
+from orchidlane.rollout.consensus import Register, Tell
+from orchidlane.rollout.messages import Beat, Beaten, Noted, Report, Voted, Waiting
+from orchidlane.rollout.replicated_state import (
+    Admit,
+    Approve,
+    Change,
+    Claim,
+    Finish,
+    Ledger,
+    Propose,
+    Settle,
+    Stage,
+    Step,
+    Stop,
+    Widen,
+    has_rank,
+    ranks_as_bits,
+)
+from orchidlane.rollout.version import Seat, Vote, has_quorum, is_cast, majority
 
 COMMANDS_MOST = 8  # that wait
 CLAIMS_MOST = 4  # doublings of the wait between two claims
--- a/orchidlane/rollout/phases.py
+++ b/orchidlane/rollout/phases.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
-from orchidlane.hot_restart.rolling_batches import (Fleet, Limits, Member, largest)
-from orchidlane.rollout.canary_analysis import (Judge, Tallies, sum_of)
+from orchidlane.hot_restart.rolling_batches import Fleet, Limits, Member, largest
+from orchidlane.rollout.canary_analysis import Judge, Tallies, sum_of
 
 SAMPLE = 8  # gateways of each side that are asked for their counts
 PATIENCE = 6  # soaks until it is given up where too little can be told
--- a/orchidlane/rollout/replicated_state.py
+++ b/orchidlane/rollout/replicated_state.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from orchidlane.rollout.version import (TEXT_MOST, Certificate, Parts, Seat, Version, Vote, has_quorum)
+from orchidlane.rollout.version import TEXT_MOST, Certificate, Parts, Seat, Version, Vote, has_quorum
 
 HISTORY = 16  # versions that are remembered, with their contents
 
--- a/orchidlane/rollout/rollback.py
+++ b/orchidlane/rollout/rollback.py
@@ -15,7 +15,7 @@
 
 import yaml
 
-from orchidlane.routes import (load_description)
+from orchidlane.routes import load_description
 
 Place = tuple[str, ...]
 Tree = dict[str, Any]
--- a/orchidlane/rollout/shard_migration.py
+++ b/orchidlane/rollout/shard_migration.py
@@ -21,7 +21,7 @@
 from math import ceil
 from typing import Any
 
-from orchidlane.rollout.compatibility import (Account, is_moved)
+from orchidlane.rollout.compatibility import Account, is_moved
 
 STAGES_MOST = 7  # of one move
 
--- a/orchidlane/routes/build.py
+++ b/orchidlane/routes/build.py
@@ -16,12 +16,12 @@
 import yaml
 from openapi_spec_validator import OpenAPIV30SpecValidator, OpenAPIV31SpecValidator
 
-from orchidlane.policy import (interface as api)
-from orchidlane.config.quantity import (Duration)
-from orchidlane.routes.errors import (DescriptionError)
-from orchidlane.routes.generation import (Generation, Operation)
-from orchidlane.routes.path import (PathError, canonical_path)
-from orchidlane.routes.tree import (TEMPLATE, Tree)
+from orchidlane.config.quantity import Duration
+from orchidlane.policy import interface as api
+from orchidlane.routes.errors import DescriptionError
+from orchidlane.routes.generation import Generation, Operation
+from orchidlane.routes.path import PathError, canonical_path
+from orchidlane.routes.tree import TEMPLATE, Tree
 
 METHODS = ("get", "put", "post", "delete", "options", "head", "patch", "trace")
 SAFE_METHODS = ("get", "head", "options")  # RFC 9110 section 9.2.1
--- a/orchidlane/routes/generation.py
+++ b/orchidlane/routes/generation.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from orchidlane import (http1)
-from orchidlane.policy import (interface as api)
-from orchidlane.routes.path import (PathError, canonical_path)
-from orchidlane.routes.tree import (Tree)
+from orchidlane import http1
+from orchidlane.policy import interface as api
+from orchidlane.routes.path import PathError, canonical_path
+from orchidlane.routes.tree import Tree
 
 
 @dataclass(frozen=True, slots=True, eq=False)
--- a/orchidlane/runtime/__init__.py
+++ b/orchidlane/runtime/__init__.py
@@ -1,11 +1,11 @@
 """All waiting, clocks, randomness and I/O: greenlets over ``select.poll``, or in a simulated world."""
 
-from orchidlane.runtime.errors import (Cancelled, Closed, Expired, LoopError, NotConnected)
-from orchidlane.runtime.lingering_close import (Lingering)
-from orchidlane.runtime.real_backend import (RealWorld)
-from orchidlane.runtime.scheduler import (BACKGROUND, CONTROL, PEERS, REQUESTS, Loop, Process, Scope, Task)
-from orchidlane.runtime.simulated_backend import (Faults, SimWorld)
-from orchidlane.runtime.backend import (Address, Datagrams, Listener, Stream, World)
+from orchidlane.runtime.backend import Address, Datagrams, Listener, Stream, World
+from orchidlane.runtime.errors import Cancelled, Closed, Expired, LoopError, NotConnected
+from orchidlane.runtime.lingering_close import Lingering
+from orchidlane.runtime.real_backend import RealWorld
+from orchidlane.runtime.scheduler import BACKGROUND, CONTROL, PEERS, REQUESTS, Loop, Process, Scope, Task
+from orchidlane.runtime.simulated_backend import Faults, SimWorld
 
 __all__ = [
     "BACKGROUND",
--- a/orchidlane/runtime/backend.py
+++ b/orchidlane/runtime/backend.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 if TYPE_CHECKING:
-    from orchidlane.runtime.scheduler import (Loop, Task)
+    from orchidlane.runtime.scheduler import Loop, Task
 
 Address = tuple[str, int]  # host, port; a host that begins with "/" is the path of a Unix socket
 Handle = Any  # a socket on its way to another process: only a world knows what is in it
--- a/orchidlane/runtime/lingering_close.py
+++ b/orchidlane/runtime/lingering_close.py
@@ -9,9 +9,9 @@
 
 from __future__ import annotations
 
-from orchidlane.runtime.errors import (Closed, Expired)
-from orchidlane.runtime.scheduler import (BACKGROUND, Loop, Scope, Task)
-from orchidlane.runtime.backend import (Stream)
+from orchidlane.runtime.backend import Stream
+from orchidlane.runtime.errors import Closed, Expired
+from orchidlane.runtime.scheduler import BACKGROUND, Loop, Scope, Task
 
 READ_MOST = 262_144  # bytes read and thrown away of one connection
 
--- a/orchidlane/runtime/real_backend.py
+++ b/orchidlane/runtime/real_backend.py
@@ -18,11 +18,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from orchidlane.runtime.errors import (Closed, NotConnected)
-from orchidlane.runtime.backend import (Address, show)
+from orchidlane.runtime.backend import Address, show
+from orchidlane.runtime.errors import Closed, NotConnected
 
 if TYPE_CHECKING:
-    from orchidlane.runtime.scheduler import (Loop, Task)
+    from orchidlane.runtime.scheduler import Loop, Task
 
 READ = select.POLLIN | select.POLLPRI
 WRITE = select.POLLOUT
--- a/orchidlane/runtime/scheduler.py
+++ b/orchidlane/runtime/scheduler.py
@@ -21,9 +21,9 @@
 
 import greenlet
 
-from orchidlane.runtime.errors import (Cancelled, Expired, LoopError)
-from orchidlane.runtime.timers import (Timer, Timers)
-from orchidlane.runtime.backend import (World)
+from orchidlane.runtime.backend import World
+from orchidlane.runtime.errors import Cancelled, Expired, LoopError
+from orchidlane.runtime.timers import Timer, Timers
 
 CONTROL, REQUESTS, PEERS, BACKGROUND = range(4)
 BUDGETS = (256, 128, 32, 8)  # tasks run in one turn, by class: bounds what one turn takes
--- a/orchidlane/runtime/simulated_backend.py
+++ b/orchidlane/runtime/simulated_backend.py
@@ -14,12 +14,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from orchidlane.runtime.errors import (Closed, NotConnected)
-from orchidlane.runtime.scheduler import (CONTROL, Process)
-from orchidlane.runtime.backend import (Address)
+from orchidlane.runtime.backend import Address
+from orchidlane.runtime.errors import Closed, NotConnected
+from orchidlane.runtime.scheduler import CONTROL, Process
 
 if TYPE_CHECKING:
-    from orchidlane.runtime.scheduler import (Loop, Task)
+    from orchidlane.runtime.scheduler import Loop, Task
 
 START = 1_700_000_000_000_000  # microseconds: where the virtual clock begins
 WINDOW = 65536  # bytes that a connection holds for a reader that does not read
--- a/orchidlane/simulation/audit.py
+++ b/orchidlane/simulation/audit.py
@@ -14,10 +14,22 @@
 
 import msgspec
 
-from orchidlane.policy import (interface as api)
-from orchidlane.recording import (TrueStore)
-from orchidlane.recording.audit import (harmless)
-from orchidlane.simulation.observations import (TERMS, Arrival, Away, Extra, Fell, Record, Run, Take, Told, Try, decode)
+from orchidlane.policy import interface as api
+from orchidlane.recording import TrueStore
+from orchidlane.recording.audit import harmless
+from orchidlane.simulation.observations import (
+    TERMS,
+    Arrival,
+    Away,
+    Extra,
+    Fell,
+    Record,
+    Run,
+    Take,
+    Told,
+    Try,
+    decode,
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidlane/simulation/backends.py
+++ b/orchidlane/simulation/backends.py
@@ -16,18 +16,18 @@
 import msgspec
 import structlog
 
-from orchidlane.gateway.control.customers import (load_customers)
-from orchidlane.gateway.control.configuration import (Knowledge)
-from orchidlane.gateway.lifecycle.process import (Program)
-from orchidlane.gateway.control.settings import (Fleet, upgrade_address)
-from orchidlane.gateway.lifecycle.status_query import (ask_status)
-from orchidlane.runtime import (Faults as NetFaults)
-from orchidlane.runtime import (Loop, Process, RealWorld, SimWorld)
-from orchidlane.runtime.backend import (Address)
-from orchidlane.hot_restart import (new_process)
-from orchidlane.simulation.audit import (Verdict)
-from orchidlane.simulation.scenario import (SECRET, Day, Plan, Runner, customers_file, make_plan, own_settings)
-from orchidlane.simulation.fake_endpoint import (Node, NodeSpec)
+from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.customers import load_customers
+from orchidlane.gateway.control.settings import Fleet, upgrade_address
+from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.gateway.lifecycle.status_query import ask_status
+from orchidlane.hot_restart import new_process
+from orchidlane.runtime import Faults as NetFaults
+from orchidlane.runtime import Loop, Process, RealWorld, SimWorld
+from orchidlane.runtime.backend import Address
+from orchidlane.simulation.audit import Verdict
+from orchidlane.simulation.fake_endpoint import Node, NodeSpec
+from orchidlane.simulation.scenario import SECRET, Day, Plan, Runner, customers_file, make_plan, own_settings
 
 WARM_UP = 120  # requests before any work begins
 END_WITHIN = 15.0  # seconds for a process to end by itself
--- a/orchidlane/simulation/bench_day.py
+++ b/orchidlane/simulation/bench_day.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from orchidlane.config import (Duration)
-from orchidlane.simulation.scenario import (Day, Step)
+from orchidlane.config import Duration
+from orchidlane.simulation.scenario import Day, Step
 
 STEPS_MOST = 500
 MS, SECOND = 1_000, 1_000_000
--- a/orchidlane/simulation/clients.py
+++ b/orchidlane/simulation/clients.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from orchidlane import (http1)
-from orchidlane.http1 import (Data, End, Malformed, Response)
-from orchidlane.runtime import (REQUESTS, Closed, Expired, Loop, NotConnected, Scope, Stream)
-from orchidlane.runtime.backend import (Address)
-from orchidlane.simulation.observations import (Extra, Record, Try)
+from orchidlane import http1
+from orchidlane.http1 import Data, End, Malformed, Response
+from orchidlane.runtime import REQUESTS, Closed, Expired, Loop, NotConnected, Scope, Stream
+from orchidlane.runtime.backend import Address
+from orchidlane.simulation.observations import Extra, Record, Try
 
 LISTEN_ON = 400_000  # microseconds after giving up
 CONNECT = 300_000
--- a/orchidlane/simulation/fake_endpoint.py
+++ b/orchidlane/simulation/fake_endpoint.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from orchidlane import (http1)
-from orchidlane.http1 import (Data, End, Malformed, Request)
-from orchidlane.runtime import (REQUESTS, Closed, Expired, Loop, Scope, Stream, Task)
-from orchidlane.runtime.backend import (Address)
-from orchidlane.simulation.observations import (Arrival, Fell, Run, encode)
+from orchidlane import http1
+from orchidlane.http1 import Data, End, Malformed, Request
+from orchidlane.runtime import REQUESTS, Closed, Expired, Loop, Scope, Stream, Task
+from orchidlane.runtime.backend import Address
+from orchidlane.simulation.observations import Arrival, Fell, Run, encode
 
 FAULTS = "/_lab/faults"
 
--- a/orchidlane/simulation/fake_servers.py
+++ b/orchidlane/simulation/fake_servers.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from orchidlane import (http1)
-from orchidlane.gateway.peers.datagrams import (HEAD)
-from orchidlane.gateway.control.endpoint_list import (ListLine, NodeLine)
-from orchidlane.http1 import (Malformed, Request)
-from orchidlane.runtime import (CONTROL, PEERS, Closed, Expired, Loop, Scope, Stream)
-from orchidlane.runtime.backend import (Address, Datagrams)
-from orchidlane.simulation.observations import (Record, Told)
+from orchidlane import http1
+from orchidlane.gateway.control.endpoint_list import ListLine, NodeLine
+from orchidlane.gateway.peers.datagrams import HEAD
+from orchidlane.http1 import Malformed, Request
+from orchidlane.runtime import CONTROL, PEERS, Closed, Expired, Loop, Scope, Stream
+from orchidlane.runtime.backend import Address, Datagrams
+from orchidlane.simulation.observations import Record, Told
 
 HEARTBEAT = 3_000_000  # microseconds between two empty lines
 
--- a/orchidlane/simulation/network_links.py
+++ b/orchidlane/simulation/network_links.py
@@ -8,8 +8,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from orchidlane.runtime import (PEERS, Closed, Expired, Listener, Loop, NotConnected, Scope, Stream)
-from orchidlane.runtime.backend import (Address)
+from orchidlane.runtime import PEERS, Closed, Expired, Listener, Loop, NotConnected, Scope, Stream
+from orchidlane.runtime.backend import Address
 
 LOOK = 10_000  # microseconds between two looks at a cut
 Pair = tuple[int, int]  # who calls, and who is called
--- a/orchidlane/simulation/process_fleet.py
+++ b/orchidlane/simulation/process_fleet.py
@@ -19,17 +19,17 @@
 from pathlib import Path
 from typing import Any
 
-from orchidlane import (config)
-from orchidlane.rollout import (messages)
-from orchidlane.gateway.peers.datagrams import (CHANGE, HEAD, MAC)
-from orchidlane.gateway.control.settings import (address, schema)
-from orchidlane.runtime import (Loop, RealWorld)
-from orchidlane.runtime.backend import (Address)
-from orchidlane.simulation.audit import (Verdict)
-from orchidlane.simulation.backends import (END_WITHIN, RealBacking, play_while)
-from orchidlane.simulation.scenario import (Day, Plan, Runner, make_plan, own_settings)
-from orchidlane.simulation.network_links import (Links, Pair)
-from orchidlane.simulation.observations import (Away, Try)
+from orchidlane import config
+from orchidlane.gateway.control.settings import address, schema
+from orchidlane.gateway.peers.datagrams import CHANGE, HEAD, MAC
+from orchidlane.rollout import messages
+from orchidlane.runtime import Loop, RealWorld
+from orchidlane.runtime.backend import Address
+from orchidlane.simulation.audit import Verdict
+from orchidlane.simulation.backends import END_WITHIN, RealBacking, play_while
+from orchidlane.simulation.network_links import Links, Pair
+from orchidlane.simulation.observations import Away, Try
+from orchidlane.simulation.scenario import Day, Plan, Runner, make_plan, own_settings
 
 READY_WITHIN = 20.0  # seconds
 COMMAND_WITHIN = 90.0
--- a/orchidlane/simulation/quota_clients.py
+++ b/orchidlane/simulation/quota_clients.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from orchidlane import (resp)
-from orchidlane.runtime import (REQUESTS, Closed, Expired, Loop, NotConnected, Scope, Stream)
-from orchidlane.runtime.backend import (Address)
-from orchidlane.resp import (ErrorReply)
-from orchidlane.simulation.clients import (Subscriber)
-from orchidlane.simulation.observations import (Record, Take)
+from orchidlane import resp
+from orchidlane.resp import ErrorReply
+from orchidlane.runtime import REQUESTS, Closed, Expired, Loop, NotConnected, Scope, Stream
+from orchidlane.runtime.backend import Address
+from orchidlane.simulation.clients import Subscriber
+from orchidlane.simulation.observations import Record, Take
 
 PATIENCE = 1_500_000  # microseconds that a service waits for a reply
 CONNECT = 300_000
--- a/orchidlane/simulation/random_faults.py
+++ b/orchidlane/simulation/random_faults.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from orchidlane.config import (Duration)
-from orchidlane.runtime import (Faults as NetFaults)
-from orchidlane.simulation.backends import (simulate)
-from orchidlane.simulation.scenario import (Day, Step)
+from orchidlane.config import Duration
+from orchidlane.runtime import Faults as NetFaults
+from orchidlane.simulation.backends import simulate
+from orchidlane.simulation.scenario import Day, Step
 
 MS, SECOND = 1_000, 1_000_000
 KINDS = (
--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -20,15 +20,15 @@
 
 import msgspec
 
-from orchidlane.rollout.replicated_state import (Ledger, Stage)
-from orchidlane.rollout.version import (Parts, name_of, why_not_certified)
-from orchidlane.config import (Duration)
-from orchidlane.gateway.lifecycle.process import (Program)
-from orchidlane.gateway.control.settings import (Fleet, address)
-from orchidlane.gateway.rollout_agent.admin_api import (Order, Status)
-from orchidlane.gateway.rollout_agent.admin_client import (PREFIX, FetchError, call)
-from orchidlane.gateway.rollout_agent.agent import (Outcome)
-from orchidlane.runtime import (Faults, Loop, Process, SimWorld)
+from orchidlane.config import Duration
+from orchidlane.gateway.control.settings import Fleet, address
+from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.gateway.rollout_agent.admin_api import Order, Status
+from orchidlane.gateway.rollout_agent.admin_client import PREFIX, FetchError, call
+from orchidlane.gateway.rollout_agent.agent import Outcome
+from orchidlane.rollout.replicated_state import Ledger, Stage
+from orchidlane.rollout.version import Parts, name_of, why_not_certified
+from orchidlane.runtime import Faults, Loop, Process, SimWorld
 
 SECRET = b"a secret for stand-ins only"
 SECOND = 1_000_000
--- a/orchidlane/simulation/scenario.py
+++ b/orchidlane/simulation/scenario.py
@@ -17,20 +17,20 @@
 
 import msgspec
 
-from orchidlane import (config)
-from orchidlane.config import (Duration)
-from orchidlane.gateway.control.customers import (CustomerEntry, make_customer)
-from orchidlane.gateway.control.endpoint_list import (NodeLine)
-from orchidlane.gateway.control.settings import (Fleet, address, parse_fleet, schema)
-from orchidlane.runtime import (CONTROL, PEERS, REQUESTS, Loop, LoopError, Scope)
-from orchidlane.runtime.backend import (Address)
-from orchidlane.routes import (Generation, build, load_description)
-from orchidlane.simulation.audit import (Terms, Verdict, audit)
-from orchidlane.simulation.clients import (Crowd, Kind, Subscriber)
-from orchidlane.simulation.fake_endpoint import (FAULTS, Faults, NodeSpec, Work)
-from orchidlane.simulation.observations import (CLIENTS, TERMS, Away, Record, decode, encode)
-from orchidlane.simulation.fake_servers import (NodeList, Relay)
-from orchidlane.simulation.quota_clients import (Takers)
+from orchidlane import config
+from orchidlane.config import Duration
+from orchidlane.gateway.control.customers import CustomerEntry, make_customer
+from orchidlane.gateway.control.endpoint_list import NodeLine
+from orchidlane.gateway.control.settings import Fleet, address, parse_fleet, schema
+from orchidlane.routes import Generation, build, load_description
+from orchidlane.runtime import CONTROL, PEERS, REQUESTS, Loop, LoopError, Scope
+from orchidlane.runtime.backend import Address
+from orchidlane.simulation.audit import Terms, Verdict, audit
+from orchidlane.simulation.clients import Crowd, Kind, Subscriber
+from orchidlane.simulation.fake_endpoint import FAULTS, Faults, NodeSpec, Work
+from orchidlane.simulation.fake_servers import NodeList, Relay
+from orchidlane.simulation.observations import CLIENTS, TERMS, Away, Record, decode, encode
+from orchidlane.simulation.quota_clients import Takers
 
 SECRET = b"a secret for stand-ins only"
 SETTLE = 1_500_000  # microseconds after the last request
--- a/orchidlane/simulator_protocol/codec.py
+++ b/orchidlane/simulator_protocol/codec.py
@@ -6,7 +6,7 @@
 import struct
 from dataclasses import dataclass, field
 
-from orchidlane.policy import (interface as api)
+from orchidlane.policy import interface as api
 
 HEADER = struct.Struct("<IIQ")
 REPLY_HEADER = struct.Struct("<II")
--- a/orchidlane/simulator_protocol/process.py
+++ b/orchidlane/simulator_protocol/process.py
@@ -5,9 +5,9 @@
 import sys
 from typing import BinaryIO
 
-from orchidlane.policy import (interface as api)
-from orchidlane.simulator_protocol import (codec)
-from orchidlane.policy.gateway import (Gateway)
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.simulator_protocol import codec
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,8 +14,8 @@
     pytest_xdist_node_collection_finished,
 )
 
-from orchidlane.policy import (interface as api)
-from orchidlane.policy.gateway import (Gateway)
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
 
 SECOND = 1_000_000
 WHOLE_MACHINE = (
--- a/tests/harness/fleet_house.py
+++ b/tests/harness/fleet_house.py
@@ -10,12 +10,11 @@
 import random
 from dataclasses import dataclass, field
 
-from harness.platform_house import (HALLS, MS, SECOND, call, file, settings)
-
-from orchidlane import (http1)
-from orchidlane.runtime import (CONTROL, Closed, Expired, Faults, Loop, NotConnected, Scope, SimWorld)
-from orchidlane.platform.configuration import (parse)
-from orchidlane.platform.lifecycle import (Life)
+from harness.platform_house import HALLS, MS, SECOND, call, file, settings
+from orchidlane import http1
+from orchidlane.platform.configuration import parse
+from orchidlane.platform.lifecycle import Life
+from orchidlane.runtime import CONTROL, Closed, Expired, Faults, Loop, NotConnected, Scope, SimWorld
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 FULL = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
--- a/tests/harness/gateway_house.py
+++ b/tests/harness/gateway_house.py
@@ -8,15 +8,15 @@
 import msgspec
 import structlog
 
-from orchidlane import (http1)
-from orchidlane.gateway.control.customers import (load_customers)
-from orchidlane.gateway.control.configuration import (Knowledge)
-from orchidlane.gateway.control.endpoint_list import (NodeLine)
-from orchidlane.gateway.lifecycle.process import (Program)
-from orchidlane.gateway.control.settings import (Fleet, parse_fleet)
-from orchidlane.simulation.fake_servers import (NodeList)
-from orchidlane.runtime import (CONTROL, Closed, Expired, Faults, Loop, Scope, SimWorld)
-from orchidlane.routes import (build, load_description)
+from orchidlane import http1
+from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.customers import load_customers
+from orchidlane.gateway.control.endpoint_list import NodeLine
+from orchidlane.gateway.control.settings import Fleet, parse_fleet
+from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.routes import build, load_description
+from orchidlane.runtime import CONTROL, Closed, Expired, Faults, Loop, Scope, SimWorld
+from orchidlane.simulation.fake_servers import NodeList
 
 MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
 GENERATION = build(load_description((MATERIALS / "openapi.yaml").read_bytes(), "o"), "o")
--- a/tests/harness/platform_house.py
+++ b/tests/harness/platform_house.py
@@ -6,11 +6,10 @@
 import os
 from contextlib import suppress
 
-from harness.gateway_house import (House)
-
-from orchidlane.runtime import (CONTROL, Closed, Faults, Loop, RealWorld, Scope, SimWorld)
-from orchidlane.platform.configuration import (Config, parse)
-from orchidlane.platform.lifecycle import (Life)
+from harness.gateway_house import House
+from orchidlane.platform.configuration import Config, parse
+from orchidlane.platform.lifecycle import Life
+from orchidlane.runtime import CONTROL, Closed, Faults, Loop, RealWorld, Scope, SimWorld
 
 MS, SECOND = 1_000, 1_000_000
 HALLS = ["hall-1", "hall-2"]
--- a/tests/harness/process_fleets.py
+++ b/tests/harness/process_fleets.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from orchidlane.config import (Duration)
-from orchidlane.simulation.scenario import (load_day)
-from orchidlane.simulation.process_fleet import (play_fleet)
+from orchidlane.config import Duration
+from orchidlane.simulation.process_fleet import play_fleet
+from orchidlane.simulation.scenario import load_day
 
 MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
 SECOND = 1_000_000
--- a/tests/processes/test_change_processes.py
+++ b/tests/processes/test_change_processes.py
@@ -10,11 +10,11 @@
 
 import msgspec
 import pytest
+from harness.process_fleets import COST, EDITED, SECOND, fleet_of, rules_hold
 
-from orchidlane.rollout import (messages)
-from orchidlane.gateway.control.customers import (CustomerEntry, make_customer)
-from orchidlane.gateway.control.settings import (address)
-from harness.process_fleets import (COST, EDITED, SECOND, fleet_of, rules_hold)
+from orchidlane.gateway.control.customers import CustomerEntry, make_customer
+from orchidlane.gateway.control.settings import address
+from orchidlane.rollout import messages
 
 LEASE = 2 * SECOND
 
--- a/tests/processes/test_platform_processes.py
+++ b/tests/processes/test_platform_processes.py
@@ -17,10 +17,21 @@
 from pathlib import Path
 
 import pytest
-from harness.platform_house import (OK, call, file, settings)
+from harness.platform_house import OK, call, file, settings
+from harness.platform_processes import (
+    UP,
+    WAIT,
+    Agent,
+    Platform,
+    Serving,
+    free_port,
+    listener,
+    request_at,
+    to_the_end,
+    until,
+)
 
-from orchidlane.runtime.backend import (show)
-from harness.platform_processes import (UP, WAIT, Agent, Platform, Serving, free_port, listener, request_at, to_the_end, until)
+from orchidlane.runtime.backend import show
 
 ROOT = Path(__file__).parent.parent.parent
 LAST = OK.replace(
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -6,15 +6,15 @@
 import test_lingering as lingering
 import test_narrow_moments as moments
 import test_watches as watches
-from harness.platform_house import (SECOND, PlatformHouse)
-
-from orchidlane.gateway.server.http_server import (Front)
-from orchidlane.gateway.control.json_stream import (Objects)
-from orchidlane.gateway.forwarding.connection_pool import (Pool)
-from orchidlane.runtime import (Lingering, Loop, RealWorld)
-from orchidlane.runtime.real_backend import (RealStream)
-from orchidlane.platform import (discovery, lifecycle, shutdown)
-from orchidlane.platform.discovery import (Tracker)
+from harness.platform_house import SECOND, PlatformHouse
+
+from orchidlane.gateway.control.json_stream import Objects
+from orchidlane.gateway.forwarding.connection_pool import Pool
+from orchidlane.gateway.server.http_server import Front
+from orchidlane.platform import discovery, lifecycle, shutdown
+from orchidlane.platform.discovery import Tracker
+from orchidlane.runtime import Lingering, Loop, RealWorld
+from orchidlane.runtime.real_backend import RealStream
 
 
 def closes_at_once(self, stream):
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -6,20 +6,35 @@
 
 import msgspec
 import pytest
-from harness.gateway_house import (MATERIALS)
+from harness.gateway_house import MATERIALS
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidlane.rollout import (replicated_state as steps)
-from orchidlane.rollout import (messages, compatibility)
-from orchidlane.rollout.bootstrap import (found, own_waiting)
-from orchidlane.rollout.replicated_state import (Admit, Approve, Claim, Fenced, Finish, Ledger, Propose, Refused, Resume, Settle, Stage, Stop, Widen, ranks_as_bits)
-from orchidlane.rollout.dissemination import (Fetch, Spread)
-from orchidlane.rollout.rollback import (Conflict, customers_without, rules_without)
-from orchidlane.rollout.version import (Certificate, Parts, Seat, Version, cast, has_quorum, why_not_certified)
-from orchidlane.gateway.rollout_agent.storage import (Damaged, Files, VoterFile)
-from orchidlane.runtime import (Loop, SimWorld)
-from orchidlane.routes import (build, load_description)
+from orchidlane.gateway.rollout_agent.storage import Damaged, Files, VoterFile
+from orchidlane.rollout import compatibility, messages
+from orchidlane.rollout import replicated_state as steps
+from orchidlane.rollout.bootstrap import found, own_waiting
+from orchidlane.rollout.dissemination import Fetch, Spread
+from orchidlane.rollout.replicated_state import (
+    Admit,
+    Approve,
+    Claim,
+    Fenced,
+    Finish,
+    Ledger,
+    Propose,
+    Refused,
+    Resume,
+    Settle,
+    Stage,
+    Stop,
+    Widen,
+    ranks_as_bits,
+)
+from orchidlane.rollout.rollback import Conflict, customers_without, rules_without
+from orchidlane.rollout.version import Certificate, Parts, Seat, Version, cast, has_quorum, why_not_certified
+from orchidlane.routes import build, load_description
+from orchidlane.runtime import Loop, SimWorld
 
 SECRET = b"a secret that is long enough"
 OTHER = b"another secret, as long as that"
@@ -370,7 +385,9 @@
 
 
 def test_sets_and_plans_go_by_steps_of_their_own():
-    def one(first: int, held: bool = False, ceiling: bool = True, plan: str = "amplio") -> compatibility.Material:
+    def one(
+        first: int, held: bool = False, ceiling: bool = True, plan: str = "amplio"
+    ) -> compatibility.Material:
         return material(RULES, c2=(plan, first, 3, ceiling, held))
 
     assert compatibility.why_not_beside(one(1), material(RULES, c3=("amplio", 0, 3, True))) == ""
@@ -505,6 +522,6 @@
 
 
 def steps_kept():
-    from orchidlane.rollout.consensus import (Kept)
+    from orchidlane.rollout.consensus import Kept
 
     return Kept(7, (3, 1, 7), (2, 0, 5), "n" * 64, 4, {1: (8, 2)})
--- a/tests/test_change_model.py
+++ b/tests/test_change_model.py
@@ -15,11 +15,11 @@
 import msgspec
 import pytest
 
-from orchidlane.rollout import (replicated_state as steps)
-from orchidlane.rollout.replicated_state import (Admit, Claim, Ledger, Stop)
-from orchidlane.rollout.messages import (Accept, Accepted, MarkTold, Nack, Promise)
-from orchidlane.rollout.consensus import (Chosen, Hold, Keep, Kept, Register, Stand, Tell)
-from orchidlane.rollout.version import (Certificate, Parts, Seat, Version, name_of)
+from orchidlane.rollout import replicated_state as steps
+from orchidlane.rollout.consensus import Chosen, Hold, Keep, Kept, Register, Stand, Tell
+from orchidlane.rollout.messages import Accept, Accepted, MarkTold, Nack, Promise
+from orchidlane.rollout.replicated_state import Admit, Claim, Ledger, Stop
+from orchidlane.rollout.version import Certificate, Parts, Seat, Version, name_of
 
 VOTERS = range(3)
 FIRST = Ledger(
--- a/tests/test_change_stories.py
+++ b/tests/test_change_stories.py
@@ -7,10 +7,10 @@
 from concurrent.futures import ProcessPoolExecutor
 
 import pytest
-from harness.gateway_house import (MATERIALS, fleet)
+from harness.gateway_house import MATERIALS, fleet
 from test_day import quiet  # noqa: F401
 
-from orchidlane.simulation.rollout_scenarios import (KINDS, Story, Wrong, draw, play_story)
+from orchidlane.simulation.rollout_scenarios import KINDS, Story, Wrong, draw, play_story
 
 FOUND = (130, 180, 242, 253, 258, 283, 317, 440, 516, 530)  # stood still once: see docs/change.md
 SEEDS = sorted({*range(1, int(os.environ.get("CHANGE_SEEDS", "48")) + 1), *FOUND})
@@ -58,7 +58,7 @@
 
 def test_the_stories_find_gateways_that_serve_by_an_undone_version(monkeypatch):
     """A lease that nobody minds is found."""
-    from orchidlane.rollout.dissemination import (Spread)
+    from orchidlane.rollout.dissemination import Spread
 
     monkeypatch.setattr(Spread, "why_not_serve", lambda self, now: "")
     with pytest.raises(Wrong, match="serves by version"):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,10 +17,10 @@
 import pytest
 from click.testing import CliRunner
 
-from orchidlane.cli.main import (main)
-from orchidlane.cli.screen import (sums)
-from orchidlane.simulation.bench_day import (map_bench_day)
-from orchidlane.simulation.scenario import (load_day)
+from orchidlane.cli.main import main
+from orchidlane.cli.screen import sums
+from orchidlane.simulation.bench_day import map_bench_day
+from orchidlane.simulation.scenario import load_day
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidlane import (config)
-from orchidlane.config import (ConfigError, Duration, Size)
+from orchidlane import config
+from orchidlane.config import ConfigError, Duration, Size
 
 SCHEMA = """
 #Span: =~"^[0-9]+(ms|s)$"
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -11,9 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidlane.policy import (interface as api)
-from orchidlane.policy import (gossip_codec as messages)
-from orchidlane.policy.gossip_codec import (Row)
+from orchidlane.policy import gossip_codec as messages
+from orchidlane.policy import interface as api
+from orchidlane.policy.gossip_codec import Row
 
 MS = T0 // 1_000
 TICK = MS // messages.TICK
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -10,17 +10,17 @@
 import pytest
 import structlog
 
-from orchidlane.policy import (interface as api)
-from orchidlane.config import (Duration)
-from orchidlane.gateway.control import (endpoint_list)
-from orchidlane.gateway.forwarding import (connection_pool)
-from orchidlane.gateway.forwarding.pending_request import (Answer)
-from orchidlane.gateway.server.http_server import (Front)
-from orchidlane.gateway.forwarding.policy_driver import (Host)
-from orchidlane.simulation.backends import (play, simulate)
-from orchidlane.simulation.scenario import (Day, Step, load_day)
-from orchidlane.simulation.random_faults import (broken, play_seeds)
-from orchidlane.policy.gateway import (Gateway)
+from orchidlane.config import Duration
+from orchidlane.gateway.control import endpoint_list
+from orchidlane.gateway.forwarding import connection_pool
+from orchidlane.gateway.forwarding.pending_request import Answer
+from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.server.http_server import Front
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.simulation.backends import play, simulate
+from orchidlane.simulation.random_faults import broken, play_seeds
+from orchidlane.simulation.scenario import Day, Step, load_day
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 SECOND = 1_000_000
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,11 +5,11 @@
 from collections import deque
 
 import pytest
-from harness.fleet_house import (Fleet, Terms)
-from harness.platform_house import (MS, SECOND)
+from harness.fleet_house import Fleet, Terms
+from harness.platform_house import MS, SECOND
 
-from orchidlane.policy import (gateway as rules)
-from orchidlane.recording.reference_quota import (TrueStore)
+from orchidlane.policy import gateway as rules
+from orchidlane.recording.reference_quota import TrueStore
 
 PLAN = {
     "beyondEarns": 0,
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -5,10 +5,24 @@
 import json
 
 import pytest
-from harness.gateway_house import (GET, KEY, MS, OK, REPORT, SECOND, SETTINGS, UPLOAD, House, good, request, resets_after, silent)
+from harness.gateway_house import (
+    GET,
+    KEY,
+    MS,
+    OK,
+    REPORT,
+    SECOND,
+    SETTINGS,
+    UPLOAD,
+    House,
+    good,
+    request,
+    resets_after,
+    silent,
+)
 
-from orchidlane import (http1)
-from orchidlane.gateway.control.settings import (parse_fleet)
+from orchidlane import http1
+from orchidlane.gateway.control.settings import parse_fleet
 
 TIGHT = parse_fleet(SETTINGS, "fleet.cue").plans
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidlane import (http1)
+from orchidlane import http1
 
 
 def read(data: bytes, parser=None, step: int | None = None):
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -4,7 +4,17 @@
 
 import random
 
-from orchidlane.rollout.canary_analysis import (FALSE_STOPS, KINDS, LEAST, MARGIN, Judge, Tally, answers_until_found, between, sum_of)
+from orchidlane.rollout.canary_analysis import (
+    FALSE_STOPS,
+    KINDS,
+    LEAST,
+    MARGIN,
+    Judge,
+    Tally,
+    answers_until_found,
+    between,
+    sum_of,
+)
 
 STRATA = ("sheet-read basico", "sheet-read amplio", "report-issue amplio")
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,10 +10,20 @@
 from hypothesis import strategies as st
 from test_day import SECOND, day, quiet, step  # noqa: F401
 
-from orchidlane.gateway.forwarding.policy_driver import (Host)
-from orchidlane.gateway.peers.token_requests import (LimitService)
-from orchidlane.simulation.backends import (simulate)
-from orchidlane.limits import (Claim, Holder, Ledger, LedgerError, Outcome, State, Verdict, holders_of, token_name)
+from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.peers.token_requests import LimitService
+from orchidlane.limits import (
+    Claim,
+    Holder,
+    Ledger,
+    LedgerError,
+    Outcome,
+    State,
+    Verdict,
+    holders_of,
+    token_name,
+)
+from orchidlane.simulation.backends import simulate
 
 LIFE, NOW = 10, 1_000
 NAME = token_name(1, b"t")
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from orchidlane.runtime import (Closed, Expired, Lingering, Loop, RealWorld, Scope, SimWorld)
+from orchidlane.runtime import Closed, Expired, Lingering, Loop, RealWorld, Scope, SimWorld
 
 MS, SECOND = 1_000, 1_000_000
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -10,8 +10,20 @@
 
 import pytest
 
-from orchidlane.runtime import (BACKGROUND, REQUESTS, Cancelled, Closed, Expired, Faults, Loop, NotConnected, RealWorld, Scope, SimWorld)
-from orchidlane.runtime.timers import (Timers)
+from orchidlane.runtime import (
+    BACKGROUND,
+    REQUESTS,
+    Cancelled,
+    Closed,
+    Expired,
+    Faults,
+    Loop,
+    NotConnected,
+    RealWorld,
+    Scope,
+    SimWorld,
+)
+from orchidlane.runtime.timers import Timers
 
 MS, SECOND = 1_000, 1_000_000
 ANY = ("127.0.0.1", 0)
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -12,10 +12,10 @@
 from contextlib import suppress
 
 import pytest
-from harness.platform_house import (MS, OK, SECOND, PlatformHouse, RealPlatformHouse, call, settings)
+from harness.platform_house import MS, OK, SECOND, PlatformHouse, RealPlatformHouse, call, settings
 
-from orchidlane.runtime import (Closed)
-from orchidlane.platform.shutdown import (STAY, graceful_shutdown)
+from orchidlane.platform.shutdown import STAY, graceful_shutdown
+from orchidlane.runtime import Closed
 
 CLOSE = "Connection: close"
 FULL = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidlane.policy import (interface as api)
-from orchidlane.gateway.peers.datagrams import (BODY_MOST, WINDOW, Inbox, seal)
-from orchidlane.gateway.forwarding.last_check import (Leaving, why_not)
-from orchidlane.gateway.control.endpoint_list import (ListRefused, ListTracker)
+from orchidlane.gateway.control.endpoint_list import ListRefused, ListTracker
+from orchidlane.gateway.forwarding.last_check import Leaving, why_not
+from orchidlane.gateway.peers.datagrams import BODY_MOST, WINDOW, Inbox, seal
+from orchidlane.policy import interface as api
 
 SECRET, NOW, SECOND = b"0123456789abcdef", 1_000_000_000, 1_000_000
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,16 +8,28 @@
 from contextlib import suppress
 
 import pytest
-from harness.gateway_house import (resets_after)
-from harness.platform_house import (DISCOVERY, MS, OK, SECOND, Discovery, PlatformHouse, call, configuration, file, instance, settings)
-
-from orchidlane.http1 import (header)
-from orchidlane.runtime import (CONTROL, Closed)
-from orchidlane.platform.configuration import (ConfigError, parse)
-from orchidlane.platform.discovery import (ListRefused, Tracker)
-from orchidlane.platform.rate_limited_log import (Log)
-from orchidlane.platform.shutdown import (STAY)
-from orchidlane.platform.resource_limits import (terms_of)
+from harness.gateway_house import resets_after
+from harness.platform_house import (
+    DISCOVERY,
+    MS,
+    OK,
+    SECOND,
+    Discovery,
+    PlatformHouse,
+    call,
+    configuration,
+    file,
+    instance,
+    settings,
+)
+
+from orchidlane.http1 import header
+from orchidlane.platform.configuration import ConfigError, parse
+from orchidlane.platform.discovery import ListRefused, Tracker
+from orchidlane.platform.rate_limited_log import Log
+from orchidlane.platform.resource_limits import terms_of
+from orchidlane.platform.shutdown import STAY
+from orchidlane.runtime import CONTROL, Closed
 
 
 def run(*handlers, test, **changes) -> PlatformHouse:
--- a/tests/test_platform_real.py
+++ b/tests/test_platform_real.py
@@ -12,7 +12,7 @@
 import time
 from pathlib import Path
 
-from harness.platform_house import (OK, call, file, instance, settings)
+from harness.platform_house import OK, call, file, instance, settings
 
 PEERS, HOSTS = 1_024, 1_500
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -15,15 +15,15 @@
 from hypothesis import strategies as st
 from test_day import MATERIALS, day, quiet, step  # noqa: F401
 
-from orchidlane.policy import (interface as api)
-from orchidlane import (recording)
-from orchidlane.cli.main import (main)
-from orchidlane.policy.interface import (Outcome, Phase)
-from orchidlane.simulation.backends import (RealBacking, SimulatedBacking)
-from orchidlane.simulation.scenario import (Runner, load_day, make_plan)
-from orchidlane.runtime import (Loop, RealWorld, SimWorld)
-from orchidlane.policy.gossip_codec import (Row, pack, pack_row)
-from orchidlane.policy.gateway import (Gateway)
+from orchidlane import recording
+from orchidlane.cli.main import main
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.policy.gossip_codec import Row, pack, pack_row
+from orchidlane.policy.interface import Outcome, Phase
+from orchidlane.runtime import Loop, RealWorld, SimWorld
+from orchidlane.simulation.backends import RealBacking, SimulatedBacking
+from orchidlane.simulation.scenario import Runner, load_day, make_plan
 
 CORPUS = Path(__file__).parent / "corpus" / "record"
 
@@ -363,7 +363,7 @@
 
 def test_a_view_tells_the_decision_that_follows():
     """Thousands of next requests, foretold by a copy and then really made."""
-    from orchidlane.gateway.telemetry.policy_views import (make_view, next_request, read_view)
+    from orchidlane.gateway.telemetry.policy_views import make_view, next_request, read_view
 
     compared = 0
     for seed in range(20):
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 from test_cli import Process, folder  # noqa: F401  (the fixture of a gateway's files)
 
-from orchidlane import (resp)
-from orchidlane.resp import (Attributed, Decoder, ErrorReply, Push, SetReply, Simple, Verbatim, encode)
+from orchidlane import resp
+from orchidlane.resp import Attributed, Decoder, ErrorReply, Push, SetReply, Simple, Verbatim, encode
 
 CORPUS = Path(__file__).parent / "corpus" / "resp"
 SMALL = resp.Limits(line=100, bulk=50, count=20, total=40, depth=4)
--- a/tests/test_respfront.py
+++ b/tests/test_respfront.py
@@ -4,12 +4,12 @@
 
 import msgspec
 import pytest
-from harness.gateway_house import (GET, KEY, MS, SECOND, SETTINGS, House, good)
+from harness.gateway_house import GET, KEY, MS, SECOND, SETTINGS, House, good
 from test_gateway import TIGHT
 
-from orchidlane.gateway.control.settings import (parse_fleet)
-from orchidlane.runtime import (Closed, Expired)
-from orchidlane.resp import (Decoder, ErrorReply, encode)
+from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.resp import Decoder, ErrorReply, encode
+from orchidlane.runtime import Closed, Expired
 
 DOOR = ("127.0.0.1", 8380)
 ALONE = parse_fleet(SETTINGS, "fleet.cue").gateways[:1]
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -7,23 +7,23 @@
 import msgspec
 import pytest
 from conftest import PLAIN, SECOND, SETTINGS
-from harness.gateway_house import (GET, MS, House)
-from harness.gateway_house import (SETTINGS as FLEET)
+from harness.gateway_house import GET, MS, House
+from harness.gateway_house import SETTINGS as FLEET
 from hypothesis import given
 from hypothesis import strategies as st
 from test_day import day, quiet  # noqa: F401
 from test_upgrade import slow
 
-from orchidlane.policy import (interface as api)
-from orchidlane.config import (Duration)
-from orchidlane.gateway.control.settings import (parse_fleet)
-from orchidlane.simulation.backends import (SimulatedBacking)
-from orchidlane.simulation.scenario import (Runner, make_plan)
-from orchidlane.runtime import (Loop, SimWorld)
-from orchidlane.recording.state_dump import (dump_account)
-from orchidlane.policy.gateway import (Gateway)
-from orchidlane.policy.state import (Account)
-from orchidlane.hot_restart.account_recovery import (Life, survivors)
+from orchidlane.config import Duration
+from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.hot_restart.account_recovery import Life, survivors
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.policy.state import Account
+from orchidlane.recording.state_dump import dump_account
+from orchidlane.runtime import Loop, SimWorld
+from orchidlane.simulation.backends import SimulatedBacking
+from orchidlane.simulation.scenario import Runner, make_plan
 
 START = 10**15
 PLANS = ("basico", "amplio")
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -1,6 +1,6 @@
 """Which idle connections carry another request."""
 
-from orchidlane.gateway.forwarding.connection_reuse import (HALVE, Reuse)
+from orchidlane.gateway.forwarding.connection_reuse import HALVE, Reuse
 
 MS, SECOND = 1_000, 1_000_000
 
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -16,14 +16,14 @@
 from hypothesis import strategies as st
 from test_day import day, quiet  # noqa: F401
 
-from orchidlane.config import (Duration)
-from orchidlane.gateway.lifecycle.rolling_upgrade import (Rolling, UnfinishedRoll)
-from orchidlane.simulation.backends import (SimulatedBacking)
-from orchidlane.simulation.scenario import (Runner, make_plan)
-from orchidlane.simulation.state_exploration import (explore)
-from orchidlane.runtime import (CONTROL, Loop, SimWorld)
-from orchidlane.hot_restart import (rolling_batches, rolling_upgrade)
-from orchidlane.hot_restart.probation import (Answers)
+from orchidlane.config import Duration
+from orchidlane.gateway.lifecycle.rolling_upgrade import Rolling, UnfinishedRoll
+from orchidlane.hot_restart import rolling_batches, rolling_upgrade
+from orchidlane.hot_restart.probation import Answers
+from orchidlane.runtime import CONTROL, Loop, SimWorld
+from orchidlane.simulation.backends import SimulatedBacking
+from orchidlane.simulation.scenario import Runner, make_plan
+from orchidlane.simulation.state_exploration import explore
 
 MS = 1_000
 
@@ -200,7 +200,9 @@
         if gate.gone:
             return self._feed(now, rolling_upgrade.Silent(rank, bool(gate.successor)))
         serving = not (gate.successor and gate.runs)
-        self._feed(now, rolling_upgrade.Seen(rank, gate.pid, serving, gate.latest, answers, bool(gate.successor)))
+        self._feed(
+            now, rolling_upgrade.Seen(rank, gate.pid, serving, gate.latest, answers, bool(gate.successor))
+        )
 
     def _die(self) -> None:
         """Killed and resumed at once; what was prepared and not let run ends with it."""
@@ -230,7 +232,11 @@
 
     def _next_batch(self) -> list[rolling_upgrade.Action]:
         wanted = [rank for rank, one in enumerate(self.state.ones) if one.place is rolling_upgrade.Place.OLD]
-        return self._start(wanted, rolling_upgrade.Place.GOING) if wanted else self._end(rolling_upgrade.Phase.DONE)
+        return (
+            self._start(wanted, rolling_upgrade.Place.GOING)
+            if wanted
+            else self._end(rolling_upgrade.Phase.DONE)
+        )
 
 
 @pytest.mark.parametrize("broken", [Forgetful, Hasty])
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidlane.policy import (interface as api)
-from orchidlane import (routes)
-from orchidlane.routes import (Match, Miss)
+from orchidlane import routes
+from orchidlane.policy import interface as api
+from orchidlane.routes import Match, Miss
 
 ROOT = Path(__file__).parent.parent
 FILE = ROOT / "examples" / "materials" / "openapi.yaml"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,11 +5,11 @@
 import pytest
 from conftest import SECOND, T0, Bench, entry, listed, of
 
-from orchidlane.policy import (interface as api)
-from orchidlane.policy import (gossip_codec)
-from orchidlane.policy.interface import (Outcome)
-from orchidlane.policy.gossip_codec import (Row)
-from orchidlane.policy.state import (Account)
+from orchidlane.policy import gossip_codec
+from orchidlane.policy import interface as api
+from orchidlane.policy.gossip_codec import Row
+from orchidlane.policy.interface import Outcome
+from orchidlane.policy.state import Account
 
 SAFE_KIND, CELL_KIND, UNSAFE_KIND, ALL_KIND, ZONE_KIND = range(5)
 NEVER_RAN = (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -4,8 +4,8 @@
 
 from conftest import SECOND, Bench, entry, listed, of
 
-from orchidlane.policy import (interface as api)
-from orchidlane.policy.interface import (Outcome)
+from orchidlane.policy import interface as api
+from orchidlane.policy.interface import Outcome
 
 
 def serve(bench: Bench, request: int, took) -> api.Send | None:
--- a/tests/test_sets.py
+++ b/tests/test_sets.py
@@ -10,10 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidlane.policy import (interface as api)
-from orchidlane.rollout.compatibility import (Account)
-from orchidlane.rollout.shard_migration import (versions_between)
-from orchidlane.policy.gateway import (Gateway)
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.rollout.compatibility import Account
+from orchidlane.rollout.shard_migration import versions_between
 
 GATEWAYS, SIZE, CUSTOMER = 6, 3, 7
 OLD, HOLD, GROW = range(3)  # where a gateway stands
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -14,20 +14,20 @@
 import msgspec
 import pytest
 from conftest import SECOND
-from harness.gateway_house import (GET, MS, House, good)
+from harness.gateway_house import GET, MS, House, good
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_day import day, quiet, step  # noqa: F401
 from test_record import Story, run, segment
 
 import orchidlane
-from orchidlane.policy import (interface as api)
-from orchidlane import (recording)
-from orchidlane.gateway.telemetry.policy_views import (plan_counts)
-from orchidlane.simulation.backends import (SimulatedBacking)
-from orchidlane.simulation.scenario import (Runner, make_plan)
-from orchidlane.runtime import (Loop, SimWorld)
-from orchidlane.policy.gateway import (Gateway)
+from orchidlane import recording
+from orchidlane.gateway.telemetry.policy_views import plan_counts
+from orchidlane.policy import interface as api
+from orchidlane.policy.gateway import Gateway
+from orchidlane.runtime import Loop, SimWorld
+from orchidlane.simulation.backends import SimulatedBacking
+from orchidlane.simulation.scenario import Runner, make_plan
 
 NAMES = tuple("abcde"), tuple("pqrs")
 
@@ -395,7 +395,7 @@
 
 
 def test_the_audit_over_records_objects_to_a_request_that_no_one_decided_on(tmp_path, monkeypatch):
-    from orchidlane.gateway.forwarding.connection_pool import (AttemptRun)
+    from orchidlane.gateway.forwarding.connection_pool import AttemptRun
 
     head = AttemptRun._head
     monkeypatch.setattr(
@@ -459,7 +459,7 @@
 
 
 def test_top_shows_who_answers_and_who_does_not():
-    from orchidlane.cli.screen import (Screen, as_rows)
+    from orchidlane.cli.screen import Screen, as_rows
 
     def test(house: House) -> None:
         screen = Screen(house.loop, "t", [("gw-0", ("127.0.0.1", 8280)), ("gw-1", ("127.0.0.1", 8281))])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,18 +13,18 @@
 import pytest
 import structlog
 from conftest import SECOND
-from harness.gateway_house import (GENERATION, GET, MS, OK, REPORT, SETTINGS, House, good, request)
+from harness.gateway_house import GENERATION, GET, MS, OK, REPORT, SETTINGS, House, good, request
 from test_day import quiet  # noqa: F401
 
-from orchidlane import (http1, recording)
-from orchidlane.config import (Duration)
-from orchidlane.gateway.lifecycle import (hot_restart)
-from orchidlane.gateway.control.configuration import (Knowledge)
-from orchidlane.gateway.lifecycle.process import (Program)
-from orchidlane.gateway.control.settings import (parse_fleet)
-from orchidlane.runtime import (Expired, LoopError)
-from orchidlane.policy.gateway import (Gateway)
-from orchidlane.hot_restart import (old_process, messages, new_process)
+from orchidlane import http1, recording
+from orchidlane.config import Duration
+from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.gateway.lifecycle import hot_restart
+from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.hot_restart import messages, new_process, old_process
+from orchidlane.policy.gateway import Gateway
+from orchidlane.runtime import Expired, LoopError
 
 
 class Upgraded(House):
@@ -249,7 +249,13 @@
     monkeypatch.setattr(hot_restart.TakingSide, "feed", own)
 
 
-EVENTS = (new_process.Offered, new_process.CameWhole, new_process.WasFit, new_process.CameFinal, new_process.Ticked)
+EVENTS = (
+    new_process.Offered,
+    new_process.CameWhole,
+    new_process.WasFit,
+    new_process.CameFinal,
+    new_process.Ticked,
+)
 
 
 @pytest.mark.parametrize("what", ["crash", "hang", "raise", "garbage"])
@@ -262,7 +268,9 @@
         house.loop.sleep(500 * MS)
         house.upgrade(broken_at(event, what))
         house.until(lambda: len(house.programs) == 2)
-        if event is new_process.Released:  # it stands alone by then: what it held is lost with it, as in any crash
+        if (
+            event is new_process.Released
+        ):  # it stands alone by then: what it held is lost with it, as in any crash
             house.loop.sleep(8 * SECOND)
             return
         program = settle(house)
@@ -378,7 +386,9 @@
             lost = 6 if side == "old" else int(point == "Answering")
             assert house.statuses[0] <= lost, (point, ends, house.statuses)
             assert house.statuses[502] <= 3
-            moment = program is not house.programs[0] and program.taking.machine.phase is new_process.Phase.FREE
+            moment = (
+                program is not house.programs[0] and program.taking.machine.phase is new_process.Phase.FREE
+            )
             if side == "new" or (moment and program.incarnation == house.programs[0].incarnation):
                 # what it counted may not have left any more: the one request that was on its way then
                 told_in_vain = 3 if point == "Count" else 1
--- a/tests/test_upgrade_model.py
+++ b/tests/test_upgrade_model.py
@@ -14,10 +14,10 @@
 import pytest
 from test_day import quiet  # noqa: F401
 
-from orchidlane.simulation.state_exploration import (explore)
-from orchidlane.hot_restart import (old_process, new_process)
-from orchidlane.hot_restart.probation import (Answers)
-from orchidlane.hot_restart.messages import (FORMAT, Hello)
+from orchidlane.hot_restart import new_process, old_process
+from orchidlane.hot_restart.messages import FORMAT, Hello
+from orchidlane.hot_restart.probation import Answers
+from orchidlane.simulation.state_exploration import explore
 
 LAYOUT = old_process.Layout("gw", 0, 3, ("p",))
 HELLO = Hello(FORMAT, "b", "gw", 0, 3, ("p",))
@@ -266,9 +266,17 @@
     "phase, event, instead",
     [
         # takes back as soon as the successor is silent, without making sure
-        (old_process.Phase.COMMITTED, old_process.Ticked, lambda g, now, e: g.actions.append(old_process.TakeBack("silent"))),
+        (
+            old_process.Phase.COMMITTED,
+            old_process.Ticked,
+            lambda g, now, e: g.actions.append(old_process.TakeBack("silent")),
+        ),
         # takes back on a sick successor's word alone
-        (old_process.Phase.COMMITTED, old_process.WasUnfit, lambda g, now, e: g.actions.append(old_process.TakeBack("unfit"))),
+        (
+            old_process.Phase.COMMITTED,
+            old_process.WasUnfit,
+            lambda g, now, e: g.actions.append(old_process.TakeBack("unfit")),
+        ),
     ],
 )
 def test_a_giver_that_does_not_fence_is_found(monkeypatch, phase, event, instead):
@@ -283,7 +291,9 @@
 
 def test_a_taker_that_goes_on_after_a_recall_is_found(monkeypatch):
     monkeypatch.setitem(
-        new_process.TABLE, (new_process.Phase.TRIAL, new_process.Recalled), lambda t, now, e: t.actions.append(new_process.SayPulse())
+        new_process.TABLE,
+        (new_process.Phase.TRIAL, new_process.Recalled),
+        lambda t, now, e: t.actions.append(new_process.SayPulse()),
     )
     found = explore(model())
     assert (found.stuck, found.wrong) == ([], [])  # it is killed after a while
--- a/tests/test_upgrade_real.py
+++ b/tests/test_upgrade_real.py
@@ -11,10 +11,10 @@
 from test_day import day, quiet  # noqa: F401
 from test_record import run
 
-from orchidlane.simulation.backends import (RealBacking, play_while)
-from orchidlane.simulation.mutants import (BROKEN, make_build)
-from orchidlane.simulation.scenario import (Runner, make_plan)
-from orchidlane.runtime import (Loop, RealWorld)
+from orchidlane.runtime import Loop, RealWorld
+from orchidlane.simulation.backends import RealBacking, play_while
+from orchidlane.simulation.mutants import BROKEN, make_build
+from orchidlane.simulation.scenario import Runner, make_plan
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -5,15 +5,25 @@
 import json
 
 import pytest
+from harness.platform_house import (
+    MS,
+    SECOND,
+    Discovery,
+    PlatformHouse,
+    RealPlatformHouse,
+    call,
+    file,
+    instance,
+    settings,
+)
 from hypothesis import given
 from hypothesis import strategies as st
-from harness.platform_house import (MS, SECOND, Discovery, PlatformHouse, RealPlatformHouse, call, file, instance, settings)
 
-from orchidlane.gateway.control.json_stream import (LineTooLong, Objects)
-from orchidlane.runtime import (CONTROL, Closed, NotConnected)
-from orchidlane.platform import (polling)
-from orchidlane.platform.polling import (Asking, retry_interval)
-from orchidlane.platform.discovery import (LEFT_LEAST, NODES_MOST, ListRefused, Tracker)
+from orchidlane.gateway.control.json_stream import LineTooLong, Objects
+from orchidlane.platform import polling
+from orchidlane.platform.discovery import LEFT_LEAST, NODES_MOST, ListRefused, Tracker
+from orchidlane.platform.polling import Asking, retry_interval
+from orchidlane.runtime import CONTROL, Closed, NotConnected
 
 WORLDS = pytest.mark.parametrize("world", [PlatformHouse, RealPlatformHouse])
 GRACE = SECOND  # of drains, in the settings of these tests
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from orchidlane.policy import (interface as api)
-from orchidlane.simulator_protocol import (codec, process)
+from orchidlane.policy import interface as api
+from orchidlane.simulator_protocol import codec, process
 
 ROOT = Path(__file__).parent.parent
 
