--- a/benchmarks/index.py
+++ b/benchmarks/index.py
@@ -11,8 +11,6 @@
 from bisect import bisect_left
 from pathlib import Path
 
-import msgspec
-
 from benchmarks.layers import MATERIALS
 from orchidlane import recording
 from orchidlane.gateway.control.settings import module_settings, parse_fleet
@@ -31,9 +29,9 @@
     fleet = parse_fleet((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
     settings = module_settings(fleet, 0, generation)
     gateway, now = Gateway(settings, 1, 10**15), 10**15
-    entries = tuple(api.ServerEntry(b"s%d" % n, api.Phase.READY, 0, 0, 0, 1.0) for n in range(24))
-    gateway.handle(now, api.ServerListed(api.ListKind.WHOLE, 1, entries))
-    plain = msgspec.to_builtins(settings)
+    entries = tuple(api.EndpointEntry(b"s%d" % n, api.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24))
+    gateway.handle(now, api.EndpointListReceived(api.EndpointListKind.COMPLETE, 1, entries))
+    plain = recording.settings_to_stored(settings)
     header = recording.Header(recording.FORMAT, "b", "g", now, 0, plain, recording.dump(gateway))
     with path.open("wb") as out:
         out.write(recording.pack_header(header))
@@ -42,8 +40,8 @@
             arrived = api.RequestArrived(number, number % 997, 0, 0, 1.0, 2_000_000, 0, 3, False)
             actions = gateway.handle(now, arrived)
             out.write(recording.pack_entry(now, arrived, actions))
-            for send in (one for one in actions if isinstance(one, api.Send)):
-                ended = api.AttemptEnded(number, 0, send.server, api.Outcome.SERVED, 900, True, 0, 0.0, ())
+            for send in (one for one in actions if isinstance(one, api.SendAttempt)):
+                ended = api.AttemptEnded(number, 0, send.endpoint, api.Outcome.SERVED, 900, True, 0, 0.0, ())
                 out.write(recording.pack_entry(now + 900, ended, gateway.handle(now + 900, ended)))
 
 
--- a/benchmarks/layers.py
+++ b/benchmarks/layers.py
@@ -48,8 +48,8 @@
     settings = module_settings(fleet, 0, generation)
     gateway = Gateway(settings, 1, 10**15)
     gateway.start()
-    entries = tuple(api.ServerEntry(b"s%d" % n, api.Phase.READY, 0, 0, 0, 1.0) for n in range(24))
-    gateway.handle(10**15, api.ServerListed(api.ListKind.WHOLE, 1, entries))
+    entries = tuple(api.EndpointEntry(b"s%d" % n, api.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24))
+    gateway.handle(10**15, api.EndpointListReceived(api.EndpointListKind.COMPLETE, 1, entries))
     state = [10**15, 0]
 
     def decide() -> None:
@@ -58,9 +58,9 @@
         now, number = state
         arrived = api.RequestArrived(number, number % 500, 0, 0, 1.0, 2_000_000, 0, 3, False)
         actions = gateway.handle(now, arrived)
-        sends = [action for action in actions if isinstance(action, api.Send)]
+        sends = [action for action in actions if isinstance(action, api.SendAttempt)]
         for send in sends:
-            ended = api.AttemptEnded(number, 0, send.server, api.Outcome.SERVED, 5_000, True, 0, 0.0, ())
+            ended = api.AttemptEnded(number, 0, send.endpoint, api.Outcome.SERVED, 5_000, True, 0, 0.0, ())
             gateway.handle(now + 5_000, ended)
 
     return decide
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -36,10 +36,10 @@
     fleet = parse_fleet((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
     gateway = Gateway(module_settings(fleet, 0, generation), 1, START)
     recording.track(gateway)
-    entries = tuple(api.ServerEntry(b"s%d" % n, api.Phase.READY, 0, 0, 0, 1.0) for n in range(24))
-    gateway.handle(START, api.ServerListed(api.ListKind.WHOLE, 1, entries))
+    entries = tuple(api.EndpointEntry(b"s%d" % n, api.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24))
+    gateway.handle(START, api.EndpointListReceived(api.EndpointListKind.COMPLETE, 1, entries))
     for number in range(customers):
-        gateway.handle(START + number, api.TakeArrived(number, number, number % 2, 0, 1.0, 0, 3))
+        gateway.handle(START + number, api.QuotaRequested(number, number, number % 2, 0, 1.0, 0, 3))
     return gateway
 
 
@@ -56,7 +56,7 @@
 
     def work() -> None:
         for n in range(EVENTS):
-            gateway.handle(now + n, api.TakeArrived(first + n, n * step % customers, 0, 0, 1.0, 0, 3))
+            gateway.handle(now + n, api.QuotaRequested(first + n, n * step % customers, 0, 0, 1.0, 0, 3))
 
     return timed(work)
 
@@ -103,7 +103,7 @@
                 "g",
                 START,
                 0,
-                msgspec.to_builtins(gateway.s),
+                recording.settings_to_stored(gateway.s),
                 snapshot.head,
                 tuple("abc"),
                 ("basico", "amplio"),
--- a/orchidlane/cli/main.py
+++ b/orchidlane/cli/main.py
@@ -171,7 +171,9 @@
     if match is None:
         for one in sorted(generation.operations, key=lambda operation: (operation.path, operation.method)):
             cls = generation.classes[one.kind]
-            click.echo(f"{one.class_name:20} {one.cost:6g} {cls.effect.value:7} {one.method:7} {one.path}")
+            click.echo(
+                f"{one.class_name:20} {one.cost:6g} {cls.idempotency.value:7} {one.method:7} {one.path}"
+            )
         return
     method, _, target = match.partition(" ")
     found = generation.match(method.upper(), target.encode())
@@ -185,11 +187,14 @@
     click.echo(f"path       {found.path}")
     for name, value in found.parameters.items():
         click.echo(f"  {name} = {value}")
-    click.echo(f"class      {operation.class_name}, worth {cls.worth:g}, {cls.effect.value}")
-    if cls.effect.value == "keyed":
-        click.echo(f"  repeats are dropped within {cls.window / 1e6:g} s, group {cls.group.value}")
+    click.echo(f"class      {operation.class_name}, worth {cls.priority_weight:g}, {cls.idempotency.value}")
+    if cls.idempotency.value == "keyed":
+        click.echo(
+            f"  repeats are dropped within {cls.deduplication_window_us / 1e6:g} s,"
+            f" group {cls.deduplication_scope.value}"
+        )
     click.echo(f"cost       {operation.cost:g} units")
-    click.echo(f"aim        {cls.aim / 1e3:g} ms, deadline {cls.deadline / 1e3:g} ms")
+    click.echo(f"aim        {cls.latency_objective_us / 1e3:g} ms, deadline {cls.deadline_us / 1e3:g} ms")
 
 
 for command in (
--- a/orchidlane/cli/tools.py
+++ b/orchidlane/cli/tools.py
@@ -24,6 +24,7 @@
     next_request,
     plan_counts,
 )
+from orchidlane.recording.description import describe
 from orchidlane.recording.segments import SUFFIX, Entry
 from orchidlane.routes import build, load_description
 from orchidlane.runtime import Loop, RealWorld
@@ -337,7 +338,7 @@
 
 
 def _step(header: recording.Header, entry: Entry) -> dict[str, Any]:
-    told, actions = repr(entry.event), [repr(one) for one in entry.actions]
+    told, actions = describe(entry.event), [describe(one) for one in entry.actions]
     if entry.event is None:
         _, status, kind, span = entry.facts
         told = f"answered {status} ({kind}) after {span / 1e3:.3f} ms"
--- a/orchidlane/gateway/control/endpoint_list.py
+++ b/orchidlane/gateway/control/endpoint_list.py
@@ -16,7 +16,11 @@
 
 from orchidlane.policy import interface as api
 
-PHASES = {"ready": api.Phase.READY, "draining": api.Phase.DRAINING, "gone": api.Phase.GONE}
+PHASES = {
+    "ready": api.EndpointState.READY,
+    "draining": api.EndpointState.DRAINING,
+    "gone": api.EndpointState.GONE,
+}
 LINE_MOST = 8 << 20  # bytes of one line
 
 
@@ -81,7 +85,7 @@
     def __post_init__(self) -> None:
         self._number("zone:" + self.zone)
 
-    def take(self, text: bytes) -> api.ServerListed | None:
+    def take(self, text: bytes) -> api.EndpointListReceived | None:
         """What a line tells the module, None where it is passed over. Raises ListRefused."""
         try:
             line = msgspec.json.decode(text, type=ListLine)
@@ -97,12 +101,12 @@
             return self._take_changes(line, known)
         return self._take_whole(line)
 
-    def _take_whole(self, line: ListLine) -> api.ServerListed:
+    def _take_whole(self, line: ListLine) -> api.EndpointListReceived:
         self.epoch, self.version = line.epoch, line.version
         self.nodes = {node.address: node for node in line.nodes if node.phase != "gone"}
-        return self._listed(api.ListKind.WHOLE, line.nodes)
+        return self._listed(api.EndpointListKind.COMPLETE, line.nodes)
 
-    def _take_changes(self, line: ListLine, known: bool) -> api.ServerListed | None:
+    def _take_changes(self, line: ListLine, known: bool) -> api.EndpointListReceived | None:
         if not known or line.after > self.version:
             raise ListRefused("changes to a list that is not known")
         if line.version == self.version:
@@ -116,7 +120,7 @@
                 self.nodes[node.address] = node
         if len(self.nodes) > self.most:
             raise ListRefused(f"{len(self.nodes)} nodes, allowed: {self.most}")
-        return self._listed(api.ListKind.CHANGES, line.nodes)
+        return self._listed(api.EndpointListKind.DELTA, line.nodes)
 
     def phase(self, server: bytes) -> str:
         """What the list last said of a node."""
@@ -143,7 +147,7 @@
         self.epoch, self.version, self._numbers = found.epoch, found.version, found.numbers
         self.nodes = {node.address: node for node in found.nodes}
 
-    def restore(self, text: bytes) -> api.ServerListed | None:
+    def restore(self, text: bytes) -> api.EndpointListReceived | None:
         """What a kept list tells the module; None where it can't be read, which costs no more than a wait.
 
         The version is forgotten: whatever the list's service says first counts, older or newer.
@@ -155,21 +159,21 @@
         if kept.format != CACHE_FORMAT or len(kept.nodes) > self.most:
             return None
         self.nodes = {node.address: node for node in kept.nodes}
-        return self._listed(api.ListKind.CACHED, kept.nodes)
+        return self._listed(api.EndpointListKind.CACHED, kept.nodes)
 
-    def _listed(self, kind: api.ListKind, nodes: tuple[NodeLine, ...]) -> api.ServerListed:
+    def _listed(self, kind: api.EndpointListKind, nodes: tuple[NodeLine, ...]) -> api.EndpointListReceived:
         entries = tuple(
-            api.ServerEntry(
-                server=node.address.encode(),
-                phase=PHASES[node.phase],
+            api.EndpointEntry(
+                endpoint=node.address.encode(),
+                state=PHASES[node.phase],
                 zone=self._number("zone:" + node.zone),
                 cell=self._number("cell:" + node.zone + "/" + node.cell),
-                launched=node.launched,
-                size=node.size,
+                started_at_us=node.launched,
+                capacity_share=node.size,
             )
             for node in nodes
         )
-        return api.ServerListed(kind, max(0, self.version), entries)
+        return api.EndpointListReceived(kind, max(0, self.version), entries)
 
     def _number(self, name: str) -> int:
         """A stable number for a zone or cell; so many names as nodes, twice, are remembered."""
--- a/orchidlane/gateway/control/endpoint_watch.py
+++ b/orchidlane/gateway/control/endpoint_watch.py
@@ -28,7 +28,7 @@
         tracker: ListTracker,
         name: str,
         cache: str,
-        told: Callable[[api.ServerListed], None],
+        told: Callable[[api.EndpointListReceived], None],
     ) -> None:
         self.loop = loop
         self.fleet = fleet
@@ -55,7 +55,7 @@
                 self._follow()
             except (LoopError, Malformed, LineTooLong, ListRefused):
                 self.failures += 1
-                self.told(api.ServerListed(api.ListKind.FAILED, 0, ()))
+                self.told(api.EndpointListReceived(api.EndpointListKind.FAILED, 0, ()))
             span = AGAIN_FIRST if self.loop.now() - began > AGAIN_MOST else min(AGAIN_MOST, 2 * span)
             self.loop.sleep(int(span * (0.5 + self.loop.world.random.random())))
 
--- a/orchidlane/gateway/forwarding/connection_pool.py
+++ b/orchidlane/gateway/forwarding/connection_pool.py
@@ -23,7 +23,7 @@
 from orchidlane.gateway.forwarding.protocol_adapter import Nodes, Terms
 from orchidlane.http1 import Data, End, Response
 from orchidlane.policy import interface as api
-from orchidlane.policy.interface import Effect, Outcome
+from orchidlane.policy.interface import Idempotency, Outcome
 from orchidlane.runtime import (
     BACKGROUND,
     Address,
@@ -199,7 +199,7 @@
         self.pool = Pool(loop, terms, scope)
         scope.spawn(self.pool.sweep, kind=BACKGROUND, name="sweep")
 
-    def begin(self, exchange: Exchange, number: int, action: api.Send) -> None:
+    def begin(self, exchange: Exchange, number: int, action: api.SendAttempt) -> None:
         """Start an attempt, in a task of its own."""
         run = AttemptRun(self, exchange, number, action)
         self.host.runs[exchange.number, number] = run
@@ -209,13 +209,13 @@
 class AttemptRun:
     """One attempt from its decision to its outcome."""
 
-    def __init__(self, upstream: Upstream, exchange: Exchange, number: int, action: api.Send) -> None:
+    def __init__(self, upstream: Upstream, exchange: Exchange, number: int, action: api.SendAttempt) -> None:
         self.up = upstream
         self.loop = upstream.loop
         self.exchange = exchange
         self.number = number
-        self.server = action.server
-        self.give_up_at = action.give_up_at or exchange.until
+        self.server = action.endpoint
+        self.give_up_at = action.timeout_at_us or exchange.until
         self.began = self.loop.now()
         self.left = False  # whether a byte may have reached the node
         self.marked = False  # whether it is the first attempt that may have run
@@ -235,20 +235,20 @@
             if self.loop.process.dead:
                 raise
             if not self.told:
-                self._end(Outcome.CANCELLED if self.left else Outcome.NEVER_SENT, None)
+                self._end(Outcome.CANCELLED if self.left else Outcome.NOT_SENT, None)
             raise
         except Exception as wrong:
             contain = self.up.host.contain
             if contain is None:
                 raise
             contain("attempt", wrong)
-            outcome, answer = Outcome.BROKEN if self.left else Outcome.NEVER_SENT, None
+            outcome, answer = Outcome.CONNECTION_BROKEN if self.left else Outcome.NOT_SENT, None
         if not self.told:
             self._end(outcome, answer)
 
     def _end(self, outcome: Outcome, answer: Answer | None) -> None:
         self.told = True
-        if outcome is Outcome.FULL and self.marked:
+        if outcome is Outcome.ENDPOINT_FULL and self.marked:
             self.exchange.first_left = None  # it never ran: the next attempt may leave as a first one
         took = self.loop.now() - self.began
         self.up.host.ended(self.exchange, self.number, self.server, outcome, took, self.report, answer)
@@ -256,28 +256,28 @@
     def _carry(self) -> tuple[Outcome, Answer | None]:
         body = self.exchange.body
         if not self._is_paid():
-            return Outcome.NEVER_SENT, None
+            return Outcome.NOT_SENT, None
         if not body.replayable:
-            return Outcome.NEVER_SENT, None  # its beginning was let go after an earlier attempt
+            return Outcome.NOT_SENT, None  # its beginning was let go after an earlier attempt
         try:
             body.wait_settled(self.give_up_at)
         except Expired:
-            return Outcome.NEVER_SENT, None
+            return Outcome.NOT_SENT, None
         address = self.up.nodes.address(self.server)
         if address is None:
-            return Outcome.NEVER_SENT, None
-        unsafe = self.exchange.cls.effect is Effect.UNSAFE
+            return Outcome.NOT_SENT, None
+        unsafe = self.exchange.cls.idempotency is Idempotency.NOT_IDEMPOTENT
         try:
             connection = self.up.pool.take(self.server, address, unsafe, self.give_up_at)
         except (NotConnected, Expired):
-            return Outcome.NOT_CONNECTED, None
+            return Outcome.CONNECT_FAILED, None
         except NoRoom:
-            return Outcome.NEVER_SENT, None
+            return Outcome.NOT_SENT, None
         if (why := why_not(self.loop.now(), self._leaving())) is not None:
             self.up.pool.put_back(self.server, connection)
             if why == CLIENT_LEFT:  # its front may not have run since: it waits as we did
                 self.up.host.client_gone(self.exchange)
-            return Outcome.NEVER_SENT, None
+            return Outcome.NOT_SENT, None
         keep = False
         try:
             outcome, answer, keep = self._exchange(connection)
@@ -301,7 +301,9 @@
         phase = self.up.nodes.phase(self.server)
         exchange = self.exchange
         left = exchange.client_left()
-        return Leaving(phase, self.give_up_at, cls.effect, cls.window, exchange.first_left, left)
+        return Leaving(
+            phase, self.give_up_at, cls.idempotency, cls.deduplication_window_us, exchange.first_left, left
+        )
 
     # -- over one connection
 
@@ -319,9 +321,9 @@
         except Closed:
             self.left = stream.sent > mark
             cut_short = self.up.nodes.cut_short
-            if not self.left or cut_short is not Outcome.BROKEN:
+            if not self.left or cut_short is not Outcome.CONNECTION_BROKEN:
                 self.left = False
-                return Outcome.NEVER_SENT if cut_short is Outcome.BROKEN else cut_short, None, False
+                return Outcome.NOT_SENT if cut_short is Outcome.CONNECTION_BROKEN else cut_short, None, False
             early = True  # an answer may have come before the reset
         except Cancelled:
             self.left = stream.sent > mark
@@ -334,13 +336,13 @@
         except Expired:
             return Outcome.TIMED_OUT, None, False
         except (Closed, http1.Malformed):
-            outcome, answer, keep = Outcome.BROKEN, None, False
+            outcome, answer, keep = Outcome.CONNECTION_BROKEN, None, False
         self.up.pool.reuse.told(connection.rested, not connection.heard, self.loop.now())
         return outcome, answer, keep and not early
 
     def _unfinished(self, outcome: Outcome) -> tuple[Outcome, Answer | None, bool]:
         if not self.left:
-            return Outcome.NEVER_SENT, None, False
+            return Outcome.NOT_SENT, None, False
         self._mark_left()
         return outcome, None, False
 
@@ -418,7 +420,7 @@
             size += len(event.data)
             if size > self.up.held_answer:
                 if not nodes.passes_streams:
-                    return Outcome.BROKEN, None, False
+                    return Outcome.CONNECTION_BROKEN, None, False
                 return self._stream(connection, head, answer, held)
         answer.body, answer.trailers = b"".join(held), event.trailers
         return Outcome.SERVED, answer, self._rested(connection, head)
--- a/orchidlane/gateway/forwarding/last_check.py
+++ b/orchidlane/gateway/forwarding/last_check.py
@@ -25,7 +25,7 @@
 
     phase: str
     give_up_at: int
-    effect: types.Effect
+    effect: types.Idempotency
     window: int
     first_left: int | None
     client_left: bool
@@ -39,9 +39,9 @@
         return "deadline"
     if leaving.phase != "ready":
         return leaving.phase
-    if leaving.first_left is None or leaving.effect is types.Effect.SAFE:
+    if leaving.first_left is None or leaving.effect is types.Idempotency.IDEMPOTENT:
         return None
-    if leaving.effect is types.Effect.UNSAFE:
+    if leaving.effect is types.Idempotency.NOT_IDEMPOTENT:
         return "unsafe"
     if now >= leaving.first_left + leaving.window - MARGIN:
         return "window"
--- a/orchidlane/gateway/forwarding/openapi_adapter.py
+++ b/orchidlane/gateway/forwarding/openapi_adapter.py
@@ -84,9 +84,9 @@
             detail = f"The subscriber's set of gateways is on the move. {HARMLESS}"
             return problem(503, detail, ((b"retry-after", b"1"),))
         cls = generation.classes[operation.kind]
-        if cls.effect is api.Effect.KEYED and not _has_key(head, match):
+        if cls.idempotency is api.Idempotency.IDEMPOTENT_WITH_KEY and not _has_key(head, match):
             return problem(400, "This operation needs an idempotency key.")
-        patience = give_up_after(operation, head.headers, cls.deadline)
+        patience = give_up_after(operation, head.headers, cls.deadline_us)
         if patience is None:
             return problem(400, "The time to give up after is no whole number of milliseconds.")
         if in_flight >= self.fleet.bounds.open:
@@ -110,7 +110,7 @@
         """A problem."""
         return problem(status, detail)
 
-    def refused(self, action: api.Refuse) -> Answer:
+    def refused(self, action: api.RejectRequest) -> Answer:
         """429 beyond a quota, else 503."""
         return refused(action)
 
@@ -154,7 +154,7 @@
 
     passes_hints = True
     passes_streams = True
-    cut_short = Outcome.BROKEN
+    cut_short = Outcome.CONNECTION_BROKEN
 
     def __init__(self, fleet: Fleet, name: str, incarnation: int, tracker: ListTracker) -> None:
         self.tracker = tracker
@@ -178,7 +178,7 @@
         if head.status < 500:
             return Outcome.SERVED
         full = head.status == 503 and http1.header(head.headers, self.full_header) is not None
-        return Outcome.FULL if full else Outcome.ERROR
+        return Outcome.ENDPOINT_FULL if full else Outcome.ERROR
 
     def dropped(self, operation: Operation) -> frozenset[bytes]:
         """Headers of clients that nodes don't get: keys, and what each hop says for itself."""
--- a/orchidlane/gateway/forwarding/policy_driver.py
+++ b/orchidlane/gateway/forwarding/policy_driver.py
@@ -38,7 +38,7 @@
         rules: Gateway,
         metrics: Counts,
         clients: Clients,
-        begin: Callable[[Exchange, int, api.Send], None],
+        begin: Callable[[Exchange, int, api.SendAttempt], None],
         tell: Callable[[int, bytes], None],
     ) -> None:
         self.loop = loop
@@ -96,7 +96,7 @@
         if self.lent is not None:
             return self.lent.take(customer, units, kind)
         number = self.next_number()
-        taken = api.TakeArrived(
+        taken = api.QuotaRequested(
             number, customer.number, customer.plan, kind, units, customer.set_first, customer.set_size
         )
         self._granted, self._taking = None, customer.number
@@ -115,12 +115,12 @@
                 request=exchange.number,
                 customer=call.customer,
                 plan=call.plan,
-                kind=call.kind,
+                request_class=call.kind,
                 units=call.units,
-                time_left=time_left,
-                set_first=call.set_first,
-                set_size=call.set_size,
-                is_repeat=call.is_repeat,
+                time_left_us=time_left,
+                replica_set_start=call.set_first,
+                replica_set_size=call.set_size,
+                is_retry=call.is_repeat,
             )
         )
 
@@ -147,13 +147,13 @@
         if exchange.answer is None and not exchange.gone:
             exchange.gone = True
             self._over(exchange)
-            self.feed(api.ClientGone(exchange.number))
+            self.feed(api.ClientDisconnected(exchange.number))
 
     def overdue(self, exchange: Exchange) -> None:
         """A request's time is up and no answer came: guards against anything that held it up."""
         if exchange.answer is None and not exchange.gone:
             self._finish(exchange, self.clients.failed())
-            self.feed(api.ClientGone(exchange.number))
+            self.feed(api.ClientDisconnected(exchange.number))
 
     def _finish(self, exchange: Exchange, answer: Answer) -> None:
         """The one place where a request gets its final answer."""
@@ -171,30 +171,30 @@
     def _carry_out(self, actions: list[api.Action]) -> None:
         for action in actions:
             match action:
-                case api.Send():
+                case api.SendAttempt():
                     self._send(action)
                 case api.SetTimer():
-                    self.loop.call_at(self.loop.now() + action.span, self._fired, action.token)
-                case api.TellPeer():
+                    self.loop.call_at(self.loop.now() + action.delay_us, self._fired, action.token)
+                case api.SendPeerMessage():
                     if self.lent is None:  # peers see one gateway
                         self.tell(action.peer, action.body)
-                case api.Grant():
+                case api.GrantQuota():
                     self._granted = True
                     if self.spent is not None:
                         self.spent(self._taking)
-                case api.Refuse():
+                case api.RejectRequest():
                     self._granted = False
                     self._answer(action.request, self.clients.refused(action))
-                case api.Fail():
+                case api.FailRequest():
                     self._answer(action.request, self.clients.failed())
-                case api.Cancel():
+                case api.CancelAttempt():
                     self._cancel(action)
-                case api.AskList() | api.FetchList():
+                case api.WatchEndpoints() | api.FetchEndpoints():
                     pass  # the list is watched from the start
-                case api.Probe():
+                case api.CheckHealth():
                     raise AssertionError("the module was told that it may not probe")
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: api.SendAttempt) -> None:
         exchange = self.exchanges[action.request]
         if self.spent is not None and not exchange.sends:
             self.spent(exchange.call.customer)
@@ -211,7 +211,7 @@
         if exchange is not None:
             self._finish(exchange, answer)
 
-    def _cancel(self, action: api.Cancel) -> None:
+    def _cancel(self, action: api.CancelAttempt) -> None:
         """The request has ended, and its exchange with it, but its attempts are still known by their runs."""
         run = self.runs.get((action.request, action.attempt))
         if run is not None:
--- a/orchidlane/gateway/forwarding/protocol_adapter.py
+++ b/orchidlane/gateway/forwarding/protocol_adapter.py
@@ -186,7 +186,7 @@
     def wrong(self, status: int, detail: str) -> Answer:
         """What came in can't be used."""
 
-    def refused(self, action: api.Refuse) -> Answer:
+    def refused(self, action: api.RejectRequest) -> Answer:
         """The module refuses: trying again is harmless."""
 
     def failed(self) -> Answer:
--- a/orchidlane/gateway/lifecycle/hot_restart.py
+++ b/orchidlane/gateway/lifecycle/hot_restart.py
@@ -403,7 +403,7 @@
                 self.program.limits.hear(message.sender, message.body)
             case messages.Count():
                 counted = (message.customer, message.plan, message.first, message.size)
-                self.program.host.feed(api.Counted(*counted, message.start, message.value))
+                self.program.host.feed(api.CountRecovered(*counted, message.start, message.value))
             case messages.Opened():
                 handle = channel.stream.take_handle()
                 if handle is not None:
@@ -833,7 +833,7 @@
             return self.feed(new_process.WasUnfit(f"these listeners did not come: {', '.join(missing)}"))
         settings = self.program.host.settings
         gateway = Gateway(settings, 0, self.loop.now())
-        deadline = settings.classes[0].deadline
+        deadline = settings.classes[0].deadline_us
         asked = api.RequestArrived(1, 1, 0, 0, 1.0, deadline, 0, 1, False)
         if not gateway.handle(self.loop.now(), asked):
             return self.feed(new_process.WasUnfit("its module makes nothing of a request"))
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -336,7 +336,7 @@
 
     # -- node list and peers
 
-    def _listed(self, listed: api.ServerListed) -> None:
+    def _listed(self, listed: api.EndpointListReceived) -> None:
         self.host.feed(listed)
 
     def tell_limits(self, rank: int, body: bytes) -> None:
@@ -369,7 +369,7 @@
                 self.metrics.heard += 1
                 kind, sender, body = taken
                 if kind == MODULE:
-                    self.host.feed(api.PeerMessage(sender, body))
+                    self.host.feed(api.PeerMessageReceived(sender, body))
                 elif kind == CHANGE and self.versions is not None:
                     self.versions.hear(sender, body)
                 else:
--- a/orchidlane/gateway/rollout_agent/agent.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -22,7 +22,7 @@
 from orchidlane.gateway.rollout_agent.answer_tally import Book
 from orchidlane.gateway.rollout_agent.storage import Damaged, Files, RunningFile, VoterFile
 from orchidlane.hot_restart.rolling_batches import Limits
-from orchidlane.policy.interface import SetMoved
+from orchidlane.policy.interface import ReplicaSetChanged
 from orchidlane.rollout import consensus, dissemination, messages, replicated_state
 from orchidlane.rollout import leader as conduct
 from orchidlane.rollout.bootstrap import found, own_waiting
@@ -654,7 +654,7 @@
         for number in moved:
             one = knowledge.customers.numbered(b"%d" % number)
             assert one is not None
-            self.program.host.feed(SetMoved(number, one.plan, one.set_first, one.set_size))
+            self.program.host.feed(ReplicaSetChanged(number, one.plan, one.set_first, one.set_size))
 
     def _have(self, parts: Parts) -> None:
         """Fetch and write down what we lack of a version. Raises FetchError, OSError."""
--- a/orchidlane/gateway/rollout_agent/answer_tally.py
+++ b/orchidlane/gateway/rollout_agent/answer_tally.py
@@ -35,7 +35,7 @@
             answer.kind == "refused",
             answer.kind == "failed" or (answer.kind == "served" and answer.status >= 500),
             now > exchange.until,
-            span > call.cls.aim,
+            span > call.cls.latency_objective_us,
             max(0, exchange.sends - 1),
         )
         for place, one in enumerate(found):
--- a/orchidlane/gateway/server/error_responses.py
+++ b/orchidlane/gateway/server/error_responses.py
@@ -20,11 +20,11 @@
     return Answer(status, [TYPE, *headers], body, kind="refused")
 
 
-def refused(action: api.Refuse) -> Answer:
+def refused(action: api.RejectRequest) -> Answer:
     """Not served, and a repeat is harmless: 429 beyond a quota, else 503 (RFC 6585, RFC 9110)."""
-    wait = max(1, -(-action.retry_after // 1_000_000))
+    wait = max(1, -(-action.retry_after_us // 1_000_000))
     headers = ((b"retry-after", b"%d" % wait),)
-    if action.beyond_quota:
+    if action.over_quota:
         return problem(429, "Beyond the quota of the plan. " + HARMLESS, headers)
     return problem(503, "No capacity for this request in its time. " + HARMLESS, headers)
 
--- a/orchidlane/gateway/telemetry/admin_api.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -12,8 +12,6 @@
 from typing import Any, Protocol
 from urllib.parse import unquote_to_bytes
 
-import msgspec
-
 from orchidlane import http1, recording
 from orchidlane.gateway.control.configuration import Knowledge
 from orchidlane.gateway.control.customers import Customer
@@ -59,7 +57,7 @@
             gateway=name,
             life=life,
             number=number,
-            settings=msgspec.to_builtins(host.settings),
+            settings=recording.settings_to_stored(host.settings),
             state=self._snapshot.head,
             class_names=names[0],
             plan_names=names[1],
--- a/orchidlane/gateway/telemetry/policy_views.py
+++ b/orchidlane/gateway/telemetry/policy_views.py
@@ -22,7 +22,7 @@
 UNHEARD = "its share while no other gateway has told of it"
 WITHOUT: dict[str, dict[str, Any]] = {  # limits of a plan, and how a plan without it looks
     "the ceiling: this gateway's part of it": {"ceiling_rate": 0.0},
-    "the cap on requests open at once": {"open": 0},
+    "the cap on requests open at once": {"max_in_flight": 0},
     "the quota": {"rate": 0.0},
     UNHEARD: {},
 }
@@ -61,7 +61,7 @@
         build=recording.build_name(),
         gateway=name,
         now=now,
-        settings=msgspec.to_builtins(gateway.s),
+        settings=recording.settings_to_stored(gateway.s),
         state=recording.dump(gateway, chosen),
         class_names=names[0],
         plan_names=names[1],
@@ -173,7 +173,7 @@
 
 def _copy(view: View) -> Gateway:
     try:
-        settings = msgspec.convert(view.settings, api.Settings)
+        settings = recording.settings_from_stored(view.settings)
         return recording.restore(settings, view.state)
     except (msgspec.ValidationError, recording.FormatError) as wrong:
         raise ViewError(str(wrong)) from None
@@ -199,12 +199,12 @@
     gateway = _copy(view)
     actions = _ask(gateway, view, kind, units)
     account = gateway.accounts[view.customer[0]]
-    refused = next((one for one in actions if isinstance(one, api.Refuse)), None)
+    refused = next((one for one in actions if isinstance(one, api.RejectRequest)), None)
     sent = _sends(actions)
     spent = units if sent else 0.0
     why = "within the quota"
     if refused is not None:
-        why = _cause(view, kind, units) if refused.beyond_quota else "no node is expected to answer in time"
+        why = _cause(view, kind, units) if refused.over_quota else "no node is expected to answer in time"
     return Next(
         decision="sent" if sent else "refused" if refused else "held",
         why=why,
@@ -219,13 +219,13 @@
 def _ask(gateway: Gateway, view: View, kind: int, units: float) -> list[api.Action]:
     assert view.customer is not None
     number, plan, first, size = view.customer
-    deadline = gateway.s.classes[kind].deadline
+    deadline = gateway.s.classes[kind].deadline_us
     arrived = api.RequestArrived(NUMBER, number, plan, kind, units, deadline, first, size, False)
     return gateway.handle(view.now, arrived)
 
 
 def _sends(actions: list[api.Action]) -> bool:
-    return any(isinstance(one, api.Send) for one in actions)
+    return any(isinstance(one, api.SendAttempt) for one in actions)
 
 
 def _cause(view: View, kind: int, units: float) -> str:
@@ -241,8 +241,8 @@
         plans = list(gateway.s.plans)
         plans[plan] = replace(plans[plan], **without)
         gateway.s = replace(gateway.s, plans=tuple(plans))
-        refused = [one for one in _ask(gateway, view, kind, units) if isinstance(one, api.Refuse)]
-        if not any(one.beyond_quota for one in refused):
+        refused = [one for one in _ask(gateway, view, kind, units) if isinstance(one, api.RejectRequest)]
+        if not any(one.over_quota for one in refused):
             found.append(name)
     return " or ".join(found) or "more than one limit at once"
 
@@ -256,9 +256,9 @@
         gateway.random.seed(seed)
         cls = gateway.s.classes[kind]
         arrived = api.RequestArrived(
-            (1 << 32) - 1, (1 << 33) - 1, plan, kind, 1e-6, cls.deadline, 0, 1, False
+            (1 << 32) - 1, (1 << 33) - 1, plan, kind, 1e-6, cls.deadline_us, 0, 1, False
         )
         for action in gateway.handle(view.now, arrived):
-            if isinstance(action, api.Send):
-                found[action.server] += 1
+            if isinstance(action, api.SendAttempt):
+                found[action.endpoint] += 1
     return dict(found)
--- a/orchidlane/platform/discovery.py
+++ b/orchidlane/platform/discovery.py
@@ -25,8 +25,16 @@
 from orchidlane.runtime import CONTROL, Address, Expired, Loop, LoopError, Scope, Task
 from orchidlane.runtime.backend import parse_address, show
 
-PHASES = {"active": api.Phase.READY, "leaving": api.Phase.DRAINING, "left": api.Phase.GONE}
-GUARD = {api.Phase.READY: "ready", api.Phase.DRAINING: "draining", api.Phase.GONE: "gone"}  # see ``guards``
+PHASES = {
+    "active": api.EndpointState.READY,
+    "leaving": api.EndpointState.DRAINING,
+    "left": api.EndpointState.GONE,
+}
+GUARD = {
+    api.EndpointState.READY: "ready",
+    api.EndpointState.DRAINING: "draining",
+    api.EndpointState.GONE: "gone",
+}  # see ``guards``
 LINE_MOST = 4 << 20  # bytes of one line
 NODES_MOST = 10_000
 NAMES_MOST = 256  # zones that the settings do not name
@@ -53,7 +61,7 @@
     instances: tuple[Instance, ...]
 
 
-News = list[tuple[api.ServerEntry, Address | None]]  # of each instance, and where it listens
+News = list[tuple[api.EndpointEntry, Address | None]]  # of each instance, and where it listens
 
 
 @dataclass
@@ -62,7 +70,7 @@
 
     zones: tuple[str, ...]
     generation: int = -1
-    nodes: dict[bytes, api.ServerEntry] = field(default_factory=dict)
+    nodes: dict[bytes, api.EndpointEntry] = field(default_factory=dict)
     places: dict[bytes, Address] = field(default_factory=dict)
     behind: int = -1  # the newest generation known, while a list that began anew is older
     left: dict[bytes, int] = field(default_factory=dict)  # nodes that left lately, when they had started
@@ -71,15 +79,15 @@
     def __post_init__(self) -> None:
         self._numbers = {zone: number for number, zone in enumerate(self.zones)}
 
-    def take(self, text: bytes) -> api.ServerListed | None:
+    def take(self, text: bytes) -> api.EndpointListReceived | None:
         """What a line tells the module, None where it is passed over. Raises ListRefused."""
         try:
             line = msgspec.json.decode(text, type=ListLine)
         except (msgspec.DecodeError, UnicodeDecodeError) as wrong:
             raise ListRefused(f"not a line of a list: {wrong}") from None
-        return self.apply(line, api.ListKind.WHOLE)
+        return self.apply(line, api.EndpointListKind.COMPLETE)
 
-    def apply(self, line: ListLine, snapshot: api.ListKind) -> api.ServerListed | None:
+    def apply(self, line: ListLine, snapshot: api.EndpointListKind) -> api.EndpointListReceived | None:
         """The same for a decoded line; ``snapshot`` is what a whole list counts as. Raises ListRefused."""
         news = self._checked(line)
         if not line.reset:
@@ -87,13 +95,13 @@
         if line.generation < max(self.generation, self.behind):
             return self._older(line, news)
         self.generation, self.behind = line.generation, -1
-        for server in self.nodes.keys() - {entry.server for entry, _ in news}:
+        for server in self.nodes.keys() - {entry.endpoint for entry, _ in news}:
             self._leave(server)
         for entry, place in news:
             self._put(entry, place)
         return _listed(snapshot, line.generation, news)
 
-    def _delta(self, line: ListLine, news: News) -> api.ServerListed | None:
+    def _delta(self, line: ListLine, news: News) -> api.EndpointListReceived | None:
         if line.generation <= self.generation:
             return None
         if line.generation <= self.behind:
@@ -102,9 +110,9 @@
         self.generation = line.generation
         for entry, place in news:
             self._put(entry, place)
-        return _listed(api.ListKind.CHANGES, line.generation, news)
+        return _listed(api.EndpointListKind.DELTA, line.generation, news)
 
-    def _older(self, line: ListLine, news: News) -> api.ServerListed | None:
+    def _older(self, line: ListLine, news: News) -> api.EndpointListReceived | None:
         """What is known stays; changes go on from the older generation."""
         fresh = [(entry, place) for entry, place in news if self._counts(entry)]
         self._check_room(fresh)
@@ -112,64 +120,68 @@
         self.generation = line.generation
         for entry, place in fresh:
             self._put(entry, place)
-        return _listed(api.ListKind.CHANGES, self.behind, fresh) if fresh else None
+        return _listed(api.EndpointListKind.DELTA, self.behind, fresh) if fresh else None
 
-    def _counts(self, entry: api.ServerEntry) -> bool:
+    def _counts(self, entry: api.EndpointEntry) -> bool:
         """Guards against old news that make a node ready: whether an older list's word on it counts."""
-        known = self.nodes.get(entry.server)
+        known = self.nodes.get(entry.endpoint)
         if known is not None:
-            newer = entry.launched > known.launched
-            return newer or (entry.phase is not api.Phase.READY and entry.launched == known.launched)
-        return entry.phase is not api.Phase.GONE and entry.launched > self.left.get(entry.server, -1)
+            newer = entry.started_at_us > known.started_at_us
+            return newer or (
+                entry.state is not api.EndpointState.READY and entry.started_at_us == known.started_at_us
+            )
+        return entry.state is not api.EndpointState.GONE and entry.started_at_us > self.left.get(
+            entry.endpoint, -1
+        )
 
     def _check_room(self, news: News) -> None:
         """Refuse before anything has changed."""
-        size = len(self.nodes) + sum(entry.server not in self.nodes for entry, _ in news)
+        size = len(self.nodes) + sum(entry.endpoint not in self.nodes for entry, _ in news)
         if size > NODES_MOST:
             raise ListRefused(f"{size} instances, allowed: {NODES_MOST}")
 
-    def _put(self, entry: api.ServerEntry, place: Address | None) -> None:
+    def _put(self, entry: api.EndpointEntry, place: Address | None) -> None:
         if place is None:
-            self._leave(entry.server)
+            self._leave(entry.endpoint)
         else:
-            self.nodes[entry.server], self.places[entry.server] = entry, place
-            self.left.pop(entry.server, None)
+            self.nodes[entry.endpoint], self.places[entry.endpoint] = entry, place
+            self.left.pop(entry.endpoint, None)
 
     def _leave(self, server: bytes) -> None:
         """Nodes always new must not cost memory: those that left longest ago are forgotten."""
         known = self.nodes.pop(server, None)
         self.places.pop(server, None)
         if known is not None:
-            self.left[server] = known.launched
+            self.left[server] = known.started_at_us
         while len(self.left) > max(LEFT_LEAST, 2 * len(self.nodes)):
             del self.left[next(iter(self.left))]
 
     def phase(self, server: bytes) -> str:
         """What the list last said of a node."""
         known = self.nodes.get(server)
-        return GUARD[known.phase if known is not None else api.Phase.GONE]
+        return GUARD[known.state if known is not None else api.EndpointState.GONE]
 
     def _checked(self, line: ListLine) -> News:
         if len(line.instances) > NODES_MOST:
             raise ListRefused(f"{len(line.instances)} instances, allowed: {NODES_MOST}")
         return [self._entry(instance) for instance in line.instances]
 
-    def _entry(self, instance: Instance) -> tuple[api.ServerEntry, Address | None]:
+    def _entry(self, instance: Instance) -> tuple[api.EndpointEntry, Address | None]:
         """What the module is told of an instance, and where it listens unless it has left."""
         phase = PHASES.get(instance.lifecycle)
         if phase is None or not instance.instance_id:
             raise ListRefused(f"an instance with the lifecycle {instance.lifecycle!r}")
         try:
-            place = parse_address(instance.host_port) if phase is not api.Phase.GONE else None
+            place = parse_address(instance.host_port) if phase is not api.EndpointState.GONE else None
         except ValueError as wrong:
             raise ListRefused(f"an instance whose hostPort {wrong}") from None
-        entry = api.ServerEntry(
-            server=instance.instance_id.encode(),
-            phase=phase,
+        entry = api.EndpointEntry(
+            endpoint=instance.instance_id.encode(),
+            state=phase,
             zone=self._number(instance.zone or ""),
             cell=instance.cell or 0,
-            launched=int(instance.started_at_ms * 1_000),
-            size=instance.weight,
+            started_at_us=int(instance.started_at_ms * 1_000),
+            capacity_share=instance.weight,
         )
         return entry, place
 
@@ -183,8 +195,8 @@
         return number
 
 
-def _listed(kind: api.ListKind, generation: int, news: News) -> api.ServerListed:
-    return api.ServerListed(kind, max(0, generation), tuple([entry for entry, _ in news]))
+def _listed(kind: api.EndpointListKind, generation: int, news: News) -> api.EndpointListReceived:
+    return api.EndpointListReceived(kind, max(0, generation), tuple([entry for entry, _ in news]))
 
 
 class Watch:
@@ -194,7 +206,7 @@
         self,
         loop: Loop,
         tracker: Tracker,
-        told: Callable[[api.ServerListed], None],
+        told: Callable[[api.EndpointListReceived], None],
         failed: Callable[[str], None],
         interval: int,
     ) -> None:
--- a/orchidlane/platform/lifecycle.py
+++ b/orchidlane/platform/lifecycle.py
@@ -65,7 +65,9 @@
         self._watching: list[Task] = []  # the newest last
         self._following: Address = config.discovery
         self._main: Task | None = None
-        self._known_until = loop.now() + config.settings.drain_grace  # the list may be as old as it was given
+        self._known_until = (
+            loop.now() + config.settings.drain_grace_us
+        )  # the list may be as old as it was given
         self._heard = False  # discovery has told something
         self._shutdown = Shutdown(0, 0, 0)  # once it has begun
 
@@ -92,7 +94,9 @@
             reader, int(may.open_cap) or terms.bounds.connections, may.retry_after, self._is_ready
         )
         rules = Gateway(config.settings, config.seed, loop.now())
-        upstream = Upstream(loop, terms, scope, PlatformNodes(self.tracker, config.settings.report_names))
+        upstream = Upstream(
+            loop, terms, scope, PlatformNodes(self.tracker, config.settings.load_report_names)
+        )
         self.host = Host(loop, config.settings, rules, Counts(), self.clients, upstream.begin, self._tell)
         upstream.host = self.host
         self.pool = upstream.pool
@@ -116,8 +120,8 @@
         self.front.listen(self._bind(self.loop.world.listen, self.config.listen))
         self._spawn(self._report, kind=BACKGROUND, name="report")
         self.log.say(f"serves, {len(self.tracker.nodes)} hosts known")
-        if self.config.settings.may_tell_peers and len(self.config.peers) != self.config.settings.gateways:
-            told = f"{len(self.config.peers)} addresses for {self.config.settings.gateways} gateways"
+        if self.config.settings.may_gossip and len(self.config.peers) != self.config.settings.replica_count:
+            told = f"{len(self.config.peers)} addresses for {self.config.settings.replica_count} gateways"
             self.log.say(f"peers: {told}, those without one are not told")
 
     def _await_list(self) -> None:
@@ -145,7 +149,7 @@
     def _take_known(self) -> None:
         assert self.config.known is not None
         try:
-            listed = self.tracker.apply(self.config.known, api.ListKind.CACHED)
+            listed = self.tracker.apply(self.config.known, api.EndpointListKind.CACHED)
         except ListRefused as wrong:
             self.log.say(f"the known list can't be used: {wrong}")
             return
@@ -187,7 +191,7 @@
             while task in self._watching and self._watching[0] is not task:
                 self.loop.cancel(self._watching.pop(0))
 
-        interval = retry_interval(self.config.settings.drain_grace)
+        interval = retry_interval(self.config.settings.drain_grace_us)
         watch = Watch(self.loop, self.tracker, self._listed, self.log.say, interval)
         task = self._spawn(watch.work, at, followed, kind=CONTROL, name="list")
         self._watching.append(task)
@@ -195,15 +199,15 @@
             self.loop.cancel(self._watching.pop(0))
         self._following = at
 
-    def _listed(self, listed: api.ServerListed) -> None:
+    def _listed(self, listed: api.EndpointListReceived) -> None:
         if not self._heard:
             self._heard = True
             if self._main is not None:
                 self.loop.wake(self._main)
         self.host.feed(listed)
         for entry in listed.entries:
-            if entry.phase is api.Phase.GONE:
-                self.pool.forget(entry.server)
+            if entry.state is api.EndpointState.GONE:
+                self.pool.forget(entry.endpoint)
 
     # -- the others
 
@@ -216,8 +220,8 @@
         while True:
             body, sender = self._datagrams.recv()
             rank = self.ranks.get(sender)
-            if rank is not None and rank != self.config.settings.rank and len(body) <= DATAGRAM_MOST:
-                self.host.feed(api.PeerMessage(rank, body))
+            if rank is not None and rank != self.config.settings.replica and len(body) <= DATAGRAM_MOST:
+                self.host.feed(api.PeerMessageReceived(rank, body))
 
     # -- signals
 
@@ -226,7 +230,7 @@
         if self.stopping:
             return
         self.stopping = True
-        longest = max((cls.deadline for cls in self.config.settings.classes), default=0)
+        longest = max((cls.deadline_us for cls in self.config.settings.classes), default=0)
         self._shutdown = graceful_shutdown(self.loop.now(), longest)
         if self._main is not None:
             self.loop.wake(self._main)
--- a/orchidlane/platform/protocol_adapter.py
+++ b/orchidlane/platform/protocol_adapter.py
@@ -48,13 +48,13 @@
         self.told["of no use"] += 1
         return Answer(status, [], detail.encode(), kind="refused")
 
-    def refused(self, action: api.Refuse) -> Answer:
+    def refused(self, action: api.RejectRequest) -> Answer:
         """429 beyond a quota, else 503; with the module's advice when to come back."""
         headers = []
-        self.told["beyond quota" if action.beyond_quota else "no capacity"] += 1
-        if self.retry_after and action.retry_after > 0:
-            headers.append((b"Retry-After", b"%.3f" % (action.retry_after / 1_000_000)))
-        return Answer(BEYOND if action.beyond_quota else BUSY, headers, b"", kind="refused")
+        self.told["beyond quota" if action.over_quota else "no capacity"] += 1
+        if self.retry_after and action.retry_after_us > 0:
+            headers.append((b"Retry-After", b"%.3f" % (action.retry_after_us / 1_000_000)))
+        return Answer(BEYOND if action.over_quota else BUSY, headers, b"", kind="refused")
 
     def failed(self) -> Answer:
         """Neither 429 nor 503: those say that a retry is harmless."""
--- a/orchidlane/platform/request_parsing.py
+++ b/orchidlane/platform/request_parsing.py
@@ -13,7 +13,7 @@
 from orchidlane.http1 import Request
 from orchidlane.platform.configuration import Names
 from orchidlane.policy import interface as api
-from orchidlane.policy.interface import Effect
+from orchidlane.policy.interface import Idempotency
 
 ID = re.compile(rb"[0-9A-Za-z_.\-]{1,64}")
 KEY = re.compile(rb"[\x21-\x7e]{1,128}")
@@ -23,7 +23,11 @@
 CUSTOMER_MOST = 1 << 33  # customers' numbers lie below it
 ROUNDING = 1_000  # microseconds that a time may lie beyond its class's, by its last digit
 OURS = frozenset((b"x-request-id", b"plan", b"x-timeout", b"quota-info", b"idempotency-key", b"x-retried"))
-METHODS = {Effect.SAFE: "GET", Effect.KEYED: "POST", Effect.UNSAFE: "POST"}
+METHODS = {
+    Idempotency.IDEMPOTENT: "GET",
+    Idempotency.IDEMPOTENT_WITH_KEY: "POST",
+    Idempotency.NOT_IDEMPOTENT: "POST",
+}
 
 
 class Wrong(Exception):
@@ -59,7 +63,7 @@
         path, _, query = head.target.partition(b"?")
         kind, cls = self._class(head.method, path)
         key = ours.get(b"idempotency-key", b"")
-        self._check_effect(head, cls.effect, key)
+        self._check_effect(head, cls.idempotency, key)
         plan = self.plans.get(ours.get(b"plan", b""))
         if plan is None:
             raise Wrong(400, "no such plan")
@@ -78,7 +82,7 @@
             units=units,
             set_first=first,
             set_size=size,
-            patience=_patience(ours.get(b"x-timeout", b""), cls.deadline),
+            patience=_patience(ours.get(b"x-timeout", b""), cls.deadline_us),
             target=head.target,
             is_repeat=retried == b"1",
             id=number,
@@ -89,16 +93,16 @@
         found = self.kinds.get(path[1:].partition(b"/")[0]) if path.startswith(b"/") else None
         if found is None:
             raise Wrong(404, "no such class")
-        if method != METHODS[found[1].effect]:
+        if method != METHODS[found[1].idempotency]:
             raise Wrong(405, "the class has another method")
         return found
 
-    def _check_effect(self, head: Request, effect: Effect, key: bytes) -> None:
-        if effect is Effect.SAFE and head.length != 0:
+    def _check_effect(self, head: Request, effect: Idempotency, key: bytes) -> None:
+        if effect is Idempotency.IDEMPOTENT and head.length != 0:
             raise Wrong(400, "a request that is safe to repeat has no body")
-        if effect is Effect.KEYED and not KEY.fullmatch(key):
+        if effect is Idempotency.IDEMPOTENT_WITH_KEY and not KEY.fullmatch(key):
             raise Wrong(400, "the class needs an idempotency key")
-        if effect is not Effect.KEYED and key:
+        if effect is not Idempotency.IDEMPOTENT_WITH_KEY and key:
             raise Wrong(400, "the class takes no idempotency key")
 
     def _extras(self, text: bytes) -> tuple[float, int, int]:
@@ -109,7 +113,11 @@
         units, size, first, s = float(match[1]), int(match[2]), int(match[3]), self.settings
         if not 0 < units <= self.units_most:
             raise Wrong(400, "units out of range")
-        if not 1 <= size <= s.gateways or first >= s.gateways or (s.rank - first) % s.gateways >= size:
+        if (
+            not 1 <= size <= s.replica_count
+            or first >= s.replica_count
+            or (s.replica - first) % s.replica_count >= size
+        ):
             raise Wrong(400, "a set that this gateway is not of")
         return units, size, first
 
--- a/orchidlane/platform/response_outcomes.py
+++ b/orchidlane/platform/response_outcomes.py
@@ -21,7 +21,7 @@
 
     passes_hints = False
     passes_streams = False
-    cut_short = Outcome.NOT_CONNECTED  # half a request never runs
+    cut_short = Outcome.CONNECT_FAILED  # half a request never runs
 
     def __init__(self, tracker: Tracker, report_names: tuple[str, ...]) -> None:
         self.tracker = tracker
@@ -57,7 +57,7 @@
         if head.status == 200:
             return Outcome.SERVED
         if head.status in (503, 504) and http1.header(head.headers, NOT_PROCESSED) == b"1":
-            return Outcome.FULL
+            return Outcome.ENDPOINT_FULL
         return Outcome.ERROR
 
     def report(self, head: Response) -> tuple[float, ...]:
--- a/orchidlane/policy/gateway.py
+++ b/orchidlane/policy/gateway.py
@@ -13,7 +13,13 @@
 
 from orchidlane.policy import gossip_codec
 from orchidlane.policy import interface as api
-from orchidlane.policy.interface import Effect, Group, ListKind, Outcome, Phase
+from orchidlane.policy.interface import (
+    DeduplicationScope,
+    EndpointListKind,
+    EndpointState,
+    Idempotency,
+    Outcome,
+)
 from orchidlane.policy.state import Account, Attempt, Host, Memory, Request
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
@@ -62,14 +68,14 @@
         super().__init__()
         self.s, self.random, self.now, self.filled = settings, random.Random(seed), now, now
         self.born = now  # from then on, rights fill up for customers that were not met yet, too
-        self.rank, self.alone = settings.rank, not settings.may_tell_peers
-        self.usual = [START_OF_AIM * c.aim for c in settings.classes]
+        self.rank, self.alone = settings.replica, not settings.may_gossip
+        self.usual = [START_OF_AIM * c.latency_objective_us for c in settings.classes]
         self.budget, self.unheard, self.last_sent = REPEAT_MOST, 0.0, now
-        self.allowance = self.per_second = INTAKE_SHARE * settings.peer_intake
+        self.allowance = self.per_second = INTAKE_SHARE * settings.peer_messages_per_second
 
     def start(self) -> list[api.Action]:
         """The first actions, once the gateway is up."""
-        return [api.SetTimer(INTERVAL, TURN)] + [api.AskList()] * self.s.asks_for_list
+        return [api.SetTimer(INTERVAL, TURN)] + [api.WatchEndpoints()] * self.s.polls_endpoint_list
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         """What to do about one event: each goes to the method of its topic."""
@@ -81,20 +87,22 @@
     # -- a request arrives, is admitted, and is sent ------------------------------------------------------
 
     def _request_arrived(self, event: api.RequestArrived) -> None:
-        request = Request(event, self.s.classes[event.kind], self.now + event.time_left, self.random.random())
+        request = Request(
+            event, self.s.classes[event.request_class], self.now + event.time_left_us, self.random.random()
+        )
         self.requests[event.request] = request
         self.budget = min(REPEAT_MOST, max(0.0, self.budget) + REPEAT_BUDGET)
         self._advance(request)
         self._drop_idle()
 
-    def _take_arrived(self, event: api.TakeArrived) -> None:
+    def _take_arrived(self, event: api.QuotaRequested) -> None:
         """A take passes the ordinary path of a first send, up to the server."""
-        request = Request(event, self.s.classes[event.kind], self.now)
+        request = Request(event, self.s.classes[event.request_class], self.now)
         if self._admits(request):
             self._spend(request.account, event.units)
-            self.actions.append(api.Grant(event.request))
+            self.actions.append(api.GrantQuota(event.request))
         else:
-            self.actions.append(api.Refuse(event.request, 0, beyond_quota=True))
+            self.actions.append(api.RejectRequest(event.request, 0, over_quota=True))
         self._drop_idle()
 
     def _advance(self, request: Request) -> None:
@@ -109,7 +117,7 @@
         if host is None:
             span = min(HOLD, last_call - self.now)
             return self.actions.append(api.SetTimer(span, request.event.request + 1))
-        late = first and self._expected(host, request.event.kind) > self._patience(request)
+        late = first and self._expected(host, request.event.request_class) > self._patience(request)
         if late and self.now - self.last_sent < FORGET:
             return self._end(request)  # else one is let in: only an attempt can show that a jam is over
         return self._send(request, host)
@@ -117,15 +125,17 @@
     def _admits(self, request: Request) -> bool:
         """Quota, open cap and ceiling: the ordinary path of every first send."""
         event = request.event  # the entry is looked up anew: a held request may outlive an idle one
-        account = self._account(event.customer, event.plan, event.set_first, event.set_size, trusted=True)
+        account = self._account(
+            event.customer, event.plan, event.replica_set_start, event.replica_set_size, trusted=True
+        )
         plan, request.account = self.s.plans[account.plan], account
         self._lift(account)
         if plan.ceiling_rate and account.ceiling < event.units:
             self._tell_keeper(account, 0)
             return False
-        if plan.open:  # what others approved lately is taken to be out for as long as usual
-            others = sum(self.now - at < self.usual[event.kind] for at in account.others)
-            if account.out + others >= plan.open:
+        if plan.max_in_flight:  # what others approved lately is taken to be out for as long as usual
+            others = sum(self.now - at < self.usual[event.request_class] for at in account.others)
+            if account.out + others >= plan.max_in_flight:
                 return False
         room = account.room
         if account.fresh and self.rank in account.counts:  # unheard: a share, at least one request
@@ -134,39 +144,47 @@
 
     def _patience(self, request: Request) -> float:
         """The longest expected answer time at which a request is let in: it must still be in time."""
-        usual = self.usual[request.event.kind]
-        return usual + SHED * max(0.0, min(request.cls.aim, request.event.time_left) - usual)
+        usual = self.usual[request.event.request_class]
+        return usual + SHED * max(
+            0.0, min(request.cls.latency_objective_us, request.event.time_left_us) - usual
+        )
 
     def _choose(self, request: Request) -> Host | None:
         """The server that should answer soonest among those that the rules allow for this request."""
         if cold := self._cold_one(request):
             return cold
         ran = [a for a in request.attempts if a.ran]
-        pool = self.near(ran[0].host, request.cls.group) if ran else self.warm.hosts
+        pool = self.near(ran[0].host, request.cls.deduplication_scope) if ran else self.warm.hosts
         some = pool if len(pool) <= CHOICES else self.random.sample(pool, CHOICES)
         usable = [host for host in some if self._is_warm(host) and self._may_send(request, host)]
         return min(usable, key=lambda host: self._cost(request, host), default=None)
 
     def _cost(self, request: Request, host: Host) -> float:
-        cost = self._expected(host, request.event.kind) * (1 + SPREAD * self.random.random())
+        cost = self._expected(host, request.event.request_class) * (1 + SPREAD * self.random.random())
         cost *= 1 + FAIL_WEIGHT * host.marks(self.now, FORGET)[1]
         cost *= 1 + FAIL_WEIGHT * self.zones_met[host.entry.zone].marks(self.now, FORGET)[1]
         return cost * (1 + FAIL_WEIGHT * any(a.host is host for a in request.attempts))
 
     def _may_send(self, request: Request, host: Host) -> bool:
         """Rules 2 and 3 for one send."""
-        if host.entry.phase is not Phase.READY:
+        if host.entry.state is not EndpointState.READY:
             return False
         ran = [a for a in request.attempts if a.ran]
         cls = request.cls
-        if not ran or cls.effect is Effect.SAFE:
+        if not ran or cls.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if cls.effect is Effect.UNSAFE or self.now >= ran[0].sent + cls.window - LEAVE:
+        if (
+            cls.idempotency is Idempotency.NOT_IDEMPOTENT
+            or self.now >= ran[0].sent + cls.deduplication_window_us - LEAVE
+        ):
             return False
-        return host.shares(cls.group) == ran[0].host.shares(cls.group)
+        return host.shares(cls.deduplication_scope) == ran[0].host.shares(cls.deduplication_scope)
 
     def _is_warm(self, host: Host) -> bool:
-        return not host.entry.launched or self.now - host.entry.launched >= self.s.warm_within
+        return (
+            not host.entry.started_at_us
+            or self.now - host.entry.started_at_us >= self.s.slow_start_duration_us
+        )
 
     def _cold_one(self, request: Request) -> Host | None:
         """Rule 4: each attempt draws one of all servers; a cold one serves as often as it can."""
@@ -177,8 +195,8 @@
         if number >= len(cold):
             return None
         host = cold[int(number)]
-        age = max(0, self.now - host.entry.launched) / self.s.warm_within
-        ramp = self.s.cold_from + (1 - self.s.cold_from) * age
+        age = max(0, self.now - host.entry.started_at_us) / self.s.slow_start_duration_us
+        ramp = self.s.slow_start_initial_share + (1 - self.s.slow_start_initial_share) * age
         return host if chance < COLD_CARE * ramp and self._may_send(request, host) else None
 
     def _send(self, request: Request, host: Host) -> None:
@@ -190,7 +208,7 @@
         self.last_sent = self.now
         self.begin(request, Attempt(host, self.now, host.out + BASE))
         request.lot = self.random.random()
-        self.actions.append(api.Send(request.event.request, host.entry.server, request.until))
+        self.actions.append(api.SendAttempt(request.event.request, host.entry.endpoint, request.until))
 
     # -- what becomes of it -------------------------------------------------------------------------------
 
@@ -199,23 +217,28 @@
             return
         attempt, kind = self.ended(event.request, event.attempt)
         self._learn(attempt, kind, event)
-        attempt.ran = event.outcome not in (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
+        attempt.ran = event.outcome not in (Outcome.ENDPOINT_FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
         request = self.requests.get(event.request)
         if request and event.answered:
             self._drop(request)
         elif request:  # A budget for repeats: failures must not multiply the load. What never ran is free.
             self.budget -= attempt.ran
-            repeat = self.budget >= 0 and request.cls.effect is not Effect.UNSAFE
+            repeat = self.budget >= 0 and request.cls.idempotency is not Idempotency.NOT_IDEMPOTENT
             (self._advance if repeat or not attempt.ran else self._end)(request)
 
     def _end(self, request: Request, beyond_quota: bool = False) -> None:
         """Every final answer of ours passes here: refuse where a retry is harmless, else fail."""
         cls = request.cls
         ran, number = any(a.ran for a in request.attempts), request.event.request
-        repeats = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
+        repeats = cls.idempotency is Idempotency.IDEMPOTENT or (
+            cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and cls.deduplication_scope is DeduplicationScope.ALL
+        )
         harmless = repeats or not ran
         wait = self._back_in(request) if beyond_quota and request.account else 0
-        self.actions.append(api.Refuse(number, wait, beyond_quota) if harmless else api.Fail(number))
+        self.actions.append(
+            api.RejectRequest(number, wait, beyond_quota) if harmless else api.FailRequest(number)
+        )
         self._drop(request)
 
     def _back_in(self, request: Request) -> int:
@@ -229,15 +252,15 @@
             part = self._ceiling_part(account)  # none where we are no member: nothing comes back here
             span = max(span, (units - account.ceiling) / (plan.ceiling_rate * part)) if part else 0.0
         wait = max(0, int(span * SECOND))
-        return wait if wait <= min(self.s.max_retry_after, request.cls.aim / 2) else 0
+        return wait if wait <= min(self.s.max_retry_after_us, request.cls.latency_objective_us / 2) else 0
 
     def _drop(self, request: Request) -> None:
         """Nothing more is owed: forget the request and call off what is still out."""
         self.requests.pop(request.event.request, None)
         if self.s.may_cancel and request.out:
-            self.actions.append(api.Cancel(request.event.request, len(request.attempts) - 1))
+            self.actions.append(api.CancelAttempt(request.event.request, len(request.attempts) - 1))
 
-    def _client_gone(self, event: api.ClientGone) -> None:
+    def _client_gone(self, event: api.ClientDisconnected) -> None:
         if request := self.requests.get(event.request):
             self._drop(request)
 
@@ -252,8 +275,8 @@
 
     # -- servers ------------------------------------------------------------------------------------------
 
-    def _server_listed(self, event: api.ServerListed) -> None:
-        for host in self.apply_list(event, self.now) if event.kind is not ListKind.FAILED else ():
+    def _server_listed(self, event: api.EndpointListReceived) -> None:
+        for host in self.apply_list(event, self.now) if event.kind is not EndpointListKind.FAILED else ():
             (self.warm if self._is_warm(host) else self.cold).add(host)
             self.warming.append(host)
 
@@ -271,28 +294,30 @@
         host, zone = attempt.host, self.zones_met[attempt.host.entry.zone]
         for known in (host, zone, self.met):
             known.fade(self.now, FORGET)
-        if event.outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.FULL):
+        if event.outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.ENDPOINT_FULL):
             host.active = self.now
         if event.outcome in (Outcome.SERVED, Outcome.TIMED_OUT):
             # Guards against a jam of all servers, where a gateway meets each of them too seldom to learn. A
             # server that answered nobody meanwhile may be gone, and tells nothing of the others.
             silent = event.outcome is Outcome.TIMED_OUT and host.active <= attempt.sent
             for known in (host,) if silent else (host, self.met):
-                known.slow += LEARN * (min(SLOW_MOST, event.took / self.usual[kind]) - known.slow)
+                known.slow += LEARN * (min(SLOW_MOST, event.duration_us / self.usual[kind]) - known.slow)
             host.typical += LEARN * (attempt.load - host.typical)
             # Capped, so that in a jam an idle server still seems worth a try and the end of it is noticed.
-            most = START_OF_AIM * self.s.classes[kind].aim
-            self.usual[kind] = min(most, self.usual[kind] + LEARN / 5 * (event.took - self.usual[kind]))
+            most = START_OF_AIM * self.s.classes[kind].latency_objective_us
+            self.usual[kind] = min(
+                most, self.usual[kind] + LEARN / 5 * (event.duration_us - self.usual[kind])
+            )
         for known in (host, zone):  # in a cut each server of the zone would else be tried in turn
             if event.outcome is Outcome.SERVED:
                 known.fails /= 2
-            elif event.outcome not in (Outcome.CANCELLED, Outcome.NEVER_SENT):
+            elif event.outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
                 known.fails = min(known.fails + 1, 1 / LEARN)  # soon forgiven
 
     # -- counts -------------------------------------------------------------------------------------------
 
     def _account(self, customer: int, plan: int, first: int, size: int, trusted: bool) -> Account:
-        account, key = self.accounts.get(customer), (plan, first, max(1, min(size, self.s.gateways)))
+        account, key = self.accounts.get(customer), (plan, first, max(1, min(size, self.s.replica_count)))
         if account is None:
             unheard = key[2] > 1 and not self.alone  # else there is nobody to hear from
             account = Account(customer, key, self.s.plans[plan].burst, self.born, fresh=unheard)
@@ -336,15 +361,19 @@
             self.changed[account.customer] = None
             self._tell_keeper(account, 0)
 
-    def _counted(self, event: api.Counted) -> None:
+    def _counted(self, event: api.CountRecovered) -> None:
         """Guards against units lost in an upgrade or a restart: our own count, too, only grows."""
-        account = self._account(event.customer, event.plan, event.set_first, event.set_size, trusted=False)
+        account = self._account(
+            event.customer, event.plan, event.replica_set_start, event.replica_set_size, trusted=False
+        )
         self._lift(account)
         account.total += self._count(account, self.rank, event.start, event.value)
 
-    def _set_moved(self, event: api.SetMoved) -> None:
+    def _set_moved(self, event: api.ReplicaSetChanged) -> None:
         """Rule 5: parts begin from nothing: a move creates no rights. The new keeper hears what was spent."""
-        account = self._account(event.customer, event.plan, event.set_first, event.set_size, trusted=True)
+        account = self._account(
+            event.customer, event.plan, event.replica_set_start, event.replica_set_size, trusted=True
+        )
         self._lift(account)
         account.ceiling, account.asked = 0.0, 0.0
         if account.counts and account.size > 1 and not self.alone:
@@ -368,7 +397,7 @@
         return self._member(account, (account.customer * KEEPER_STRIDE >> 16) + number)
 
     def _member(self, account: Account, place: int) -> int:
-        return (account.first + place % account.size) % self.s.gateways
+        return (account.first + place % account.size) % self.s.replica_count
 
     def _tell_keeper(self, account: Account, number: int) -> None:
         """Every approval is told to one gateway of the set, which adds them up; the next one stands in."""
@@ -462,7 +491,7 @@
                 del self.changed[told.customer]
 
     def _place(self, rank: int, first: int) -> int:
-        return (rank - first) % self.s.gateways
+        return (rank - first) % self.s.replica_count
 
     def _allowed(self, least: float = 1.0) -> bool:
         gained = self.per_second * (self.now - self.filled) / SECOND
@@ -479,7 +508,7 @@
             self.asked.append((self.now, rank, customer, number))
             self.actions.append(api.SetTimer(ANSWER_WITHIN, ASKED))
         body = gossip_codec.pack(self.now // MS, bool(asks), keep, self._also(rank, rows))
-        self.actions.append(api.TellPeer(rank, body))
+        self.actions.append(api.SendPeerMessage(rank, body))
         return True
 
     def _also(self, rank: int, rows: list[bytes]) -> list[bytes]:
@@ -504,12 +533,12 @@
         row = gossip_codec.Row(
             account.customer, *account.key, reach, account.room, account.total, rights, counts
         )
-        return gossip_codec.pack_row(row, self.now // MS, self.s.gateways)
+        return gossip_codec.pack_row(row, self.now // MS, self.s.replica_count)
 
-    def _peer_message(self, event: api.PeerMessage) -> None:
-        message = gossip_codec.unpack(event.body, self.now // MS, self.s.gateways, len(self.s.plans))
+    def _peer_message(self, event: api.PeerMessageReceived) -> None:
+        message = gossip_codec.unpack(event.body, self.now // MS, self.s.replica_count, len(self.s.plans))
         age = self.now - message.sent * MS if message else LATE_MOST
-        if self.alone or not 0 <= event.sender < self.s.gateways or abs(age) >= LATE_MOST:
+        if self.alone or not 0 <= event.sender < self.s.replica_count or abs(age) >= LATE_MOST:
             return
         self.heard[event.sender] = self.now
         merged = []
@@ -547,7 +576,7 @@
                 grown = self._count(account, rank, start, value)
                 told += grown * (rank == sender and keep)
                 if grown:
-                    account.others = (*account.others, self.now)[-max(1, plan.open) :]
+                    account.others = (*account.others, self.now)[-max(1, plan.max_in_flight) :]
         if told:  # what is spread reaches all without
             self.changed[account.customer] = None
         # The total tells of counts that did not fit or were lost, so that a gateway that missed them knows.
--- a/orchidlane/policy/interface.py
+++ b/orchidlane/policy/interface.py
@@ -10,18 +10,18 @@
 from dataclasses import dataclass
 from typing import ClassVar
 
-Server = bytes
+EndpointId = bytes
 
 
-class Effect(enum.Enum):
+class Idempotency(enum.Enum):
     """What a repeat of a request does."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    IDEMPOTENT_WITH_KEY = "keyed"
+    NOT_IDEMPOTENT = "unsafe"
 
 
-class Group(enum.Enum):
+class DeduplicationScope(enum.Enum):
     """Which servers together drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -34,15 +34,15 @@
 
     SERVED = "served"
     ERROR = "error"
-    FULL = "full"
+    ENDPOINT_FULL = "full"
     TIMED_OUT = "timed out"
-    NOT_CONNECTED = "not connected"
-    BROKEN = "broken"
+    CONNECT_FAILED = "not connected"
+    CONNECTION_BROKEN = "broken"
     CANCELLED = "cancelled"
-    NEVER_SENT = "never sent"
+    NOT_SENT = "never sent"
 
 
-class Phase(enum.Enum):
+class EndpointState(enum.Enum):
     """What discovery says of a server."""
 
     GONE = 0
@@ -50,20 +50,20 @@
     DRAINING = 2
 
 
-class ListKind(enum.Enum):
+class EndpointListKind(enum.Enum):
     """How a server list relates to the one before it."""
 
-    CHANGES = 0
-    WHOLE = 1
+    DELTA = 0
+    COMPLETE = 1
     CACHED = 2
     FAILED = 3
 
 
-class Reports(enum.Enum):
+class LoadReportSource(enum.Enum):
     """Where load reports come from."""
 
     INLINE = "inline"
-    ON_PROBE = "on probe"
+    ON_HEALTH_CHECK = "on probe"
     NONE = "none"
 
 
@@ -71,13 +71,13 @@
 class RequestClass:
     """One class of requests."""
 
-    aim: int
-    deadline: int
-    worth: float
-    late_worth: float
-    effect: Effect
-    group: Group
-    window: int
+    latency_objective_us: int
+    deadline_us: int
+    priority_weight: float
+    late_priority_weight: float
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,10 +86,10 @@
 
     rate: float
     burst: float
-    open: int
+    max_in_flight: int
     price: float
-    beyond_earns: float
-    beyond_costs: float
+    over_quota_credit: float
+    over_quota_charge: float
     ceiling_rate: float
     ceiling_burst: float
     ceiling_slack: float
@@ -99,55 +99,55 @@
 class Settings:
     """All that a gateway is told when it starts."""
 
-    rank: int
-    gateways: int
+    replica: int
+    replica_count: int
     zone: int
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    may_tell_peers: bool
-    may_probe: bool
+    may_gossip: bool
+    may_check_health: bool
     may_cancel: bool
-    may_copy: bool
+    may_hedge: bool
     max_attempts: int
-    max_retry_after: int
-    peer_intake: float
+    max_retry_after_us: int
+    peer_messages_per_second: float
     peer_charge: float
-    probe_charge: float
+    health_check_charge: float
     waste_charge: float
     cross_zone_charge: float
-    has_counter: bool
-    asks_for_list: bool
-    ask_within: int
-    reports: Reports
-    report_names: tuple[str, ...]
-    cold_from: float
-    warm_within: int
-    fall_multiple: float
-    overload_for: int
-    drain_grace: int
+    has_shared_counter: bool
+    polls_endpoint_list: bool
+    poll_timeout_us: int
+    load_report_source: LoadReportSource
+    load_report_names: tuple[str, ...]
+    slow_start_initial_share: float
+    slow_start_duration_us: int
+    overload_multiple: float
+    overload_duration_us: int
+    drain_grace_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEntry:
+class EndpointEntry:
     """One line of a server list; launched 0 means long ago."""
 
-    server: Server
-    phase: Phase
+    endpoint: EndpointId
+    state: EndpointState
     zone: int
     cell: int
-    launched: int
-    size: float
+    started_at_us: int
+    capacity_share: float
 
 
 @dataclass(frozen=True, slots=True)
-class ServerListed:
+class EndpointListReceived:
     """Discovery told something."""
 
     topic: ClassVar[str] = "server_listed"
 
-    kind: ListKind
+    kind: EndpointListKind
     version: int
-    entries: tuple[ServerEntry, ...]
+    entries: tuple[EndpointEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -159,16 +159,16 @@
     request: int
     customer: int
     plan: int
-    kind: int
+    request_class: int
     units: float
-    time_left: int
-    set_first: int
-    set_size: int
-    is_repeat: bool
+    time_left_us: int
+    replica_set_start: int
+    replica_set_size: int
+    is_retry: bool
 
 
 @dataclass(frozen=True, slots=True)
-class TakeArrived:
+class QuotaRequested:
     """Units wanted without a server: somebody else carries the request out."""
 
     topic: ClassVar[str] = "take_arrived"
@@ -176,10 +176,10 @@
     request: int
     customer: int
     plan: int
-    kind: int
+    request_class: int
     units: float
-    set_first: int
-    set_size: int
+    replica_set_start: int
+    replica_set_size: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -190,29 +190,29 @@
 
     request: int
     attempt: int
-    server: Server
+    endpoint: EndpointId
     outcome: Outcome
-    took: int
+    duration_us: int
     answered: bool
     use: int
     true_units: float
-    report: tuple[float, ...]
+    load_report: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class StreamStarted:
+class ResponseStreamStarted:
     """A streamed answer has begun: no deadline runs any more."""
 
     topic: ClassVar[str] = "stream_started"
 
     request: int
     attempt: int
-    server: Server
-    took: int
+    endpoint: EndpointId
+    duration_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The client left; nothing more is owed."""
 
     topic: ClassVar[str] = "client_gone"
@@ -230,19 +230,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeEnded:
+class HealthCheckEnded:
     """What came of a probe."""
 
     topic: ClassVar[str] = "probe_ended"
 
-    server: Server
+    endpoint: EndpointId
     outcome: Outcome
-    took: int
-    report: tuple[float, ...]
+    duration_us: int
+    load_report: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class PeerMessage:
+class PeerMessageReceived:
     """Bytes from another gateway; untrusted."""
 
     topic: ClassVar[str] = "peer_message"
@@ -260,62 +260,62 @@
     name: int
     outcome: Outcome
     value: float
-    took: int
+    duration_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class CountRecovered:
     """What another process of this very gateway counted under our rank, before or after us."""
 
     topic: ClassVar[str] = "counted"
 
     customer: int
     plan: int
-    set_first: int
-    set_size: int
+    replica_set_start: int
+    replica_set_size: int
     start: int
     value: float
 
 
 @dataclass(frozen=True, slots=True)
-class SetMoved:
+class ReplicaSetChanged:
     """A customer's set is another from now on, or begins anew: no part of its ceiling is carried over."""
 
     topic: ClassVar[str] = "set_moved"
 
     customer: int
     plan: int
-    set_first: int
-    set_size: int
+    replica_set_start: int
+    replica_set_size: int
 
 
 Event = (
-    ServerListed
+    EndpointListReceived
     | RequestArrived
-    | TakeArrived
+    | QuotaRequested
     | AttemptEnded
-    | StreamStarted
-    | ClientGone
+    | ResponseStreamStarted
+    | ClientDisconnected
     | TimerFired
-    | ProbeEnded
-    | PeerMessage
+    | HealthCheckEnded
+    | PeerMessageReceived
     | CounterAnswered
-    | Counted
-    | SetMoved
+    | CountRecovered
+    | ReplicaSetChanged
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendAttempt:
     """Begin an attempt; give_up_at 0 leaves it to the client's patience."""
 
     request: int
-    server: Server
-    give_up_at: int
+    endpoint: EndpointId
+    timeout_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for an attempt."""
 
     request: int
@@ -323,23 +323,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Grant:
+class GrantQuota:
     """A take's units are counted: whoever asked may pass them on."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: not served, and trying again is harmless; beyond_quota tells why."""
 
     request: int
-    retry_after: int
-    beyond_quota: bool = False
+    retry_after_us: int
+    over_quota: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailRequest:
     """Final answer: not served, nothing promised."""
 
     request: int
@@ -349,12 +349,12 @@
 class SetTimer:
     """Ask for a TimerFired after a span."""
 
-    span: int
+    delay_us: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeer:
+class SendPeerMessage:
     """Send bytes to one peer."""
 
     peer: int
@@ -362,20 +362,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class CheckHealth:
     """Ask a server for its state."""
 
-    server: Server
+    endpoint: EndpointId
 
 
 @dataclass(frozen=True, slots=True)
-class AskList:
+class WatchEndpoints:
     """Subscribe to discovery."""
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchEndpoints:
     """Ask discovery for the whole list once."""
 
 
-Action = Send | Cancel | Grant | Refuse | Fail | SetTimer | TellPeer | Probe | AskList | FetchList
+Action = (
+    SendAttempt
+    | CancelAttempt
+    | GrantQuota
+    | RejectRequest
+    | FailRequest
+    | SetTimer
+    | SendPeerMessage
+    | CheckHealth
+    | WatchEndpoints
+    | FetchEndpoints
+)
--- a/orchidlane/policy/state.py
+++ b/orchidlane/policy/state.py
@@ -72,14 +72,18 @@
 class Host(Known):
     """A server: what discovery says and what requests met."""
 
-    entry: api.ServerEntry = field(kw_only=True)
+    entry: api.EndpointEntry = field(kw_only=True)
     out: int = 0
     active: int = 0  # last answer, or when the first of those out was sent
     typical: float = 2.0  # load that its answer times were met under
 
-    def shares(self, group: api.Group) -> int:
+    def shares(self, group: api.DeduplicationScope) -> int:
         """What two servers have in common that drop each other's repeats."""
-        return {api.Group.ALL: 0, api.Group.ZONE: self.entry.zone, api.Group.CELL: self.entry.cell}[group]
+        return {
+            api.DeduplicationScope.ALL: 0,
+            api.DeduplicationScope.ZONE: self.entry.zone,
+            api.DeduplicationScope.CELL: self.entry.cell,
+        }[group]
 
 
 class Pool:
@@ -87,22 +91,22 @@
 
     def __init__(self) -> None:
         self.hosts: list[Host] = []
-        self.places: dict[api.Server, int] = {}
+        self.places: dict[api.EndpointId, int] = {}
 
     def add(self, host: Host) -> None:
         """Put a server in, once."""
-        if host.entry.server not in self.places:
-            self.places[host.entry.server] = len(self.hosts)
+        if host.entry.endpoint not in self.places:
+            self.places[host.entry.endpoint] = len(self.hosts)
             self.hosts.append(host)
 
-    def remove(self, server: api.Server) -> None:
+    def remove(self, server: api.EndpointId) -> None:
         """Take a server out; the last one fills its place."""
         place = self.places.pop(server, None)
         if place is not None:
             last = self.hosts.pop()
             if place < len(self.hosts):
                 self.hosts[place] = last
-                self.places[last.entry.server] = place
+                self.places[last.entry.endpoint] = place
 
 
 @dataclass(slots=True)
@@ -144,7 +148,7 @@
         self.heard: dict[int, int] = {}  # rank -> when it was last heard
         self.asked: deque[tuple[int, int, int, int]] = deque()  # when, rank, customer, which keeper
         self.owed: dict[int, dict[int, int]] = {}  # rank -> customers it is to be told of, as which keeper
-        self.hosts: dict[api.Server, Host] = {}
+        self.hosts: dict[api.EndpointId, Host] = {}
         self.met = Known(0)  # by all servers together
         self.zones_met: dict[int, Known] = {}  # by those of one zone
         self.warm, self.cold = Pool(), Pool()
@@ -168,30 +172,32 @@
         attempt.out = False
         attempt.host.out -= 1
         of.account.out -= 1
-        return attempt, of.event.kind
+        return attempt, of.event.request_class
 
-    def apply_list(self, event: api.ServerListed, now: int) -> list[Host]:
+    def apply_list(self, event: api.EndpointListReceived, now: int) -> list[Host]:
         """Bring the servers up to date with discovery; those that are ready and new or started anew."""
-        if event.kind is not api.ListKind.CHANGES:
-            told = {entry.server for entry in event.entries}
+        if event.kind is not api.EndpointListKind.DELTA:
+            told = {entry.endpoint for entry in event.entries}
             for server in [s for s in self.hosts if s not in told]:
-                self._forget(self.hosts[server], replace(self.hosts[server].entry, phase=api.Phase.GONE))
+                self._forget(
+                    self.hosts[server], replace(self.hosts[server].entry, state=api.EndpointState.GONE)
+                )
         fresh = []
         for entry in event.entries:
-            host = self.hosts.get(entry.server)
-            anew = host is None or entry.launched > host.entry.launched
-            was_ready = host is not None and host.entry.phase is api.Phase.READY
-            if host is not None and (anew or entry.phase is not api.Phase.READY):
+            host = self.hosts.get(entry.endpoint)
+            anew = host is None or entry.started_at_us > host.entry.started_at_us
+            was_ready = host is not None and host.entry.state is api.EndpointState.READY
+            if host is not None and (anew or entry.state is not api.EndpointState.READY):
                 self._take_out(host)
-            if entry.phase is api.Phase.GONE:
+            if entry.state is api.EndpointState.GONE:
                 if host is not None:
                     self._forget(host, entry)
                 continue
             if host is None or anew:
-                host = self.hosts[entry.server] = Host(now, entry=entry)
+                host = self.hosts[entry.endpoint] = Host(now, entry=entry)
             host.entry = entry
             self.zones_met.setdefault(entry.zone, Known(0))
-            if entry.phase is api.Phase.READY and (anew or not was_ready):
+            if entry.state is api.EndpointState.READY and (anew or not was_ready):
                 self.cells.setdefault(entry.cell, Pool()).add(host)
                 self.zones.setdefault(entry.zone, Pool()).add(host)
                 fresh.append(host)
@@ -200,26 +206,26 @@
     def warm_first(self) -> None:
         """The server that was listed first joins the warm ones, if it still runs."""
         host = self.warming.popleft()
-        if self.hosts.get(host.entry.server) is host and host.entry.phase is api.Phase.READY:
-            self.cold.remove(host.entry.server)
+        if self.hosts.get(host.entry.endpoint) is host and host.entry.state is api.EndpointState.READY:
+            self.cold.remove(host.entry.endpoint)
             self.warm.add(host)
 
-    def near(self, host: Host, group: api.Group) -> list[Host]:
+    def near(self, host: Host, group: api.DeduplicationScope) -> list[Host]:
         """The servers that share the group with this one, those that are cold too."""
-        if group is api.Group.ALL:
+        if group is api.DeduplicationScope.ALL:
             return self.warm.hosts
-        pools = self.cells if group is api.Group.CELL else self.zones
+        pools = self.cells if group is api.DeduplicationScope.CELL else self.zones
         pool = pools.get(host.shares(group))
         return pool.hosts if pool else []
 
-    def _forget(self, host: Host, entry: api.ServerEntry) -> None:
+    def _forget(self, host: Host, entry: api.EndpointEntry) -> None:
         """A server that is gone; its attempts still know it. Hosts always new must not cost memory."""
         self._take_out(host)
         host.entry = entry
-        del self.hosts[entry.server]
+        del self.hosts[entry.endpoint]
 
     def _take_out(self, host: Host) -> None:
-        server = host.entry.server
+        server = host.entry.endpoint
         self.warm.remove(server)
         self.cold.remove(server)
         for pools, number in ((self.cells, host.entry.cell), (self.zones, host.entry.zone)):
--- a/orchidlane/recording/__init__.py
+++ b/orchidlane/recording/__init__.py
@@ -26,6 +26,7 @@
     pack_header,
     read_folder,
 )
+from orchidlane.recording.settings_codec import settings_from_stored, settings_to_stored
 from orchidlane.recording.snapshot import Accounts, Snapshot, track
 from orchidlane.recording.state_dump import FORMAT as DUMP_FORMAT
 from orchidlane.recording.state_dump import Dump, dump, load_account, restore
@@ -67,6 +68,8 @@
     "replay",
     "request_of",
     "restore",
+    "settings_from_stored",
+    "settings_to_stored",
     "track",
     "unpack_action",
     "unpack_event",
--- a/orchidlane/recording/audit.py
+++ b/orchidlane/recording/audit.py
@@ -17,12 +17,18 @@
 from typing import Any
 
 from orchidlane.policy import interface as api
-from orchidlane.policy.interface import Effect, Group, ListKind, Outcome, Phase
+from orchidlane.policy.interface import (
+    DeduplicationScope,
+    EndpointListKind,
+    EndpointState,
+    Idempotency,
+    Outcome,
+)
 from orchidlane.recording.reference_quota import TrueStore
 from orchidlane.recording.replay import lives_of
 from orchidlane.recording.segments import CutHead, Entry, Header, SegmentReader
 
-NOT_RUN = (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
+NOT_RUN = (Outcome.ENDPOINT_FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 STILL = 1_000_000  # microseconds without an entry: gossip's turns come more often, so the gateway stood still
 KEPT = 20  # names told of each kind of fault
 
@@ -92,7 +98,7 @@
         self.found = found
         self.sent = sent
         self.open: dict[int, _Open] = {}
-        self.phases: dict[bytes, tuple[Phase, int]] = {}  # server -> phase, when first told of it
+        self.phases: dict[bytes, tuple[EndpointState, int]] = {}  # server -> phase, when first told of it
         self.places: dict[bytes, tuple[int, int]] = {}  # server -> zone, cell
         self.now = int(header.about.get("now", header.life))
         self.margin = int(header.about.get("client_margin", 0))  # of the client's time, kept for the way back
@@ -104,12 +110,14 @@
         for row in self.header.state.hosts:
             entry, listed = row[0], row[3]
             if listed:
-                self._list_entry(bytes(entry[0]), Phase(entry[1]), entry[2], entry[3], self.header.life)
+                self._list_entry(
+                    bytes(entry[0]), EndpointState(entry[1]), entry[2], entry[3], self.header.life
+                )
 
-    def _list_entry(self, server: bytes, phase: Phase, zone: int, cell: int, now: int) -> None:
+    def _list_entry(self, server: bytes, phase: EndpointState, zone: int, cell: int, now: int) -> None:
         self.places[server] = zone, cell
         known = self.phases.get(server)
-        if known is None or (known[0] is Phase.READY) != (phase is Phase.READY):
+        if known is None or (known[0] is EndpointState.READY) != (phase is EndpointState.READY):
             self.phases[server] = phase, now
 
     def feed(self, entry: Entry) -> None:
@@ -123,28 +131,30 @@
         self.found.events += 1
         if isinstance(event, api.RequestArrived):
             self.found.requests += 1
-            self.open[event.request] = _Open(event, now + event.time_left + self.margin)
-        elif isinstance(event, api.ServerListed):
+            self.open[event.request] = _Open(event, now + event.time_left_us + self.margin)
+        elif isinstance(event, api.EndpointListReceived):
             self._listed(event, now)
         elif isinstance(event, api.AttemptEnded):
             self._ended(event, now)
-        elif isinstance(event, api.ClientGone):
+        elif isinstance(event, api.ClientDisconnected):
             self.open.pop(event.request, None)
         for action in entry.actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.SendAttempt):
                 self._send(action, now)
-            elif isinstance(action, api.Refuse | api.Fail) and not isinstance(event, api.TakeArrived):
+            elif isinstance(action, api.RejectRequest | api.FailRequest) and not isinstance(
+                event, api.QuotaRequested
+            ):
                 self._final(action, now)
 
-    def _listed(self, event: api.ServerListed, now: int) -> None:
-        if event.kind is ListKind.FAILED:
+    def _listed(self, event: api.EndpointListReceived, now: int) -> None:
+        if event.kind is EndpointListKind.FAILED:
             return
-        if event.kind is not ListKind.CHANGES:
-            told = {entry.server for entry in event.entries}
+        if event.kind is not EndpointListKind.DELTA:
+            told = {entry.endpoint for entry in event.entries}
             for server in [one for one in self.phases if one not in told]:
-                self._list_entry(server, Phase.GONE, *self.places[server], now)
+                self._list_entry(server, EndpointState.GONE, *self.places[server], now)
         for entry in event.entries:
-            self._list_entry(entry.server, entry.phase, entry.zone, entry.cell, now)
+            self._list_entry(entry.endpoint, entry.state, entry.zone, entry.cell, now)
 
     def _ended(self, event: api.AttemptEnded, now: int) -> None:
         request = self.open.get(event.request)
@@ -164,19 +174,23 @@
             else:
                 self.found.fault("late", f"{self.name}-{number}")
 
-    def _final(self, action: api.Refuse | api.Fail, now: int) -> None:
+    def _final(self, action: api.RejectRequest | api.FailRequest, now: int) -> None:
         request = self.open.get(action.request)
         if request is None:
             self.found.fault("doubled", f"{self.name}-{action.request}")
             return
-        if isinstance(action, api.Refuse) and request.may_have_run and not harmless(self._class(request)):
+        if (
+            isinstance(action, api.RejectRequest)
+            and request.may_have_run
+            and not harmless(self._class(request))
+        ):
             self.found.fault("refused but may have run", f"{self.name}-{action.request}")
         self._answered(action.request, request, now)
 
     def _class(self, request: _Open) -> api.RequestClass:
-        return self.settings.classes[request.event.kind]
+        return self.settings.classes[request.event.request_class]
 
-    def _send(self, action: api.Send, now: int) -> None:
+    def _send(self, action: api.SendAttempt, now: int) -> None:
         request = self.open.get(action.request)
         name = f"{self.name}-{action.request}"
         if request is None:
@@ -184,26 +198,26 @@
             return
         if not self._may_repeat(request, action, now):
             self.found.fault("sent again", name)
-        phase, since = self.phases.get(action.server, (Phase.GONE, 0))
-        if phase is not Phase.READY and now > since + self.settings.drain_grace:
+        phase, since = self.phases.get(action.endpoint, (EndpointState.GONE, 0))
+        if phase is not EndpointState.READY and now > since + self.settings.drain_grace_us:
             self.found.fault("sent after drain", name)
         if self.sent is not None:
             self.sent.add(f"{name}-{len(request.sends)}")
-        request.sends.append([now, action.server, True])
+        request.sends.append([now, action.endpoint, True])
 
-    def _may_repeat(self, request: _Open, action: api.Send, now: int) -> bool:
+    def _may_repeat(self, request: _Open, action: api.SendAttempt, now: int) -> bool:
         cls, ran = self._class(request), request.may_have_run
-        if not ran or cls.effect is Effect.SAFE:
+        if not ran or cls.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if cls.effect is Effect.UNSAFE or now > ran[0][0] + cls.window:
+        if cls.idempotency is Idempotency.NOT_IDEMPOTENT or now > ran[0][0] + cls.deduplication_window_us:
             return False
-        if cls.group is Group.ALL:
+        if cls.deduplication_scope is DeduplicationScope.ALL:
             return True
-        place = 0 if cls.group is Group.ZONE else 1
+        place = 0 if cls.deduplication_scope is DeduplicationScope.ZONE else 1
         return all(
-            self.places[send[1]][place] == self.places[action.server][place]
+            self.places[send[1]][place] == self.places[action.endpoint][place]
             for send in ran
-            if send[1] in self.places and action.server in self.places
+            if send[1] in self.places and action.endpoint in self.places
         )
 
     def end(self, now: int) -> None:
@@ -218,7 +232,10 @@
 
 def harmless(cls: api.RequestClass) -> bool:
     """Whether a repeat is, though the request may have run."""
-    return cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
+    return cls.idempotency is Idempotency.IDEMPOTENT or (
+        cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        and cls.deduplication_scope is DeduplicationScope.ALL
+    )
 
 
 class _Ceilings:
@@ -231,14 +248,14 @@
     def feed(self, life: _Life, entry: Entry) -> None:
         """Draw what an entry first sends on."""
         for action in entry.actions:
-            if isinstance(action, api.Grant) and isinstance(entry.event, api.TakeArrived):
+            if isinstance(action, api.GrantQuota) and isinstance(entry.event, api.QuotaRequested):
                 self._draw(life, entry.event, entry.now)
-            elif isinstance(action, api.Send):
+            elif isinstance(action, api.SendAttempt):
                 request = life.open.get(action.request)
                 if request is not None and len(request.sends) == 1:
                     self._draw(life, request.event, entry.now)
 
-    def _draw(self, life: _Life, event: api.RequestArrived | api.TakeArrived, now: int) -> None:
+    def _draw(self, life: _Life, event: api.RequestArrived | api.QuotaRequested, now: int) -> None:
         plan = life.settings.plans[event.plan]
         if not plan.ceiling_rate:
             return
--- a/orchidlane/recording/codec.py
+++ b/orchidlane/recording/codec.py
@@ -15,30 +15,30 @@
 from orchidlane.policy import interface as api
 
 EVENTS: dict[int, type] = {
-    1: api.ServerListed,
+    1: api.EndpointListReceived,
     2: api.RequestArrived,
-    3: api.TakeArrived,
+    3: api.QuotaRequested,
     4: api.AttemptEnded,
-    5: api.StreamStarted,
-    6: api.ClientGone,
+    5: api.ResponseStreamStarted,
+    6: api.ClientDisconnected,
     7: api.TimerFired,
-    8: api.ProbeEnded,
-    9: api.PeerMessage,
+    8: api.HealthCheckEnded,
+    9: api.PeerMessageReceived,
     10: api.CounterAnswered,
-    11: api.Counted,
-    12: api.SetMoved,
+    11: api.CountRecovered,
+    12: api.ReplicaSetChanged,
 }
 ACTIONS: dict[int, type] = {
-    1: api.Send,
-    2: api.Cancel,
-    3: api.Grant,
-    4: api.Refuse,
-    5: api.Fail,
+    1: api.SendAttempt,
+    2: api.CancelAttempt,
+    3: api.GrantQuota,
+    4: api.RejectRequest,
+    5: api.FailRequest,
     6: api.SetTimer,
-    7: api.TellPeer,
-    8: api.Probe,
-    9: api.AskList,
-    10: api.FetchList,
+    7: api.SendPeerMessage,
+    8: api.CheckHealth,
+    9: api.WatchEndpoints,
+    10: api.FetchEndpoints,
 }
 
 
@@ -62,34 +62,36 @@
     return kind
 
 
-def _entries(value: Any) -> tuple[api.ServerEntry, ...]:
-    names = _fields(api.ServerEntry)
+def _entries(value: Any) -> tuple[api.EndpointEntry, ...]:
+    names = _fields(api.EndpointEntry)
     return tuple(
-        api.ServerEntry(bytes(one[0]), api.Phase(one[1]), *(one[names.index(name)] for name in names[2:]))
+        api.EndpointEntry(
+            bytes(one[0]), api.EndpointState(one[1]), *(one[names.index(name)] for name in names[2:])
+        )
         for one in value
     )
 
 
 CONVERTERS: dict[tuple[type, str], Callable[[Any], Any]] = {
-    (api.ServerListed, "kind"): _enum(api.ListKind),
-    (api.ServerListed, "entries"): _entries,
+    (api.EndpointListReceived, "kind"): _enum(api.EndpointListKind),
+    (api.EndpointListReceived, "entries"): _entries,
     (api.AttemptEnded, "outcome"): _enum(api.Outcome),
-    (api.AttemptEnded, "report"): tuple,
-    (api.ProbeEnded, "outcome"): _enum(api.Outcome),
-    (api.ProbeEnded, "report"): tuple,
+    (api.AttemptEnded, "load_report"): tuple,
+    (api.HealthCheckEnded, "outcome"): _enum(api.Outcome),
+    (api.HealthCheckEnded, "load_report"): tuple,
     (api.CounterAnswered, "outcome"): _enum(api.Outcome),
 }
 _GETTERS = {kind: _getter(kind) for table in (EVENTS, ACTIONS) for kind in table.values()}
 _EVENT_NUMBERS = {kind: number for number, kind in EVENTS.items()}
 _ACTION_NUMBERS = {kind: number for number, kind in ACTIONS.items()}
 _NAMES = {kind: _fields(kind) for kind in _GETTERS}
-_ENTRY = _getter(api.ServerEntry)
+_ENTRY = _getter(api.EndpointEntry)
 
 
 def pack_event(event: Any) -> tuple[Any, ...]:
     """An event as plain values."""
     kind = type(event)
-    if kind is api.ServerListed:
+    if kind is api.EndpointListReceived:
         entries = [_ENTRY(entry) for entry in event.entries]
         return (_EVENT_NUMBERS[kind], event.kind, event.version, entries)
     return (_EVENT_NUMBERS[kind], *_GETTERS[kind](event))
--- a/orchidlane/recording/replay.py
+++ b/orchidlane/recording/replay.py
@@ -153,7 +153,7 @@
     instead: dict[tuple[str, str], list[int]] = {}
     turned = 0
     for request, event in world.arrivals.items():
-        key = _name(header.class_names, event.kind), _name(names, event.plan)
+        key = _name(header.class_names, event.request_class), _name(names, event.plan)
         then, now = request in world.recorded_sent, request in world.sent
         recorded.setdefault(key, [0, 0])[not then] += 1
         instead.setdefault(key, [0, 0])[not now] += 1
@@ -190,7 +190,7 @@
     def __init__(self, state: Dump, settings: api.Settings, entries: list[Entry]) -> None:
         self.gateway = restore(settings, state)
         self.entries = entries
-        self.arrivals: dict[int, api.RequestArrived | api.TakeArrived] = {}
+        self.arrivals: dict[int, api.RequestArrived | api.QuotaRequested] = {}
         self.recorded_sent: set[int] = set()
         self.sent: set[int] = set()
         self.outcomes: dict[tuple[int, int], tuple[api.AttemptEnded, int]] = {}
@@ -207,19 +207,19 @@
         tries: Counter[int] = Counter()
         for entry in self.entries:
             event = entry.event
-            if isinstance(event, api.RequestArrived | api.TakeArrived):
+            if isinstance(event, api.RequestArrived | api.QuotaRequested):
                 self.arrivals[event.request] = event
             elif isinstance(event, api.AttemptEnded):
-                span = entry.now - began.get((event.request, event.attempt), entry.now - event.took)
+                span = entry.now - began.get((event.request, event.attempt), entry.now - event.duration_us)
                 self.outcomes[event.request, event.attempt] = event, span
                 if event.outcome is Outcome.SERVED and event.request in self.arrivals:
-                    took[self.arrivals[event.request].kind].append(event.took)
+                    took[self.arrivals[event.request].request_class].append(event.duration_us)
             for action in entry.actions:
-                if isinstance(action, api.Send):
+                if isinstance(action, api.SendAttempt):
                     self.recorded_sent.add(action.request)
                     began[action.request, tries[action.request]] = entry.now
                     tries[action.request] += 1
-                elif isinstance(action, api.Grant):
+                elif isinstance(action, api.GrantQuota):
                     self.recorded_sent.add(action.request)
         self.usual = {kind: int(statistics.median(spans)) for kind, spans in took.items()}
 
@@ -239,19 +239,19 @@
 
     def _tell(self, now: int, event: api.Event) -> None:
         for action in self.gateway.handle(now, event):
-            if isinstance(action, api.Send):
+            if isinstance(action, api.SendAttempt):
                 self.sent.add(action.request)
                 self._later(*self._outcome(now, action))
-            elif isinstance(action, api.Grant):
+            elif isinstance(action, api.GrantQuota):
                 self.sent.add(action.request)
             elif isinstance(action, api.SetTimer):
-                self._later(now + action.span, api.TimerFired(action.token))
+                self._later(now + action.delay_us, api.TimerFired(action.token))
 
     def _later(self, when: int, event: api.Event) -> None:
         self._order += 1
         heapq.heappush(self._due, (when, self._order, event))
 
-    def _outcome(self, now: int, send: api.Send) -> tuple[int, api.Event]:
+    def _outcome(self, now: int, send: api.SendAttempt) -> tuple[int, api.Event]:
         number = self._attempts[send.request]
         self._attempts[send.request] += 1
         known = self.outcomes.get((send.request, number))
@@ -259,22 +259,22 @@
             event, span = known
             values: dict[str, Any] = {
                 "outcome": event.outcome,
-                "took": event.took,
+                "duration_us": event.duration_us,
                 "answered": event.answered,
             }
-            return now + span, _ended(send, number, event.report, **values)
+            return now + span, _ended(send, number, event.load_report, **values)
         arrival = self.arrivals.get(send.request)
-        span = self.usual.get(arrival.kind, TOOK_USUAL) if arrival else TOOK_USUAL
-        return now + span, _ended(send, number, (), outcome=Outcome.SERVED, took=span, answered=True)
+        span = self.usual.get(arrival.request_class, TOOK_USUAL) if arrival else TOOK_USUAL
+        return now + span, _ended(send, number, (), outcome=Outcome.SERVED, duration_us=span, answered=True)
 
 
-def _ended(send: api.Send, number: int, report: tuple[float, ...], **values: Any) -> api.AttemptEnded:
+def _ended(send: api.SendAttempt, number: int, report: tuple[float, ...], **values: Any) -> api.AttemptEnded:
     return api.AttemptEnded(
         request=send.request,
         attempt=number,
-        server=send.server,
+        endpoint=send.endpoint,
         use=0,
         true_units=0.0,
-        report=report,
+        load_report=report,
         **values,
     )
--- a/orchidlane/recording/segments.py
+++ b/orchidlane/recording/segments.py
@@ -24,6 +24,7 @@
 
 from orchidlane.policy import interface as api
 from orchidlane.recording.codec import FormatError, pack_action, pack_event, unpack_action, unpack_event
+from orchidlane.recording.settings_codec import settings_from_stored
 from orchidlane.recording.state_dump import Dump
 
 MAGIC = b"OLREC1\n"
@@ -55,7 +56,7 @@
     def module_settings(self) -> api.Settings:
         """The settings as the module takes them. Raises FormatError."""
         try:
-            return msgspec.convert(self.settings, api.Settings)
+            return settings_from_stored(self.settings)
         except msgspec.ValidationError as wrong:
             raise FormatError(f"settings that this build can't read: {wrong}") from None
 
@@ -119,7 +120,7 @@
         """Of the file, or of ``data`` that was read of it."""
         self.path = path
         self.broken: Broken | None = None
-        self._file: BinaryIO = open(path, "rb") if data is None else io.BytesIO(data)  # noqa: SIM115 (by close)
+        self._file: BinaryIO = open(path, "rb") if data is None else io.BytesIO(data)  # noqa: SIM115
         magic = self._file.read(len(MAGIC))
         if magic != MAGIC:
             self.close()
--- /dev/null
+++ b/orchidlane/recording/settings_codec.py
@@ -0,0 +1,77 @@
+"""The policy's settings in their stored form: the names on disk and on the wire stay, the code has its own.
+
+Traffic records, state files, the hot restart and the admin API hold settings as plain objects; the table
+``STORED_NAMES`` is the one place that maps the fields of the code to the names of that form.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from orchidlane.policy import interface as api
+
+STORED_NAMES: dict[type, dict[str, str]] = {
+    api.Settings: {
+        "replica": "rank",
+        "replica_count": "gateways",
+        "may_gossip": "may_tell_peers",
+        "may_check_health": "may_probe",
+        "may_hedge": "may_copy",
+        "max_retry_after_us": "max_retry_after",
+        "peer_messages_per_second": "peer_intake",
+        "health_check_charge": "probe_charge",
+        "has_shared_counter": "has_counter",
+        "polls_endpoint_list": "asks_for_list",
+        "poll_timeout_us": "ask_within",
+        "load_report_source": "reports",
+        "load_report_names": "report_names",
+        "slow_start_initial_share": "cold_from",
+        "slow_start_duration_us": "warm_within",
+        "overload_multiple": "fall_multiple",
+        "overload_duration_us": "overload_for",
+        "drain_grace_us": "drain_grace",
+    },
+    api.RequestClass: {
+        "latency_objective_us": "aim",
+        "deadline_us": "deadline",
+        "priority_weight": "worth",
+        "late_priority_weight": "late_worth",
+        "idempotency": "effect",
+        "deduplication_scope": "group",
+        "deduplication_window_us": "window",
+    },
+    api.Plan: {
+        "max_in_flight": "open",
+        "over_quota_credit": "beyond_earns",
+        "over_quota_charge": "beyond_costs",
+    },
+}
+_CODE_NAMES = {kind: {stored: name for name, stored in names.items()} for kind, names in STORED_NAMES.items()}
+_NESTED: dict[str, type] = {"classes": api.RequestClass, "plans": api.Plan}
+
+
+def settings_to_stored(settings: api.Settings) -> dict[str, Any]:
+    """Settings as plain values under their stored names, in the order of the fields."""
+    return _with_names(msgspec.to_builtins(settings), STORED_NAMES)
+
+
+def settings_from_stored(stored: dict[str, Any]) -> api.Settings:
+    """Settings from their stored form. Raises msgspec.ValidationError for what does not fit."""
+    return msgspec.convert(_with_names(stored, _CODE_NAMES), api.Settings)
+
+
+def _with_names(values: dict[str, Any], names: dict[type, dict[str, str]]) -> dict[str, Any]:
+    renamed = _renamed(values, names[api.Settings])
+    for field, kind in _NESTED.items():
+        entries = renamed.get(field)
+        if isinstance(entries, (list, tuple)):
+            renamed[field] = [_renamed(entry, names[kind]) for entry in entries]
+    return renamed
+
+
+def _renamed(values: Any, names: dict[str, str]) -> Any:
+    if not isinstance(values, dict):
+        return values
+    return {names.get(name, name): value for name, value in values.items()}
--- a/orchidlane/recording/state_dump.py
+++ b/orchidlane/recording/state_dump.py
@@ -211,7 +211,7 @@
     def _servers(self) -> None:
         made, kept = self.made, self.kept
         listed = [host for host, row in zip(self.hosts, kept.hosts, strict=True) if row[3]]
-        made.hosts = {host.entry.server: host for host in listed}
+        made.hosts = {host.entry.endpoint: host for host in listed}
         made.met = Known(*kept.met)  # type: ignore[arg-type]
         made.zones_met = {zone: Known(*known) for zone, known in kept.zones_met}  # type: ignore[arg-type]
         made.warm, made.cold = (self._pool(places) for places in kept.pools)
@@ -243,7 +243,7 @@
 
     def _request(self, event_row: list[Any], until: int, customer: int) -> Request:
         event: Any = unpack_event(event_row)
-        request = Request(event, self.made.s.classes[event.kind], until)
+        request = Request(event, self.made.s.classes[event.request_class], until)
         request.account = self.made.accounts.get(customer) or _gone(customer, event, self.made)
         if customer == -1:
             request.account = None
@@ -255,7 +255,7 @@
 
 def _gone(customer: int, event: Any, gateway: Gateway) -> Account:
     """An account that the module has dropped, for an attempt that still names it."""
-    key = (event.plan, event.set_first, max(1, event.set_size))
+    key = (event.plan, event.replica_set_start, max(1, event.replica_set_size))
     account = Account(customer, key, 0.0, gateway.now)
     account.out = 1
     return account
@@ -263,7 +263,7 @@
 
 def _host(row: list[Any]) -> Host:
     entry, known, fields, _ = row
-    made = api.ServerEntry(bytes(entry[0]), api.Phase(entry[1]), *entry[2:])
+    made = api.EndpointEntry(bytes(entry[0]), api.EndpointState(entry[1]), *entry[2:])
     host = Host(*known, entry=made)
     for name, value in zip(HOST, fields, strict=True):
         setattr(host, name, value)
--- a/orchidlane/rollout/compatibility.py
+++ b/orchidlane/rollout/compatibility.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from orchidlane.policy.interface import Effect
+from orchidlane.policy.interface import Idempotency
 from orchidlane.routes import Generation, Operation
 
 MOVED_MOST = 10_000  # sets in one version: each gateway looks at each of them as it adopts
@@ -58,17 +58,17 @@
 def _operation(old: Generation, before: Operation, after: Operation) -> str:
     """A retry through a gateway of the other version must be as safe as through one of the same."""
     was, will = old.classes[before.kind], old.classes[after.kind]
-    if was.effect is not will.effect:
+    if was.idempotency is not will.idempotency:
         return (
-            f"from {was.effect.value} to {will.effect.value}: one gateway would repeat what another holds for"
-            " done once; let it go under a new path, and drop the old one when nobody asks for it"
+            f"from {was.idempotency.value} to {will.idempotency.value}: one gateway would repeat what another"
+            " holds for done once; let it go under a new path, and drop the old one when nobody asks for it"
         )
-    if was.effect is Effect.KEYED:
+    if was.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
         if before.idempotency_header != after.idempotency_header:
             return "its key moves to another header: one gateway would not know the other's repeats"
-        if will.group is not was.group:
+        if will.deduplication_scope is not was.deduplication_scope:
             return "servers that drop its repeats change: a repeat could reach one that does not know it"
-        if will.window < was.window:
+        if will.deduplication_window_us < was.deduplication_window_us:
             return "the window of its keys shrinks: a repeat that one gateway allows would run again"
     return ""
 
--- a/orchidlane/routes/build.py
+++ b/orchidlane/routes/build.py
@@ -306,12 +306,12 @@
 
     def _make_class(self, name: str, method: str, sources: tuple[Terms, ...], place: str) -> api.RequestClass:
         safe = "safe" if method in SAFE_METHODS else "unsafe"
-        effect = self._choice("effect", sources, safe, api.Effect, place)
-        group = self._choice("group", sources, "all", api.Group, place)
+        effect = self._choice("effect", sources, safe, api.Idempotency, place)
+        group = self._choice("group", sources, "all", api.DeduplicationScope, place)
         deadline = self._span("deadline", sources, "10s", place)
         aim = self._span("aim", sources, None, place) or deadline // 4
         window = self._span("window", sources, "0s", place)
-        if effect is api.Effect.KEYED and not window:
+        if effect is api.Idempotency.IDEMPOTENT_WITH_KEY and not window:
             self._wrong(place, f"class {name} is keyed and states no window")
         if aim > deadline:
             self._wrong(place, f"class {name} has an aim beyond its deadline")
--- a/orchidlane/simulation/audit.py
+++ b/orchidlane/simulation/audit.py
@@ -199,7 +199,7 @@
     done: dict[str, list[Run]] = defaultdict(list)
     for run in runs:
         cls = terms.effects[run.class_name]
-        if cls.effect is api.Effect.SAFE:
+        if cls.idempotency is api.Idempotency.IDEMPOTENT:
             continue
         if not any(_drops(earlier, run, cls) for earlier in done[run.request]):
             done[run.request].append(run)
@@ -207,9 +207,12 @@
 
 
 def _drops(earlier: Run, run: Run, cls: api.RequestClass) -> bool:
-    if cls.effect is not api.Effect.KEYED or run.at - earlier.at > cls.window:
+    if (
+        cls.idempotency is not api.Idempotency.IDEMPOTENT_WITH_KEY
+        or run.at - earlier.at > cls.deduplication_window_us
+    ):
         return False
-    return cls.group is api.Group.ALL or earlier.cell == run.cell
+    return cls.deduplication_scope is api.DeduplicationScope.ALL or earlier.cell == run.cell
 
 
 def _refused_but_ran(tries: list[Try], runs: list[Run], terms: Terms) -> list[str]:
--- a/orchidlane/simulation/scenario.py
+++ b/orchidlane/simulation/scenario.py
@@ -369,8 +369,8 @@
                 share=kind.share,
                 method=kind.method,
                 target=kind.target,
-                deadline=classes[kind.class_name].deadline,
-                safe=classes[kind.class_name].effect.value == "safe",
+                deadline=classes[kind.class_name].deadline_us,
+                safe=classes[kind.class_name].idempotency.value == "safe",
                 body=kind.body,
             )
             for kind in day.kinds
--- a/orchidlane/simulator_protocol/codec.py
+++ b/orchidlane/simulator_protocol/codec.py
@@ -43,15 +43,23 @@
 OUTCOMES = {
     100: api.Outcome.SERVED,
     301: api.Outcome.ERROR,
-    302: api.Outcome.FULL,
+    302: api.Outcome.ENDPOINT_FULL,
     303: api.Outcome.TIMED_OUT,
-    304: api.Outcome.NOT_CONNECTED,
-    305: api.Outcome.BROKEN,
+    304: api.Outcome.CONNECT_FAILED,
+    305: api.Outcome.CONNECTION_BROKEN,
     306: api.Outcome.CANCELLED,
-    307: api.Outcome.NEVER_SENT,
+    307: api.Outcome.NOT_SENT,
+}
+EFFECTS = {
+    "repeatable": api.Idempotency.IDEMPOTENT,
+    "by_key": api.Idempotency.IDEMPOTENT_WITH_KEY,
+    "once": api.Idempotency.NOT_IDEMPOTENT,
+}
+REPORTS = {
+    "inline": api.LoadReportSource.INLINE,
+    "on_probe": api.LoadReportSource.ON_HEALTH_CHECK,
+    "off": api.LoadReportSource.NONE,
 }
-EFFECTS = {"repeatable": api.Effect.SAFE, "by_key": api.Effect.KEYED, "once": api.Effect.UNSAFE}
-REPORTS = {"inline": api.Reports.INLINE, "on_probe": api.Reports.ON_PROBE, "off": api.Reports.NONE}
 
 
 class WireError(Exception):
@@ -75,7 +83,7 @@
 class Decoder:
     """Decodes frames; keeps the numbered server lists, which travel once for each process."""
 
-    lists: dict[int, tuple[api.ServerEntry, ...]] = field(default_factory=dict)
+    lists: dict[int, tuple[api.EndpointEntry, ...]] = field(default_factory=dict)
 
     def frame(self, count: int, body: bytes) -> list[tuple[int, Start | Stop | api.Event]]:
         """All events of one batch, each with its gateway's number."""
@@ -120,7 +128,7 @@
     for share, _kind, server, zone, launched, phase, cell in ENTRY.iter_unpack(raw):
         if phase > 2:
             raise WireError(f"unknown phase {phase}")
-        entries.append(api.ServerEntry(server, api.Phase(phase), zone, cell, launched, share))
+        entries.append(api.EndpointEntry(server, api.EndpointState(phase), zone, cell, launched, share))
     decoder.lists[number] = tuple(entries)
 
 
@@ -128,12 +136,12 @@
     gateway, kind, number, version = _LIST_NEWS.unpack_from(body, at)
     if kind > 3:
         raise WireError(f"unknown kind of list {kind}")
-    kind = api.ListKind(kind)
-    if kind is api.ListKind.FAILED:
-        return gateway, api.ServerListed(kind, version, ())
+    kind = api.EndpointListKind(kind)
+    if kind is api.EndpointListKind.FAILED:
+        return gateway, api.EndpointListReceived(kind, version, ())
     if number not in decoder.lists:
         raise WireError(f"list {number} was never sent")
-    return gateway, api.ServerListed(kind, version, decoder.lists[number])
+    return gateway, api.EndpointListReceived(kind, version, decoder.lists[number])
 
 
 def _order(_: Decoder, body: bytes, at: int, __: bytes):
@@ -149,12 +157,12 @@
 
 def _probed(_: Decoder, body: bytes, at: int, __: bytes):
     gateway, took, reason, server, n, *values = _PROBED.unpack_from(body, at)
-    return gateway, api.ProbeEnded(server, _outcome(reason), took, tuple(values[:n]))
+    return gateway, api.HealthCheckEnded(server, _outcome(reason), took, tuple(values[:n]))
 
 
 def _client_gone(_: Decoder, body: bytes, at: int, __: bytes):
     gateway, request = _CALL.unpack_from(body, at)
-    return gateway, api.ClientGone(request)
+    return gateway, api.ClientDisconnected(request)
 
 
 def _counted(_: Decoder, body: bytes, at: int, __: bytes):
@@ -164,12 +172,12 @@
 
 def _neighbour(_: Decoder, body: bytes, at: int, tail: bytes):
     gateway, sender, offset, length = _PEER.unpack_from(body, at)
-    return gateway, api.PeerMessage(sender, _cut(tail, offset, length))
+    return gateway, api.PeerMessageReceived(sender, _cut(tail, offset, length))
 
 
 def _flowing(_: Decoder, body: bytes, at: int, __: bytes):
     gateway, request, attempt, server, took = _STREAM.unpack_from(body, at)
-    return gateway, api.StreamStarted(request, attempt, server, took)
+    return gateway, api.ResponseStreamStarted(request, attempt, server, took)
 
 
 def _bell(_: Decoder, body: bytes, at: int, __: bytes):
@@ -224,44 +232,44 @@
         s["loadReport"],
     )
     return api.Settings(
-        rank=int(s["rank"]),
-        gateways=int(s["balancers"]),
+        replica=int(s["rank"]),
+        replica_count=int(s["balancers"]),
         zone=int(s["locality"]),
         classes=tuple(_request_class(c) for c in s["classes"]),
         plans=tuple(_plan(p) for p in s["packages"]),
-        may_tell_peers=bool(may["peers"]),
-        may_probe=bool(may["probes"]),
+        may_gossip=bool(may["peers"]),
+        may_check_health=bool(may["probes"]),
         may_cancel=bool(may["cancel"]),
-        may_copy=bool(may["secondCopies"]),
+        may_hedge=bool(may["secondCopies"]),
         max_attempts=int(may["maxAttempts"]),
-        max_retry_after=int(may["maxRetryAfter"]) if may["retryAfter"] else 0,
-        peer_intake=float(info["peerIntake"]),
+        max_retry_after_us=int(may["maxRetryAfter"]) if may["retryAfter"] else 0,
+        peer_messages_per_second=float(info["peerIntake"]),
         peer_charge=float(charges["peer"]),
-        probe_charge=float(charges["probe"]),
+        health_check_charge=float(charges["probe"]),
         waste_charge=float(charges["waste"]),
         cross_zone_charge=float(charges["crossZone"]),
-        has_counter=bool(info["sharedCounter"]),
-        asks_for_list=s["discovery"] == "on_request",
-        ask_within=int(rules["askWithin"]),
-        reports=REPORTS[report["how"]],
-        report_names=tuple(report["names"]),
-        cold_from=float(rules["coldFrom"]),
-        warm_within=int(rules["warmWithin"]),
-        fall_multiple=float(rules["fallMultiple"]),
-        overload_for=int(rules["overloadFor"]),
-        drain_grace=int(rules["drainGrace"]),
+        has_shared_counter=bool(info["sharedCounter"]),
+        polls_endpoint_list=s["discovery"] == "on_request",
+        poll_timeout_us=int(rules["askWithin"]),
+        load_report_source=REPORTS[report["how"]],
+        load_report_names=tuple(report["names"]),
+        slow_start_initial_share=float(rules["coldFrom"]),
+        slow_start_duration_us=int(rules["warmWithin"]),
+        overload_multiple=float(rules["fallMultiple"]),
+        overload_duration_us=int(rules["overloadFor"]),
+        drain_grace_us=int(rules["drainGrace"]),
     )
 
 
 def _request_class(c: dict) -> api.RequestClass:
     return api.RequestClass(
-        aim=int(c["target"]),
-        deadline=int(c["deadline"]),
-        worth=float(c["credit"]),
-        late_worth=float(c["lateWorth"]),
-        effect=EFFECTS[c["effect"]],
-        group=api.Group(c["group"]),
-        window=int(c["dedupWindow"]),
+        latency_objective_us=int(c["target"]),
+        deadline_us=int(c["deadline"]),
+        priority_weight=float(c["credit"]),
+        late_priority_weight=float(c["lateWorth"]),
+        idempotency=EFFECTS[c["effect"]],
+        deduplication_scope=api.DeduplicationScope(c["group"]),
+        deduplication_window_us=int(c["dedupWindow"]),
     )
 
 
@@ -269,10 +277,10 @@
     return api.Plan(
         rate=float(p["perSecond"]),
         burst=float(p["peakUnits"]),
-        open=int(p["open"]),
+        max_in_flight=int(p["open"]),
         price=float(p["pays"]),
-        beyond_earns=float(p["beyondEarns"]),
-        beyond_costs=float(p["overrunCost"]),
+        over_quota_credit=float(p["beyondEarns"]),
+        over_quota_charge=float(p["overrunCost"]),
         ceiling_rate=float(p["hardRate"]),
         ceiling_burst=float(p["capDepth"]),
         ceiling_slack=float(p["capSlack"]),
@@ -289,23 +297,23 @@
     def add(self, gateway: int, action: api.Action) -> None:
         """One action of one gateway."""
         match action:
-            case api.Send():
-                raw = _SEND.pack(65, gateway, action.request, action.server, action.give_up_at)
-            case api.Refuse():
-                raw = _REFUSE.pack(66, gateway, action.request, action.retry_after)
-            case api.Fail():
+            case api.SendAttempt():
+                raw = _SEND.pack(65, gateway, action.request, action.endpoint, action.timeout_at_us)
+            case api.RejectRequest():
+                raw = _REFUSE.pack(66, gateway, action.request, action.retry_after_us)
+            case api.FailRequest():
                 raw = _FINAL.pack(67, gateway, action.request)
-            case api.Cancel():
+            case api.CancelAttempt():
                 raw = _CANCEL.pack(68, gateway, action.request, action.attempt)
             case api.SetTimer():
-                raw = _SET_TIMER.pack(69, gateway, action.span, action.token)
-            case api.Probe():
-                raw = _SERVER_ONLY.pack(70, gateway, action.server)
-            case api.TellPeer():
+                raw = _SET_TIMER.pack(69, gateway, action.delay_us, action.token)
+            case api.CheckHealth():
+                raw = _SERVER_ONLY.pack(70, gateway, action.endpoint)
+            case api.SendPeerMessage():
                 raw = _TELL.pack(72, gateway, action.peer, *self._put(action.body))
-            case api.AskList():
+            case api.WatchEndpoints():
                 raw = _WATCH.pack(75, gateway, 1)
-            case api.FetchList():
+            case api.FetchEndpoints():
                 raw = _BARE.pack(76, gateway)
             case _:
                 raise TypeError(f"no action of the wire: {action!r}")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -49,54 +49,60 @@
 
 T0 = 1_000 * SECOND  # a clock time well after any start
 
-SAFE = api.RequestClass(500_000, 2 * SECOND, 1.0, 0.0, api.Effect.SAFE, api.Group.ALL, 0)
-KEYED_CELL = api.RequestClass(500_000, 4 * SECOND, 1.0, 0.0, api.Effect.KEYED, api.Group.CELL, SECOND)
-UNSAFE = api.RequestClass(500_000, 2 * SECOND, 1.0, 0.0, api.Effect.UNSAFE, api.Group.ALL, 0)
-KEYED_ALL = dataclasses.replace(KEYED_CELL, group=api.Group.ALL)
-KEYED_ZONE = dataclasses.replace(KEYED_CELL, group=api.Group.ZONE)
+SAFE = api.RequestClass(
+    500_000, 2 * SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0
+)
+KEYED_CELL = api.RequestClass(
+    500_000, 4 * SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENT_WITH_KEY, api.DeduplicationScope.CELL, SECOND
+)
+UNSAFE = api.RequestClass(
+    500_000, 2 * SECOND, 1.0, 0.0, api.Idempotency.NOT_IDEMPOTENT, api.DeduplicationScope.ALL, 0
+)
+KEYED_ALL = dataclasses.replace(KEYED_CELL, deduplication_scope=api.DeduplicationScope.ALL)
+KEYED_ZONE = dataclasses.replace(KEYED_CELL, deduplication_scope=api.DeduplicationScope.ZONE)
 PLAIN = api.Plan(2.0, 10.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
 CAPPED = api.Plan(2.0, 10.0, 2, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
 CEILED = api.Plan(4.0, 8.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)
 IDLE_EARNS = api.Plan(2.0, 10.0, 0, 1.0, 0.5, 0.0, 0.0, 0.0, 0.0)
 
 SETTINGS = api.Settings(
-    rank=0,
-    gateways=3,
+    replica=0,
+    replica_count=3,
     zone=0,
     classes=(SAFE, KEYED_CELL, UNSAFE, KEYED_ALL, KEYED_ZONE),
     plans=(PLAIN, CAPPED, CEILED, IDLE_EARNS),
-    may_tell_peers=True,
-    may_probe=True,
+    may_gossip=True,
+    may_check_health=True,
     may_cancel=True,
-    may_copy=True,
+    may_hedge=True,
     max_attempts=4,
-    max_retry_after=SECOND,
-    peer_intake=50.0,
+    max_retry_after_us=SECOND,
+    peer_messages_per_second=50.0,
     peer_charge=0.01,
-    probe_charge=0.01,
+    health_check_charge=0.01,
     waste_charge=0.03,
     cross_zone_charge=0.0,
-    has_counter=False,
-    asks_for_list=False,
-    ask_within=10 * SECOND,
-    reports=api.Reports.NONE,
-    report_names=(),
-    cold_from=0.25,
-    warm_within=10 * SECOND,
-    fall_multiple=2.0,
-    overload_for=2 * SECOND,
-    drain_grace=SECOND // 2,
+    has_shared_counter=False,
+    polls_endpoint_list=False,
+    poll_timeout_us=10 * SECOND,
+    load_report_source=api.LoadReportSource.NONE,
+    load_report_names=(),
+    slow_start_initial_share=0.25,
+    slow_start_duration_us=10 * SECOND,
+    overload_multiple=2.0,
+    overload_duration_us=2 * SECOND,
+    drain_grace_us=SECOND // 2,
 )
 
 
-def entry(number: int, phase=api.Phase.READY, cell=0, zone=0, launched=0) -> api.ServerEntry:
+def entry(number: int, phase=api.EndpointState.READY, cell=0, zone=0, launched=0) -> api.EndpointEntry:
     """A line of a server list."""
-    return api.ServerEntry(bytes((10, 0, 0, number, 0, 80)), phase, zone, cell, launched, 1.0)
+    return api.EndpointEntry(bytes((10, 0, 0, number, 0, 80)), phase, zone, cell, launched, 1.0)
 
 
-def listed(*entries: api.ServerEntry, kind=api.ListKind.WHOLE) -> api.ServerListed:
+def listed(*entries: api.EndpointEntry, kind=api.EndpointListKind.COMPLETE) -> api.EndpointListReceived:
     """News of discovery."""
-    return api.ServerListed(kind, 1, tuple(entries))
+    return api.EndpointListReceived(kind, 1, tuple(entries))
 
 
 class Bench:
@@ -115,7 +121,7 @@
     def _note(self, actions) -> None:
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.timers.append((self.now + action.span, action.token))
+                self.timers.append((self.now + action.delay_us, action.token))
 
     def feed(self, event: api.Event) -> list[api.Action]:
         """One event now; the actions that it led to."""
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -22,8 +22,8 @@
 def say(bench: Bench, sender: int, *rows: Row, ask=False, keep=False, sent=None) -> list:
     """A peer's message, sent now."""
     sent = bench.now // 1_000 if sent is None else sent
-    packed = [messages.pack_row(r, sent, bench.settings.gateways) for r in rows]
-    return bench.feed(api.PeerMessage(sender, messages.pack(sent, ask, keep, packed)))
+    packed = [messages.pack_row(r, sent, bench.settings.replica_count) for r in rows]
+    return bench.feed(api.PeerMessageReceived(sender, messages.pack(sent, ask, keep, packed)))
 
 
 def told(counts, room=10.0, total=0.0, customer=7, reach=0, first=0, size=3, plan=0, rights=0.0) -> Row:
@@ -42,16 +42,20 @@
     """How many of so many requests are sent on at once, answered at once."""
     sent = 0
     for i in range(start, start + number):
-        for send in of(bench.ask(i, **request), api.Send):
+        for send in of(bench.ask(i, **request), api.SendAttempt):
             sent += 1
-            bench.outcome(i, send.server, api.Outcome.SERVED, took=1_000)
+            bench.outcome(i, send.endpoint, api.Outcome.SERVED, took=1_000)
     return sent
 
 
 def bodies(actions) -> list:
     """The decoded messages among the actions, with their receivers."""
     now = T0 // 1_000 + 60_000
-    return [(a.peer, messages.unpack(a.body, now, 10**6, 9)) for a in actions if isinstance(a, api.TellPeer)]
+    return [
+        (a.peer, messages.unpack(a.body, now, 10**6, 9))
+        for a in actions
+        if isinstance(a, api.SendPeerMessage)
+    ]
 
 
 def test_the_burst_is_let_in_until_it_is_nearly_spent_and_comes_back():
@@ -118,16 +122,16 @@
 
 def test_an_open_cap_counts_what_peers_approved_lately():
     bench = heard()
-    assert len(of(bench.ask(1, plan=1), api.Send)) == 1
+    assert len(of(bench.ask(1, plan=1), api.SendAttempt)) == 1
     say(bench, 1, told([(1, TICK, 1.0)], total=2.0))
-    assert of(bench.ask(2, plan=1), api.Refuse)
+    assert of(bench.ask(2, plan=1), api.RejectRequest)
 
 
 # Who is told
 
 
 def test_each_approval_is_told_to_one_keeper_and_the_next_one_stands_in():
-    bench = Bench(gateways=60)
+    bench = Bench(replica_count=60)
     first = [(p, m) for p, m in bodies(bench.ask(1, size=50)) if m.keep]
     assert len(first) == 1
     assert first[0][1].ask
@@ -137,7 +141,7 @@
 
 
 def test_a_keeper_that_answers_is_not_replaced():
-    bench = Bench(gateways=60)
+    bench = Bench(replica_count=60)
     keeper = next(p for p, m in bodies(bench.ask(1, size=50)) if m.keep)
     bench.now += 20_000
     say(bench, keeper, told([], size=50))
@@ -147,14 +151,14 @@
 def test_a_set_is_told_when_a_customer_has_spent_nearly_all():
     """Every gateway of a large set is reached by handing on, each exactly once, by a bounded fan."""
     rest, told_ranks = 60, []
-    bench = Bench(gateways=80, peer_intake=1_000.0)
+    bench = Bench(replica_count=80, peer_messages_per_second=1_000.0)
     say(bench, 1, told([(1, TICK - 9, 9.0)], room=1.0, total=9.0, size=rest), keep=True)
     waiting = bodies(bench.log)
     assert 0 < len(waiting) <= 13
     while waiting:
         rank, message = waiting.pop()
         told_ranks.append(rank)
-        other = Bench(gateways=80, rank=rank, peer_intake=1_000.0)
+        other = Bench(replica_count=80, replica=rank, peer_messages_per_second=1_000.0)
         waiting += bodies(say(other, 0, *message.rows))
     assert sorted(told_ranks) == list(range(1, rest))
 
@@ -182,7 +186,7 @@
 
 
 def test_in_a_cut_a_part_is_left_to_those_who_do_not_answer():
-    bench = heard(gateways=3)
+    bench = heard(replica_count=3)
     for i in range(1, 200):
         let_in(bench, 1, start=i, customer=i)
         bench.run(50_000)
@@ -192,7 +196,7 @@
 
 
 def test_a_gateway_that_stood_still_does_not_take_others_for_silent():
-    bench = Bench(gateways=60)
+    bench = Bench(replica_count=60)
     for i in range(1, 20):
         bench.ask(i, customer=i, size=50)
     bench.now += 2 * SECOND  # no event in between: its own timers are late
@@ -202,7 +206,7 @@
 
 def test_a_customer_whose_keepers_all_keep_silent_is_not_locked_to_its_first_share():
     """In a cut a new customer got its share once and nothing more, for nobody answered."""
-    bench = Bench(gateways=60)
+    bench = Bench(replica_count=60)
     let_in(bench, 3, size=50)
     bench.run(3 * SECOND)
     assert let_in(bench, 3, start=10, size=50) > 1
@@ -213,14 +217,14 @@
     for i in range(1, 400):
         bench.ask(i, customer=i % 90)
         bench.run(5_000)
-    sizes = [len(a.body) for a in bench.log if isinstance(a, api.TellPeer)]
+    sizes = [len(a.body) for a in bench.log if isinstance(a, api.SendPeerMessage)]
     assert max(sizes) <= messages.SIZE_MOST
     seconds = (bench.now - T0) / SECOND
     assert 0 < len(sizes) <= 50.0 * (seconds + 1)
 
 
 def test_messages_carry_only_customers_that_the_receiver_serves():
-    bench = Bench(gateways=9)
+    bench = Bench(replica_count=9)
     for i in range(1, 9):
         bench.ask(i, customer=i, first=0, size=2)  # ranks 0 and 1
         bench.ask(100 + i, customer=100 + i, first=0, size=9)
@@ -245,21 +249,21 @@
 
 @pytest.mark.parametrize(("gateways", "first", "size"), [(1, 0, 1), (60, 0, 1), (60, 55, 12), (60, 7, 60)])
 def test_any_set_works(gateways, first, size):
-    bench = Bench(gateways=gateways)
+    bench = Bench(replica_count=gateways)
     assert let_in(bench, 1, first=first, size=size) == 1
     members = {(first + i) % gateways for i in range(size)}
     assert {p for p, _ in bodies([*bench.log, *bench.run(2 * SECOND)])} <= members - {0}
 
 
 def test_without_peer_messages_a_gateway_goes_by_its_share():
-    bench = Bench(may_tell_peers=False)
+    bench = Bench(may_gossip=False)
     assert let_in(bench, 20) == 3
     assert not bodies([*bench.log, *bench.run(2 * SECOND)])
 
 
 def test_without_peer_messages_a_share_comes_back_as_it_fills():
     """Nobody is waited for: its part of the rate is let in for as long as the customer asks."""
-    bench = Bench(may_tell_peers=False)
+    bench = Bench(may_gossip=False)
     sent = 0
     for second in range(30):
         sent += let_in(bench, 3, start=1 + 10 * second)
@@ -267,7 +271,7 @@
     assert 30 * 2 / 3 <= sent <= 10 / 3 + 30 * 2 / 3
 
 
-@pytest.mark.parametrize("changes", [{}, {"may_tell_peers": False}])
+@pytest.mark.parametrize("changes", [{}, {"may_gossip": False}])
 def test_a_customer_that_nobody_else_can_tell_of_is_forgotten_too(changes):
     bench = Bench(**changes)
     let_in(bench, 1, size=3 if changes else 1)
@@ -293,7 +297,7 @@
 
 def steps(gateways: int) -> int:
     """Calls made within the package for the same events at one size of fleet and set."""
-    bench = Bench(gateways=gateways, servers=4, peer_intake=1_000.0)
+    bench = Bench(replica_count=gateways, servers=4, peer_messages_per_second=1_000.0)
     count = 0
 
     def trace(frame, kind, _):
@@ -333,10 +337,10 @@
     row = messages.pack_row(told([(1, TICK - 9, 3.0)]), MS, 3)
     good = messages.pack(MS, False, False, [row])
     for cut in range(7, len(good)):
-        bench.feed(api.PeerMessage(1, good[:cut]))
-    bench.feed(api.PeerMessage(1, b"\xff" * 256))
-    bench.feed(api.PeerMessage(77, good))
-    bench.feed(api.PeerMessage(1, good))  # replayed and out of date
+        bench.feed(api.PeerMessageReceived(1, good[:cut]))
+    bench.feed(api.PeerMessageReceived(1, b"\xff" * 256))
+    bench.feed(api.PeerMessageReceived(77, good))
+    bench.feed(api.PeerMessageReceived(1, good))  # replayed and out of date
     say(bench, 1, told([(1, TICK - 9, 90.0)], total=90.0), sent=MS + 3_600_000)
     say(bench, 1, told([(1, TICK - 9, 90.0)], total=90.0, size=9))  # a larger set than there are gateways
     say(bench, 1, told([(1, TICK - 9, 90.0)], total=90.0, reach=3))  # handed on beyond the set
@@ -362,7 +366,7 @@
 @given(st.binary(max_size=300))
 def test_any_bytes_are_taken(body):
     bench = Bench(servers=1)
-    assert bench.feed(api.PeerMessage(1, body)) == []
+    assert bench.feed(api.PeerMessageReceived(1, body)) == []
 
 
 COUNT = st.tuples(st.sampled_from([1, 2]), st.integers(TICK - 50, TICK - 1), st.integers(0, 40).map(float))
@@ -394,7 +398,7 @@
 
 def test_a_set_that_changes_keeps_the_counts_and_leaves_no_trace_when_dropped():
     """A customer whose set moved left an entry to tell that no longer existed (fault of an incident)."""
-    bench = heard(gateways=4)
+    bench = heard(replica_count=4)
     assert let_in(bench, 20, first=0, size=3) == 8
     assert let_in(bench, 20, start=100, first=3, size=2) == 0
     bench.run(20 * SECOND)
@@ -412,13 +416,13 @@
         bench.ask(i, customer=1_000 + i, size=1)
     assert 7 not in bench.gateway.accounts
     bench.feed(listed(entry(1)))
-    assert 1 in [send.request for send in of(bench.run(100_000), api.Send)]
+    assert 1 in [send.request for send in of(bench.run(100_000), api.SendAttempt)]
     assert bench.gateway.accounts[7].total == 1.0
 
 
 def test_more_approvals_than_messages_are_told_together():
     """The intake holds a few messages a second; none of the customers is left out for that."""
-    bench = Bench(peer_intake=10.0)
+    bench = Bench(peer_messages_per_second=10.0)
     for i in range(1, 60):
         assert let_in(bench, 1, start=i, customer=i) == 1
         bench.run(2_000)
@@ -430,7 +434,7 @@
 
 
 def test_rights_are_given_only_where_the_answer_can_leave():
-    bench = Bench(peer_intake=10.0)
+    bench = Bench(peer_messages_per_second=10.0)
     bench.now += 20 * SECOND
     row = told([], plan=2, customer=3, size=2, rights=2.0)  # we are its first keeper
     bench.gateway.allowance, bench.gateway.filled = 0.0, bench.now
@@ -439,20 +443,20 @@
     before = bench.gateway.accounts[3].ceiling
     say(bench, 1, row, ask=True, keep=True)
     assert bench.gateway.accounts[3].ceiling >= before
-    assert not of(bench.log, api.TellPeer)
+    assert not of(bench.log, api.SendPeerMessage)
 
 
 def test_a_refusal_beyond_the_quota_says_when_the_units_are_back_if_that_is_soon():
     bench = heard(plans=(dataclasses.replace(PLAIN, rate=40.0, burst=10.0),))
     let_in(bench, 20)
-    (refused,) = of(bench.ask(90), api.Refuse)
-    assert refused.beyond_quota
-    assert 0 < refused.retry_after <= bench.settings.classes[0].aim / 2
-    bench.now += refused.retry_after + 1_000
-    assert of(bench.ask(91), api.Send)
+    (refused,) = of(bench.ask(90), api.RejectRequest)
+    assert refused.over_quota
+    assert 0 < refused.retry_after_us <= bench.settings.classes[0].latency_objective_us / 2
+    bench.now += refused.retry_after_us + 1_000
+    assert of(bench.ask(91), api.SendAttempt)
     slow = heard(plans=(dataclasses.replace(PLAIN, rate=0.5, burst=10.0),))
     let_in(slow, 20)
-    assert of(slow.ask(90), api.Refuse)[0].retry_after == 0
+    assert of(slow.ask(90), api.RejectRequest)[0].retry_after_us == 0
 
 
 def closed(bench: Bench, customer: int, size: int) -> None:
@@ -461,21 +465,21 @@
 
 
 def test_every_message_tells_of_the_customers_that_closed_last():
-    bench = Bench(gateways=200)
+    bench = Bench(replica_count=200)
     for customer in range(100, 120):
         closed(bench, customer, 200)
     let_in(bench, 1, customer=7, size=200)
     ((peer, message),) = bodies(bench.log)
     also = [row.customer for row in message.rows if row.customer != 7]
     assert also == [119, 118, 117, 116, 115, 114]
-    other = Bench(rank=peer, gateways=200)
-    other.feed(api.PeerMessage(0, of(bench.log, api.TellPeer)[0].body))
+    other = Bench(replica=peer, replica_count=200)
+    other.feed(api.PeerMessageReceived(0, of(bench.log, api.SendPeerMessage)[0].body))
     assert let_in(other, 5, start=50, customer=119, size=200) == 0
     assert 119 not in other.gateway.changed  # it is not told as if it had been approved there
 
 
 def test_what_came_along_is_neither_answered_nor_pushed_on():
-    bench = Bench(gateways=200)
+    bench = Bench(replica_count=200)
     row = told([], room=1.0, total=9.0, customer=8, size=200)
     say(bench, 1, told([(1, TICK - 9, 1.0)], total=1.0, size=200), row, ask=True, keep=True)
     sent = bodies(bench.log)
@@ -485,7 +489,7 @@
 
 def test_a_brief_row_that_tells_nothing_new_costs_nothing():
     """Most rows that come along are heard more than once (150 microseconds an event with 264 gateways)."""
-    bench = Bench(gateways=200)
+    bench = Bench(replica_count=200)
     closed(bench, 100, 200)
     merged, merge = [], bench.gateway._merge
     bench.gateway._merge = lambda row, *rest: merged.append(row.customer) or merge(row, *rest)
@@ -497,7 +501,7 @@
 
 def test_a_set_that_a_push_reaches_at_once_is_told_by_pushes_alone():
     """Told besides, customers of four gateways were closed too often: 0.28 refused with room, not 0.16."""
-    bench = Bench(gateways=12)
+    bench = Bench(replica_count=12)
     closed(bench, 100, 12)
     let_in(bench, 1, customer=7, size=12)
     assert [row.customer for row in bodies(bench.log)[0][1].rows] == [7]
@@ -505,7 +509,7 @@
 
 def test_a_closed_customer_is_told_of_besides_as_often_as_its_set_needs_and_again_when_it_closes_again():
     """Bytes have a price: in each message it cost 0.05 of G on roster-kl-later, big-1 (simulated)."""
-    bench = Bench(gateways=200, peer_intake=200.0)
+    bench = Bench(replica_count=200, peer_messages_per_second=200.0)
 
     def told_besides(first: int) -> int:
         mark = len(bench.log)
@@ -524,7 +528,7 @@
 
 
 def test_customers_that_are_open_again_are_told_no_more():
-    bench = Bench(gateways=200)
+    bench = Bench(replica_count=200)
     closed(bench, 100, 200)
     bench.now += 10 * SECOND
     let_in(bench, 1, customer=7, size=200)
@@ -534,15 +538,15 @@
 
 def test_pushes_to_whole_sets_leave_messages_to_keepers():
     """Guards against the many closing at once in a large fleet: keepers were told nothing then."""
-    bench = Bench(gateways=200, peer_intake=40.0)
+    bench = Bench(replica_count=200, peer_messages_per_second=40.0)
     for customer in range(100, 200):
         row = told([(1, TICK - 9, 9.0)], room=1.0, total=9.0, customer=customer, reach=150, size=200)
         say(bench, 1, row)
-    before = len(of(bench.log, api.TellPeer))
+    before = len(of(bench.log, api.SendPeerMessage))
     assert let_in(bench, 6, customer=7, size=200) == 1
     for customer in range(300, 306):
         let_in(bench, 1, start=customer, customer=customer, size=200)
-    assert len(of(bench.log, api.TellPeer)) - before == 7
+    assert len(of(bench.log, api.SendPeerMessage)) - before == 7
 
 
 def test_a_set_that_shrank_to_one_gateway_ends_no_turn():
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -141,8 +141,8 @@
     ended = Host.ended
 
     def lies(self, exchange, attempt, server, outcome, took, report=(), answer=None):
-        if outcome is api.Outcome.BROKEN:
-            outcome = api.Outcome.NEVER_SENT
+        if outcome is api.Outcome.CONNECTION_BROKEN:
+            outcome = api.Outcome.NOT_SENT
         ended(self, exchange, attempt, server, outcome, took, report, answer)
 
     monkeypatch.setattr(Host, "ended", lies)
@@ -163,7 +163,7 @@
 
 
 def test_the_audit_objects_to_work_for_a_draining_node(monkeypatch):
-    monkeypatch.setitem(endpoint_list.PHASES, "draining", api.Phase.READY)
+    monkeypatch.setitem(endpoint_list.PHASES, "draining", api.EndpointState.READY)
     monkeypatch.setattr(connection_pool, "why_not", lambda *_: None)
     verdict = simulate(day(step(0.5, "drain_node", 0, 1, span=3), span=4), 1)
     assert verdict.sent_after_drain
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -151,7 +151,7 @@
 def admits_by_itself(gateway, request) -> bool:
     event = request.event
     request.account = gateway._account(
-        event.customer, event.plan, event.set_first, event.set_size, trusted=True
+        event.customer, event.plan, event.replica_set_start, event.replica_set_size, trusted=True
     )
     gateway._lift(request.account)
     return request.account.room >= event.units
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -44,28 +44,28 @@
 
 def take_event(request: int, customer: int, plan: int, kind: int, units: float, first: int, size: int):
     """Units that are wanted without a server."""
-    return api.TakeArrived(request, customer, plan, kind, units, first, size)
+    return api.QuotaRequested(request, customer, plan, kind, units, first, size)
 
 
 def counted_event(customer: int, plan: int, first: int, size: int, start: int, value: float):
     """What another process of this gateway counted."""
-    return api.Counted(customer, plan, first, size, start, value)
+    return api.CountRecovered(customer, plan, first, size, start, value)
 
 
 def set_moved_event(customer: int, plan: int, first: int, size: int):
     """A customer uses other gateways from now on."""
-    return api.SetMoved(customer, plan, first, size)
+    return api.ReplicaSetChanged(customer, plan, first, size)
 
 
 def action_bytes(gateway: int, action) -> bytes:
     """An action as the wire has it; a grant, and why a request was refused, have no record there."""
-    if isinstance(action, api.Grant):
+    if isinstance(action, api.GrantQuota):
         return struct.pack("<BHI", 200, gateway, action.request)
     encoder = codec.Encoder()
     encoder.add(gateway, action)
     found = encoder.reply()[8:]
-    if isinstance(action, api.Refuse):
-        found += b"beyond quota" if action.beyond_quota else b""
+    if isinstance(action, api.RejectRequest):
+        found += b"beyond quota" if action.over_quota else b""
     return found
 
 
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -24,8 +24,8 @@
 
 from orchidlane import recording
 from orchidlane.gateway.control import endpoint_list
-from orchidlane.gateway.lifecycle import rolling_upgrade
 from orchidlane.gateway.lifecycle.account_store import Memory
+from orchidlane.gateway.lifecycle.rolling_upgrade import Kept, Rolling
 from orchidlane.gateway.peers import datagrams, token_requests
 from orchidlane.gateway.rollout_agent import admin_api, agent, storage
 from orchidlane.gateway.telemetry import policy_views
@@ -117,46 +117,47 @@
 
 def golden_settings() -> dict[str, Any]:
     """A module's settings as plain values, the way they are read."""
-    return msgspec.msgpack.decode(msgspec.msgpack.encode(SETTINGS))
+    return msgspec.msgpack.decode(msgspec.msgpack.encode(recording.settings_to_stored(SETTINGS)))
 
 
 def golden_events() -> list[api.Event]:
     """Each type of event at least once, with each value of the enumerations that an event holds."""
     entries = tuple(
-        api.ServerEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, T0 - 90, 1.5) for phase in api.Phase
+        api.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, T0 - 90, 1.5)
+        for phase in api.EndpointState
     )
     return [
-        *(api.ServerListed(kind, 12, entries) for kind in api.ListKind),
+        *(api.EndpointListReceived(kind, 12, entries) for kind in api.EndpointListKind),
         api.RequestArrived(1, 7, 2, 1, 1.5, 2_000_000, 1, 3, True),
-        api.TakeArrived(2, 7, 2, 3, 2.5, 1, 3),
+        api.QuotaRequested(2, 7, 2, 3, 2.5, 1, 3),
         *(
             api.AttemptEnded(1, 4, b"10.0.0.1:80", outcome, 50_000, True, 9, 2.25, (0.5, 1.5))
             for outcome in api.Outcome
         ),
-        api.StreamStarted(1, 5, b"10.0.0.1:80", 60_000),
-        api.ClientGone(3),
+        api.ResponseStreamStarted(1, 5, b"10.0.0.1:80", 60_000),
+        api.ClientDisconnected(3),
         api.TimerFired(17),
-        *(api.ProbeEnded(b"10.0.0.2:80", outcome, 700, (0.25,)) for outcome in api.Outcome),
-        api.PeerMessage(2, bytes(range(0, 256, 5))),
+        *(api.HealthCheckEnded(b"10.0.0.2:80", outcome, 700, (0.25,)) for outcome in api.Outcome),
+        api.PeerMessageReceived(2, bytes(range(0, 256, 5))),
         *(api.CounterAnswered(8, outcome, 6.5, 800) for outcome in api.Outcome),
-        api.Counted(7, 2, 1, 3, 15_900, 3.25),
-        api.SetMoved(7, 2, 1, 3),
+        api.CountRecovered(7, 2, 1, 3, 15_900, 3.25),
+        api.ReplicaSetChanged(7, 2, 1, 3),
     ]
 
 
 def golden_actions() -> list[api.Action]:
     """Each type of action once."""
     return [
-        api.Send(1, b"10.0.0.1:80", T0 + 5_000),
-        api.Cancel(1, 4),
-        api.Grant(2),
-        api.Refuse(1, 250_000, True),
-        api.Fail(3),
+        api.SendAttempt(1, b"10.0.0.1:80", T0 + 5_000),
+        api.CancelAttempt(1, 4),
+        api.GrantQuota(2),
+        api.RejectRequest(1, 250_000, True),
+        api.FailRequest(3),
         api.SetTimer(40_000, 17),
-        api.TellPeer(2, b"\x02\x01rows"),
-        api.Probe(b"10.0.0.2:80"),
-        api.AskList(),
-        api.FetchList(),
+        api.SendPeerMessage(2, b"\x02\x01rows"),
+        api.CheckHealth(b"10.0.0.2:80"),
+        api.WatchEndpoints(),
+        api.FetchEndpoints(),
     ]
 
 
@@ -215,7 +216,7 @@
     return tracker
 
 
-def golden_roll(phase: rolling_upgrade.Phase) -> rolling_upgrade.Kept:
+def golden_roll(phase: rolling_upgrade.Phase) -> Kept:
     """A roll's state in some phase, with one gateway in each place."""
     ones = [
         rolling_upgrade.One(
@@ -225,9 +226,7 @@
     ]
     state = rolling_upgrade.State(ones, phase, T0 + 99, True, 4, [3, 1, 2], "gateway-2: it serves less")
     names = [f"gateway-{number}" for number in range(len(ones))]
-    return rolling_upgrade.Kept(
-        names, ("orchidlane-old serve", "orchidlane-new serve"), [1.5, 2.5, 3.5, 0.5, 9.0], state
-    )
+    return Kept(names, ("orchidlane-old serve", "orchidlane-new serve"), [1.5, 2.5, 3.5, 0.5, 9.0], state)
 
 
 def golden_limits_carried() -> dict[str, Any]:
@@ -539,11 +538,11 @@
     return disk.files["accounts"]
 
 
-def rolling_of(disk: Disk) -> rolling_upgrade.Rolling:
+def rolling_of(disk: Disk) -> Rolling:
     """What carries out a roll of the golden gateways."""
     gateways = [SimpleNamespace(name=name) for name in golden_roll(rolling_upgrade.Phase.ROLLING).names]
     fleet = SimpleNamespace(state="state", gateways=gateways)
-    return rolling_upgrade.Rolling(disk, fleet, None, print)  # type: ignore[arg-type]
+    return Rolling(disk, fleet, None, print)  # type: ignore[arg-type]
 
 
 def write_roll(phase: rolling_upgrade.Phase) -> bytes:
@@ -703,7 +702,7 @@
     assert module.usual == [125_000.0, 125_000.0, 125_000.0, 125_000.0, 122_750.0]
     server, other = (b"\n\x00\x00%c\x00P" % number for number in (2, 4))
     host = module.hosts[server]
-    assert host.entry == api.ServerEntry(server, api.Phase.READY, 0, 0, 0, 1.0)
+    assert host.entry == api.EndpointEntry(server, api.EndpointState.READY, 0, 0, 0, 1.0)
     assert [host.seen, host.slow, host.fails] == [1_000_184_111, 1.0, 0.0]
     assert [host.out, host.active, host.typical] == [3, 1_000_135_937, 2.0]
     host = module.hosts[other]
@@ -711,7 +710,7 @@
     assert module.zones_met[0].fails == 4.747282621307491
     assert [[one.out for one in pool.hosts] for pool in (module.warm, module.cold)] == [[0, 1, 3], [0]]
     assert [len(pool.hosts) for pool in (module.cells[0], module.zones[0], module.warm)] == [4, 4, 3]
-    assert [host.entry.launched for host in module.warming] == [1_000_518_714]
+    assert [host.entry.started_at_us for host in module.warming] == [1_000_518_714]
     request = module.requests[1]
     assert request.event == api.RequestArrived(1, 5, 0, 2, 1.0, 2_000_000, 0, 3, False)
     assert [request.until, request.lot] == [1_002_009_909, 0.1723255663561437]
@@ -747,11 +746,11 @@
     assert (
         {type(action) for action in actions} == set(get_args(api.Action)) == set(recording.ACTIONS.values())
     )
-    for kind in (api.AttemptEnded, api.ProbeEnded, api.CounterAnswered):
+    for kind in (api.AttemptEnded, api.HealthCheckEnded, api.CounterAnswered):
         assert {one.outcome for one in events if type(one) is kind} == set(api.Outcome)
-    listed = [event for event in events if isinstance(event, api.ServerListed)]
-    assert {event.kind for event in listed} == set(api.ListKind)
-    assert {entry.phase for event in listed for entry in event.entries} == set(api.Phase)
+    listed = [event for event in events if isinstance(event, api.EndpointListReceived)]
+    assert {event.kind for event in listed} == set(api.EndpointListKind)
+    assert {entry.state for event in listed for entry in event.entries} == set(api.EndpointState)
 
 
 def test_a_golden_record_is_read_as_its_values():
@@ -791,12 +790,12 @@
 
 def test_a_golden_cache_of_the_node_list_is_read_as_its_nodes():
     tracker = endpoint_list.ListTracker("z1", 100)
-    assert tracker.restore(golden("node-list-cache.json")) == api.ServerListed(
-        api.ListKind.CACHED,
+    assert tracker.restore(golden("node-list-cache.json")) == api.EndpointListReceived(
+        api.EndpointListKind.CACHED,
         0,
         (
-            api.ServerEntry(b"10.0.0.1:80", api.Phase.READY, 0, 1, 55, 1.5),
-            api.ServerEntry(b"10.0.0.2:80", api.Phase.DRAINING, 2, 3, 66, 2.0),
+            api.EndpointEntry(b"10.0.0.1:80", api.EndpointState.READY, 0, 1, 55, 1.5),
+            api.EndpointEntry(b"10.0.0.2:80", api.EndpointState.DRAINING, 2, 3, 66, 2.0),
         ),
     )
     assert tracker.nodes == golden_tracker().nodes
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -1,7 +1,7 @@
 """What others see of the code, byte by byte: datagrams, the binary wire, pages, the command, settings.
 
-Golden data in ``tests/corpus/golden_surface`` was written by an earlier build (``golden.py`` tells how); today's code
-must give exactly the same. The code's own types are built in the first part of this file only.
+Golden data in ``tests/corpus/golden_surface`` was written by an earlier build (``golden.py`` tells how);
+today's code must give exactly the same. The code's own types are built in the first part of this file only.
 """
 
 from __future__ import annotations
@@ -69,20 +69,26 @@
 
 def request_values(event: api.RequestArrived) -> list:
     """A client's request as plain values."""
-    counts = [event.units, event.time_left, event.set_first, event.set_size, event.is_repeat]
-    return [event.request, event.customer, event.plan, event.kind, *counts]
+    counts = [
+        event.units,
+        event.time_left_us,
+        event.replica_set_start,
+        event.replica_set_size,
+        event.is_retry,
+    ]
+    return [event.request, event.customer, event.plan, event.request_class, *counts]
 
 
 def outcome_values(event: api.AttemptEnded) -> list:
     """How an attempt ended as plain values."""
-    ended = [event.outcome.value, event.took, event.answered, event.use, event.true_units]
-    return [event.request, event.attempt, event.server.hex(), *ended, list(event.report)]
+    ended = [event.outcome.value, event.duration_us, event.answered, event.use, event.true_units]
+    return [event.request, event.attempt, event.endpoint.hex(), *ended, list(event.load_report)]
 
 
-def list_values(event: api.ServerListed) -> list:
+def list_values(event: api.EndpointListReceived) -> list:
     """News of discovery as plain values."""
     entries = [
-        [one.server.hex(), one.phase.value, one.zone, one.cell, one.launched, one.size]
+        [one.endpoint.hex(), one.state.value, one.zone, one.cell, one.started_at_us, one.capacity_share]
         for one in event.entries
     ]
     return [event.kind.value, event.version, entries]
@@ -95,48 +101,81 @@
 
 EVENT_VALUES: dict[type, Any] = {
     api.TimerFired: lambda event: [event.token],
-    api.PeerMessage: lambda event: [event.sender, event.body.hex()],
-    api.ClientGone: lambda event: [event.request],
-    api.StreamStarted: lambda event: [event.request, event.attempt, event.server.hex(), event.took],
+    api.PeerMessageReceived: lambda event: [event.sender, event.body.hex()],
+    api.ClientDisconnected: lambda event: [event.request],
+    api.ResponseStreamStarted: lambda event: [
+        event.request,
+        event.attempt,
+        event.endpoint.hex(),
+        event.duration_us,
+    ],
     api.RequestArrived: request_values,
     api.AttemptEnded: outcome_values,
-    api.ServerListed: list_values,
-    api.CounterAnswered: lambda event: [event.name, event.outcome.value, event.value, event.took],
-    api.ProbeEnded: lambda event: [event.server.hex(), event.outcome.value, event.took, list(event.report)],
+    api.EndpointListReceived: list_values,
+    api.CounterAnswered: lambda event: [event.name, event.outcome.value, event.value, event.duration_us],
+    api.HealthCheckEnded: lambda event: [
+        event.endpoint.hex(),
+        event.outcome.value,
+        event.duration_us,
+        list(event.load_report),
+    ],
     codec.Start: start_values,
     codec.Stop: lambda event: [],
 }
 
 ACTIONS: dict[int, list[api.Action]] = {  # by the code of its record
-    65: [api.Send(0x5D3A91C4, SERVER, 0x8194DA), api.Send(7, SERVER, 0)],
-    66: [api.Refuse(7, 9), api.Refuse(7, 0, True)],
-    67: [api.Fail(7)],
-    68: [api.Cancel(7, 2)],
+    65: [api.SendAttempt(0x5D3A91C4, SERVER, 0x8194DA), api.SendAttempt(7, SERVER, 0)],
+    66: [api.RejectRequest(7, 9), api.RejectRequest(7, 0, True)],
+    67: [api.FailRequest(7)],
+    68: [api.CancelAttempt(7, 2)],
     69: [api.SetTimer(500_000, 77)],
-    70: [api.Probe(SERVER)],
-    72: [api.TellPeer(0xFFFF, b"hi 7"), api.TellPeer(2, b"")],
-    75: [api.AskList()],
-    76: [api.FetchList()],
+    70: [api.CheckHealth(SERVER)],
+    72: [api.SendPeerMessage(0xFFFF, b"hi 7"), api.SendPeerMessage(2, b"")],
+    75: [api.WatchEndpoints()],
+    76: [api.FetchEndpoints()],
 }
-NOT_OF_THE_WIRE = {api.Grant}
+NOT_OF_THE_WIRE = {api.GrantQuota}
 
 
 def settings_values(s: api.Settings) -> dict:
     """Settings as plain values under names of their own."""
     return {
-        "rank and fleet": [s.rank, s.gateways, s.zone],
+        "rank and fleet": [s.replica, s.replica_count, s.zone],
         "classes": [
-            [c.aim, c.deadline, c.worth, c.late_worth, c.effect.value, c.group.value, c.window]
+            [
+                c.latency_objective_us,
+                c.deadline_us,
+                c.priority_weight,
+                c.late_priority_weight,
+                c.idempotency.value,
+                c.deduplication_scope.value,
+                c.deduplication_window_us,
+            ]
             for c in s.classes
         ],
-        "plans": [[p.rate, p.burst, p.open, p.price, p.beyond_earns, p.beyond_costs] for p in s.plans],
+        "plans": [
+            [p.rate, p.burst, p.max_in_flight, p.price, p.over_quota_credit, p.over_quota_charge]
+            for p in s.plans
+        ],
         "ceilings": [[p.ceiling_rate, p.ceiling_burst, p.ceiling_slack] for p in s.plans],
-        "permissions": [s.may_tell_peers, s.may_probe, s.may_cancel, s.may_copy],
-        "attempts": [s.max_attempts, s.max_retry_after],
-        "charges": [s.peer_intake, s.peer_charge, s.probe_charge, s.waste_charge, s.cross_zone_charge],
-        "counter and list": [s.has_counter, s.asks_for_list, s.ask_within],
-        "reports": [s.reports.value, list(s.report_names)],
-        "nodes": [s.cold_from, s.warm_within, s.fall_multiple, s.overload_for, s.drain_grace],
+        "permissions": [s.may_gossip, s.may_check_health, s.may_cancel, s.may_hedge],
+        "attempts": [s.max_attempts, s.max_retry_after_us],
+        "charges": [
+            s.peer_messages_per_second,
+            s.peer_charge,
+            s.health_check_charge,
+            s.waste_charge,
+            s.cross_zone_charge,
+        ],
+        "counter and list": [s.has_shared_counter, s.polls_endpoint_list, s.poll_timeout_us],
+        "reports": [s.load_report_source.value, list(s.load_report_names)],
+        "nodes": [
+            s.slow_start_initial_share,
+            s.slow_start_duration_us,
+            s.overload_multiple,
+            s.overload_duration_us,
+            s.drain_grace_us,
+        ],
     }
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -311,7 +311,7 @@
     assert listed(tracker, 41, instance(1)) is None
     assert listed(tracker, 39, instance(1)) is None
     news = listed(tracker, 12, instance(1), instance(3), reset=True)  # a service that is behind
-    assert [entry.server for entry in news.entries] == [b"s-3"]
+    assert [entry.endpoint for entry in news.entries] == [b"s-3"]
     assert tracker.phase(b"s-1") == "draining"
     assert listed(tracker, 13, instance(2, "left")) is not None
     assert tracker.phase(b"s-2") == "gone"
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -20,7 +20,7 @@
 from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.gossip_codec import Row, pack, pack_row
-from orchidlane.policy.interface import Outcome, Phase
+from orchidlane.policy.interface import EndpointState, Outcome
 from orchidlane.runtime import Loop, RealWorld, SimWorld
 from orchidlane.simulation.backends import RealBacking, SimulatedBacking
 from orchidlane.simulation.scenario import Runner, load_day, make_plan
@@ -44,9 +44,9 @@
     def tell(self, event: api.Event) -> None:
         actions = self.bench.feed(event)
         self.log.append((self.bench.now, event, actions))
-        for send in of(actions, api.Send):
+        for send in of(actions, api.SendAttempt):
             number = self.sends[send.request] = self.sends.get(send.request, -1) + 1
-            self.out.append((send.request, number, send.server))
+            self.out.append((send.request, number, send.endpoint))
 
     def step(self) -> None:
         rng, bench = self.rng, self.bench
@@ -63,18 +63,20 @@
             self.tell(api.RequestArrived(*args))
         elif what < 0.5:
             self.number += 1
-            self.tell(api.TakeArrived(self.number, rng.randrange(6), 0, 0, 1.0, 0, 3))
+            self.tell(api.QuotaRequested(self.number, rng.randrange(6), 0, 0, 1.0, 0, 3))
         elif what < 0.8 and self.out:
             request, attempt, server = self.out.pop(rng.randrange(len(self.out)))
             outcome = rng.choice(list(Outcome))
             served = outcome is Outcome.SERVED
             self.tell(api.AttemptEnded(request, attempt, server, outcome, 50_000, served, 0, 0.0, ()))
         elif what < 0.85:
-            self.tell(api.ClientGone(rng.randrange(1, self.number + 2)))
+            self.tell(api.ClientDisconnected(rng.randrange(1, self.number + 2)))
         elif what < 0.92:
-            phase = rng.choice(list(Phase))
+            phase = rng.choice(list(EndpointState))
             launched = rng.choice((0, bench.now))
-            self.tell(listed(entry(rng.randrange(5), phase, launched=launched), kind=api.ListKind.CHANGES))
+            self.tell(
+                listed(entry(rng.randrange(5), phase, launched=launched), kind=api.EndpointListKind.DELTA)
+            )
         else:
             counts = ((1, bench.now // 62_500, float(rng.randrange(9))),)
             row = Row(rng.randrange(6), 0, 0, 3, 0, 4.0, float(rng.randrange(30)), 0.0, counts)
@@ -84,7 +86,7 @@
                 rng.random() < 0.5,
                 [pack_row(row, bench.now // 1000, 3)],
             )
-            self.tell(api.PeerMessage(1, body))
+            self.tell(api.PeerMessageReceived(1, body))
 
 
 @settings(max_examples=40, deadline=None)
@@ -152,7 +154,7 @@
         gateway="gw",
         life=life,
         number=number,
-        settings=msgspec.to_builtins(story.bench.settings),
+        settings=recording.settings_to_stored(story.bench.settings),
         state=recording.dump(story.bench.gateway),
         class_names=("a", "b", "c", "d", "e"),
         plan_names=("p", "q", "r", "s"),
@@ -244,7 +246,7 @@
     arrivals = sum(map(sum, same.recorded.values()))
     assert same.turned <= 0.2 * arrivals  # timers of these stories fire late, the module's own do not
     wide = tuple(
-        dataclasses.replace(p, rate=900.0, burst=900.0, open=0, ceiling_rate=0.0)
+        dataclasses.replace(p, rate=900.0, burst=900.0, max_in_flight=0, ceiling_rate=0.0)
         for p in story.bench.settings.plans
     )
     other = recording.what_if([str(path)], dataclasses.replace(story.bench.settings, plans=wide))
@@ -272,7 +274,7 @@
     assert len(entries) == 160
     gateway = recording.restore(reader.header.module_settings(), reader.state())
     kinds = {type(one.event) for one in entries}
-    assert {api.RequestArrived, api.TakeArrived, api.AttemptEnded, api.PeerMessage} <= kinds
+    assert {api.RequestArrived, api.QuotaRequested, api.AttemptEnded, api.PeerMessageReceived} <= kinds
     for one in entries:
         gateway.handle(one.now, one.event)
 
@@ -381,7 +383,13 @@
             story.number += 1
             story.tell(api.RequestArrived(story.number, *who[:2], 0, 1.0, 2 * SECOND, 0, 3, False))
             actions = story.log[-1][2]
-            done = "sent" if of(actions, api.Send) else "refused" if of(actions, api.Refuse) else "held"
+            done = (
+                "sent"
+                if of(actions, api.SendAttempt)
+                else "refused"
+                if of(actions, api.RejectRequest)
+                else "held"
+            )
             assert foretold.decision == done
             compared += 1
     assert compared == 4_000
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -32,13 +32,13 @@
 
 def module(rate: float, burst: float) -> Gateway:
     plan = dataclasses.replace(PLAIN, rate=rate, burst=burst)
-    alone = dataclasses.replace(SETTINGS, gateways=1, may_tell_peers=False, plans=(plan,))
+    alone = dataclasses.replace(SETTINGS, replica_count=1, may_gossip=False, plans=(plan,))
     return Gateway(alone, 1, START)
 
 
 def take(gateway: Gateway, now: int, units: float) -> bool:
-    asked = api.TakeArrived(now, 1, 0, 0, units, 0, 1)
-    return any(isinstance(action, api.Grant) for action in gateway.handle(now, asked))
+    asked = api.QuotaRequested(now, 1, 0, 0, units, 0, 1)
+    return any(isinstance(action, api.GrantQuota) for action in gateway.handle(now, asked))
 
 
 @given(
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -76,16 +76,20 @@
 
 def test_classes_come_from_the_extension(materials):
     of = dict(zip(materials.class_names, materials.classes, strict=True))
-    assert of["report-issue"].effect is api.Effect.UNSAFE
+    assert of["report-issue"].idempotency is api.Idempotency.NOT_IDEMPOTENT
     upload = of["test-upload"]
-    assert (upload.effect, upload.group, upload.window) == (api.Effect.KEYED, api.Group.CELL, 5_000_000)
+    assert (upload.idempotency, upload.deduplication_scope, upload.deduplication_window_us) == (
+        api.Idempotency.IDEMPOTENT_WITH_KEY,
+        api.DeduplicationScope.CELL,
+        5_000_000,
+    )
     assert materials.match("PUT", b"/v1/tests/1").operation.idempotency_header == b"idempotency-key"
     assert materials.match("POST", b"/v1/reports").operation.give_up_header == b"give-up-after-ms"
 
 
 def test_an_unknown_effect_means_never_run_twice():
     generation = routes.build(SMALL, "f")
-    assert generation.classes[0].effect is api.Effect.UNSAFE
+    assert generation.classes[0].idempotency is api.Idempotency.NOT_IDEMPOTENT
     assert generation.operations[0].cost == 1
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,13 +12,15 @@
 from orchidlane.policy.state import Account
 
 SAFE_KIND, CELL_KIND, UNSAFE_KIND, ALL_KIND, ZONE_KIND = range(5)
-NEVER_RAN = (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
-MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED)
+NEVER_RAN = (Outcome.ENDPOINT_FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_BROKEN, Outcome.CANCELLED)
 
 
 def finals(bench: Bench, request: int) -> list:
     """Our final answers to one request."""
-    return [a for a in bench.log if isinstance(a, (api.Refuse, api.Fail)) and a.request == request]
+    return [
+        a for a in bench.log if isinstance(a, (api.RejectRequest, api.FailRequest)) and a.request == request
+    ]
 
 
 # Rule 1
@@ -26,9 +28,9 @@
 
 def test_a_request_without_servers_is_held_and_then_ended_in_time():
     bench = Bench(servers=0)
-    assert not of(bench.ask(1, left=SECOND), (api.Refuse, api.Fail))
+    assert not of(bench.ask(1, left=SECOND), (api.RejectRequest, api.FailRequest))
     bench.run(SECOND - 1)
-    assert finals(bench, 1) == [api.Refuse(1, 0)]
+    assert finals(bench, 1) == [api.RejectRequest(1, 0)]
 
 
 def test_a_held_request_goes_out_when_a_server_comes():
@@ -36,31 +38,31 @@
     bench.ask(1)
     bench.run(100_000)
     bench.feed(listed(entry(1)))
-    assert len(of(bench.run(100_000), api.Send)) == 1
+    assert len(of(bench.run(100_000), api.SendAttempt)) == 1
 
 
 def test_a_timeout_at_the_deadline_is_answered_at_once(bench):
-    send = of(bench.ask(1, kind=UNSAFE_KIND), api.Send)[0]
+    send = of(bench.ask(1, kind=UNSAFE_KIND), api.SendAttempt)[0]
     bench.now += 2 * SECOND
-    bench.outcome(1, send.server, Outcome.TIMED_OUT, took=2 * SECOND)
-    assert finals(bench, 1) == [api.Fail(1)]
+    bench.outcome(1, send.endpoint, Outcome.TIMED_OUT, took=2 * SECOND)
+    assert finals(bench, 1) == [api.FailRequest(1)]
     bench.run(5 * SECOND)
     assert len(finals(bench, 1)) == 1
 
 
 def test_nothing_follows_an_answer_or_a_client_gone(bench):
-    send = of(bench.ask(1), api.Send)[0]
-    bench.outcome(1, send.server, Outcome.SERVED)
-    other = of(bench.ask(2), api.Send)[0]
-    bench.feed(api.ClientGone(2))
-    bench.outcome(2, other.server, Outcome.ERROR)
-    assert not of(bench.run(3 * SECOND), (api.Send, api.Refuse, api.Fail))
+    send = of(bench.ask(1), api.SendAttempt)[0]
+    bench.outcome(1, send.endpoint, Outcome.SERVED)
+    other = of(bench.ask(2), api.SendAttempt)[0]
+    bench.feed(api.ClientDisconnected(2))
+    bench.outcome(2, other.endpoint, Outcome.ERROR)
+    assert not of(bench.run(3 * SECOND), (api.SendAttempt, api.RejectRequest, api.FailRequest))
 
 
 def test_what_is_not_held_is_passed_over(bench):
-    assert bench.outcome(99, entry(1).server, Outcome.SERVED) == []
+    assert bench.outcome(99, entry(1).endpoint, Outcome.SERVED) == []
     assert bench.feed(api.TimerFired(99)) == []
-    assert bench.feed(api.ClientGone(99)) == []
+    assert bench.feed(api.ClientDisconnected(99)) == []
 
 
 # Rule 2
@@ -68,94 +70,94 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused(bench, outcome):
-    send = of(bench.ask(1, kind=UNSAFE_KIND), api.Send)[0]
+    send = of(bench.ask(1, kind=UNSAFE_KIND), api.SendAttempt)[0]
     bench.now += 10_000
-    actions = bench.outcome(1, send.server, outcome)
-    assert not of(actions, (api.Send, api.Refuse))
-    assert of(actions, api.Fail) == [api.Fail(1)]
+    actions = bench.outcome(1, send.endpoint, outcome)
+    assert not of(actions, (api.SendAttempt, api.RejectRequest))
+    assert of(actions, api.FailRequest) == [api.FailRequest(1)]
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
 def test_an_unsafe_request_that_never_ran_goes_on(bench, outcome):
-    send = of(bench.ask(1, kind=UNSAFE_KIND), api.Send)[0]
-    assert of(bench.outcome(1, send.server, outcome), api.Send)
+    send = of(bench.ask(1, kind=UNSAFE_KIND), api.SendAttempt)[0]
+    assert of(bench.outcome(1, send.endpoint, outcome), api.SendAttempt)
 
 
 def test_an_unsafe_request_gets_no_second_copy(bench):
     bench.ask(1, kind=UNSAFE_KIND)
-    assert not of(bench.run(3 * SECOND), api.Send)
+    assert not of(bench.run(3 * SECOND), api.SendAttempt)
 
 
 @pytest.mark.parametrize(("kind", "near"), [(CELL_KIND, "cell"), (ZONE_KIND, "zone")])
 def test_a_keyed_request_stays_in_its_group(kind, near):
     for seed in range(12):
         bench = Bench(servers=0, seed=seed)
-        where = {entry(i).server: i % 2 for i in range(6)}
+        where = {entry(i).endpoint: i % 2 for i in range(6)}
         bench.feed(listed(*(entry(i, **{near: i % 2}) for i in range(6))))
-        send = of(bench.ask(1, kind=kind), api.Send)[0]
+        send = of(bench.ask(1, kind=kind), api.SendAttempt)[0]
         bench.now += 10_000
-        again = of(bench.outcome(1, send.server, Outcome.BROKEN), api.Send)
-        assert [where[a.server] for a in again] == [where[send.server]]
+        again = of(bench.outcome(1, send.endpoint, Outcome.CONNECTION_BROKEN), api.SendAttempt)
+        assert [where[a.endpoint] for a in again] == [where[send.endpoint]]
 
 
 def test_a_keyed_request_with_no_server_of_its_group_fails_in_the_end():
     bench = Bench(servers=0)
     bench.feed(listed(entry(1, cell=1)))
-    send = of(bench.ask(1, kind=CELL_KIND), api.Send)[0]
+    send = of(bench.ask(1, kind=CELL_KIND), api.SendAttempt)[0]
     bench.feed(listed(entry(2, cell=2)))
     bench.now += 10_000
-    assert not of(bench.outcome(1, send.server, Outcome.BROKEN), api.Send)
+    assert not of(bench.outcome(1, send.endpoint, Outcome.CONNECTION_BROKEN), api.SendAttempt)
     bench.run(2 * SECOND)
-    assert finals(bench, 1) == [api.Fail(1)]
+    assert finals(bench, 1) == [api.FailRequest(1)]
 
 
 def test_a_keyed_request_is_not_repeated_after_its_window(bench):
-    send = of(bench.ask(1, kind=ALL_KIND, left=4 * SECOND), api.Send)[0]
+    send = of(bench.ask(1, kind=ALL_KIND, left=4 * SECOND), api.SendAttempt)[0]
     bench.now += SECOND + 1
-    assert not of(bench.outcome(1, send.server, Outcome.BROKEN), api.Send)
+    assert not of(bench.outcome(1, send.endpoint, Outcome.CONNECTION_BROKEN), api.SendAttempt)
     bench.run(4 * SECOND)
-    assert finals(bench, 1) == [api.Refuse(1, 0)]
+    assert finals(bench, 1) == [api.RejectRequest(1, 0)]
 
 
 def test_an_attempt_that_nobody_waits_for_is_called_off(bench):
     bench.ask(1)
-    assert of(bench.feed(api.ClientGone(1)), api.Cancel) == [api.Cancel(1, 0)]
+    assert of(bench.feed(api.ClientDisconnected(1)), api.CancelAttempt) == [api.CancelAttempt(1, 0)]
 
 
 def test_attempts_stay_within_the_limit():
     bench = Bench(max_attempts=2)
-    send = of(bench.ask(1), api.Send)[0]
-    send = of(bench.outcome(1, send.server, Outcome.FULL), api.Send)[0]
-    actions = bench.outcome(1, send.server, Outcome.FULL, attempt=1)
-    assert of(actions, (api.Send, api.Refuse)) == [api.Refuse(1, 0)]
+    send = of(bench.ask(1), api.SendAttempt)[0]
+    send = of(bench.outcome(1, send.endpoint, Outcome.ENDPOINT_FULL), api.SendAttempt)[0]
+    actions = bench.outcome(1, send.endpoint, Outcome.ENDPOINT_FULL, attempt=1)
+    assert of(actions, (api.SendAttempt, api.RejectRequest)) == [api.RejectRequest(1, 0)]
 
 
 # Rule 3
 
 
-@pytest.mark.parametrize("phase", [api.Phase.DRAINING, api.Phase.GONE])
+@pytest.mark.parametrize("phase", [api.EndpointState.DRAINING, api.EndpointState.GONE])
 def test_nothing_new_goes_to_a_draining_or_gone_server(phase):
     bench = Bench(servers=0)
     bench.feed(listed(entry(1), entry(2)))
-    bench.feed(listed(entry(1, phase=phase), kind=api.ListKind.CHANGES))
+    bench.feed(listed(entry(1, phase=phase), kind=api.EndpointListKind.DELTA))
     for request in range(1, 9):
-        for send in of(bench.ask(request, customer=request), api.Send):
-            assert send.server == entry(2).server
-            for again in of(bench.outcome(request, send.server, Outcome.FULL), api.Send):
-                assert again.server == entry(2).server
+        for send in of(bench.ask(request, customer=request), api.SendAttempt):
+            assert send.endpoint == entry(2).endpoint
+            for again in of(bench.outcome(request, send.endpoint, Outcome.ENDPOINT_FULL), api.SendAttempt):
+                assert again.endpoint == entry(2).endpoint
 
 
 def test_a_whole_list_ends_what_it_lacks_and_binds_held_requests():
     bench = Bench(servers=2)
     bench.feed(listed())
-    assert not of(bench.ask(1), api.Send)
-    assert not of(bench.run(2 * SECOND), api.Send)
-    assert finals(bench, 1) == [api.Refuse(1, 0)]
+    assert not of(bench.ask(1), api.SendAttempt)
+    assert not of(bench.run(2 * SECOND), api.SendAttempt)
+    assert finals(bench, 1) == [api.RejectRequest(1, 0)]
 
 
 def test_a_failed_list_call_changes_nothing(bench):
-    bench.feed(api.ServerListed(api.ListKind.FAILED, 9, ()))
-    assert of(bench.ask(1), api.Send)
+    bench.feed(api.EndpointListReceived(api.EndpointListKind.FAILED, 9, ()))
+    assert of(bench.ask(1), api.SendAttempt)
 
 
 # Rule 4
@@ -167,9 +169,9 @@
     bench.feed(listed(*(entry(i) for i in range(4)), cold))
     sent = {"cold": 0, "warm": 0}
     for request in range(1, 401):
-        for send in of(bench.ask(request, customer=request), api.Send):
-            sent["cold" if send.server == cold.server else "warm"] += 1
-            bench.outcome(request, send.server, Outcome.SERVED, took=1_000)
+        for send in of(bench.ask(request, customer=request), api.SendAttempt):
+            sent["cold" if send.endpoint == cold.endpoint else "warm"] += 1
+            bench.outcome(request, send.endpoint, Outcome.SERVED, took=1_000)
         bench.run(5_000)
     ramp = 0.25 + 0.75 * 2 / 10  # two seconds into ten
     assert sent["warm"] > 300
@@ -179,25 +181,25 @@
 def test_a_server_that_restarted_is_cold_again_and_gets_no_burst():
     bench = Bench(servers=0)
     bench.feed(listed(entry(1, launched=T0 - 60 * SECOND)))
-    assert len(of(bench.ask(1), api.Send)) == 1
-    bench.feed(listed(entry(1, launched=T0), kind=api.ListKind.CHANGES))
-    sends = [s for r in range(2, 402) for s in of(bench.ask(r, customer=r), api.Send)]
+    assert len(of(bench.ask(1), api.SendAttempt)) == 1
+    bench.feed(listed(entry(1, launched=T0), kind=api.EndpointListKind.DELTA))
+    sends = [s for r in range(2, 402) for s in of(bench.ask(r, customer=r), api.SendAttempt)]
     assert 0 < len(sends) <= 0.25 * 400
     for _ in range(50):  # what is held does not try its luck again and again
         bench.run(20_000)
-    assert len(of(bench.log, api.Send)) <= 0.4 * 400
+    assert len(of(bench.log, api.SendAttempt)) <= 0.4 * 400
 
 
 def test_cold_servers_stay_safe_in_sum_of_many_gateways():
     """A gateway of a large fleet sends to one server less than once in its warm-up: chance has to sum up."""
     cold, sent = entry(9, launched=T0), {True: 0, False: 0}
     for seed in range(200):
-        bench = Bench(servers=0, seed=seed, gateways=200, now=T0 + 2 * SECOND)
+        bench = Bench(servers=0, seed=seed, replica_count=200, now=T0 + 2 * SECOND)
         bench.feed(listed(*(entry(i) for i in range(4)), cold))
         for request in range(1, 11):
-            for send in of(bench.ask(request, customer=request, size=1), api.Send):
-                sent[send.server == cold.server] += 1
-                bench.outcome(request, send.server, Outcome.SERVED, took=30_000)
+            for send in of(bench.ask(request, customer=request, size=1), api.SendAttempt):
+                sent[send.endpoint == cold.endpoint] += 1
+                bench.outcome(request, send.endpoint, Outcome.SERVED, took=30_000)
     assert 0.2 * sent[False] / 4 < sent[True] < 0.4 * sent[False] / 4
 
 
@@ -208,9 +210,9 @@
     bench = Bench(servers=4)
     sent = 0
     for request in range(1, 601):  # 6 s, far more than the ceiling lets pass
-        for send in of(bench.ask(request, customer=1, plan=2), api.Send):
+        for send in of(bench.ask(request, customer=1, plan=2), api.SendAttempt):
             sent += 1
-            bench.outcome(request, send.server, Outcome.SERVED, took=1_000)
+            bench.outcome(request, send.endpoint, Outcome.SERVED, took=1_000)
         bench.run(10_000)
     assert 0 < sent <= 8 / 3 * 6
 
@@ -224,19 +226,21 @@
     """A peer's word, which asks for an answer where it wants rights."""
     sent = bench.now // 1_000
     body = gossip_codec.pack(sent, keep, keep, [gossip_codec.pack_row(row, sent, 3)])
-    return bench.feed(api.PeerMessage(sender, body))
+    return bench.feed(api.PeerMessageReceived(sender, body))
 
 
 def test_a_keeper_gives_rights_of_a_ceiling_only_once():
     """What it gives is off its own part first; together no more than the ceiling's store goes out."""
-    keeper = next(r for r in range(3) if Bench(rank=r).gateway._keeper(Account(1, (2, 0, 3), 8.0, T0)) == r)
-    bench = Bench(rank=keeper)
+    keeper = next(
+        r for r in range(3) if Bench(replica=r).gateway._keeper(Account(1, (2, 0, 3), 8.0, T0)) == r
+    )
+    bench = Bench(replica=keeper)
     other = (keeper + 1) % 3
     hear(bench, other, ceiling_row(0.0), keep=True)
     bench.now += 30 * SECOND  # its store of 16 x 2/3 is full
     given = 0.0
     for _ in range(5):
-        for tell in of(hear(bench, other, ceiling_row(5.0), keep=True), api.TellPeer):
+        for tell in of(hear(bench, other, ceiling_row(5.0), keep=True), api.SendPeerMessage):
             message = gossip_codec.unpack(tell.body, bench.now // 1_000, 3, 4)
             given += message.rows[0].rights if not message.keep else 0.0
     assert 10.0 < given <= 16 * 2 / 3
@@ -244,37 +248,37 @@
 
 def test_rights_that_were_not_asked_for_are_not_taken():
     """A repeated or made-up gift must not lift a ceiling."""
-    bench = Bench(rank=1)
+    bench = Bench(replica=1)
     hear(bench, 0, ceiling_row(16.0), keep=False)
-    assert not of(bench.ask(1, customer=1, plan=2), api.Send)
+    assert not of(bench.ask(1, customer=1, plan=2), api.SendAttempt)
     hear(bench, 0, ceiling_row(2.0), keep=False)
     hear(bench, 0, ceiling_row(2.0), keep=False)
-    sends = [s for r in range(2, 30) for s in of(bench.ask(r, customer=1, plan=2), api.Send)]
+    sends = [s for r in range(2, 30) for s in of(bench.ask(r, customer=1, plan=2), api.SendAttempt)]
     assert 1 <= len(sends) <= 2  # once what was asked for
 
 
 def test_a_restart_gives_no_fresh_part_of_a_ceiling():
     bench = Bench(now=T0 + 10 * SECOND)
-    assert not of(bench.ask(1, plan=2), api.Send)
+    assert not of(bench.ask(1, plan=2), api.SendAttempt)
     bench.now += SECOND
-    sends = [s for r in range(2, 9) for s in of(bench.ask(r, plan=2), api.Send)]
+    sends = [s for r in range(2, 9) for s in of(bench.ask(r, plan=2), api.SendAttempt)]
     assert len(sends) <= 5  # its part of eight a second
 
 
 def test_a_set_of_one_gateway_has_its_whole_quota_for_ever():
     """Guards against a fleet of one that grants each customer its burst once and then nothing."""
-    bench = Bench(gateways=1, may_tell_peers=False)
+    bench = Bench(replica_count=1, may_gossip=False)
     granted = 0
     for number in range(60):
         bench.now += SECOND
-        granted += len(of(bench.feed(api.TakeArrived(number, 7, 0, 0, 1.0, 0, 1)), api.Grant))
+        granted += len(of(bench.feed(api.QuotaRequested(number, 7, 0, 0, 1.0, 0, 1)), api.GrantQuota))
     assert granted == 60
 
 
 def ceiled(bench: Bench, units: float) -> bool:
     """Whether a take of a customer with a ceiling, in a set of all three gateways, is granted."""
-    event = api.TakeArrived(bench.now, 7, 2, 0, units, 0, 3)
-    return bool(of(bench.feed(event), api.Grant))
+    event = api.QuotaRequested(bench.now, 7, 2, 0, units, 0, 3)
+    return bool(of(bench.feed(event), api.GrantQuota))
 
 
 def test_a_ceilings_part_fills_from_the_gateways_start():
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -8,13 +8,13 @@
 from orchidlane.policy.interface import Outcome
 
 
-def serve(bench: Bench, request: int, took) -> api.Send | None:
+def serve(bench: Bench, request: int, took) -> api.SendAttempt | None:
     """Ask, and answer at once with a time by server; the send, if there was one."""
-    sends = of(bench.ask(request, customer=request, left=2 * SECOND), api.Send)
+    sends = of(bench.ask(request, customer=request, left=2 * SECOND), api.SendAttempt)
     if not sends:
         return None
     bench.run(10_000)
-    bench.outcome(request, sends[0].server, Outcome.SERVED, took=took(sends[0].server))
+    bench.outcome(request, sends[0].endpoint, Outcome.SERVED, took=took(sends[0].endpoint))
     return sends[0]
 
 
@@ -55,11 +55,11 @@
 
 def test_slow_servers_get_less_and_come_back():
     bench = Bench(servers=4)
-    slow = entry(0).server
+    slow = entry(0).endpoint
 
     def part(first: int, took) -> float:
         sends = [s for r in range(first, first + 120) if (s := serve(bench, r, took))]
-        return sum(s.server == slow for s in sends) / len(sends)
+        return sum(s.endpoint == slow for s in sends) / len(sends)
 
     assert part(1, lambda server: 200_000 if server == slow else 30_000) < 0.1
     bench.run(15 * SECOND)
@@ -68,31 +68,36 @@
 
 def test_a_server_that_refuses_connections_is_left_alone():
     bench = Bench(servers=4)
-    dead, tried = entry(0).server, 0
+    dead, tried = entry(0).endpoint, 0
     for request in range(1, 101):
-        send = of(bench.ask(request, customer=request), api.Send)[0]
+        send = of(bench.ask(request, customer=request), api.SendAttempt)[0]
         attempt = 0
-        while send.server == dead:
+        while send.endpoint == dead:
             tried += 1
-            send = of(bench.outcome(request, dead, Outcome.NOT_CONNECTED, attempt=attempt), api.Send)[0]
+            send = of(bench.outcome(request, dead, Outcome.CONNECT_FAILED, attempt=attempt), api.SendAttempt)[
+                0
+            ]
             attempt += 1
         bench.run(5_000)
-        bench.outcome(request, send.server, Outcome.SERVED, attempt=attempt, took=30_000)
+        bench.outcome(request, send.endpoint, Outcome.SERVED, attempt=attempt, took=30_000)
     assert tried <= 5
 
 
 def test_a_zone_that_cannot_be_reached_is_avoided_before_each_of_its_servers_failed():
     """In a cut each server of the other zone was tried in turn (ctva-kathmandu-later big-1)."""
     bench, tried = Bench(servers=0), 0
-    far = {entry(i).server for i in range(50)}
+    far = {entry(i).endpoint for i in range(50)}
     bench.feed(listed(*(entry(i, zone=int(i >= 50)) for i in range(100))))
     for request in range(1, 101):
-        out, attempt = of(bench.ask(request, customer=request), api.Send), 0
+        out, attempt = of(bench.ask(request, customer=request), api.SendAttempt), 0
         while out:
-            lost = out[0].server in far
+            lost = out[0].endpoint in far
             tried += lost
-            outcome = Outcome.NOT_CONNECTED if lost else Outcome.SERVED
-            out = of(bench.outcome(request, out[0].server, outcome, attempt=attempt, took=30_000), api.Send)
+            outcome = Outcome.CONNECT_FAILED if lost else Outcome.SERVED
+            out = of(
+                bench.outcome(request, out[0].endpoint, outcome, attempt=attempt, took=30_000),
+                api.SendAttempt,
+            )
             attempt += 1
         bench.run(20_000)
     assert tried < 20
@@ -103,7 +108,9 @@
     bench = Bench(servers=200)
     for request in range(1, 40):
         serve(bench, request, lambda _: 60_000)
-    sent = [of(bench.ask(r, customer=r, left=2 * SECOND), api.Send)[0].server for r in range(100, 120)]
+    sent = [
+        of(bench.ask(r, customer=r, left=2 * SECOND), api.SendAttempt)[0].endpoint for r in range(100, 120)
+    ]
     bench.run(2 * SECOND)
     for request, server in zip(range(100, 120), sent, strict=True):
         bench.outcome(request, server, Outcome.TIMED_OUT, took=2 * SECOND)
@@ -113,24 +120,27 @@
 def test_when_all_servers_fail_none_is_put_aside_for_good():
     bench = Bench(servers=3)
     for request in range(1, 30):
-        out, attempt = of(bench.ask(request, customer=request), api.Send), 0
+        out, attempt = of(bench.ask(request, customer=request), api.SendAttempt), 0
         while out:
-            out = of(bench.outcome(request, out[0].server, Outcome.NOT_CONNECTED, attempt=attempt), api.Send)
+            out = of(
+                bench.outcome(request, out[0].endpoint, Outcome.CONNECT_FAILED, attempt=attempt),
+                api.SendAttempt,
+            )
             attempt += 1
     bench.run(10 * SECOND)
-    sends = [s for r in range(50, 62) for s in of(bench.ask(r, customer=r), api.Send)]
-    assert len({s.server for s in sends}) == 3
+    sends = [s for r in range(50, 62) for s in of(bench.ask(r, customer=r), api.SendAttempt)]
+    assert len({s.endpoint for s in sends}) == 3
 
 
 def test_errors_do_not_multiply_the_load():
     bench = Bench(servers=4)
     sends = 0
     for request in range(1, 201):
-        out = of(bench.ask(request, customer=request), api.Send)
+        out = of(bench.ask(request, customer=request), api.SendAttempt)
         attempt = 0
         while out:
             sends += 1
-            out = of(bench.outcome(request, out[0].server, Outcome.ERROR, attempt=attempt), api.Send)
+            out = of(bench.outcome(request, out[0].endpoint, Outcome.ERROR, attempt=attempt), api.SendAttempt)
             attempt += 1
         bench.run(50_000)
     assert sends < 200 * 1.15
@@ -140,9 +150,9 @@
     bench = Bench(servers=2)
     for request in range(1, 41):
         serve(bench, request, lambda _: 60_000)
-    sends = [s for r in range(100, 200) for s in of(bench.ask(r, customer=r), api.Send)]
+    sends = [s for r in range(100, 200) for s in of(bench.ask(r, customer=r), api.SendAttempt)]
     assert 0 < len(sends) < 50
-    assert not [a for a in bench.run(SECOND // 10) if isinstance(a, api.Refuse)]  # none was held first
+    assert not [a for a in bench.run(SECOND // 10) if isinstance(a, api.RejectRequest)]  # none was held first
 
 
 def test_an_idle_slow_kind_is_not_shed():
@@ -164,9 +174,9 @@
 def test_a_stalled_server_is_passed_over():
     bench = Bench(servers=0)
     bench.feed(listed(entry(1), entry(2)))
-    stalled = of(bench.ask(1, kind=2), api.Send)[0].server
+    stalled = of(bench.ask(1, kind=2), api.SendAttempt)[0].endpoint
     bench.run(300_000)
-    others = [s.server for r in range(2, 6) for s in of(bench.ask(r, customer=r, kind=2), api.Send)]
+    others = [s.endpoint for r in range(2, 6) for s in of(bench.ask(r, customer=r, kind=2), api.SendAttempt)]
     assert others
     assert stalled not in others
 
@@ -175,7 +185,7 @@
     """A sample of a mostly cold fleet held requests though a warm server was free (incident)."""
     bench = Bench(servers=0)
     bench.feed(listed(entry(0), *(entry(i, launched=bench.now) for i in range(1, 200))))
-    assert [s.server for s in of(bench.ask(1), api.Send)] == [entry(0).server]
+    assert [s.endpoint for s in of(bench.ask(1), api.SendAttempt)] == [entry(0).endpoint]
 
 
 def test_failures_move_the_choice_of_server_and_refuse_nobody():
@@ -183,16 +193,18 @@
     request still goes to one."""
     bench = Bench()
     for number in range(1, 9):
-        (send,) = of(bench.ask(number, kind=2, customer=number), api.Send)
-        bench.outcome(number, send.server, api.Outcome.BROKEN)
+        (send,) = of(bench.ask(number, kind=2, customer=number), api.SendAttempt)
+        bench.outcome(number, send.endpoint, api.Outcome.CONNECTION_BROKEN)
     assert all(host.fails > 0 for host in bench.gateway.hosts.values())
-    assert of(bench.ask(20, customer=20), api.Send)
+    assert of(bench.ask(20, customer=20), api.SendAttempt)
 
 
 def test_servers_that_are_gone_are_forgotten():
     bench = Bench(servers=0)
     for number in range(1, 200):
-        bench.feed(listed(entry(number, cell=number), kind=api.ListKind.CHANGES))
-        bench.feed(listed(entry(number, cell=number, phase=api.Phase.GONE), kind=api.ListKind.CHANGES))
+        bench.feed(listed(entry(number, cell=number), kind=api.EndpointListKind.DELTA))
+        bench.feed(
+            listed(entry(number, cell=number, phase=api.EndpointState.GONE), kind=api.EndpointListKind.DELTA)
+        )
     gateway = bench.gateway
     assert not gateway.hosts and not gateway.cells and not gateway.zones
