--- a/tests/test_sets.py
+++ b/tests/test_sets.py
@@ -26,9 +26,9 @@
     def __init__(self, with_hold: bool = True) -> None:
         plan = dataclasses.replace(CEILED, rate=0.0, burst=0.0)
         self.now, self.with_hold = T0, with_hold
-        changes = {"gateways": GATEWAYS, "plans": (plan,)}
+        changes = {"replica_count": GATEWAYS, "plans": (plan,)}
         self.ones = [
-            Gateway(dataclasses.replace(SETTINGS, rank=rank, **changes), rank, self.now - 60 * SECOND)
+            Gateway(dataclasses.replace(SETTINGS, replica=rank, **changes), rank, self.now - 60 * SECOND)
             for rank in range(GATEWAYS)
         ]
         self.at = [OLD] * GATEWAYS
@@ -42,15 +42,15 @@
             self.at[rank] = GROW
         elif self.at[rank] < GROW and all(at >= self.at[rank] for at in self.at):
             self.at[rank] += 1
-            moved = api.SetMoved(CUSTOMER, 0, FIRST[self.at[rank]], SIZE)
+            moved = api.ReplicaSetChanged(CUSTOMER, 0, FIRST[self.at[rank]], SIZE)
             self.ones[rank].handle(self.now, moved)
 
     def take(self, rank: int, units: float) -> None:
         if self.at[rank] == HOLD:
             return
         self.number += 1
-        event = api.TakeArrived(self.number, CUSTOMER, 0, 0, units, FIRST[self.at[rank]], SIZE)
-        if any(isinstance(action, api.Grant) for action in self.ones[rank].handle(self.now, event)):
+        event = api.QuotaRequested(self.number, CUSTOMER, 0, 0, units, FIRST[self.at[rank]], SIZE)
+        if any(isinstance(action, api.GrantQuota) for action in self.ones[rank].handle(self.now, event)):
             self.taken.append((self.now, units))
 
     def beyond(self) -> float:
@@ -109,8 +109,8 @@
         fleet.take(5, 1.0)
     assert fleet.taken == []
     asked = api.RequestArrived(99, CUSTOMER, 0, 0, 1.0, SECOND, 0, SIZE, False)
-    [refused] = [one for one in fleet.ones[5].handle(fleet.now, asked) if isinstance(one, api.Refuse)]
-    assert refused.beyond_quota and refused.retry_after == 0  # it never comes back here
+    [refused] = [one for one in fleet.ones[5].handle(fleet.now, asked) if isinstance(one, api.RejectRequest)]
+    assert refused.over_quota and refused.retry_after_us == 0  # it never comes back here
 
 
 def test_a_part_that_was_full_is_given_up_and_fills_again_at_the_rate():
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -43,7 +43,7 @@
         gateway="gw",
         life=story.bench.now,
         number=0,
-        settings=msgspec.to_builtins(story.bench.settings),
+        settings=recording.settings_to_stored(story.bench.settings),
         state=snapshot.head,
         class_names=NAMES[0],
         plan_names=NAMES[1],
@@ -268,7 +268,7 @@
     arrived = [
         (now, event)
         for now, event, _ in log
-        if isinstance(event, api.RequestArrived | api.TakeArrived) and event.customer == 3
+        if isinstance(event, api.RequestArrived | api.QuotaRequested) and event.customer == 3
     ]
     reader = recording.SegmentReader(str(path))
     index = recording.TimeIndex(reader)
@@ -414,7 +414,7 @@
     recording.track(story.bench.gateway)
     entries = []
     story.tell(api.RequestArrived(1, 7, 0, 0, 1.0, 2 * SECOND, 0, 3, False))
-    server = next(a.server for a in story.log[-1][2] if isinstance(a, api.Send))
+    server = next(a.endpoint for a in story.log[-1][2] if isinstance(a, api.SendAttempt))
     entries.append(story.log[-1])
     story.bench.now += 100 * MS
     ended = api.AttemptEnded(1, 0, server, api.Outcome.SERVED, 100, True, 0, 0.0, ())
@@ -429,7 +429,7 @@
             "gw",
             header_now,
             0,
-            msgspec.to_builtins(settings_),
+            recording.settings_to_stored(settings_),
             recording.dump(empty),
             *NAMES,
         )
@@ -446,11 +446,13 @@
     assert faults(arrived, served) == {}
     assert faults(arrived, *beats) == {"missing": 1}
     assert faults(arrived, *beats, (beats[-1][0], ended, [])) == {"late": 1}
-    assert faults(arrived, (served[0], ended, [api.Fail(1)])) == {"doubled": 1}
-    gone = api.ServerListed(api.ListKind.WHOLE, 2, ())
-    late = (arrived[0] + 900 * MS, arrived[1], [api.Send(1, server, 0)])
+    assert faults(arrived, (served[0], ended, [api.FailRequest(1)])) == {"doubled": 1}
+    gone = api.EndpointListReceived(api.EndpointListKind.COMPLETE, 2, ())
+    late = (arrived[0] + 900 * MS, arrived[1], [api.SendAttempt(1, server, 0)])
     assert faults((arrived[0], gone, []), late, (late[0], ended, [])) == {"sent after drain": 1}
-    grants = [(header_now + i, api.TakeArrived(i, 7, 2, 0, 3.0, 0, 3), [api.Grant(i)]) for i in range(1, 8)]
+    grants = [
+        (header_now + i, api.QuotaRequested(i, 7, 2, 0, 3.0, 0, 3), [api.GrantQuota(i)]) for i in range(1, 8)
+    ]
     assert faults(*grants) == {"ceiling": 1}
     assert faults(*grants[:5]) == {}
 
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -156,7 +156,7 @@
     told(tracker, 40, instance(1), instance(2), reset=True)
     told(tracker, 45, instance(1, "leaving"))
     told(tracker, 30, instance(1), instance(2), reset=True)
-    assert told(tracker, 31, instance(1), instance(2, "leaving")).entries[0].server == b"s-2"
+    assert told(tracker, 31, instance(1), instance(2, "leaving")).entries[0].endpoint == b"s-2"
     assert (tracker.phase(b"s-1"), tracker.phase(b"s-2")) == ("draining", "draining")
     told(tracker, 32, instance(1, startedAtMs=5))  # it was started anew since
     assert tracker.phase(b"s-1") == "ready"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -122,13 +122,13 @@
     got = decode(order, bell, gone, answer, counted)
     assert got[0] == (3, api.RequestArrived(0x5D3A91C4, 0x91F03B7C55D20A64, 0, 0, 2.0, 240000, 1, 3, False))
     assert got[1] == (3, api.TimerFired(77))
-    assert got[2] == (5, api.ClientGone(0x0E6F2B19))
+    assert got[2] == (5, api.ClientDisconnected(0x0E6F2B19))
     ended = got[3][1]
-    assert ended.server == HOST
-    assert (ended.request, ended.attempt, ended.took) == (0x5D3A91C4, 0, 18500)
+    assert ended.endpoint == HOST
+    assert (ended.request, ended.attempt, ended.duration_us) == (0x5D3A91C4, 0, 18500)
     assert (ended.outcome, ended.answered, ended.use) == (api.Outcome.SERVED, True, 0x56)
     assert ended.true_units == 3.0
-    assert ended.report == pytest.approx((0.62, 14.5, 7.0))
+    assert ended.load_report == pytest.approx((0.62, 14.5, 7.0))
     assert got[4] == (3, api.CounterAnswered(0x89F690, api.Outcome.SERVED, 38.0, 0x866))
 
 
@@ -139,24 +139,24 @@
     )
     got = decode(raw("0c 0000 00000000 02000000"), raw("09 0300 02 0000 2900000000000000"), tail=tail)
     listed = got[0][1]
-    assert (listed.kind, listed.version, len(listed.entries)) == (api.ListKind.CACHED, 41, 2)
-    assert listed.entries[0] == api.ServerEntry(HOST, api.Phase.READY, 0, 0, 0, 1.0)
-    assert listed.entries[1].launched == 0x5D1420
-    assert (listed.entries[1].zone, listed.entries[1].size) == (1, 1.5)
+    assert (listed.kind, listed.version, len(listed.entries)) == (api.EndpointListKind.CACHED, 41, 2)
+    assert listed.entries[0] == api.EndpointEntry(HOST, api.EndpointState.READY, 0, 0, 0, 1.0)
+    assert listed.entries[1].started_at_us == 0x5D1420
+    assert (listed.entries[1].zone, listed.entries[1].capacity_share) == (1, 1.5)
 
 
 def test_actions_of_the_note():
-    send = api.Send(0x5D3A91C4, HOST, 0x8194DA)
+    send = api.SendAttempt(0x5D3A91C4, HOST, 0x8194DA)
     assert encode(send) == raw("41 0300 c4913a5d 0a124a07 2b23 da94810000000000", 24)
     assert encode(api.SetTimer(0x07A120, 77)) == raw("45 0300 20a10700 4d00000000000000", 24)
-    tell = encode(api.TellPeer(0xFFFF, bytes.fromhex("68692037")))
+    tell = encode(api.SendPeerMessage(0xFFFF, bytes.fromhex("68692037")))
     assert tell == raw("48 0300 ffff 00000000 04000000", 24) + b"hi 7"
-    assert encode(api.Refuse(7, 9)) == raw("42 0300 07000000 09000000", 24)
-    assert encode(api.Fail(7)) == raw("43 0300 07000000", 24)
-    assert encode(api.Cancel(7, 2)) == raw("44 0300 07000000 0200", 24)
-    assert encode(api.Probe(HOST)) == raw("46 0300 0a124a07 2b23", 24)
-    assert encode(api.AskList()) == raw("4b 0300 01", 24)
-    assert encode(api.FetchList()) == raw("4c 0300", 24)
+    assert encode(api.RejectRequest(7, 9)) == raw("42 0300 07000000 09000000", 24)
+    assert encode(api.FailRequest(7)) == raw("43 0300 07000000", 24)
+    assert encode(api.CancelAttempt(7, 2)) == raw("44 0300 07000000 0200", 24)
+    assert encode(api.CheckHealth(HOST)) == raw("46 0300 0a124a07 2b23", 24)
+    assert encode(api.WatchEndpoints()) == raw("4b 0300 01", 24)
+    assert encode(api.FetchEndpoints()) == raw("4c 0300", 24)
 
 
 def test_one_process_acts_like_several():
