--- a/benchmarks/index.py
+++ b/benchmarks/index.py
@@ -12,9 +12,8 @@
 from pathlib import Path
 
 from benchmarks.layers import MATERIALS
-from orchidlane import recording
+from orchidlane import policy, recording
 from orchidlane.gateway.control.settings import module_settings, parse_fleet
-from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording.index import request_of
 from orchidlane.routes import build, load_description
@@ -29,19 +28,23 @@
     fleet = parse_fleet((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
     settings = module_settings(fleet, 0, generation)
     gateway, now = Gateway(settings, 1, 10**15), 10**15
-    entries = tuple(api.EndpointEntry(b"s%d" % n, api.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24))
-    gateway.handle(now, api.EndpointListReceived(api.EndpointListKind.COMPLETE, 1, entries))
+    entries = tuple(
+        policy.EndpointEntry(b"s%d" % n, policy.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24)
+    )
+    gateway.handle(now, policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 1, entries))
     plain = recording.settings_to_stored(settings)
     header = recording.Header(recording.FORMAT, "b", "g", now, 0, plain, recording.dump(gateway))
     with path.open("wb") as out:
         out.write(recording.pack_header(header))
         for number in range(requests):
             now += 5_000
-            arrived = api.RequestArrived(number, number % 997, 0, 0, 1.0, 2_000_000, 0, 3, False)
+            arrived = policy.RequestArrived(number, number % 997, 0, 0, 1.0, 2_000_000, 0, 3, False)
             actions = gateway.handle(now, arrived)
             out.write(recording.pack_entry(now, arrived, actions))
-            for send in (one for one in actions if isinstance(one, api.SendAttempt)):
-                ended = api.AttemptEnded(number, 0, send.endpoint, api.Outcome.SERVED, 900, True, 0, 0.0, ())
+            for send in (one for one in actions if isinstance(one, policy.SendAttempt)):
+                ended = policy.AttemptEnded(
+                    number, 0, send.endpoint, policy.Outcome.SERVED, 900, True, 0, 0.0, ()
+                )
                 out.write(recording.pack_entry(now + 900, ended, gateway.handle(now + 900, ended)))
 
 
--- a/benchmarks/layers.py
+++ b/benchmarks/layers.py
@@ -6,9 +6,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from orchidlane import http1
+from orchidlane import http1, policy
 from orchidlane.gateway.control.settings import module_settings, parse_fleet
-from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.routes import build, load_description
 
@@ -48,19 +47,23 @@
     settings = module_settings(fleet, 0, generation)
     gateway = Gateway(settings, 1, 10**15)
     gateway.start()
-    entries = tuple(api.EndpointEntry(b"s%d" % n, api.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24))
-    gateway.handle(10**15, api.EndpointListReceived(api.EndpointListKind.COMPLETE, 1, entries))
+    entries = tuple(
+        policy.EndpointEntry(b"s%d" % n, policy.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24)
+    )
+    gateway.handle(10**15, policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 1, entries))
     state = [10**15, 0]
 
     def decide() -> None:
         state[0] += 40_000
         state[1] += 1
         now, number = state
-        arrived = api.RequestArrived(number, number % 500, 0, 0, 1.0, 2_000_000, 0, 3, False)
+        arrived = policy.RequestArrived(number, number % 500, 0, 0, 1.0, 2_000_000, 0, 3, False)
         actions = gateway.handle(now, arrived)
-        sends = [action for action in actions if isinstance(action, api.SendAttempt)]
+        sends = [action for action in actions if isinstance(action, policy.SendAttempt)]
         for send in sends:
-            ended = api.AttemptEnded(number, 0, send.endpoint, api.Outcome.SERVED, 5_000, True, 0, 0.0, ())
+            ended = policy.AttemptEnded(
+                number, 0, send.endpoint, policy.Outcome.SERVED, 5_000, True, 0, 0.0, ()
+            )
             gateway.handle(now + 5_000, ended)
 
     return decide
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -19,9 +19,8 @@
 import msgspec
 
 from benchmarks.layers import MATERIALS
-from orchidlane import recording
+from orchidlane import policy, recording
 from orchidlane.gateway.control.settings import module_settings, parse_fleet
-from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.routes import build, load_description
 
@@ -36,10 +35,12 @@
     fleet = parse_fleet((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
     gateway = Gateway(module_settings(fleet, 0, generation), 1, START)
     recording.track(gateway)
-    entries = tuple(api.EndpointEntry(b"s%d" % n, api.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24))
-    gateway.handle(START, api.EndpointListReceived(api.EndpointListKind.COMPLETE, 1, entries))
+    entries = tuple(
+        policy.EndpointEntry(b"s%d" % n, policy.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24)
+    )
+    gateway.handle(START, policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 1, entries))
     for number in range(customers):
-        gateway.handle(START + number, api.QuotaRequested(number, number, number % 2, 0, 1.0, 0, 3))
+        gateway.handle(START + number, policy.QuotaRequested(number, number, number % 2, 0, 1.0, 0, 3))
     return gateway
 
 
@@ -56,7 +57,7 @@
 
     def work() -> None:
         for n in range(EVENTS):
-            gateway.handle(now + n, api.QuotaRequested(first + n, n * step % customers, 0, 0, 1.0, 0, 3))
+            gateway.handle(now + n, policy.QuotaRequested(first + n, n * step % customers, 0, 0, 1.0, 0, 3))
 
     return timed(work)
 
--- a/orchidlane/gateway/control/endpoint_list.py
+++ b/orchidlane/gateway/control/endpoint_list.py
@@ -14,12 +14,12 @@
 
 import msgspec
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 
 PHASES = {
-    "ready": api.EndpointState.READY,
-    "draining": api.EndpointState.DRAINING,
-    "gone": api.EndpointState.GONE,
+    "ready": policy.EndpointState.READY,
+    "draining": policy.EndpointState.DRAINING,
+    "gone": policy.EndpointState.GONE,
 }
 LINE_MOST = 8 << 20  # bytes of one line
 
@@ -85,7 +85,7 @@
     def __post_init__(self) -> None:
         self._number("zone:" + self.zone)
 
-    def take(self, text: bytes) -> api.EndpointListReceived | None:
+    def take(self, text: bytes) -> policy.EndpointListReceived | None:
         """What a line tells the module, None where it is passed over. Raises ListRefused."""
         try:
             line = msgspec.json.decode(text, type=ListLine)
@@ -101,12 +101,12 @@
             return self._take_changes(line, known)
         return self._take_whole(line)
 
-    def _take_whole(self, line: ListLine) -> api.EndpointListReceived:
+    def _take_whole(self, line: ListLine) -> policy.EndpointListReceived:
         self.epoch, self.version = line.epoch, line.version
         self.nodes = {node.address: node for node in line.nodes if node.phase != "gone"}
-        return self._listed(api.EndpointListKind.COMPLETE, line.nodes)
+        return self._listed(policy.EndpointListKind.COMPLETE, line.nodes)
 
-    def _take_changes(self, line: ListLine, known: bool) -> api.EndpointListReceived | None:
+    def _take_changes(self, line: ListLine, known: bool) -> policy.EndpointListReceived | None:
         if not known or line.after > self.version:
             raise ListRefused("changes to a list that is not known")
         if line.version == self.version:
@@ -120,7 +120,7 @@
                 self.nodes[node.address] = node
         if len(self.nodes) > self.most:
             raise ListRefused(f"{len(self.nodes)} nodes, allowed: {self.most}")
-        return self._listed(api.EndpointListKind.DELTA, line.nodes)
+        return self._listed(policy.EndpointListKind.DELTA, line.nodes)
 
     def phase(self, server: bytes) -> str:
         """What the list last said of a node."""
@@ -147,7 +147,7 @@
         self.epoch, self.version, self._numbers = found.epoch, found.version, found.numbers
         self.nodes = {node.address: node for node in found.nodes}
 
-    def restore(self, text: bytes) -> api.EndpointListReceived | None:
+    def restore(self, text: bytes) -> policy.EndpointListReceived | None:
         """What a kept list tells the module; None where it can't be read, which costs no more than a wait.
 
         The version is forgotten: whatever the list's service says first counts, older or newer.
@@ -159,11 +159,13 @@
         if kept.format != CACHE_FORMAT or len(kept.nodes) > self.most:
             return None
         self.nodes = {node.address: node for node in kept.nodes}
-        return self._listed(api.EndpointListKind.CACHED, kept.nodes)
+        return self._listed(policy.EndpointListKind.CACHED, kept.nodes)
 
-    def _listed(self, kind: api.EndpointListKind, nodes: tuple[NodeLine, ...]) -> api.EndpointListReceived:
+    def _listed(
+        self, kind: policy.EndpointListKind, nodes: tuple[NodeLine, ...]
+    ) -> policy.EndpointListReceived:
         entries = tuple(
-            api.EndpointEntry(
+            policy.EndpointEntry(
                 endpoint=node.address.encode(),
                 state=PHASES[node.phase],
                 zone=self._number("zone:" + node.zone),
@@ -173,7 +175,7 @@
             )
             for node in nodes
         )
-        return api.EndpointListReceived(kind, max(0, self.version), entries)
+        return policy.EndpointListReceived(kind, max(0, self.version), entries)
 
     def _number(self, name: str) -> int:
         """A stable number for a zone or cell; so many names as nodes, twice, are remembered."""
--- a/orchidlane/gateway/control/endpoint_watch.py
+++ b/orchidlane/gateway/control/endpoint_watch.py
@@ -5,12 +5,11 @@
 import hashlib
 from collections.abc import Callable
 
-from orchidlane import http1
+from orchidlane import http1, policy
 from orchidlane.gateway.control.endpoint_list import LINE_MOST, ListRefused, ListTracker
 from orchidlane.gateway.control.json_stream import LineTooLong, whole_objects
 from orchidlane.gateway.control.settings import Fleet, address
 from orchidlane.http1 import Malformed
-from orchidlane.policy import interface as api
 from orchidlane.runtime import Loop, LoopError
 
 CONNECT = 2_000_000  # microseconds
@@ -28,7 +27,7 @@
         tracker: ListTracker,
         name: str,
         cache: str,
-        told: Callable[[api.EndpointListReceived], None],
+        told: Callable[[policy.EndpointListReceived], None],
     ) -> None:
         self.loop = loop
         self.fleet = fleet
@@ -55,7 +54,7 @@
                 self._follow()
             except (LoopError, Malformed, LineTooLong, ListRefused):
                 self.failures += 1
-                self.told(api.EndpointListReceived(api.EndpointListKind.FAILED, 0, ()))
+                self.told(policy.EndpointListReceived(policy.EndpointListKind.FAILED, 0, ()))
             span = AGAIN_FIRST if self.loop.now() - began > AGAIN_MOST else min(AGAIN_MOST, 2 * span)
             self.loop.sleep(int(span * (0.5 + self.loop.world.random.random())))
 
--- a/orchidlane/gateway/control/settings.py
+++ b/orchidlane/gateway/control/settings.py
@@ -8,9 +8,8 @@
 
 import msgspec
 
-from orchidlane import config
+from orchidlane import config, policy
 from orchidlane.config import Duration, Size
-from orchidlane.policy import interface as api
 from orchidlane.routes import Generation
 from orchidlane.runtime import Address
 
@@ -273,10 +272,10 @@
     return secret
 
 
-def module_settings(fleet: Fleet, rank: int, generation: Generation) -> api.Settings:
+def module_settings(fleet: Fleet, rank: int, generation: Generation) -> policy.Settings:
     """What the decision module of one gateway is told when it starts."""
     nodes = fleet.nodes
-    return api.Settings(
+    return policy.Settings(
         replica=rank,
         replica_count=len(fleet.gateways),
         zone=0,
@@ -296,7 +295,7 @@
         has_shared_counter=False,
         polls_endpoint_list=True,
         poll_timeout_us=10_000_000,
-        load_report_source=api.LoadReportSource.INLINE if nodes.reports else api.LoadReportSource.NONE,
+        load_report_source=policy.LoadReportSource.INLINE if nodes.reports else policy.LoadReportSource.NONE,
         load_report_names=nodes.reports,
         slow_start_initial_share=nodes.cold_from,
         slow_start_duration_us=int(nodes.warm_within),
@@ -306,9 +305,9 @@
     )
 
 
-def _module_plan(plan: Plan) -> api.Plan:
+def _module_plan(plan: Plan) -> policy.Plan:
     ceiling = plan.ceiling or Ceiling(0.0, 0.0, 0.0)
-    return api.Plan(
+    return policy.Plan(
         rate=plan.rate,
         burst=plan.burst,
         max_in_flight=plan.open,
--- a/orchidlane/gateway/forwarding/connection_pool.py
+++ b/orchidlane/gateway/forwarding/connection_pool.py
@@ -16,14 +16,13 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from orchidlane import http1
+from orchidlane import http1, policy
 from orchidlane.gateway.forwarding.connection_reuse import Reuse
 from orchidlane.gateway.forwarding.last_check import CLIENT_LEFT, Leaving, why_not
 from orchidlane.gateway.forwarding.pending_request import Answer, Exchange, Pieces
 from orchidlane.gateway.forwarding.protocol_adapter import Nodes, Terms
 from orchidlane.http1 import Data, End, Response
-from orchidlane.policy import interface as api
-from orchidlane.policy.interface import Idempotency, Outcome
+from orchidlane.policy import Idempotency, Outcome
 from orchidlane.runtime import (
     BACKGROUND,
     Address,
@@ -199,7 +198,7 @@
         self.pool = Pool(loop, terms, scope)
         scope.spawn(self.pool.sweep, kind=BACKGROUND, name="sweep")
 
-    def begin(self, exchange: Exchange, number: int, action: api.SendAttempt) -> None:
+    def begin(self, exchange: Exchange, number: int, action: policy.SendAttempt) -> None:
         """Start an attempt, in a task of its own."""
         run = AttemptRun(self, exchange, number, action)
         self.host.runs[exchange.number, number] = run
@@ -209,7 +208,9 @@
 class AttemptRun:
     """One attempt from its decision to its outcome."""
 
-    def __init__(self, upstream: Upstream, exchange: Exchange, number: int, action: api.SendAttempt) -> None:
+    def __init__(
+        self, upstream: Upstream, exchange: Exchange, number: int, action: policy.SendAttempt
+    ) -> None:
         self.up = upstream
         self.loop = upstream.loop
         self.exchange = exchange
--- a/orchidlane/gateway/forwarding/last_check.py
+++ b/orchidlane/gateway/forwarding/last_check.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from orchidlane.policy import interface as types
+from orchidlane import policy
 
 MARGIN = 30_000  # microseconds before a keyed window ends: for the way to the node
 CLIENT_LEFT = "client"
@@ -25,7 +25,7 @@
 
     phase: str
     give_up_at: int
-    effect: types.Idempotency
+    effect: policy.Idempotency
     window: int
     first_left: int | None
     client_left: bool
@@ -39,9 +39,9 @@
         return "deadline"
     if leaving.phase != "ready":
         return leaving.phase
-    if leaving.first_left is None or leaving.effect is types.Idempotency.IDEMPOTENT:
+    if leaving.first_left is None or leaving.effect is policy.Idempotency.IDEMPOTENT:
         return None
-    if leaving.effect is types.Idempotency.NOT_IDEMPOTENT:
+    if leaving.effect is policy.Idempotency.NOT_IDEMPOTENT:
         return "unsafe"
     if now >= leaving.first_left + leaving.window - MARGIN:
         return "window"
--- a/orchidlane/gateway/forwarding/openapi_adapter.py
+++ b/orchidlane/gateway/forwarding/openapi_adapter.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 from urllib.parse import unquote_to_bytes
 
-from orchidlane import http1
+from orchidlane import http1, policy
 from orchidlane.gateway.control.customers import Customer
 from orchidlane.gateway.control.endpoint_list import ListTracker
 from orchidlane.gateway.control.settings import Fleet, address
@@ -15,8 +15,7 @@
 from orchidlane.gateway.forwarding.protocol_adapter import Call
 from orchidlane.gateway.server.error_responses import HARMLESS, failed, problem, refused
 from orchidlane.http1 import Request, Response
-from orchidlane.policy import interface as api
-from orchidlane.policy.interface import Outcome
+from orchidlane.policy import Outcome
 from orchidlane.routes import Match, Miss, Operation
 from orchidlane.routes.generation import give_up_after
 from orchidlane.runtime import Address
@@ -84,7 +83,7 @@
             detail = f"The subscriber's set of gateways is on the move. {HARMLESS}"
             return problem(503, detail, ((b"retry-after", b"1"),))
         cls = generation.classes[operation.kind]
-        if cls.idempotency is api.Idempotency.IDEMPOTENT_WITH_KEY and not _has_key(head, match):
+        if cls.idempotency is policy.Idempotency.IDEMPOTENT_WITH_KEY and not _has_key(head, match):
             return problem(400, "This operation needs an idempotency key.")
         patience = give_up_after(operation, head.headers, cls.deadline_us)
         if patience is None:
@@ -110,7 +109,7 @@
         """A problem."""
         return problem(status, detail)
 
-    def refused(self, action: api.RejectRequest) -> Answer:
+    def refused(self, action: policy.RejectRequest) -> Answer:
         """429 beyond a quota, else 503."""
         return refused(action)
 
--- a/orchidlane/gateway/forwarding/pending_request.py
+++ b/orchidlane/gateway/forwarding/pending_request.py
@@ -6,9 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from orchidlane import http1
+from orchidlane import http1, policy
 from orchidlane.gateway.forwarding.protocol_adapter import Call
-from orchidlane.policy import interface as api
 from orchidlane.runtime import Loop, Task
 
 HINTS_MOST = 8  # interim answers that wait for a client at a time
@@ -188,6 +187,6 @@
             self.body.loop.wake(self.task)
 
     @property
-    def cls(self) -> api.RequestClass:
+    def cls(self) -> policy.RequestClass:
         """Its class."""
         return self.call.cls
--- a/orchidlane/gateway/forwarding/policy_driver.py
+++ b/orchidlane/gateway/forwarding/policy_driver.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
+from orchidlane import policy
 from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
 from orchidlane.gateway.forwarding.protocol_adapter import Clients, Payer
 from orchidlane.gateway.telemetry.counters import Counts
-from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import Loop
 
@@ -34,11 +34,11 @@
     def __init__(
         self,
         loop: Loop,
-        settings: api.Settings,
+        settings: policy.Settings,
         rules: Gateway,
         metrics: Counts,
         clients: Clients,
-        begin: Callable[[Exchange, int, api.SendAttempt], None],
+        begin: Callable[[Exchange, int, policy.SendAttempt], None],
         tell: Callable[[int, bytes], None],
     ) -> None:
         self.loop = loop
@@ -67,7 +67,7 @@
         """Host a module that another process of this gateway hosted, and number requests on from there."""
         self.rules, self.numbers = rules, number
 
-    def feed(self, event: api.Event) -> None:
+    def feed(self, event: policy.Event) -> None:
         """Tell the module one event and carry out its answer."""
         assert not self._feeding, "an action fed an event"
         self._feeding = True
@@ -81,7 +81,7 @@
             if self.contain is None:
                 raise
             self.contain("module", wrong)
-            if isinstance(event, api.RequestArrived):
+            if isinstance(event, policy.RequestArrived):
                 self._answer(event.request, self.clients.failed())
         finally:
             self._feeding = False
@@ -96,7 +96,7 @@
         if self.lent is not None:
             return self.lent.take(customer, units, kind)
         number = self.next_number()
-        taken = api.QuotaRequested(
+        taken = policy.QuotaRequested(
             number, customer.number, customer.plan, kind, units, customer.set_first, customer.set_size
         )
         self._granted, self._taking = None, customer.number
@@ -111,7 +111,7 @@
         call = exchange.call
         self.exchanges[exchange.number] = exchange
         self.feed(
-            api.RequestArrived(
+            policy.RequestArrived(
                 request=exchange.number,
                 customer=call.customer,
                 plan=call.plan,
@@ -129,7 +129,7 @@
         exchange: Exchange,
         attempt: int,
         server: bytes,
-        outcome: api.Outcome,
+        outcome: policy.Outcome,
         took: int,
         report: tuple[float, ...] = (),
         answer: Answer | None = None,
@@ -140,20 +140,22 @@
         if answer is not None:
             self._finish(exchange, answer)
         answered = exchange.answer is not None or exchange.gone
-        self.feed(api.AttemptEnded(exchange.number, attempt, server, outcome, took, answered, 0, 0.0, report))
+        self.feed(
+            policy.AttemptEnded(exchange.number, attempt, server, outcome, took, answered, 0, 0.0, report)
+        )
 
     def client_gone(self, exchange: Exchange) -> None:
         """The client left before its answer."""
         if exchange.answer is None and not exchange.gone:
             exchange.gone = True
             self._over(exchange)
-            self.feed(api.ClientDisconnected(exchange.number))
+            self.feed(policy.ClientDisconnected(exchange.number))
 
     def overdue(self, exchange: Exchange) -> None:
         """A request's time is up and no answer came: guards against anything that held it up."""
         if exchange.answer is None and not exchange.gone:
             self._finish(exchange, self.clients.failed())
-            self.feed(api.ClientDisconnected(exchange.number))
+            self.feed(policy.ClientDisconnected(exchange.number))
 
     def _finish(self, exchange: Exchange, answer: Answer) -> None:
         """The one place where a request gets its final answer."""
@@ -168,33 +170,33 @@
 
     # -- actions
 
-    def _carry_out(self, actions: list[api.Action]) -> None:
+    def _carry_out(self, actions: list[policy.Action]) -> None:
         for action in actions:
             match action:
-                case api.SendAttempt():
+                case policy.SendAttempt():
                     self._send(action)
-                case api.SetTimer():
+                case policy.SetTimer():
                     self.loop.call_at(self.loop.now() + action.delay_us, self._fired, action.token)
-                case api.SendPeerMessage():
+                case policy.SendPeerMessage():
                     if self.lent is None:  # peers see one gateway
                         self.tell(action.peer, action.body)
-                case api.GrantQuota():
+                case policy.GrantQuota():
                     self._granted = True
                     if self.spent is not None:
                         self.spent(self._taking)
-                case api.RejectRequest():
+                case policy.RejectRequest():
                     self._granted = False
                     self._answer(action.request, self.clients.refused(action))
-                case api.FailRequest():
+                case policy.FailRequest():
                     self._answer(action.request, self.clients.failed())
-                case api.CancelAttempt():
+                case policy.CancelAttempt():
                     self._cancel(action)
-                case api.WatchEndpoints() | api.FetchEndpoints():
+                case policy.WatchEndpoints() | policy.FetchEndpoints():
                     pass  # the list is watched from the start
-                case api.CheckHealth():
+                case policy.CheckHealth():
                     raise AssertionError("the module was told that it may not probe")
 
-    def _send(self, action: api.SendAttempt) -> None:
+    def _send(self, action: policy.SendAttempt) -> None:
         exchange = self.exchanges[action.request]
         if self.spent is not None and not exchange.sends:
             self.spent(exchange.call.customer)
@@ -204,14 +206,14 @@
         self.loop.wake(exchange.task)  # a client that waits for 100 Continue may go on
 
     def _fired(self, token: int) -> None:
-        self.feed(api.TimerFired(token))
+        self.feed(policy.TimerFired(token))
 
     def _answer(self, request: int, answer: Answer) -> None:
         exchange = self.exchanges.get(request)
         if exchange is not None:
             self._finish(exchange, answer)
 
-    def _cancel(self, action: api.CancelAttempt) -> None:
+    def _cancel(self, action: policy.CancelAttempt) -> None:
         """The request has ended, and its exchange with it, but its attempts are still known by their runs."""
         run = self.runs.get((action.request, action.attempt))
         if run is not None:
--- a/orchidlane/gateway/forwarding/protocol_adapter.py
+++ b/orchidlane/gateway/forwarding/protocol_adapter.py
@@ -10,8 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from orchidlane import http1
-from orchidlane.policy import interface as api
+from orchidlane import http1, policy
 from orchidlane.runtime import Address
 
 if TYPE_CHECKING:
@@ -23,7 +22,7 @@
     """What a request's head means, in the module's numbers; ``patience`` in microseconds from its begin."""
 
     kind: int
-    cls: api.RequestClass
+    cls: policy.RequestClass
     customer: int
     plan: int
     units: float
@@ -186,7 +185,7 @@
     def wrong(self, status: int, detail: str) -> Answer:
         """What came in can't be used."""
 
-    def refused(self, action: api.RejectRequest) -> Answer:
+    def refused(self, action: policy.RejectRequest) -> Answer:
         """The module refuses: trying again is harmless."""
 
     def failed(self) -> Answer:
@@ -204,7 +203,7 @@
 
     passes_hints: bool  # interim answers go to the client
     passes_streams: bool  # an answer too large to hold, or without a length, is passed on piece by piece
-    cut_short: api.Outcome  # when the connection breaks before a request's last byte is written
+    cut_short: policy.Outcome  # when the connection breaks before a request's last byte is written
 
     def address(self, server: bytes) -> Address | None:
         """Where a node listens by the list's latest word; None where it has none."""
@@ -215,7 +214,7 @@
     def head(self, exchange: Exchange, attempt: int, server: bytes, left: int) -> bytes:
         """An attempt's head; ``left`` microseconds until it is given up."""
 
-    def outcome(self, head: http1.Response) -> api.Outcome:
+    def outcome(self, head: http1.Response) -> policy.Outcome:
         """What a final answer's head says."""
 
     def report(self, head: http1.Response) -> tuple[float, ...]:
--- a/orchidlane/gateway/lifecycle/hot_restart.py
+++ b/orchidlane/gateway/lifecycle/hot_restart.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from orchidlane import recording
+from orchidlane import policy, recording
 from orchidlane.gateway.control.customers import Customer
 from orchidlane.gateway.control.settings import upgrade_address
 from orchidlane.gateway.forwarding.protocol_adapter import Payer
@@ -39,7 +39,6 @@
     module_at_moment,
     module_of,
 )
-from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import (
     BACKGROUND,
@@ -403,7 +402,7 @@
                 self.program.limits.hear(message.sender, message.body)
             case messages.Count():
                 counted = (message.customer, message.plan, message.first, message.size)
-                self.program.host.feed(api.CountRecovered(*counted, message.start, message.value))
+                self.program.host.feed(policy.CountRecovered(*counted, message.start, message.value))
             case messages.Opened():
                 handle = channel.stream.take_handle()
                 if handle is not None:
@@ -834,7 +833,7 @@
         settings = self.program.host.settings
         gateway = Gateway(settings, 0, self.loop.now())
         deadline = settings.classes[0].deadline_us
-        asked = api.RequestArrived(1, 1, 0, 0, 1.0, deadline, 0, 1, False)
+        asked = policy.RequestArrived(1, 1, 0, 0, 1.0, deadline, 0, 1, False)
         if not gateway.handle(self.loop.now(), asked):
             return self.feed(new_process.WasUnfit("its module makes nothing of a request"))
         self.feed(new_process.WasFit())
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -8,6 +8,7 @@
 
 import structlog
 
+from orchidlane import policy
 from orchidlane.gateway.control.configuration import Knowledge, make_knowledge, read_sources
 from orchidlane.gateway.control.endpoint_list import ListTracker
 from orchidlane.gateway.control.endpoint_watch import Watch
@@ -28,7 +29,6 @@
 from orchidlane.gateway.telemetry.metrics import Metrics
 from orchidlane.gateway.telemetry.traffic_recorder import Recorder
 from orchidlane.hot_restart import messages, new_process, old_process
-from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording import track
 from orchidlane.routes import DescriptionError
@@ -336,7 +336,7 @@
 
     # -- node list and peers
 
-    def _listed(self, listed: api.EndpointListReceived) -> None:
+    def _listed(self, listed: policy.EndpointListReceived) -> None:
         self.host.feed(listed)
 
     def tell_limits(self, rank: int, body: bytes) -> None:
@@ -369,7 +369,7 @@
                 self.metrics.heard += 1
                 kind, sender, body = taken
                 if kind == MODULE:
-                    self.host.feed(api.PeerMessageReceived(sender, body))
+                    self.host.feed(policy.PeerMessageReceived(sender, body))
                 elif kind == CHANGE and self.versions is not None:
                     self.versions.hear(sender, body)
                 else:
--- a/orchidlane/gateway/rollout_agent/agent.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -22,7 +22,7 @@
 from orchidlane.gateway.rollout_agent.answer_tally import Book
 from orchidlane.gateway.rollout_agent.storage import Damaged, Files, RunningFile, VoterFile
 from orchidlane.hot_restart.rolling_batches import Limits
-from orchidlane.policy.interface import ReplicaSetChanged
+from orchidlane.policy import ReplicaSetChanged
 from orchidlane.rollout import consensus, dissemination, messages, replicated_state
 from orchidlane.rollout import leader as conduct
 from orchidlane.rollout.bootstrap import found, own_waiting
--- a/orchidlane/gateway/server/error_responses.py
+++ b/orchidlane/gateway/server/error_responses.py
@@ -5,8 +5,8 @@
 import json
 from http import HTTPStatus
 
+from orchidlane import policy
 from orchidlane.gateway.forwarding.pending_request import Answer
-from orchidlane.policy import interface as api
 
 TYPE = (b"content-type", b"application/problem+json")
 HARMLESS = "Not served; nothing was done, so trying again is harmless."
@@ -20,7 +20,7 @@
     return Answer(status, [TYPE, *headers], body, kind="refused")
 
 
-def refused(action: api.RejectRequest) -> Answer:
+def refused(action: policy.RejectRequest) -> Answer:
     """Not served, and a repeat is harmless: 429 beyond a quota, else 503 (RFC 6585, RFC 9110)."""
     wait = max(1, -(-action.retry_after_us // 1_000_000))
     headers = ((b"retry-after", b"%d" % wait),)
--- a/orchidlane/gateway/telemetry/counters.py
+++ b/orchidlane/gateway/telemetry/counters.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 
 BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)  # seconds
 LIMITS = [int(bound * 1_000_000) for bound in BUCKETS]
@@ -31,6 +31,6 @@
         self.buckets[bisect_left(LIMITS, span)] += 1
         self.spent += span
 
-    def outcome(self, outcome: api.Outcome) -> None:
+    def outcome(self, outcome: policy.Outcome) -> None:
         """One attempt ended."""
         self.outcomes[outcome._value_] += 1  # hashing the member itself is slow
--- a/orchidlane/gateway/telemetry/metrics.py
+++ b/orchidlane/gateway/telemetry/metrics.py
@@ -9,8 +9,8 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily
 from prometheus_client.registry import Collector
 
+from orchidlane import policy
 from orchidlane.gateway.telemetry.counters import BUCKETS, Counts
-from orchidlane.policy import interface as api
 
 
 class Metrics(Counts, Collector):
@@ -31,7 +31,7 @@
         for (kind, class_name), count in list(self.answers.items()):
             answers.add_metric([kind, class_name], count)
         attempts = CounterMetricFamily("orchidlane_attempts", "Attempts by outcome", labels=["outcome"])
-        for outcome in api.Outcome:
+        for outcome in policy.Outcome:
             attempts.add_metric([outcome.value.replace(" ", "_")], self.outcomes[outcome.value])
         datagrams = CounterMetricFamily("orchidlane_datagrams", "Datagrams", labels=["way"])
         datagrams.add_metric(["told"], self.told)
--- a/orchidlane/gateway/telemetry/policy_views.py
+++ b/orchidlane/gateway/telemetry/policy_views.py
@@ -12,8 +12,7 @@
 
 import msgspec
 
-from orchidlane import recording
-from orchidlane.policy import interface as api
+from orchidlane import policy, recording
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.state import Account
 
@@ -158,7 +157,7 @@
     return dict(found)
 
 
-def _count(counts: PlanCounts, account: Account, plan: api.Plan, most: int) -> None:
+def _count(counts: PlanCounts, account: Account, plan: policy.Plan, most: int) -> None:
     counts.customers += 1
     counts.spent += account.total
     counts.room += account.room
@@ -199,7 +198,7 @@
     gateway = _copy(view)
     actions = _ask(gateway, view, kind, units)
     account = gateway.accounts[view.customer[0]]
-    refused = next((one for one in actions if isinstance(one, api.RejectRequest)), None)
+    refused = next((one for one in actions if isinstance(one, policy.RejectRequest)), None)
     sent = _sends(actions)
     spent = units if sent else 0.0
     why = "within the quota"
@@ -216,16 +215,16 @@
     )
 
 
-def _ask(gateway: Gateway, view: View, kind: int, units: float) -> list[api.Action]:
+def _ask(gateway: Gateway, view: View, kind: int, units: float) -> list[policy.Action]:
     assert view.customer is not None
     number, plan, first, size = view.customer
     deadline = gateway.s.classes[kind].deadline_us
-    arrived = api.RequestArrived(NUMBER, number, plan, kind, units, deadline, first, size, False)
+    arrived = policy.RequestArrived(NUMBER, number, plan, kind, units, deadline, first, size, False)
     return gateway.handle(view.now, arrived)
 
 
-def _sends(actions: list[api.Action]) -> bool:
-    return any(isinstance(one, api.SendAttempt) for one in actions)
+def _sends(actions: list[policy.Action]) -> bool:
+    return any(isinstance(one, policy.SendAttempt) for one in actions)
 
 
 def _cause(view: View, kind: int, units: float) -> str:
@@ -241,7 +240,7 @@
         plans = list(gateway.s.plans)
         plans[plan] = replace(plans[plan], **without)
         gateway.s = replace(gateway.s, plans=tuple(plans))
-        refused = [one for one in _ask(gateway, view, kind, units) if isinstance(one, api.RejectRequest)]
+        refused = [one for one in _ask(gateway, view, kind, units) if isinstance(one, policy.RejectRequest)]
         if not any(one.over_quota for one in refused):
             found.append(name)
     return " or ".join(found) or "more than one limit at once"
@@ -255,10 +254,10 @@
         plan = next((i for i, one in enumerate(gateway.s.plans) if not one.rate), 0)
         gateway.random.seed(seed)
         cls = gateway.s.classes[kind]
-        arrived = api.RequestArrived(
+        arrived = policy.RequestArrived(
             (1 << 32) - 1, (1 << 33) - 1, plan, kind, 1e-6, cls.deadline_us, 0, 1, False
         )
         for action in gateway.handle(view.now, arrived):
-            if isinstance(action, api.SendAttempt):
+            if isinstance(action, policy.SendAttempt):
                 found[action.endpoint] += 1
     return dict(found)
--- a/orchidlane/gateway/telemetry/traffic_recorder.py
+++ b/orchidlane/gateway/telemetry/traffic_recorder.py
@@ -10,10 +10,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from orchidlane import recording
+from orchidlane import policy, recording
 from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.gateway.telemetry.admin_api import Names, StateFrames
-from orchidlane.policy import interface as api
 from orchidlane.recording.segments import SUFFIX, pack_answer
 from orchidlane.runtime import Loop
 
@@ -53,7 +52,7 @@
         self._state: StateFrames  # that the segment began with
         self._rotate()
 
-    def event(self, now: int, event: api.Event, actions: list[api.Action]) -> None:
+    def event(self, now: int, event: policy.Event, actions: list[policy.Action]) -> None:
         """One event with the module's actions."""
         if not self.failed:
             self._buffer += recording.pack_entry(now, event, actions)
--- a/orchidlane/hot_restart/tables.py
+++ b/orchidlane/hot_restart/tables.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
+from orchidlane import policy
 from orchidlane.limits import Holder, Ledger
-from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.state import Account
 from orchidlane.recording import Accounts, Dump, dump, load_account, restore, track
@@ -107,7 +107,7 @@
 
 
 def module_of(
-    settings: api.Settings, told: Dump, accounts: dict[int, Account], kinds: list[int | None]
+    settings: policy.Settings, told: Dump, accounts: dict[int, Account], kinds: list[int | None]
 ) -> Gateway:
     """A successor's module. ``kinds``: for each of its classes the old number of it, None for a new one.
 
--- a/orchidlane/platform/configuration.py
+++ b/orchidlane/platform/configuration.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
+from orchidlane import policy
 from orchidlane.platform.discovery import ListLine
-from orchidlane.policy import interface as api
 from orchidlane.runtime import Address
 from orchidlane.runtime.backend import parse_address
 from orchidlane.simulator_protocol import codec
@@ -83,7 +83,7 @@
     peer_listen: Address | None
     peers: tuple[Address, ...]
     known: ListLine | None
-    settings: api.Settings
+    settings: policy.Settings
     names: Names
 
 
--- a/orchidlane/platform/discovery.py
+++ b/orchidlane/platform/discovery.py
@@ -16,24 +16,23 @@
 
 import msgspec
 
-from orchidlane import http1
+from orchidlane import http1, policy
 from orchidlane.gateway.control.endpoint_list import ListRefused
 from orchidlane.gateway.control.json_stream import LineTooLong, whole_objects
 from orchidlane.http1 import Malformed
 from orchidlane.platform.polling import SILENCE, Asking
-from orchidlane.policy import interface as api
 from orchidlane.runtime import CONTROL, Address, Expired, Loop, LoopError, Scope, Task
 from orchidlane.runtime.backend import parse_address, show
 
 PHASES = {
-    "active": api.EndpointState.READY,
-    "leaving": api.EndpointState.DRAINING,
-    "left": api.EndpointState.GONE,
+    "active": policy.EndpointState.READY,
+    "leaving": policy.EndpointState.DRAINING,
+    "left": policy.EndpointState.GONE,
 }
 GUARD = {
-    api.EndpointState.READY: "ready",
-    api.EndpointState.DRAINING: "draining",
-    api.EndpointState.GONE: "gone",
+    policy.EndpointState.READY: "ready",
+    policy.EndpointState.DRAINING: "draining",
+    policy.EndpointState.GONE: "gone",
 }  # see ``guards``
 LINE_MOST = 4 << 20  # bytes of one line
 NODES_MOST = 10_000
@@ -61,7 +60,7 @@
     instances: tuple[Instance, ...]
 
 
-News = list[tuple[api.EndpointEntry, Address | None]]  # of each instance, and where it listens
+News = list[tuple[policy.EndpointEntry, Address | None]]  # of each instance, and where it listens
 
 
 @dataclass
@@ -70,7 +69,7 @@
 
     zones: tuple[str, ...]
     generation: int = -1
-    nodes: dict[bytes, api.EndpointEntry] = field(default_factory=dict)
+    nodes: dict[bytes, policy.EndpointEntry] = field(default_factory=dict)
     places: dict[bytes, Address] = field(default_factory=dict)
     behind: int = -1  # the newest generation known, while a list that began anew is older
     left: dict[bytes, int] = field(default_factory=dict)  # nodes that left lately, when they had started
@@ -79,15 +78,15 @@
     def __post_init__(self) -> None:
         self._numbers = {zone: number for number, zone in enumerate(self.zones)}
 
-    def take(self, text: bytes) -> api.EndpointListReceived | None:
+    def take(self, text: bytes) -> policy.EndpointListReceived | None:
         """What a line tells the module, None where it is passed over. Raises ListRefused."""
         try:
             line = msgspec.json.decode(text, type=ListLine)
         except (msgspec.DecodeError, UnicodeDecodeError) as wrong:
             raise ListRefused(f"not a line of a list: {wrong}") from None
-        return self.apply(line, api.EndpointListKind.COMPLETE)
+        return self.apply(line, policy.EndpointListKind.COMPLETE)
 
-    def apply(self, line: ListLine, snapshot: api.EndpointListKind) -> api.EndpointListReceived | None:
+    def apply(self, line: ListLine, snapshot: policy.EndpointListKind) -> policy.EndpointListReceived | None:
         """The same for a decoded line; ``snapshot`` is what a whole list counts as. Raises ListRefused."""
         news = self._checked(line)
         if not line.reset:
@@ -101,7 +100,7 @@
             self._put(entry, place)
         return _listed(snapshot, line.generation, news)
 
-    def _delta(self, line: ListLine, news: News) -> api.EndpointListReceived | None:
+    def _delta(self, line: ListLine, news: News) -> policy.EndpointListReceived | None:
         if line.generation <= self.generation:
             return None
         if line.generation <= self.behind:
@@ -110,9 +109,9 @@
         self.generation = line.generation
         for entry, place in news:
             self._put(entry, place)
-        return _listed(api.EndpointListKind.DELTA, line.generation, news)
+        return _listed(policy.EndpointListKind.DELTA, line.generation, news)
 
-    def _older(self, line: ListLine, news: News) -> api.EndpointListReceived | None:
+    def _older(self, line: ListLine, news: News) -> policy.EndpointListReceived | None:
         """What is known stays; changes go on from the older generation."""
         fresh = [(entry, place) for entry, place in news if self._counts(entry)]
         self._check_room(fresh)
@@ -120,17 +119,17 @@
         self.generation = line.generation
         for entry, place in fresh:
             self._put(entry, place)
-        return _listed(api.EndpointListKind.DELTA, self.behind, fresh) if fresh else None
+        return _listed(policy.EndpointListKind.DELTA, self.behind, fresh) if fresh else None
 
-    def _counts(self, entry: api.EndpointEntry) -> bool:
+    def _counts(self, entry: policy.EndpointEntry) -> bool:
         """Guards against old news that make a node ready: whether an older list's word on it counts."""
         known = self.nodes.get(entry.endpoint)
         if known is not None:
             newer = entry.started_at_us > known.started_at_us
             return newer or (
-                entry.state is not api.EndpointState.READY and entry.started_at_us == known.started_at_us
+                entry.state is not policy.EndpointState.READY and entry.started_at_us == known.started_at_us
             )
-        return entry.state is not api.EndpointState.GONE and entry.started_at_us > self.left.get(
+        return entry.state is not policy.EndpointState.GONE and entry.started_at_us > self.left.get(
             entry.endpoint, -1
         )
 
@@ -140,7 +139,7 @@
         if size > NODES_MOST:
             raise ListRefused(f"{size} instances, allowed: {NODES_MOST}")
 
-    def _put(self, entry: api.EndpointEntry, place: Address | None) -> None:
+    def _put(self, entry: policy.EndpointEntry, place: Address | None) -> None:
         if place is None:
             self._leave(entry.endpoint)
         else:
@@ -159,23 +158,23 @@
     def phase(self, server: bytes) -> str:
         """What the list last said of a node."""
         known = self.nodes.get(server)
-        return GUARD[known.state if known is not None else api.EndpointState.GONE]
+        return GUARD[known.state if known is not None else policy.EndpointState.GONE]
 
     def _checked(self, line: ListLine) -> News:
         if len(line.instances) > NODES_MOST:
             raise ListRefused(f"{len(line.instances)} instances, allowed: {NODES_MOST}")
         return [self._entry(instance) for instance in line.instances]
 
-    def _entry(self, instance: Instance) -> tuple[api.EndpointEntry, Address | None]:
+    def _entry(self, instance: Instance) -> tuple[policy.EndpointEntry, Address | None]:
         """What the module is told of an instance, and where it listens unless it has left."""
         phase = PHASES.get(instance.lifecycle)
         if phase is None or not instance.instance_id:
             raise ListRefused(f"an instance with the lifecycle {instance.lifecycle!r}")
         try:
-            place = parse_address(instance.host_port) if phase is not api.EndpointState.GONE else None
+            place = parse_address(instance.host_port) if phase is not policy.EndpointState.GONE else None
         except ValueError as wrong:
             raise ListRefused(f"an instance whose hostPort {wrong}") from None
-        entry = api.EndpointEntry(
+        entry = policy.EndpointEntry(
             endpoint=instance.instance_id.encode(),
             state=phase,
             zone=self._number(instance.zone or ""),
@@ -195,8 +194,8 @@
         return number
 
 
-def _listed(kind: api.EndpointListKind, generation: int, news: News) -> api.EndpointListReceived:
-    return api.EndpointListReceived(kind, max(0, generation), tuple([entry for entry, _ in news]))
+def _listed(kind: policy.EndpointListKind, generation: int, news: News) -> policy.EndpointListReceived:
+    return policy.EndpointListReceived(kind, max(0, generation), tuple([entry for entry, _ in news]))
 
 
 class Watch:
@@ -206,7 +205,7 @@
         self,
         loop: Loop,
         tracker: Tracker,
-        told: Callable[[api.EndpointListReceived], None],
+        told: Callable[[policy.EndpointListReceived], None],
         failed: Callable[[str], None],
         interval: int,
     ) -> None:
--- a/orchidlane/platform/lifecycle.py
+++ b/orchidlane/platform/lifecycle.py
@@ -15,6 +15,7 @@
 from contextlib import suppress
 from typing import Any
 
+from orchidlane import policy
 from orchidlane.gateway.forwarding.connection_pool import Upstream
 from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.gateway.server.http_server import Front
@@ -28,7 +29,6 @@
 from orchidlane.platform.resource_limits import terms_of
 from orchidlane.platform.response_outcomes import PlatformNodes
 from orchidlane.platform.shutdown import Shutdown, graceful_shutdown
-from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, Address, Expired, Loop, Scope, Task
 
@@ -149,7 +149,7 @@
     def _take_known(self) -> None:
         assert self.config.known is not None
         try:
-            listed = self.tracker.apply(self.config.known, api.EndpointListKind.CACHED)
+            listed = self.tracker.apply(self.config.known, policy.EndpointListKind.CACHED)
         except ListRefused as wrong:
             self.log.say(f"the known list can't be used: {wrong}")
             return
@@ -199,14 +199,14 @@
             self.loop.cancel(self._watching.pop(0))
         self._following = at
 
-    def _listed(self, listed: api.EndpointListReceived) -> None:
+    def _listed(self, listed: policy.EndpointListReceived) -> None:
         if not self._heard:
             self._heard = True
             if self._main is not None:
                 self.loop.wake(self._main)
         self.host.feed(listed)
         for entry in listed.entries:
-            if entry.state is api.EndpointState.GONE:
+            if entry.state is policy.EndpointState.GONE:
                 self.pool.forget(entry.endpoint)
 
     # -- the others
@@ -221,7 +221,7 @@
             body, sender = self._datagrams.recv()
             rank = self.ranks.get(sender)
             if rank is not None and rank != self.config.settings.replica and len(body) <= DATAGRAM_MOST:
-                self.host.feed(api.PeerMessageReceived(rank, body))
+                self.host.feed(policy.PeerMessageReceived(rank, body))
 
     # -- signals
 
--- a/orchidlane/platform/protocol_adapter.py
+++ b/orchidlane/platform/protocol_adapter.py
@@ -5,11 +5,11 @@
 from collections import Counter
 from collections.abc import Callable
 
+from orchidlane import policy
 from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
 from orchidlane.gateway.forwarding.protocol_adapter import Call
 from orchidlane.http1 import Request
 from orchidlane.platform.request_parsing import PlatformCall, Reader, Wrong
-from orchidlane.policy import interface as api
 
 READY = b"/up"
 BEYOND, BUSY, FAILED = 429, 503, 500
@@ -48,7 +48,7 @@
         self.told["of no use"] += 1
         return Answer(status, [], detail.encode(), kind="refused")
 
-    def refused(self, action: api.RejectRequest) -> Answer:
+    def refused(self, action: policy.RejectRequest) -> Answer:
         """429 beyond a quota, else 503; with the module's advice when to come back."""
         headers = []
         self.told["beyond quota" if action.over_quota else "no capacity"] += 1
--- a/orchidlane/platform/request_parsing.py
+++ b/orchidlane/platform/request_parsing.py
@@ -9,11 +9,11 @@
 import re
 from dataclasses import dataclass
 
+from orchidlane import policy
 from orchidlane.gateway.forwarding.protocol_adapter import Call
 from orchidlane.http1 import Request
 from orchidlane.platform.configuration import Names
-from orchidlane.policy import interface as api
-from orchidlane.policy.interface import Idempotency
+from orchidlane.policy import Idempotency
 
 ID = re.compile(rb"[0-9A-Za-z_.\-]{1,64}")
 KEY = re.compile(rb"[\x21-\x7e]{1,128}")
@@ -50,7 +50,7 @@
 class Reader:
     """Reads heads by one gateway's settings."""
 
-    def __init__(self, settings: api.Settings, names: Names) -> None:
+    def __init__(self, settings: policy.Settings, names: Names) -> None:
         self.settings = settings
         self.units_most = names.family_info.units_top
         pairs = zip(names.classes, settings.classes, strict=True)
@@ -89,7 +89,7 @@
             key=key,
         )
 
-    def _class(self, method: str, path: bytes) -> tuple[int, api.RequestClass]:
+    def _class(self, method: str, path: bytes) -> tuple[int, policy.RequestClass]:
         found = self.kinds.get(path[1:].partition(b"/")[0]) if path.startswith(b"/") else None
         if found is None:
             raise Wrong(404, "no such class")
--- a/orchidlane/platform/response_outcomes.py
+++ b/orchidlane/platform/response_outcomes.py
@@ -7,7 +7,7 @@
 from orchidlane.http1 import Response
 from orchidlane.platform.discovery import Tracker
 from orchidlane.platform.request_parsing import PlatformCall
-from orchidlane.policy.interface import Outcome
+from orchidlane.policy import Outcome
 from orchidlane.runtime import Address
 from orchidlane.runtime.backend import show
 
--- a/orchidlane/policy/interface.py
+++ b/orchidlane/policy/events.py
@@ -1,7 +1,7 @@
-"""What a gateway is told (settings, events) and what it answers (actions).
+"""Events: what the policy is notified of, as frozen records. Nothing here decides anything.
 
-Times are integers in microseconds of the caller's clock. Servers are opaque, sortable bytes; requests and
-customers are integers. Nothing here decides anything: the decisions are in ``policy/gateway.py``.
+Times are integers in microseconds of the caller's clock. Endpoints are opaque, sortable bytes; requests and
+customers are integers.
 """
 
 from __future__ import annotations
@@ -13,22 +13,6 @@
 EndpointId = bytes
 
 
-class Idempotency(enum.Enum):
-    """What a repeat of a request does."""
-
-    IDEMPOTENT = "safe"
-    IDEMPOTENT_WITH_KEY = "keyed"
-    NOT_IDEMPOTENT = "unsafe"
-
-
-class DeduplicationScope(enum.Enum):
-    """Which servers together drop the repeats of a keyed request."""
-
-    ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
-
-
 class Outcome(enum.Enum):
     """How an attempt ended, or how a probe or a counter call went."""
 
@@ -59,74 +43,6 @@
     FAILED = 3
 
 
-class LoadReportSource(enum.Enum):
-    """Where load reports come from."""
-
-    INLINE = "inline"
-    ON_HEALTH_CHECK = "on probe"
-    NONE = "none"
-
-
-@dataclass(frozen=True, slots=True)
-class RequestClass:
-    """One class of requests."""
-
-    latency_objective_us: int
-    deadline_us: int
-    priority_weight: float
-    late_priority_weight: float
-    idempotency: Idempotency
-    deduplication_scope: DeduplicationScope
-    deduplication_window_us: int
-
-
-@dataclass(frozen=True, slots=True)
-class Plan:
-    """One plan; zero rate, open or ceiling_rate means no such limit."""
-
-    rate: float
-    burst: float
-    max_in_flight: int
-    price: float
-    over_quota_credit: float
-    over_quota_charge: float
-    ceiling_rate: float
-    ceiling_burst: float
-    ceiling_slack: float
-
-
-@dataclass(frozen=True, slots=True)
-class Settings:
-    """All that a gateway is told when it starts."""
-
-    replica: int
-    replica_count: int
-    zone: int
-    classes: tuple[RequestClass, ...]
-    plans: tuple[Plan, ...]
-    may_gossip: bool
-    may_check_health: bool
-    may_cancel: bool
-    may_hedge: bool
-    max_attempts: int
-    max_retry_after_us: int
-    peer_messages_per_second: float
-    peer_charge: float
-    health_check_charge: float
-    waste_charge: float
-    cross_zone_charge: float
-    has_shared_counter: bool
-    polls_endpoint_list: bool
-    poll_timeout_us: int
-    load_report_source: LoadReportSource
-    load_report_names: tuple[str, ...]
-    slow_start_initial_share: float
-    slow_start_duration_us: int
-    overload_multiple: float
-    overload_duration_us: int
-    drain_grace_us: int
-
-
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
     """One line of a server list; launched 0 means long ago."""
@@ -303,90 +219,3 @@
     | CountRecovered
     | ReplicaSetChanged
 )
-
-
-@dataclass(frozen=True, slots=True)
-class SendAttempt:
-    """Begin an attempt; give_up_at 0 leaves it to the client's patience."""
-
-    request: int
-    endpoint: EndpointId
-    timeout_at_us: int
-
-
-@dataclass(frozen=True, slots=True)
-class CancelAttempt:
-    """Stop waiting for an attempt."""
-
-    request: int
-    attempt: int
-
-
-@dataclass(frozen=True, slots=True)
-class GrantQuota:
-    """A take's units are counted: whoever asked may pass them on."""
-
-    request: int
-
-
-@dataclass(frozen=True, slots=True)
-class RejectRequest:
-    """Final answer: not served, and trying again is harmless; beyond_quota tells why."""
-
-    request: int
-    retry_after_us: int
-    over_quota: bool = False
-
-
-@dataclass(frozen=True, slots=True)
-class FailRequest:
-    """Final answer: not served, nothing promised."""
-
-    request: int
-
-
-@dataclass(frozen=True, slots=True)
-class SetTimer:
-    """Ask for a TimerFired after a span."""
-
-    delay_us: int
-    token: int
-
-
-@dataclass(frozen=True, slots=True)
-class SendPeerMessage:
-    """Send bytes to one peer."""
-
-    peer: int
-    body: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class CheckHealth:
-    """Ask a server for its state."""
-
-    endpoint: EndpointId
-
-
-@dataclass(frozen=True, slots=True)
-class WatchEndpoints:
-    """Subscribe to discovery."""
-
-
-@dataclass(frozen=True, slots=True)
-class FetchEndpoints:
-    """Ask discovery for the whole list once."""
-
-
-Action = (
-    SendAttempt
-    | CancelAttempt
-    | GrantQuota
-    | RejectRequest
-    | FailRequest
-    | SetTimer
-    | SendPeerMessage
-    | CheckHealth
-    | WatchEndpoints
-    | FetchEndpoints
-)
--- a/orchidlane/policy/gateway.py
+++ b/orchidlane/policy/gateway.py
@@ -1,4 +1,4 @@
-"""All decisions of a gateway; its types, events and actions are in ``orchidlane/policy/interface.py``.
+"""All decisions of a gateway; its types, events and actions are in ``orchidlane/policy/``.
 
 A request's life: arrived -> admitted by its customer's counts -> sent to the server that should answer
 soonest -> outcome -> perhaps another attempt -> exactly one final answer. Every send passes ``_send``, every
@@ -12,14 +12,33 @@
 from itertools import islice
 
 from orchidlane.policy import gossip_codec
-from orchidlane.policy import interface as api
-from orchidlane.policy.interface import (
-    DeduplicationScope,
+from orchidlane.policy.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    GrantQuota,
+    RejectRequest,
+    SendAttempt,
+    SendPeerMessage,
+    SetTimer,
+    WatchEndpoints,
+)
+from orchidlane.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CountRecovered,
     EndpointListKind,
+    EndpointListReceived,
     EndpointState,
-    Idempotency,
+    Event,
     Outcome,
+    PeerMessageReceived,
+    QuotaRequested,
+    ReplicaSetChanged,
+    RequestArrived,
+    TimerFired,
 )
+from orchidlane.policy.settings import DeduplicationScope, Idempotency, Settings
 from orchidlane.policy.state import Account, Attempt, Host, Memory, Request
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
@@ -64,7 +83,7 @@
 class Gateway(Memory):
     """One gateway's decisions: feed events with the clock, carry out the actions."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: int) -> None:
+    def __init__(self, settings: Settings, seed: int, now: int) -> None:
         super().__init__()
         self.s, self.random, self.now, self.filled = settings, random.Random(seed), now, now
         self.born = now  # from then on, rights fill up for customers that were not met yet, too
@@ -73,11 +92,11 @@
         self.budget, self.unheard, self.last_sent = REPEAT_MOST, 0.0, now
         self.allowance = self.per_second = INTAKE_SHARE * settings.peer_messages_per_second
 
-    def start(self) -> list[api.Action]:
+    def start(self) -> list[Action]:
         """The first actions, once the gateway is up."""
-        return [api.SetTimer(INTERVAL, TURN)] + [api.WatchEndpoints()] * self.s.polls_endpoint_list
+        return [SetTimer(INTERVAL, TURN)] + [WatchEndpoints()] * self.s.polls_endpoint_list
 
-    def handle(self, now: int, event: api.Event) -> list[api.Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
         """What to do about one event: each goes to the method of its topic."""
         self.now, self.actions = now, []
         if method := getattr(self, f"_{event.topic}", None):  # streams, probes, counter: nothing to do
@@ -86,7 +105,7 @@
 
     # -- a request arrives, is admitted, and is sent ------------------------------------------------------
 
-    def _request_arrived(self, event: api.RequestArrived) -> None:
+    def _request_arrived(self, event: RequestArrived) -> None:
         request = Request(
             event, self.s.classes[event.request_class], self.now + event.time_left_us, self.random.random()
         )
@@ -95,14 +114,14 @@
         self._advance(request)
         self._drop_idle()
 
-    def _take_arrived(self, event: api.QuotaRequested) -> None:
+    def _take_arrived(self, event: QuotaRequested) -> None:
         """A take passes the ordinary path of a first send, up to the server."""
         request = Request(event, self.s.classes[event.request_class], self.now)
         if self._admits(request):
             self._spend(request.account, event.units)
-            self.actions.append(api.GrantQuota(event.request))
+            self.actions.append(GrantQuota(event.request))
         else:
-            self.actions.append(api.RejectRequest(event.request, 0, over_quota=True))
+            self.actions.append(RejectRequest(event.request, 0, over_quota=True))
         self._drop_idle()
 
     def _advance(self, request: Request) -> None:
@@ -116,7 +135,7 @@
         host = self._choose(request)
         if host is None:
             span = min(HOLD, last_call - self.now)
-            return self.actions.append(api.SetTimer(span, request.event.request + 1))
+            return self.actions.append(SetTimer(span, request.event.request + 1))
         late = first and self._expected(host, request.event.request_class) > self._patience(request)
         if late and self.now - self.last_sent < FORGET:
             return self._end(request)  # else one is let in: only an attempt can show that a jam is over
@@ -208,11 +227,11 @@
         self.last_sent = self.now
         self.begin(request, Attempt(host, self.now, host.out + BASE))
         request.lot = self.random.random()
-        self.actions.append(api.SendAttempt(request.event.request, host.entry.endpoint, request.until))
+        self.actions.append(SendAttempt(request.event.request, host.entry.endpoint, request.until))
 
     # -- what becomes of it -------------------------------------------------------------------------------
 
-    def _attempt_ended(self, event: api.AttemptEnded) -> None:
+    def _attempt_ended(self, event: AttemptEnded) -> None:
         if (event.request, event.attempt) not in self.attempts:
             return
         attempt, kind = self.ended(event.request, event.attempt)
@@ -236,9 +255,7 @@
         )
         harmless = repeats or not ran
         wait = self._back_in(request) if beyond_quota and request.account else 0
-        self.actions.append(
-            api.RejectRequest(number, wait, beyond_quota) if harmless else api.FailRequest(number)
-        )
+        self.actions.append(RejectRequest(number, wait, beyond_quota) if harmless else FailRequest(number))
         self._drop(request)
 
     def _back_in(self, request: Request) -> int:
@@ -258,13 +275,13 @@
         """Nothing more is owed: forget the request and call off what is still out."""
         self.requests.pop(request.event.request, None)
         if self.s.may_cancel and request.out:
-            self.actions.append(api.CancelAttempt(request.event.request, len(request.attempts) - 1))
+            self.actions.append(CancelAttempt(request.event.request, len(request.attempts) - 1))
 
-    def _client_gone(self, event: api.ClientDisconnected) -> None:
+    def _client_gone(self, event: ClientDisconnected) -> None:
         if request := self.requests.get(event.request):
             self._drop(request)
 
-    def _timer_fired(self, event: api.TimerFired) -> None:
+    def _timer_fired(self, event: TimerFired) -> None:
         request = self.requests.get(event.token - 1)
         if event.token == TURN:
             self._turn()
@@ -275,7 +292,7 @@
 
     # -- servers ------------------------------------------------------------------------------------------
 
-    def _server_listed(self, event: api.EndpointListReceived) -> None:
+    def _server_listed(self, event: EndpointListReceived) -> None:
         for host in self.apply_list(event, self.now) if event.kind is not EndpointListKind.FAILED else ():
             (self.warm if self._is_warm(host) else self.cold).add(host)
             self.warming.append(host)
@@ -289,7 +306,7 @@
             time = max(time, self.now - host.active)
         return time
 
-    def _learn(self, attempt: Attempt, kind: int, event: api.AttemptEnded) -> None:
+    def _learn(self, attempt: Attempt, kind: int, event: AttemptEnded) -> None:
         """Each outcome tells of its server; a mark fades unless renewed, so that traffic returns gently."""
         host, zone = attempt.host, self.zones_met[attempt.host.entry.zone]
         for known in (host, zone, self.met):
@@ -361,7 +378,7 @@
             self.changed[account.customer] = None
             self._tell_keeper(account, 0)
 
-    def _counted(self, event: api.CountRecovered) -> None:
+    def _counted(self, event: CountRecovered) -> None:
         """Guards against units lost in an upgrade or a restart: our own count, too, only grows."""
         account = self._account(
             event.customer, event.plan, event.replica_set_start, event.replica_set_size, trusted=False
@@ -369,7 +386,7 @@
         self._lift(account)
         account.total += self._count(account, self.rank, event.start, event.value)
 
-    def _set_moved(self, event: api.ReplicaSetChanged) -> None:
+    def _set_moved(self, event: ReplicaSetChanged) -> None:
         """Rule 5: parts begin from nothing: a move creates no rights. The new keeper hears what was spent."""
         account = self._account(
             event.customer, event.plan, event.replica_set_start, event.replica_set_size, trusted=True
@@ -471,7 +488,7 @@
 
     def _turn(self) -> None:
         """The pending changes that concern one random peer, those of the fastest customers first."""
-        self.actions.append(api.SetTimer(INTERVAL, TURN))
+        self.actions.append(SetTimer(INTERVAL, TURN))
         for _ in range(min(FAN, len(self.owed))):
             self._pay()
         if not self.changed:
@@ -506,9 +523,9 @@
         self.allowance -= 1
         for customer, number in asks:
             self.asked.append((self.now, rank, customer, number))
-            self.actions.append(api.SetTimer(ANSWER_WITHIN, ASKED))
+            self.actions.append(SetTimer(ANSWER_WITHIN, ASKED))
         body = gossip_codec.pack(self.now // MS, bool(asks), keep, self._also(rank, rows))
-        self.actions.append(api.SendPeerMessage(rank, body))
+        self.actions.append(SendPeerMessage(rank, body))
         return True
 
     def _also(self, rank: int, rows: list[bytes]) -> list[bytes]:
@@ -535,7 +552,7 @@
         )
         return gossip_codec.pack_row(row, self.now // MS, self.s.replica_count)
 
-    def _peer_message(self, event: api.PeerMessageReceived) -> None:
+    def _peer_message(self, event: PeerMessageReceived) -> None:
         message = gossip_codec.unpack(event.body, self.now // MS, self.s.replica_count, len(self.s.plans))
         age = self.now - message.sent * MS if message else LATE_MOST
         if self.alone or not 0 <= event.sender < self.s.replica_count or abs(age) >= LATE_MOST:
--- a/orchidlane/policy/state.py
+++ b/orchidlane/policy/state.py
@@ -6,7 +6,16 @@
 from collections import deque
 from dataclasses import dataclass, field, replace
 
-from orchidlane.policy import interface as api
+from orchidlane.policy.actions import Action
+from orchidlane.policy.events import (
+    EndpointEntry,
+    EndpointId,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    RequestArrived,
+)
+from orchidlane.policy.settings import DeduplicationScope, RequestClass
 
 
 @dataclass(slots=True)
@@ -72,17 +81,17 @@
 class Host(Known):
     """A server: what discovery says and what requests met."""
 
-    entry: api.EndpointEntry = field(kw_only=True)
+    entry: EndpointEntry = field(kw_only=True)
     out: int = 0
     active: int = 0  # last answer, or when the first of those out was sent
     typical: float = 2.0  # load that its answer times were met under
 
-    def shares(self, group: api.DeduplicationScope) -> int:
+    def shares(self, group: DeduplicationScope) -> int:
         """What two servers have in common that drop each other's repeats."""
         return {
-            api.DeduplicationScope.ALL: 0,
-            api.DeduplicationScope.ZONE: self.entry.zone,
-            api.DeduplicationScope.CELL: self.entry.cell,
+            DeduplicationScope.ALL: 0,
+            DeduplicationScope.ZONE: self.entry.zone,
+            DeduplicationScope.CELL: self.entry.cell,
         }[group]
 
 
@@ -91,7 +100,7 @@
 
     def __init__(self) -> None:
         self.hosts: list[Host] = []
-        self.places: dict[api.EndpointId, int] = {}
+        self.places: dict[EndpointId, int] = {}
 
     def add(self, host: Host) -> None:
         """Put a server in, once."""
@@ -99,7 +108,7 @@
             self.places[host.entry.endpoint] = len(self.hosts)
             self.hosts.append(host)
 
-    def remove(self, server: api.EndpointId) -> None:
+    def remove(self, server: EndpointId) -> None:
         """Take a server out; the last one fills its place."""
         place = self.places.pop(server, None)
         if place is not None:
@@ -124,8 +133,8 @@
 class Request:
     """A request that is owed an answer."""
 
-    event: api.RequestArrived
-    cls: api.RequestClass
+    event: RequestArrived
+    cls: RequestClass
     until: int
     lot: float = 0.0  # drawn anew for each attempt: which cold server it may try
     account: Account | None = None  # known once it is admitted
@@ -148,7 +157,7 @@
         self.heard: dict[int, int] = {}  # rank -> when it was last heard
         self.asked: deque[tuple[int, int, int, int]] = deque()  # when, rank, customer, which keeper
         self.owed: dict[int, dict[int, int]] = {}  # rank -> customers it is to be told of, as which keeper
-        self.hosts: dict[api.EndpointId, Host] = {}
+        self.hosts: dict[EndpointId, Host] = {}
         self.met = Known(0)  # by all servers together
         self.zones_met: dict[int, Known] = {}  # by those of one zone
         self.warm, self.cold = Pool(), Pool()
@@ -157,7 +166,7 @@
         self.warming: deque[Host] = deque()  # servers in the order of their listing, until they are warm
         self.requests: dict[int, Request] = {}
         self.attempts: dict[tuple[int, int], tuple[Attempt, Request]] = {}
-        self.actions: list[api.Action] = []
+        self.actions: list[Action] = []
 
     def begin(self, request: Request, attempt: Attempt) -> None:
         """Count one more attempt in."""
@@ -174,22 +183,20 @@
         of.account.out -= 1
         return attempt, of.event.request_class
 
-    def apply_list(self, event: api.EndpointListReceived, now: int) -> list[Host]:
+    def apply_list(self, event: EndpointListReceived, now: int) -> list[Host]:
         """Bring the servers up to date with discovery; those that are ready and new or started anew."""
-        if event.kind is not api.EndpointListKind.DELTA:
+        if event.kind is not EndpointListKind.DELTA:
             told = {entry.endpoint for entry in event.entries}
             for server in [s for s in self.hosts if s not in told]:
-                self._forget(
-                    self.hosts[server], replace(self.hosts[server].entry, state=api.EndpointState.GONE)
-                )
+                self._forget(self.hosts[server], replace(self.hosts[server].entry, state=EndpointState.GONE))
         fresh = []
         for entry in event.entries:
             host = self.hosts.get(entry.endpoint)
             anew = host is None or entry.started_at_us > host.entry.started_at_us
-            was_ready = host is not None and host.entry.state is api.EndpointState.READY
-            if host is not None and (anew or entry.state is not api.EndpointState.READY):
+            was_ready = host is not None and host.entry.state is EndpointState.READY
+            if host is not None and (anew or entry.state is not EndpointState.READY):
                 self._take_out(host)
-            if entry.state is api.EndpointState.GONE:
+            if entry.state is EndpointState.GONE:
                 if host is not None:
                     self._forget(host, entry)
                 continue
@@ -197,7 +204,7 @@
                 host = self.hosts[entry.endpoint] = Host(now, entry=entry)
             host.entry = entry
             self.zones_met.setdefault(entry.zone, Known(0))
-            if entry.state is api.EndpointState.READY and (anew or not was_ready):
+            if entry.state is EndpointState.READY and (anew or not was_ready):
                 self.cells.setdefault(entry.cell, Pool()).add(host)
                 self.zones.setdefault(entry.zone, Pool()).add(host)
                 fresh.append(host)
@@ -206,19 +213,19 @@
     def warm_first(self) -> None:
         """The server that was listed first joins the warm ones, if it still runs."""
         host = self.warming.popleft()
-        if self.hosts.get(host.entry.endpoint) is host and host.entry.state is api.EndpointState.READY:
+        if self.hosts.get(host.entry.endpoint) is host and host.entry.state is EndpointState.READY:
             self.cold.remove(host.entry.endpoint)
             self.warm.add(host)
 
-    def near(self, host: Host, group: api.DeduplicationScope) -> list[Host]:
+    def near(self, host: Host, group: DeduplicationScope) -> list[Host]:
         """The servers that share the group with this one, those that are cold too."""
-        if group is api.DeduplicationScope.ALL:
+        if group is DeduplicationScope.ALL:
             return self.warm.hosts
-        pools = self.cells if group is api.DeduplicationScope.CELL else self.zones
+        pools = self.cells if group is DeduplicationScope.CELL else self.zones
         pool = pools.get(host.shares(group))
         return pool.hosts if pool else []
 
-    def _forget(self, host: Host, entry: api.EndpointEntry) -> None:
+    def _forget(self, host: Host, entry: EndpointEntry) -> None:
         """A server that is gone; its attempts still know it. Hosts always new must not cost memory."""
         self._take_out(host)
         host.entry = entry
--- a/orchidlane/recording/audit.py
+++ b/orchidlane/recording/audit.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from orchidlane.policy import interface as api
-from orchidlane.policy.interface import (
+from orchidlane import policy
+from orchidlane.policy import (
     DeduplicationScope,
     EndpointListKind,
     EndpointState,
@@ -37,7 +37,7 @@
 class _Open:
     """A request that is owed an answer, with its sends: when, server, whether it may have run."""
 
-    event: api.RequestArrived
+    event: policy.RequestArrived
     until: int
     sends: list[list[Any]] = field(default_factory=list)
 
@@ -129,24 +129,24 @@
         if event is None:
             return
         self.found.events += 1
-        if isinstance(event, api.RequestArrived):
+        if isinstance(event, policy.RequestArrived):
             self.found.requests += 1
             self.open[event.request] = _Open(event, now + event.time_left_us + self.margin)
-        elif isinstance(event, api.EndpointListReceived):
+        elif isinstance(event, policy.EndpointListReceived):
             self._listed(event, now)
-        elif isinstance(event, api.AttemptEnded):
+        elif isinstance(event, policy.AttemptEnded):
             self._ended(event, now)
-        elif isinstance(event, api.ClientDisconnected):
+        elif isinstance(event, policy.ClientDisconnected):
             self.open.pop(event.request, None)
         for action in entry.actions:
-            if isinstance(action, api.SendAttempt):
+            if isinstance(action, policy.SendAttempt):
                 self._send(action, now)
-            elif isinstance(action, api.RejectRequest | api.FailRequest) and not isinstance(
-                event, api.QuotaRequested
+            elif isinstance(action, policy.RejectRequest | policy.FailRequest) and not isinstance(
+                event, policy.QuotaRequested
             ):
                 self._final(action, now)
 
-    def _listed(self, event: api.EndpointListReceived, now: int) -> None:
+    def _listed(self, event: policy.EndpointListReceived, now: int) -> None:
         if event.kind is EndpointListKind.FAILED:
             return
         if event.kind is not EndpointListKind.DELTA:
@@ -156,7 +156,7 @@
         for entry in event.entries:
             self._list_entry(entry.endpoint, entry.state, entry.zone, entry.cell, now)
 
-    def _ended(self, event: api.AttemptEnded, now: int) -> None:
+    def _ended(self, event: policy.AttemptEnded, now: int) -> None:
         request = self.open.get(event.request)
         if request is None:
             return
@@ -174,23 +174,23 @@
             else:
                 self.found.fault("late", f"{self.name}-{number}")
 
-    def _final(self, action: api.RejectRequest | api.FailRequest, now: int) -> None:
+    def _final(self, action: policy.RejectRequest | policy.FailRequest, now: int) -> None:
         request = self.open.get(action.request)
         if request is None:
             self.found.fault("doubled", f"{self.name}-{action.request}")
             return
         if (
-            isinstance(action, api.RejectRequest)
+            isinstance(action, policy.RejectRequest)
             and request.may_have_run
             and not harmless(self._class(request))
         ):
             self.found.fault("refused but may have run", f"{self.name}-{action.request}")
         self._answered(action.request, request, now)
 
-    def _class(self, request: _Open) -> api.RequestClass:
+    def _class(self, request: _Open) -> policy.RequestClass:
         return self.settings.classes[request.event.request_class]
 
-    def _send(self, action: api.SendAttempt, now: int) -> None:
+    def _send(self, action: policy.SendAttempt, now: int) -> None:
         request = self.open.get(action.request)
         name = f"{self.name}-{action.request}"
         if request is None:
@@ -205,7 +205,7 @@
             self.sent.add(f"{name}-{len(request.sends)}")
         request.sends.append([now, action.endpoint, True])
 
-    def _may_repeat(self, request: _Open, action: api.SendAttempt, now: int) -> bool:
+    def _may_repeat(self, request: _Open, action: policy.SendAttempt, now: int) -> bool:
         cls, ran = self._class(request), request.may_have_run
         if not ran or cls.idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -230,7 +230,7 @@
                 self.found.open_at_end += 1
 
 
-def harmless(cls: api.RequestClass) -> bool:
+def harmless(cls: policy.RequestClass) -> bool:
     """Whether a repeat is, though the request may have run."""
     return cls.idempotency is Idempotency.IDEMPOTENT or (
         cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
@@ -248,14 +248,14 @@
     def feed(self, life: _Life, entry: Entry) -> None:
         """Draw what an entry first sends on."""
         for action in entry.actions:
-            if isinstance(action, api.GrantQuota) and isinstance(entry.event, api.QuotaRequested):
+            if isinstance(action, policy.GrantQuota) and isinstance(entry.event, policy.QuotaRequested):
                 self._draw(life, entry.event, entry.now)
-            elif isinstance(action, api.SendAttempt):
+            elif isinstance(action, policy.SendAttempt):
                 request = life.open.get(action.request)
                 if request is not None and len(request.sends) == 1:
                     self._draw(life, request.event, entry.now)
 
-    def _draw(self, life: _Life, event: api.RequestArrived | api.QuotaRequested, now: int) -> None:
+    def _draw(self, life: _Life, event: policy.RequestArrived | policy.QuotaRequested, now: int) -> None:
         plan = life.settings.plans[event.plan]
         if not plan.ceiling_rate:
             return
--- a/orchidlane/recording/codec.py
+++ b/orchidlane/recording/codec.py
@@ -12,33 +12,33 @@
 from operator import attrgetter
 from typing import Any
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 
 EVENTS: dict[int, type] = {
-    1: api.EndpointListReceived,
-    2: api.RequestArrived,
-    3: api.QuotaRequested,
-    4: api.AttemptEnded,
-    5: api.ResponseStreamStarted,
-    6: api.ClientDisconnected,
-    7: api.TimerFired,
-    8: api.HealthCheckEnded,
-    9: api.PeerMessageReceived,
-    10: api.CounterAnswered,
-    11: api.CountRecovered,
-    12: api.ReplicaSetChanged,
+    1: policy.EndpointListReceived,
+    2: policy.RequestArrived,
+    3: policy.QuotaRequested,
+    4: policy.AttemptEnded,
+    5: policy.ResponseStreamStarted,
+    6: policy.ClientDisconnected,
+    7: policy.TimerFired,
+    8: policy.HealthCheckEnded,
+    9: policy.PeerMessageReceived,
+    10: policy.CounterAnswered,
+    11: policy.CountRecovered,
+    12: policy.ReplicaSetChanged,
 }
 ACTIONS: dict[int, type] = {
-    1: api.SendAttempt,
-    2: api.CancelAttempt,
-    3: api.GrantQuota,
-    4: api.RejectRequest,
-    5: api.FailRequest,
-    6: api.SetTimer,
-    7: api.SendPeerMessage,
-    8: api.CheckHealth,
-    9: api.WatchEndpoints,
-    10: api.FetchEndpoints,
+    1: policy.SendAttempt,
+    2: policy.CancelAttempt,
+    3: policy.GrantQuota,
+    4: policy.RejectRequest,
+    5: policy.FailRequest,
+    6: policy.SetTimer,
+    7: policy.SendPeerMessage,
+    8: policy.CheckHealth,
+    9: policy.WatchEndpoints,
+    10: policy.FetchEndpoints,
 }
 
 
@@ -62,53 +62,53 @@
     return kind
 
 
-def _entries(value: Any) -> tuple[api.EndpointEntry, ...]:
-    names = _fields(api.EndpointEntry)
+def _entries(value: Any) -> tuple[policy.EndpointEntry, ...]:
+    names = _fields(policy.EndpointEntry)
     return tuple(
-        api.EndpointEntry(
-            bytes(one[0]), api.EndpointState(one[1]), *(one[names.index(name)] for name in names[2:])
+        policy.EndpointEntry(
+            bytes(one[0]), policy.EndpointState(one[1]), *(one[names.index(name)] for name in names[2:])
         )
         for one in value
     )
 
 
 CONVERTERS: dict[tuple[type, str], Callable[[Any], Any]] = {
-    (api.EndpointListReceived, "kind"): _enum(api.EndpointListKind),
-    (api.EndpointListReceived, "entries"): _entries,
-    (api.AttemptEnded, "outcome"): _enum(api.Outcome),
-    (api.AttemptEnded, "load_report"): tuple,
-    (api.HealthCheckEnded, "outcome"): _enum(api.Outcome),
-    (api.HealthCheckEnded, "load_report"): tuple,
-    (api.CounterAnswered, "outcome"): _enum(api.Outcome),
+    (policy.EndpointListReceived, "kind"): _enum(policy.EndpointListKind),
+    (policy.EndpointListReceived, "entries"): _entries,
+    (policy.AttemptEnded, "outcome"): _enum(policy.Outcome),
+    (policy.AttemptEnded, "load_report"): tuple,
+    (policy.HealthCheckEnded, "outcome"): _enum(policy.Outcome),
+    (policy.HealthCheckEnded, "load_report"): tuple,
+    (policy.CounterAnswered, "outcome"): _enum(policy.Outcome),
 }
 _GETTERS = {kind: _getter(kind) for table in (EVENTS, ACTIONS) for kind in table.values()}
 _EVENT_NUMBERS = {kind: number for number, kind in EVENTS.items()}
 _ACTION_NUMBERS = {kind: number for number, kind in ACTIONS.items()}
 _NAMES = {kind: _fields(kind) for kind in _GETTERS}
-_ENTRY = _getter(api.EndpointEntry)
+_ENTRY = _getter(policy.EndpointEntry)
 
 
 def pack_event(event: Any) -> tuple[Any, ...]:
     """An event as plain values."""
     kind = type(event)
-    if kind is api.EndpointListReceived:
+    if kind is policy.EndpointListReceived:
         entries = [_ENTRY(entry) for entry in event.entries]
         return (_EVENT_NUMBERS[kind], event.kind, event.version, entries)
     return (_EVENT_NUMBERS[kind], *_GETTERS[kind](event))
 
 
-def pack_action(action: api.Action) -> tuple[Any, ...]:
+def pack_action(action: policy.Action) -> tuple[Any, ...]:
     """An action as plain values."""
     kind = type(action)
     return (_ACTION_NUMBERS[kind], *_GETTERS[kind](action))
 
 
-def unpack_event(values: list[Any]) -> api.Event:
+def unpack_event(values: list[Any]) -> policy.Event:
     """The event of plain values. Raises FormatError."""
     return _unpack(values, EVENTS)
 
 
-def unpack_action(values: list[Any]) -> api.Action:
+def unpack_action(values: list[Any]) -> policy.Action:
     """The action of plain values. Raises FormatError."""
     return _unpack(values, ACTIONS)
 
--- a/orchidlane/recording/description.py
+++ b/orchidlane/recording/description.py
@@ -10,29 +10,29 @@
 import enum
 from typing import Any
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 
 TYPE_NAMES: dict[type, str] = {
-    api.EndpointListReceived: "ServerListed",
-    api.EndpointEntry: "ServerEntry",
-    api.QuotaRequested: "TakeArrived",
-    api.ResponseStreamStarted: "StreamStarted",
-    api.ClientDisconnected: "ClientGone",
-    api.HealthCheckEnded: "ProbeEnded",
-    api.PeerMessageReceived: "PeerMessage",
-    api.CountRecovered: "Counted",
-    api.ReplicaSetChanged: "SetMoved",
-    api.SendAttempt: "Send",
-    api.CancelAttempt: "Cancel",
-    api.GrantQuota: "Grant",
-    api.RejectRequest: "Refuse",
-    api.FailRequest: "Fail",
-    api.SendPeerMessage: "TellPeer",
-    api.CheckHealth: "Probe",
-    api.WatchEndpoints: "AskList",
-    api.FetchEndpoints: "FetchList",
-    api.EndpointState: "Phase",
-    api.EndpointListKind: "ListKind",
+    policy.EndpointListReceived: "ServerListed",
+    policy.EndpointEntry: "ServerEntry",
+    policy.QuotaRequested: "TakeArrived",
+    policy.ResponseStreamStarted: "StreamStarted",
+    policy.ClientDisconnected: "ClientGone",
+    policy.HealthCheckEnded: "ProbeEnded",
+    policy.PeerMessageReceived: "PeerMessage",
+    policy.CountRecovered: "Counted",
+    policy.ReplicaSetChanged: "SetMoved",
+    policy.SendAttempt: "Send",
+    policy.CancelAttempt: "Cancel",
+    policy.GrantQuota: "Grant",
+    policy.RejectRequest: "Refuse",
+    policy.FailRequest: "Fail",
+    policy.SendPeerMessage: "TellPeer",
+    policy.CheckHealth: "Probe",
+    policy.WatchEndpoints: "AskList",
+    policy.FetchEndpoints: "FetchList",
+    policy.EndpointState: "Phase",
+    policy.EndpointListKind: "ListKind",
 }
 FIELD_NAMES: dict[str, str] = {
     "endpoint": "server",
@@ -52,12 +52,12 @@
     "delay_us": "span",
 }
 MEMBER_NAMES: dict[enum.Enum, str] = {
-    api.Outcome.ENDPOINT_FULL: "FULL",
-    api.Outcome.CONNECT_FAILED: "NOT_CONNECTED",
-    api.Outcome.CONNECTION_BROKEN: "BROKEN",
-    api.Outcome.NOT_SENT: "NEVER_SENT",
-    api.EndpointListKind.COMPLETE: "WHOLE",
-    api.EndpointListKind.DELTA: "CHANGES",
+    policy.Outcome.ENDPOINT_FULL: "FULL",
+    policy.Outcome.CONNECT_FAILED: "NOT_CONNECTED",
+    policy.Outcome.CONNECTION_BROKEN: "BROKEN",
+    policy.Outcome.NOT_SENT: "NEVER_SENT",
+    policy.EndpointListKind.COMPLETE: "WHOLE",
+    policy.EndpointListKind.DELTA: "CHANGES",
 }
 
 
--- a/orchidlane/recording/index.py
+++ b/orchidlane/recording/index.py
@@ -12,7 +12,7 @@
 from bisect import bisect_left
 from collections.abc import Callable, Iterator
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 from orchidlane.recording.segments import Entry, SegmentReader
 
 STRIDE = 64  # entries between two kept times
@@ -74,7 +74,7 @@
     event = entry.event
     if event is None:
         return int(entry.facts[0]) if entry.facts else None
-    if isinstance(event, api.TimerFired):
+    if isinstance(event, policy.TimerFired):
         named = [getattr(action, "request", None) for action in entry.actions]
         return next((number for number in named if number is not None), None)
     return getattr(event, "request", None)
--- a/orchidlane/recording/replay.py
+++ b/orchidlane/recording/replay.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
+from orchidlane.policy import Outcome
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.interface import Outcome
 from orchidlane.recording.segments import CutHead, Entry, Header, SegmentReader, frames_behind
 from orchidlane.recording.state_dump import Dump, restore
 
@@ -25,9 +25,9 @@
     segment: str
     place: int
     now: int
-    event: api.Event
-    recorded: list[api.Action]
-    acted: list[api.Action]
+    event: policy.Event
+    recorded: list[policy.Action]
+    acted: list[policy.Action]
 
     def lines(self) -> list[str]:
         """What a person needs to see."""
@@ -137,7 +137,7 @@
     turned: int = 0  # requests whose first decision differs
 
 
-def what_if(paths: list[str], settings: api.Settings | None = None, plans: tuple[str, ...] = ()) -> WhatIf:
+def what_if(paths: list[str], settings: policy.Settings | None = None, plans: tuple[str, ...] = ()) -> WhatIf:
     """One life's requests under other settings.
 
     What came from outside stays: arrivals, clients' leaving, lists, peers' messages, and the outcome of
@@ -187,15 +187,15 @@
 class _Otherwise:
     """Plays a record's outside against a module with other settings."""
 
-    def __init__(self, state: Dump, settings: api.Settings, entries: list[Entry]) -> None:
+    def __init__(self, state: Dump, settings: policy.Settings, entries: list[Entry]) -> None:
         self.gateway = restore(settings, state)
         self.entries = entries
-        self.arrivals: dict[int, api.RequestArrived | api.QuotaRequested] = {}
+        self.arrivals: dict[int, policy.RequestArrived | policy.QuotaRequested] = {}
         self.recorded_sent: set[int] = set()
         self.sent: set[int] = set()
-        self.outcomes: dict[tuple[int, int], tuple[api.AttemptEnded, int]] = {}
+        self.outcomes: dict[tuple[int, int], tuple[policy.AttemptEnded, int]] = {}
         self.usual: dict[int, int] = {}
-        self._due: list[tuple[int, int, api.Event]] = []
+        self._due: list[tuple[int, int, policy.Event]] = []
         self._order = 0
         self._attempts: Counter[int] = Counter()
         self._read()
@@ -207,19 +207,19 @@
         tries: Counter[int] = Counter()
         for entry in self.entries:
             event = entry.event
-            if isinstance(event, api.RequestArrived | api.QuotaRequested):
+            if isinstance(event, policy.RequestArrived | policy.QuotaRequested):
                 self.arrivals[event.request] = event
-            elif isinstance(event, api.AttemptEnded):
+            elif isinstance(event, policy.AttemptEnded):
                 span = entry.now - began.get((event.request, event.attempt), entry.now - event.duration_us)
                 self.outcomes[event.request, event.attempt] = event, span
                 if event.outcome is Outcome.SERVED and event.request in self.arrivals:
                     took[self.arrivals[event.request].request_class].append(event.duration_us)
             for action in entry.actions:
-                if isinstance(action, api.SendAttempt):
+                if isinstance(action, policy.SendAttempt):
                     self.recorded_sent.add(action.request)
                     began[action.request, tries[action.request]] = entry.now
                     tries[action.request] += 1
-                elif isinstance(action, api.GrantQuota):
+                elif isinstance(action, policy.GrantQuota):
                     self.recorded_sent.add(action.request)
         self.usual = {kind: int(statistics.median(spans)) for kind, spans in took.items()}
 
@@ -231,27 +231,27 @@
                 self._tell(due, inner)
             self._tell(now, event)
 
-    def _outside(self) -> Iterator[tuple[int, api.Event]]:
-        own = (api.TimerFired, api.AttemptEnded)
+    def _outside(self) -> Iterator[tuple[int, policy.Event]]:
+        own = (policy.TimerFired, policy.AttemptEnded)
         for entry in self.entries:
             if entry.event is not None and not isinstance(entry.event, own):
                 yield entry.now, entry.event
 
-    def _tell(self, now: int, event: api.Event) -> None:
+    def _tell(self, now: int, event: policy.Event) -> None:
         for action in self.gateway.handle(now, event):
-            if isinstance(action, api.SendAttempt):
+            if isinstance(action, policy.SendAttempt):
                 self.sent.add(action.request)
                 self._later(*self._outcome(now, action))
-            elif isinstance(action, api.GrantQuota):
+            elif isinstance(action, policy.GrantQuota):
                 self.sent.add(action.request)
-            elif isinstance(action, api.SetTimer):
-                self._later(now + action.delay_us, api.TimerFired(action.token))
+            elif isinstance(action, policy.SetTimer):
+                self._later(now + action.delay_us, policy.TimerFired(action.token))
 
-    def _later(self, when: int, event: api.Event) -> None:
+    def _later(self, when: int, event: policy.Event) -> None:
         self._order += 1
         heapq.heappush(self._due, (when, self._order, event))
 
-    def _outcome(self, now: int, send: api.SendAttempt) -> tuple[int, api.Event]:
+    def _outcome(self, now: int, send: policy.SendAttempt) -> tuple[int, policy.Event]:
         number = self._attempts[send.request]
         self._attempts[send.request] += 1
         known = self.outcomes.get((send.request, number))
@@ -268,8 +268,10 @@
         return now + span, _ended(send, number, (), outcome=Outcome.SERVED, duration_us=span, answered=True)
 
 
-def _ended(send: api.SendAttempt, number: int, report: tuple[float, ...], **values: Any) -> api.AttemptEnded:
-    return api.AttemptEnded(
+def _ended(
+    send: policy.SendAttempt, number: int, report: tuple[float, ...], **values: Any
+) -> policy.AttemptEnded:
+    return policy.AttemptEnded(
         request=send.request,
         attempt=number,
         endpoint=send.endpoint,
--- a/orchidlane/recording/segments.py
+++ b/orchidlane/recording/segments.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 from orchidlane.recording.codec import FormatError, pack_action, pack_event, unpack_action, unpack_event
 from orchidlane.recording.settings_codec import settings_from_stored
 from orchidlane.recording.state_dump import Dump
@@ -53,7 +53,7 @@
     plan_names: tuple[str, ...] = ()
     about: dict[str, Any] = {}
 
-    def module_settings(self) -> api.Settings:
+    def module_settings(self) -> policy.Settings:
         """The settings as the module takes them. Raises FormatError."""
         try:
             return settings_from_stored(self.settings)
@@ -65,8 +65,8 @@
     """One entry: an event with its actions, ``facts`` (request, status, kind, microseconds), or a page."""
 
     now: int
-    event: api.Event | None
-    actions: list[api.Action]
+    event: policy.Event | None
+    actions: list[policy.Action]
     facts: tuple[Any, ...]
     place: int  # of its frame in the segment, in bytes
     rows: tuple[Any, ...] | None = None  # a page of accounts, as they were at the head
@@ -97,7 +97,7 @@
     return MAGIC + frame(msgspec.msgpack.encode(header))
 
 
-def pack_entry(now: int, event: api.Event, actions: list[api.Action]) -> bytes:
+def pack_entry(now: int, event: policy.Event, actions: list[policy.Action]) -> bytes:
     """One event with its actions."""
     body = (EVENT, now, pack_event(event), [pack_action(action) for action in actions])
     return frame(msgspec.msgpack.encode(body))
--- a/orchidlane/recording/settings_codec.py
+++ b/orchidlane/recording/settings_codec.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 
 STORED_NAMES: dict[type, dict[str, str]] = {
-    api.Settings: {
+    policy.Settings: {
         "replica": "rank",
         "replica_count": "gateways",
         "may_gossip": "may_tell_peers",
@@ -33,7 +33,7 @@
         "overload_duration_us": "overload_for",
         "drain_grace_us": "drain_grace",
     },
-    api.RequestClass: {
+    policy.RequestClass: {
         "latency_objective_us": "aim",
         "deadline_us": "deadline",
         "priority_weight": "worth",
@@ -42,28 +42,28 @@
         "deduplication_scope": "group",
         "deduplication_window_us": "window",
     },
-    api.Plan: {
+    policy.Plan: {
         "max_in_flight": "open",
         "over_quota_credit": "beyond_earns",
         "over_quota_charge": "beyond_costs",
     },
 }
 _CODE_NAMES = {kind: {stored: name for name, stored in names.items()} for kind, names in STORED_NAMES.items()}
-_NESTED: dict[str, type] = {"classes": api.RequestClass, "plans": api.Plan}
+_NESTED: dict[str, type] = {"classes": policy.RequestClass, "plans": policy.Plan}
 
 
-def settings_to_stored(settings: api.Settings) -> dict[str, Any]:
+def settings_to_stored(settings: policy.Settings) -> dict[str, Any]:
     """Settings as plain values under their stored names, in the order of the fields."""
     return _with_names(msgspec.to_builtins(settings), STORED_NAMES)
 
 
-def settings_from_stored(stored: dict[str, Any]) -> api.Settings:
+def settings_from_stored(stored: dict[str, Any]) -> policy.Settings:
     """Settings from their stored form. Raises msgspec.ValidationError for what does not fit."""
-    return msgspec.convert(_with_names(stored, _CODE_NAMES), api.Settings)
+    return msgspec.convert(_with_names(stored, _CODE_NAMES), policy.Settings)
 
 
 def _with_names(values: dict[str, Any], names: dict[type, dict[str, str]]) -> dict[str, Any]:
-    renamed = _renamed(values, names[api.Settings])
+    renamed = _renamed(values, names[policy.Settings])
     for field, kind in _NESTED.items():
         entries = renamed.get(field)
         if isinstance(entries, (list, tuple)):
--- a/orchidlane/recording/state_dump.py
+++ b/orchidlane/recording/state_dump.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.state import Account, Attempt, Host, Known, Pool, Request
 from orchidlane.recording.codec import FormatError, pack_event, unpack_event
@@ -170,7 +170,7 @@
 # -- back
 
 
-def restore(settings: api.Settings, kept: Dump) -> Gateway:
+def restore(settings: policy.Settings, kept: Dump) -> Gateway:
     """A module that goes on where the dumped one stood. Raises FormatError."""
     if kept.format != FORMAT:
         raise FormatError(f"a state of format {kept.format}; this build reads {FORMAT}")
@@ -181,7 +181,7 @@
 
 
 class _Restorer:
-    def __init__(self, settings: api.Settings, kept: Dump) -> None:
+    def __init__(self, settings: policy.Settings, kept: Dump) -> None:
         self.kept = kept
         self.made = Gateway(settings, 0, int(kept.plain["now"]))
         self.hosts = [_host(row) for row in kept.hosts]
@@ -263,7 +263,7 @@
 
 def _host(row: list[Any]) -> Host:
     entry, known, fields, _ = row
-    made = api.EndpointEntry(bytes(entry[0]), api.EndpointState(entry[1]), *entry[2:])
+    made = policy.EndpointEntry(bytes(entry[0]), policy.EndpointState(entry[1]), *entry[2:])
     host = Host(*known, entry=made)
     for name, value in zip(HOST, fields, strict=True):
         setattr(host, name, value)
--- a/orchidlane/rollout/compatibility.py
+++ b/orchidlane/rollout/compatibility.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from orchidlane.policy.interface import Idempotency
+from orchidlane.policy import Idempotency
 from orchidlane.routes import Generation, Operation
 
 MOVED_MOST = 10_000  # sets in one version: each gateway looks at each of them as it adopts
--- a/orchidlane/routes/build.py
+++ b/orchidlane/routes/build.py
@@ -16,8 +16,8 @@
 import yaml
 from openapi_spec_validator import OpenAPIV30SpecValidator, OpenAPIV31SpecValidator
 
+from orchidlane import policy
 from orchidlane.config.quantity import Duration
-from orchidlane.policy import interface as api
 from orchidlane.routes.errors import DescriptionError
 from orchidlane.routes.generation import Generation, Operation
 from orchidlane.routes.path import PathError, canonical_path
@@ -112,7 +112,7 @@
         self.file = file
         self.number = number
         self.problems: list[tuple[str, str]] = []
-        self.classes: dict[str, tuple[api.RequestClass, str]] = {}
+        self.classes: dict[str, tuple[policy.RequestClass, str]] = {}
         self.methods: list[dict[str, Operation]] = []  # of each path, as the tree has them
         self.root = Terms()
 
@@ -304,20 +304,22 @@
             self._wrong(place, f"class {name} differs from the one at {known[1]}")
         return list(self.classes).index(name)
 
-    def _make_class(self, name: str, method: str, sources: tuple[Terms, ...], place: str) -> api.RequestClass:
+    def _make_class(
+        self, name: str, method: str, sources: tuple[Terms, ...], place: str
+    ) -> policy.RequestClass:
         safe = "safe" if method in SAFE_METHODS else "unsafe"
-        effect = self._choice("effect", sources, safe, api.Idempotency, place)
-        group = self._choice("group", sources, "all", api.DeduplicationScope, place)
+        effect = self._choice("effect", sources, safe, policy.Idempotency, place)
+        group = self._choice("group", sources, "all", policy.DeduplicationScope, place)
         deadline = self._span("deadline", sources, "10s", place)
         aim = self._span("aim", sources, None, place) or deadline // 4
         window = self._span("window", sources, "0s", place)
-        if effect is api.Idempotency.IDEMPOTENT_WITH_KEY and not window:
+        if effect is policy.Idempotency.IDEMPOTENT_WITH_KEY and not window:
             self._wrong(place, f"class {name} is keyed and states no window")
         if aim > deadline:
             self._wrong(place, f"class {name} has an aim beyond its deadline")
         worth = _first("worth", *sources)
         late = _first("late_worth", *sources)
-        return api.RequestClass(
+        return policy.RequestClass(
             aim,
             deadline,
             1.0 if worth is None else float(worth),
--- a/orchidlane/routes/generation.py
+++ b/orchidlane/routes/generation.py
@@ -5,8 +5,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from orchidlane import http1
-from orchidlane.policy import interface as api
+from orchidlane import http1, policy
 from orchidlane.routes.path import PathError, canonical_path
 from orchidlane.routes.tree import Tree
 
@@ -51,7 +50,7 @@
 
     number: int
     title: str
-    classes: tuple[api.RequestClass, ...]
+    classes: tuple[policy.RequestClass, ...]
     class_names: tuple[str, ...]
     operations: tuple[Operation, ...]
     tree: Tree[dict[str, Operation]] = field(repr=False)
--- a/orchidlane/simulation/audit.py
+++ b/orchidlane/simulation/audit.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 from orchidlane.recording import TrueStore
 from orchidlane.recording.audit import harmless
 from orchidlane.simulation.observations import (
@@ -36,7 +36,7 @@
 class Terms:
     """What the rules' figures are; spans in microseconds."""
 
-    effects: dict[str, api.RequestClass]  # by class name
+    effects: dict[str, policy.RequestClass]  # by class name
     drain_grace: int
     answer_slack: int  # a final answer so late still counts: the way back
     arrival_slack: int  # between a gateway's decision and a node's reading
@@ -199,20 +199,20 @@
     done: dict[str, list[Run]] = defaultdict(list)
     for run in runs:
         cls = terms.effects[run.class_name]
-        if cls.idempotency is api.Idempotency.IDEMPOTENT:
+        if cls.idempotency is policy.Idempotency.IDEMPOTENT:
             continue
         if not any(_drops(earlier, run, cls) for earlier in done[run.request]):
             done[run.request].append(run)
     return [request for request, effects in done.items() if len(effects) > 1]
 
 
-def _drops(earlier: Run, run: Run, cls: api.RequestClass) -> bool:
+def _drops(earlier: Run, run: Run, cls: policy.RequestClass) -> bool:
     if (
-        cls.idempotency is not api.Idempotency.IDEMPOTENT_WITH_KEY
+        cls.idempotency is not policy.Idempotency.IDEMPOTENT_WITH_KEY
         or run.at - earlier.at > cls.deduplication_window_us
     ):
         return False
-    return cls.deduplication_scope is api.DeduplicationScope.ALL or earlier.cell == run.cell
+    return cls.deduplication_scope is policy.DeduplicationScope.ALL or earlier.cell == run.cell
 
 
 def _refused_but_ran(tries: list[Try], runs: list[Run], terms: Terms) -> list[str]:
--- a/orchidlane/simulator_protocol/codec.py
+++ b/orchidlane/simulator_protocol/codec.py
@@ -6,7 +6,7 @@
 import struct
 from dataclasses import dataclass, field
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 
 HEADER = struct.Struct("<IIQ")
 REPLY_HEADER = struct.Struct("<II")
@@ -41,24 +41,24 @@
 BIT_REPEAT = 2
 
 OUTCOMES = {
-    100: api.Outcome.SERVED,
-    301: api.Outcome.ERROR,
-    302: api.Outcome.ENDPOINT_FULL,
-    303: api.Outcome.TIMED_OUT,
-    304: api.Outcome.CONNECT_FAILED,
-    305: api.Outcome.CONNECTION_BROKEN,
-    306: api.Outcome.CANCELLED,
-    307: api.Outcome.NOT_SENT,
+    100: policy.Outcome.SERVED,
+    301: policy.Outcome.ERROR,
+    302: policy.Outcome.ENDPOINT_FULL,
+    303: policy.Outcome.TIMED_OUT,
+    304: policy.Outcome.CONNECT_FAILED,
+    305: policy.Outcome.CONNECTION_BROKEN,
+    306: policy.Outcome.CANCELLED,
+    307: policy.Outcome.NOT_SENT,
 }
 EFFECTS = {
-    "repeatable": api.Idempotency.IDEMPOTENT,
-    "by_key": api.Idempotency.IDEMPOTENT_WITH_KEY,
-    "once": api.Idempotency.NOT_IDEMPOTENT,
+    "repeatable": policy.Idempotency.IDEMPOTENT,
+    "by_key": policy.Idempotency.IDEMPOTENT_WITH_KEY,
+    "once": policy.Idempotency.NOT_IDEMPOTENT,
 }
 REPORTS = {
-    "inline": api.LoadReportSource.INLINE,
-    "on_probe": api.LoadReportSource.ON_HEALTH_CHECK,
-    "off": api.LoadReportSource.NONE,
+    "inline": policy.LoadReportSource.INLINE,
+    "on_probe": policy.LoadReportSource.ON_HEALTH_CHECK,
+    "off": policy.LoadReportSource.NONE,
 }
 
 
@@ -70,7 +70,7 @@
 class Start:
     """A gateway comes up."""
 
-    settings: api.Settings
+    settings: policy.Settings
     seed: int
 
 
@@ -83,9 +83,9 @@
 class Decoder:
     """Decodes frames; keeps the numbered server lists, which travel once for each process."""
 
-    lists: dict[int, tuple[api.EndpointEntry, ...]] = field(default_factory=dict)
+    lists: dict[int, tuple[policy.EndpointEntry, ...]] = field(default_factory=dict)
 
-    def frame(self, count: int, body: bytes) -> list[tuple[int, Start | Stop | api.Event]]:
+    def frame(self, count: int, body: bytes) -> list[tuple[int, Start | Stop | policy.Event]]:
         """All events of one batch, each with its gateway's number."""
         if len(body) < count * EVENT_SIZE:
             raise WireError(f"frame of {len(body)} bytes is too short for {count} records")
@@ -109,7 +109,7 @@
     return tail[offset : offset + length]
 
 
-def _outcome(code: int) -> api.Outcome:
+def _outcome(code: int) -> policy.Outcome:
     try:
         return OUTCOMES[code]
     except KeyError:
@@ -128,7 +128,7 @@
     for share, _kind, server, zone, launched, phase, cell in ENTRY.iter_unpack(raw):
         if phase > 2:
             raise WireError(f"unknown phase {phase}")
-        entries.append(api.EndpointEntry(server, api.EndpointState(phase), zone, cell, launched, share))
+        entries.append(policy.EndpointEntry(server, policy.EndpointState(phase), zone, cell, launched, share))
     decoder.lists[number] = tuple(entries)
 
 
@@ -136,17 +136,17 @@
     gateway, kind, number, version = _LIST_NEWS.unpack_from(body, at)
     if kind > 3:
         raise WireError(f"unknown kind of list {kind}")
-    kind = api.EndpointListKind(kind)
-    if kind is api.EndpointListKind.FAILED:
-        return gateway, api.EndpointListReceived(kind, version, ())
+    kind = policy.EndpointListKind(kind)
+    if kind is policy.EndpointListKind.FAILED:
+        return gateway, policy.EndpointListReceived(kind, version, ())
     if number not in decoder.lists:
         raise WireError(f"list {number} was never sent")
-    return gateway, api.EndpointListReceived(kind, version, decoder.lists[number])
+    return gateway, policy.EndpointListReceived(kind, version, decoder.lists[number])
 
 
 def _order(_: Decoder, body: bytes, at: int, __: bytes):
     gateway, request, kind, plan, customer, left, units, size, first, bits = _REQUEST.unpack_from(body, at)
-    return gateway, api.RequestArrived(
+    return gateway, policy.RequestArrived(
         request, customer, plan, kind, units, left, int(first), int(size), bool(bits & BIT_REPEAT)
     )
 
@@ -157,38 +157,38 @@
 
 def _probed(_: Decoder, body: bytes, at: int, __: bytes):
     gateway, took, reason, server, n, *values = _PROBED.unpack_from(body, at)
-    return gateway, api.HealthCheckEnded(server, _outcome(reason), took, tuple(values[:n]))
+    return gateway, policy.HealthCheckEnded(server, _outcome(reason), took, tuple(values[:n]))
 
 
 def _client_gone(_: Decoder, body: bytes, at: int, __: bytes):
     gateway, request = _CALL.unpack_from(body, at)
-    return gateway, api.ClientDisconnected(request)
+    return gateway, policy.ClientDisconnected(request)
 
 
 def _counted(_: Decoder, body: bytes, at: int, __: bytes):
     gateway, value, took, reason, name = _COUNTED.unpack_from(body, at)
-    return gateway, api.CounterAnswered(name, _outcome(reason), value, took)
+    return gateway, policy.CounterAnswered(name, _outcome(reason), value, took)
 
 
 def _neighbour(_: Decoder, body: bytes, at: int, tail: bytes):
     gateway, sender, offset, length = _PEER.unpack_from(body, at)
-    return gateway, api.PeerMessageReceived(sender, _cut(tail, offset, length))
+    return gateway, policy.PeerMessageReceived(sender, _cut(tail, offset, length))
 
 
 def _flowing(_: Decoder, body: bytes, at: int, __: bytes):
     gateway, request, attempt, server, took = _STREAM.unpack_from(body, at)
-    return gateway, api.ResponseStreamStarted(request, attempt, server, took)
+    return gateway, policy.ResponseStreamStarted(request, attempt, server, took)
 
 
 def _bell(_: Decoder, body: bytes, at: int, __: bytes):
     gateway, token = _TIMER.unpack_from(body, at)
-    return gateway, api.TimerFired(token)
+    return gateway, policy.TimerFired(token)
 
 
 def _answer(_: Decoder, body: bytes, at: int, __: bytes):
     fields = _OUTCOME.unpack_from(body, at)
     gateway, request, attempt, server, reason, took, settled, use, cost, n, *values = fields
-    return gateway, api.AttemptEnded(
+    return gateway, policy.AttemptEnded(
         request, attempt, server, _outcome(reason), took, bool(settled), use, float(cost), tuple(values[:n])
     )
 
@@ -209,7 +209,7 @@
 }
 
 
-def parse_settings(raw: bytes) -> api.Settings:
+def parse_settings(raw: bytes) -> policy.Settings:
     """The settings text as our own type; unknown keys are passed over, missing ones named."""
     try:
         s = json.loads(raw)
@@ -223,7 +223,7 @@
         raise WireError(f"settings have a value of the wrong kind: {wrong}") from None
 
 
-def _settings(s: dict) -> api.Settings:
+def _settings(s: dict) -> policy.Settings:
     info, may, rules, charges, report = (
         s["familyInfo"],
         s["permissions"],
@@ -231,7 +231,7 @@
         s["charges"],
         s["loadReport"],
     )
-    return api.Settings(
+    return policy.Settings(
         replica=int(s["rank"]),
         replica_count=int(s["balancers"]),
         zone=int(s["locality"]),
@@ -261,20 +261,20 @@
     )
 
 
-def _request_class(c: dict) -> api.RequestClass:
-    return api.RequestClass(
+def _request_class(c: dict) -> policy.RequestClass:
+    return policy.RequestClass(
         latency_objective_us=int(c["target"]),
         deadline_us=int(c["deadline"]),
         priority_weight=float(c["credit"]),
         late_priority_weight=float(c["lateWorth"]),
         idempotency=EFFECTS[c["effect"]],
-        deduplication_scope=api.DeduplicationScope(c["group"]),
+        deduplication_scope=policy.DeduplicationScope(c["group"]),
         deduplication_window_us=int(c["dedupWindow"]),
     )
 
 
-def _plan(p: dict) -> api.Plan:
-    return api.Plan(
+def _plan(p: dict) -> policy.Plan:
+    return policy.Plan(
         rate=float(p["perSecond"]),
         burst=float(p["peakUnits"]),
         max_in_flight=int(p["open"]),
@@ -294,26 +294,26 @@
     records: list[bytes] = field(default_factory=list)
     tail: bytearray = field(default_factory=bytearray)
 
-    def add(self, gateway: int, action: api.Action) -> None:
+    def add(self, gateway: int, action: policy.Action) -> None:
         """One action of one gateway."""
         match action:
-            case api.SendAttempt():
+            case policy.SendAttempt():
                 raw = _SEND.pack(65, gateway, action.request, action.endpoint, action.timeout_at_us)
-            case api.RejectRequest():
+            case policy.RejectRequest():
                 raw = _REFUSE.pack(66, gateway, action.request, action.retry_after_us)
-            case api.FailRequest():
+            case policy.FailRequest():
                 raw = _FINAL.pack(67, gateway, action.request)
-            case api.CancelAttempt():
+            case policy.CancelAttempt():
                 raw = _CANCEL.pack(68, gateway, action.request, action.attempt)
-            case api.SetTimer():
+            case policy.SetTimer():
                 raw = _SET_TIMER.pack(69, gateway, action.delay_us, action.token)
-            case api.CheckHealth():
+            case policy.CheckHealth():
                 raw = _SERVER_ONLY.pack(70, gateway, action.endpoint)
-            case api.SendPeerMessage():
+            case policy.SendPeerMessage():
                 raw = _TELL.pack(72, gateway, action.peer, *self._put(action.body))
-            case api.WatchEndpoints():
+            case policy.WatchEndpoints():
                 raw = _WATCH.pack(75, gateway, 1)
-            case api.FetchEndpoints():
+            case policy.FetchEndpoints():
                 raw = _BARE.pack(76, gateway)
             case _:
                 raise TypeError(f"no action of the wire: {action!r}")
--- a/orchidlane/simulator_protocol/process.py
+++ b/orchidlane/simulator_protocol/process.py
@@ -5,7 +5,7 @@
 import sys
 from typing import BinaryIO
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
 from orchidlane.simulator_protocol import codec
 
@@ -43,8 +43,8 @@
 
 
 def _decide(
-    gateways: dict[int, Gateway], number: int, event: codec.Start | api.Event, now: int
-) -> list[api.Action]:
+    gateways: dict[int, Gateway], number: int, event: codec.Start | policy.Event, now: int
+) -> list[policy.Action]:
     if isinstance(event, codec.Start):
         gateways[number] = Gateway(event.settings, event.seed, now)
         return gateways[number].start()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,7 +14,7 @@
     pytest_xdist_node_collection_finished,
 )
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
 
 SECOND = 1_000_000
@@ -49,23 +49,29 @@
 
 T0 = 1_000 * SECOND  # a clock time well after any start
 
-SAFE = api.RequestClass(
-    500_000, 2 * SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0
+SAFE = policy.RequestClass(
+    500_000, 2 * SECOND, 1.0, 0.0, policy.Idempotency.IDEMPOTENT, policy.DeduplicationScope.ALL, 0
 )
-KEYED_CELL = api.RequestClass(
-    500_000, 4 * SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENT_WITH_KEY, api.DeduplicationScope.CELL, SECOND
+KEYED_CELL = policy.RequestClass(
+    500_000,
+    4 * SECOND,
+    1.0,
+    0.0,
+    policy.Idempotency.IDEMPOTENT_WITH_KEY,
+    policy.DeduplicationScope.CELL,
+    SECOND,
 )
-UNSAFE = api.RequestClass(
-    500_000, 2 * SECOND, 1.0, 0.0, api.Idempotency.NOT_IDEMPOTENT, api.DeduplicationScope.ALL, 0
+UNSAFE = policy.RequestClass(
+    500_000, 2 * SECOND, 1.0, 0.0, policy.Idempotency.NOT_IDEMPOTENT, policy.DeduplicationScope.ALL, 0
 )
-KEYED_ALL = dataclasses.replace(KEYED_CELL, deduplication_scope=api.DeduplicationScope.ALL)
-KEYED_ZONE = dataclasses.replace(KEYED_CELL, deduplication_scope=api.DeduplicationScope.ZONE)
-PLAIN = api.Plan(2.0, 10.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-CAPPED = api.Plan(2.0, 10.0, 2, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-CEILED = api.Plan(4.0, 8.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)
-IDLE_EARNS = api.Plan(2.0, 10.0, 0, 1.0, 0.5, 0.0, 0.0, 0.0, 0.0)
-
-SETTINGS = api.Settings(
+KEYED_ALL = dataclasses.replace(KEYED_CELL, deduplication_scope=policy.DeduplicationScope.ALL)
+KEYED_ZONE = dataclasses.replace(KEYED_CELL, deduplication_scope=policy.DeduplicationScope.ZONE)
+PLAIN = policy.Plan(2.0, 10.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+CAPPED = policy.Plan(2.0, 10.0, 2, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+CEILED = policy.Plan(4.0, 8.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)
+IDLE_EARNS = policy.Plan(2.0, 10.0, 0, 1.0, 0.5, 0.0, 0.0, 0.0, 0.0)
+
+SETTINGS = policy.Settings(
     replica=0,
     replica_count=3,
     zone=0,
@@ -85,7 +91,7 @@
     has_shared_counter=False,
     polls_endpoint_list=False,
     poll_timeout_us=10 * SECOND,
-    load_report_source=api.LoadReportSource.NONE,
+    load_report_source=policy.LoadReportSource.NONE,
     load_report_names=(),
     slow_start_initial_share=0.25,
     slow_start_duration_us=10 * SECOND,
@@ -95,14 +101,16 @@
 )
 
 
-def entry(number: int, phase=api.EndpointState.READY, cell=0, zone=0, launched=0) -> api.EndpointEntry:
+def entry(number: int, phase=policy.EndpointState.READY, cell=0, zone=0, launched=0) -> policy.EndpointEntry:
     """A line of a server list."""
-    return api.EndpointEntry(bytes((10, 0, 0, number, 0, 80)), phase, zone, cell, launched, 1.0)
+    return policy.EndpointEntry(bytes((10, 0, 0, number, 0, 80)), phase, zone, cell, launched, 1.0)
 
 
-def listed(*entries: api.EndpointEntry, kind=api.EndpointListKind.COMPLETE) -> api.EndpointListReceived:
+def listed(
+    *entries: policy.EndpointEntry, kind=policy.EndpointListKind.COMPLETE
+) -> policy.EndpointListReceived:
     """News of discovery."""
-    return api.EndpointListReceived(kind, 1, tuple(entries))
+    return policy.EndpointListReceived(kind, 1, tuple(entries))
 
 
 class Bench:
@@ -112,7 +120,7 @@
         self.now = now
         self.settings = dataclasses.replace(SETTINGS, **changes)
         self.gateway = Gateway(self.settings, seed, now)
-        self.log: list[api.Action] = list(self.gateway.start())
+        self.log: list[policy.Action] = list(self.gateway.start())
         self.timers: list[tuple[int, int]] = []
         self._note(self.log)
         if servers:
@@ -120,38 +128,40 @@
 
     def _note(self, actions) -> None:
         for action in actions:
-            if isinstance(action, api.SetTimer):
+            if isinstance(action, policy.SetTimer):
                 self.timers.append((self.now + action.delay_us, action.token))
 
-    def feed(self, event: api.Event) -> list[api.Action]:
+    def feed(self, event: policy.Event) -> list[policy.Action]:
         """One event now; the actions that it led to."""
         actions = list(self.gateway.handle(self.now, event))
         self._note(actions)
         self.log += actions
         return actions
 
-    def run(self, span: int) -> list[api.Action]:
+    def run(self, span: int) -> list[policy.Action]:
         """Let time pass and the timers fire."""
         end, done = self.now + span, []
         while due := [t for t in self.timers if t[0] <= end]:
             first = min(due)
             self.timers.remove(first)
             self.now = max(self.now, first[0])
-            done += self.feed(api.TimerFired(first[1]))
+            done += self.feed(policy.TimerFired(first[1]))
         self.now = end
         return done
 
     def ask(self, request: int, kind=0, customer=7, plan=0, units=1.0, left=2 * SECOND, first=0, size=3):
         """A client's request."""
-        return self.feed(api.RequestArrived(request, customer, plan, kind, units, left, first, size, False))
+        return self.feed(
+            policy.RequestArrived(request, customer, plan, kind, units, left, first, size, False)
+        )
 
     def outcome(
-        self, request: int, server: bytes, outcome: api.Outcome, attempt=0, took=50_000, answered=None
+        self, request: int, server: bytes, outcome: policy.Outcome, attempt=0, took=50_000, answered=None
     ):
         """How an attempt ended."""
         if answered is None:
-            answered = outcome is api.Outcome.SERVED
-        return self.feed(api.AttemptEnded(request, attempt, server, outcome, took, answered, 0, 0.0, ()))
+            answered = outcome is policy.Outcome.SERVED
+        return self.feed(policy.AttemptEnded(request, attempt, server, outcome, took, answered, 0, 0.0, ()))
 
 
 def of(actions, kind) -> list:
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from orchidlane import policy
 from orchidlane.policy import gossip_codec as messages
-from orchidlane.policy import interface as api
 from orchidlane.policy.gossip_codec import Row
 
 MS = T0 // 1_000
@@ -23,7 +23,7 @@
     """A peer's message, sent now."""
     sent = bench.now // 1_000 if sent is None else sent
     packed = [messages.pack_row(r, sent, bench.settings.replica_count) for r in rows]
-    return bench.feed(api.PeerMessageReceived(sender, messages.pack(sent, ask, keep, packed)))
+    return bench.feed(policy.PeerMessageReceived(sender, messages.pack(sent, ask, keep, packed)))
 
 
 def told(counts, room=10.0, total=0.0, customer=7, reach=0, first=0, size=3, plan=0, rights=0.0) -> Row:
@@ -42,9 +42,9 @@
     """How many of so many requests are sent on at once, answered at once."""
     sent = 0
     for i in range(start, start + number):
-        for send in of(bench.ask(i, **request), api.SendAttempt):
+        for send in of(bench.ask(i, **request), policy.SendAttempt):
             sent += 1
-            bench.outcome(i, send.endpoint, api.Outcome.SERVED, took=1_000)
+            bench.outcome(i, send.endpoint, policy.Outcome.SERVED, took=1_000)
     return sent
 
 
@@ -54,7 +54,7 @@
     return [
         (a.peer, messages.unpack(a.body, now, 10**6, 9))
         for a in actions
-        if isinstance(a, api.SendPeerMessage)
+        if isinstance(a, policy.SendPeerMessage)
     ]
 
 
@@ -122,9 +122,9 @@
 
 def test_an_open_cap_counts_what_peers_approved_lately():
     bench = heard()
-    assert len(of(bench.ask(1, plan=1), api.SendAttempt)) == 1
+    assert len(of(bench.ask(1, plan=1), policy.SendAttempt)) == 1
     say(bench, 1, told([(1, TICK, 1.0)], total=2.0))
-    assert of(bench.ask(2, plan=1), api.RejectRequest)
+    assert of(bench.ask(2, plan=1), policy.RejectRequest)
 
 
 # Who is told
@@ -217,7 +217,7 @@
     for i in range(1, 400):
         bench.ask(i, customer=i % 90)
         bench.run(5_000)
-    sizes = [len(a.body) for a in bench.log if isinstance(a, api.SendPeerMessage)]
+    sizes = [len(a.body) for a in bench.log if isinstance(a, policy.SendPeerMessage)]
     assert max(sizes) <= messages.SIZE_MOST
     seconds = (bench.now - T0) / SECOND
     assert 0 < len(sizes) <= 50.0 * (seconds + 1)
@@ -337,10 +337,10 @@
     row = messages.pack_row(told([(1, TICK - 9, 3.0)]), MS, 3)
     good = messages.pack(MS, False, False, [row])
     for cut in range(7, len(good)):
-        bench.feed(api.PeerMessageReceived(1, good[:cut]))
-    bench.feed(api.PeerMessageReceived(1, b"\xff" * 256))
-    bench.feed(api.PeerMessageReceived(77, good))
-    bench.feed(api.PeerMessageReceived(1, good))  # replayed and out of date
+        bench.feed(policy.PeerMessageReceived(1, good[:cut]))
+    bench.feed(policy.PeerMessageReceived(1, b"\xff" * 256))
+    bench.feed(policy.PeerMessageReceived(77, good))
+    bench.feed(policy.PeerMessageReceived(1, good))  # replayed and out of date
     say(bench, 1, told([(1, TICK - 9, 90.0)], total=90.0), sent=MS + 3_600_000)
     say(bench, 1, told([(1, TICK - 9, 90.0)], total=90.0, size=9))  # a larger set than there are gateways
     say(bench, 1, told([(1, TICK - 9, 90.0)], total=90.0, reach=3))  # handed on beyond the set
@@ -366,7 +366,7 @@
 @given(st.binary(max_size=300))
 def test_any_bytes_are_taken(body):
     bench = Bench(servers=1)
-    assert bench.feed(api.PeerMessageReceived(1, body)) == []
+    assert bench.feed(policy.PeerMessageReceived(1, body)) == []
 
 
 COUNT = st.tuples(st.sampled_from([1, 2]), st.integers(TICK - 50, TICK - 1), st.integers(0, 40).map(float))
@@ -416,7 +416,7 @@
         bench.ask(i, customer=1_000 + i, size=1)
     assert 7 not in bench.gateway.accounts
     bench.feed(listed(entry(1)))
-    assert 1 in [send.request for send in of(bench.run(100_000), api.SendAttempt)]
+    assert 1 in [send.request for send in of(bench.run(100_000), policy.SendAttempt)]
     assert bench.gateway.accounts[7].total == 1.0
 
 
@@ -443,20 +443,20 @@
     before = bench.gateway.accounts[3].ceiling
     say(bench, 1, row, ask=True, keep=True)
     assert bench.gateway.accounts[3].ceiling >= before
-    assert not of(bench.log, api.SendPeerMessage)
+    assert not of(bench.log, policy.SendPeerMessage)
 
 
 def test_a_refusal_beyond_the_quota_says_when_the_units_are_back_if_that_is_soon():
     bench = heard(plans=(dataclasses.replace(PLAIN, rate=40.0, burst=10.0),))
     let_in(bench, 20)
-    (refused,) = of(bench.ask(90), api.RejectRequest)
+    (refused,) = of(bench.ask(90), policy.RejectRequest)
     assert refused.over_quota
     assert 0 < refused.retry_after_us <= bench.settings.classes[0].latency_objective_us / 2
     bench.now += refused.retry_after_us + 1_000
-    assert of(bench.ask(91), api.SendAttempt)
+    assert of(bench.ask(91), policy.SendAttempt)
     slow = heard(plans=(dataclasses.replace(PLAIN, rate=0.5, burst=10.0),))
     let_in(slow, 20)
-    assert of(slow.ask(90), api.RejectRequest)[0].retry_after_us == 0
+    assert of(slow.ask(90), policy.RejectRequest)[0].retry_after_us == 0
 
 
 def closed(bench: Bench, customer: int, size: int) -> None:
@@ -473,7 +473,7 @@
     also = [row.customer for row in message.rows if row.customer != 7]
     assert also == [119, 118, 117, 116, 115, 114]
     other = Bench(replica=peer, replica_count=200)
-    other.feed(api.PeerMessageReceived(0, of(bench.log, api.SendPeerMessage)[0].body))
+    other.feed(policy.PeerMessageReceived(0, of(bench.log, policy.SendPeerMessage)[0].body))
     assert let_in(other, 5, start=50, customer=119, size=200) == 0
     assert 119 not in other.gateway.changed  # it is not told as if it had been approved there
 
@@ -542,11 +542,11 @@
     for customer in range(100, 200):
         row = told([(1, TICK - 9, 9.0)], room=1.0, total=9.0, customer=customer, reach=150, size=200)
         say(bench, 1, row)
-    before = len(of(bench.log, api.SendPeerMessage))
+    before = len(of(bench.log, policy.SendPeerMessage))
     assert let_in(bench, 6, customer=7, size=200) == 1
     for customer in range(300, 306):
         let_in(bench, 1, start=customer, customer=customer, size=200)
-    assert len(of(bench.log, api.SendPeerMessage)) - before == 7
+    assert len(of(bench.log, policy.SendPeerMessage)) - before == 7
 
 
 def test_a_set_that_shrank_to_one_gateway_ends_no_turn():
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -10,13 +10,13 @@
 import pytest
 import structlog
 
+from orchidlane import policy
 from orchidlane.config import Duration
 from orchidlane.gateway.control import endpoint_list
 from orchidlane.gateway.forwarding import connection_pool
 from orchidlane.gateway.forwarding.pending_request import Answer
 from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.gateway.server.http_server import Front
-from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.simulation.backends import play, simulate
 from orchidlane.simulation.random_faults import broken, play_seeds
@@ -141,8 +141,8 @@
     ended = Host.ended
 
     def lies(self, exchange, attempt, server, outcome, took, report=(), answer=None):
-        if outcome is api.Outcome.CONNECTION_BROKEN:
-            outcome = api.Outcome.NOT_SENT
+        if outcome is policy.Outcome.CONNECTION_BROKEN:
+            outcome = policy.Outcome.NOT_SENT
         ended(self, exchange, attempt, server, outcome, took, report, answer)
 
     monkeypatch.setattr(Host, "ended", lies)
@@ -163,7 +163,7 @@
 
 
 def test_the_audit_objects_to_work_for_a_draining_node(monkeypatch):
-    monkeypatch.setitem(endpoint_list.PHASES, "draining", api.EndpointState.READY)
+    monkeypatch.setitem(endpoint_list.PHASES, "draining", policy.EndpointState.READY)
     monkeypatch.setattr(connection_pool, "why_not", lambda *_: None)
     verdict = simulate(day(step(0.5, "drain_node", 0, 1, span=3), span=4), 1)
     assert verdict.sent_after_drain
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -20,7 +20,7 @@
 import pytest
 from golden import check_golden
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
 from orchidlane.simulator_protocol import codec, process
 
@@ -44,27 +44,27 @@
 
 def take_event(request: int, customer: int, plan: int, kind: int, units: float, first: int, size: int):
     """Units that are wanted without a server."""
-    return api.QuotaRequested(request, customer, plan, kind, units, first, size)
+    return policy.QuotaRequested(request, customer, plan, kind, units, first, size)
 
 
 def counted_event(customer: int, plan: int, first: int, size: int, start: int, value: float):
     """What another process of this gateway counted."""
-    return api.CountRecovered(customer, plan, first, size, start, value)
+    return policy.CountRecovered(customer, plan, first, size, start, value)
 
 
 def set_moved_event(customer: int, plan: int, first: int, size: int):
     """A customer uses other gateways from now on."""
-    return api.ReplicaSetChanged(customer, plan, first, size)
+    return policy.ReplicaSetChanged(customer, plan, first, size)
 
 
 def action_bytes(gateway: int, action) -> bytes:
     """An action as the wire has it; a grant, and why a request was refused, have no record there."""
-    if isinstance(action, api.GrantQuota):
+    if isinstance(action, policy.GrantQuota):
         return struct.pack("<BHI", 200, gateway, action.request)
     encoder = codec.Encoder()
     encoder.add(gateway, action)
     found = encoder.reply()[8:]
-    if isinstance(action, api.RejectRequest):
+    if isinstance(action, policy.RejectRequest):
         found += b"beyond quota" if action.over_quota else b""
     return found
 
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -22,7 +22,7 @@
 import pytest
 from conftest import SETTINGS, T0
 
-from orchidlane import recording
+from orchidlane import policy, recording
 from orchidlane.gateway.control import endpoint_list
 from orchidlane.gateway.lifecycle.account_store import Memory
 from orchidlane.gateway.lifecycle.rolling_upgrade import Kept, Rolling
@@ -36,7 +36,6 @@
 from orchidlane.limits import Ledger as GrantLedger
 from orchidlane.limits.reservations import Outcome as GrantOutcome
 from orchidlane.policy import gossip_codec as module_messages
-from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.state import Account
 from orchidlane.recording import segments
@@ -120,44 +119,44 @@
     return msgspec.msgpack.decode(msgspec.msgpack.encode(recording.settings_to_stored(SETTINGS)))
 
 
-def golden_events() -> list[api.Event]:
+def golden_events() -> list[policy.Event]:
     """Each type of event at least once, with each value of the enumerations that an event holds."""
     entries = tuple(
-        api.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, T0 - 90, 1.5)
-        for phase in api.EndpointState
+        policy.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, T0 - 90, 1.5)
+        for phase in policy.EndpointState
     )
     return [
-        *(api.EndpointListReceived(kind, 12, entries) for kind in api.EndpointListKind),
-        api.RequestArrived(1, 7, 2, 1, 1.5, 2_000_000, 1, 3, True),
-        api.QuotaRequested(2, 7, 2, 3, 2.5, 1, 3),
+        *(policy.EndpointListReceived(kind, 12, entries) for kind in policy.EndpointListKind),
+        policy.RequestArrived(1, 7, 2, 1, 1.5, 2_000_000, 1, 3, True),
+        policy.QuotaRequested(2, 7, 2, 3, 2.5, 1, 3),
         *(
-            api.AttemptEnded(1, 4, b"10.0.0.1:80", outcome, 50_000, True, 9, 2.25, (0.5, 1.5))
-            for outcome in api.Outcome
+            policy.AttemptEnded(1, 4, b"10.0.0.1:80", outcome, 50_000, True, 9, 2.25, (0.5, 1.5))
+            for outcome in policy.Outcome
         ),
-        api.ResponseStreamStarted(1, 5, b"10.0.0.1:80", 60_000),
-        api.ClientDisconnected(3),
-        api.TimerFired(17),
-        *(api.HealthCheckEnded(b"10.0.0.2:80", outcome, 700, (0.25,)) for outcome in api.Outcome),
-        api.PeerMessageReceived(2, bytes(range(0, 256, 5))),
-        *(api.CounterAnswered(8, outcome, 6.5, 800) for outcome in api.Outcome),
-        api.CountRecovered(7, 2, 1, 3, 15_900, 3.25),
-        api.ReplicaSetChanged(7, 2, 1, 3),
+        policy.ResponseStreamStarted(1, 5, b"10.0.0.1:80", 60_000),
+        policy.ClientDisconnected(3),
+        policy.TimerFired(17),
+        *(policy.HealthCheckEnded(b"10.0.0.2:80", outcome, 700, (0.25,)) for outcome in policy.Outcome),
+        policy.PeerMessageReceived(2, bytes(range(0, 256, 5))),
+        *(policy.CounterAnswered(8, outcome, 6.5, 800) for outcome in policy.Outcome),
+        policy.CountRecovered(7, 2, 1, 3, 15_900, 3.25),
+        policy.ReplicaSetChanged(7, 2, 1, 3),
     ]
 
 
-def golden_actions() -> list[api.Action]:
+def golden_actions() -> list[policy.Action]:
     """Each type of action once."""
     return [
-        api.SendAttempt(1, b"10.0.0.1:80", T0 + 5_000),
-        api.CancelAttempt(1, 4),
-        api.GrantQuota(2),
-        api.RejectRequest(1, 250_000, True),
-        api.FailRequest(3),
-        api.SetTimer(40_000, 17),
-        api.SendPeerMessage(2, b"\x02\x01rows"),
-        api.CheckHealth(b"10.0.0.2:80"),
-        api.WatchEndpoints(),
-        api.FetchEndpoints(),
+        policy.SendAttempt(1, b"10.0.0.1:80", T0 + 5_000),
+        policy.CancelAttempt(1, 4),
+        policy.GrantQuota(2),
+        policy.RejectRequest(1, 250_000, True),
+        policy.FailRequest(3),
+        policy.SetTimer(40_000, 17),
+        policy.SendPeerMessage(2, b"\x02\x01rows"),
+        policy.CheckHealth(b"10.0.0.2:80"),
+        policy.WatchEndpoints(),
+        policy.FetchEndpoints(),
     ]
 
 
@@ -702,7 +701,7 @@
     assert module.usual == [125_000.0, 125_000.0, 125_000.0, 125_000.0, 122_750.0]
     server, other = (b"\n\x00\x00%c\x00P" % number for number in (2, 4))
     host = module.hosts[server]
-    assert host.entry == api.EndpointEntry(server, api.EndpointState.READY, 0, 0, 0, 1.0)
+    assert host.entry == policy.EndpointEntry(server, policy.EndpointState.READY, 0, 0, 0, 1.0)
     assert [host.seen, host.slow, host.fails] == [1_000_184_111, 1.0, 0.0]
     assert [host.out, host.active, host.typical] == [3, 1_000_135_937, 2.0]
     host = module.hosts[other]
@@ -712,7 +711,7 @@
     assert [len(pool.hosts) for pool in (module.cells[0], module.zones[0], module.warm)] == [4, 4, 3]
     assert [host.entry.started_at_us for host in module.warming] == [1_000_518_714]
     request = module.requests[1]
-    assert request.event == api.RequestArrived(1, 5, 0, 2, 1.0, 2_000_000, 0, 3, False)
+    assert request.event == policy.RequestArrived(1, 5, 0, 2, 1.0, 2_000_000, 0, 3, False)
     assert [request.until, request.lot] == [1_002_009_909, 0.1723255663561437]
     assert request.account is module.accounts[5]
     first, second = request.attempts
@@ -742,15 +741,17 @@
 
 def test_the_golden_record_has_every_event_action_and_enumerated_value():
     events, actions = golden_events(), golden_actions()
-    assert {type(event) for event in events} == set(get_args(api.Event)) == set(recording.EVENTS.values())
+    assert {type(event) for event in events} == set(get_args(policy.Event)) == set(recording.EVENTS.values())
     assert (
-        {type(action) for action in actions} == set(get_args(api.Action)) == set(recording.ACTIONS.values())
+        {type(action) for action in actions}
+        == set(get_args(policy.Action))
+        == set(recording.ACTIONS.values())
     )
-    for kind in (api.AttemptEnded, api.HealthCheckEnded, api.CounterAnswered):
-        assert {one.outcome for one in events if type(one) is kind} == set(api.Outcome)
-    listed = [event for event in events if isinstance(event, api.EndpointListReceived)]
-    assert {event.kind for event in listed} == set(api.EndpointListKind)
-    assert {entry.state for event in listed for entry in event.entries} == set(api.EndpointState)
+    for kind in (policy.AttemptEnded, policy.HealthCheckEnded, policy.CounterAnswered):
+        assert {one.outcome for one in events if type(one) is kind} == set(policy.Outcome)
+    listed = [event for event in events if isinstance(event, policy.EndpointListReceived)]
+    assert {event.kind for event in listed} == set(policy.EndpointListKind)
+    assert {entry.state for event in listed for entry in event.entries} == set(policy.EndpointState)
 
 
 def test_a_golden_record_is_read_as_its_values():
@@ -790,12 +791,12 @@
 
 def test_a_golden_cache_of_the_node_list_is_read_as_its_nodes():
     tracker = endpoint_list.ListTracker("z1", 100)
-    assert tracker.restore(golden("node-list-cache.json")) == api.EndpointListReceived(
-        api.EndpointListKind.CACHED,
+    assert tracker.restore(golden("node-list-cache.json")) == policy.EndpointListReceived(
+        policy.EndpointListKind.CACHED,
         0,
         (
-            api.EndpointEntry(b"10.0.0.1:80", api.EndpointState.READY, 0, 1, 55, 1.5),
-            api.EndpointEntry(b"10.0.0.2:80", api.EndpointState.DRAINING, 2, 3, 66, 2.0),
+            policy.EndpointEntry(b"10.0.0.1:80", policy.EndpointState.READY, 0, 1, 55, 1.5),
+            policy.EndpointEntry(b"10.0.0.2:80", policy.EndpointState.DRAINING, 2, 3, 66, 2.0),
         ),
     )
     assert tracker.nodes == golden_tracker().nodes
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -25,7 +25,7 @@
 from harness.platform_house import PlatformHouse, call, settings
 from harness.platform_house import file as platform_file
 
-from orchidlane import config, resp
+from orchidlane import config, policy, resp
 from orchidlane.cli.main import main
 from orchidlane.gateway.control import settings as fleet_settings
 from orchidlane.gateway.peers import datagrams, token_requests
@@ -34,7 +34,6 @@
 from orchidlane.hot_restart import messages as upgrade_messages
 from orchidlane.platform import configuration as platform_config
 from orchidlane.policy import gossip_codec
-from orchidlane.policy import interface as api
 from orchidlane.rollout import canary_analysis, replicated_state, version
 from orchidlane.rollout import messages as change_messages
 from orchidlane.simulation import scenario as lab_day
@@ -67,7 +66,7 @@
     return [message.sent, message.ask, message.keep, [row_values(row) for row in message.rows]]
 
 
-def request_values(event: api.RequestArrived) -> list:
+def request_values(event: policy.RequestArrived) -> list:
     """A client's request as plain values."""
     counts = [
         event.units,
@@ -79,13 +78,13 @@
     return [event.request, event.customer, event.plan, event.request_class, *counts]
 
 
-def outcome_values(event: api.AttemptEnded) -> list:
+def outcome_values(event: policy.AttemptEnded) -> list:
     """How an attempt ended as plain values."""
     ended = [event.outcome.value, event.duration_us, event.answered, event.use, event.true_units]
     return [event.request, event.attempt, event.endpoint.hex(), *ended, list(event.load_report)]
 
 
-def list_values(event: api.EndpointListReceived) -> list:
+def list_values(event: policy.EndpointListReceived) -> list:
     """News of discovery as plain values."""
     entries = [
         [one.endpoint.hex(), one.state.value, one.zone, one.cell, one.started_at_us, one.capacity_share]
@@ -100,20 +99,20 @@
 
 
 EVENT_VALUES: dict[type, Any] = {
-    api.TimerFired: lambda event: [event.token],
-    api.PeerMessageReceived: lambda event: [event.sender, event.body.hex()],
-    api.ClientDisconnected: lambda event: [event.request],
-    api.ResponseStreamStarted: lambda event: [
+    policy.TimerFired: lambda event: [event.token],
+    policy.PeerMessageReceived: lambda event: [event.sender, event.body.hex()],
+    policy.ClientDisconnected: lambda event: [event.request],
+    policy.ResponseStreamStarted: lambda event: [
         event.request,
         event.attempt,
         event.endpoint.hex(),
         event.duration_us,
     ],
-    api.RequestArrived: request_values,
-    api.AttemptEnded: outcome_values,
-    api.EndpointListReceived: list_values,
-    api.CounterAnswered: lambda event: [event.name, event.outcome.value, event.value, event.duration_us],
-    api.HealthCheckEnded: lambda event: [
+    policy.RequestArrived: request_values,
+    policy.AttemptEnded: outcome_values,
+    policy.EndpointListReceived: list_values,
+    policy.CounterAnswered: lambda event: [event.name, event.outcome.value, event.value, event.duration_us],
+    policy.HealthCheckEnded: lambda event: [
         event.endpoint.hex(),
         event.outcome.value,
         event.duration_us,
@@ -123,21 +122,21 @@
     codec.Stop: lambda event: [],
 }
 
-ACTIONS: dict[int, list[api.Action]] = {  # by the code of its record
-    65: [api.SendAttempt(0x5D3A91C4, SERVER, 0x8194DA), api.SendAttempt(7, SERVER, 0)],
-    66: [api.RejectRequest(7, 9), api.RejectRequest(7, 0, True)],
-    67: [api.FailRequest(7)],
-    68: [api.CancelAttempt(7, 2)],
-    69: [api.SetTimer(500_000, 77)],
-    70: [api.CheckHealth(SERVER)],
-    72: [api.SendPeerMessage(0xFFFF, b"hi 7"), api.SendPeerMessage(2, b"")],
-    75: [api.WatchEndpoints()],
-    76: [api.FetchEndpoints()],
+ACTIONS: dict[int, list[policy.Action]] = {  # by the code of its record
+    65: [policy.SendAttempt(0x5D3A91C4, SERVER, 0x8194DA), policy.SendAttempt(7, SERVER, 0)],
+    66: [policy.RejectRequest(7, 9), policy.RejectRequest(7, 0, True)],
+    67: [policy.FailRequest(7)],
+    68: [policy.CancelAttempt(7, 2)],
+    69: [policy.SetTimer(500_000, 77)],
+    70: [policy.CheckHealth(SERVER)],
+    72: [policy.SendPeerMessage(0xFFFF, b"hi 7"), policy.SendPeerMessage(2, b"")],
+    75: [policy.WatchEndpoints()],
+    76: [policy.FetchEndpoints()],
 }
-NOT_OF_THE_WIRE = {api.GrantQuota}
+NOT_OF_THE_WIRE = {policy.GrantQuota}
 
 
-def settings_values(s: api.Settings) -> dict:
+def settings_values(s: policy.Settings) -> dict:
     """Settings as plain values under names of their own."""
     return {
         "rank and fleet": [s.replica, s.replica_count, s.zone],
@@ -442,7 +441,7 @@
 def test_each_event_that_the_wire_has_is_covered():
     of_code = {"take_arrived", "counted", "set_moved"}  # not of the wire
     covered = {kind for kind in EVENT_VALUES if kind not in (codec.Start, codec.Stop)}
-    assert {kind.topic for kind in set(get_args(api.Event)) - covered} == of_code
+    assert {kind.topic for kind in set(get_args(policy.Event)) - covered} == of_code
 
 
 def test_each_action_has_the_golden_record():
@@ -457,7 +456,7 @@
     encoder.bug(3, "ValueError: what happened")
     found["74"] = encoder.reply().hex()
     covered = {type(action) for actions in ACTIONS.values() for action in actions}
-    assert covered | NOT_OF_THE_WIRE == set(get_args(api.Action))
+    assert covered | NOT_OF_THE_WIRE == set(get_args(policy.Action))
     check_golden("wire-actions", found)
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from orchidlane import policy
 from orchidlane.gateway.control.endpoint_list import ListRefused, ListTracker
 from orchidlane.gateway.forwarding.last_check import Leaving, why_not
 from orchidlane.gateway.peers.datagrams import BODY_MOST, WINDOW, Inbox, seal
-from orchidlane.policy import interface as api
 
 SECRET, NOW, SECOND = b"0123456789abcdef", 1_000_000_000, 1_000_000
 
@@ -110,7 +110,7 @@
     tracker = ListTracker("z", 10)
     tracker.take(line(version=50, n1="ready", n2="ready"))
     listed = tracker.take(line(version=1, epoch="f", n2="ready"))
-    assert listed.kind is api.EndpointListKind.COMPLETE
+    assert listed.kind is policy.EndpointListKind.COMPLETE
     assert tracker.phase(b"127.0.0.1:1") == "gone"
 
 
@@ -118,7 +118,7 @@
     tracker = ListTracker("z", 10)
     tracker.take(line(version=5, n1="ready", n2="draining"))
     again = ListTracker("z", 10)
-    assert again.restore(tracker.cached()).kind is api.EndpointListKind.CACHED
+    assert again.restore(tracker.cached()).kind is policy.EndpointListKind.CACHED
     assert again.phase(b"127.0.0.1:2") == "draining"
     assert again.take(line(version=2, n1="ready")) is not None
     for cut in range(len(tracker.cached())):
@@ -143,7 +143,7 @@
     values = {
         "phase": "ready",
         "give_up_at": NOW + SECOND,
-        "effect": api.Idempotency.IDEMPOTENT_WITH_KEY,
+        "effect": policy.Idempotency.IDEMPOTENT_WITH_KEY,
         "window": SECOND,
         "first_left": None,
         "client_left": False,
@@ -160,8 +160,8 @@
         ({"phase": "gone"}, "gone"),
         ({"first_left": NOW - SECOND // 2}, None),
         ({"first_left": NOW - SECOND}, "window"),
-        ({"first_left": NOW - SECOND, "effect": api.Idempotency.IDEMPOTENT}, None),
-        ({"first_left": NOW, "effect": api.Idempotency.NOT_IDEMPOTENT}, "unsafe"),
+        ({"first_left": NOW - SECOND, "effect": policy.Idempotency.IDEMPOTENT}, None),
+        ({"first_left": NOW, "effect": policy.Idempotency.NOT_IDEMPOTENT}, "unsafe"),
         ({"client_left": True}, "client"),
         ({"client_left": True, "first_left": NOW - SECOND // 2}, "client"),
     ],
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -21,10 +21,7 @@
 
 
 def test_the_module_names_its_interface_first():
-    assert (
-        "orchidlane/policy/interface.py"
-        in (ROOT / "orchidlane" / "policy" / "gateway.py").read_text().splitlines()[0]
-    )
+    assert "orchidlane/policy/" in (ROOT / "orchidlane" / "policy" / "gateway.py").read_text().splitlines()[0]
 
 
 def test_the_module_reads_no_clock_and_no_shared_randomness():
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -15,12 +15,11 @@
 from hypothesis import strategies as st
 from test_day import MATERIALS, day, quiet, step  # noqa: F401
 
-from orchidlane import recording
+from orchidlane import policy, recording
 from orchidlane.cli.main import main
-from orchidlane.policy import interface as api
+from orchidlane.policy import EndpointState, Outcome
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.gossip_codec import Row, pack, pack_row
-from orchidlane.policy.interface import EndpointState, Outcome
 from orchidlane.runtime import Loop, RealWorld, SimWorld
 from orchidlane.simulation.backends import RealBacking, SimulatedBacking
 from orchidlane.simulation.scenario import Runner, load_day, make_plan
@@ -39,12 +38,12 @@
         self.number = 0
         self.out: list[tuple[int, int, bytes]] = []
         self.sends: dict[int, int] = {}
-        self.log: list[tuple[int, api.Event, list[api.Action]]] = []
+        self.log: list[tuple[int, policy.Event, list[policy.Action]]] = []
 
-    def tell(self, event: api.Event) -> None:
+    def tell(self, event: policy.Event) -> None:
         actions = self.bench.feed(event)
         self.log.append((self.bench.now, event, actions))
-        for send in of(actions, api.SendAttempt):
+        for send in of(actions, policy.SendAttempt):
             number = self.sends[send.request] = self.sends.get(send.request, -1) + 1
             self.out.append((send.request, number, send.endpoint))
 
@@ -54,28 +53,28 @@
         due = sorted(t for t in bench.timers if t[0] <= bench.now)
         if due:
             bench.timers.remove(due[0])
-            return self.tell(api.TimerFired(due[0][1]))
+            return self.tell(policy.TimerFired(due[0][1]))
         what = rng.random()
         if what < 0.4:
             self.number += 1
             customer, plan = rng.randrange(6), rng.randrange(4)
             args = (self.number, customer, plan, rng.randrange(5), 1.0, 2 * SECOND, 0, 3, False)
-            self.tell(api.RequestArrived(*args))
+            self.tell(policy.RequestArrived(*args))
         elif what < 0.5:
             self.number += 1
-            self.tell(api.QuotaRequested(self.number, rng.randrange(6), 0, 0, 1.0, 0, 3))
+            self.tell(policy.QuotaRequested(self.number, rng.randrange(6), 0, 0, 1.0, 0, 3))
         elif what < 0.8 and self.out:
             request, attempt, server = self.out.pop(rng.randrange(len(self.out)))
             outcome = rng.choice(list(Outcome))
             served = outcome is Outcome.SERVED
-            self.tell(api.AttemptEnded(request, attempt, server, outcome, 50_000, served, 0, 0.0, ()))
+            self.tell(policy.AttemptEnded(request, attempt, server, outcome, 50_000, served, 0, 0.0, ()))
         elif what < 0.85:
-            self.tell(api.ClientDisconnected(rng.randrange(1, self.number + 2)))
+            self.tell(policy.ClientDisconnected(rng.randrange(1, self.number + 2)))
         elif what < 0.92:
             phase = rng.choice(list(EndpointState))
             launched = rng.choice((0, bench.now))
             self.tell(
-                listed(entry(rng.randrange(5), phase, launched=launched), kind=api.EndpointListKind.DELTA)
+                listed(entry(rng.randrange(5), phase, launched=launched), kind=policy.EndpointListKind.DELTA)
             )
         else:
             counts = ((1, bench.now // 62_500, float(rng.randrange(9))),)
@@ -86,7 +85,7 @@
                 rng.random() < 0.5,
                 [pack_row(row, bench.now // 1000, 3)],
             )
-            self.tell(api.PeerMessageReceived(1, body))
+            self.tell(policy.PeerMessageReceived(1, body))
 
 
 @settings(max_examples=40, deadline=None)
@@ -121,8 +120,8 @@
 
 
 def test_every_event_and_action_has_its_number():
-    assert set(recording.EVENTS.values()) == set(api.Event.__args__)
-    assert set(recording.ACTIONS.values()) == set(api.Action.__args__)
+    assert set(recording.EVENTS.values()) == set(policy.Event.__args__)
+    assert set(recording.ACTIONS.values()) == set(policy.Action.__args__)
 
 
 @pytest.mark.parametrize("values", [[], [99, 1], [6, 1, 2], [4, 1], ["x"]])
@@ -147,7 +146,7 @@
 
 def segment(
     story: Story, steps: int, path, number=0, life=1
-) -> list[tuple[int, api.Event, list[api.Action]]]:
+) -> list[tuple[int, policy.Event, list[policy.Action]]]:
     header = recording.Header(
         format=recording.FORMAT,
         build="x",
@@ -261,7 +260,7 @@
     index = recording.Index(reader, recording.request_of)
     again = recording.SegmentReader(str(path))
     scanned = [one for one in again if getattr(one.event, "request", None) == 5]
-    assert [e for e in index.entries(5) if not isinstance(e.event, api.TimerFired)] == scanned
+    assert [e for e in index.entries(5) if not isinstance(e.event, policy.TimerFired)] == scanned
     assert index.entries(1 << 30) == []
 
 
@@ -274,7 +273,12 @@
     assert len(entries) == 160
     gateway = recording.restore(reader.header.module_settings(), reader.state())
     kinds = {type(one.event) for one in entries}
-    assert {api.RequestArrived, api.QuotaRequested, api.AttemptEnded, api.PeerMessageReceived} <= kinds
+    assert {
+        policy.RequestArrived,
+        policy.QuotaRequested,
+        policy.AttemptEnded,
+        policy.PeerMessageReceived,
+    } <= kinds
     for one in entries:
         gateway.handle(one.now, one.event)
 
@@ -381,13 +385,13 @@
             view = read_view(make_view(gateway, "g", story.bench.now, names, who))
             foretold = next_request(view, 0, 1.0)
             story.number += 1
-            story.tell(api.RequestArrived(story.number, *who[:2], 0, 1.0, 2 * SECOND, 0, 3, False))
+            story.tell(policy.RequestArrived(story.number, *who[:2], 0, 1.0, 2 * SECOND, 0, 3, False))
             actions = story.log[-1][2]
             done = (
                 "sent"
-                if of(actions, api.SendAttempt)
+                if of(actions, policy.SendAttempt)
                 else "refused"
-                if of(actions, api.RejectRequest)
+                if of(actions, policy.RejectRequest)
                 else "held"
             )
             assert foretold.decision == done
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -14,10 +14,10 @@
 from test_day import day, quiet  # noqa: F401
 from test_upgrade import slow
 
+from orchidlane import policy
 from orchidlane.config import Duration
 from orchidlane.gateway.control.settings import parse_fleet
 from orchidlane.hot_restart.account_recovery import Life, survivors
-from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.state import Account
 from orchidlane.recording.state_dump import dump_account
@@ -37,8 +37,8 @@
 
 
 def take(gateway: Gateway, now: int, units: float) -> bool:
-    asked = api.QuotaRequested(now, 1, 0, 0, units, 0, 1)
-    return any(isinstance(action, api.GrantQuota) for action in gateway.handle(now, asked))
+    asked = policy.QuotaRequested(now, 1, 0, 0, units, 0, 1)
+    return any(isinstance(action, policy.GrantQuota) for action in gateway.handle(now, asked))
 
 
 @given(
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -10,8 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidlane import routes
-from orchidlane.policy import interface as api
+from orchidlane import policy, routes
 from orchidlane.routes import Match, Miss
 
 ROOT = Path(__file__).parent.parent
@@ -76,11 +75,11 @@
 
 def test_classes_come_from_the_extension(materials):
     of = dict(zip(materials.class_names, materials.classes, strict=True))
-    assert of["report-issue"].idempotency is api.Idempotency.NOT_IDEMPOTENT
+    assert of["report-issue"].idempotency is policy.Idempotency.NOT_IDEMPOTENT
     upload = of["test-upload"]
     assert (upload.idempotency, upload.deduplication_scope, upload.deduplication_window_us) == (
-        api.Idempotency.IDEMPOTENT_WITH_KEY,
-        api.DeduplicationScope.CELL,
+        policy.Idempotency.IDEMPOTENT_WITH_KEY,
+        policy.DeduplicationScope.CELL,
         5_000_000,
     )
     assert materials.match("PUT", b"/v1/tests/1").operation.idempotency_header == b"idempotency-key"
@@ -89,7 +88,7 @@
 
 def test_an_unknown_effect_means_never_run_twice():
     generation = routes.build(SMALL, "f")
-    assert generation.classes[0].idempotency is api.Idempotency.NOT_IDEMPOTENT
+    assert generation.classes[0].idempotency is policy.Idempotency.NOT_IDEMPOTENT
     assert generation.operations[0].cost == 1
 
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -4,13 +4,13 @@
 
 from conftest import SECOND, Bench, entry, listed, of
 
-from orchidlane.policy import interface as api
-from orchidlane.policy.interface import Outcome
+from orchidlane import policy
+from orchidlane.policy import Outcome
 
 
-def serve(bench: Bench, request: int, took) -> api.SendAttempt | None:
+def serve(bench: Bench, request: int, took) -> policy.SendAttempt | None:
     """Ask, and answer at once with a time by server; the send, if there was one."""
-    sends = of(bench.ask(request, customer=request, left=2 * SECOND), api.SendAttempt)
+    sends = of(bench.ask(request, customer=request, left=2 * SECOND), policy.SendAttempt)
     if not sends:
         return None
     bench.run(10_000)
@@ -70,13 +70,13 @@
     bench = Bench(servers=4)
     dead, tried = entry(0).endpoint, 0
     for request in range(1, 101):
-        send = of(bench.ask(request, customer=request), api.SendAttempt)[0]
+        send = of(bench.ask(request, customer=request), policy.SendAttempt)[0]
         attempt = 0
         while send.endpoint == dead:
             tried += 1
-            send = of(bench.outcome(request, dead, Outcome.CONNECT_FAILED, attempt=attempt), api.SendAttempt)[
-                0
-            ]
+            send = of(
+                bench.outcome(request, dead, Outcome.CONNECT_FAILED, attempt=attempt), policy.SendAttempt
+            )[0]
             attempt += 1
         bench.run(5_000)
         bench.outcome(request, send.endpoint, Outcome.SERVED, attempt=attempt, took=30_000)
@@ -89,14 +89,14 @@
     far = {entry(i).endpoint for i in range(50)}
     bench.feed(listed(*(entry(i, zone=int(i >= 50)) for i in range(100))))
     for request in range(1, 101):
-        out, attempt = of(bench.ask(request, customer=request), api.SendAttempt), 0
+        out, attempt = of(bench.ask(request, customer=request), policy.SendAttempt), 0
         while out:
             lost = out[0].endpoint in far
             tried += lost
             outcome = Outcome.CONNECT_FAILED if lost else Outcome.SERVED
             out = of(
                 bench.outcome(request, out[0].endpoint, outcome, attempt=attempt, took=30_000),
-                api.SendAttempt,
+                policy.SendAttempt,
             )
             attempt += 1
         bench.run(20_000)
@@ -109,7 +109,7 @@
     for request in range(1, 40):
         serve(bench, request, lambda _: 60_000)
     sent = [
-        of(bench.ask(r, customer=r, left=2 * SECOND), api.SendAttempt)[0].endpoint for r in range(100, 120)
+        of(bench.ask(r, customer=r, left=2 * SECOND), policy.SendAttempt)[0].endpoint for r in range(100, 120)
     ]
     bench.run(2 * SECOND)
     for request, server in zip(range(100, 120), sent, strict=True):
@@ -120,15 +120,15 @@
 def test_when_all_servers_fail_none_is_put_aside_for_good():
     bench = Bench(servers=3)
     for request in range(1, 30):
-        out, attempt = of(bench.ask(request, customer=request), api.SendAttempt), 0
+        out, attempt = of(bench.ask(request, customer=request), policy.SendAttempt), 0
         while out:
             out = of(
                 bench.outcome(request, out[0].endpoint, Outcome.CONNECT_FAILED, attempt=attempt),
-                api.SendAttempt,
+                policy.SendAttempt,
             )
             attempt += 1
     bench.run(10 * SECOND)
-    sends = [s for r in range(50, 62) for s in of(bench.ask(r, customer=r), api.SendAttempt)]
+    sends = [s for r in range(50, 62) for s in of(bench.ask(r, customer=r), policy.SendAttempt)]
     assert len({s.endpoint for s in sends}) == 3
 
 
@@ -136,11 +136,13 @@
     bench = Bench(servers=4)
     sends = 0
     for request in range(1, 201):
-        out = of(bench.ask(request, customer=request), api.SendAttempt)
+        out = of(bench.ask(request, customer=request), policy.SendAttempt)
         attempt = 0
         while out:
             sends += 1
-            out = of(bench.outcome(request, out[0].endpoint, Outcome.ERROR, attempt=attempt), api.SendAttempt)
+            out = of(
+                bench.outcome(request, out[0].endpoint, Outcome.ERROR, attempt=attempt), policy.SendAttempt
+            )
             attempt += 1
         bench.run(50_000)
     assert sends < 200 * 1.15
@@ -150,9 +152,11 @@
     bench = Bench(servers=2)
     for request in range(1, 41):
         serve(bench, request, lambda _: 60_000)
-    sends = [s for r in range(100, 200) for s in of(bench.ask(r, customer=r), api.SendAttempt)]
+    sends = [s for r in range(100, 200) for s in of(bench.ask(r, customer=r), policy.SendAttempt)]
     assert 0 < len(sends) < 50
-    assert not [a for a in bench.run(SECOND // 10) if isinstance(a, api.RejectRequest)]  # none was held first
+    assert not [
+        a for a in bench.run(SECOND // 10) if isinstance(a, policy.RejectRequest)
+    ]  # none was held first
 
 
 def test_an_idle_slow_kind_is_not_shed():
@@ -174,9 +178,11 @@
 def test_a_stalled_server_is_passed_over():
     bench = Bench(servers=0)
     bench.feed(listed(entry(1), entry(2)))
-    stalled = of(bench.ask(1, kind=2), api.SendAttempt)[0].endpoint
+    stalled = of(bench.ask(1, kind=2), policy.SendAttempt)[0].endpoint
     bench.run(300_000)
-    others = [s.endpoint for r in range(2, 6) for s in of(bench.ask(r, customer=r, kind=2), api.SendAttempt)]
+    others = [
+        s.endpoint for r in range(2, 6) for s in of(bench.ask(r, customer=r, kind=2), policy.SendAttempt)
+    ]
     assert others
     assert stalled not in others
 
@@ -185,7 +191,7 @@
     """A sample of a mostly cold fleet held requests though a warm server was free (incident)."""
     bench = Bench(servers=0)
     bench.feed(listed(entry(0), *(entry(i, launched=bench.now) for i in range(1, 200))))
-    assert [s.endpoint for s in of(bench.ask(1), api.SendAttempt)] == [entry(0).endpoint]
+    assert [s.endpoint for s in of(bench.ask(1), policy.SendAttempt)] == [entry(0).endpoint]
 
 
 def test_failures_move_the_choice_of_server_and_refuse_nobody():
@@ -193,18 +199,21 @@
     request still goes to one."""
     bench = Bench()
     for number in range(1, 9):
-        (send,) = of(bench.ask(number, kind=2, customer=number), api.SendAttempt)
-        bench.outcome(number, send.endpoint, api.Outcome.CONNECTION_BROKEN)
+        (send,) = of(bench.ask(number, kind=2, customer=number), policy.SendAttempt)
+        bench.outcome(number, send.endpoint, policy.Outcome.CONNECTION_BROKEN)
     assert all(host.fails > 0 for host in bench.gateway.hosts.values())
-    assert of(bench.ask(20, customer=20), api.SendAttempt)
+    assert of(bench.ask(20, customer=20), policy.SendAttempt)
 
 
 def test_servers_that_are_gone_are_forgotten():
     bench = Bench(servers=0)
     for number in range(1, 200):
-        bench.feed(listed(entry(number, cell=number), kind=api.EndpointListKind.DELTA))
+        bench.feed(listed(entry(number, cell=number), kind=policy.EndpointListKind.DELTA))
         bench.feed(
-            listed(entry(number, cell=number, phase=api.EndpointState.GONE), kind=api.EndpointListKind.DELTA)
+            listed(
+                entry(number, cell=number, phase=policy.EndpointState.GONE),
+                kind=policy.EndpointListKind.DELTA,
+            )
         )
     gateway = bench.gateway
     assert not gateway.hosts and not gateway.cells and not gateway.zones
--- a/tests/test_sets.py
+++ b/tests/test_sets.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
 from orchidlane.rollout.compatibility import Account
 from orchidlane.rollout.shard_migration import versions_between
@@ -42,15 +42,15 @@
             self.at[rank] = GROW
         elif self.at[rank] < GROW and all(at >= self.at[rank] for at in self.at):
             self.at[rank] += 1
-            moved = api.ReplicaSetChanged(CUSTOMER, 0, FIRST[self.at[rank]], SIZE)
+            moved = policy.ReplicaSetChanged(CUSTOMER, 0, FIRST[self.at[rank]], SIZE)
             self.ones[rank].handle(self.now, moved)
 
     def take(self, rank: int, units: float) -> None:
         if self.at[rank] == HOLD:
             return
         self.number += 1
-        event = api.QuotaRequested(self.number, CUSTOMER, 0, 0, units, FIRST[self.at[rank]], SIZE)
-        if any(isinstance(action, api.GrantQuota) for action in self.ones[rank].handle(self.now, event)):
+        event = policy.QuotaRequested(self.number, CUSTOMER, 0, 0, units, FIRST[self.at[rank]], SIZE)
+        if any(isinstance(action, policy.GrantQuota) for action in self.ones[rank].handle(self.now, event)):
             self.taken.append((self.now, units))
 
     def beyond(self) -> float:
@@ -108,8 +108,10 @@
     for _ in range(10):
         fleet.take(5, 1.0)
     assert fleet.taken == []
-    asked = api.RequestArrived(99, CUSTOMER, 0, 0, 1.0, SECOND, 0, SIZE, False)
-    [refused] = [one for one in fleet.ones[5].handle(fleet.now, asked) if isinstance(one, api.RejectRequest)]
+    asked = policy.RequestArrived(99, CUSTOMER, 0, 0, 1.0, SECOND, 0, SIZE, False)
+    [refused] = [
+        one for one in fleet.ones[5].handle(fleet.now, asked) if isinstance(one, policy.RejectRequest)
+    ]
     assert refused.over_quota and refused.retry_after_us == 0  # it never comes back here
 
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -21,9 +21,8 @@
 from test_record import Story, run, segment
 
 import orchidlane
-from orchidlane import recording
+from orchidlane import policy, recording
 from orchidlane.gateway.telemetry.policy_views import plan_counts
-from orchidlane.policy import interface as api
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import Loop, SimWorld
 from orchidlane.simulation.backends import SimulatedBacking
@@ -268,7 +267,7 @@
     arrived = [
         (now, event)
         for now, event, _ in log
-        if isinstance(event, api.RequestArrived | api.QuotaRequested) and event.customer == 3
+        if isinstance(event, policy.RequestArrived | policy.QuotaRequested) and event.customer == 3
     ]
     reader = recording.SegmentReader(str(path))
     index = recording.TimeIndex(reader)
@@ -413,11 +412,11 @@
     header_now, settings_ = story.bench.now, story.bench.settings
     recording.track(story.bench.gateway)
     entries = []
-    story.tell(api.RequestArrived(1, 7, 0, 0, 1.0, 2 * SECOND, 0, 3, False))
-    server = next(a.endpoint for a in story.log[-1][2] if isinstance(a, api.SendAttempt))
+    story.tell(policy.RequestArrived(1, 7, 0, 0, 1.0, 2 * SECOND, 0, 3, False))
+    server = next(a.endpoint for a in story.log[-1][2] if isinstance(a, policy.SendAttempt))
     entries.append(story.log[-1])
     story.bench.now += 100 * MS
-    ended = api.AttemptEnded(1, 0, server, api.Outcome.SERVED, 100, True, 0, 0.0, ())
+    ended = policy.AttemptEnded(1, 0, server, policy.Outcome.SERVED, 100, True, 0, 0.0, ())
     story.tell(ended)
     entries.append(story.log[-1])
 
@@ -442,16 +441,17 @@
         return dict(found.faults) | ({"ceiling": 1} if not found.rules["5"] else {})
 
     arrived, served = entries
-    beats = [(header_now + i * 500 * MS, api.TimerFired(0), []) for i in range(1, 12)]
+    beats = [(header_now + i * 500 * MS, policy.TimerFired(0), []) for i in range(1, 12)]
     assert faults(arrived, served) == {}
     assert faults(arrived, *beats) == {"missing": 1}
     assert faults(arrived, *beats, (beats[-1][0], ended, [])) == {"late": 1}
-    assert faults(arrived, (served[0], ended, [api.FailRequest(1)])) == {"doubled": 1}
-    gone = api.EndpointListReceived(api.EndpointListKind.COMPLETE, 2, ())
-    late = (arrived[0] + 900 * MS, arrived[1], [api.SendAttempt(1, server, 0)])
+    assert faults(arrived, (served[0], ended, [policy.FailRequest(1)])) == {"doubled": 1}
+    gone = policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 2, ())
+    late = (arrived[0] + 900 * MS, arrived[1], [policy.SendAttempt(1, server, 0)])
     assert faults((arrived[0], gone, []), late, (late[0], ended, [])) == {"sent after drain": 1}
     grants = [
-        (header_now + i, api.QuotaRequested(i, 7, 2, 0, 3.0, 0, 3), [api.GrantQuota(i)]) for i in range(1, 8)
+        (header_now + i, policy.QuotaRequested(i, 7, 2, 0, 3.0, 0, 3), [policy.GrantQuota(i)])
+        for i in range(1, 8)
     ]
     assert faults(*grants) == {"ceiling": 1}
     assert faults(*grants[:5]) == {}
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from orchidlane.policy import interface as api
+from orchidlane import policy
 from orchidlane.simulator_protocol import codec, process
 
 ROOT = Path(__file__).parent.parent
@@ -80,7 +80,7 @@
     return codec.Decoder().frame(len(records), b"".join(records) + tail)
 
 
-def encode(*actions: api.Action) -> bytes:
+def encode(*actions: policy.Action) -> bytes:
     """The reply's bytes after its header."""
     encoder = codec.Encoder()
     for action in actions:
@@ -120,16 +120,19 @@
     )
     counted = raw("0a 0300 00001842 66080000 6400 90f6890000000000")
     got = decode(order, bell, gone, answer, counted)
-    assert got[0] == (3, api.RequestArrived(0x5D3A91C4, 0x91F03B7C55D20A64, 0, 0, 2.0, 240000, 1, 3, False))
-    assert got[1] == (3, api.TimerFired(77))
-    assert got[2] == (5, api.ClientDisconnected(0x0E6F2B19))
+    assert got[0] == (
+        3,
+        policy.RequestArrived(0x5D3A91C4, 0x91F03B7C55D20A64, 0, 0, 2.0, 240000, 1, 3, False),
+    )
+    assert got[1] == (3, policy.TimerFired(77))
+    assert got[2] == (5, policy.ClientDisconnected(0x0E6F2B19))
     ended = got[3][1]
     assert ended.endpoint == HOST
     assert (ended.request, ended.attempt, ended.duration_us) == (0x5D3A91C4, 0, 18500)
-    assert (ended.outcome, ended.answered, ended.use) == (api.Outcome.SERVED, True, 0x56)
+    assert (ended.outcome, ended.answered, ended.use) == (policy.Outcome.SERVED, True, 0x56)
     assert ended.true_units == 3.0
     assert ended.load_report == pytest.approx((0.62, 14.5, 7.0))
-    assert got[4] == (3, api.CounterAnswered(0x89F690, api.Outcome.SERVED, 38.0, 0x866))
+    assert got[4] == (3, policy.CounterAnswered(0x89F690, policy.Outcome.SERVED, 38.0, 0x866))
 
 
 def test_a_list_of_the_note():
@@ -139,24 +142,24 @@
     )
     got = decode(raw("0c 0000 00000000 02000000"), raw("09 0300 02 0000 2900000000000000"), tail=tail)
     listed = got[0][1]
-    assert (listed.kind, listed.version, len(listed.entries)) == (api.EndpointListKind.CACHED, 41, 2)
-    assert listed.entries[0] == api.EndpointEntry(HOST, api.EndpointState.READY, 0, 0, 0, 1.0)
+    assert (listed.kind, listed.version, len(listed.entries)) == (policy.EndpointListKind.CACHED, 41, 2)
+    assert listed.entries[0] == policy.EndpointEntry(HOST, policy.EndpointState.READY, 0, 0, 0, 1.0)
     assert listed.entries[1].started_at_us == 0x5D1420
     assert (listed.entries[1].zone, listed.entries[1].capacity_share) == (1, 1.5)
 
 
 def test_actions_of_the_note():
-    send = api.SendAttempt(0x5D3A91C4, HOST, 0x8194DA)
+    send = policy.SendAttempt(0x5D3A91C4, HOST, 0x8194DA)
     assert encode(send) == raw("41 0300 c4913a5d 0a124a07 2b23 da94810000000000", 24)
-    assert encode(api.SetTimer(0x07A120, 77)) == raw("45 0300 20a10700 4d00000000000000", 24)
-    tell = encode(api.SendPeerMessage(0xFFFF, bytes.fromhex("68692037")))
+    assert encode(policy.SetTimer(0x07A120, 77)) == raw("45 0300 20a10700 4d00000000000000", 24)
+    tell = encode(policy.SendPeerMessage(0xFFFF, bytes.fromhex("68692037")))
     assert tell == raw("48 0300 ffff 00000000 04000000", 24) + b"hi 7"
-    assert encode(api.RejectRequest(7, 9)) == raw("42 0300 07000000 09000000", 24)
-    assert encode(api.FailRequest(7)) == raw("43 0300 07000000", 24)
-    assert encode(api.CancelAttempt(7, 2)) == raw("44 0300 07000000 0200", 24)
-    assert encode(api.CheckHealth(HOST)) == raw("46 0300 0a124a07 2b23", 24)
-    assert encode(api.WatchEndpoints()) == raw("4b 0300 01", 24)
-    assert encode(api.FetchEndpoints()) == raw("4c 0300", 24)
+    assert encode(policy.RejectRequest(7, 9)) == raw("42 0300 07000000 09000000", 24)
+    assert encode(policy.FailRequest(7)) == raw("43 0300 07000000", 24)
+    assert encode(policy.CancelAttempt(7, 2)) == raw("44 0300 07000000 0200", 24)
+    assert encode(policy.CheckHealth(HOST)) == raw("46 0300 0a124a07 2b23", 24)
+    assert encode(policy.WatchEndpoints()) == raw("4b 0300 01", 24)
+    assert encode(policy.FetchEndpoints()) == raw("4c 0300", 24)
 
 
 def test_one_process_acts_like_several():
