--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -104,7 +104,7 @@
                 "g",
                 START,
                 0,
-                recording.settings_to_stored(gateway.s),
+                recording.settings_to_stored(gateway.settings),
                 snapshot.head,
                 tuple("abc"),
                 ("basico", "amplio"),
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -106,7 +106,7 @@
     def counted(self) -> float:
         """Units by the gateway's own count."""
         with open_state(self.plan.fleet.gateways[0].admin) as state:
-            return sum(recording.load_account(row).counts[0][1] for row in state.accounts())
+            return sum(recording.load_account(row).replica_counts[0][1] for row in state.accounts())
 
 
 def percentile(times: list[float], share: float) -> float:
--- a/orchidlane/gateway/forwarding/openapi_adapter.py
+++ b/orchidlane/gateway/forwarding/openapi_adapter.py
@@ -142,7 +142,7 @@
         if account is None or not plan.rate:
             return
         name = customer.plan_name.encode()
-        room = max(0, int(account.room))
+        room = max(0, int(account.remaining))
         span = max(1, int(plan.burst / plan.rate))
         answer.headers.append((b"ratelimit-policy", b'"%s";q=%d;w=%d' % (name, plan.burst, span)))
         answer.headers.append((b"ratelimit", b'"%s";r=%d' % (name, room)))
--- a/orchidlane/gateway/lifecycle/hot_restart.py
+++ b/orchidlane/gateway/lifecycle/hot_restart.py
@@ -868,7 +868,7 @@
         """Said before what it counts is sent on: the old one would know of it after our death."""
         rules = self.program.host.rules
         account = rules.accounts[customer]
-        start, value = account.counts[rules.rank]
+        start, value = account.replica_counts[rules.replica]
         self.channel.send(messages.Count(customer, *account.key, start, value))
 
     def _pass_reply(self, sender: int, body: bytes) -> None:
--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -143,8 +143,8 @@
         account = self.host.rules.accounts.get(customer.number)
         if account is None:
             return plan.burst
-        gained = plan.rate * (self.loop.now() - account.risen) / 1_000_000
-        return min(plan.burst, account.room + gained)
+        gained = plan.rate * (self.loop.now() - account.refilled_at_us) / 1_000_000
+        return min(plan.burst, account.remaining + gained)
 
     def wait_for(self, customer: Customer, units: float) -> int:
         """Microseconds until so many units should be there; 0 where there is no rate."""
--- a/orchidlane/gateway/telemetry/policy_views.py
+++ b/orchidlane/gateway/telemetry/policy_views.py
@@ -60,7 +60,7 @@
         build=recording.build_name(),
         gateway=name,
         now=now,
-        settings=recording.settings_to_stored(gateway.s),
+        settings=recording.settings_to_stored(gateway.settings),
         state=recording.dump(gateway, chosen),
         class_names=names[0],
         plan_names=names[1],
@@ -151,7 +151,7 @@
     for row in reader.accounts():
         account = recording.load_account(row)
         gateway._lift(account)
-        _count(found[header.plan_names[account.plan]], account, gateway.s.plans[account.plan], most)
+        _count(found[header.plan_names[account.plan]], account, gateway.settings.plans[account.plan], most)
     for counts in found.values():
         counts.pressed = sorted((-share, -number) for share, number in counts.pressed)
     return dict(found)
@@ -159,12 +159,12 @@
 
 def _count(counts: PlanCounts, account: Account, plan: policy.Plan, most: int) -> None:
     counts.customers += 1
-    counts.spent += account.total
-    counts.room += account.room
-    counts.closed += account.closed
-    counts.unheard += account.fresh
-    counts.out += account.out
-    share = account.room / plan.burst if plan.burst else 1.0
+    counts.spent += account.spent_total
+    counts.room += account.remaining
+    counts.closed += account.exhausted
+    counts.unheard += account.unconfirmed
+    counts.out += account.in_flight
+    share = account.remaining / plan.burst if plan.burst else 1.0
     heapq.heappush(counts.pressed, (-share, -account.customer))
     if len(counts.pressed) > most:
         heapq.heappop(counts.pressed)
@@ -207,18 +207,18 @@
     return Next(
         decision="sent" if sent else "refused" if refused else "held",
         why=why,
-        room=account.room + spent,
+        room=account.remaining + spent,
         limit=account.limit,
-        total=account.total - spent,
-        closed=account.closed,
-        counts={rank: value for rank, (_, value) in account.counts.items()},
+        total=account.spent_total - spent,
+        closed=account.exhausted,
+        counts={rank: value for rank, (_, value) in account.replica_counts.items()},
     )
 
 
 def _ask(gateway: Gateway, view: View, kind: int, units: float) -> list[policy.Action]:
     assert view.customer is not None
     number, plan, first, size = view.customer
-    deadline = gateway.s.classes[kind].deadline_us
+    deadline = gateway.settings.classes[kind].deadline_us
     arrived = policy.RequestArrived(NUMBER, number, plan, kind, units, deadline, first, size, False)
     return gateway.handle(view.now, arrived)
 
@@ -236,10 +236,10 @@
         gateway = _copy(view)
         account = gateway.accounts.get(number)
         if name == UNHEARD and account is not None:
-            account.fresh = False
-        plans = list(gateway.s.plans)
+            account.unconfirmed = False
+        plans = list(gateway.settings.plans)
         plans[plan] = replace(plans[plan], **without)
-        gateway.s = replace(gateway.s, plans=tuple(plans))
+        gateway.settings = replace(gateway.settings, plans=tuple(plans))
         refused = [one for one in _ask(gateway, view, kind, units) if isinstance(one, policy.RejectRequest)]
         if not any(one.over_quota for one in refused):
             found.append(name)
@@ -251,9 +251,9 @@
     found: Counter[bytes] = Counter()
     for seed in range(PROBES):
         gateway = _copy(view)
-        plan = next((i for i, one in enumerate(gateway.s.plans) if not one.rate), 0)
+        plan = next((i for i, one in enumerate(gateway.settings.plans) if not one.rate), 0)
         gateway.random.seed(seed)
-        cls = gateway.s.classes[kind]
+        cls = gateway.settings.classes[kind]
         arrived = policy.RequestArrived(
             (1 << 32) - 1, (1 << 33) - 1, plan, kind, 1e-6, cls.deadline_us, 0, 1, False
         )
--- a/orchidlane/hot_restart/account_recovery.py
+++ b/orchidlane/hot_restart/account_recovery.py
@@ -40,11 +40,11 @@
         if plan is None:
             continue
         account.key = (plan, *account.key[1:])
-        room = account.room if life.clean and not back else 0.0
-        account.limit, account.risen = account.total + max(0.0, room), risen
-        account.counts.pop(life.rank, None)
-        account.news = tuple(rank for rank in account.news if rank != life.rank)
-        account.fresh, account.closed = account.size > 1, False
-        account.out = account.spread = 0
-        account.others, account.ceiling, account.asked = (), 0.0, 0.0
+        room = account.remaining if life.clean and not back else 0.0
+        account.limit, account.refilled_at_us = account.spent_total + max(0.0, room), risen
+        account.replica_counts.pop(life.rank, None)
+        account.recently_changed = tuple(rank for rank in account.recently_changed if rank != life.rank)
+        account.unconfirmed, account.exhausted = account.replica_set_size > 1, False
+        account.in_flight = account.announced_at_us = 0
+        account.peer_admissions_at_us, account.ceiling_tokens, account.requested_tokens = (), 0.0, 0.0
         yield account
--- a/orchidlane/hot_restart/tables.py
+++ b/orchidlane/hot_restart/tables.py
@@ -86,8 +86,11 @@
         if table == AccountsTable.name:
             for row in rows:
                 account = load_account(row)
-                account.others = (*account.others, *(now for _ in range(account.out)))
-                account.out = 0
+                account.peer_admissions_at_us = (
+                    *account.peer_admissions_at_us,
+                    *(now for _ in range(account.in_flight)),
+                )
+                account.in_flight = 0
                 self.accounts[account.customer] = account
             for customer in gone:
                 self.accounts.pop(customer, None)
@@ -102,7 +105,11 @@
 def module_at_moment(gateway: Gateway) -> Dump:
     """All of a module but its accounts and what is out."""
     told = dump(gateway, customers=[])
-    plain = {**told.plain, "changed": list(gateway.changed), "closed": list(gateway.closed)}
+    plain = {
+        **told.plain,
+        "changed": list(gateway.pending_changes),
+        "closed": list(gateway.exhausted_customers),
+    }
     return msgspec.structs.replace(told, plain=plain)
 
 
@@ -115,14 +122,14 @@
     """
     usual, changed, closed = told.plain["usual"], told.plain["changed"], told.plain.get("closed", ())
     gateway = restore(settings, told)
-    fresh = Gateway(settings, 0, gateway.now).usual
-    gateway.usual = [fresh[i] if old is None else usual[old] for i, old in enumerate(kinds)]
+    fresh = Gateway(settings, 0, gateway.now).usual_duration_us
+    gateway.usual_duration_us = [fresh[i] if old is None else usual[old] for i, old in enumerate(kinds)]
     gateway.accounts = Accounts(accounts)
     gateway.idle_queue.extend(accounts)  # the order of looks is free
-    gateway.changed = {customer: None for customer in changed if customer in accounts}
-    gateway.closed = {customer: 0 for customer in closed if customer in accounts}  # told of anew
-    for host in gateway.hosts.values():
-        host.out = 0
+    gateway.pending_changes = {customer: None for customer in changed if customer in accounts}
+    gateway.exhausted_customers = {customer: 0 for customer in closed if customer in accounts}  # told of anew
+    for host in gateway.endpoints.values():
+        host.in_flight = 0
     return gateway
 
 
@@ -132,6 +139,6 @@
     Its counts were told as they grew; of ceilings nobody knows what was lent, so each part fills from
     nothing, as at a start.
     """
-    gateway.born = gateway.now  # those not met yet, too
+    gateway.started_at_us = gateway.now  # those not met yet, too
     for account in gateway.accounts.values():
-        account.ceiling = account.asked = 0.0
+        account.ceiling_tokens = account.requested_tokens = 0.0
--- a/orchidlane/policy/gossip_codec.py
+++ b/orchidlane/policy/gossip_codec.py
@@ -24,28 +24,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class CustomerRow:
     """What a message tells of one customer; counts are (rank, start in ticks, value)."""
 
     customer: int
     plan: int
-    set_first: int
-    set_size: int
-    reach: int
-    room: float
-    total: float
-    rights: float
-    counts: tuple[tuple[int, int, float], ...]
+    replica_set_start: int
+    replica_set_size: int
+    forward_count: int
+    remaining: float
+    spent_total: float
+    tokens: float
+    replica_counts: tuple[tuple[int, int, float], ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
+class GossipMessage:
     """A decoded message; sent in ms."""
 
-    sent: int
-    ask: bool
-    keep: bool
-    rows: tuple[Row, ...]
+    sent_at_ms: int
+    wants_reply: bool
+    to_token_owner: bool
+    rows: tuple[CustomerRow, ...]
 
 
 def _put(out: bytearray, *values: int) -> None:
@@ -69,12 +69,18 @@
     raise ValueError("number too long")
 
 
-def pack_row(row: Row, sent: int, ranks: int) -> bytes:
+def pack_row(row: CustomerRow, sent: int, ranks: int) -> bytes:
     """One row as bytes; starts are told as ages at the send time."""
-    out, first, ticks = bytearray(), row.set_first, sent // TICK
-    _put(out, row.customer, row.plan, first, row.set_size, row.reach)
-    _put(out, int(row.room * SCALE), int(row.total * SCALE), int(row.rights * SCALE), len(row.counts))
-    for rank, start, value in row.counts:
+    out, first, ticks = bytearray(), row.replica_set_start, sent // TICK
+    _put(out, row.customer, row.plan, first, row.replica_set_size, row.forward_count)
+    _put(
+        out,
+        int(row.remaining * SCALE),
+        int(row.spent_total * SCALE),
+        int(row.tokens * SCALE),
+        len(row.replica_counts),
+    )
+    for rank, start, value in row.replica_counts:
         _put(out, (rank - first) % ranks, max(0, ticks - start), int(value * SCALE))
     return bytes(out)
 
@@ -96,7 +102,7 @@
     return bytes((FORMAT, ask + 2 * keep)) + (sent % CLOCK).to_bytes(4, "little") + b"".join(rows)
 
 
-def unpack(body: bytes, now: int, ranks: int, plans: int) -> Message | None:
+def unpack(body: bytes, now: int, ranks: int, plans: int) -> GossipMessage | None:
     """The message, or None where the bytes are none or name what does not exist.
 
     Of the send times that the low bits may mean, the one nearest to now (in ms) is taken.
@@ -124,7 +130,7 @@
                     return None
                 counts.append(((first + place) % ranks, ticks - age, value / SCALE))
             amounts = room / SCALE, total / SCALE, rights / SCALE
-            rows.append(Row(customer, plan, first, size, reach, *amounts, tuple(counts)))
-        return Message(sent, body[1] & 1 == 1, body[1] & 2 == 2, tuple(rows))
+            rows.append(CustomerRow(customer, plan, first, size, reach, *amounts, tuple(counts)))
+        return GossipMessage(sent, body[1] & 1 == 1, body[1] & 2 == 2, tuple(rows))
     except (IndexError, ValueError):
         return None
--- a/orchidlane/recording/state_dump.py
+++ b/orchidlane/recording/state_dump.py
@@ -15,12 +15,21 @@
 
 from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account, Attempt, Host, Known, Pool, Request
+from orchidlane.policy.state import Account, Attempt, Endpoint, EndpointPool, HealthEstimate, PendingRequest
 from orchidlane.recording.codec import FormatError, pack_event, unpack_event
 
 FORMAT = 1
-PLAIN = ("now", "filled", "born", "last_sent", "usual", "budget", "unheard", "allowance")
-HOST = ("out", "active", "typical")
+PLAIN_NAMES = {  # stored name -> attribute of the gateway
+    "now": "now",
+    "filled": "allowance_refilled_at_us",
+    "born": "started_at_us",
+    "last_sent": "last_attempt_at_us",
+    "usual": "usual_duration_us",
+    "budget": "retry_budget",
+    "unheard": "unreachable_share",
+    "allowance": "message_allowance",
+}
+ENDPOINT_FIELDS = ("in_flight", "last_active_at_us", "baseline_load")
 ACCOUNT = tuple(field.name for field in dataclasses.fields(Account))
 
 
@@ -65,42 +74,45 @@
             *_dump_attempt(attempt, hosts),
             _customer(request),
             pack_event(request.event),
-            request.until,
+            request.deadline_at_us,
         ]
         for key, (attempt, request) in gateway.attempts.items()
         if whole and id(attempt) not in held
     ]
     kept = () if whole else {account.customer for account in chosen}
-    pools = [hosts.places(gateway.warm.hosts), hosts.places(gateway.cold.hosts)]
-    cells = [(cell, hosts.places(pool.hosts)) for cell, pool in gateway.cells.items()]
-    zones = [(zone, hosts.places(pool.hosts)) for zone, pool in gateway.zones.items()]
-    warming = hosts.places(gateway.warming)
-    closed = {one: told for one, told in gateway.closed.items() if whole or one in kept}
+    pools = [hosts.places(gateway.warm_pool.endpoints), hosts.places(gateway.cold_pool.endpoints)]
+    cells = [(cell, hosts.places(pool.endpoints)) for cell, pool in gateway.cell_pools.items()]
+    zones = [(zone, hosts.places(pool.endpoints)) for zone, pool in gateway.zone_pools.items()]
+    warming = hosts.places(gateway.warming_queue)
+    closed = {one: told for one, told in gateway.exhausted_customers.items() if whole or one in kept}
     return Dump(
         format=FORMAT,
-        plain={name: copy(getattr(gateway, name)) for name in PLAIN},  # a list goes on changing
+        # a list goes on changing
+        plain={stored: copy(getattr(gateway, name)) for stored, name in PLAIN_NAMES.items()},
         random=_dump_random(gateway),
         accounts=[dump_account(account) for account in chosen] if accounts else [],
         idle_queue=list(gateway.idle_queue) if whole else [one for one in gateway.idle_queue if one in kept],
-        changed=list(gateway.changed) if whole else [one for one in gateway.changed if one in kept],
-        heard=list(gateway.heard.items()),
-        asked=list(gateway.asked) if whole else [],
+        changed=list(gateway.pending_changes)
+        if whole
+        else [one for one in gateway.pending_changes if one in kept],
+        heard=list(gateway.last_seen_at_us.items()),
+        asked=list(gateway.awaited_replies) if whole else [],
         hosts=hosts.rows(),  # after all that name a host
-        met=_known(gateway.met),
-        zones_met=[(zone, _known(known)) for zone, known in gateway.zones_met.items()],
+        met=_known(gateway.fleet_health),
+        zones_met=[(zone, _known(known)) for zone, known in gateway.zone_health.items()],
         pools=pools,
         cells=cells,
         zones=zones,
         warming=warming,
         requests=requests,
         detached=detached,
-        owed=[(rank, list(owed.items())) for rank, owed in gateway.owed.items()] if whole else [],
+        owed=[(rank, list(owed.items())) for rank, owed in gateway.pending_deltas.items()] if whole else [],
         closed=list(closed),
         told=list(closed.values()),
     )
 
 
-def _customer(request: Request) -> int:
+def _customer(request: PendingRequest) -> int:
     return request.account.customer if request.account is not None else -1
 
 
@@ -119,14 +131,14 @@
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
         self._places: dict[int, int] = {}
-        self._hosts: list[Host] = []
-        self.places(gateway.hosts.values())
+        self._hosts: list[Endpoint] = []
+        self.places(gateway.endpoints.values())
 
     def places(self, hosts: Any) -> list[int]:
         """Where these hosts stand; new ones are added."""
         return [self.place(host) for host in hosts]
 
-    def place(self, host: Host) -> int:
+    def place(self, host: Endpoint) -> int:
         place = self._places.get(id(host))
         if place is None:
             place = self._places[id(host)] = len(self._hosts)
@@ -134,37 +146,45 @@
         return place
 
     def rows(self) -> list[list[Any]]:
-        listed = {id(host) for host in self.gateway.hosts.values()}
+        listed = {id(host) for host in self.gateway.endpoints.values()}
         return [
             [
                 list(dataclasses.astuple(host.entry)),
                 _known(host),
-                [getattr(host, name) for name in HOST],
+                [getattr(host, name) for name in ENDPOINT_FIELDS],
                 id(host) in listed,
             ]
             for host in self._hosts
         ]
 
 
-def _known(known: Known) -> list[float]:
-    return [known.seen, known.slow, known.fails]
+def _known(known: HealthEstimate) -> list[float]:
+    return [known.updated_at_us, known.slowness, known.failure_score]
 
 
 def dump_account(account: Account) -> list[Any]:
     """One account as a row of ``Dump.accounts``."""
     values = [getattr(account, name) for name in ACCOUNT]
-    values[ACCOUNT.index("counts")] = [(rank, *count) for rank, count in account.counts.items()]
+    values[ACCOUNT.index("replica_counts")] = [
+        (rank, *count) for rank, count in account.replica_counts.items()
+    ]
     return values
 
 
 def _dump_attempt(attempt: Attempt, hosts: _Hosts) -> list[Any]:
-    return [hosts.place(attempt.host), attempt.sent, attempt.load, attempt.out, attempt.ran]
+    return [
+        hosts.place(attempt.endpoint),
+        attempt.sent_at_us,
+        attempt.load,
+        attempt.in_flight,
+        attempt.possibly_executed,
+    ]
 
 
-def _dump_request(request: Request, hosts: _Hosts) -> list[Any]:
+def _dump_request(request: PendingRequest, hosts: _Hosts) -> list[Any]:
     account = _customer(request)
     attempts = [_dump_attempt(attempt, hosts) for attempt in request.attempts]
-    return [pack_event(request.event), request.until, request.lot, account, attempts]
+    return [pack_event(request.event), request.deadline_at_us, request.sampled_value, account, attempts]
 
 
 # -- back
@@ -190,8 +210,8 @@
         made, kept = self.made, self.kept
         now = kept.plain["now"]
         plain = {"born": now, "last_sent": now, **kept.plain}  # older files have none
-        for name in PLAIN:
-            value = plain[name]
+        for stored, name in PLAIN_NAMES.items():
+            value = plain[stored]
             setattr(made, name, list(value) if isinstance(value, list | tuple) else value)
         version, numbers, gauss = kept.random
         made.random.setstate((version, tuple(numbers), gauss))
@@ -199,11 +219,11 @@
         for customer in (*kept.idle_queue, *kept.changed, *kept.closed):
             made.accounts[customer]  # one that is not there does not fit: the module would stumble over it
         made.idle_queue = deque(kept.idle_queue)
-        made.changed = dict.fromkeys(kept.changed)
-        made.closed = dict(zip(kept.closed, kept.told or [0] * len(kept.closed), strict=True))
-        made.heard = dict(kept.heard)
-        made.owed = {rank: dict(owed) for rank, owed in kept.owed}
-        made.asked = deque(tuple(row) for row in kept.asked)  # type: ignore[misc]
+        made.pending_changes = dict.fromkeys(kept.changed)
+        made.exhausted_customers = dict(zip(kept.closed, kept.told or [0] * len(kept.closed), strict=True))
+        made.last_seen_at_us = dict(kept.heard)
+        made.pending_deltas = {rank: dict(owed) for rank, owed in kept.owed}
+        made.awaited_replies = deque(tuple(row) for row in kept.asked)  # type: ignore[misc]
         self._servers()
         self._requests()
         return made
@@ -211,16 +231,19 @@
     def _servers(self) -> None:
         made, kept = self.made, self.kept
         listed = [host for host, row in zip(self.hosts, kept.hosts, strict=True) if row[3]]
-        made.hosts = {host.entry.endpoint: host for host in listed}
-        made.met = Known(*kept.met)  # type: ignore[arg-type]
-        made.zones_met = {zone: Known(*known) for zone, known in kept.zones_met}  # type: ignore[arg-type]
-        made.warm, made.cold = (self._pool(places) for places in kept.pools)
-        made.cells = {cell: self._pool(places) for cell, places in kept.cells}
-        made.zones = {zone: self._pool(places) for zone, places in kept.zones}
-        made.warming = deque(self.hosts[place] for place in kept.warming)
-
-    def _pool(self, places: list[int]) -> Pool:
-        pool = Pool()
+        made.endpoints = {host.entry.endpoint: host for host in listed}
+        made.fleet_health = HealthEstimate(*kept.met)  # type: ignore[arg-type]
+        made.zone_health = {
+            zone: HealthEstimate(*known)  # type: ignore[arg-type]
+            for zone, known in kept.zones_met
+        }
+        made.warm_pool, made.cold_pool = (self._pool(places) for places in kept.pools)
+        made.cell_pools = {cell: self._pool(places) for cell, places in kept.cells}
+        made.zone_pools = {zone: self._pool(places) for zone, places in kept.zones}
+        made.warming_queue = deque(self.hosts[place] for place in kept.warming)
+
+    def _pool(self, places: list[int]) -> EndpointPool:
+        pool = EndpointPool()
         for place in places:
             pool.add(self.hosts[place])
         return pool
@@ -229,21 +252,21 @@
         made = self.made
         for event_row, until, lot, customer, attempts in self.kept.requests:
             request = self._request(event_row, until, customer)
-            request.lot = lot
+            request.sampled_value = lot
             number = request.event.request
             made.requests[number] = request
             for place, row in enumerate(attempts):
                 attempt = self._attempt(row)
                 request.attempts.append(attempt)
-                if attempt.out:
+                if attempt.in_flight:
                     made.attempts[number, place] = attempt, request
         for number, place, *row, customer, event_row, until in self.kept.detached:
             request = self._request(event_row, until, customer)
             made.attempts[number, place] = self._attempt(row), request
 
-    def _request(self, event_row: list[Any], until: int, customer: int) -> Request:
+    def _request(self, event_row: list[Any], until: int, customer: int) -> PendingRequest:
         event: Any = unpack_event(event_row)
-        request = Request(event, self.made.s.classes[event.request_class], until)
+        request = PendingRequest(event, self.made.settings.classes[event.request_class], until)
         request.account = self.made.accounts.get(customer) or _gone(customer, event, self.made)
         if customer == -1:
             request.account = None
@@ -257,15 +280,15 @@
     """An account that the module has dropped, for an attempt that still names it."""
     key = (event.plan, event.replica_set_start, max(1, event.replica_set_size))
     account = Account(customer, key, 0.0, gateway.now)
-    account.out = 1
+    account.in_flight = 1
     return account
 
 
-def _host(row: list[Any]) -> Host:
+def _host(row: list[Any]) -> Endpoint:
     entry, known, fields, _ = row
     made = policy.EndpointEntry(bytes(entry[0]), policy.EndpointState(entry[1]), *entry[2:])
-    host = Host(*known, entry=made)
-    for name, value in zip(HOST, fields, strict=True):
+    host = Endpoint(*known, entry=made)
+    for name, value in zip(ENDPOINT_FIELDS, fields, strict=True):
         setattr(host, name, value)
     return host
 
@@ -274,6 +297,7 @@
     """The account of a row of ``Dump.accounts``."""
     values = dict(zip(ACCOUNT, row, strict=True))
     values["key"] = tuple(values["key"])
-    values["counts"] = {rank: (start, value) for rank, start, value in values["counts"]}
-    values["news"], values["others"] = tuple(values["news"]), tuple(values["others"])
+    values["replica_counts"] = {rank: (start, value) for rank, start, value in values["replica_counts"]}
+    for name in ("recently_changed", "peer_admissions_at_us"):
+        values[name] = tuple(values[name])
     return Account(**values)
--- a/orchidlane/simulation/backends.py
+++ b/orchidlane/simulation/backends.py
@@ -128,7 +128,7 @@
         for rank, program in self.programs.items():
             host = program.host
             left = len(host.exchanges), len(host.runs), len(host.rules.requests), len(host.rules.attempts)
-            out = sum(known.out for known in host.rules.hosts.values())
+            out = sum(known.in_flight for known in host.rules.endpoints.values())
             if any((*left, out)) and not self.processes[f"gw-{rank}"].dead:
                 raise AssertionError(f"gw-{rank} left behind: {left}, {out} out")
 
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -13,22 +13,24 @@
 
 from orchidlane import policy
 from orchidlane.policy import gossip_codec as messages
-from orchidlane.policy.gossip_codec import Row
+from orchidlane.policy.gossip_codec import CustomerRow
 
 MS = T0 // 1_000
 TICK = MS // messages.TICK
 
 
-def say(bench: Bench, sender: int, *rows: Row, ask=False, keep=False, sent=None) -> list:
+def say(bench: Bench, sender: int, *rows: CustomerRow, ask=False, keep=False, sent=None) -> list:
     """A peer's message, sent now."""
     sent = bench.now // 1_000 if sent is None else sent
     packed = [messages.pack_row(r, sent, bench.settings.replica_count) for r in rows]
     return bench.feed(policy.PeerMessageReceived(sender, messages.pack(sent, ask, keep, packed)))
 
 
-def told(counts, room=10.0, total=0.0, customer=7, reach=0, first=0, size=3, plan=0, rights=0.0) -> Row:
+def told(
+    counts, room=10.0, total=0.0, customer=7, reach=0, first=0, size=3, plan=0, rights=0.0
+) -> CustomerRow:
     """What a peer tells of a customer."""
-    return Row(customer, plan, first, size, reach, room, total, rights, tuple(counts))
+    return CustomerRow(customer, plan, first, size, reach, room, total, rights, tuple(counts))
 
 
 def heard(**changes) -> Bench:
@@ -85,7 +87,7 @@
     bench = heard()
     for sender in (1, 2):
         say(bench, sender, told([(sender, TICK - 9, 4.0)], total=4.0), keep=True)
-    assert bench.gateway.accounts[7].total == 8.0
+    assert bench.gateway.accounts[7].spent_total == 8.0
 
 
 def test_unheard_a_customer_gets_a_share():
@@ -100,17 +102,17 @@
     bench = heard()
     say(bench, 1, told([(1, TICK - 90, 6.0)], total=6.0))
     say(bench, 1, told([(1, TICK - 1, 1.0)], total=1.0), keep=True)  # it has started anew
-    assert bench.gateway.accounts[7].counts[1] == (TICK - 1, 1.0)
-    assert bench.gateway.accounts[7].total == 7.0
+    assert bench.gateway.accounts[7].replica_counts[1] == (TICK - 1, 1.0)
+    assert bench.gateway.accounts[7].spent_total == 7.0
 
 
 def test_an_earlier_life_told_back_leaves_our_own_count_alone():
     bench = Bench()
     let_in(bench, 1)
-    before = bench.gateway.accounts[7].counts[0]
+    before = bench.gateway.accounts[7].replica_counts[0]
     say(bench, 1, told([(0, TICK - 500, 6.0)], total=7.0))
-    assert bench.gateway.accounts[7].counts[0] == before
-    assert bench.gateway.accounts[7].total == 7.0
+    assert bench.gateway.accounts[7].replica_counts[0] == before
+    assert bench.gateway.accounts[7].spent_total == 7.0
 
 
 def test_debt_does_not_lock_a_customer_out():
@@ -132,20 +134,20 @@
 
 def test_each_approval_is_told_to_one_keeper_and_the_next_one_stands_in():
     bench = Bench(replica_count=60)
-    first = [(p, m) for p, m in bodies(bench.ask(1, size=50)) if m.keep]
+    first = [(p, m) for p, m in bodies(bench.ask(1, size=50)) if m.to_token_owner]
     assert len(first) == 1
-    assert first[0][1].ask
-    again = [p for p, m in bodies(bench.run(290_000)) if m.keep]
+    assert first[0][1].wants_reply
+    again = [p for p, m in bodies(bench.run(290_000)) if m.to_token_owner]
     assert len(again) == 1
     assert again != [first[0][0]]
 
 
 def test_a_keeper_that_answers_is_not_replaced():
     bench = Bench(replica_count=60)
-    keeper = next(p for p, m in bodies(bench.ask(1, size=50)) if m.keep)
+    keeper = next(p for p, m in bodies(bench.ask(1, size=50)) if m.to_token_owner)
     bench.now += 20_000
     say(bench, keeper, told([], size=50))
-    assert not [p for p, m in bodies(bench.run(270_000)) if m.keep]
+    assert not [p for p, m in bodies(bench.run(270_000)) if m.to_token_owner]
 
 
 def test_a_set_is_told_when_a_customer_has_spent_nearly_all():
@@ -172,9 +174,9 @@
 def test_changes_go_to_a_random_peer_each_interval():
     bench = heard()
     let_in(bench, 1)
-    rows = [row for _, m in bodies(bench.run(SECOND)) if not m.keep for row in m.rows]
+    rows = [row for _, m in bodies(bench.run(SECOND)) if not m.to_token_owner for row in m.rows]
     assert [row.customer for row in rows] == [7]
-    assert rows[0].counts[0][2] == 1.0
+    assert rows[0].replica_counts[0][2] == 1.0
 
 
 def test_a_question_is_answered_with_what_is_known():
@@ -182,7 +184,7 @@
     say(bench, 1, told([(1, TICK - 9, 4.0)], total=4.0))
     ((peer, message),) = bodies(say(bench, 2, told([(2, TICK - 9, 1.0)], total=1.0), ask=True, keep=True))
     assert peer == 2
-    assert message.rows[0].total == 5.0
+    assert message.rows[0].spent_total == 5.0
 
 
 def test_in_a_cut_a_part_is_left_to_those_who_do_not_answer():
@@ -190,7 +192,7 @@
     for i in range(1, 200):
         let_in(bench, 1, start=i, customer=i)
         bench.run(50_000)
-    assert bench.gateway.unheard > 0.5
+    assert bench.gateway.unreachable_share > 0.5
     say(bench, 1, told([]))
     assert let_in(bench, 20, start=900) <= 6
 
@@ -201,7 +203,7 @@
         bench.ask(i, customer=i, size=50)
     bench.now += 2 * SECOND  # no event in between: its own timers are late
     bench.run(1)
-    assert bench.gateway.unheard == 0.0
+    assert bench.gateway.unreachable_share == 0.0
 
 
 def test_a_customer_whose_keepers_all_keep_silent_is_not_locked_to_its_first_share():
@@ -240,7 +242,7 @@
     for i in range(50, 60):
         bench.ask(i, customer=1_000 + i, size=1)
     assert 7 not in bench.gateway.accounts
-    assert 7 not in bench.gateway.changed
+    assert 7 not in bench.gateway.pending_changes
     bench.run(SECOND)
 
 
@@ -333,7 +335,7 @@
     bench = heard()
     say(bench, 1, told([(1, TICK - 9, 4.0)], total=4.0))
     account = bench.gateway.accounts[7]
-    before = dict(account.counts), account.total, bench.gateway.unheard
+    before = dict(account.replica_counts), account.spent_total, bench.gateway.unreachable_share
     row = messages.pack_row(told([(1, TICK - 9, 3.0)]), MS, 3)
     good = messages.pack(MS, False, False, [row])
     for cut in range(7, len(good)):
@@ -345,7 +347,7 @@
     say(bench, 1, told([(1, TICK - 9, 90.0)], total=90.0, size=9))  # a larger set than there are gateways
     say(bench, 1, told([(1, TICK - 9, 90.0)], total=90.0, reach=3))  # handed on beyond the set
     say(bench, 1, told([(1, TICK - 9, 90.0)], total=90.0, plan=99))
-    assert (dict(account.counts), account.total, bench.gateway.unheard) == before
+    assert (dict(account.replica_counts), account.spent_total, bench.gateway.unreachable_share) == before
     assert list(bench.gateway.accounts) == [7]
 
 
@@ -358,8 +360,8 @@
 def test_send_times_that_wrap_are_read_aright():
     for sent in (messages.CLOCK - 5, messages.CLOCK + 5, 7 * messages.CLOCK + 1):
         body = messages.pack(sent, False, False, [])
-        assert messages.unpack(body, sent + 900, 3, 1).sent == sent
-        assert messages.unpack(body, sent - 900, 3, 1).sent == sent
+        assert messages.unpack(body, sent + 900, 3, 1).sent_at_ms == sent
+        assert messages.unpack(body, sent - 900, 3, 1).sent_at_ms == sent
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -379,7 +381,7 @@
     for counts, room in rows:
         say(bench, 1, told(counts, room=room))
     account = bench.gateway.accounts[7]
-    return account.counts, account.room
+    return account.replica_counts, account.remaining
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -417,7 +419,7 @@
     assert 7 not in bench.gateway.accounts
     bench.feed(listed(entry(1)))
     assert 1 in [send.request for send in of(bench.run(100_000), policy.SendAttempt)]
-    assert bench.gateway.accounts[7].total == 1.0
+    assert bench.gateway.accounts[7].spent_total == 1.0
 
 
 def test_more_approvals_than_messages_are_told_together():
@@ -427,22 +429,22 @@
         assert let_in(bench, 1, start=i, customer=i) == 1
         bench.run(2_000)
     bench.run(8 * SECOND)
-    told_of = {row.customer for _, m in bodies(bench.log) if m.keep for row in m.rows}
+    told_of = {row.customer for _, m in bodies(bench.log) if m.to_token_owner for row in m.rows}
     ours = {i for i in range(1, 60) if bench.gateway._keeper(bench.gateway.accounts[i]) == 0}
     assert told_of | ours == set(range(1, 60))
-    assert not bench.gateway.owed
+    assert not bench.gateway.pending_deltas
 
 
 def test_rights_are_given_only_where_the_answer_can_leave():
     bench = Bench(peer_messages_per_second=10.0)
     bench.now += 20 * SECOND
     row = told([], plan=2, customer=3, size=2, rights=2.0)  # we are its first keeper
-    bench.gateway.allowance, bench.gateway.filled = 0.0, bench.now
+    bench.gateway.message_allowance, bench.gateway.allowance_refilled_at_us = 0.0, bench.now
     keeper = bench.gateway._keeper(bench.gateway._account(3, 2, 0, 2, trusted=True))
     assert keeper == 0
-    before = bench.gateway.accounts[3].ceiling
+    before = bench.gateway.accounts[3].ceiling_tokens
     say(bench, 1, row, ask=True, keep=True)
-    assert bench.gateway.accounts[3].ceiling >= before
+    assert bench.gateway.accounts[3].ceiling_tokens >= before
     assert not of(bench.log, policy.SendPeerMessage)
 
 
@@ -475,7 +477,7 @@
     other = Bench(replica=peer, replica_count=200)
     other.feed(policy.PeerMessageReceived(0, of(bench.log, policy.SendPeerMessage)[0].body))
     assert let_in(other, 5, start=50, customer=119, size=200) == 0
-    assert 119 not in other.gateway.changed  # it is not told as if it had been approved there
+    assert 119 not in other.gateway.pending_changes  # it is not told as if it had been approved there
 
 
 def test_what_came_along_is_neither_answered_nor_pushed_on():
@@ -484,7 +486,7 @@
     say(bench, 1, told([(1, TICK - 9, 1.0)], total=1.0, size=200), row, ask=True, keep=True)
     sent = bodies(bench.log)
     assert len(sent) == 1  # the answer alone: a customer that closed by it is nobody's to push here
-    assert [r.customer for r in sent[0][1].rows if r.counts] == [7]
+    assert [r.customer for r in sent[0][1].rows if r.replica_counts] == [7]
 
 
 def test_a_brief_row_that_tells_nothing_new_costs_nothing():
@@ -496,7 +498,7 @@
     for total in (9.0, 8.0, 9.5):
         say(bench, 2, told([], room=0.5, total=total, customer=100, size=200))
     assert merged == [100]
-    assert bench.gateway.accounts[100].total == 9.5
+    assert bench.gateway.accounts[100].spent_total == 9.5
 
 
 def test_a_set_that_a_push_reaches_at_once_is_told_by_pushes_alone():
@@ -533,7 +535,7 @@
     bench.now += 10 * SECOND
     let_in(bench, 1, customer=7, size=200)
     assert [row.customer for row in bodies(bench.log)[0][1].rows] == [7]
-    assert not bench.gateway.closed
+    assert not bench.gateway.exhausted_customers
 
 
 def test_pushes_to_whole_sets_leave_messages_to_keepers():
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -184,7 +184,7 @@
 
     def lets_all_in(self, request):
         admits(self, request)
-        request.account.ceiling = max(request.account.ceiling, request.event.units)
+        request.account.ceiling_tokens = max(request.account.ceiling_tokens, request.event.units)
         return True
 
     monkeypatch.setattr(Gateway, "_admits", lets_all_in)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -154,4 +154,4 @@
         event.customer, event.plan, event.replica_set_start, event.replica_set_size, trusted=True
     )
     gateway._lift(request.account)
-    return request.account.room >= event.units
+    return request.account.remaining >= event.units
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -85,20 +85,20 @@
         customer=7,
         key=(2, 1, 3),
         limit=24.5,
-        risen=T0 - 40,
-        counts={0: (15_900, 3.25), 2: (15_950, 4.5)},
-        spent=7.75,
-        total=9.25,
-        news=(2, 0),
-        fresh=False,
-        out=2,
-        others=(T0 - 9, T0 - 5),
-        spread=T0 - 3,
-        ceiling=5.5,
-        asked=1.5,
-        closed=True,
+        refilled_at_us=T0 - 40,
+        replica_counts={0: (15_900, 3.25), 2: (15_950, 4.5)},
+        counted_total=7.75,
+        spent_total=9.25,
+        recently_changed=(2, 0),
+        unconfirmed=False,
+        in_flight=2,
+        peer_admissions_at_us=(T0 - 9, T0 - 5),
+        announced_at_us=T0 - 3,
+        ceiling_tokens=5.5,
+        requested_tokens=1.5,
+        exhausted=True,
     )
-    return [first, Account(customer=4_000_000_000, key=(0, 0, 1), limit=10.0, risen=T0)]
+    return [first, Account(customer=4_000_000_000, key=(0, 0, 1), limit=10.0, refilled_at_us=T0)]
 
 
 def golden_state() -> recording.Dump:
@@ -109,8 +109,8 @@
 def golden_module() -> Gateway:
     """The module that the golden state makes, with whole numbers for times as in one that was never read."""
     module = recording.restore(SETTINGS, golden_state())
-    for known in (module.met, *module.zones_met.values()):
-        known.seen = int(known.seen)
+    for known in (module.fleet_health, *module.zone_health.values()):
+        known.updated_at_us = int(known.updated_at_us)
     return module
 
 
@@ -317,9 +317,9 @@
     }
 
 
-def golden_module_row() -> module_messages.Row:
+def golden_module_row() -> module_messages.CustomerRow:
     """What one gateway's module tells another of one customer."""
-    return module_messages.Row(7, 2, 1, 3, 2, 15.25, 9.25, 1.5, ((1, 15_900, 3.25), (2, 15_950, 4.5)))
+    return module_messages.CustomerRow(7, 2, 1, 3, 2, 15.25, 9.25, 1.5, ((1, 15_900, 3.25), (2, 15_950, 4.5)))
 
 
 def golden_parts(letter: str) -> version.Parts:
@@ -649,8 +649,8 @@
         story.step()
     gateway = story.bench.gateway
     customers = list(gateway.accounts)
-    gateway.owed = {1: {customers[0]: 1}, 2: {customers[1]: 2}}
-    gateway.closed = dict.fromkeys(gateway.closed, 2)
+    gateway.pending_deltas = {1: {customers[0]: 1}, 2: {customers[1]: 2}}
+    gateway.exhausted_customers = dict.fromkeys(gateway.exhausted_customers, 2)
     return msgspec.msgpack.encode(recording.dump(gateway))
 
 
@@ -690,41 +690,60 @@
 def test_a_golden_state_makes_a_module_that_is_told_in_the_same_bytes():
     module = golden_module()
     assert msgspec.msgpack.encode(recording.dump(module)) == golden("module-state.msgpack")
-    assert module.accounts and module.hosts and module.requests and module.attempts
+    assert module.accounts and module.endpoints and module.requests and module.attempts
 
 
 def test_every_value_of_the_golden_state_stands_where_the_module_looks_for_it():
     module, state = golden_module(), golden_state()
-    assert [module.now, module.filled, module.born] == [1_000_549_025, 1_000_470_794, T0]
-    assert [module.last_sent, module.budget] == [1_000_412_080, 2.4499999999999984]
-    assert [module.unheard, module.allowance] == [0.14782969, 39.0]
-    assert module.usual == [125_000.0, 125_000.0, 125_000.0, 125_000.0, 122_750.0]
+    assert [module.now, module.allowance_refilled_at_us, module.started_at_us] == [
+        1_000_549_025,
+        1_000_470_794,
+        T0,
+    ]
+    assert [module.last_attempt_at_us, module.retry_budget] == [1_000_412_080, 2.4499999999999984]
+    assert [module.unreachable_share, module.message_allowance] == [0.14782969, 39.0]
+    assert module.usual_duration_us == [125_000.0, 125_000.0, 125_000.0, 125_000.0, 122_750.0]
     server, other = (b"\n\x00\x00%c\x00P" % number for number in (2, 4))
-    host = module.hosts[server]
+    host = module.endpoints[server]
     assert host.entry == policy.EndpointEntry(server, policy.EndpointState.READY, 0, 0, 0, 1.0)
-    assert [host.seen, host.slow, host.fails] == [1_000_184_111, 1.0, 0.0]
-    assert [host.out, host.active, host.typical] == [3, 1_000_135_937, 2.0]
-    host = module.hosts[other]
-    assert [host.seen, host.slow, host.fails] == [1_000_378_452, 0.91, 1.942900986755272]
-    assert module.zones_met[0].fails == 4.747282621307491
-    assert [[one.out for one in pool.hosts] for pool in (module.warm, module.cold)] == [[0, 1, 3], [0]]
-    assert [len(pool.hosts) for pool in (module.cells[0], module.zones[0], module.warm)] == [4, 4, 3]
-    assert [host.entry.started_at_us for host in module.warming] == [1_000_518_714]
+    assert [host.updated_at_us, host.slowness, host.failure_score] == [1_000_184_111, 1.0, 0.0]
+    assert [host.in_flight, host.last_active_at_us, host.baseline_load] == [3, 1_000_135_937, 2.0]
+    host = module.endpoints[other]
+    assert [host.updated_at_us, host.slowness, host.failure_score] == [1_000_378_452, 0.91, 1.942900986755272]
+    assert module.zone_health[0].failure_score == 4.747282621307491
+    assert [[one.in_flight for one in pool.endpoints] for pool in (module.warm_pool, module.cold_pool)] == [
+        [0, 1, 3],
+        [0],
+    ]
+    assert [
+        len(pool.endpoints) for pool in (module.cell_pools[0], module.zone_pools[0], module.warm_pool)
+    ] == [4, 4, 3]
+    assert [host.entry.started_at_us for host in module.warming_queue] == [1_000_518_714]
     request = module.requests[1]
     assert request.event == policy.RequestArrived(1, 5, 0, 2, 1.0, 2_000_000, 0, 3, False)
-    assert [request.until, request.lot] == [1_002_009_909, 0.1723255663561437]
+    assert [request.deadline_at_us, request.sampled_value] == [1_002_009_909, 0.1723255663561437]
     assert request.account is module.accounts[5]
     first, second = request.attempts
-    assert [first.sent, first.load, first.out, first.ran] == [1_000_009_909, 2.0, False, False]
-    assert [second.sent, second.load, second.out, second.ran] == [1_000_412_080, 4.0, True, True]
+    assert [first.sent_at_us, first.load, first.in_flight, first.possibly_executed] == [
+        1_000_009_909,
+        2.0,
+        False,
+        False,
+    ]
+    assert [second.sent_at_us, second.load, second.in_flight, second.possibly_executed] == [
+        1_000_412_080,
+        4.0,
+        True,
+        True,
+    ]
     assert module.attempts[1, 1] == (second, request)
     attempt, ended = module.attempts[2, 2]
-    assert [attempt.sent, attempt.load, ended.until] == [1_000_378_452, 3.0, 1_002_052_372]
-    assert attempt.host is module.hosts[server] and ended.account is module.accounts[2]
+    assert [attempt.sent_at_us, attempt.load, ended.deadline_at_us] == [1_000_378_452, 3.0, 1_002_052_372]
+    assert attempt.endpoint is module.endpoints[server] and ended.account is module.accounts[2]
     assert list(module.idle_queue) == state.idle_queue == [1, 4, 5, 0, 2]
-    assert list(module.changed) == [1, 0] and module.closed == {2: 2}
-    assert module.heard == {1: 1_000_413_638} and module.owed == {1: {5: 1}, 2: {2: 2}}
-    assert list(module.asked) == [(1_000_470_794, 2, 5, 0)]
+    assert list(module.pending_changes) == [1, 0] and module.exhausted_customers == {2: 2}
+    assert module.last_seen_at_us == {1: 1_000_413_638} and module.pending_deltas == {1: {5: 1}, 2: {2: 2}}
+    assert list(module.awaited_replies) == [(1_000_470_794, 2, 5, 0)]
 
 
 def test_a_snapshot_of_the_golden_module_holds_the_golden_state():
@@ -776,8 +795,12 @@
     accounts = store.program.host.rules.accounts
     for one in golden_accounts():
         found = accounts[one.customer]
-        assert (found.key, found.total, found.spent) == (one.key, one.total, one.spent)
-        assert (found.limit, found.risen) == (max(one.limit, one.total), T0)
+        assert (found.key, found.spent_total, found.counted_total) == (
+            one.key,
+            one.spent_total,
+            one.counted_total,
+        )
+        assert (found.limit, found.refilled_at_us) == (max(one.limit, one.spent_total), T0)
 
 
 def test_a_golden_view_is_read_as_its_values():
@@ -875,7 +898,7 @@
 
 def test_a_golden_message_of_the_module_is_read_as_its_values():
     found = module_messages.unpack(golden("module-message.bin"), T0 // 1000, 3, len(PLAN_NAMES))
-    assert found == module_messages.Message(T0 // 1000, True, True, (golden_module_row(),))
+    assert found == module_messages.GossipMessage(T0 // 1000, True, True, (golden_module_row(),))
 
 
 def test_golden_datagrams_of_every_kind_are_taken():
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -48,22 +48,27 @@
 # The code's own types, each built in one place from plain values
 
 
-def counts_row(customer, plan, first, size, reach, room, total, rights, counts) -> gossip_codec.Row:
+def counts_row(customer, plan, first, size, reach, room, total, rights, counts) -> gossip_codec.CustomerRow:
     """What a message tells of one customer."""
-    return gossip_codec.Row(customer, plan, first, size, reach, room, total, rights, counts)
+    return gossip_codec.CustomerRow(customer, plan, first, size, reach, room, total, rights, counts)
 
 
-def row_values(row: gossip_codec.Row) -> list:
+def row_values(row: gossip_codec.CustomerRow) -> list:
     """The same as plain values."""
-    amounts = [row.room, row.total, row.rights, [list(count) for count in row.counts]]
-    return [row.customer, row.plan, row.set_first, row.set_size, row.reach, *amounts]
+    amounts = [row.remaining, row.spent_total, row.tokens, [list(count) for count in row.replica_counts]]
+    return [row.customer, row.plan, row.replica_set_start, row.replica_set_size, row.forward_count, *amounts]
 
 
-def message_values(message: gossip_codec.Message | None) -> list | None:
+def message_values(message: gossip_codec.GossipMessage | None) -> list | None:
     """A decoded message as plain values."""
     if message is None:
         return None
-    return [message.sent, message.ask, message.keep, [row_values(row) for row in message.rows]]
+    return [
+        message.sent_at_ms,
+        message.wants_reply,
+        message.to_token_owner,
+        [row_values(row) for row in message.rows],
+    ]
 
 
 def request_values(event: policy.RequestArrived) -> list:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -290,7 +290,7 @@
         for client in clients:
             client.send(call())
         assert sorted(house.answer(client)[0] for client in clients) == [200, 200, 503]
-        assert all(host.fails == 0 for host in house.life.host.rules.hosts.values())
+        assert all(host.failure_score == 0 for host in house.life.host.rules.endpoints.values())
 
     run(slow, slow, test=test)
 
@@ -358,9 +358,9 @@
         life, rules = house.life, house.life.host.rules
         assert (len(life.tracker.nodes), len(life.tracker.places), life.pool.open) == (1, 1, 1)
         held = [
-            rules.hosts,
-            rules.cells,
-            rules.warming,
+            rules.endpoints,
+            rules.cell_pools,
+            rules.warming_queue,
             rules.attempts,
             rules.requests,
             life.clients.in_flight,
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -19,7 +19,7 @@
 from orchidlane.cli.main import main
 from orchidlane.policy import EndpointState, Outcome
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.gossip_codec import Row, pack, pack_row
+from orchidlane.policy.gossip_codec import CustomerRow, pack, pack_row
 from orchidlane.runtime import Loop, RealWorld, SimWorld
 from orchidlane.simulation.backends import RealBacking, SimulatedBacking
 from orchidlane.simulation.scenario import Runner, load_day, make_plan
@@ -78,7 +78,7 @@
             )
         else:
             counts = ((1, bench.now // 62_500, float(rng.randrange(9))),)
-            row = Row(rng.randrange(6), 0, 0, 3, 0, 4.0, float(rng.randrange(30)), 0.0, counts)
+            row = CustomerRow(rng.randrange(6), 0, 0, 3, 0, 4.0, float(rng.randrange(30)), 0.0, counts)
             body = pack(
                 bench.now // 1000,
                 rng.random() < 0.5,
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -80,17 +80,27 @@
 
 def test_what_is_kept_and_what_begins_anew():
     account = Account(7, (1, 0, 3), 90.0, START, {0: (5, 10.0), 1: (6, 20.0)}, 30.0, 30.0, (1, 0), False, 2)
-    account.ceiling, account.others, account.spread = 9.0, (START,), START
+    account.ceiling_tokens, account.peer_admissions_at_us, account.announced_at_us = 9.0, (START,), START
     row = dump_account(account)
     life = Life(0, PLANS, START, START + 4 * SECOND, False)
     (found,) = survivors([row], life, ("amplio", "other"), START + 9 * SECOND)
-    assert (found.plan, found.room, found.risen) == (0, 0.0, START + 4 * SECOND)
-    assert (found.counts, found.news, found.total, found.spent) == ({1: (6, 20.0)}, (1,), 30.0, 30.0)
-    assert (found.fresh, found.out, found.ceiling, found.others) == (True, 0, 0.0, ())
+    assert (found.plan, found.remaining, found.refilled_at_us) == (0, 0.0, START + 4 * SECOND)
+    assert (found.replica_counts, found.recently_changed, found.spent_total, found.counted_total) == (
+        {1: (6, 20.0)},
+        (1,),
+        30.0,
+        30.0,
+    )
+    assert (found.unconfirmed, found.in_flight, found.ceiling_tokens, found.peer_admissions_at_us) == (
+        True,
+        0,
+        0.0,
+        (),
+    )
     (clean,) = survivors([row], life._replace(until=START, clean=True), PLANS, START + 9 * SECOND)
-    assert (clean.room, clean.risen) == (60.0, START)
+    assert (clean.remaining, clean.refilled_at_us) == (60.0, START)
     (back,) = survivors([row], life._replace(clean=True), PLANS, START - SECOND)
-    assert (back.room, back.risen) == (0.0, START - SECOND)
+    assert (back.remaining, back.refilled_at_us) == (0.0, START - SECOND)
     assert list(survivors([row], life, ("another",), START)) == []
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 
 from orchidlane import policy
 from orchidlane.policy import Outcome, gossip_codec
-from orchidlane.policy.gossip_codec import Row
+from orchidlane.policy.gossip_codec import CustomerRow
 from orchidlane.policy.state import Account
 
 SAFE_KIND, CELL_KIND, UNSAFE_KIND, ALL_KIND, ZONE_KIND = range(5)
@@ -218,12 +218,12 @@
     assert 0 < sent <= 8 / 3 * 6
 
 
-def ceiling_row(rights: float, total=0.0) -> Row:
+def ceiling_row(rights: float, total=0.0) -> CustomerRow:
     """A word on a customer with a ceiling, with rights wanted or given."""
-    return Row(1, 2, 0, 3, 0, 8.0, total, rights, ())
+    return CustomerRow(1, 2, 0, 3, 0, 8.0, total, rights, ())
 
 
-def hear(bench: Bench, sender: int, row: Row, keep: bool) -> list:
+def hear(bench: Bench, sender: int, row: CustomerRow, keep: bool) -> list:
     """A peer's word, which asks for an answer where it wants rights."""
     sent = bench.now // 1_000
     body = gossip_codec.pack(sent, keep, keep, [gossip_codec.pack_row(row, sent, 3)])
@@ -243,7 +243,7 @@
     for _ in range(5):
         for tell in of(hear(bench, other, ceiling_row(5.0), keep=True), policy.SendPeerMessage):
             message = gossip_codec.unpack(tell.body, bench.now // 1_000, 3, 4)
-            given += message.rows[0].rights if not message.keep else 0.0
+            given += message.rows[0].tokens if not message.to_token_owner else 0.0
     assert 10.0 < given <= 16 * 2 / 3
 
 
@@ -294,7 +294,7 @@
     for customer in range(3):  # each gateway is the first keeper of one of these
         bench = Bench()
         account = bench.gateway._account(customer << 16, 2, 0, 3, trusted=True)
-        account.fresh = False
+        account.unconfirmed = False
         most = 16.0 * bench.gateway._ceiling_part(account)
         for _ in range(400):
             bench.now += SECOND // 10
@@ -303,8 +303,8 @@
             bench.gateway.now = bench.now
             bench.gateway._drop_idle()
             if bench.gateway.accounts:
-                assert account.ceiling < most
+                assert account.ceiling_tokens < most
         assert not bench.gateway.accounts  # forgotten as soon as its part is full, and no later
         again = bench.gateway._account(customer << 16, 2, 0, 3, trusted=True)
         bench.gateway._lift(again)
-        assert again.ceiling == pytest.approx(most)
+        assert again.ceiling_tokens == pytest.approx(most)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -201,7 +201,7 @@
     for number in range(1, 9):
         (send,) = of(bench.ask(number, kind=2, customer=number), policy.SendAttempt)
         bench.outcome(number, send.endpoint, policy.Outcome.CONNECTION_BROKEN)
-    assert all(host.fails > 0 for host in bench.gateway.hosts.values())
+    assert all(host.failure_score > 0 for host in bench.gateway.endpoints.values())
     assert of(bench.ask(20, customer=20), policy.SendAttempt)
 
 
@@ -216,4 +216,4 @@
             )
         )
     gateway = bench.gateway
-    assert not gateway.hosts and not gateway.cells and not gateway.zones
+    assert not gateway.endpoints and not gateway.cell_pools and not gateway.zone_pools
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -129,10 +129,10 @@
         for account in accounts:
             gateway._lift(account)
         if accounts:
-            assert found[name].spent == pytest.approx(sum(one.total for one in accounts))
-            assert found[name].room == pytest.approx(sum(one.room for one in accounts))
-            burst = gateway.s.plans[plan].burst
-            shares = sorted((one.room / burst, one.customer) for one in accounts)
+            assert found[name].spent == pytest.approx(sum(one.spent_total for one in accounts))
+            assert found[name].room == pytest.approx(sum(one.remaining for one in accounts))
+            burst = gateway.settings.plans[plan].burst
+            shares = sorted((one.remaining / burst, one.customer) for one in accounts)
             assert found[name].pressed == [pytest.approx(pair) for pair in shares[:2]]
 
 
@@ -378,7 +378,7 @@
 
 def test_the_audit_over_records_objects_to_an_unsafe_request_sent_again(tmp_path, monkeypatch):
     def again(self, event):
-        self.ended(event.request, event.attempt)
+        self.end_attempt(event.request, event.attempt)
         request = self.requests.get(event.request)
         if request and event.answered:
             self._drop(request)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -162,7 +162,7 @@
 
 def counted(program: Program) -> float:
     account = program.host.rules.accounts[1]
-    return account.counts[0][1]
+    return account.replica_counts[0][1]
 
 
 def sent_on(house: Upgraded) -> int:
@@ -680,7 +680,7 @@
         rules = house.program.host.rules
         for customer in range(100_000):
             account = rules._account(customer + 10, 0, 0, 3, trusted=True)
-            account.total, account.fresh = 1.0, True  # unheard: none is forgotten on the way
+            account.spent_total, account.unconfirmed = 1.0, True  # unheard: none is forgotten on the way
         house.load(2 * SECOND)
         house.upgrade()
         program = settle(house)
