--- a/benchmarks/index.py
+++ b/benchmarks/index.py
@@ -15,7 +15,7 @@
 from orchidlane import policy, recording
 from orchidlane.gateway.control.settings import module_settings, parse_fleet
 from orchidlane.policy.gateway import Gateway
-from orchidlane.recording.index import request_of
+from orchidlane.recording.index import request_number
 from orchidlane.routes import build, load_description
 
 LOOKS = 50
@@ -33,7 +33,9 @@
     )
     gateway.handle(now, policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 1, entries))
     plain = recording.settings_to_stored(settings)
-    header = recording.Header(recording.FORMAT, "b", "g", now, 0, plain, recording.dump(gateway))
+    header = recording.Header(
+        recording.FORMAT_VERSION, "b", "g", now, 0, plain, recording.dump_state(gateway)
+    )
     with path.open("wb") as out:
         out.write(recording.pack_header(header))
         for number in range(requests):
@@ -61,25 +63,25 @@
         write(path, requests)
         reader = recording.SegmentReader(str(path))
         held: list = []
-        built = timed(lambda: held.append(recording.Index(reader, recording.request_of)))
+        built = timed(lambda: held.append(recording.KeyIndex(reader, recording.request_number)))
         index = held.pop()
         wanted = [n * (requests // LOOKS) for n in range(LOOKS)]
         look = timed(lambda: [index.entries(n) for n in wanted]) / LOOKS
         again = recording.SegmentReader(str(path))
         pairs: list = []
         list_built = timed(
-            lambda: pairs.extend(sorted((request_of(e) or 0, e.place, e) for e in again if e.event))
+            lambda: pairs.extend(sorted((request_number(e) or 0, e.offset, e) for e in again if e.event))
         )
         list_look = timed(lambda: [pairs[bisect_left(pairs, (n, 0))] for n in wanted]) / LOOKS
         scanner = recording.SegmentReader(str(path))
-        scan = timed(lambda: [e for e in scanner if request_of(e) == wanted[-1]])
-        small = sys.getsizeof(index.keys) + sys.getsizeof(index.places)
+        scan = timed(lambda: [e for e in scanner if request_number(e) == wanted[-1]])
+        small = sys.getsizeof(index.keys) + sys.getsizeof(index.offsets)
         large = sum(sys.getsizeof(p) + sys.getsizeof(p[2]) + sys.getsizeof(p[2].event) for p in pairs)
         times: list = []
         by_time = timed(lambda: times.append(recording.TimeIndex(reader)))
         middle = times[0].times[len(times[0].times) // 2]
         span = timed(lambda: list(times[0].between(middle, middle + 100_000)))
-        spanned = timed(lambda: [e for e in scanner.entries() if middle <= e.now < middle + 100_000])
+        spanned = timed(lambda: [e for e in scanner.entries() if middle <= e.at_us < middle + 100_000])
         print(
             f"{requests:8} {built * 1e3:10.0f} {look * 1e6:9.0f} {list_built * 1e3:15.0f} "
             f"{list_look * 1e6:14.1f} {scan * 1e3:9.0f} {small:9} {large:8}"
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -34,7 +34,7 @@
     generation = build(load_description(file.read_bytes(), str(file)), str(file))
     fleet = parse_fleet((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
     gateway = Gateway(module_settings(fleet, 0, generation), 1, START)
-    recording.track(gateway)
+    recording.track_accounts(gateway)
     entries = tuple(
         policy.EndpointEntry(b"s%d" % n, policy.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24)
     )
@@ -67,10 +67,10 @@
     gateway = made(customers)
     gc.collect()
     gc.disable()
-    whole = timed(lambda: msgspec.msgpack.encode(recording.dump(gateway)))
+    whole = timed(lambda: msgspec.msgpack.encode(recording.dump_state(gateway)))
     held: list[recording.Snapshot] = []
     begin = timed(lambda: held.append(recording.Snapshot(gateway)))
-    head = timed(lambda: msgspec.msgpack.encode(held[0].head))
+    head = timed(lambda: msgspec.msgpack.encode(held[0].state))
     pages = held[0].pages()
     spans = []
     while True:
@@ -78,7 +78,7 @@
         rows = next(pages, None)
         if rows is None:
             break
-        recording.pack_accounts(0, rows, last=False)
+        recording.pack_account_page(0, rows, last=False)
         spans.append((time.perf_counter() - began) * 1e3)
     before = events(gateway, customers, 10**7)
     held.append(recording.Snapshot(gateway))
@@ -99,13 +99,13 @@
             path = Path(folder) / f"{name}.olr"
             snapshot = recording.Snapshot(gateway)
             header = recording.Header(
-                recording.FORMAT,
+                recording.FORMAT_VERSION,
                 recording.build_name(),
                 "g",
                 START,
                 0,
                 recording.settings_to_stored(gateway.settings),
-                snapshot.head,
+                snapshot.state,
                 tuple("abc"),
                 ("basico", "amplio"),
                 {"now": START + 10**7},
@@ -113,8 +113,8 @@
             with path.open("wb") as out:
                 out.write(recording.pack_header(header))
                 for rows in snapshot.pages() if counted else ():
-                    out.write(recording.pack_accounts(0, rows, last=False))
-                out.write(recording.pack_accounts(0, [], last=True))
+                    out.write(recording.pack_account_page(0, rows, last=False))
+                out.write(recording.pack_account_page(0, [], last=True))
             snapshot.close()
             program = (
                 "import resource; from orchidlane import record;"
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -106,7 +106,7 @@
     def counted(self) -> float:
         """Units by the gateway's own count."""
         with open_state(self.plan.fleet.gateways[0].admin) as state:
-            return sum(recording.load_account(row).replica_counts[0][1] for row in state.accounts())
+            return sum(recording.account_from_row(row).replica_counts[0][1] for row in state.account_rows())
 
 
 def percentile(times: list[float], share: float) -> float:
@@ -189,7 +189,7 @@
 
         def count() -> None:
             with open_state(scene.plan.fleet.gateways[0].admin) as state:
-                known.append(sum(1 for _ in state.accounts()))
+                known.append(sum(1 for _ in state.account_rows()))
 
         def work() -> None:
             meet(scene, customers)
--- a/orchidlane/cli/tools.py
+++ b/orchidlane/cli/tools.py
@@ -25,7 +25,8 @@
     plan_counts,
 )
 from orchidlane.recording.description import describe
-from orchidlane.recording.segments import SUFFIX, Entry
+from orchidlane.recording.segment_reader import Entry
+from orchidlane.recording.segments import SEGMENT_SUFFIX
 from orchidlane.routes import build, load_description
 from orchidlane.runtime import Loop, RealWorld
 from orchidlane.simulation.audit import audit_folder
@@ -118,15 +119,15 @@
             save_state(admin, out)
         with open_state(out or admin) as reader:
             header, plans = reader.header, plan_counts(reader, 0)
-    now = int(header.about.get("now", header.life))
+    now = int(header.context.get("now", header.started_at_us))
     value = {
         "gateway": header.gateway,
         "build": header.build,
         "format": header.format,
-        **header.about,
+        **header.context,
         "requests": len(header.state.requests),
-        "peers heard": {str(rank): round((now - at) / 1e6, 3) for rank, at in header.state.heard},
-        "nodes": len(header.state.hosts),
+        "peers heard": {str(rank): round((now - at) / 1e6, 3) for rank, at in header.state.last_seen},
+        "nodes": len(header.state.endpoints),
         "customers": {name: one.customers for name, one in plans.items()},
     }
     show(value, [f"{name:12} {text}" for name, text in value.items()], as_json)
@@ -150,7 +151,7 @@
         view = node_view(admin)
         sent = next_nodes(view, _kind(view, class_name))
     rows, warm = [], int(str(view.settings["warm_within"]))
-    for entry, known, (out, _, typical), listed in view.state.hosts:
+    for entry, known, (out, _, typical), listed in view.state.endpoints:
         if listed:
             phase = {0: "gone", 1: "ready", 2: "draining"}[entry[1]]
             cold = bool(entry[4]) and view.now - entry[4] < warm
@@ -206,14 +207,14 @@
     if not apart:
         return "now"
     ranks = [int(str(view.settings["rank"])) for view in views]
-    heard = [dict(view.state.heard).get(ranks[1 - i]) for i, view in enumerate(views)]
+    heard = [dict(view.state.last_seen).get(ranks[1 - i]) for i, view in enumerate(views)]
     ages = [(view.now - at) / 1e6 if at is not None else None for view, at in zip(views, heard, strict=True)]
     told = ", ".join(
         f"gateway {ranks[i]} heard gateway {ranks[1 - i]} "
         + (f"{age:.1f} s ago" if age is not None else "never")
         for i, age in enumerate(ages)
     )
-    pending = [bool(view.state.changed) for view in views]
+    pending = [bool(view.state.pending_changes) for view in views]
     when = "with the next message between them" if any(pending) else "with the next approval: none is pending"
     return f"{when}; {told}"
 
@@ -228,28 +229,30 @@
     Exit 0: no difference; 1: the first one is shown; 3: none, but a broken part could not be checked.
     """
     with clear_errors():
-        paths = recording.read_folder(folder)
+        paths = recording.list_segments(folder)
         if instead:
             return _what_if(paths, instead, as_json)
-        found = [recording.replay(life) for life in recording.lives_of(paths)]
+        found = [recording.replay(life) for life in recording.group_by_incarnation(paths)]
     different = [one.difference for one in found if one.difference is not None]
-    unchecked = [one for life in found for one in life.unchecked]
+    unchecked = [one for life in found for one in life.unchecked_parts]
     behind = sum(one.events for one in unchecked)
-    cut_short = sum(not one.whole for one in found)
+    cut_short = sum(not one.complete for one in found)
     value = {
         "lives": len(found),
         "events": sum(one.events for one in found),
         "differences": len(different),
         "lives_not_whole": cut_short,
         "events_unchecked": behind,
-        "unchecked": [one.why + (" (torn when its gateway ended)" if one.torn else "") for one in unchecked],
+        "unchecked": [
+            one.reason + (" (torn when its gateway ended)" if one.torn else "") for one in unchecked
+        ],
     }
     lines = [f"{value['lives']} lives, {value['events']} events, {len(different)} with a difference"]
     if cut_short:
         lines.append(f"{cut_short} lives were not checked to their ends: {behind} events and what was lost")
     lines += value["unchecked"]  # type: ignore[arg-type]
     for difference in different:
-        lines += difference.lines()
+        lines += difference.format_lines()
     show(value, lines, as_json)
     sys.exit(1 if different else UNCHECKED if cut_short else 0)
 
@@ -262,17 +265,17 @@
     rank = int(reader.header.settings["rank"])
     reader.close()
     settings = module_settings(fleet, min(rank, len(fleet.gateways) - 1), generation)
-    found = recording.what_if(paths, settings, tuple(fleet.plans))
+    found = recording.simulate_settings(paths, settings, tuple(fleet.plans))
     rows = {
-        f"{kind} {plan}": {"recorded": found.recorded[kind, plan], "instead": found.instead[kind, plan]}
+        f"{kind} {plan}": {"recorded": found.recorded[kind, plan], "instead": found.simulated[kind, plan]}
         for kind, plan in sorted(found.recorded)
     }
     lines = ["class and plan                 admitted refused   instead: admitted refused"]
     for name, row in rows.items():
         then, now = row["recorded"], row["instead"]
         lines.append(f"{name:30} {then[0]:8} {then[1]:7} {now[0]:19} {now[1]:7}")
-    lines.append(f"{found.turned} requests would have been decided otherwise")
-    show({"rows": rows, "turned": found.turned}, lines, as_json)
+    lines.append(f"{found.changed_decisions} requests would have been decided otherwise")
+    show({"rows": rows, "turned": found.changed_decisions}, lines, as_json)
 
 
 @click.command()
@@ -296,7 +299,7 @@
     with clear_errors():
         if (request is None) == (customer is None):
             raise ValueError("either REQUEST or --customer is wanted")
-        paths = recording.read_folder(folder)
+        paths = recording.list_segments(folder)
         steps = _steps(paths, request) if request is not None else _arrivals(paths, customer, since, until)
     steps = [step for step in steps if gateway in (None, step["gateway"])]
     if not steps:
@@ -317,7 +320,7 @@
     steps = []
     for path in paths:
         with contextlib.closing(recording.SegmentReader(path)) as reader:
-            for entry in recording.Index(reader, recording.request_of).entries(request):
+            for entry in recording.KeyIndex(reader, recording.request_number).entries(request):
                 steps.append(_step(reader.header, entry))
     return steps
 
@@ -328,21 +331,21 @@
     began: int | None = None
     for path in paths:
         with contextlib.closing(recording.SegmentReader(path)) as reader:
-            begins = int(reader.header.about.get("now", reader.header.life))
+            begins = int(reader.header.context.get("now", reader.header.started_at_us))
             began = min(begins, began or begins)
             span = began + int(since * 1e6), began + int(until * 1e6)
             for entry in recording.TimeIndex(reader).between(*span):
-                if recording.customer_of(entry) == customer:
+                if recording.customer_number(entry) == customer:
                     steps.append(_step(reader.header, entry))
     return sorted(steps, key=lambda step: step["now"])
 
 
 def _step(header: recording.Header, entry: Entry) -> dict[str, Any]:
     told, actions = describe(entry.event), [describe(one) for one in entry.actions]
-    if entry.event is None:
-        _, status, kind, span = entry.facts
-        told = f"answered {status} ({kind}) after {span / 1e3:.3f} ms"
-    named = {"gateway": header.gateway, "life": header.life, "now": entry.now}
+    if entry.response is not None:
+        response = entry.response
+        told = f"answered {response.status} ({response.kind}) after {response.duration_us / 1e3:.3f} ms"
+    named = {"gateway": header.gateway, "life": header.started_at_us, "now": entry.at_us}
     return {**named, "event": told, "actions": actions}
 
 
@@ -384,7 +387,7 @@
     """
     with clear_errors():
         kept = audit_folder(folder)
-        paths = sorted(str(path) for path in Path(folder).glob(f"*{SUFFIX}"))
+        paths = sorted(str(path) for path in Path(folder).glob(f"*{SEGMENT_SUFFIX}"))
         if kept is None and not paths:
             raise ValueError(f"{folder}: no records of gateways, nodes or clients")
         arrivals = [(one.attempt, one.at) for one in kept[1]] if kept else None
@@ -401,25 +404,25 @@
     if found is not None:
         lines += [f"  {name:12} {text}" for name, text in value["gateways"].items() if name != "rules"]
     show(value, lines, as_json)
-    unread = found is not None and any("within a frame" not in why for why in found.unread)
+    unread = found is not None and found.damaged
     sys.exit(1 if not all(held) else UNCHECKED if unread else 0)
 
 
 def _found(found: recording.Findings) -> dict[str, Any]:
     return {
         "rules": found.rules,
-        "lives": found.lives,
+        "lives": found.incarnations,
         "events": found.events,
         "requests": found.requests,
-        "finals": found.finals,
-        "open_at_end": found.open_at_end,
-        "stood_still": found.stood_still,
+        "finals": found.responses,
+        "open_at_end": found.in_flight_at_end,
+        "stood_still": found.late_while_stalled,
         "arrivals": found.arrivals,
-        "after_last": found.after_last,
-        "ceiling_worst": round(found.ceiling_worst, 3),
+        "after_last": found.arrivals_after_last_entry,
+        "ceiling_worst": round(found.worst_ceiling_overshoot, 3),
         "faults": dict(found.faults),
         "which": {kind: names[:5] for kind, names in found.names.items()},
-        "unread": found.unread,
+        "unread": found.unread_segments,
     }
 
 
--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -56,7 +56,7 @@
         header, program = reader.header, self.program
         if header.gateway != program.entry.name:
             raise recording.FormatError(f"it is {header.gateway}'s")
-        about = header.about
+        about = header.context
         life = Life(
             int(header.settings["rank"]),
             header.plan_names,
@@ -64,7 +64,7 @@
             int(about["until"]),
             bool(about["clean"]),
         )
-        return survivors(reader.accounts(), life, tuple(program.fleet.plans), self.loop.now())
+        return survivors(reader.account_rows(), life, tuple(program.fleet.plans), self.loop.now())
 
     # -- while it runs
 
--- a/orchidlane/gateway/lifecycle/hot_restart.py
+++ b/orchidlane/gateway/lifecycle/hot_restart.py
@@ -846,7 +846,7 @@
         self.kinds = {old[name]: number for number, name in enumerate(names) if name in old}
         kinds = [old.get(name) for name in names]
         rules = module_of(program.host.settings, final.module, self.carried.accounts, kinds)
-        recording.track(rules)
+        recording.track_accounts(rules)
         program.host.go_on_with(rules, final.number)
         program.limits.carry_on(final.limits)
         program.tracker.carry_on(final.nodes)
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -30,7 +30,7 @@
 from orchidlane.gateway.telemetry.traffic_recorder import Recorder
 from orchidlane.hot_restart import messages, new_process, old_process
 from orchidlane.policy.gateway import Gateway
-from orchidlane.recording import track
+from orchidlane.recording import track_accounts
 from orchidlane.routes import DescriptionError
 from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, Loop, Scope, Task
 from orchidlane.runtime.backend import Handle
@@ -172,7 +172,7 @@
             self.fleet, lambda: self.knowledge, lambda: self.host, self.metrics, why_not, note
         )
         rules = Gateway(settings, self.loop.world.random.getrandbits(64), self.loop.now())
-        track(rules)
+        track_accounts(rules)
         upstream = Upstream(self.loop, self.fleet, scope, nodes)
         begin = upstream.begin
         self.host = Host(self.loop, settings, rules, self.metrics, clients, begin, self._tell)
--- a/orchidlane/gateway/telemetry/admin_api.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -52,16 +52,16 @@
         self._pages = self._snapshot.pages()
         self._done = False
         header = recording.Header(
-            format=recording.FORMAT,
+            format=recording.FORMAT_VERSION,
             build=recording.build_name(),
             gateway=name,
-            life=life,
+            started_at_us=life,
             number=number,
             settings=recording.settings_to_stored(host.settings),
-            state=self._snapshot.head,
+            state=self._snapshot.state,
             class_names=names[0],
             plan_names=names[1],
-            about=about,
+            context=about,
         )
         self.head = recording.pack_header(header)
 
@@ -73,7 +73,7 @@
             raise StopIteration
         rows = next(self._pages, [])
         self._done = not rows
-        return recording.pack_accounts(self._loop.now(), rows, last=self._done)
+        return recording.pack_account_page(self._loop.now(), rows, last=self._done)
 
     def close(self) -> None:
         """No more frames are wanted."""
--- a/orchidlane/gateway/telemetry/policy_views.py
+++ b/orchidlane/gateway/telemetry/policy_views.py
@@ -1,5 +1,6 @@
 """What the module would do next for a customer: asked of a copy of it, so that nothing changes.
- A view is a ``Dump`` of the module with one customer's account and all hosts, with the settings and names
+ A view is a ``StateDump`` of the module with one customer's account and all hosts, with the settings and
+ names
 that go with it. The copy is fed one request; the gateway and every tool do this by the same function.
 """
 
@@ -36,7 +37,7 @@
     gateway: str
     now: int
     settings: dict[str, object]
-    state: recording.Dump
+    state: recording.StateDump
     class_names: tuple[str, ...]
     plan_names: tuple[str, ...]
     customer: tuple[int, int, int, int] | None
@@ -61,7 +62,7 @@
         gateway=name,
         now=now,
         settings=recording.settings_to_stored(gateway.settings),
-        state=recording.dump(gateway, chosen),
+        state=recording.dump_state(gateway, chosen),
         class_names=names[0],
         plan_names=names[1],
         customer=customer,
@@ -92,7 +93,7 @@
     """The view of a customer, by its number, in a saved state. Raises ViewError, FormatError."""
     header = reader.header
     check_build(header.build)
-    row = next((row for row in reader.accounts() if row[0] == number), None)
+    row = next((row for row in reader.account_rows() if row[0] == number), None)
     if row is None:
         raise ViewError(f"{reader.path}: no customer {number} is known there")
     return View(
@@ -105,12 +106,12 @@
             header.state,
             accounts=[row],
             idle_queue=[one for one in header.state.idle_queue if one == number],
-            changed=[one for one in header.state.changed if one == number],
-            closed=[one for one in header.state.closed if one == number],
-            told=[],
+            pending_changes=[one for one in header.state.pending_changes if one == number],
+            exhausted_customers=[one for one in header.state.exhausted_customers if one == number],
+            exhaustion_notices=[],
             requests=[],
-            detached=[],
-            asked=[],
+            detached_attempts=[],
+            awaited_replies=[],
         ),
         class_names=header.class_names,
         plan_names=header.plan_names,
@@ -119,7 +120,7 @@
 
 
 def _moment(header: recording.Header) -> int:
-    return int(header.about.get("now", header.life))
+    return int(header.context.get("now", header.started_at_us))
 
 
 @dataclass
@@ -142,14 +143,19 @@
     """
     header = reader.header
     check_build(header.build)
-    state = msgspec.structs.replace(header.state, accounts=[], requests=[], detached=[], idle_queue=[])
-    gateway = recording.restore(
-        header.module_settings(), msgspec.structs.replace(state, changed=[], closed=[], told=[], asked=[])
+    state = msgspec.structs.replace(
+        header.state, accounts=[], requests=[], detached_attempts=[], idle_queue=[]
+    )
+    gateway = recording.restore_gateway(
+        header.policy_settings(),
+        msgspec.structs.replace(
+            state, pending_changes=[], exhausted_customers=[], exhaustion_notices=[], awaited_replies=[]
+        ),
     )
     gateway.now = _moment(header)
     found: dict[str, PlanCounts] = defaultdict(PlanCounts)
-    for row in reader.accounts():
-        account = recording.load_account(row)
+    for row in reader.account_rows():
+        account = recording.account_from_row(row)
         gateway._lift(account)
         _count(found[header.plan_names[account.plan]], account, gateway.settings.plans[account.plan], most)
     for counts in found.values():
@@ -173,7 +179,7 @@
 def _copy(view: View) -> Gateway:
     try:
         settings = recording.settings_from_stored(view.settings)
-        return recording.restore(settings, view.state)
+        return recording.restore_gateway(settings, view.state)
     except (msgspec.ValidationError, recording.FormatError) as wrong:
         raise ViewError(str(wrong)) from None
 
--- a/orchidlane/gateway/telemetry/traffic_recorder.py
+++ b/orchidlane/gateway/telemetry/traffic_recorder.py
@@ -13,7 +13,7 @@
 from orchidlane import policy, recording
 from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.gateway.telemetry.admin_api import Names, StateFrames
-from orchidlane.recording.segments import SUFFIX, pack_answer
+from orchidlane.recording.segments import SEGMENT_SUFFIX, pack_response
 from orchidlane.runtime import Loop
 
 EVERY = 100_000  # microseconds between two writes
@@ -61,7 +61,7 @@
     def answer(self, request: int, status: int, kind: str, span: int) -> None:
         """What a client was answered, so many microseconds after its first byte."""
         if not self.failed:
-            self._buffer += pack_answer(self.loop.now(), request, status, kind, span)
+            self._buffer += pack_response(self.loop.now(), request, status, kind, span)
             self._check()
 
     def _check(self) -> None:
@@ -99,7 +99,7 @@
 
     def _rotate(self) -> None:
         self.number += 1
-        self.path = f"{self.folder}/{self.name}-{self.life:x}-{self.number:06}{SUFFIX}"
+        self.path = f"{self.folder}/{self.name}-{self.life:x}-{self.number:06}{SEGMENT_SUFFIX}"
         self._state = StateFrames(self.host, self.name, self.life, self.number, self.names, self.about())
         head = self._state.head
         if not self.host.rules.accounts:
@@ -108,7 +108,7 @@
         self._write(head)
         old = self.number - KEEP
         if old >= 0:
-            self.loop.world.remove_file(f"{self.folder}/{self.name}-{self.life:x}-{old:06}{SUFFIX}")
+            self.loop.world.remove_file(f"{self.folder}/{self.name}-{self.life:x}-{old:06}{SEGMENT_SUFFIX}")
 
     def _write(self, data: bytes) -> None:
         try:
--- a/orchidlane/hot_restart/account_recovery.py
+++ b/orchidlane/hot_restart/account_recovery.py
@@ -16,7 +16,7 @@
 from typing import Any, NamedTuple
 
 from orchidlane.policy.state import Account
-from orchidlane.recording import load_account
+from orchidlane.recording import account_from_row
 
 
 class Life(NamedTuple):
@@ -35,7 +35,7 @@
     back = now < life.taken  # the clock went back: how long it has been is not known
     risen = now if back else min(now, life.until)
     for row in rows:
-        account = load_account(row)
+        account = account_from_row(row)
         plan = numbers.get(life.plans[account.plan])
         if plan is None:
             continue
--- a/orchidlane/hot_restart/messages.py
+++ b/orchidlane/hot_restart/messages.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from orchidlane.recording.segments import FRAME, frame
-from orchidlane.recording.state_dump import Dump
+from orchidlane.recording.frames import FRAME_HEADER, encode_frame
+from orchidlane.recording.state_dump import StateDump
 
 FORMAT = 1
 FRAME_MOST = 64 << 20  # bytes of one frame
@@ -177,7 +177,7 @@
 class Final(Message, frozen=True, tag=24):
     """The moment: all before it was told, and from here on the successor decides."""
 
-    module: Dump  # without accounts
+    module: StateDump  # without accounts
     limits: dict[str, Any]
     nodes: dict[str, Any]
     peers: list[Any]  # what of theirs came: rank, incarnation, latest number, which before it
@@ -298,7 +298,7 @@
 
 def encode(message: Message) -> bytes:
     """A message as a frame."""
-    return frame(msgspec.msgpack.encode(message))
+    return encode_frame(msgspec.msgpack.encode(message))
 
 
 class Parser:
@@ -313,15 +313,15 @@
 
     def next_message(self) -> Any:
         """The next message, None until more bytes come. Raises Garbled."""
-        if len(self._buffer) < FRAME.size:
+        if len(self._buffer) < FRAME_HEADER.size:
             return None
-        length, checksum = FRAME.unpack_from(self._buffer)
+        length, checksum = FRAME_HEADER.unpack_from(self._buffer)
         if length > FRAME_MOST:
             raise Garbled("a frame of impossible length")
-        if len(self._buffer) < FRAME.size + length:
+        if len(self._buffer) < FRAME_HEADER.size + length:
             return None
-        body = bytes(self._buffer[FRAME.size : FRAME.size + length])
-        del self._buffer[: FRAME.size + length]
+        body = bytes(self._buffer[FRAME_HEADER.size : FRAME_HEADER.size + length])
+        del self._buffer[: FRAME_HEADER.size + length]
         if zlib.crc32(body) != checksum:
             raise Garbled("a frame does not fit its checksum")
         try:
--- a/orchidlane/hot_restart/tables.py
+++ b/orchidlane/hot_restart/tables.py
@@ -16,8 +16,15 @@
 from orchidlane.limits import Holder, Ledger
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.state import Account
-from orchidlane.recording import Accounts, Dump, dump, load_account, restore, track
-from orchidlane.recording.state_dump import dump_account
+from orchidlane.recording import (
+    ObservableAccounts,
+    StateDump,
+    account_from_row,
+    account_to_row,
+    dump_state,
+    restore_gateway,
+    track_accounts,
+)
 
 
 class AccountsTable:
@@ -26,8 +33,8 @@
     name = "accounts"
 
     def __init__(self, gateway: Gateway) -> None:
-        track(gateway)
-        self._accounts: Accounts = gateway.accounts  # type: ignore[assignment]
+        track_accounts(gateway)
+        self._accounts: ObservableAccounts = gateway.accounts  # type: ignore[assignment]
         self._touched: dict[Hashable, None] | None = None
 
     def keys(self) -> Iterable[Hashable]:
@@ -35,19 +42,19 @@
         return list(self._accounts)
 
     def row(self, key: Any) -> Any:
-        """As ``Dump.accounts`` has it."""
+        """As ``StateDump.accounts`` has it."""
         account = dict.get(self._accounts, key)
-        return dump_account(account) if account is not None else None
+        return account_to_row(account) if account is not None else None
 
     def watch(self, touched: dict[Hashable, None] | None) -> None:
         """By the dictionary through which the module reaches its accounts."""
         if self._touched is None and touched is not None:
-            self._accounts.watch(self)
+            self._accounts.add_observer(self)
         elif touched is None and self._touched is not None:
-            self._accounts.unwatch(self)
+            self._accounts.remove_observer(self)
         self._touched = touched
 
-    def save(self, customer: int) -> None:
+    def before_access(self, customer: int) -> None:
         """The module reaches for an account: it may change."""
         if self._touched is not None:
             self._touched[customer] = None
@@ -85,7 +92,7 @@
         """Rows of one table, and keys of it that are gone. Raises ValueError, KeyError, TypeError."""
         if table == AccountsTable.name:
             for row in rows:
-                account = load_account(row)
+                account = account_from_row(row)
                 account.peer_admissions_at_us = (
                     *account.peer_admissions_at_us,
                     *(now for _ in range(account.in_flight)),
@@ -102,29 +109,29 @@
             kept.forget(name)
 
 
-def module_at_moment(gateway: Gateway) -> Dump:
+def module_at_moment(gateway: Gateway) -> StateDump:
     """All of a module but its accounts and what is out."""
-    told = dump(gateway, customers=[])
+    told = dump_state(gateway, customers=[])
     plain = {
-        **told.plain,
+        **told.scalars,
         "changed": list(gateway.pending_changes),
         "closed": list(gateway.exhausted_customers),
     }
-    return msgspec.structs.replace(told, plain=plain)
+    return msgspec.structs.replace(told, scalars=plain)
 
 
 def module_of(
-    settings: policy.Settings, told: Dump, accounts: dict[int, Account], kinds: list[int | None]
+    settings: policy.Settings, told: StateDump, accounts: dict[int, Account], kinds: list[int | None]
 ) -> Gateway:
     """A successor's module. ``kinds``: for each of its classes the old number of it, None for a new one.
 
     Raises FormatError, KeyError.
     """
-    usual, changed, closed = told.plain["usual"], told.plain["changed"], told.plain.get("closed", ())
-    gateway = restore(settings, told)
+    usual, changed, closed = told.scalars["usual"], told.scalars["changed"], told.scalars.get("closed", ())
+    gateway = restore_gateway(settings, told)
     fresh = Gateway(settings, 0, gateway.now).usual_duration_us
     gateway.usual_duration_us = [fresh[i] if old is None else usual[old] for i, old in enumerate(kinds)]
-    gateway.accounts = Accounts(accounts)
+    gateway.accounts = ObservableAccounts(accounts)
     gateway.idle_queue.extend(accounts)  # the order of looks is free
     gateway.pending_changes = {customer: None for customer in changed if customer in accounts}
     gateway.exhausted_customers = {customer: 0 for customer in closed if customer in accounts}  # told of anew
--- a/orchidlane/recording/__init__.py
+++ b/orchidlane/recording/__init__.py
@@ -1,77 +1,77 @@
-"""What a gateway was told, answered and knew, as bytes for later builds: pure formats and their readers."""
+"""What a gateway received, decided and knew, as bytes for later builds: formats and their readers."""
 
-from orchidlane.recording.audit import Findings, audit_records
+from orchidlane.recording.audit import audit_records
+from orchidlane.recording.audit_findings import Findings
 from orchidlane.recording.build_identity import build_name
 from orchidlane.recording.codec import (
-    ACTIONS,
-    EVENTS,
-    FormatError,
+    ACTION_TYPES,
+    EVENT_TYPES,
     pack_action,
     pack_event,
     unpack_action,
     unpack_event,
 )
-from orchidlane.recording.index import Index, TimeIndex, customer_of, request_of
-from orchidlane.recording.reference_quota import TrueStore
-from orchidlane.recording.replay import Difference, Replay, Unchecked, WhatIf, lives_of, replay, what_if
+from orchidlane.recording.errors import FormatError, TruncatedHeaderError
+from orchidlane.recording.index import KeyIndex, TimeIndex, customer_number, request_number
+from orchidlane.recording.reference_quota import ReferenceQuota
+from orchidlane.recording.replay import Difference, ReplayResult, UncheckedPart, group_by_incarnation, replay
+from orchidlane.recording.segment_reader import Damage, Entry, RecordedResponse, SegmentReader
 from orchidlane.recording.segments import (
-    FORMAT,
-    Broken,
-    CutHead,
-    Entry,
+    FORMAT_VERSION,
     Header,
-    SegmentReader,
-    pack_accounts,
+    list_segments,
+    pack_account_page,
     pack_entry,
     pack_header,
-    read_folder,
 )
 from orchidlane.recording.settings_codec import settings_from_stored, settings_to_stored
-from orchidlane.recording.snapshot import Accounts, Snapshot, track
-from orchidlane.recording.state_dump import FORMAT as DUMP_FORMAT
-from orchidlane.recording.state_dump import Dump, dump, load_account, restore
+from orchidlane.recording.snapshot import ObservableAccounts, Snapshot, track_accounts
+from orchidlane.recording.state_dump import StateDump, account_to_row, dump_state
+from orchidlane.recording.state_restore import account_from_row, restore_gateway
+from orchidlane.recording.what_if import WhatIfResult, simulate_settings
 
 __all__ = [
-    "ACTIONS",
-    "DUMP_FORMAT",
-    "EVENTS",
-    "FORMAT",
-    "Accounts",
-    "Broken",
-    "CutHead",
+    "ACTION_TYPES",
+    "EVENT_TYPES",
+    "FORMAT_VERSION",
+    "Damage",
     "Difference",
-    "Dump",
     "Entry",
     "Findings",
     "FormatError",
     "Header",
-    "Index",
-    "Replay",
+    "KeyIndex",
+    "ObservableAccounts",
+    "RecordedResponse",
+    "ReferenceQuota",
+    "ReplayResult",
     "SegmentReader",
     "Snapshot",
+    "StateDump",
     "TimeIndex",
-    "TrueStore",
-    "Unchecked",
-    "WhatIf",
+    "TruncatedHeaderError",
+    "UncheckedPart",
+    "WhatIfResult",
+    "account_from_row",
+    "account_to_row",
     "audit_records",
     "build_name",
-    "customer_of",
-    "dump",
-    "lives_of",
-    "load_account",
-    "pack_accounts",
+    "customer_number",
+    "dump_state",
+    "group_by_incarnation",
+    "list_segments",
+    "pack_account_page",
     "pack_action",
     "pack_entry",
     "pack_event",
     "pack_header",
-    "read_folder",
     "replay",
-    "request_of",
-    "restore",
+    "request_number",
+    "restore_gateway",
     "settings_from_stored",
     "settings_to_stored",
-    "track",
+    "simulate_settings",
+    "track_accounts",
     "unpack_action",
     "unpack_event",
-    "what_if",
 ]
--- a/orchidlane/recording/codec.py
+++ b/orchidlane/recording/codec.py
@@ -1,20 +1,21 @@
-"""The module's events and actions as short arrays: a number for the type, then its fields in order.
- Rules for change, so that every later build reads every earlier record: numbers are never used again;
-fields are only added, at the end and with a default; a field that goes keeps its place. A record with a
-type or a field that this build does not know is refused, since a decision could hang on it.
+"""Events and actions of the policy as short arrays: a number for the type, then its fields in order.
+
+Rules for changes, so that every later build reads every earlier record: numbers are never reused; fields are
+only added, at the end and with a default; a removed field keeps its position. A record with a type or a field
+that this build does not know is rejected, since a decision could depend on it.
 """
 
 from __future__ import annotations
 
 import dataclasses
-import enum
 from collections.abc import Callable
 from operator import attrgetter
 from typing import Any
 
 from orchidlane import policy
+from orchidlane.recording.errors import FormatError
 
-EVENTS: dict[int, type] = {
+EVENT_TYPES: dict[int, type] = {
     1: policy.EndpointListReceived,
     2: policy.RequestArrived,
     3: policy.QuotaRequested,
@@ -28,7 +29,7 @@
     11: policy.CountRecovered,
     12: policy.ReplicaSetChanged,
 }
-ACTIONS: dict[int, type] = {
+ACTION_TYPES: dict[int, type] = {
     1: policy.SendAttempt,
     2: policy.CancelAttempt,
     3: policy.GrantQuota,
@@ -42,90 +43,93 @@
 }
 
 
-class FormatError(Exception):
-    """Bytes that this build can't read: broken, or of a format that it does not know."""
-
+def _field_names(value_type: type) -> tuple[str, ...]:
+    return tuple(field.name for field in dataclasses.fields(value_type))
 
-def _fields(kind: type) -> tuple[str, ...]:
-    return tuple(field.name for field in dataclasses.fields(kind))
 
-
-def _getter(kind: type) -> Callable[[Any], tuple[Any, ...]]:
-    names = _fields(kind)
+def _field_getter(value_type: type) -> Callable[[Any], tuple[Any, ...]]:
+    names = _field_names(value_type)
     if not names:
         return lambda _: ()
     get = attrgetter(*names)
-    return (lambda value: (get(value),)) if len(names) == 1 else get
+    if len(names) == 1:
+        return lambda value: (get(value),)
+    return get
 
 
-def _enum(kind: type[enum.Enum]) -> Callable[[Any], Any]:
-    return kind
+def _endpoint_entry(values: Any) -> policy.EndpointEntry:
+    endpoint, state = values[0], values[1]
+    rest = [values[position] for position in range(2, len(_ENDPOINT_ENTRY_NAMES))]
+    return policy.EndpointEntry(bytes(endpoint), policy.EndpointState(state), *rest)
 
 
-def _entries(value: Any) -> tuple[policy.EndpointEntry, ...]:
-    names = _fields(policy.EndpointEntry)
-    return tuple(
-        policy.EndpointEntry(
-            bytes(one[0]), policy.EndpointState(one[1]), *(one[names.index(name)] for name in names[2:])
-        )
-        for one in value
-    )
+def _endpoint_entries(rows: Any) -> tuple[policy.EndpointEntry, ...]:
+    return tuple(_endpoint_entry(row) for row in rows)
 
 
-CONVERTERS: dict[tuple[type, str], Callable[[Any], Any]] = {
-    (policy.EndpointListReceived, "kind"): _enum(policy.EndpointListKind),
-    (policy.EndpointListReceived, "entries"): _entries,
-    (policy.AttemptEnded, "outcome"): _enum(policy.Outcome),
+_ENDPOINT_ENTRY_NAMES = _field_names(policy.EndpointEntry)
+_ENDPOINT_ENTRY_FIELDS = _field_getter(policy.EndpointEntry)
+# How a field is made from its plain value, where that is not the value itself.
+_FIELD_CONVERTERS: dict[tuple[type, str], Callable[[Any], Any]] = {
+    (policy.EndpointListReceived, "kind"): policy.EndpointListKind,
+    (policy.EndpointListReceived, "entries"): _endpoint_entries,
+    (policy.AttemptEnded, "outcome"): policy.Outcome,
     (policy.AttemptEnded, "load_report"): tuple,
-    (policy.HealthCheckEnded, "outcome"): _enum(policy.Outcome),
+    (policy.HealthCheckEnded, "outcome"): policy.Outcome,
     (policy.HealthCheckEnded, "load_report"): tuple,
-    (policy.CounterAnswered, "outcome"): _enum(policy.Outcome),
+    (policy.CounterAnswered, "outcome"): policy.Outcome,
 }
-_GETTERS = {kind: _getter(kind) for table in (EVENTS, ACTIONS) for kind in table.values()}
-_EVENT_NUMBERS = {kind: number for number, kind in EVENTS.items()}
-_ACTION_NUMBERS = {kind: number for number, kind in ACTIONS.items()}
-_NAMES = {kind: _fields(kind) for kind in _GETTERS}
-_ENTRY = _getter(policy.EndpointEntry)
+_EVENT_NUMBERS = {event_type: number for number, event_type in EVENT_TYPES.items()}
+_ACTION_NUMBERS = {action_type: number for number, action_type in ACTION_TYPES.items()}
+_TYPES = (*EVENT_TYPES.values(), *ACTION_TYPES.values())
+_FIELD_GETTERS = {value_type: _field_getter(value_type) for value_type in _TYPES}
+_FIELD_NAMES = {value_type: _field_names(value_type) for value_type in _TYPES}
 
 
 def pack_event(event: Any) -> tuple[Any, ...]:
-    """An event as plain values."""
-    kind = type(event)
-    if kind is policy.EndpointListReceived:
-        entries = [_ENTRY(entry) for entry in event.entries]
-        return (_EVENT_NUMBERS[kind], event.kind, event.version, entries)
-    return (_EVENT_NUMBERS[kind], *_GETTERS[kind](event))
+    """Return an event as plain values."""
+    event_type = type(event)
+    if event_type is policy.EndpointListReceived:
+        entries = [_ENDPOINT_ENTRY_FIELDS(entry) for entry in event.entries]
+        return (_EVENT_NUMBERS[event_type], event.kind, event.version, entries)
+    return (_EVENT_NUMBERS[event_type], *_FIELD_GETTERS[event_type](event))
 
 
 def pack_action(action: policy.Action) -> tuple[Any, ...]:
-    """An action as plain values."""
-    kind = type(action)
-    return (_ACTION_NUMBERS[kind], *_GETTERS[kind](action))
+    """Return an action as plain values."""
+    action_type = type(action)
+    return (_ACTION_NUMBERS[action_type], *_FIELD_GETTERS[action_type](action))
 
 
 def unpack_event(values: list[Any]) -> policy.Event:
-    """The event of plain values. Raises FormatError."""
-    return _unpack(values, EVENTS)
+    """Return the event of plain values. Raises FormatError."""
+    event: policy.Event = _unpack(values, EVENT_TYPES)
+    return event
 
 
 def unpack_action(values: list[Any]) -> policy.Action:
-    """The action of plain values. Raises FormatError."""
-    return _unpack(values, ACTIONS)
+    """Return the action of plain values. Raises FormatError."""
+    action: policy.Action = _unpack(values, ACTION_TYPES)
+    return action
 
 
-def _unpack(values: list[Any], table: dict[int, type]) -> Any:
+def _unpack(values: list[Any], types: dict[int, type]) -> Any:
     try:
-        kind = table[values[0]]
+        value_type = types[values[0]]
     except (KeyError, IndexError, TypeError):
         raise FormatError("an event or action of a later build") from None
-    names, given = _NAMES[kind], values[1:]
-    if len(given) > len(names):
-        raise FormatError(f"{kind.__name__} has fields of a later build")
+    names = _FIELD_NAMES[value_type]
+    fields = values[1:]
+    if len(fields) > len(names):
+        raise FormatError(f"{value_type.__name__} has fields of a later build")
     try:
-        made = [
-            CONVERTERS[kind, name](value) if (kind, name) in CONVERTERS else value
-            for name, value in zip(names, given, strict=False)
-        ]
-        return kind(*made)
-    except (TypeError, ValueError, IndexError) as wrong:
-        raise FormatError(f"{kind.__name__}: {wrong}") from None
+        return value_type(
+            *(_convert(value_type, name, value) for name, value in zip(names, fields, strict=False))
+        )
+    except (TypeError, ValueError, IndexError) as error:
+        raise FormatError(f"{value_type.__name__}: {error}") from None
+
+
+def _convert(value_type: type, name: str, value: Any) -> Any:
+    convert = _FIELD_CONVERTERS.get((value_type, name))
+    return convert(value) if convert is not None else value
--- a/orchidlane/recording/description.py
+++ b/orchidlane/recording/description.py
@@ -1,7 +1,7 @@
 """Events and actions as text for tools: types, fields and enum members under their stored names.
 
-Tools print this text as JSON, so its names are part of the command's output and stay what they were when the
-first of these records was read. The tables below are the one place that maps the names of the code to them.
+Tools print this text as JSON, so its names are part of the command's output and never change. The tables
+below are the one place that maps the names of the code to them.
 """
 
 from __future__ import annotations
@@ -62,15 +62,15 @@
 
 
 def describe(value: Any) -> str:
-    """An event, an action or one of their fields as text, like a constructor call with stored names."""
-    kind = type(value)
+    """Return an event, an action or a field of one as text, like a constructor call with stored names."""
+    type_name = TYPE_NAMES.get(type(value), type(value).__name__)
     if isinstance(value, enum.Enum):
         member = MEMBER_NAMES.get(value, value.name)
-        return f"<{TYPE_NAMES.get(kind, kind.__name__)}.{member}: {value.value!r}>"
+        return f"<{type_name}.{member}: {value.value!r}>"
     if dataclasses.is_dataclass(value):
-        fields = [field.name for field in dataclasses.fields(value)]
-        texts = [f"{FIELD_NAMES.get(name, name)}={describe(getattr(value, name))}" for name in fields]
-        return f"{TYPE_NAMES.get(kind, kind.__name__)}({', '.join(texts)})"
+        names = [field.name for field in dataclasses.fields(value)]
+        fields = [f"{FIELD_NAMES.get(name, name)}={describe(getattr(value, name))}" for name in names]
+        return f"{type_name}({', '.join(fields)})"
     if isinstance(value, tuple):
         items = [describe(item) for item in value]
         return f"({items[0]},)" if len(items) == 1 else f"({', '.join(items)})"
--- /dev/null
+++ b/orchidlane/recording/incarnation_audit.py
@@ -0,0 +1,234 @@
+"""The rules over the record of one incarnation of a gateway, entry by entry."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from orchidlane import policy
+from orchidlane.policy import (
+    DeduplicationScope,
+    EndpointListKind,
+    EndpointState,
+    Idempotency,
+    Outcome,
+)
+from orchidlane.recording.audit_findings import Findings, Violation
+from orchidlane.recording.segment_reader import Entry
+from orchidlane.recording.segments import Header
+
+NOT_EXECUTED_OUTCOMES = (Outcome.ENDPOINT_FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+STALL_US = 1_000_000  # without an entry; gossip rounds come more often, so the gateway was stalled
+
+
+@dataclass(slots=True)
+class SentAttempt:
+    """An attempt of a request."""
+
+    sent_at_us: int
+    endpoint: bytes
+    possibly_executed: bool = True
+
+
+@dataclass(slots=True)
+class OpenRequest:
+    """A request that is owed a response, with its attempts."""
+
+    event: policy.RequestArrived
+    deadline_at_us: int
+    attempts: list[SentAttempt] = field(default_factory=list)
+
+    @property
+    def possibly_executed(self) -> list[SentAttempt]:
+        """The attempts that may have been executed."""
+        return [attempt for attempt in self.attempts if attempt.possibly_executed]
+
+
+class _Phase(NamedTuple):
+    """An endpoint's state, and since when it has been ready or not."""
+
+    state: EndpointState
+    since_us: int
+
+
+class _Location(NamedTuple):
+    """Where an endpoint runs."""
+
+    zone: int
+    cell: int
+
+
+class _Stall(NamedTuple):
+    """A time without entries."""
+
+    from_us: int
+    until_us: int
+
+
+class IncarnationAudit:
+    """Checks one incarnation of one gateway; what it finds goes into ``findings``."""
+
+    def __init__(self, header: Header, findings: Findings, sent_attempts: set[str] | None) -> None:
+        """Begin at a header; the names of attempts are added to ``sent_attempts`` where that is not None."""
+        incarnation = int(header.context.get("incarnation", header.started_at_us))
+        self.settings = header.policy_settings()
+        self.name = f"{header.gateway}-{incarnation:x}"
+        self.open: dict[int, OpenRequest] = {}
+        self._findings = findings
+        self._sent_attempts = sent_attempts
+        self._phases: dict[bytes, _Phase] = {}
+        self._locations: dict[bytes, _Location] = {}
+        self._now = header.written_at_us
+        # The part of the client's time that the gateway keeps for the way back.
+        self._client_margin_us = int(header.context.get("client_margin", 0))
+        self._last_stall = _Stall(0, 0)
+        self._read_endpoints(header)
+
+    def _read_endpoints(self, header: Header) -> None:
+        """Take over the listed endpoints: an incarnation may begin within a record."""
+        for entry, _, _, listed in header.state.endpoints:
+            if listed:
+                location = _Location(zone=entry[2], cell=entry[3])
+                self._set_phase(bytes(entry[0]), EndpointState(entry[1]), location, header.started_at_us)
+
+    def _set_phase(self, endpoint: bytes, state: EndpointState, location: _Location, now: int) -> None:
+        self._locations[endpoint] = location
+        known = self._phases.get(endpoint)
+        if known is None or (known.state is EndpointState.READY) != (state is EndpointState.READY):
+            self._phases[endpoint] = _Phase(state, now)
+
+    def feed(self, entry: Entry) -> None:
+        """Check one entry; entries come in their order."""
+        now = entry.at_us
+        if now > self._now + STALL_US:
+            self._last_stall = _Stall(self._now, now)
+        self._now = now
+        if entry.event is None:
+            return
+        self._findings.events += 1
+        self._check_event(entry.event, now)
+        for action in entry.actions:
+            self._check_action(action, entry.event, now)
+
+    def _check_event(self, event: policy.Event, now: int) -> None:
+        match event:
+            case policy.RequestArrived():
+                self._findings.requests += 1
+                deadline_at = now + event.time_left_us + self._client_margin_us
+                self.open[event.request] = OpenRequest(event, deadline_at)
+            case policy.EndpointListReceived():
+                self._apply_endpoint_list(event, now)
+            case policy.AttemptEnded():
+                self._end_attempt(event, now)
+            case policy.ClientDisconnected():
+                self.open.pop(event.request, None)
+
+    def _check_action(self, action: policy.Action, event: policy.Event, now: int) -> None:
+        match action:
+            case policy.SendAttempt():
+                self._check_send(action, now)
+            case policy.RejectRequest() | policy.FailRequest():
+                if not isinstance(event, policy.QuotaRequested):
+                    self._check_final(action, now)
+
+    def _apply_endpoint_list(self, event: policy.EndpointListReceived, now: int) -> None:
+        if event.kind is EndpointListKind.FAILED:
+            return
+        if event.kind is not EndpointListKind.DELTA:
+            listed = {entry.endpoint for entry in event.entries}
+            gone = [endpoint for endpoint in self._phases if endpoint not in listed]
+            for endpoint in gone:
+                self._set_phase(endpoint, EndpointState.GONE, self._locations[endpoint], now)
+        for entry in event.entries:
+            self._set_phase(entry.endpoint, entry.state, _Location(entry.zone, entry.cell), now)
+
+    def _end_attempt(self, event: policy.AttemptEnded, now: int) -> None:
+        request = self.open.get(event.request)
+        if request is None:
+            return
+        if event.attempt < len(request.attempts):
+            possibly_executed = event.outcome not in NOT_EXECUTED_OUTCOMES
+            request.attempts[event.attempt].possibly_executed = possibly_executed
+        if event.outcome is Outcome.SERVED and event.answered:
+            self._end_request(event.request, request, now)
+
+    def _end_request(self, number: int, request: OpenRequest, now: int) -> None:
+        self._findings.responses += 1
+        del self.open[number]
+        if now <= request.deadline_at_us:
+            return
+        if self._last_stall.from_us <= request.deadline_at_us <= self._last_stall.until_us:
+            self._findings.late_while_stalled += 1
+        else:
+            self._add_fault(Violation.LATE_RESPONSE, number)
+
+    def _check_final(self, action: policy.RejectRequest | policy.FailRequest, now: int) -> None:
+        request = self.open.get(action.request)
+        if request is None:
+            self._add_fault(Violation.DOUBLE_RESPONSE, action.request)
+            return
+        rejected = isinstance(action, policy.RejectRequest)
+        if rejected and request.possibly_executed and not is_safe_to_repeat(self._request_class(request)):
+            self._add_fault(Violation.REJECTED_AFTER_EXECUTION, action.request)
+        self._end_request(action.request, request, now)
+
+    def _check_send(self, action: policy.SendAttempt, now: int) -> None:
+        request = self.open.get(action.request)
+        if request is None:
+            self._add_fault(Violation.DOUBLE_RESPONSE, action.request)
+            return
+        if not self._may_repeat(request, action, now):
+            self._add_fault(Violation.UNSAFE_RETRY, action.request)
+        phase = self._phases.get(action.endpoint, _Phase(EndpointState.GONE, 0))
+        if phase.state is not EndpointState.READY and now > phase.since_us + self.settings.drain_grace_us:
+            self._add_fault(Violation.SENT_AFTER_DRAIN, action.request)
+        if self._sent_attempts is not None:
+            self._sent_attempts.add(f"{self.name}-{action.request}-{len(request.attempts)}")
+        request.attempts.append(SentAttempt(now, action.endpoint))
+
+    def _may_repeat(self, request: OpenRequest, action: policy.SendAttempt, now: int) -> bool:
+        request_class = self._request_class(request)
+        executed = request.possibly_executed
+        if not executed or request_class.idempotency is Idempotency.IDEMPOTENT:
+            return True
+        if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
+            return False
+        if now > executed[0].sent_at_us + request_class.deduplication_window_us:
+            return False
+        scope = request_class.deduplication_scope
+        return scope is DeduplicationScope.ALL or all(
+            self._share_scope(attempt.endpoint, action.endpoint, scope) for attempt in executed
+        )
+
+    def _share_scope(self, first: bytes, second: bytes, scope: DeduplicationScope) -> bool:
+        """Whether two endpoints drop each other's repeats; True where one was never listed."""
+        if first not in self._locations or second not in self._locations:
+            return True
+        first_location = self._locations[first]
+        second_location = self._locations[second]
+        if scope is DeduplicationScope.ZONE:
+            return first_location.zone == second_location.zone
+        return first_location.cell == second_location.cell
+
+    def _request_class(self, request: OpenRequest) -> policy.RequestClass:
+        return self.settings.classes[request.event.request_class]
+
+    def _add_fault(self, violation: Violation, request: int) -> None:
+        self._findings.add_fault(violation, f"{self.name}-{request}")
+
+    def end(self, now: int) -> None:
+        """End the incarnation: what is open is the client's to retry, unless its deadline passed before."""
+        self._findings.last_entry_at_us[self.name] = now
+        for number, request in self.open.items():
+            if request.deadline_at_us < now:
+                self._add_fault(Violation.MISSING_RESPONSE, number)
+            else:
+                self._findings.in_flight_at_end += 1
+
+
+def is_safe_to_repeat(request_class: policy.RequestClass) -> bool:
+    """Whether a request may be repeated by the client anywhere, though it may have been executed."""
+    if request_class.idempotency is Idempotency.IDEMPOTENT:
+        return True
+    has_key = request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+    return has_key and request_class.deduplication_scope is DeduplicationScope.ALL
--- a/orchidlane/recording/reference_quota.py
+++ b/orchidlane/recording/reference_quota.py
@@ -1,35 +1,36 @@
-"""The one true store that a plan promises each customer: what every gateway's counts are measured against."""
+"""The exact token bucket that a plan promises each customer: the reference for all gateways' counts."""
 
 from __future__ import annotations
 
-SECOND = 1_000_000  # microseconds
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
-class TrueStore:
-    """Units that fill at a rate up to a burst; full at first. Draw in the order of time."""
+class ReferenceQuota:
+    """A bucket of units that fills at a rate up to a burst; full at first. Draws come in order of time."""
 
-    __slots__ = ("burst", "rate", "since", "units")
+    __slots__ = ("burst", "rate", "units", "updated_at_us")
 
-    def __init__(self, rate: float, burst: float, now: int) -> None:
-        self.rate = rate  # units a second
+    def __init__(self, rate: float, burst: float, now_us: int) -> None:
+        self.rate = rate  # units per second
         self.burst = burst
         self.units = burst
-        self.since = now
+        self.updated_at_us = now_us
 
-    def at(self, now: int) -> float:
-        """The units that are there at a time; that is where the store stands then."""
-        self.units = min(self.burst, self.units + self.rate * max(0, now - self.since) / SECOND)
-        self.since = max(self.since, now)
+    def available_at(self, now_us: int) -> float:
+        """Fill the bucket up to a time; return the units that are there then."""
+        elapsed_us = max(0, now_us - self.updated_at_us)
+        self.units = min(self.burst, self.units + self.rate * elapsed_us / MICROSECONDS_PER_SECOND)
+        self.updated_at_us = max(self.updated_at_us, now_us)
         return self.units
 
-    def take(self, now: int, units: float) -> bool:
-        """Draw units if they are all there; else nothing is drawn."""
-        if self.at(now) < units:
+    def try_draw(self, now_us: int, units: float) -> bool:
+        """Draw units if they are all there; otherwise draw nothing."""
+        if self.available_at(now_us) < units:
             return False
         self.units -= units
         return True
 
-    def force(self, now: int, units: float) -> float:
-        """Draw units whether they are there or not; how far the store is below nothing then."""
-        self.units = self.at(now) - units
+    def draw(self, now_us: int, units: float) -> float:
+        """Draw units whether they are there or not; return how far the bucket is overdrawn then."""
+        self.units = self.available_at(now_us) - units
         return max(0.0, -self.units)
--- a/orchidlane/recording/settings_codec.py
+++ b/orchidlane/recording/settings_codec.py
@@ -48,26 +48,29 @@
         "over_quota_charge": "beyond_costs",
     },
 }
-_CODE_NAMES = {kind: {stored: name for name, stored in names.items()} for kind, names in STORED_NAMES.items()}
-_NESTED: dict[str, type] = {"classes": policy.RequestClass, "plans": policy.Plan}
+_CODE_NAMES = {
+    settings_type: {stored: name for name, stored in names.items()}
+    for settings_type, names in STORED_NAMES.items()
+}
+_NESTED_TYPES: dict[str, type] = {"classes": policy.RequestClass, "plans": policy.Plan}
 
 
 def settings_to_stored(settings: policy.Settings) -> dict[str, Any]:
-    """Settings as plain values under their stored names, in the order of the fields."""
+    """Return settings as plain values under their stored names, in the order of the fields."""
     return _with_names(msgspec.to_builtins(settings), STORED_NAMES)
 
 
 def settings_from_stored(stored: dict[str, Any]) -> policy.Settings:
-    """Settings from their stored form. Raises msgspec.ValidationError for what does not fit."""
+    """Return settings from their stored form. Raises msgspec.ValidationError for what does not fit."""
     return msgspec.convert(_with_names(stored, _CODE_NAMES), policy.Settings)
 
 
 def _with_names(values: dict[str, Any], names: dict[type, dict[str, str]]) -> dict[str, Any]:
     renamed = _renamed(values, names[policy.Settings])
-    for field, kind in _NESTED.items():
+    for field, entry_type in _NESTED_TYPES.items():
         entries = renamed.get(field)
         if isinstance(entries, (list, tuple)):
-            renamed[field] = [_renamed(entry, names[kind]) for entry in entries]
+            renamed[field] = [_renamed(entry, names[entry_type]) for entry in entries]
     return renamed
 
 
--- a/orchidlane/recording/state_dump.py
+++ b/orchidlane/recording/state_dump.py
@@ -1,25 +1,26 @@
-"""All that a decision module knows, as plain values, and a module made from them that goes on just the same.
- Hosts and accounts are shared by many records of the module; here each stands once, and the others name it.
-The order of pools, queues and dictionaries is kept, since draws and looks go by it. ``restore`` takes bytes
-of files and peers' words for nothing: what does not fit is a FormatError, never a half-made module.
+"""All that a policy knows, as plain values; ``state_restore`` makes a policy from them that goes on the same.
+
+Endpoints and accounts are shared by many objects of the policy; here each stands once, and the others refer
+to it: endpoints by their position in ``StateDump.endpoints``, accounts by their customer. The order of pools,
+queues and dictionaries is kept, since random draws and look-ups go by it.
 """
 
 from __future__ import annotations
 
 import dataclasses
-from collections import deque
+from collections.abc import Iterable
 from copy import copy
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
-from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account, Attempt, Endpoint, EndpointPool, HealthEstimate, PendingRequest
-from orchidlane.recording.codec import FormatError, pack_event, unpack_event
+from orchidlane.policy.state import Account, Attempt, Endpoint, HealthEstimate, PendingRequest
+from orchidlane.recording.codec import pack_event
 
-FORMAT = 1
-PLAIN_NAMES = {  # stored name -> attribute of the gateway
+FORMAT_VERSION = 1
+NO_CUSTOMER = -1  # of a request that has no account yet
+SCALAR_NAMES = {  # stored name -> attribute of the gateway
     "now": "now",
     "filled": "allowance_refilled_at_us",
     "born": "started_at_us",
@@ -30,94 +31,150 @@
     "allowance": "message_allowance",
 }
 ENDPOINT_FIELDS = ("in_flight", "last_active_at_us", "baseline_load")
-ACCOUNT = tuple(field.name for field in dataclasses.fields(Account))
+ACCOUNT_FIELDS = tuple(field.name for field in dataclasses.fields(Account))
+_REPLICA_COUNTS_POSITION = ACCOUNT_FIELDS.index("replica_counts")
 
 
-class Dump(msgspec.Struct, frozen=True, array_like=True):
-    """One module's state; hosts are named by their server, accounts by their customer."""
+class StateDump(msgspec.Struct, frozen=True, array_like=True):
+    """The state of one policy. Fields are stored by position: add new ones at the end, with a default."""
 
     format: int
-    plain: dict[str, Any]
-    random: list[Any]
-    accounts: list[list[Any]]
+    scalars: dict[str, Any]  # by the names of ``SCALAR_NAMES``
+    random_state: list[Any]
+    accounts: list[list[Any]]  # rows of ``account_to_row``
     idle_queue: list[int]
-    changed: list[int]
-    heard: list[tuple[int, int]]
-    asked: list[tuple[int, int, int, int]]
-    hosts: list[list[Any]]  # entry, known, fields, whether it is the listed one
-    met: list[float]
-    zones_met: list[tuple[int, list[float]]]
-    pools: list[list[int]]  # warm, cold, as places in hosts
-    cells: list[tuple[int, list[int]]]
-    zones: list[tuple[int, list[int]]]
-    warming: list[int]
+    pending_changes: list[int]
+    last_seen: list[tuple[int, int]]  # replica, when
+    awaited_replies: list[tuple[int, int, int, int]]
+    endpoints: list[list[Any]]  # entry, health estimate, fields, whether it is the listed one
+    fleet_health: list[float]
+    zone_health: list[tuple[int, list[float]]]
+    pools: list[list[int]]  # warm, cold
+    cell_pools: list[tuple[int, list[int]]]
+    zone_pools: list[tuple[int, list[int]]]
+    warming_queue: list[int]
     requests: list[list[Any]]
-    detached: list[list[Any]]  # attempts whose request has ended
-    owed: list[tuple[int, list[tuple[int, int]]]] = []  # rank, its customers and which keeper it is tried as
-    closed: list[int] = []
-    told: list[int] = []  # how often each that is closed was told of besides; older files have none
+    detached_attempts: list[list[Any]]  # whose request has ended
+    pending_deltas: list[
+        tuple[int, list[tuple[int, int]]]
+    ] = []  # replica, its customers and the owner's turn
+    exhausted_customers: list[int] = []
+    exhaustion_notices: list[int] = []  # how often each of these was announced besides; older files have none
 
 
-def dump(gateway: Gateway, customers: list[int] | None = None, accounts: bool = True) -> Dump:
-    """The state of a module; with ``customers`` only their accounts, and no requests under way.
+def dump_state(
+    gateway: Gateway, customers: list[int] | None = None, include_accounts: bool = True
+) -> StateDump:
+    """Return the state of a policy; with ``customers`` only their accounts, and no pending requests.
 
-    Without ``accounts`` all but these: a ``Snapshot`` brings them page by page.
+    With ``include_accounts`` false all but the accounts: a ``Snapshot`` brings them page by page.
     """
-    hosts = _Hosts(gateway)
-    whole = customers is None
-    chosen = gateway.accounts.values() if customers is None else _some(gateway, customers)
-    requests = [_dump_request(request, hosts) for request in gateway.requests.values()] if whole else []
-    held = {id(attempt) for request in gateway.requests.values() for attempt in request.attempts}
-    detached = [
-        [
-            *key,
-            *_dump_attempt(attempt, hosts),
-            _customer(request),
-            pack_event(request.event),
-            request.deadline_at_us,
-        ]
-        for key, (attempt, request) in gateway.attempts.items()
-        if whole and id(attempt) not in held
-    ]
-    kept = () if whole else {account.customer for account in chosen}
-    pools = [hosts.places(gateway.warm_pool.endpoints), hosts.places(gateway.cold_pool.endpoints)]
-    cells = [(cell, hosts.places(pool.endpoints)) for cell, pool in gateway.cell_pools.items()]
-    zones = [(zone, hosts.places(pool.endpoints)) for zone, pool in gateway.zone_pools.items()]
-    warming = hosts.places(gateway.warming_queue)
-    closed = {one: told for one, told in gateway.exhausted_customers.items() if whole or one in kept}
-    return Dump(
-        format=FORMAT,
-        # a list goes on changing
-        plain={stored: copy(getattr(gateway, name)) for stored, name in PLAIN_NAMES.items()},
-        random=_dump_random(gateway),
-        accounts=[dump_account(account) for account in chosen] if accounts else [],
-        idle_queue=list(gateway.idle_queue) if whole else [one for one in gateway.idle_queue if one in kept],
-        changed=list(gateway.pending_changes)
-        if whole
-        else [one for one in gateway.pending_changes if one in kept],
-        heard=list(gateway.last_seen_at_us.items()),
-        asked=list(gateway.awaited_replies) if whole else [],
-        hosts=hosts.rows(),  # after all that name a host
-        met=_known(gateway.fleet_health),
-        zones_met=[(zone, _known(known)) for zone, known in gateway.zone_health.items()],
-        pools=pools,
-        cells=cells,
-        zones=zones,
-        warming=warming,
+    endpoints = _EndpointTable(gateway)
+    complete = customers is None
+    accounts = gateway.accounts.values() if customers is None else _accounts_of(gateway, customers)
+    selected = None if complete else {account.customer for account in accounts}
+    requests = _dump_requests(gateway, endpoints) if complete else []
+    detached_attempts = _dump_detached_attempts(gateway, endpoints) if complete else []
+    pools = _dump_pools(gateway, endpoints)
+    exhausted = _select(gateway.exhausted_customers, selected)
+    return StateDump(
+        format=FORMAT_VERSION,
+        # copies, as lists among them go on changing
+        scalars={stored: copy(getattr(gateway, name)) for stored, name in SCALAR_NAMES.items()},
+        random_state=_dump_random(gateway),
+        accounts=[account_to_row(account) for account in accounts] if include_accounts else [],
+        idle_queue=_select(gateway.idle_queue, selected),
+        pending_changes=_select(gateway.pending_changes, selected),
+        last_seen=list(gateway.last_seen_at_us.items()),
+        awaited_replies=list(gateway.awaited_replies) if complete else [],
+        endpoints=endpoints.rows(),  # after all that refers to an endpoint
+        fleet_health=_dump_health(gateway.fleet_health),
+        zone_health=[(zone, _dump_health(health)) for zone, health in gateway.zone_health.items()],
+        pools=[pools.warm, pools.cold],
+        cell_pools=pools.cells,
+        zone_pools=pools.zones,
+        warming_queue=pools.warming_queue,
         requests=requests,
-        detached=detached,
-        owed=[(rank, list(owed.items())) for rank, owed in gateway.pending_deltas.items()] if whole else [],
-        closed=list(closed),
-        told=list(closed.values()),
+        detached_attempts=detached_attempts,
+        pending_deltas=_dump_pending_deltas(gateway) if complete else [],
+        exhausted_customers=exhausted,
+        exhaustion_notices=[gateway.exhausted_customers[customer] for customer in exhausted],
     )
 
 
-def _customer(request: PendingRequest) -> int:
-    return request.account.customer if request.account is not None else -1
+def account_to_row(account: Account) -> list[Any]:
+    """Return one account as a row of ``StateDump.accounts``."""
+    values = [getattr(account, name) for name in ACCOUNT_FIELDS]
+    values[_REPLICA_COUNTS_POSITION] = [
+        (replica, *count) for replica, count in account.replica_counts.items()
+    ]
+    return values
+
+
+class _EndpointTable:
+    """Every endpoint that anything of the policy refers to, each once."""
+
+    def __init__(self, gateway: Gateway) -> None:
+        self.gateway = gateway
+        self._positions: dict[int, int] = {}
+        self._endpoints: list[Endpoint] = []
+        self.positions(gateway.endpoints.values())
+
+    def positions(self, endpoints: Iterable[Endpoint]) -> list[int]:
+        """Return the positions of endpoints; new ones are added."""
+        return [self.position(endpoint) for endpoint in endpoints]
+
+    def position(self, endpoint: Endpoint) -> int:
+        """Return the position of an endpoint; a new one is added."""
+        position = self._positions.get(id(endpoint))
+        if position is None:
+            position = self._positions[id(endpoint)] = len(self._endpoints)
+            self._endpoints.append(endpoint)
+        return position
+
+    def rows(self) -> list[list[Any]]:
+        """Return all endpoints as rows of ``StateDump.endpoints``."""
+        listed = {id(endpoint) for endpoint in self.gateway.endpoints.values()}
+        return [
+            [
+                list(dataclasses.astuple(endpoint.entry)),
+                _dump_health(endpoint),
+                [getattr(endpoint, name) for name in ENDPOINT_FIELDS],
+                id(endpoint) in listed,
+            ]
+            for endpoint in self._endpoints
+        ]
+
+
+class _Pools(NamedTuple):
+    """The pools of a policy, as positions in ``StateDump.endpoints``."""
 
+    warm: list[int]
+    cold: list[int]
+    cells: list[tuple[int, list[int]]]
+    zones: list[tuple[int, list[int]]]
+    warming_queue: list[int]
+
+
+def _dump_pools(gateway: Gateway, endpoints: _EndpointTable) -> _Pools:
+    return _Pools(
+        warm=endpoints.positions(gateway.warm_pool.endpoints),
+        cold=endpoints.positions(gateway.cold_pool.endpoints),
+        cells=[(cell, endpoints.positions(pool.endpoints)) for cell, pool in gateway.cell_pools.items()],
+        zones=[(zone, endpoints.positions(pool.endpoints)) for zone, pool in gateway.zone_pools.items()],
+        warming_queue=endpoints.positions(gateway.warming_queue),
+    )
+
+
+def _accounts_of(gateway: Gateway, customers: list[int]) -> list[Account]:
+    return [gateway.accounts[customer] for customer in customers if customer in gateway.accounts]
 
-def _some(gateway: Gateway, customers: list[int]) -> list[Account]:
-    return [gateway.accounts[one] for one in customers if one in gateway.accounts]
+
+def _select(customers: Iterable[int], selected: set[int] | None) -> list[int]:
+    """Return the customers that are selected, in their order; all of them where ``selected`` is None."""
+    if selected is None:
+        return list(customers)
+    return [customer for customer in customers if customer in selected]
 
 
 def _dump_random(gateway: Gateway) -> list[Any]:
@@ -125,55 +182,46 @@
     return [version, list(numbers), gauss]
 
 
-class _Hosts:
-    """Every host that anything of the module names, each once."""
+def _dump_health(health: HealthEstimate) -> list[float]:
+    return [health.updated_at_us, health.slowness, health.failure_score]
 
-    def __init__(self, gateway: Gateway) -> None:
-        self.gateway = gateway
-        self._places: dict[int, int] = {}
-        self._hosts: list[Endpoint] = []
-        self.places(gateway.endpoints.values())
 
-    def places(self, hosts: Any) -> list[int]:
-        """Where these hosts stand; new ones are added."""
-        return [self.place(host) for host in hosts]
+def _dump_pending_deltas(gateway: Gateway) -> list[tuple[int, list[tuple[int, int]]]]:
+    return [(replica, list(deltas.items())) for replica, deltas in gateway.pending_deltas.items()]
 
-    def place(self, host: Endpoint) -> int:
-        place = self._places.get(id(host))
-        if place is None:
-            place = self._places[id(host)] = len(self._hosts)
-            self._hosts.append(host)
-        return place
 
-    def rows(self) -> list[list[Any]]:
-        listed = {id(host) for host in self.gateway.endpoints.values()}
-        return [
-            [
-                list(dataclasses.astuple(host.entry)),
-                _known(host),
-                [getattr(host, name) for name in ENDPOINT_FIELDS],
-                id(host) in listed,
-            ]
-            for host in self._hosts
-        ]
+def _dump_requests(gateway: Gateway, endpoints: _EndpointTable) -> list[list[Any]]:
+    return [_dump_request(request, endpoints) for request in gateway.requests.values()]
 
 
-def _known(known: HealthEstimate) -> list[float]:
-    return [known.updated_at_us, known.slowness, known.failure_score]
+def _dump_request(request: PendingRequest, endpoints: _EndpointTable) -> list[Any]:
+    return [
+        pack_event(request.event),
+        request.deadline_at_us,
+        request.sampled_value,
+        _customer(request),
+        [_dump_attempt(attempt, endpoints) for attempt in request.attempts],
+    ]
 
 
-def dump_account(account: Account) -> list[Any]:
-    """One account as a row of ``Dump.accounts``."""
-    values = [getattr(account, name) for name in ACCOUNT]
-    values[ACCOUNT.index("replica_counts")] = [
-        (rank, *count) for rank, count in account.replica_counts.items()
+def _dump_detached_attempts(gateway: Gateway, endpoints: _EndpointTable) -> list[list[Any]]:
+    attached = {id(attempt) for request in gateway.requests.values() for attempt in request.attempts}
+    return [
+        [
+            *key,
+            *_dump_attempt(attempt, endpoints),
+            _customer(request),
+            pack_event(request.event),
+            request.deadline_at_us,
+        ]
+        for key, (attempt, request) in gateway.attempts.items()
+        if id(attempt) not in attached
     ]
-    return values
 
 
-def _dump_attempt(attempt: Attempt, hosts: _Hosts) -> list[Any]:
+def _dump_attempt(attempt: Attempt, endpoints: _EndpointTable) -> list[Any]:
     return [
-        hosts.place(attempt.endpoint),
+        endpoints.position(attempt.endpoint),
         attempt.sent_at_us,
         attempt.load,
         attempt.in_flight,
@@ -181,123 +229,5 @@
     ]
 
 
-def _dump_request(request: PendingRequest, hosts: _Hosts) -> list[Any]:
-    account = _customer(request)
-    attempts = [_dump_attempt(attempt, hosts) for attempt in request.attempts]
-    return [pack_event(request.event), request.deadline_at_us, request.sampled_value, account, attempts]
-
-
-# -- back
-
-
-def restore(settings: policy.Settings, kept: Dump) -> Gateway:
-    """A module that goes on where the dumped one stood. Raises FormatError."""
-    if kept.format != FORMAT:
-        raise FormatError(f"a state of format {kept.format}; this build reads {FORMAT}")
-    try:
-        return _Restorer(settings, kept).gateway()
-    except (KeyError, IndexError, TypeError, ValueError, AttributeError) as wrong:
-        raise FormatError(f"a state that can't be read: {type(wrong).__name__} {wrong}") from None
-
-
-class _Restorer:
-    def __init__(self, settings: policy.Settings, kept: Dump) -> None:
-        self.kept = kept
-        self.made = Gateway(settings, 0, int(kept.plain["now"]))
-        self.hosts = [_host(row) for row in kept.hosts]
-
-    def gateway(self) -> Gateway:
-        made, kept = self.made, self.kept
-        now = kept.plain["now"]
-        plain = {"born": now, "last_sent": now, **kept.plain}  # older files have none
-        for stored, name in PLAIN_NAMES.items():
-            value = plain[stored]
-            setattr(made, name, list(value) if isinstance(value, list | tuple) else value)
-        version, numbers, gauss = kept.random
-        made.random.setstate((version, tuple(numbers), gauss))
-        made.accounts = {row[0]: load_account(row) for row in kept.accounts}
-        for customer in (*kept.idle_queue, *kept.changed, *kept.closed):
-            made.accounts[customer]  # one that is not there does not fit: the module would stumble over it
-        made.idle_queue = deque(kept.idle_queue)
-        made.pending_changes = dict.fromkeys(kept.changed)
-        made.exhausted_customers = dict(zip(kept.closed, kept.told or [0] * len(kept.closed), strict=True))
-        made.last_seen_at_us = dict(kept.heard)
-        made.pending_deltas = {rank: dict(owed) for rank, owed in kept.owed}
-        made.awaited_replies = deque(tuple(row) for row in kept.asked)  # type: ignore[misc]
-        self._servers()
-        self._requests()
-        return made
-
-    def _servers(self) -> None:
-        made, kept = self.made, self.kept
-        listed = [host for host, row in zip(self.hosts, kept.hosts, strict=True) if row[3]]
-        made.endpoints = {host.entry.endpoint: host for host in listed}
-        made.fleet_health = HealthEstimate(*kept.met)  # type: ignore[arg-type]
-        made.zone_health = {
-            zone: HealthEstimate(*known)  # type: ignore[arg-type]
-            for zone, known in kept.zones_met
-        }
-        made.warm_pool, made.cold_pool = (self._pool(places) for places in kept.pools)
-        made.cell_pools = {cell: self._pool(places) for cell, places in kept.cells}
-        made.zone_pools = {zone: self._pool(places) for zone, places in kept.zones}
-        made.warming_queue = deque(self.hosts[place] for place in kept.warming)
-
-    def _pool(self, places: list[int]) -> EndpointPool:
-        pool = EndpointPool()
-        for place in places:
-            pool.add(self.hosts[place])
-        return pool
-
-    def _requests(self) -> None:
-        made = self.made
-        for event_row, until, lot, customer, attempts in self.kept.requests:
-            request = self._request(event_row, until, customer)
-            request.sampled_value = lot
-            number = request.event.request
-            made.requests[number] = request
-            for place, row in enumerate(attempts):
-                attempt = self._attempt(row)
-                request.attempts.append(attempt)
-                if attempt.in_flight:
-                    made.attempts[number, place] = attempt, request
-        for number, place, *row, customer, event_row, until in self.kept.detached:
-            request = self._request(event_row, until, customer)
-            made.attempts[number, place] = self._attempt(row), request
-
-    def _request(self, event_row: list[Any], until: int, customer: int) -> PendingRequest:
-        event: Any = unpack_event(event_row)
-        request = PendingRequest(event, self.made.settings.classes[event.request_class], until)
-        request.account = self.made.accounts.get(customer) or _gone(customer, event, self.made)
-        if customer == -1:
-            request.account = None
-        return request
-
-    def _attempt(self, row: list[Any]) -> Attempt:
-        return Attempt(self.hosts[row[0]], *row[1:])
-
-
-def _gone(customer: int, event: Any, gateway: Gateway) -> Account:
-    """An account that the module has dropped, for an attempt that still names it."""
-    key = (event.plan, event.replica_set_start, max(1, event.replica_set_size))
-    account = Account(customer, key, 0.0, gateway.now)
-    account.in_flight = 1
-    return account
-
-
-def _host(row: list[Any]) -> Endpoint:
-    entry, known, fields, _ = row
-    made = policy.EndpointEntry(bytes(entry[0]), policy.EndpointState(entry[1]), *entry[2:])
-    host = Endpoint(*known, entry=made)
-    for name, value in zip(ENDPOINT_FIELDS, fields, strict=True):
-        setattr(host, name, value)
-    return host
-
-
-def load_account(row: list[Any]) -> Account:
-    """The account of a row of ``Dump.accounts``."""
-    values = dict(zip(ACCOUNT, row, strict=True))
-    values["key"] = tuple(values["key"])
-    values["replica_counts"] = {rank: (start, value) for rank, start, value in values["replica_counts"]}
-    for name in ("recently_changed", "peer_admissions_at_us"):
-        values[name] = tuple(values[name])
-    return Account(**values)
+def _customer(request: PendingRequest) -> int:
+    return request.account.customer if request.account is not None else NO_CUSTOMER
--- a/orchidlane/simulation/audit.py
+++ b/orchidlane/simulation/audit.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from orchidlane import policy
-from orchidlane.recording import TrueStore
-from orchidlane.recording.audit import harmless
+from orchidlane.recording import ReferenceQuota
+from orchidlane.recording.incarnation_audit import is_safe_to_repeat
 from orchidlane.simulation.observations import (
     TERMS,
     Arrival,
@@ -185,11 +185,11 @@
 
 def _beyond(draws: list[tuple[int, int, float]], terms: Terms) -> float:
     """Units that one true store for each customer would not have held; such a draw takes nothing of it."""
-    stores: dict[int, TrueStore] = {}
+    stores: dict[int, ReferenceQuota] = {}
     beyond = 0.0
     for at, customer, units in draws:
         rate, burst = terms.quotas.get(customer, (0.0, 0.0))
-        if rate and not stores.setdefault(customer, TrueStore(rate, burst, at)).take(at, units):
+        if rate and not stores.setdefault(customer, ReferenceQuota(rate, burst, at)).try_draw(at, units):
             beyond += units
     return beyond
 
@@ -221,7 +221,7 @@
     found = []
     for one in tries:
         cls = terms.effects[one.class_name]
-        if one.harmless and not harmless(cls) and one.name in ran:
+        if one.harmless and not is_safe_to_repeat(cls) and one.name in ran:
             found.append(one.name)
     return found
 
@@ -275,13 +275,13 @@
 
 def _ceiling_worst(draws: list[tuple[int, int, float]], terms: Terms) -> float:
     """The deepest that any ceiling's store went below nothing, over its slack."""
-    stores: dict[int, TrueStore] = {}
+    stores: dict[int, ReferenceQuota] = {}
     worst = 0.0
     for at, customer, units in draws:
         ceiling = terms.ceilings.get(customer)
         if ceiling is None:
             continue
         rate, burst, slack = ceiling
-        below = stores.setdefault(customer, TrueStore(rate, burst, at)).force(at, units)
+        below = stores.setdefault(customer, ReferenceQuota(rate, burst, at)).draw(at, units)
         worst = max(worst, below / slack)
     return worst
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 from harness.platform_house import MS, SECOND
 
 from orchidlane.policy import gateway as rules
-from orchidlane.recording.reference_quota import TrueStore
+from orchidlane.recording.reference_quota import ReferenceQuota
 
 PLAN = {
     "beyondEarns": 0,
@@ -89,16 +89,16 @@
     """Lets a customer in by the true state of its store, as it was some time ago."""
 
     def __init__(self, rate: float, burst: float, now: int) -> None:
-        self.seen, self.true = TrueStore(rate, burst, now), TrueStore(rate, burst, now)
+        self.seen, self.true = ReferenceQuota(rate, burst, now), ReferenceQuota(rate, burst, now)
         self._taken: deque[int] = deque()
 
     def beyond(self, now: int) -> bool | None:
         """Whether it sends a request beyond the quota; None where it sends none."""
         while self._taken and self._taken[0] <= now - LATE:
-            self.seen.force(self._taken.popleft(), 1.0)
-        if self.seen.at(now - LATE) < 1.0:
+            self.seen.draw(self._taken.popleft(), 1.0)
+        if self.seen.available_at(now - LATE) < 1.0:
             return None
-        if not self.true.take(now, 1.0):
+        if not self.true.try_draw(now, 1.0):
             return True
         self._taken.append(now)
         return False
@@ -110,16 +110,19 @@
     stores, policies, offered = {}, {}, {}
     for number, (plan, _) in enumerate(fleet.customers):
         rate, burst = fleet.plans[plan]["perSecond"], fleet.plans[plan]["peakUnits"]
-        stores[number], offered[number] = TrueStore(rate, burst, start), TrueStore(rate, burst, start)
+        stores[number], offered[number] = (
+            ReferenceQuota(rate, burst, start),
+            ReferenceQuota(rate, burst, start),
+        )
         policies[number] = LatePolicy(rate, burst, start)
     for now, customer in fleet.asked:
         plan = fleet.plans[fleet.customers[customer][0]]
         worth = plan["pays"]
-        inside += worth * offered[customer].take(now, 1.0)
+        inside += worth * offered[customer].try_draw(now, 1.0)
         late += worth * plan["overrunCost"] * (policies[customer].beyond(now) is True)
     for now, customer in fleet.sent:
         plan = fleet.plans[fleet.customers[customer][0]]
-        ours += plan["pays"] * plan["overrunCost"] * (not stores[customer].take(now, 1.0))
+        ours += plan["pays"] * plan["overrunCost"] * (not stores[customer].try_draw(now, 1.0))
     return ours / inside, late / inside
 
 
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -39,7 +39,7 @@
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.state import Account
 from orchidlane.recording import segments
-from orchidlane.recording.state_dump import dump_account
+from orchidlane.recording.state_dump import account_to_row
 from orchidlane.rollout import messages as version_messages
 from orchidlane.rollout import replicated_state as fleet_ledger
 from orchidlane.rollout import version
@@ -101,14 +101,14 @@
     return [first, Account(customer=4_000_000_000, key=(0, 0, 1), limit=10.0, refilled_at_us=T0)]
 
 
-def golden_state() -> recording.Dump:
+def golden_state() -> recording.StateDump:
     """The state of a module with servers, accounts, requests under way and all else that a state holds."""
-    return msgspec.msgpack.decode(golden("module-state.msgpack"), type=recording.Dump)
+    return msgspec.msgpack.decode(golden("module-state.msgpack"), type=recording.StateDump)
 
 
 def golden_module() -> Gateway:
     """The module that the golden state makes, with whole numbers for times as in one that was never read."""
-    module = recording.restore(SETTINGS, golden_state())
+    module = recording.restore_gateway(SETTINGS, golden_state())
     for known in (module.fleet_health, *module.zone_health.values()):
         known.updated_at_us = int(known.updated_at_us)
     return module
@@ -166,13 +166,13 @@
         format=2,
         build=BUILD,
         gateway="gateway-1",
-        life=T0 - 1_000_000,
+        started_at_us=T0 - 1_000_000,
         number=3,
         settings=golden_settings(),
         state=msgspec.structs.replace(golden_state(), accounts=[]),
         class_names=CLASS_NAMES,
         plan_names=PLAN_NAMES,
-        about={"now": T0, "incarnation": T0 - 1_000_000, "list": ["epoch-1", 12, 2], "draining": True},
+        context={"now": T0, "incarnation": T0 - 1_000_000, "list": ["epoch-1", 12, 2], "draining": True},
     )
 
 
@@ -485,29 +485,44 @@
 
 def write_state() -> bytes:
     """The state of the golden module."""
-    return msgspec.msgpack.encode(recording.dump(golden_module()))
+    return msgspec.msgpack.encode(recording.dump_state(golden_module()))
 
 
 def write_record() -> bytes:
     """A segment with its accounts in two pages, each event, all actions with the first, and an answer."""
-    rows = [dump_account(account) for account in golden_accounts()]
-    parts = [recording.pack_header(golden_header()), recording.pack_accounts(T0 + 1, rows[:1], last=False)]
+    rows = [account_to_row(account) for account in golden_accounts()]
+    parts = [
+        recording.pack_header(golden_header()),
+        recording.pack_account_page(T0 + 1, rows[:1], last=False),
+    ]
     for number, event in enumerate(golden_events()):
         parts.append(recording.pack_entry(T0 + 2 + number, event, [] if number else golden_actions()))
-    parts.append(recording.pack_accounts(T0 + 90, rows[1:], last=True))
-    parts.append(segments.pack_answer(T0 + 91, 1, 429, "refused", 6_000))
+    parts.append(recording.pack_account_page(T0 + 90, rows[1:], last=True))
+    parts.append(segments.pack_response(T0 + 91, 1, 429, "refused", 6_000))
     return b"".join(parts)
 
 
 NO_ACCOUNTS: dict[str, list[Any]] = {
-    name: [] for name in ("idle_queue", "changed", "asked", "requests", "detached", "owed", "closed", "told")
+    name: []
+    for name in (
+        "idle_queue",
+        "pending_changes",
+        "awaited_replies",
+        "requests",
+        "detached_attempts",
+        "pending_deltas",
+        "exhausted_customers",
+        "exhaustion_notices",
+    )
 }
 
 
 def account_store(disk: Disk) -> Memory:
     """The account store of a gateway whose module holds the golden accounts, or none where they are read."""
-    gateway = recording.restore(SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS))
-    recording.track(gateway)
+    gateway = recording.restore_gateway(
+        SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS)
+    )
+    recording.track_accounts(gateway)
     about = {"now": T0, "incarnation": T0 - 1_000_000, "sequence": 5_000, "generation": 4, "open": 2}
     program = SimpleNamespace(
         loop=disk,
@@ -651,7 +666,7 @@
     customers = list(gateway.accounts)
     gateway.pending_deltas = {1: {customers[0]: 1}, 2: {customers[1]: 2}}
     gateway.exhausted_customers = dict.fromkeys(gateway.exhausted_customers, 2)
-    return msgspec.msgpack.encode(recording.dump(gateway))
+    return msgspec.msgpack.encode(recording.dump_state(gateway))
 
 
 write_missing()
@@ -689,7 +704,7 @@
 
 def test_a_golden_state_makes_a_module_that_is_told_in_the_same_bytes():
     module = golden_module()
-    assert msgspec.msgpack.encode(recording.dump(module)) == golden("module-state.msgpack")
+    assert msgspec.msgpack.encode(recording.dump_state(module)) == golden("module-state.msgpack")
     assert module.accounts and module.endpoints and module.requests and module.attempts
 
 
@@ -748,11 +763,11 @@
 
 def test_a_snapshot_of_the_golden_module_holds_the_golden_state():
     module = golden_module()
-    recording.track(module)
+    recording.track_accounts(module)
     snapshot = recording.Snapshot(module)
     rows = [row for page in snapshot.pages() for row in page]
     state = golden_state()
-    told = msgspec.msgpack.decode(msgspec.msgpack.encode((snapshot.head, rows)))
+    told = msgspec.msgpack.decode(msgspec.msgpack.encode((snapshot.state, rows)))
     head = msgspec.structs.replace(state, accounts=[])
     assert told[0] == msgspec.msgpack.decode(msgspec.msgpack.encode(head))
     assert sorted(told[1]) == sorted(msgspec.to_builtins(state.accounts))
@@ -760,11 +775,15 @@
 
 def test_the_golden_record_has_every_event_action_and_enumerated_value():
     events, actions = golden_events(), golden_actions()
-    assert {type(event) for event in events} == set(get_args(policy.Event)) == set(recording.EVENTS.values())
+    assert (
+        {type(event) for event in events}
+        == set(get_args(policy.Event))
+        == set(recording.EVENT_TYPES.values())
+    )
     assert (
         {type(action) for action in actions}
         == set(get_args(policy.Action))
-        == set(recording.ACTIONS.values())
+        == set(recording.ACTION_TYPES.values())
     )
     for kind in (policy.AttemptEnded, policy.HealthCheckEnded, policy.CounterAnswered):
         assert {one.outcome for one in events if type(one) is kind} == set(policy.Outcome)
@@ -776,20 +795,20 @@
 def test_a_golden_record_is_read_as_its_values():
     reader = recording.SegmentReader("golden", golden("traffic-record.olr"))
     assert reader.header == golden_header()
-    assert reader.header.module_settings() == SETTINGS
-    assert [recording.load_account(row) for row in reader.state().accounts] == golden_accounts()
+    assert reader.header.policy_settings() == SETTINGS
+    assert [recording.account_from_row(row) for row in reader.read_state().accounts] == golden_accounts()
     *entries, answer = reader.entries()
-    assert reader.broken is None
+    assert reader.damage is None
     assert [entry.event for entry in entries] == golden_events()
-    assert [entry.now for entry in entries] == [T0 + 2 + number for number in range(len(entries))]
+    assert [entry.at_us for entry in entries] == [T0 + 2 + number for number in range(len(entries))]
     assert entries[0].actions == golden_actions()
-    assert (answer.now, answer.event, answer.facts) == (T0 + 91, None, (1, 429, "refused", 6_000))
+    assert (answer.at_us, answer.event, answer.response) == (T0 + 91, None, (1, 429, "refused", 6_000))
 
 
 def test_a_golden_account_store_brings_back_its_accounts():
     reader = recording.SegmentReader("golden", golden("account-store.olr"))
-    rows = {row[0]: row for row in reader.state().accounts}
-    assert [recording.load_account(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
+    rows = {row[0]: row for row in reader.read_state().accounts}
+    assert [recording.account_from_row(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
     store = account_store(Disk(accounts=golden("account-store.olr")))
     assert store.load() == len(golden_accounts())
     accounts = store.program.host.rules.accounts
@@ -851,8 +870,8 @@
 
 def test_rows_of_every_table_are_taken_and_told_again():
     accounts = read_restart_message("rows of accounts").rows
-    assert [recording.load_account(row) for row in accounts] == golden_accounts()[:1]
-    assert PACK([dump_account(recording.load_account(row)) for row in accounts]) == PACK(accounts)
+    assert [recording.account_from_row(row) for row in accounts] == golden_accounts()[:1]
+    assert PACK([account_to_row(recording.account_from_row(row)) for row in accounts]) == PACK(accounts)
     holder, grants = Holder(1, 10, T0), GrantLedger(100, 1, 1)
     for kept, name in ((holder, "rows of tokens"), (grants, "rows of grants")):
         rows = read_restart_message(name).rows
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -94,16 +94,18 @@
     story = Story(seed)
     for _ in range(cut):
         story.step()
-    kept = recording.dump(story.bench.gateway)
+    kept = recording.dump_state(story.bench.gateway)
     packed = msgspec.msgpack.encode(kept)
-    again = recording.restore(story.bench.settings, msgspec.msgpack.decode(packed, type=recording.Dump))
+    again = recording.restore_gateway(
+        story.bench.settings, msgspec.msgpack.decode(packed, type=recording.StateDump)
+    )
     begun = len(story.log)
     for _ in range(100):
         story.step()
     assert msgspec.msgpack.encode(kept) == packed  # a state does not change with its module
     for now, event, actions in story.log[begun:]:
         assert again.handle(now, event) == actions
-    assert recording.dump(again) == recording.dump(story.bench.gateway)
+    assert recording.dump_state(again) == recording.dump_state(story.bench.gateway)
 
 
 @given(st.integers(0, 2**32))
@@ -120,8 +122,8 @@
 
 
 def test_every_event_and_action_has_its_number():
-    assert set(recording.EVENTS.values()) == set(policy.Event.__args__)
-    assert set(recording.ACTIONS.values()) == set(policy.Action.__args__)
+    assert set(recording.EVENT_TYPES.values()) == set(policy.Event.__args__)
+    assert set(recording.ACTION_TYPES.values()) == set(policy.Action.__args__)
 
 
 @pytest.mark.parametrize("values", [[], [99, 1], [6, 1, 2], [4, 1], ["x"]])
@@ -132,13 +134,13 @@
 
 def test_a_state_of_another_format_or_that_does_not_fit_is_refused():
     bench = Bench()
-    kept = recording.dump(bench.gateway)
+    kept = recording.dump_state(bench.gateway)
     with pytest.raises(recording.FormatError, match="format 9"):
-        recording.restore(bench.settings, msgspec.structs.replace(kept, format=9))
+        recording.restore_gateway(bench.settings, msgspec.structs.replace(kept, format=9))
     with pytest.raises(recording.FormatError):
-        recording.restore(bench.settings, msgspec.structs.replace(kept, pools=[[99], []]))
+        recording.restore_gateway(bench.settings, msgspec.structs.replace(kept, pools=[[99], []]))
     with pytest.raises(recording.FormatError):
-        recording.restore(bench.settings, msgspec.structs.replace(kept, plain={}))
+        recording.restore_gateway(bench.settings, msgspec.structs.replace(kept, scalars={}))
 
 
 # Segments
@@ -148,20 +150,20 @@
     story: Story, steps: int, path, number=0, life=1
 ) -> list[tuple[int, policy.Event, list[policy.Action]]]:
     header = recording.Header(
-        format=recording.FORMAT,
+        format=recording.FORMAT_VERSION,
         build="x",
         gateway="gw",
-        life=life,
+        started_at_us=life,
         number=number,
         settings=recording.settings_to_stored(story.bench.settings),
-        state=recording.dump(story.bench.gateway),
+        state=recording.dump_state(story.bench.gateway),
         class_names=("a", "b", "c", "d", "e"),
         plan_names=("p", "q", "r", "s"),
     )
     begun = len(story.log)
     for _ in range(steps):
         story.step()
-    data = recording.pack_header(header) + recording.pack_accounts(1, [], last=True)
+    data = recording.pack_header(header) + recording.pack_account_page(1, [], last=True)
     for now, event, actions in story.log[begun:]:
         data += recording.pack_entry(now, event, actions)
     path.write_bytes(data)
@@ -173,40 +175,40 @@
     log = segment(Story(5), 25, whole)
     data = whole.read_bytes()
     reader = recording.SegmentReader(str(whole))
-    places = [one.place for one in reader if one.event is not None]
-    assert reader.broken is None
+    places = [one.offset for one in reader if one.event is not None]
+    assert reader.damage is None
     cut = tmp_path / "cut.olr"
     for size in range(len(data)):
         cut.write_bytes(data[:size])
         if size < places[0]:
-            with pytest.raises(recording.CutHead):
-                recording.SegmentReader(str(cut)).state()
+            with pytest.raises(recording.TruncatedHeaderError):
+                recording.SegmentReader(str(cut)).read_state()
             found = recording.replay([str(cut)])
-            assert (found.events, found.whole, len(found.unchecked)) == (0, True, 1)
+            assert (found.events, found.complete, len(found.unchecked_parts)) == (0, True, 1)
             continue
         replayed = recording.replay([str(cut)])
-        assert (replayed.difference, replayed.whole) == (None, True)
+        assert (replayed.difference, replayed.complete) == (None, True)
         reader = recording.SegmentReader(str(cut))
-        found = [(one.now, one.event, one.actions) for one in reader if one.event is not None]
+        found = [(one.at_us, one.event, one.actions) for one in reader if one.event is not None]
         reader.close()
         assert found == log[: len(found)]
-        assert (reader.broken is None) == (size in [*places, len(data)])
-        assert len(found) == sum(place < size for place in places) - (reader.broken is not None)
+        assert (reader.damage is None) == (size in [*places, len(data)])
+        assert len(found) == sum(place < size for place in places) - (reader.damage is not None)
 
 
 def test_a_flipped_bit_ends_the_reading_and_nothing_after_it_is_told(tmp_path):
     whole = tmp_path / "a.olr"
     log = segment(Story(6), 12, whole)
     data = whole.read_bytes()
-    first = next(one.place for one in recording.SegmentReader(str(whole)) if one.event is not None)
+    first = next(one.offset for one in recording.SegmentReader(str(whole)) if one.event is not None)
     for place in range(first, len(data)):
         spoilt = bytearray(data)
         spoilt[place] ^= 1 << place % 8
         whole.write_bytes(spoilt)
         reader = recording.SegmentReader(str(whole))
-        found = [(one.now, one.event, one.actions) for one in reader if one.event is not None]
+        found = [(one.at_us, one.event, one.actions) for one in reader if one.event is not None]
         reader.close()
-        assert reader.broken is not None
+        assert reader.damage is not None
         assert found == log[: len(found)]
         assert len(found) < len(log)
 
@@ -222,7 +224,7 @@
     monkeypatch.setattr("orchidlane.policy.gateway.CLOSE", 0.5)
     other = recording.replay(paths)
     assert other.difference is not None
-    assert len(other.difference.lines()) >= 4
+    assert len(other.difference.format_lines()) >= 4
     assert 0 < other.events < found.events
 
 
@@ -240,16 +242,18 @@
     story = Story(9)
     path = tmp_path / "0.olr"
     segment(story, 600, path)
-    same = recording.what_if([str(path)])
-    assert same.recorded.keys() == same.instead.keys()
+    same = recording.simulate_settings([str(path)])
+    assert same.recorded.keys() == same.simulated.keys()
     arrivals = sum(map(sum, same.recorded.values()))
-    assert same.turned <= 0.2 * arrivals  # timers of these stories fire late, the module's own do not
+    assert (
+        same.changed_decisions <= 0.2 * arrivals
+    )  # timers of these stories fire late, the module's own do not
     wide = tuple(
         dataclasses.replace(p, rate=900.0, burst=900.0, max_in_flight=0, ceiling_rate=0.0)
         for p in story.bench.settings.plans
     )
-    other = recording.what_if([str(path)], dataclasses.replace(story.bench.settings, plans=wide))
-    admitted = [sum(row[0] for row in table.values()) for table in (other.recorded, other.instead)]
+    other = recording.simulate_settings([str(path)], dataclasses.replace(story.bench.settings, plans=wide))
+    admitted = [sum(row[0] for row in table.values()) for table in (other.recorded, other.simulated)]
     assert admitted[1] > admitted[0]
 
 
@@ -257,7 +261,7 @@
     path = tmp_path / "a.olr"
     segment(Story(11), 300, path)
     reader = recording.SegmentReader(str(path))
-    index = recording.Index(reader, recording.request_of)
+    index = recording.KeyIndex(reader, recording.request_number)
     again = recording.SegmentReader(str(path))
     scanned = [one for one in again if getattr(one.event, "request", None) == 5]
     assert [e for e in index.entries(5) if not isinstance(e.event, policy.TimerFired)] == scanned
@@ -269,9 +273,9 @@
     """Kept files of earlier formats: read whole, and their states restored, by every later build."""
     reader = recording.SegmentReader(str(file))
     entries = [entry for entry in reader if entry.event is not None]
-    assert reader.broken is None
+    assert reader.damage is None
     assert len(entries) == 160
-    gateway = recording.restore(reader.header.module_settings(), reader.state())
+    gateway = recording.restore_gateway(reader.header.policy_settings(), reader.read_state())
     kinds = {type(one.event) for one in entries}
     assert {
         policy.RequestArrived,
@@ -280,7 +284,7 @@
         policy.PeerMessageReceived,
     } <= kinds
     for one in entries:
-        gateway.handle(one.now, one.event)
+        gateway.handle(one.at_us, one.event)
 
 
 # Against gateways
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -20,7 +20,7 @@
 from orchidlane.hot_restart.account_recovery import Life, survivors
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.state import Account
-from orchidlane.recording.state_dump import dump_account
+from orchidlane.recording.state_dump import account_to_row
 from orchidlane.runtime import Loop, SimWorld
 from orchidlane.simulation.backends import SimulatedBacking
 from orchidlane.simulation.scenario import Runner, make_plan
@@ -56,7 +56,7 @@
         now += span * MS
         if number == at or row is None:
             account = gateway.accounts.get(1)
-            row, taken = (dump_account(account) if account else None), now
+            row, taken = (account_to_row(account) if account else None), now
         if row is not None and now > taken + promise * MS:
             break  # it would have been renewed by then
         if take(gateway, now, units):
@@ -81,7 +81,7 @@
 def test_what_is_kept_and_what_begins_anew():
     account = Account(7, (1, 0, 3), 90.0, START, {0: (5, 10.0), 1: (6, 20.0)}, 30.0, 30.0, (1, 0), False, 2)
     account.ceiling_tokens, account.peer_admissions_at_us, account.announced_at_us = 9.0, (START,), START
-    row = dump_account(account)
+    row = account_to_row(account)
     life = Life(0, PLANS, START, START + 4 * SECOND, False)
     (found,) = survivors([row], life, ("amplio", "other"), START + 9 * SECOND)
     assert (found.plan, found.remaining, found.refilled_at_us) == (0, 0.0, START + 4 * SECOND)
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -34,26 +34,26 @@
 def save(story: Story, path: Path, touch: int = 0, build: str = "") -> None:
     """A whole state as a gateway tells it; so many more events happen between its pages."""
     gateway = story.bench.gateway
-    recording.track(gateway)
+    recording.track_accounts(gateway)
     snapshot = recording.Snapshot(gateway)
     header = recording.Header(
-        format=recording.FORMAT,
+        format=recording.FORMAT_VERSION,
         build=build or recording.build_name(),
         gateway="gw",
-        life=story.bench.now,
+        started_at_us=story.bench.now,
         number=0,
         settings=recording.settings_to_stored(story.bench.settings),
-        state=snapshot.head,
+        state=snapshot.state,
         class_names=NAMES[0],
         plan_names=NAMES[1],
-        about={"now": story.bench.now},
+        context={"now": story.bench.now},
     )
     data = recording.pack_header(header)
     for rows in snapshot.pages():
-        data += recording.pack_accounts(0, rows, last=False)
+        data += recording.pack_account_page(0, rows, last=False)
         for _ in range(touch):
             story.step()
-    path.write_bytes(data + recording.pack_accounts(0, [], last=True))
+    path.write_bytes(data + recording.pack_account_page(0, [], last=True))
 
 
 # Snapshots
@@ -66,10 +66,10 @@
     for _ in range(before):
         story.step()
     gateway = story.bench.gateway
-    recording.track(gateway)
+    recording.track_accounts(gateway)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("orchidlane.recording.snapshot.PAGE", page)
-        wanted = msgspec.msgpack.encode(recording.dump(gateway))
+        patch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", page)
+        wanted = msgspec.msgpack.encode(recording.dump_state(gateway))
         snapshots = recording.Snapshot(gateway), recording.Snapshot(gateway)  # two at once
         for snapshot in snapshots:
             rows = []
@@ -78,13 +78,13 @@
                 rows += msgspec.msgpack.decode(msgspec.msgpack.encode(some))
                 for _ in range(4):
                     story.step()
-            gateways.append((snapshot.head, rows))
-    kept = msgspec.msgpack.decode(wanted, type=recording.Dump)
+            gateways.append((snapshot.state, rows))
+    kept = msgspec.msgpack.decode(wanted, type=recording.StateDump)
     for head, rows in gateways:
-        head = msgspec.msgpack.decode(msgspec.msgpack.encode(head), type=recording.Dump)
+        head = msgspec.msgpack.decode(msgspec.msgpack.encode(head), type=recording.StateDump)
         assert sorted(rows) == sorted(kept.accounts)
         assert msgspec.structs.replace(head, accounts=[]) == msgspec.structs.replace(kept, accounts=[])
-    assert type(gateway.accounts) is recording.Accounts  # nothing is paid any more
+    assert type(gateway.accounts) is recording.ObservableAccounts  # nothing is paid any more
 
 
 def test_a_snapshot_that_is_given_up_costs_nothing_more():
@@ -92,11 +92,11 @@
     for _ in range(50):
         story.step()
     gateway = story.bench.gateway
-    recording.track(gateway)
+    recording.track_accounts(gateway)
     snapshot = recording.Snapshot(gateway)
-    assert type(gateway.accounts) is not recording.Accounts
+    assert type(gateway.accounts) is not recording.ObservableAccounts
     snapshot.close()
-    assert type(gateway.accounts) is recording.Accounts
+    assert type(gateway.accounts) is recording.ObservableAccounts
     assert list(snapshot.pages()) == []
 
 
@@ -110,7 +110,7 @@
     assert plan_counts(recording.SegmentReader(str(whole)), 3)["p"].customers > 0
     for size in range(len(data)):
         cut.write_bytes(data[:size])
-        with pytest.raises(recording.CutHead):
+        with pytest.raises(recording.TruncatedHeaderError):
             plan_counts(recording.SegmentReader(str(cut)), 3)
     assert run("counts", str(cut), "--plan", "p")[0] == 2
 
@@ -154,8 +154,8 @@
         path.write_bytes(body)
         reader = recording.SegmentReader(str(path))
         assert reader.header.build == recording.build_name()
-        assert reader.header.about["generation"] == 1
-        assert [row[0] for row in reader.accounts()] == [1]
+        assert reader.header.context["generation"] == 1
+        assert [row[0] for row in reader.account_rows()] == [1]
         assert run("counts", str(path), "1")[0] == 0
         assert run("counts", str(path), "2")[0] == 2
         assert ask_admin(house, b"/view?customer=1")[0] == 200
@@ -183,7 +183,7 @@
             assert house.loop.now() - began < 20 * MS
         house.loop.sleep(10 * SECOND)
         assert not house.program.admin.telling
-        assert type(rules.accounts) is recording.Accounts
+        assert type(rules.accounts) is recording.ObservableAccounts
 
     House(good).run(test)
 
@@ -191,7 +191,7 @@
 def test_segments_begin_with_a_state_in_pages_and_replay_from_any_of_them(tmp_path, monkeypatch):
     """Small segments under load: each can be replayed alone, and all in a row."""
     monkeypatch.setattr("orchidlane.gateway.telemetry.traffic_recorder.SEGMENT", 30_000)
-    monkeypatch.setattr("orchidlane.recording.snapshot.PAGE", 3)
+    monkeypatch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", 3)
     world = SimWorld(6)
     loop = Loop(world)
     backing = SimulatedBacking(loop, world, record_to="rec")
@@ -201,16 +201,16 @@
     for name, data in world.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
-    paths = recording.read_folder(str(tmp_path))
+    paths = recording.list_segments(str(tmp_path))
     alone = 0
     for path in paths:
         found = recording.replay([path])
         assert found.difference is None
         alone += found.events
-    lives = [recording.replay(life) for life in recording.lives_of(paths)]
+    lives = [recording.replay(life) for life in recording.group_by_incarnation(paths)]
     assert len(paths) > 3 * len(lives)
     assert sum(one.events for one in lives) == alone > 2_500
-    assert all(one.difference is None and not one.unchecked for one in lives)
+    assert all(one.difference is None and not one.unchecked_parts for one in lives)
 
 
 # Broken records
@@ -229,7 +229,7 @@
         path = tmp_path / f"gw-1-{number}.olr"
         segment(story, 100, path, number)
         paths.append(path)
-    places = [one.place for one in recording.SegmentReader(str(paths[0])) if one.event is not None]
+    places = [one.offset for one in recording.SegmentReader(str(paths[0])) if one.event is not None]
     flip(paths[0], places[60] + offset)
     code, text = run("replay", str(tmp_path), "--json")
     assert code == 3, text
@@ -272,10 +272,10 @@
     reader = recording.SegmentReader(str(path))
     index = recording.TimeIndex(reader)
     middle = arrived[len(arrived) // 2][0]
-    found = [one for one in index.between(0, middle) if recording.customer_of(one) == 3]
-    assert [(one.now, one.event) for one in found] == [one for one in arrived if one[0] < middle]
-    by_customer = recording.Index(reader, recording.customer_of).entries(3)
-    assert [(one.now, one.event) for one in by_customer] == arrived
+    found = [one for one in index.between(0, middle) if recording.customer_number(one) == 3]
+    assert [(one.at_us, one.event) for one in found] == [one for one in arrived if one[0] < middle]
+    by_customer = recording.KeyIndex(reader, recording.customer_number).entries(3)
+    assert [(one.at_us, one.event) for one in by_customer] == arrived
     code, text = run("explain", str(tmp_path), "--customer", "3", "--json")
     assert code == 0
     assert len(json.loads(text)) == len(arrived)
@@ -318,7 +318,7 @@
     code, text = run("counts", str(state), "3")
     assert code == 0, text
     with pytest.raises(recording.FormatError):  # what does not fit together is no state
-        recording.restore(story.bench.settings, recording.SegmentReader(str(state)).header.state)
+        recording.restore_gateway(story.bench.settings, recording.SegmentReader(str(state)).header.state)
     code, text = run_other(other_build, "counts", str(state), "3")
     assert (code, "its decisions could differ" in text) == (2, True), text
     assert run_other(other_build, "state", str(state))[0] == 2
@@ -410,7 +410,7 @@
     """Entries taken out of, or changed in, a record that holds."""
     story = Story(5)
     header_now, settings_ = story.bench.now, story.bench.settings
-    recording.track(story.bench.gateway)
+    recording.track_accounts(story.bench.gateway)
     entries = []
     story.tell(policy.RequestArrived(1, 7, 0, 0, 1.0, 2 * SECOND, 0, 3, False))
     server = next(a.endpoint for a in story.log[-1][2] if isinstance(a, policy.SendAttempt))
@@ -423,16 +423,16 @@
     def faults(*some) -> dict[str, int]:
         empty = Story(5).bench.gateway
         header = recording.Header(
-            recording.FORMAT,
+            recording.FORMAT_VERSION,
             "b",
             "gw",
             header_now,
             0,
             recording.settings_to_stored(settings_),
-            recording.dump(empty),
+            recording.dump_state(empty),
             *NAMES,
         )
-        data = recording.pack_header(header) + recording.pack_accounts(header_now, [], last=True)
+        data = recording.pack_header(header) + recording.pack_account_page(header_now, [], last=True)
         for now, event, actions in some:
             data += recording.pack_entry(now, event, actions)
         path = tmp_path / "gw-1-0.olr"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -731,7 +731,10 @@
     for name, data in house.world.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
-    lives = [recording.replay(life) for life in recording.lives_of(recording.read_folder(str(tmp_path)))]
+    lives = [
+        recording.replay(life)
+        for life in recording.group_by_incarnation(recording.list_segments(str(tmp_path)))
+    ]
     assert len(lives) == 2
-    assert all(one.difference is None and not one.unchecked and one.events > 100 for one in lives)
-    assert recording.audit_records(recording.read_folder(str(tmp_path))).faults == {}
+    assert all(one.difference is None and not one.unchecked_parts and one.events > 100 for one in lives)
+    assert recording.audit_records(recording.list_segments(str(tmp_path))).faults == {}
