--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 import dataclasses
 
 import pytest
-from known_red import (  # noqa: F401  hooks of the tests that are known to fail
+from harness.known_red import (  # noqa: F401  hooks of the tests that are known to fail
     mark,
     pytest_collection_finish,
     pytest_configure,
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The rules of ``KNOWN-RED.txt``, seen on runs of pytest of their own."""
+"""The rules of ``KNOWN-RED.txt``, each checked by a run of pytest of its own."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from pathlib import Path
 
 import pytest
-from known_red import Red, parse
+from harness.known_red import KnownFailure, parse
 
-HERE = Path(__file__).parent
+TESTS_FOLDER = Path(__file__).parent
 CONFTEST = f"""
 import sys
-sys.path.insert(0, {str(HERE)!r})
-from known_red import (
+sys.path.insert(0, {str(TESTS_FOLDER)!r})
+from harness.known_red import (
     mark, pytest_collection_finish, pytest_configure, pytest_sessionfinish, pytest_terminal_summary,
     pytest_xdist_node_collection_finished,
 )
@@ -31,7 +31,7 @@
 def test_bad(one):
     assert one == 1
 """
-BAD = "tests/test_a.py::test_bad[2] | the second one is wrong | 38"
+BAD = "tests/test_a.py::test_bad[2] | pytest tests/test_a.py, seed 7 | the second one is wrong | 38"
 
 
 def run(folder: Path, known: str | None, *arguments: str) -> subprocess.CompletedProcess[str]:
@@ -45,14 +45,16 @@
     return subprocess.run(command, cwd=folder, capture_output=True, text=True, timeout=60)
 
 
-WRONG = [
+INVALID_FILES = [
     "tests/test_a.py::test_bad[2]\n",
     "\n",
-    "a | b | 38\n",
-    "a::b | | 38\n",
-    "a::b | c | soon\n",
+    "a | b | c | 38\n",
+    "a::b | c | 38\n",
+    "a::b | | c | 38\n",
+    "a::b | c | | 38\n",
+    "a::b | c | d | soon\n",
     f"{BAD}\n{BAD}\n",
-    "".join(f"tests/test_a.py::test_{number} | c | 38\n" for number in range(4)),
+    "".join(f"tests/test_a.py::test_{number} | c | d | 38\n" for number in range(4)),
 ]
 WORKERS = pytest.mark.parametrize("workers", [(), ("-n", "2", "--dist", "loadgroup")], ids=["one", "two"])
 
@@ -62,7 +64,7 @@
     done = run(tmp_path, BAD + "\n", *workers)
     assert done.returncode == 0, done.stdout
     assert "2 passed, 1 xfailed" in done.stdout
-    assert "known red: tests/test_a.py::test_bad[2] | the second one is wrong | issue 38\n" in done.stdout
+    assert f"known red: {BAD.removesuffix('38')}issue 38\n" in done.stdout
 
 
 @WORKERS
@@ -73,7 +75,7 @@
 
 @WORKERS
 def test_a_listed_test_that_passes_fails_the_run(tmp_path, workers):
-    done = run(tmp_path, BAD + "\ntests/test_a.py::test_good | it was | 38\n", *workers)
+    done = run(tmp_path, BAD + "\ntests/test_a.py::test_good | pytest | it was | 38\n", *workers)
     assert done.returncode == 1 and "1 failed, 1 passed, 1 xfailed" in done.stdout
 
 
@@ -82,22 +84,29 @@
     "name", ["tests/test_a.py::test_none", "tests/test_b.py::test_good", "tests/test_a.py::test_bad"]
 )
 def test_an_id_that_no_test_has_fails_the_run(tmp_path, name, workers):
-    done = run(tmp_path, f"{BAD}\n{name} | gone | 38\n", *workers)
+    done = run(tmp_path, f"{BAD}\n{name} | pytest | gone | 38\n", *workers)
     assert done.returncode == 1, done.stdout
-    assert f"known red: {name} | gone | issue 38 -- NO SUCH TEST\n" in done.stdout
+    assert f"known red: {name} | pytest | gone | issue 38 -- NO SUCH TEST\n" in done.stdout
 
 
-def test_a_run_of_one_test_says_nothing_of_others(tmp_path):
+def test_a_run_of_one_test_does_not_report_entries_of_others(tmp_path):
     assert run(tmp_path, BAD + "\n", "tests/test_a.py::test_good").returncode == 0
 
 
 @WORKERS
-@pytest.mark.parametrize("text", WRONG, ids=range(len(WRONG)))
+@pytest.mark.parametrize("text", INVALID_FILES, ids=range(len(INVALID_FILES)))
 def test_a_file_that_breaks_its_rules_ends_the_run_before_any_test(tmp_path, text, workers):
     done = run(tmp_path, text, *workers)
     assert done.returncode == 4 and "KNOWN-RED.txt" in done.stderr and "passed" not in done.stdout
 
 
-def test_a_good_file_is_read_line_by_line():
-    assert parse(BAD) == [Red("tests/test_a.py::test_bad[2]", "the second one is wrong", "38")]
+def test_a_valid_file_gives_one_entry_a_line():
+    assert parse(BAD) == [
+        KnownFailure(
+            test="tests/test_a.py::test_bad[2]",
+            command="pytest tests/test_a.py, seed 7",
+            seen="the second one is wrong",
+            issue="38",
+        )
+    ]
     assert parse("") == []
