--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -1,4 +1,4 @@
-"""What the settings do not permit is not done: each permission that is off is checked over a gateway's actions."""
+"""What the settings do not permit is not done: checked over all actions of a gateway."""
 
 from __future__ import annotations
 
