--- a/orchidlane/cli/main.py
+++ b/orchidlane/cli/main.py
@@ -170,7 +170,7 @@
         generation = build(load_description(Path(file).read_bytes(), file), file)
     if match is None:
         for one in sorted(generation.operations, key=lambda operation: (operation.path, operation.method)):
-            cls = generation.classes[one.kind]
+            cls = generation.classes[one.class_index]
             click.echo(
                 f"{one.class_name:20} {one.cost:6g} {cls.idempotency.value:7} {one.method:7} {one.path}"
             )
@@ -182,7 +182,7 @@
             f"{found.status} {found.detail}" + (f"; allow: {', '.join(found.allow)}" if found.allow else "")
         )
         sys.exit(1)
-    operation, cls = found.operation, generation.classes[found.operation.kind]
+    operation, cls = found.operation, generation.classes[found.operation.class_index]
     click.echo(f"operation  {operation.name}: {operation.method} {operation.path}")
     click.echo(f"path       {found.path}")
     for name, value in found.parameters.items():
--- a/orchidlane/gateway/forwarding/openapi_adapter.py
+++ b/orchidlane/gateway/forwarding/openapi_adapter.py
@@ -17,7 +17,7 @@
 from orchidlane.http1 import Request, Response
 from orchidlane.policy import Outcome
 from orchidlane.routes import Match, Miss, Operation
-from orchidlane.routes.generation import give_up_after
+from orchidlane.routes.generation import client_timeout_us
 from orchidlane.runtime import Address
 
 if TYPE_CHECKING:
@@ -82,16 +82,16 @@
         if customer.held:
             detail = f"The subscriber's set of gateways is on the move. {HARMLESS}"
             return problem(503, detail, ((b"retry-after", b"1"),))
-        cls = generation.classes[operation.kind]
+        cls = generation.classes[operation.class_index]
         if cls.idempotency is policy.Idempotency.IDEMPOTENT_WITH_KEY and not _has_key(head, match):
             return problem(400, "This operation needs an idempotency key.")
-        patience = give_up_after(operation, head.headers, cls.deadline_us)
+        patience = client_timeout_us(operation, head.headers, cls.deadline_us)
         if patience is None:
             return problem(400, "The time to give up after is no whole number of milliseconds.")
         if in_flight >= self.fleet.bounds.open:
             return problem(503, "Too many requests under way.", ((b"retry-after", b"1"),))
         return OperationCall(
-            kind=operation.kind,
+            kind=operation.class_index,
             cls=cls,
             customer=customer.number,
             plan=customer.plan,
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -31,7 +31,7 @@
 from orchidlane.hot_restart import messages, new_process, old_process
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording import track
-from orchidlane.routes import DescriptionError
+from orchidlane.routes import DescriptionError, DescriptionProblem
 from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, Loop, Scope, Task
 from orchidlane.runtime.backend import Handle
 
@@ -325,9 +325,8 @@
         try:
             fresh = world.aside(lambda: self._read_files(number))
             if fresh.generation.classes != self.knowledge.generation.classes:
-                raise DescriptionError(
-                    self.fleet.description, [("x-orchidlane", "other classes need a restart of the gateway")]
-                )
+                problem = DescriptionProblem("x-orchidlane", "other classes need a restart of the gateway")
+                raise DescriptionError(self.fleet.description, [problem])
         except Exception as wrong:
             self.log.error("reload refused", why=str(wrong))
             return
--- a/orchidlane/rollout/compatibility.py
+++ b/orchidlane/rollout/compatibility.py
@@ -57,7 +57,7 @@
 
 def _operation(old: Generation, before: Operation, after: Operation) -> str:
     """A retry through a gateway of the other version must be as safe as through one of the same."""
-    was, will = old.classes[before.kind], old.classes[after.kind]
+    was, will = old.classes[before.class_index], old.classes[after.class_index]
     if was.idempotency is not will.idempotency:
         return (
             f"from {was.idempotency.value} to {will.idempotency.value}: one gateway would repeat what another"
--- a/orchidlane/routes/__init__.py
+++ b/orchidlane/routes/__init__.py
@@ -1,13 +1,15 @@
 """An OpenAPI description as the source of routes, classes and costs."""
 
-from orchidlane.routes.build import build, load_description
-from orchidlane.routes.errors import DescriptionError
+from orchidlane.routes.build import build
+from orchidlane.routes.description import load_description
+from orchidlane.routes.errors import DescriptionError, DescriptionProblem
 from orchidlane.routes.generation import Generation, Match, Miss, Operation
 from orchidlane.routes.path import PathError, canonical_path
 from orchidlane.routes.tree import Tree
 
 __all__ = [
     "DescriptionError",
+    "DescriptionProblem",
     "Generation",
     "Match",
     "Miss",
--- /dev/null
+++ b/orchidlane/routes/description.py
@@ -0,0 +1,130 @@
+"""Reading an OpenAPI description: text to plain values, validation, references within the document."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import yaml
+from openapi_spec_validator import OpenAPIV30SpecValidator, OpenAPIV31SpecValidator
+
+from orchidlane.routes.errors import DescriptionError, DescriptionProblem
+
+MAX_DESCRIPTION_BYTES = 32 << 20
+MAX_REFERENCE_CHAIN = 16  # references that may follow one another
+MAX_MESSAGE_CHARACTERS = 300
+VALIDATORS = {"3.0": OpenAPIV30SpecValidator, "3.1": OpenAPIV31SpecValidator}
+
+
+def load_description(text: bytes, file: str) -> dict[str, Any]:
+    """Return a description, JSON or YAML, as plain values. Raises DescriptionError."""
+    if len(text) > MAX_DESCRIPTION_BYTES:
+        raise _error(file, "file", f"larger than {MAX_DESCRIPTION_BYTES} bytes")
+    try:
+        value = _parse(text)
+    except json.JSONDecodeError as error:
+        raise _error(file, f"line {error.lineno}", error.msg) from None
+    except (yaml.YAMLError, UnicodeDecodeError, RecursionError) as error:
+        mark = getattr(error, "problem_mark", None)
+        place = f"line {mark.line + 1}" if mark else "file"
+        raise _error(file, place, str(getattr(error, "problem", None) or "not YAML")) from None
+    if not isinstance(value, dict):
+        raise _error(file, "file", "holds no object")
+    return _with_text_keys(value)
+
+
+def _parse(text: bytes) -> Any:
+    if text.lstrip()[:1] == b"{":
+        return json.loads(text)
+    return yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
+
+
+def _error(file: str, place: str, message: str) -> DescriptionError:
+    return DescriptionError(file, [DescriptionProblem(place, message)])
+
+
+def _with_text_keys(value: Any) -> Any:
+    """Make every key text: YAML reads the key 200 as a number."""
+    if isinstance(value, dict):
+        return {str(key): _with_text_keys(part) for key, part in value.items()}
+    if isinstance(value, list):
+        return [_with_text_keys(part) for part in value]
+    return value
+
+
+class Description:
+    """One description as plain values, and the problems that were found in it so far."""
+
+    def __init__(self, values: dict[str, Any], file: str) -> None:
+        self.values = values
+        self.file = file
+        self.problems: list[DescriptionProblem] = []
+
+    def report(self, place: str, message: str) -> None:
+        """Add a problem; ``raise_problems`` raises all of them together."""
+        self.problems.append(DescriptionProblem(place, message))
+
+    def raise_problems(self) -> None:
+        """Raise DescriptionError where a problem was reported."""
+        if self.problems:
+            raise DescriptionError(self.file, self.problems)
+
+    def check_version(self) -> None:
+        """Raise DescriptionError where the version of OpenAPI is not one that is read."""
+        version = str(self.values.get("openapi", ""))
+        if version[:3] not in VALIDATORS:
+            raise _error(self.file, "openapi", f"found {version!r}, allowed: 3.0.x, 3.1.x")
+
+    def validate(self) -> None:
+        """Report what breaks the OpenAPI specification. The references must have been checked before."""
+        validator = VALIDATORS[str(self.values["openapi"])[:3]](self.values)
+        try:
+            for error in validator.iter_errors():
+                place = "/".join(str(part) for part in error.absolute_path) or "file"
+                self.report(place, error.message[:MAX_MESSAGE_CHARACTERS])
+        except Exception as error:
+            # The validator's later checks raise on what its earlier ones have reported.
+            if not self.problems:
+                self.report("file", f"can't be read as a description: {type(error).__name__} {error}")
+
+    def check_references(self) -> None:
+        """Report each ``$ref`` that points at nothing within the document."""
+        self._check_references(self.values, "")
+
+    def _check_references(self, value: Any, place: str) -> None:
+        if isinstance(value, list):
+            value = dict(enumerate(value))
+        if not isinstance(value, dict):
+            return
+        if isinstance(value.get("$ref"), str):
+            self._target(value["$ref"], place)
+        for key, part in value.items():
+            self._check_references(part, f"{place}/{key}".lstrip("/"))
+
+    def resolve(self, value: Any, place: str) -> dict[str, Any]:
+        """Follow the references of an object; an empty one, and a problem, where they lead nowhere."""
+        for _ in range(MAX_REFERENCE_CHAIN):
+            if not isinstance(value, dict):
+                self.report(place, "is no object")
+                return {}
+            if "$ref" not in value:
+                return value
+            value = self._target(str(value["$ref"]), place)
+        self.report(place, "a $ref that leads to itself")
+        return {}
+
+    def _target(self, reference: str, place: str) -> Any:
+        """Return what a JSON pointer (RFC 6901) within the document points at."""
+        if not reference.startswith("#/"):
+            self.report(place, f"$ref {reference!r} leaves the document")
+            return {}
+        value: Any = self.values
+        for token in reference[2:].split("/"):
+            key = token.replace("~1", "/").replace("~0", "~")
+            if isinstance(value, list):
+                value = {str(index): item for index, item in enumerate(value)}
+            if not isinstance(value, dict) or key not in value:
+                self.report(place, f"$ref {reference!r} points nowhere")
+                return {}
+            value = value[key]
+        return value
--- a/orchidlane/routes/errors.py
+++ b/orchidlane/routes/errors.py
@@ -1,12 +1,21 @@
-"""What is wrong with a description."""
+"""Problems of an API description, each with its place in the document."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
+
+class DescriptionProblem(NamedTuple):
+    """One problem: the path of keys to it, joined by slashes, and what is wrong there."""
+
+    place: str
+    message: str
+
 
 class DescriptionError(Exception):
-    """All that is wrong with one description: lines of ``file: place: what``."""
+    """All problems of one description; the text has a line ``file: place: message`` for each."""
 
-    def __init__(self, file: str, problems: list[tuple[str, str]]) -> None:
+    def __init__(self, file: str, problems: list[DescriptionProblem]) -> None:
         self.file = file
         self.problems = problems
-        super().__init__("\n".join(f"{file}: {place}: {what}" for place, what in problems))
+        super().__init__("\n".join(f"{file}: {problem.place}: {problem.message}" for problem in problems))
--- /dev/null
+++ b/orchidlane/routes/request_classes.py
@@ -0,0 +1,112 @@
+"""Request classes of a description: made from the extension, numbered by declaration, then first use."""
+
+from __future__ import annotations
+
+import enum
+from typing import NamedTuple, TypeVar
+
+from orchidlane.config.quantity import Duration
+from orchidlane.policy import DeduplicationScope, Idempotency, RequestClass
+from orchidlane.routes.description import Description
+from orchidlane.routes.extension import Extension, Sources, inherit
+
+SAFE_METHODS = ("get", "head", "options")  # RFC 9110 section 9.2.1
+DEFAULT_DEADLINE = "10s"
+DEFAULT_OBJECTIVE_DIVISOR = 4  # of the deadline
+INVALID_DURATION_US = 1_000_000  # stands for a duration that can't be read; the description is refused
+Choice = TypeVar("Choice", bound=enum.Enum)
+
+
+class _KnownClass(NamedTuple):
+    request_class: RequestClass
+    place: str
+
+
+class RequestClasses:
+    """The request classes that operations of one description belong to."""
+
+    def __init__(self, description: Description, root: Extension) -> None:
+        self._description = description
+        self._root = root
+        self._known: dict[str, _KnownClass] = {}
+
+    def names(self) -> tuple[str, ...]:
+        """Return the names in their final order: as declared, then by first use.
+
+        Operations that move about in the description leave the numbers of the classes alone.
+        """
+        declared = {name: index for index, name in enumerate(self._root.classes or {})}
+        return tuple(sorted(self._known, key=lambda name: declared.get(name, len(declared))))
+
+    def values(self) -> tuple[RequestClass, ...]:
+        """Return the classes in the order of ``names``."""
+        return tuple(self._known[name].request_class for name in self.names())
+
+    def declared(self, name: str) -> Extension:
+        """Return what the root's ``classes`` says of a class."""
+        return (self._root.classes or {}).get(name, Extension())
+
+    def add(self, name: str, method: str, nearer: Sources, place: str) -> None:
+        """Add the class of an operation; reports one that differs from the same name elsewhere."""
+        sources = (*nearer, self.declared(name), self._root)
+        request_class = self._make(name, method, sources, place)
+        known = self._known.setdefault(name, _KnownClass(request_class, place))
+        if known.request_class != request_class:
+            self._description.report(place, f"class {name} differs from the one at {known.place}")
+
+    def _make(self, name: str, method: str, sources: Sources, place: str) -> RequestClass:
+        idempotency = self._choose(
+            "effect",
+            inherit(sources, lambda source: source.idempotency),
+            Idempotency.IDEMPOTENT if method in SAFE_METHODS else Idempotency.NOT_IDEMPOTENT,
+            place,
+        )
+        scope = self._choose(
+            "group",
+            inherit(sources, lambda source: source.deduplication_scope),
+            DeduplicationScope.ALL,
+            place,
+        )
+        deadline = inherit(sources, lambda source: source.deadline) or DEFAULT_DEADLINE
+        deadline_us = self._duration("deadline", deadline, place)
+        objective = inherit(sources, lambda source: source.latency_objective)
+        objective_us = self._duration("aim", objective, place) or deadline_us // DEFAULT_OBJECTIVE_DIVISOR
+        window_us = self._duration(
+            "window", inherit(sources, lambda source: source.deduplication_window), place
+        )
+        if idempotency is Idempotency.IDEMPOTENT_WITH_KEY and not window_us:
+            self._description.report(place, f"class {name} is keyed and states no window")
+        if objective_us > deadline_us:
+            self._description.report(place, f"class {name} has an aim beyond its deadline")
+        weight = inherit(sources, lambda source: source.priority_weight)
+        late_weight = inherit(sources, lambda source: source.late_priority_weight)
+        return RequestClass(
+            latency_objective_us=objective_us,
+            deadline_us=deadline_us,
+            priority_weight=1.0 if weight is None else float(weight),
+            late_priority_weight=0.0 if late_weight is None else float(late_weight),
+            idempotency=idempotency,
+            deduplication_scope=scope,
+            deduplication_window_us=window_us,
+        )
+
+    def _choose(self, field: str, text: str | None, default: Choice, place: str) -> Choice:
+        if not text:
+            return default
+        choices = type(default)
+        try:
+            return choices(text)
+        except ValueError:
+            allowed = ", ".join(choice.value for choice in choices)
+            self._description.report(place, f"found {field} {text!r}, allowed: {allowed}")
+            return default
+
+    def _duration(self, field: str, text: str | None, place: str) -> int:
+        """Return a duration in microseconds, 0 where none is stated."""
+        if not text:
+            return 0
+        try:
+            return int(Duration.parse(text))
+        except ValueError as error:
+            self._description.report(place, f"{field}: {error}")
+            return INVALID_DURATION_US
--- a/orchidlane/routes/tree.py
+++ b/orchidlane/routes/tree.py
@@ -2,28 +2,37 @@
 
 Concrete segments go before templated ones at every place (OpenAPI 3.1, Paths Object); a segment may hold
 several templates and literals (``{name}.{ending}``). A branch that leads nowhere is left for the next one, so
-``/a/{x}/c`` is found beside ``/a/b/d``; the walk keeps to ``VISITS_MOST`` nodes.
+``/a/{x}/c`` is found beside ``/a/b/d``; one match looks at ``MAX_VISITED_NODES`` nodes at most.
 """
 
 from __future__ import annotations
 
 import re
-from typing import Generic, TypeVar
+from typing import Generic, NamedTuple, TypeVar
 
 Value = TypeVar("Value")
 TEMPLATE = re.compile(r"\{([^{}/]+)\}")
-VISITS_MOST = 512  # nodes that one match may look at
+MAX_VISITED_NODES = 512
+
+
+class _Pattern(NamedTuple, Generic[Value]):
+    """A segment with templates and literals in it; the one with the most literal text is tried first."""
+
+    rank: int  # the number of literal characters, negated
+    source: str
+    expression: re.Pattern[str]
+    node: _Node[Value]
 
 
 class _Node(Generic[Value]):
     """What follows one prefix: concrete segments, patterns within a segment, a whole-segment template."""
 
-    __slots__ = ("any", "concrete", "names", "patterns", "value")
+    __slots__ = ("concrete", "names", "patterns", "value", "wildcard")
 
     def __init__(self) -> None:
         self.concrete: dict[str, _Node[Value]] = {}
-        self.patterns: list[tuple[int, str, re.Pattern[str], _Node[Value]]] = []
-        self.any: _Node[Value] | None = None
+        self.patterns: list[_Pattern[Value]] = []
+        self.wildcard: _Node[Value] | None = None
         self.value: Value | None = None
         self.names: tuple[str, ...] = ()
 
@@ -39,86 +48,94 @@
         return self._count
 
     def add(self, template: str, value: Value) -> None:
-        """Add a path such as ``/a/{b}``. Raises ValueError where a template of the same shape stands."""
+        """Add a path such as ``/a/{b}``. Raises ValueError where a template of the same shape is present."""
         node = self._root
         names: list[str] = []
         for segment in template.split("/")[1:]:
-            found = TEMPLATE.findall(segment)
-            names += found
-            node = self._step(node, segment, found)
+            segment_names = TEMPLATE.findall(segment)
+            names += segment_names
+            node = self._child(node, segment, has_template=bool(segment_names))
         if len(set(names)) < len(names):
             raise ValueError(f"{template} names a parameter twice")
         if node.value is not None:
             raise ValueError(f"{template} matches the same paths as another template")
-        node.value, node.names = value, tuple(names)
+        node.value = value
+        node.names = tuple(names)
         self._count += 1
 
-    def _step(self, node: _Node[Value], segment: str, names: list[str]) -> _Node[Value]:
-        if not names:
+    def _child(self, node: _Node[Value], segment: str, has_template: bool) -> _Node[Value]:
+        if not has_template:
             if "{" in segment or "}" in segment:
                 raise ValueError(f"a lone brace in the segment {segment!r}")
             return node.concrete.setdefault(segment, _Node())
         if TEMPLATE.fullmatch(segment):
-            node.any = node.any or _Node()
-            return node.any
-        return self._pattern(node, segment)
-
-    def _pattern(self, node: _Node[Value], segment: str) -> _Node[Value]:
-        literal = TEMPLATE.split(segment)[::2]
-        source = "(.+?)".join(re.escape(part) for part in literal)
-        for _, known, _, child in node.patterns:
-            if known == source:
-                return child
-        fresh: _Node[Value] = _Node()
-        node.patterns.append((-sum(map(len, literal)), source, re.compile(source, re.S), fresh))
-        node.patterns.sort(key=lambda entry: entry[:2])  # the one with the most literal text goes first
-        return fresh
+            node.wildcard = node.wildcard or _Node()
+            return node.wildcard
+        return self._pattern_child(node, segment)
+
+    def _pattern_child(self, node: _Node[Value], segment: str) -> _Node[Value]:
+        literals = TEMPLATE.split(segment)[::2]
+        source = "(.+?)".join(re.escape(literal) for literal in literals)
+        for pattern in node.patterns:
+            if pattern.source == source:
+                return pattern.node
+        child: _Node[Value] = _Node()
+        rank = -sum(len(literal) for literal in literals)
+        node.patterns.append(_Pattern(rank, source, re.compile(source, re.DOTALL), child))
+        node.patterns.sort(key=lambda pattern: (pattern.rank, pattern.source))
+        return child
 
     def match(self, path: str) -> tuple[Value, dict[str, str]] | None:
-        """The value of the first template that fits, and its parameters as they stand in the path."""
-        segments = path.split("/")
-        found: list[str] = []
-        budget = [VISITS_MOST]
-        node = self._walk(self._root, segments, 1, found, budget)
+        """Return the value of the first template that fits a path in canonical form, and its parameters."""
+        search: _Search[Value] = _Search(path.split("/"))
+        node = search.walk(self._root, 1)
         if node is None or node.value is None:
             return None
-        return node.value, dict(zip(node.names, found, strict=True))
-
-    def _walk(
-        self, node: _Node[Value], segments: list[str], at: int, found: list[str], budget: list[int]
-    ) -> _Node[Value] | None:
-        while at < len(segments):
-            budget[0] -= 1
-            if budget[0] < 0:
+        return node.value, dict(zip(node.names, search.parameters, strict=True))
+
+
+class _Search(Generic[Value]):
+    """One walk over the tree: the parameters on the way so far, and how many nodes it may still visit."""
+
+    __slots__ = ("parameters", "remaining_visits", "segments")
+
+    def __init__(self, segments: list[str]) -> None:
+        self.segments = segments
+        self.parameters: list[str] = []
+        self.remaining_visits = MAX_VISITED_NODES
+
+    def walk(self, node: _Node[Value], index: int) -> _Node[Value] | None:
+        """Return the node at which the segments from ``index`` on end."""
+        segments = self.segments
+        remaining_visits = self.remaining_visits
+        for position in range(index, len(segments)):
+            remaining_visits -= 1
+            if remaining_visits < 0:
+                self.remaining_visits = remaining_visits
                 return None
-            segment = segments[at]
-            child = node.concrete.get(segment)
-            if child is not None and not node.patterns and node.any is None:
-                node, at = child, at + 1  # the only way: no need to come back
-                continue
-            return self._branch(node, child, segments, at, found, budget)
+            child = node.concrete.get(segments[position])
+            if child is None or node.patterns or node.wildcard is not None:
+                self.remaining_visits = remaining_visits
+                return self._branch(node, child, position)
+            node = child  # the only way: no need to come back
+        self.remaining_visits = remaining_visits
         return node if node.value is not None else None
 
-    def _branch(
-        self,
-        node: _Node[Value],
-        concrete: _Node[Value] | None,
-        segments: list[str],
-        at: int,
-        found: list[str],
-        budget: list[int],
-    ) -> _Node[Value] | None:
-        segment, kept = segments[at], len(found)
-        ways: list[tuple[_Node[Value], tuple[str, ...]]] = [(concrete, ())] if concrete is not None else []
-        for _, _, pattern, child in node.patterns:
-            if match := pattern.fullmatch(segment):
-                ways.append((child, match.groups()))
-        if node.any is not None and segment:
-            ways.append((node.any, (segment,)))
-        for child, groups in ways:
-            found.extend(groups)
-            end = self._walk(child, segments, at + 1, found, budget)
+    def _branch(self, node: _Node[Value], concrete: _Node[Value] | None, index: int) -> _Node[Value] | None:
+        segment = self.segments[index]
+        depth = len(self.parameters)
+        branches: list[tuple[_Node[Value], tuple[str, ...]]] = []
+        if concrete is not None:
+            branches.append((concrete, ()))
+        for pattern in node.patterns:
+            if match := pattern.expression.fullmatch(segment):
+                branches.append((pattern.node, match.groups()))
+        if node.wildcard is not None and segment:
+            branches.append((node.wildcard, (segment,)))
+        for child, parameters in branches:
+            self.parameters.extend(parameters)
+            end = self.walk(child, index + 1)
             if end is not None:
                 return end
-            del found[kept:]
+            del self.parameters[depth:]
         return None
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes, classes and costs of a description: precedence, one form for paths, safe defaults, clear errors."""
+"""Routes, classes and costs of a description: precedence, canonical paths, safe defaults, clear errors."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
         ("OPTIONS /v1/reports", 204),
     ],
 )
-def test_what_has_no_operation_is_told_apart(materials, line, status):
+def test_a_target_without_an_operation_has_the_status_of_its_reason(materials, line, status):
     method, target = line.split(" ")
     miss = materials.match(method, target.encode())
     assert isinstance(miss, Miss)
@@ -74,9 +74,9 @@
 
 
 def test_classes_come_from_the_extension(materials):
-    of = dict(zip(materials.class_names, materials.classes, strict=True))
-    assert of["report-issue"].idempotency is policy.Idempotency.NOT_IDEMPOTENT
-    upload = of["test-upload"]
+    classes = dict(zip(materials.class_names, materials.classes, strict=True))
+    assert classes["report-issue"].idempotency is policy.Idempotency.NOT_IDEMPOTENT
+    upload = classes["test-upload"]
     assert (upload.idempotency, upload.deduplication_scope, upload.deduplication_window_us) == (
         policy.Idempotency.IDEMPOTENT_WITH_KEY,
         policy.DeduplicationScope.CELL,
@@ -86,13 +86,14 @@
     assert materials.match("POST", b"/v1/reports").operation.give_up_header == b"give-up-after-ms"
 
 
-def test_an_unknown_effect_means_never_run_twice():
+def test_an_operation_of_unknown_effect_is_not_idempotent_and_costs_one_unit():
     generation = routes.build(SMALL, "f")
     assert generation.classes[0].idempotency is policy.Idempotency.NOT_IDEMPOTENT
     assert generation.operations[0].cost == 1
 
 
-def wrong(**changes) -> str:
+def build_error(**changes) -> str:
+    """The error text of the small description with a changed operation."""
     description = copy.deepcopy(SMALL)
     operation = description["paths"]["/a"]["post"]
     operation.update(changes)
@@ -101,20 +102,20 @@
     return str(caught.value)
 
 
-def test_bad_descriptions_are_told_with_their_places():
-    assert "f.json: paths//a/post/x-orchidlane: " in wrong(**{"x-orchidlane": {"cots": 1}})
-    assert "found effect 'often'" in wrong(**{"x-orchidlane": {"effect": "often"}})
-    assert "states no window" in wrong(**{"x-orchidlane": {"effect": "keyed"}})
-    assert "no duration" in wrong(**{"x-orchidlane": {"aim": "5"}})
-    assert "points nowhere" in wrong(parameters=[{"$ref": "#/components/parameters/x"}])
-    assert "f.json: paths//a/post" in wrong(responses=3)
+def test_each_problem_of_a_description_is_reported_with_its_place():
+    assert "f.json: paths//a/post/x-orchidlane: " in build_error(**{"x-orchidlane": {"cots": 1}})
+    assert "found effect 'often'" in build_error(**{"x-orchidlane": {"effect": "often"}})
+    assert "states no window" in build_error(**{"x-orchidlane": {"effect": "keyed"}})
+    assert "no duration" in build_error(**{"x-orchidlane": {"aim": "5"}})
+    assert "points nowhere" in build_error(parameters=[{"$ref": "#/components/parameters/x"}])
+    assert "f.json: paths//a/post" in build_error(responses=3)
     with pytest.raises(routes.DescriptionError, match=r"line 2"):
         routes.load_description(b"{\n,}", "f")
     with pytest.raises(routes.DescriptionError, match="allowed: 3"):
         routes.build({"openapi": "2.0"}, "f")
 
 
-def test_same_shape_twice_is_refused():
+def test_a_second_template_of_the_same_shape_is_rejected():
     tree: routes.Tree[int] = routes.Tree()
     tree.add("/a/{x}", 1)
     with pytest.raises(ValueError, match="same paths"):
@@ -126,28 +127,29 @@
 
 
 @given(st.lists(template, max_size=12), st.lists(st.sampled_from(["a", "b", "c.d", "e", "z"]), max_size=4))
-def test_the_tree_finds_what_a_list_of_expressions_finds(templates, parts):
+def test_the_tree_agrees_with_a_list_of_regular_expressions(templates, parts):
     tree: routes.Tree[str] = routes.Tree()
-    kept = []
-    for one in templates:
+    added = []
+    for text in templates:
         try:
-            tree.add(one, one)
-            kept.append(one)
+            tree.add(text, text)
+            added.append(text)
         except ValueError:
             continue
     path = "/" + "/".join(parts)
-    found = tree.match(path)
-    fitting = [t for t in kept if re.fullmatch(re.sub(r"\\{\w\\}", "[^/]+", re.escape(t)), path)]
+    match = tree.match(path)
+    fitting = [t for t in added if re.fullmatch(re.sub(r"\\{\w\\}", "[^/]+", re.escape(t)), path)]
     if not fitting:
-        assert found is None
+        assert match is None
     else:
-        assert found[0] in fitting
+        assert match is not None
+        assert match[0] in fitting
         concrete = [t for t in fitting if "{" not in t]
-        assert not concrete or found[0] == path
+        assert not concrete or match[0] == path
 
 
 @given(st.binary(max_size=20))
-def test_one_form_is_a_fixed_point(tail):
+def test_the_canonical_form_is_a_fixed_point(tail):
     try:
         path = routes.canonical_path(b"/" + tail)
     except routes.PathError:
