--- a/orchidlane/cli/main.py
+++ b/orchidlane/cli/main.py
@@ -157,7 +157,7 @@
 def config_show(file: str) -> None:
     """The settings with all defaults filled in."""
     with clear_errors():
-        value = config.plain(Path(file).read_text(), file, schema(), "#Fleet")
+        value = config.plain_values(Path(file).read_text(), file, schema(), "#Fleet")
     click.echo(config.render(value)[2:-2].replace("\n\t", "\n").lstrip("\t"))
 
 
--- a/orchidlane/config/__init__.py
+++ b/orchidlane/config/__init__.py
@@ -1,7 +1,7 @@
 """Settings as typed records in a documented subset of CUE: parsed, unified with a schema, checked whole."""
 
 from orchidlane.config.errors import ConfigError, Problem
-from orchidlane.config.load import load, plain, render
+from orchidlane.config.load import load, plain_values, render
 from orchidlane.config.quantity import Duration, Size
 
-__all__ = ["ConfigError", "Duration", "Problem", "Size", "load", "plain", "render"]
+__all__ = ["ConfigError", "Duration", "Problem", "Size", "load", "plain_values", "render"]
--- a/orchidlane/config/errors.py
+++ b/orchidlane/config/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file: every problem with its place."""
+"""Problems of a settings file, each with its position."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Place:
-    """Where in which file; line and column count from 1."""
+class SourcePosition:
+    """A position in a file; line and column count from 1."""
 
     file: str
     line: int
@@ -21,18 +21,18 @@
 class Problem:
     """One thing that is wrong: the field's path, what was found, what is allowed."""
 
-    place: Place
+    position: SourcePosition
     path: str
-    what: str
+    message: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.path or 'file'}: {self.what}"
+        return f"{self.position}: {self.path or 'file'}: {self.message}"
 
 
 class ConfigError(Exception):
-    """All problems of a file, in the order of their places."""
+    """All problems of a file, in the order of their positions."""
 
     def __init__(self, problems: list[Problem]) -> None:
         unique = dict.fromkeys(problems)
-        self.problems = sorted(unique, key=lambda problem: (problem.place, problem.path))
+        self.problems = sorted(unique, key=lambda problem: (problem.position, problem.path))
         super().__init__("\n".join(str(problem) for problem in self.problems))
--- a/orchidlane/config/syntax.py
+++ b/orchidlane/config/parser.py
@@ -1,9 +1,9 @@
-"""The grammar of the subset and the tree that it gives.
+"""Parser of the settings' language, a subset of CUE (cuelang.org, language specification).
 
 In the subset: packages, comments, fields (plain, quoted, optional, nested by ``a: b: 1``), definitions
 (``#Name``, closed), hidden fields, patterns (``[string]: T``), ``...``, lists (``[...T]``), strings,
 numbers, bounds, ``=~`` and ``!~``, ``&``, ``|`` with ``*`` defaults, references and selectors.
-Not in it: arithmetic, comprehensions, interpolation, imports, attributes. What is not in it is refused.
+Not in it: arithmetic, comprehensions, interpolation, imports, attributes. What is not in it is rejected.
 """
 
 from __future__ import annotations
@@ -18,7 +18,18 @@
 from lark.exceptions import VisitError
 from lark.lark import PostLex
 
-from orchidlane.config.errors import ConfigError, Place, Problem
+from orchidlane.config.errors import ConfigError, Problem, SourcePosition
+from orchidlane.config.expressions import (
+    Bound,
+    Conjunction,
+    Disjunction,
+    Expression,
+    Field,
+    List,
+    Literal,
+    Reference,
+    Struct,
+)
 
 GRAMMAR = r"""
 start: (package ",")? body
@@ -54,8 +65,9 @@
 %ignore COMMENT
 """
 
+MAX_EXCERPT_CHARACTERS = 20  # of the text at which parsing failed
 # A newline ends a field where the line could end there: CUE's own rule for leaving commas out.
-ENDS_A_LINE = frozenset(
+LINE_ENDING_TOKENS = frozenset(
     [
         "NAME",
         "HIDDEN",
@@ -74,17 +86,17 @@
 )
 
 
-class _Commas(PostLex):
-    """Puts a comma where a newline stands for one."""
+class _CommaInserter(PostLex):
+    """Inserts a comma where a newline stands for one."""
 
     always_accept = ("_NL",)
 
     def process(self, stream: Iterator[Token]) -> Iterator[Token]:
-        """Tokens without newlines, with the commas that they stand for."""
+        """Return the tokens without newlines, with the commas that they stand for."""
         last = None
         for token in stream:
             if token.type == "_NL":
-                if last in ENDS_A_LINE:
+                if last in LINE_ENDING_TOKENS:
                     last = "COMMA"
                     yield Token.new_borrow_pos("COMMA", ",", token)
                 continue
@@ -92,110 +104,36 @@
             yield token
 
 
-@dataclass(frozen=True, slots=True, eq=False)
-class Literal:
-    """A concrete scalar."""
-
-    place: Place
-    value: Any
-
-
-@dataclass(frozen=True, slots=True, eq=False)
-class Bound:
-    """``>=1``, ``=~"re"`` and their like."""
-
-    place: Place
-    operator: str
-    operand: Expr
-
-
-@dataclass(frozen=True, slots=True, eq=False)
-class Reference:
-    """``a.b`` or ``#Definition``."""
-
-    place: Place
-    names: tuple[str, ...]
-
-
-@dataclass(frozen=True, slots=True, eq=False)
-class Unify:
-    """``a & b``."""
-
-    place: Place
-    parts: tuple[Expr, ...]
-
-
-@dataclass(frozen=True, slots=True, eq=False)
-class Choice:
-    """``*a | b``: the options, each with whether it is a default."""
-
-    place: Place
-    options: tuple[tuple[bool, Expr], ...]
-
-
-@dataclass(frozen=True, slots=True, eq=False)
-class Field:
-    """One field of a struct."""
-
-    place: Place
-    name: str
-    optional: bool
-    value: Expr
-
-
-@dataclass(frozen=True, slots=True, eq=False)
-class Struct:
-    """Fields, patterns for names that no field names, and whether ``...`` stands in it."""
-
-    place: Place
-    fields: tuple[Field, ...]
-    patterns: tuple[Expr, ...]
-    open: bool
-
-
-@dataclass(frozen=True, slots=True, eq=False)
-class List:
-    """Items, and what further ones must be (None: there may be none)."""
-
-    place: Place
-    items: tuple[Expr, ...]
-    rest: Expr | None
-
-
-Expr = Literal | Bound | Reference | Unify | Choice | Struct | List
-
-
 @dataclass(frozen=True, slots=True)
-class _Open:
+class _Ellipsis:
     """``...`` in a struct, or ``...T`` in a list."""
 
-    of: Expr | None
+    item: Expression | None
 
 
 @dataclass(frozen=True, slots=True)
 class _Pattern:
-    of: Expr
+    value: Expression
 
 
 Items = list[Any]
 
 
-class _Build(Transformer):
-    """Lark's tree into ours."""
+class _TreeBuilder(Transformer):
+    """Makes expressions of Lark's tree; each method is named for the rule of the grammar that it handles."""
 
     def __init__(self, file: str) -> None:
         super().__init__()
         self.file = file
 
-    def _at(self, meta: Any) -> Place:
+    def _position(self, meta: Any) -> SourcePosition:
         if getattr(meta, "empty", False):
-            return Place(self.file, 1, 1)
-        return Place(self.file, meta.line, meta.column)
+            return SourcePosition(self.file, 1, 1)
+        return SourcePosition(self.file, meta.line, meta.column)
 
-    @v_args(meta=True)
-    def start(self, meta: Any, parts: Items) -> Struct:
+    def start(self, parts: Items) -> Struct:
         body = parts[-1] if parts else []
-        return self._struct(Place(self.file, 1, 1), body if isinstance(body, list) else [body])
+        return self._struct(SourcePosition(self.file, 1, 1), body if isinstance(body, list) else [body])
 
     def body(self, parts: Items) -> Items:
         return parts
@@ -205,106 +143,113 @@
 
     @v_args(meta=True)
     def struct(self, meta: Any, parts: Items) -> Struct:
-        return self._struct(self._at(meta), parts)
+        return self._struct(self._position(meta), parts)
 
-    def _struct(self, place: Place, parts: Items) -> Struct:
+    def _struct(self, position: SourcePosition, parts: Items) -> Struct:
         fields = tuple(part for part in parts if isinstance(part, Field))
-        patterns = tuple(part.of for part in parts if isinstance(part, _Pattern))
-        return Struct(place, fields, patterns, any(isinstance(part, _Open) for part in parts))
+        patterns = tuple(part.value for part in parts if isinstance(part, _Pattern))
+        return Struct(position, fields, patterns, any(isinstance(part, _Ellipsis) for part in parts))
 
-    def open(self, _parts: Items) -> _Open:
-        return _Open(None)
+    def open(self, _parts: Items) -> _Ellipsis:
+        return _Ellipsis(None)
 
     def pattern(self, parts: Items) -> _Pattern:
         names = parts[0].items
         if len(names) != 1 or not isinstance(names[0], Reference) or names[0].names != ("string",):
-            raise ConfigError([Problem(parts[0].place, "", "only [string] stands for names")])
+            raise ConfigError([Problem(parts[0].position, "", "only [string] stands for names")])
         return _Pattern(parts[1])
 
     @v_args(meta=True)
     def field(self, meta: Any, parts: Items) -> Field:
-        return Field(self._at(meta), parts[0], len(parts) == 3, parts[-1])
+        return Field(self._position(meta), parts[0], len(parts) == 3, parts[-1])
 
     @v_args(meta=True)
     def nested(self, meta: Any, parts: Items) -> Struct:
-        return self._struct(self._at(meta), parts)
+        return self._struct(self._position(meta), parts)
 
     def label(self, parts: Items) -> str:
         token = parts[0]
-        return _text(token) if token.type == "STRING" else str(token)
+        return _string_value(token) if token.type == "STRING" else str(token)
 
     @v_args(meta=True)
-    def alternatives(self, meta: Any, parts: Items) -> Expr:
+    def alternatives(self, meta: Any, parts: Items) -> Expression:
         if len(parts) == 1 and not isinstance(parts[0], tuple):
             return parts[0]
         options = tuple(part if isinstance(part, tuple) else (False, part) for part in parts)
-        return Choice(self._at(meta), options)
+        return Disjunction(self._position(meta), options)
 
-    def default(self, parts: Items) -> tuple[bool, Expr]:
+    def default(self, parts: Items) -> tuple[bool, Expression]:
         return True, parts[0]
 
     @v_args(meta=True)
-    def conj(self, meta: Any, parts: Items) -> Expr:
-        return parts[0] if len(parts) == 1 else Unify(self._at(meta), tuple(parts))
+    def conj(self, meta: Any, parts: Items) -> Expression:
+        return parts[0] if len(parts) == 1 else Conjunction(self._position(meta), tuple(parts))
 
     @v_args(meta=True)
     def bound(self, meta: Any, parts: Items) -> Bound:
-        return Bound(self._at(meta), str(parts[0]), parts[1])
+        return Bound(self._position(meta), str(parts[0]), parts[1])
 
     @v_args(meta=True)
     def literal(self, meta: Any, parts: Items) -> Literal:
         token = parts[0]
-        return Literal(self._at(meta), _text(token) if token.type == "STRING" else _number(token))
+        value = _string_value(token) if token.type == "STRING" else _number_value(token)
+        return Literal(self._position(meta), value)
 
     @v_args(meta=True)
     def true(self, meta: Any, _parts: Items) -> Literal:
-        return Literal(self._at(meta), True)
+        return Literal(self._position(meta), True)
 
     @v_args(meta=True)
     def false(self, meta: Any, _parts: Items) -> Literal:
-        return Literal(self._at(meta), False)
+        return Literal(self._position(meta), False)
 
     @v_args(meta=True)
     def null(self, meta: Any, _parts: Items) -> Literal:
-        return Literal(self._at(meta), None)
+        return Literal(self._position(meta), None)
 
     @v_args(meta=True)
     def list(self, meta: Any, parts: Items) -> List:
         parts = [part for part in parts if part is not None]
-        rest = next((part.of for part in parts if isinstance(part, _Open)), None)
-        return List(self._at(meta), tuple(part for part in parts if not isinstance(part, _Open)), rest)
+        rest = next((part.item for part in parts if isinstance(part, _Ellipsis)), None)
+        return List(
+            self._position(meta), tuple(part for part in parts if not isinstance(part, _Ellipsis)), rest
+        )
 
     @v_args(meta=True)
-    def rest(self, meta: Any, parts: Items) -> _Open:
-        return _Open(parts[1] if len(parts) > 1 else Reference(self._at(meta), ("_",)))
+    def rest(self, meta: Any, parts: Items) -> _Ellipsis:
+        return _Ellipsis(parts[1] if len(parts) > 1 else Reference(self._position(meta), ("_",)))
 
     @v_args(meta=True)
     def reference(self, meta: Any, parts: Items) -> Reference:
-        return Reference(self._at(meta), tuple(str(part) for part in parts))
+        return Reference(self._position(meta), tuple(str(part) for part in parts))
 
 
-def _text(token: Token) -> str:
+def _string_value(token: Token) -> str:
     return str(json.loads(str(token)))
 
 
-def _number(token: Token) -> int | float:
+def _number_value(token: Token) -> int | float:
     text = str(token).replace("_", "")
-    return float(text) if any(mark in text for mark in ".eE") else int(text)
+    return float(text) if any(character in text for character in ".eE") else int(text)
 
 
 @cache
 def _parser() -> Lark:
-    return Lark(GRAMMAR, parser="lalr", postlex=_Commas(), propagate_positions=True, maybe_placeholders=False)
+    return Lark(
+        GRAMMAR, parser="lalr", postlex=_CommaInserter(), propagate_positions=True, maybe_placeholders=False
+    )
 
 
 def parse(text: str, file: str) -> Struct:
-    """The tree of one file. Raises ConfigError at what is not of the subset."""
+    """Return the expression of one file. Raises ConfigError at what is not in the subset."""
     try:
         tree = _parser().parse(text + "\n")
-        return _Build(file).transform(tree)
-    except VisitError as wrong:
-        raise wrong.orig_exc from None
-    except UnexpectedInput as wrong:
-        place = Place(file, max(1, wrong.line), max(1, wrong.column))
-        near = text[wrong.pos_in_stream or 0 :][:20].split("\n")[0] if wrong.pos_in_stream else ""
-        raise ConfigError([Problem(place, "", f"not of the settings' language near {near!r}")]) from None
+        return _TreeBuilder(file).transform(tree)
+    except VisitError as error:
+        raise error.orig_exc from None
+    except UnexpectedInput as error:
+        position = SourcePosition(file, max(1, error.line), max(1, error.column))
+        near = ""
+        if error.pos_in_stream:
+            near = text[error.pos_in_stream :][:MAX_EXCERPT_CHARACTERS].split("\n")[0]
+        raise ConfigError([Problem(position, "", f"not of the settings' language near {near!r}")]) from None
--- a/orchidlane/config/quantity.py
+++ b/orchidlane/config/quantity.py
@@ -6,8 +6,8 @@
 
 DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?)(us|ms|s|m|h)")
 SIZE = re.compile(r"([0-9]+)(B|KiB|MiB|GiB)")
-MICROSECONDS = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
-BYTES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
+MICROSECONDS_OF_UNIT = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
+BYTES_OF_UNIT = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 
 
 class Duration(int):
@@ -15,11 +15,11 @@
 
     @classmethod
     def parse(cls, text: str) -> Duration:
-        """Raises ValueError where the text is no duration."""
+        """Return the duration of a text. Raises ValueError where it is none."""
         match = DURATION.fullmatch(text)
         if match is None:
             raise ValueError(f"{text!r} is no duration such as 250ms, 2s or 1m")
-        return cls(round(float(match[1]) * MICROSECONDS[match[2]]))
+        return cls(round(float(match[1]) * MICROSECONDS_OF_UNIT[match[2]]))
 
 
 class Size(int):
@@ -27,8 +27,8 @@
 
     @classmethod
     def parse(cls, text: str) -> Size:
-        """Raises ValueError where the text is no size."""
+        """Return the size of a text. Raises ValueError where it is none."""
         match = SIZE.fullmatch(text)
         if match is None:
             raise ValueError(f"{text!r} is no size such as 64KiB or 1MiB")
-        return cls(int(match[1]) * BYTES[match[2]])
+        return cls(int(match[1]) * BYTES_OF_UNIT[match[2]])
--- a/orchidlane/simulation/process_fleet.py
+++ b/orchidlane/simulation/process_fleet.py
@@ -59,7 +59,7 @@
             self._write(f"gw-{rank}.cue", own_settings(plan, rank), rank)
 
     def _write(self, name: str, text: str, rank: int) -> None:
-        value = config.plain(text, name, schema(), "#Fleet")
+        value = config.plain_values(text, name, schema(), "#Fleet")
         value["description"] = str(self.folder / "openapi.yaml")
         self.edit(value)
         for (one, other), (at, _) in self.ways.items():
--- a/orchidlane/simulation/scenario.py
+++ b/orchidlane/simulation/scenario.py
@@ -166,7 +166,7 @@
     ``as_written`` keeps the addresses of the fleet's file, so that a person can find the gateways.
     """
     source = Path(day.fleet)
-    value = config.plain(source.read_text(), day.fleet, schema(), "#Fleet")
+    value = config.plain_values(source.read_text(), day.fleet, schema(), "#Fleet")
     count = day.gateways
     places = free(5 * count + 1 + day.racks * day.rack_size)
     listen, own, relayed, admin, resp = (places[i * count : (i + 1) * count] for i in range(5))
@@ -207,7 +207,7 @@
 
 def own_settings(plan: Plan, rank: int) -> str:
     """One gateway's settings: its own datagrams' address in place of the relay's, which the others use."""
-    value = config.plain(plan.text, "day", schema(), "#Fleet")
+    value = config.plain_values(plan.text, "day", schema(), "#Fleet")
     value["gateways"][rank]["peer"] = _text(plan.relay[rank][1])
     return config.render(value)[1:-1]
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings: unification, defaults, and every problem with its place."""
+"""Settings: unification, defaults, and every problem with its position."""
 
 from __future__ import annotations
 
@@ -60,13 +60,13 @@
     assert root == Root(80, "fast", 250_000, 1024, {"basic": Plan(2, 10)}, ("a", "b"), 80)
 
 
-def test_definitions_and_references_of_the_file_itself():
+def test_a_file_may_have_definitions_and_references_of_its_own():
     text = "#Mine: {rate: 3, burst: >=5}\nport: 8\nplans: a: #Mine & {burst: 6}\nplans: b: plans.a\ntags: []"
     root = load(text)
     assert root.plans["a"] == root.plans["b"] == Plan(3, 6)
 
 
-def test_all_problems_are_told_at_once_with_their_places():
+def test_all_problems_are_reported_at_once_with_their_positions():
     found = problems(
         'port: 0\nmode: "slow"\nplans: a: {rate: "x", brust: 1}\ntags: [1]\nwait: "5 s"\nsame: 1'
     )
@@ -80,7 +80,7 @@
     ]
 
 
-def test_what_is_missing_is_named():
+def test_each_missing_field_is_reported():
     assert problems("plans: a: {}\ntags: []") == [
         "f.cue:1:1: port: is missing, allowed: int & >=1 & <=65535",
         "f.cue:1:1: same: is missing, allowed: int & >=1 & <=65535",
@@ -100,14 +100,14 @@
         ("plans: [1]", "allowed: {}"),
     ],
 )
-def test_bad_files_are_refused_with_a_place(text, what):
+def test_an_invalid_file_is_rejected_with_a_position(text, what):
     assert any(what in line for line in problems(text)), problems(text)
 
 
-def test_what_show_prints_is_read_again():
+def test_rendered_values_are_read_as_the_same_values():
     text = "port: 80\nplans: basic: rate: 2\ntags: []\n"
-    value = config.plain(text, "f.cue", SCHEMA, "#Root")
-    assert config.plain(config.render(value)[1:-1], "again", SCHEMA, "#Root") == value
+    value = config.plain_values(text, "f.cue", SCHEMA, "#Root")
+    assert config.plain_values(config.render(value)[1:-1], "again", SCHEMA, "#Root") == value
 
 
 @given(st.text(alphabet='ab:{}[]"1&|*#.\n ,?=>/', max_size=30))
@@ -118,7 +118,7 @@
         assert wrong.problems
 
 
-def test_quantities():
+def test_durations_and_sizes_are_parsed_with_their_units():
     assert Duration.parse("1.5s") == 1_500_000
     assert Size.parse("2MiB") == 2 << 20
     with pytest.raises(ValueError, match="no duration"):
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -831,13 +831,13 @@
 
 def test_settings_have_the_golden_names_and_defaults():
     schema = fleet_settings.schema()
-    found = config.plain(SMALLEST, "smallest.cue", schema, "#Fleet")
+    found = config.plain_values(SMALLEST, "smallest.cue", schema, "#Fleet")
     fleet_settings.parse_fleet(SMALLEST, "smallest.cue")
     check_golden("settings", {"defaults": found, "schema": schema_without_comments(schema)})
 
 
 def test_scripted_days_have_the_golden_names_and_defaults():
     schema = lab_day.DAY_SCHEMA.read_text()
-    found = config.plain(SMALLEST_DAY, "smallest.cue", schema, "#Day")
+    found = config.plain_values(SMALLEST_DAY, "smallest.cue", schema, "#Day")
     config.load(SMALLEST_DAY, "smallest.cue", schema, "#Day", lab_day.Day)
     check_golden("settings-of-a-day", {"defaults": found, "schema": schema_without_comments(schema)})
