--- a/orchidlane/cli/tools.py
+++ b/orchidlane/cli/tools.py
@@ -16,14 +16,9 @@
 from orchidlane.cli.screen import EVERY, Screen, as_rows
 from orchidlane.cli.views import SETTINGS, customer_view, node_view, open_state, places, save_state
 from orchidlane.gateway.control.settings import address, load_fleet, module_settings
-from orchidlane.gateway.telemetry.policy_views import (
-    Next,
-    View,
-    ViewError,
-    next_nodes,
-    next_request,
-    plan_counts,
-)
+from orchidlane.gateway.telemetry.plan_counts import count_by_plan
+from orchidlane.gateway.telemetry.policy_views import PolicyView, ViewError
+from orchidlane.gateway.telemetry.predictions import Prediction, predict_endpoints, predict_request
 from orchidlane.recording.description import describe
 from orchidlane.recording.segment_reader import Entry
 from orchidlane.recording.segments import SEGMENT_SUFFIX
@@ -74,15 +69,15 @@
 
 def _customer_row(place: str, customer: str, class_name: str, units: float) -> dict[str, Any]:
     view = customer_view(place, customer)
-    found = next_request(view, _kind(view, class_name), units)
+    found = predict_request(view, _kind(view, class_name), units)
     return {
         "gateway": view.gateway,
         "plan": view.plan_names[view.customer[1]] if view.customer else "",
         "decision": found.decision,
-        "why": found.why,
-        "room": round(found.room, 3),
+        "why": found.reason,
+        "room": round(found.remaining, 3),
         "limit": round(found.limit, 3),
-        "spent": round(found.total, 3),
+        "spent": round(found.spent, 3),
         "counts": {str(rank): round(count, 3) for rank, count in found.counts.items()},
     }
 
@@ -91,7 +86,7 @@
     with open_state(place) as reader:
         if plan not in reader.header.plan_names:
             raise ViewError(f"no plan {plan!r}, allowed: {', '.join(reader.header.plan_names)}")
-        found = plan_counts(reader, PRESSED).get(plan)
+        found = count_by_plan(reader, PRESSED).get(plan)
         gateway = reader.header.gateway
     if found is None:
         return {"gateway": gateway, "plan": plan, "customers": 0}
@@ -100,11 +95,11 @@
         "plan": plan,
         "customers": found.customers,
         "spent": round(found.spent, 3),
-        "room": round(found.room, 3),
-        "closed": found.closed,
-        "unheard": found.unheard,
-        "out": found.out,
-        "pressed": [[number, round(share, 4)] for share, number in found.pressed],
+        "room": round(found.remaining, 3),
+        "closed": found.exhausted,
+        "unheard": found.unconfirmed,
+        "out": found.in_flight,
+        "pressed": [[number, round(share, 4)] for share, number in found.nearest_to_limit],
     }
 
 
@@ -118,7 +113,7 @@
         if out:
             save_state(admin, out)
         with open_state(out or admin) as reader:
-            header, plans = reader.header, plan_counts(reader, 0)
+            header, plans = reader.header, count_by_plan(reader, 0)
     now = int(header.context.get("now", header.started_at_us))
     value = {
         "gateway": header.gateway,
@@ -133,7 +128,7 @@
     show(value, [f"{name:12} {text}" for name, text in value.items()], as_json)
 
 
-def _kind(view: View, name: str) -> int:
+def _kind(view: PolicyView, name: str) -> int:
     if not name:
         return 0
     if name not in view.class_names:
@@ -149,7 +144,7 @@
     """A gateway's view of each node, and where its next request would go."""
     with clear_errors():
         view = node_view(admin)
-        sent = next_nodes(view, _kind(view, class_name))
+        sent = predict_endpoints(view, _kind(view, class_name))
     rows, warm = [], int(str(view.settings["warm_within"]))
     for entry, known, (out, _, typical), listed in view.state.endpoints:
         if listed:
@@ -182,13 +177,13 @@
     """Two gateways' views of one customer, and when they would agree; exit 1 where decisions differ."""
     with clear_errors():
         views = [customer_view(admin, customer) for admin in admins]
-        found = [next_request(view, 0, 1.0) for view in views]
+        found = [predict_request(view, 0, 1.0) for view in views]
     apart = _counts_apart(found)
     value = {
         "decisions": [one.decision for one in found],
-        "why": [one.why for one in found],
-        "spent": [round(one.total, 3) for one in found],
-        "room": [round(one.room, 3) for one in found],
+        "why": [one.reason for one in found],
+        "spent": [round(one.spent, 3) for one in found],
+        "room": [round(one.remaining, 3) for one in found],
         "counts_apart": {str(rank): pair for rank, pair in apart.items()},
         "agree": _agree(views, apart),
     }
@@ -196,13 +191,13 @@
     sys.exit(0 if found[0].decision == found[1].decision else 1)
 
 
-def _counts_apart(found: list[Next]) -> dict[int, list[float | None]]:
+def _counts_apart(found: list[Prediction]) -> dict[int, list[float | None]]:
     ranks = sorted(set(found[0].counts) | set(found[1].counts))
     apart = {rank: [one.counts.get(rank) for one in found] for rank in ranks}
     return {rank: pair for rank, pair in apart.items() if pair[0] != pair[1]}
 
 
-def _agree(views: list[View], apart: dict[int, list[float | None]]) -> str:
+def _agree(views: list[PolicyView], apart: dict[int, list[float | None]]) -> str:
     """When what one knows reaches the other: both tell pending changes, but only who is heard can."""
     if not apart:
         return "now"
--- a/orchidlane/cli/views.py
+++ b/orchidlane/cli/views.py
@@ -13,7 +13,7 @@
 
 from orchidlane import http1, recording
 from orchidlane.gateway.control.settings import address, load_fleet
-from orchidlane.gateway.telemetry.policy_views import View, ViewError, read_view, saved_view
+from orchidlane.gateway.telemetry.policy_views import PolicyView, ViewError, decode_view, view_from_state
 from orchidlane.http1 import Data, End, Malformed, Response
 
 PATIENCE = 5.0  # seconds for each piece of a gateway's answer
@@ -37,20 +37,20 @@
     return os.path.exists(where)
 
 
-def customer_view(where: str, customer: str) -> View:
+def customer_view(where: str, customer: str) -> PolicyView:
     """What one gateway knows of a customer. Raises ViewError, FormatError, OSError."""
     if is_saved(where):
         if not customer.isdigit():
             raise ViewError(f"{where}: a saved state knows customers by their numbers only")
         with contextlib.closing(recording.SegmentReader(where)) as reader:
-            return saved_view(reader, int(customer))
+            return view_from_state(reader, int(customer))
     name = quote(os.fsencode(customer), safe="")  # names need not be printable
-    return read_view(b"".join(fetch(where, f"/view?customer={name}", VIEW_MOST)))
+    return decode_view(b"".join(fetch(where, f"/view?customer={name}", VIEW_MOST)))
 
 
-def node_view(admin: str) -> View:
+def node_view(admin: str) -> PolicyView:
     """What one gateway knows of its nodes. Raises ViewError, OSError."""
-    return read_view(b"".join(fetch(admin, "/view", VIEW_MOST)))
+    return decode_view(b"".join(fetch(admin, "/view", VIEW_MOST)))
 
 
 @contextlib.contextmanager
--- a/orchidlane/gateway/forwarding/openapi_adapter.py
+++ b/orchidlane/gateway/forwarding/openapi_adapter.py
@@ -14,6 +14,7 @@
 from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
 from orchidlane.gateway.forwarding.protocol_adapter import Call
 from orchidlane.gateway.server.error_responses import HARMLESS, failed, problem, refused
+from orchidlane.gateway.telemetry.counters import GatewayCounters
 from orchidlane.http1 import Request, Response
 from orchidlane.policy import Outcome
 from orchidlane.routes import Match, Miss, Operation
@@ -23,7 +24,6 @@
 if TYPE_CHECKING:
     from orchidlane.gateway.control.configuration import Knowledge
     from orchidlane.gateway.forwarding.policy_driver import Host
-    from orchidlane.gateway.telemetry.metrics import Metrics
 
 DROPPED_MOST = 10_000  # operations whose dropped headers are remembered
 VIA = b"1.1 "
@@ -54,7 +54,7 @@
         fleet: Fleet,
         knowledge: Callable[[], Knowledge],
         host: Callable[[], Host],
-        metrics: Metrics,
+        metrics: GatewayCounters,
         why_not: Callable[[], str] = str,
         note: Callable[[Exchange, Answer, int], None] | None = None,
     ) -> None:
@@ -120,9 +120,9 @@
     def answering(self, exchange: Exchange, answer: Answer, span: int) -> None:
         """Counts, the record, what is left of the quota, the log."""
         recorder = self.host().recorder
-        self.metrics.answer(answer.kind, call_of(exchange).match.operation.class_name, span)
+        self.metrics.count_response(answer.kind, call_of(exchange).match.operation.class_name, span)
         if recorder is not None:
-            recorder.answer(exchange.number, answer.status, answer.kind, span)
+            recorder.record_response(exchange.number, answer.status, answer.kind, span)
         self._add_figures(exchange, answer)
         if self.note is not None:
             self.note(exchange, answer, span)
--- a/orchidlane/gateway/forwarding/policy_driver.py
+++ b/orchidlane/gateway/forwarding/policy_driver.py
@@ -8,13 +8,25 @@
 from orchidlane import policy
 from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
 from orchidlane.gateway.forwarding.protocol_adapter import Clients, Payer
-from orchidlane.gateway.telemetry.counters import Counts
+from orchidlane.gateway.telemetry.counters import GatewayCounters
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import Loop
 
 if TYPE_CHECKING:
     from orchidlane.gateway.forwarding.connection_pool import AttemptRun
-    from orchidlane.gateway.telemetry.traffic_recorder import Recorder
+
+
+class TrafficRecorder(Protocol):
+    """Records what the module is told and answers."""
+
+    def record_event(self, now: int, event: policy.Event, actions: list[policy.Action]) -> None:
+        """One event with the module's actions."""
+
+    def record_response(self, request: int, status: int, kind: str, duration_us: int) -> None:
+        """What a client was answered, so many microseconds after its first byte."""
+
+    def finish(self) -> None:
+        """The gateway ends: write what has gathered."""
 
 
 class Lent(Protocol):
@@ -36,7 +48,7 @@
         loop: Loop,
         settings: policy.Settings,
         rules: Gateway,
-        metrics: Counts,
+        metrics: GatewayCounters,
         clients: Clients,
         begin: Callable[[Exchange, int, policy.SendAttempt], None],
         tell: Callable[[int, bytes], None],
@@ -50,7 +62,7 @@
         self.exchanges: dict[int, Exchange] = {}
         self.runs: dict[tuple[int, int], AttemptRun] = {}  # attempts that are out
         self.rules = rules
-        self.recorder: Recorder | None = None
+        self.recorder: TrafficRecorder | None = None
         self.numbers = 0  # of the latest request
         self.lent: Lent | None = None  # our successor decides on units from the moment that it serves
         self.spent: Callable[[int], None] | None = None  # told of each customer whose count has just grown
@@ -75,7 +87,7 @@
             now = self.loop.now()
             actions = self.rules.handle(now, event)
             if self.recorder is not None:
-                self.recorder.event(now, event, actions)
+                self.recorder.record_event(now, event, actions)
             self._carry_out(actions)
         except Exception as wrong:
             if self.contain is None:
@@ -136,7 +148,7 @@
     ) -> None:
         """An attempt has its outcome; a served one brings the answer, which ends the request."""
         self.runs.pop((exchange.number, attempt), None)
-        self.metrics.outcome(outcome)
+        self.metrics.count_outcome(outcome)
         if answer is not None:
             self._finish(exchange, answer)
         answered = exchange.answer is not None or exchange.gone
--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from orchidlane import recording
-from orchidlane.gateway.telemetry.admin_api import StateFrames
+from orchidlane.gateway.telemetry.state_stream import StateStream
 from orchidlane.hot_restart.account_recovery import Life, survivors
 from orchidlane.policy.state import Account
 
@@ -90,8 +90,8 @@
         program, world = self.program, self.loop.world
         now = self.loop.now()
         about = {**program.about(), "until": now + span, "clean": not span}
-        frames = StateFrames(program.host, program.entry.name, program.incarnation, 0, program.names(), about)
-        parts = [frames.head]
+        frames = StateStream(program.host, program.entry.name, program.incarnation, 0, program.names(), about)
+        parts = [frames.header]
         try:
             for page in frames:
                 parts.append(page)
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -10,6 +10,7 @@
 
 from orchidlane import policy
 from orchidlane.gateway.control.configuration import Knowledge, make_knowledge, read_sources
+from orchidlane.gateway.control.customers import Customer
 from orchidlane.gateway.control.endpoint_list import ListTracker
 from orchidlane.gateway.control.endpoint_watch import Watch
 from orchidlane.gateway.control.settings import Fleet, address, module_settings, upgrade_address
@@ -30,9 +31,11 @@
 from orchidlane.gateway.server import http_server as http_front
 from orchidlane.gateway.server.http_server import Front
 from orchidlane.gateway.server.resp_server import RespFront, Session
-from orchidlane.gateway.telemetry.admin_api import Admin, Names
-from orchidlane.gateway.telemetry.metrics import Metrics
-from orchidlane.gateway.telemetry.traffic_recorder import Recorder
+from orchidlane.gateway.telemetry.admin_api import AdminApi, AdminSources
+from orchidlane.gateway.telemetry.counters import Gauge
+from orchidlane.gateway.telemetry.metrics import MetricsPage
+from orchidlane.gateway.telemetry.policy_host import PolicyNames
+from orchidlane.gateway.telemetry.traffic_recorder import TrafficRecorder
 from orchidlane.hot_restart import messages, new_process, old_process
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording import track_accounts
@@ -73,7 +76,7 @@
         self.sources: tuple[bytes, bytes] | None = None  # what our files say
         self.versions = Versions(self) if fleet.change.voters else None
         self.knowledge = knowledge or self._first_knowledge(1)
-        self.metrics = Metrics()
+        self.metrics = MetricsPage()
         self.stopping = False
         self.ready = False
         self.quiet = False  # peers hear of another process in our place
@@ -184,24 +187,24 @@
         upstream.host = self.host
         self.front = Front(self.loop, self.fleet, self.host, clients, scope)
         self.metrics.gauges = {
-            "connections": ("Clients' connections", lambda: len(self.front.connections)),
-            "open_requests": ("Requests under way", lambda: len(self.host.exchanges)),
-            "nodes": ("Nodes on the list", lambda: len(self.tracker.nodes)),
-            "longest_turn_seconds": ("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
+            "connections": Gauge("Clients' connections", lambda: len(self.front.connections)),
+            "open_requests": Gauge("Requests under way", lambda: len(self.host.exchanges)),
+            "nodes": Gauge("Nodes on the list", lambda: len(self.tracker.nodes)),
+            "longest_turn_seconds": Gauge("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
         }
         self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, self.tell_limits)
         self.resp = RespFront(self.loop, self.fleet, self.limits, lambda: self.knowledge, scope, why_not)
-        self.admin = Admin(
-            self.loop,
-            self.entry.name,
-            self.host,
-            self.metrics,
-            lambda: self.knowledge,
-            self.about,
-            lambda: self.ready and not self.stopping and not why_not(),
-            self.names,
-            Desk(self.versions) if self.versions is not None else None,
+        sources = AdminSources(
+            gateway_name=self.entry.name,
+            host=self.host,
+            metrics=self.metrics,
+            find_customer=self._find_customer,
+            describe_moment=self.about,
+            is_healthy=lambda: self.ready and not self.stopping and not why_not(),
+            names=self.names,
         )
+        rollout = Desk(self.versions) if self.versions is not None else None
+        self.admin = AdminApi(self.loop, sources, rollout)
         cache = f"{self.fleet.state}/{self.entry.name}.nodes.json" if self.fleet.state else ""
         self.watch = Watch(self.loop, self.fleet, self.tracker, self.entry.name, cache, self._listed)
 
@@ -260,7 +263,7 @@
         self.loop.cancel(self._hearing)
         if self.versions is not None:
             self.versions.stop()
-        self.admin.hold()
+        self.admin.stop_accepting()
         self.front.hold(pass_http)
         if "resp" in self.places:
             self.resp.hold(pass_resp)
@@ -277,9 +280,14 @@
         if "resp" in self.places:
             self.resp.resume()
 
-    def names(self) -> Names:
+    def _find_customer(self, word: bytes) -> Customer | None:
+        """The customer of a name, a number or a key."""
+        customers = self.knowledge.customers
+        return customers.named(word) or customers.numbered(word)
+
+    def names(self) -> PolicyNames:
         """The names that a state's numbers stand for: classes, plans."""
-        return self.knowledge.generation.class_names, tuple(self.fleet.plans)
+        return PolicyNames(self.knowledge.generation.class_names, tuple(self.fleet.plans))
 
     def about(self) -> dict[str, Any]:
         """What a state is told to be of: which moment of which life, and the generations it goes by."""
@@ -296,9 +304,11 @@
         }
 
     def _record(self, scope: Scope, folder: str) -> None:
-        recorder = Recorder(self.loop, folder, self.entry.name, self.host, self.names(), self.log, self.about)
+        recorder = TrafficRecorder(
+            self.loop, folder, self.entry.name, self.host, self.names(), self.log, self.about
+        )
         self.host.recorder = recorder
-        scope.spawn(recorder.work, kind=BACKGROUND, name="recorder")
+        scope.spawn(recorder.run, kind=BACKGROUND, name="recorder")
 
     def _until_drained(self) -> None:
         """Wait for ``stop``, then until all is answered or the time for it is over."""
@@ -360,7 +370,7 @@
         if self.quiet:
             return
         self.sequence += 1
-        self.metrics.told += 1
+        self.metrics.datagrams_sent += 1
         sealed = encode_datagram(self.secret, self.rank, rank, self.incarnation, self.sequence, body, kind)
         self.places["peer"].send(sealed, self.peers[rank])
 
@@ -370,7 +380,7 @@
             data, _ = datagrams.recv()
             taken = self.inbox.accept(self.loop.now(), data[: MAX_DATAGRAM_BYTES + 1])
             if taken is not None:
-                self.metrics.heard += 1
+                self.metrics.datagrams_received += 1
                 kind, sender, body = taken
                 if kind == DatagramKind.POLICY:
                     self.host.feed(policy.PeerMessageReceived(sender, body))
--- a/orchidlane/gateway/telemetry/admin_api.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -1,214 +1,207 @@
 """The admin address: health, metrics, and what the gateway knows, for tools.
 
-What is asked of the whole state is answered from a ``Snapshot``, in pages and only as fast as the tool reads,
-so that neither its size nor a tool that hangs holds the loop up. One such answer at a time, within
-``STATE_WITHIN``; accounts that are touched meanwhile are kept as they were, which bounds the memory by one
-row for each account.
+Queries for the complete state are answered from a ``Snapshot``, in pages and only as fast as the tool reads,
+so that neither its size nor a tool that hangs holds the loop up. One such response at a time, within
+``STATE_TIMEOUT_US``; accounts that are accessed meanwhile are kept as they were, which bounds the memory by
+one row for each account.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
-from typing import Any, Protocol
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, NamedTuple, Protocol
 from urllib.parse import unquote_to_bytes
 
-from orchidlane import http1, recording
-from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane import http1
 from orchidlane.gateway.control.customers import Customer
-from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.gateway.server.accept_loop import accept_clients
-from orchidlane.gateway.telemetry.metrics import Metrics
-from orchidlane.gateway.telemetry.policy_views import make_view
+from orchidlane.gateway.telemetry.metrics import MetricsPage
+from orchidlane.gateway.telemetry.policy_host import PolicyHost, PolicyNames
+from orchidlane.gateway.telemetry.policy_views import ViewedCustomer, encode_view
+from orchidlane.gateway.telemetry.state_stream import StateStream
 from orchidlane.http1 import Data, End, Malformed, Request
 from orchidlane.runtime import BACKGROUND, Closed, Expired, Listener, Loop, Scope, Stream, Task
 
-PATIENCE = 5_000_000  # microseconds for a question, and for each piece of an answer to be taken
-STATE_WITHIN = 30_000_000  # microseconds for the whole state to be read
-CALLS_MOST = 16  # to the desk at once: each may hold a content
-DESK = b"/change/"
-Names = tuple[tuple[str, ...], tuple[str, ...]]  # classes, plans
+IO_TIMEOUT_US = 5_000_000  # for a request, and for each piece of a response to be taken
+STATE_TIMEOUT_US = 30_000_000  # for the complete state to be read
+MAX_ROLLOUT_CALLS = 16  # at once: each may hold a content
+ROLLOUT_PREFIX = b"/change/"
+SIGNATURE_HEADER = b"orchidlane-seal"
 
 
-class Desk(Protocol):
-    """Answers sealed calls about the fleet's versions."""
+class RolloutApi(Protocol):
+    """Answers signed calls about the fleet's versions."""
 
-    body_most: int  # bytes
+    max_body_bytes: int
 
     def answer(self, method: str, target: bytes, seal: bytes | None, body: bytes) -> tuple[int, bytes]:
-        """Status and body of one call."""
+        """Return status and body for one call."""
 
 
-class StateFrames:
-    """A segment's head as of now, and the frames of its accounts, each made when it is asked for.
+@dataclass(frozen=True)
+class AdminSources:
+    """Where the admin API reads what it serves."""
 
-    ``close`` it where not all are wanted.
-    """
+    gateway_name: str
+    host: PolicyHost
+    metrics: MetricsPage
+    find_customer: Callable[[bytes], Customer | None]  # by name, number or key
+    describe_moment: Callable[[], dict[str, Any]]
+    is_healthy: Callable[[], bool]
+    names: Callable[[], PolicyNames]
 
-    def __init__(
-        self, host: Host, name: str, life: int, number: int, names: Names, about: dict[str, Any]
-    ) -> None:
-        self._loop = host.loop
-        self._snapshot = recording.Snapshot(host.rules)
-        self._pages = self._snapshot.pages()
-        self._done = False
-        header = recording.Header(
-            format=recording.FORMAT_VERSION,
-            build=recording.build_name(),
-            gateway=name,
-            started_at_us=life,
-            number=number,
-            settings=recording.settings_to_stored(host.settings),
-            state=self._snapshot.state,
-            class_names=names[0],
-            plan_names=names[1],
-            context=about,
-        )
-        self.head = recording.pack_header(header)
-
-    def __iter__(self) -> Iterator[bytes]:
-        return self
-
-    def __next__(self) -> bytes:
-        if self._done:
-            raise StopIteration
-        rows = next(self._pages, [])
-        self._done = not rows
-        return recording.pack_account_page(self._loop.now(), rows, last=self._done)
-
-    def close(self) -> None:
-        """No more frames are wanted."""
-        self._done = True
-        self._snapshot.close()
-
-
-class Admin:
-    """Answers at the admin address of one gateway."""
-
-    def __init__(
-        self,
-        loop: Loop,
-        name: str,
-        host: Host,
-        metrics: Metrics,
-        knowledge: Callable[[], Knowledge],
-        about: Callable[[], dict[str, Any]],
-        healthy: Callable[[], bool],
-        names: Callable[[], Names],
-        desk: Desk | None = None,
-    ) -> None:
+
+class _Response(NamedTuple):
+    """Status and body."""
+
+    status: int
+    body: bytes
+
+
+class AdminApi:
+    """Serves the admin address of one gateway."""
+
+    def __init__(self, loop: Loop, sources: AdminSources, rollout: RolloutApi | None = None) -> None:
         self.loop = loop
-        self.desk = desk
-        self.name = name
-        self.host = host
-        self.metrics = metrics
-        self.knowledge = knowledge
-        self.about = about
-        self.healthy = healthy
-        self.names = names
-        self.telling = False  # the whole state, to someone
+        self.sources = sources
+        self.rollout = rollout
+        self.is_sending_state = False
         self._accepting: Task | None = None
-        self._calls = 0
+        self._rollout_calls = 0
 
     def listen(self, listener: Listener, scope: Scope) -> None:
-        """Take questions from a listener, as background work."""
+        """Accept connections of a listener, as background work."""
 
-        def take(stream: Stream) -> None:
+        def serve(stream: Stream) -> None:
             scope.spawn(self._serve, stream, kind=BACKGROUND, name="admin")
 
         self._accepting = scope.spawn(
-            accept_clients, self.loop, listener, take, kind=BACKGROUND, name="admin"
+            accept_clients, self.loop, listener, serve, kind=BACKGROUND, name="admin"
         )
 
-    def hold(self) -> None:
-        """Take no more questions, which wait at the listener."""
+    def stop_accepting(self) -> None:
+        """Accept no more connections; they wait at the listener."""
         if self._accepting is not None:
             self.loop.cancel(self._accepting)
 
     def _serve(self, stream: Stream) -> None:
-        parser, by = http1.RequestParser(), self.loop.now() + PATIENCE
         try:
-            while (event := parser.next_event()) is None:
-                parser.receive(stream.recv(deadline=by))
-                if parser.ended:
-                    return
-            assert isinstance(event, Request)
-            if event.target.startswith(DESK) and self.desk is not None:
-                self._call(stream, parser, event, self.desk)
-            elif event.target == b"/state" and not self.telling:
-                self._tell_state(stream)
+            parser = http1.RequestParser()
+            request = self._read_request(stream, parser)
+            if request is None:
+                return
+            if request.target.startswith(ROLLOUT_PREFIX) and self.rollout is not None:
+                self._serve_rollout_call(stream, parser, request, self.rollout)
+            elif request.target == b"/state" and not self.is_sending_state:
+                self._send_state(stream)
             else:
-                self._tell(stream, *self._answer(event.target))
+                self._send(stream, self._answer(request.target))
         except (Closed, Expired, Malformed):
             pass
         finally:
             stream.close()
 
-    def _call(self, stream: Stream, parser: http1.RequestParser, head: Request, desk: Desk) -> None:
-        """A call to the desk, within its bounds."""
-        if self._calls >= CALLS_MOST or (head.length is not None and head.length > desk.body_most):
-            return self._tell(stream, 503, b"too many calls, or one that is too large\n")
-        self._calls += 1
+    def _read_request(self, stream: Stream, parser: http1.RequestParser) -> Request | None:
+        """Read the head of a request; None where the client ended before."""
+        deadline = self.loop.now() + IO_TIMEOUT_US
+        while (event := parser.next_event()) is None:
+            parser.receive(stream.recv(deadline=deadline))
+            if parser.ended:
+                return None
+        assert isinstance(event, Request)
+        return event
+
+    def _serve_rollout_call(
+        self, stream: Stream, parser: http1.RequestParser, head: Request, rollout: RolloutApi
+    ) -> None:
+        """Serve a call about the fleet's versions, within its bounds."""
+        too_large = head.length is not None and head.length > rollout.max_body_bytes
+        if self._rollout_calls >= MAX_ROLLOUT_CALLS or too_large:
+            self._send(stream, _Response(503, b"too many calls, or one that is too large\n"))
+            return
+        self._rollout_calls += 1
         try:
-            body, by = bytearray(), self.loop.now() + STATE_WITHIN
-            while not isinstance(event := parser.next_event(), End):
-                if isinstance(event, Data):
-                    body += event.data
-                    if len(body) > desk.body_most:
-                        return self._tell(stream, 413, b"too large\n")
-                elif event is None:
-                    parser.receive(stream.recv(deadline=min(by, self.loop.now() + PATIENCE)))
-                    if parser.ended:
-                        return None
-            seal = http1.header(head.headers, b"orchidlane-seal")
-            self._tell(stream, *desk.answer(head.method, head.target, seal, bytes(body)))
+            body = self._read_body(stream, parser, rollout.max_body_bytes)
+            if body is None:
+                return
+            if len(body) > rollout.max_body_bytes:
+                self._send(stream, _Response(413, b"too large\n"))
+                return
+            signature = http1.header(head.headers, SIGNATURE_HEADER)
+            self._send(stream, _Response(*rollout.answer(head.method, head.target, signature, body)))
         finally:
-            self._calls -= 1
-
-    def _tell(self, stream: Stream, status: int, body: bytes) -> None:
-        kind = (b"content-type", b"text/plain; charset=utf-8")
-        length = (b"content-length", b"%d" % len(body))
-        head = http1.response_head(status, [kind, length, (b"connection", b"close")])
-        stream.send(head + body, self.loop.now() + STATE_WITHIN)
-
-    def _answer(self, target: bytes) -> tuple[int, bytes]:
+            self._rollout_calls -= 1
+
+    def _read_body(self, stream: Stream, parser: http1.RequestParser, max_bytes: int) -> bytes | None:
+        """Read a body up to its end or beyond ``max_bytes``; None where the client ended before."""
+        body = bytearray()
+        deadline = self.loop.now() + STATE_TIMEOUT_US
+        while not isinstance(event := parser.next_event(), End):
+            if isinstance(event, Data):
+                body += event.data
+                if len(body) > max_bytes:
+                    break
+            elif event is None:
+                parser.receive(stream.recv(deadline=min(deadline, self.loop.now() + IO_TIMEOUT_US)))
+                if parser.ended:
+                    return None
+        return bytes(body)
+
+    def _send(self, stream: Stream, response: _Response) -> None:
+        headers = [
+            (b"content-type", b"text/plain; charset=utf-8"),
+            (b"content-length", b"%d" % len(response.body)),
+            (b"connection", b"close"),
+        ]
+        head = http1.response_head(response.status, headers)
+        stream.send(head + response.body, self.loop.now() + STATE_TIMEOUT_US)
+
+    def _answer(self, target: bytes) -> _Response:
         if target == b"/metrics":
-            return 200, self.metrics.page()
+            return _Response(200, self.sources.metrics.render())
         if target == b"/health":
-            return (200, b"ready\n") if self.healthy() else (503, b"draining\n")
+            return _Response(200, b"ready\n") if self.sources.is_healthy() else _Response(503, b"draining\n")
         if target == b"/state":
-            return 503, b"the state is being told to another; one at a time\n"
+            return _Response(503, b"the state is being told to another; one at a time\n")
         if target.partition(b"?")[0] == b"/view":
-            return self._view(target)
-        return 404, b"try /metrics, /health, /state or /view\n"
+            return self._answer_view(target)
+        return _Response(404, b"try /metrics, /health, /state or /view\n")
 
-    def _view(self, target: bytes) -> tuple[int, bytes]:
-        """What tools ask: hosts, and one customer by its name, number or key."""
-        customer = None
+    def _answer_view(self, target: bytes) -> _Response:
+        """Answer with the endpoints, and one customer by its name, number or key."""
+        viewed = None
         if b"?customer=" in target:
-            found = self._find(unquote_to_bytes(target.partition(b"?customer=")[2]))
-            if found is None:
-                return 404, b"no customer has this name, number or key\n"
-            customer = found.number, found.plan, found.set_first, found.set_size
-        made = make_view(self.host.rules, self.name, self.loop.now(), self.names(), customer)
-        return 200, made
-
-    def _find(self, word: bytes) -> Customer | None:
-        customers = self.knowledge().customers
-        return customers.named(word) or customers.numbered(word)
-
-    def _tell_state(self, stream: Stream) -> None:
-        self.telling = True
+            customer = self.sources.find_customer(unquote_to_bytes(target.partition(b"?customer=")[2]))
+            if customer is None:
+                return _Response(404, b"no customer has this name, number or key\n")
+            viewed = ViewedCustomer(customer.number, customer.plan, customer.set_first, customer.set_size)
+        host = self.sources.host
+        names = self.sources.names()
+        return _Response(
+            200, encode_view(host.rules, self.sources.gateway_name, self.loop.now(), names, viewed)
+        )
+
+    def _send_state(self, stream: Stream) -> None:
+        self.is_sending_state = True
         now = self.loop.now()
-        by = now + STATE_WITHIN
-        frames = StateFrames(self.host, self.name, now, 0, self.names(), self.about())
-        fields = [(b"content-type", b"application/octet-stream"), (b"transfer-encoding", b"chunked")]
-        part = http1.response_head(200, [*fields, (b"connection", b"close")]) + http1.chunk(frames.head)
+        deadline = now + STATE_TIMEOUT_US
+        sources = self.sources
+        state = StateStream(
+            sources.host, sources.gateway_name, now, 0, sources.names(), sources.describe_moment()
+        )
+        headers = [
+            (b"content-type", b"application/octet-stream"),
+            (b"transfer-encoding", b"chunked"),
+            (b"connection", b"close"),
+        ]
+        data = http1.response_head(200, headers) + http1.chunk(state.header)
         try:
-            for page in frames:
-                stream.send(part, min(by, self.loop.now() + PATIENCE))
-                part = http1.chunk(page)
+            for page in state:
+                stream.send(data, min(deadline, self.loop.now() + IO_TIMEOUT_US))
+                data = http1.chunk(page)
                 self.loop.give_way()
-            stream.send(part + http1.last_chunk(), min(by, self.loop.now() + PATIENCE))
+            stream.send(data + http1.last_chunk(), min(deadline, self.loop.now() + IO_TIMEOUT_US))
         finally:
-            frames.close()
-            self.telling = False
+            state.close()
+            self.is_sending_state = False
--- a/orchidlane/gateway/telemetry/counters.py
+++ b/orchidlane/gateway/telemetry/counters.py
@@ -1,36 +1,44 @@
-"""Counts of what the gateway does: plain numbers."""
+"""Counters of what the gateway does: plain numbers."""
 
 from __future__ import annotations
 
 from bisect import bisect_left
 from collections import Counter
 from collections.abc import Callable
+from typing import NamedTuple
 
 from orchidlane import policy
 
-BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)  # seconds
-LIMITS = [int(bound * 1_000_000) for bound in BUCKETS]
+BUCKET_BOUNDS_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
+BUCKET_BOUNDS_US = [int(bound * 1_000_000) for bound in BUCKET_BOUNDS_SECONDS]
 
 
-class Counts:
-    """The counts of one gateway; ``gauges`` are read when somebody asks."""
+class Gauge(NamedTuple):
+    """A value that is read when somebody asks."""
+
+    help_text: str
+    read: Callable[[], float]
+
+
+class GatewayCounters:
+    """The counters of one gateway; ``gauges`` are read when somebody asks."""
 
     def __init__(self) -> None:
-        self.answers: Counter[tuple[str, str]] = Counter()
+        self.responses: Counter[tuple[str, str]] = Counter()  # by kind and request class
         self.outcomes: Counter[str] = Counter()
         self.malformed = 0
-        self.told = 0
-        self.heard = 0
-        self.gauges: dict[str, tuple[str, Callable[[], float]]] = {}
-        self.buckets = [0] * (len(BUCKETS) + 1)
-        self.spent = 0  # microseconds until the answers
-
-    def answer(self, kind: str, class_name: str, span: int) -> None:
-        """One final answer, so many microseconds after the request's first byte."""
-        self.answers[kind, class_name] += 1
-        self.buckets[bisect_left(LIMITS, span)] += 1
-        self.spent += span
-
-    def outcome(self, outcome: policy.Outcome) -> None:
-        """One attempt ended."""
+        self.datagrams_sent = 0
+        self.datagrams_received = 0
+        self.gauges: dict[str, Gauge] = {}
+        self.buckets = [0] * (len(BUCKET_BOUNDS_SECONDS) + 1)
+        self.total_duration_us = 0  # of all responses
+
+    def count_response(self, kind: str, class_name: str, duration_us: int) -> None:
+        """Count one final response; its duration is from the request's first byte."""
+        self.responses[kind, class_name] += 1
+        self.buckets[bisect_left(BUCKET_BOUNDS_US, duration_us)] += 1
+        self.total_duration_us += duration_us
+
+    def count_outcome(self, outcome: policy.Outcome) -> None:
+        """Count one attempt that ended."""
         self.outcomes[outcome._value_] += 1  # hashing the member itself is slow
--- /dev/null
+++ b/orchidlane/gateway/telemetry/policy_host.py
@@ -0,0 +1,24 @@
+"""What telemetry needs of the policy's host; owned here, so that telemetry does not import forwarding."""
+
+from __future__ import annotations
+
+from typing import NamedTuple, Protocol
+
+from orchidlane import policy
+from orchidlane.policy.gateway import Gateway
+from orchidlane.runtime import Loop
+
+
+class PolicyHost(Protocol):
+    """The running policy with its settings and the loop that it runs on."""
+
+    loop: Loop
+    settings: policy.Settings
+    rules: Gateway
+
+
+class PolicyNames(NamedTuple):
+    """The names that the numbers of a state stand for."""
+
+    classes: tuple[str, ...]
+    plans: tuple[str, ...]
--- /dev/null
+++ b/orchidlane/gateway/telemetry/state_stream.py
@@ -0,0 +1,58 @@
+"""The complete state of a running policy as a stream of frames."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import Any
+
+from orchidlane import recording
+from orchidlane.gateway.telemetry.policy_host import PolicyHost, PolicyNames
+
+
+class StateStream:
+    """A segment's header as of now, and the frames of its accounts, each made when it is asked for.
+
+    ``close`` it where not all are wanted.
+    """
+
+    def __init__(
+        self,
+        host: PolicyHost,
+        gateway_name: str,
+        started_at_us: int,
+        number: int,
+        names: PolicyNames,
+        context: dict[str, Any],
+    ) -> None:
+        self._loop = host.loop
+        self._snapshot = recording.Snapshot(host.rules)
+        self._pages = self._snapshot.pages()
+        self._done = False
+        header = recording.Header(
+            format=recording.FORMAT_VERSION,
+            build=recording.build_name(),
+            gateway=gateway_name,
+            started_at_us=started_at_us,
+            number=number,
+            settings=recording.settings_to_stored(host.settings),
+            state=self._snapshot.state,
+            class_names=names.classes,
+            plan_names=names.plans,
+            context=context,
+        )
+        self.header = recording.pack_header(header)
+
+    def __iter__(self) -> Iterator[bytes]:
+        return self
+
+    def __next__(self) -> bytes:
+        if self._done:
+            raise StopIteration
+        rows = next(self._pages, [])
+        self._done = not rows
+        return recording.pack_account_page(self._loop.now(), rows, last=self._done)
+
+    def close(self) -> None:
+        """Drop the remaining frames."""
+        self._done = True
+        self._snapshot.close()
--- a/orchidlane/gateway/telemetry/traffic_recorder.py
+++ b/orchidlane/gateway/telemetry/traffic_recorder.py
@@ -1,8 +1,9 @@
-"""Writes what the module was told and answered into rotating segments.
- Entries gather in memory and are written together, so a crash loses at most ``EVERY`` or ``BUFFER`` of
-them. The state that a segment begins with is that of one moment between two events; its accounts follow in
-pages, a few at a time, while the gateway goes on (``record.Snapshot``). A disk that fails ends the recording
-and nothing else.
+"""Writes what the policy received and decided into rotating segments.
+
+Entries gather in memory and are written together, so a crash loses at most ``WRITE_INTERVAL_US`` or
+``MAX_BUFFER_BYTES`` of them. The state that a segment begins with is that of one moment between two events;
+its accounts follow in pages, a few at a time, while the gateway goes on (``recording.Snapshot``). A disk that
+fails ends the recording and nothing else.
 """
 
 from __future__ import annotations
@@ -11,110 +12,116 @@
 from typing import Any
 
 from orchidlane import policy, recording
-from orchidlane.gateway.forwarding.policy_driver import Host
-from orchidlane.gateway.telemetry.admin_api import Names, StateFrames
+from orchidlane.gateway.telemetry.policy_host import PolicyHost, PolicyNames
+from orchidlane.gateway.telemetry.state_stream import StateStream
 from orchidlane.recording.segments import SEGMENT_SUFFIX, pack_response
 from orchidlane.runtime import Loop
 
-EVERY = 100_000  # microseconds between two writes
-BUFFER = 1 << 18  # bytes: written at once
-SEGMENT = 16 << 20  # bytes of one segment
-PAGE_EVERY = 2_000  # microseconds between two pages of a state
-KEEP = 64  # segments of one gateway; the oldest goes
+WRITE_INTERVAL_US = 100_000
+MAX_BUFFER_BYTES = 1 << 18  # written at once
+MAX_SEGMENT_BYTES = 16 << 20
+PAGE_INTERVAL_US = 2_000  # between two pages of a state
+MAX_SEGMENTS = 64  # of one gateway; the oldest is removed
 
 
-class Recorder:
-    """One gateway's record in a folder; give its ``event`` and ``answer`` to the host."""
+class TrafficRecorder:
+    """One gateway's record in a folder."""
 
     def __init__(
         self,
         loop: Loop,
         folder: str,
-        name: str,
-        host: Host,
-        names: Names,
+        gateway_name: str,
+        host: PolicyHost,
+        names: PolicyNames,
         log: Any,
-        about: Callable[[], dict[str, Any]],
+        describe_moment: Callable[[], dict[str, Any]],
     ) -> None:
         self.loop = loop
         self.folder = folder
-        self.name = name
+        self.gateway_name = gateway_name
         self.host = host
         self.names = names
         self.log = log
-        self.about = about
-        self.life = loop.now()
-        self.number = -1
+        self.describe_moment = describe_moment
+        self.started_at_us = loop.now()
+        self.number = -1  # of the current segment
         self.path = ""
         self.failed = False
         self._buffer = bytearray()
-        self._size = 0
-        self._state: StateFrames  # that the segment began with
+        self._segment_bytes = 0
+        self._state: StateStream  # that the segment began with
         self._rotate()
 
-    def event(self, now: int, event: policy.Event, actions: list[policy.Action]) -> None:
-        """One event with the module's actions."""
+    def record_event(self, now: int, event: policy.Event, actions: list[policy.Action]) -> None:
+        """Record one event with the policy's actions."""
         if not self.failed:
             self._buffer += recording.pack_entry(now, event, actions)
-            self._check()
+            self._flush_if_full()
 
-    def answer(self, request: int, status: int, kind: str, span: int) -> None:
-        """What a client was answered, so many microseconds after its first byte."""
+    def record_response(self, request: int, status: int, kind: str, duration_us: int) -> None:
+        """Record what a client was answered; the duration is from the request's first byte."""
         if not self.failed:
-            self._buffer += pack_response(self.loop.now(), request, status, kind, span)
-            self._check()
-
-    def _check(self) -> None:
-        if len(self._buffer) >= BUFFER:
-            self.flush()
+            self._buffer += pack_response(self.loop.now(), request, status, kind, duration_us)
+            self._flush_if_full()
 
-    def work(self) -> None:
-        """Background work: write now and then; begin a new segment between two events when one is full."""
+    def run(self) -> None:
+        """Write at intervals, and begin a new segment between two events when one is full; never returns."""
         while True:
-            self.loop.sleep(EVERY)
+            self.loop.sleep(WRITE_INTERVAL_US)
             self.flush()
-            self._go_on_with_state()
-            if self._size >= SEGMENT and not self.failed:
+            self._write_state_pages()
+            if self._segment_bytes >= MAX_SEGMENT_BYTES and not self.failed:
                 self._rotate()
 
-    def _go_on_with_state(self) -> None:
-        for page in self._state:
-            self._buffer += page
-            self._check()
-            self.loop.sleep(PAGE_EVERY)
-            if self.failed:
-                break
-
     def finish(self) -> None:
-        """The gateway ends: write what has gathered, and the rest of the state."""
+        """Write what has gathered and the rest of the state, as the gateway ends."""
         self._buffer += b"".join(self._state)
         self.flush()
 
     def flush(self) -> None:
         """Write what has gathered."""
         if self._buffer and not self.failed:
-            data, self._buffer = bytes(self._buffer), bytearray()
-            self._size += len(data)
+            data = bytes(self._buffer)
+            self._buffer = bytearray()
+            self._segment_bytes += len(data)
             self._write(data)
 
+    def _flush_if_full(self) -> None:
+        if len(self._buffer) >= MAX_BUFFER_BYTES:
+            self.flush()
+
+    def _write_state_pages(self) -> None:
+        for page in self._state:
+            self._buffer += page
+            self._flush_if_full()
+            self.loop.sleep(PAGE_INTERVAL_US)
+            if self.failed:
+                break
+
     def _rotate(self) -> None:
         self.number += 1
-        self.path = f"{self.folder}/{self.name}-{self.life:x}-{self.number:06}{SEGMENT_SUFFIX}"
-        self._state = StateFrames(self.host, self.name, self.life, self.number, self.names, self.about())
-        head = self._state.head
+        self.path = self._segment_path(self.number)
+        self._state = StateStream(
+            self.host, self.gateway_name, self.started_at_us, self.number, self.names, self.describe_moment()
+        )
+        data = self._state.header
         if not self.host.rules.accounts:
-            head += b"".join(self._state)  # whole from the start, however soon a crash comes
-        self._size = 0
-        self._write(head)
-        old = self.number - KEEP
-        if old >= 0:
-            self.loop.world.remove_file(f"{self.folder}/{self.name}-{self.life:x}-{old:06}{SEGMENT_SUFFIX}")
+            data += b"".join(self._state)  # complete from the start, however soon a crash comes
+        self._segment_bytes = 0
+        self._write(data)
+        oldest = self.number - MAX_SEGMENTS
+        if oldest >= 0:
+            self.loop.world.remove_file(self._segment_path(oldest))
+
+    def _segment_path(self, number: int) -> str:
+        return f"{self.folder}/{self.gateway_name}-{self.started_at_us:x}-{number:06}{SEGMENT_SUFFIX}"
 
     def _write(self, data: bytes) -> None:
         try:
             self.loop.world.append_file(self.path, data)
-        except OSError as wrong:
+        except OSError as error:
             self.failed = True
             self._state.close()
             self._buffer.clear()
-            self.log.error("recording ended", why=str(wrong))
+            self.log.error("recording ended", why=str(error))  # noqa: TRY400  a full disk needs no traceback
--- a/orchidlane/platform/lifecycle.py
+++ b/orchidlane/platform/lifecycle.py
@@ -19,7 +19,7 @@
 from orchidlane.gateway.forwarding.connection_pool import Upstream
 from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.gateway.server.http_server import Front
-from orchidlane.gateway.telemetry.counters import Counts
+from orchidlane.gateway.telemetry.counters import GatewayCounters
 from orchidlane.platform.configuration import Config, ConfigError, parse
 from orchidlane.platform.discovery import ListRefused, Tracker, Watch
 from orchidlane.platform.polling import retry_interval
@@ -97,7 +97,9 @@
         upstream = Upstream(
             loop, terms, scope, PlatformNodes(self.tracker, config.settings.load_report_names)
         )
-        self.host = Host(loop, config.settings, rules, Counts(), self.clients, upstream.begin, self._tell)
+        self.host = Host(
+            loop, config.settings, rules, GatewayCounters(), self.clients, upstream.begin, self._tell
+        )
         upstream.host = self.host
         self.pool = upstream.pool
         self.front = Front(loop, terms, self.host, self.clients, scope)
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -29,6 +29,7 @@
 from orchidlane.gateway.peers import datagrams, query_exchange, token_messages, token_requests
 from orchidlane.gateway.rollout_agent import admin_api, agent, storage
 from orchidlane.gateway.telemetry import policy_views
+from orchidlane.gateway.telemetry.policy_host import PolicyNames
 from orchidlane.hot_restart import messages as restart_messages
 from orchidlane.hot_restart import rolling_upgrade
 from orchidlane.hot_restart.probation import Answers
@@ -174,9 +175,9 @@
     )
 
 
-def golden_view() -> policy_views.View:
+def golden_view() -> policy_views.PolicyView:
     """What a gateway tells tools of itself and one customer."""
-    return policy_views.View(
+    return policy_views.PolicyView(
         format=1,
         build=BUILD,
         gateway="gateway-1",
@@ -185,7 +186,7 @@
         state=golden_state(),
         class_names=CLASS_NAMES,
         plan_names=PLAN_NAMES,
-        customer=(7, 2, 1, 3),
+        customer=policy_views.ViewedCustomer(7, 2, 1, 3),
     )
 
 
@@ -530,7 +531,7 @@
         ),
         entry=SimpleNamespace(name="gateway-1"),
         incarnation=T0 - 1_000_000,
-        names=lambda: (CLASS_NAMES, PLAN_NAMES),
+        names=lambda: PolicyNames(CLASS_NAMES, PLAN_NAMES),
         about=lambda: about,
         quiet=False,
         stopping=False,
@@ -827,7 +828,7 @@
 def test_a_golden_view_is_read_as_its_values():
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(recording, "build_name", lambda: BUILD)
-        assert policy_views.read_view(golden("view.msgpack")) == golden_view()
+        assert policy_views.decode_view(golden("view.msgpack")) == golden_view()
 
 
 # Nodes and rolls
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -17,6 +17,9 @@
 
 from orchidlane import policy, recording
 from orchidlane.cli.main import main
+from orchidlane.gateway.telemetry.policy_host import PolicyNames
+from orchidlane.gateway.telemetry.policy_views import ViewedCustomer, decode_view, encode_view
+from orchidlane.gateway.telemetry.predictions import predict_request
 from orchidlane.policy import EndpointState, Outcome
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.gossip_codec import CustomerRow, pack, pack_row
@@ -373,7 +376,6 @@
 
 def test_a_view_tells_the_decision_that_follows():
     """Thousands of next requests, foretold by a copy and then really made."""
-    from orchidlane.gateway.telemetry.policy_views import make_view, next_request, read_view
 
     compared = 0
     for seed in range(20):
@@ -384,10 +386,10 @@
             gateway: Gateway = story.bench.gateway
             if customer in gateway.accounts:
                 plan = gateway.accounts[customer].plan
-            who = (customer, plan, 0, 3)
-            names = (tuple("abcde"), tuple("pqrs"))
-            view = read_view(make_view(gateway, "g", story.bench.now, names, who))
-            foretold = next_request(view, 0, 1.0)
+            who = ViewedCustomer(customer, plan, 0, 3)
+            names = PolicyNames(tuple("abcde"), tuple("pqrs"))
+            view = decode_view(encode_view(gateway, "g", story.bench.now, names, who))
+            foretold = predict_request(view, 0, 1.0)
             story.number += 1
             story.tell(policy.RequestArrived(story.number, *who[:2], 0, 1.0, 2 * SECOND, 0, 3, False))
             actions = story.log[-1][2]
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -22,7 +22,7 @@
 
 import orchidlane
 from orchidlane import policy, recording
-from orchidlane.gateway.telemetry.policy_views import plan_counts
+from orchidlane.gateway.telemetry.plan_counts import count_by_plan
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import Loop, SimWorld
 from orchidlane.simulation.backends import SimulatedBacking
@@ -107,11 +107,11 @@
     whole, cut = tmp_path / "whole.olr", tmp_path / "cut.olr"
     save(story, whole)
     data = whole.read_bytes()
-    assert plan_counts(recording.SegmentReader(str(whole)), 3)["p"].customers > 0
+    assert count_by_plan(recording.SegmentReader(str(whole)), 3)["p"].customers > 0
     for size in range(len(data)):
         cut.write_bytes(data[:size])
         with pytest.raises(recording.TruncatedHeaderError):
-            plan_counts(recording.SegmentReader(str(cut)), 3)
+            count_by_plan(recording.SegmentReader(str(cut)), 3)
     assert run("counts", str(cut), "--plan", "p")[0] == 2
 
 
@@ -123,17 +123,17 @@
     save(story, path, touch=0)
     now, gateway = story.bench.now, story.bench.gateway
     gateway.now = now
-    found = plan_counts(recording.SegmentReader(str(path)), 2)
+    found = count_by_plan(recording.SegmentReader(str(path)), 2)
     for plan, name in enumerate(NAMES[1]):
         accounts = [one for one in gateway.accounts.values() if one.plan == plan]
         for account in accounts:
             gateway._lift(account)
         if accounts:
             assert found[name].spent == pytest.approx(sum(one.spent_total for one in accounts))
-            assert found[name].room == pytest.approx(sum(one.remaining for one in accounts))
+            assert found[name].remaining == pytest.approx(sum(one.remaining for one in accounts))
             burst = gateway.settings.plans[plan].burst
             shares = sorted((one.remaining / burst, one.customer) for one in accounts)
-            assert found[name].pressed == [pytest.approx(pair) for pair in shares[:2]]
+            assert found[name].nearest_to_limit == [pytest.approx(pair) for pair in shares[:2]]
 
 
 # Against a gateway
@@ -174,7 +174,7 @@
         hung = house.world.connect(("127.0.0.1", 8280))
         hung.send(b"GET /state HTTP/1.1\r\nHost: a\r\n\r\n")
         house.loop.sleep(100 * MS)
-        assert house.program.admin.telling
+        assert house.program.admin.is_sending_state
         assert ask_admin(house, b"/state")[0] == 503
         assert ask_admin(house, b"/health")[0] == 200
         for _ in range(20):
@@ -182,7 +182,7 @@
             assert house.ask(GET)[0] == 200
             assert house.loop.now() - began < 20 * MS
         house.loop.sleep(10 * SECOND)
-        assert not house.program.admin.telling
+        assert not house.program.admin.is_sending_state
         assert type(rules.accounts) is recording.ObservableAccounts
 
     House(good).run(test)
@@ -190,7 +190,7 @@
 
 def test_segments_begin_with_a_state_in_pages_and_replay_from_any_of_them(tmp_path, monkeypatch):
     """Small segments under load: each can be replayed alone, and all in a row."""
-    monkeypatch.setattr("orchidlane.gateway.telemetry.traffic_recorder.SEGMENT", 30_000)
+    monkeypatch.setattr("orchidlane.gateway.telemetry.traffic_recorder.MAX_SEGMENT_BYTES", 30_000)
     monkeypatch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", 3)
     world = SimWorld(6)
     loop = Loop(world)
