--- /dev/null
+++ b/orchidlane/gateway/server/request_handler.py
@@ -0,0 +1,222 @@
+"""Handles the requests of one HTTP client after another: reads, notifies the policy, waits, answers.
+
+While a request is in flight its connection is read on: the rest of the body, later requests up to a bound, or
+the client's leaving. Answers leave in the order of the requests (RFC 9112 section 9.3.2).
+"""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from orchidlane.gateway.forwarding.pending_request import Answer, Body, Exchange
+from orchidlane.gateway.forwarding.protocol_adapter import Bounds, Call, Clients
+from orchidlane.gateway.server.client_connection import Connection
+from orchidlane.gateway.server.request_reader import ReaderState, RequestReader
+from orchidlane.gateway.server.response_writer import CONTINUE, ResponseWriter
+from orchidlane.gateway.telemetry.counters import Counts
+from orchidlane.http1 import Malformed, Request
+from orchidlane.runtime import Closed, Expired
+
+OVERDUE_US = 5_000  # beyond a request's time: then the policy's answer is waited for no more
+REQUEST_TIMEOUT = 408
+
+
+class Driver(Protocol):
+    """Who is notified of requests and answers them by the policy's decisions."""
+
+    exchanges: dict[int, Exchange]
+    metrics: Counts
+
+    def next_number(self) -> int:
+        """Return the number of a new request."""
+
+    def arrived(self, exchange: Exchange, left: int) -> None:
+        """Take a request, so many microseconds before its time is up."""
+
+    def client_gone(self, exchange: Exchange) -> None:
+        """Drop a request whose client left."""
+
+    def overdue(self, exchange: Exchange) -> None:
+        """End a request whose time is over."""
+
+
+class HandlerState(ReaderState, Protocol):
+    """What a handler needs to know of its server."""
+
+    bounds: Bounds
+    host: Driver
+    clients: Clients
+    metrics: Counts
+
+
+class RequestHandler:
+    """Serves one request of a connection at a time."""
+
+    def __init__(self, server: HandlerState) -> None:
+        self._server = server
+        self._reader = RequestReader(server)
+        self._writer = ResponseWriter(server)
+
+    def handle(self, connection: Connection) -> bool:
+        """Serve the next request; return whether the connection goes on."""
+        server = self._server
+        try:
+            head = self._reader.read_head(connection)
+        except Malformed as error:
+            connection.between = False
+            return self._reject_malformed(connection, error)
+        connection.between = False
+        if head is None:
+            return False
+        if server.watcher is not None:
+            server.watcher.began(connection.number)
+        understood = server.clients.understand(head, len(server.host.exchanges))
+        if isinstance(understood, Answer):
+            if 400 <= understood.status < 500:  # the client's own fault; what is ours is said at once
+                self._pause(connection)
+            return self._respond(connection, head, understood, body_read=head.length == 0)
+        return self._handle_call(connection, head, understood)
+
+    def _handle_call(self, connection: Connection, head: Request, call: Call) -> bool:
+        server = self._server
+        exchange = self._exchange(connection, head, call)
+        try:
+            if server.clients.whole_first:
+                self._reader.read_complete(connection, exchange)
+            connection.known = True
+            server.newcomers.pop(connection, None)
+            server.host.arrived(exchange, max(1, exchange.until - server.loop.now()))
+            self._await_answer(connection, exchange)
+        except Malformed as error:
+            server.host.client_gone(exchange)
+            return self._reject_malformed(connection, error)
+        except BaseException:
+            server.host.client_gone(exchange)
+            raise
+        answer = exchange.answer
+        assert answer is not None
+        server.clients.answering(exchange, answer, server.loop.now() - exchange.arrived)
+        return self._respond(connection, head, answer, body_read=exchange.body.ended)
+
+    def _reject_malformed(self, connection: Connection, error: Malformed) -> bool:
+        self._server.metrics.malformed += 1
+        if error.status != REQUEST_TIMEOUT:  # that took its time
+            self._pause(connection)
+        self._writer.write_last(connection, self._server.clients.wrong(error.status, error.detail))
+        return False
+
+    def _pause(self, connection: Connection) -> None:
+        """Delay an error: a client that sends the same again at once costs itself time, and us little."""
+        server = self._server
+        if server.times.wrong:
+            connection.rested = server.loop.now()
+            server.newcomers[connection] = None
+            server.loop.sleep(server.times.wrong)
+            server.newcomers.pop(connection, None)
+
+    def _exchange(self, connection: Connection, head: Request, call: Call) -> Exchange:
+        server = self._server
+        task = server.loop.current
+        assert task is not None
+        return Exchange(
+            number=server.host.next_number(),
+            head=head,
+            call=call,
+            body=Body(server.loop, server.bounds.held_body, head.length),
+            task=task,
+            until=connection.since + call.patience - server.times.client_margin,
+            arrived=connection.since,
+            awaits_continue=head.expects_continue,
+            client_left=connection.stream.has_left,
+        )
+
+    # -- until the answer is there
+
+    def _await_answer(self, connection: Connection, exchange: Exchange) -> None:
+        self._reader.transfer(connection, exchange.body)
+        while exchange.answer is None:
+            if exchange.awaits_continue and exchange.sends:
+                exchange.awaits_continue = False
+                connection.stream.send(CONTINUE)
+                continue
+            if exchange.hints:
+                self._writer.write_hints(connection, exchange)
+            elif not self._read_on(connection, exchange):
+                self._wait(exchange)
+
+    def _wait(self, exchange: Exchange) -> None:
+        """Wait until the task is woken: by an answer, by input, or because the time is over."""
+        server, body = self._server, exchange.body
+        is_settled = body.ended or body.full
+        deadline = exchange.until + OVERDUE_US if is_settled else server.loop.now() + server.times.body
+        try:
+            server.loop.park(deadline)
+        except Expired:
+            if is_settled:
+                server.host.overdue(exchange)
+                if exchange.answer is None:
+                    raise Closed("no answer in its time") from None
+            elif exchange.answer is None:
+                raise Malformed(REQUEST_TIMEOUT, "the body took too long") from None
+
+    def _read_on(self, connection: Connection, exchange: Exchange) -> bool:
+        """Take what the client sent; where there is nothing, return False: the task is woken by more."""
+        body = exchange.body
+        if self._is_at_bound(connection, body):
+            if connection.stream.has_left():
+                raise Closed("the client left")
+            connection.stream.watch_end(exchange.task)
+            return False
+        data = None if connection.stream.drained else connection.stream.try_recv()
+        if data is None:
+            connection.stream.watch(exchange.task)
+            return False
+        if not data:
+            raise Closed("the client left")
+        self._reader.received(connection, data)
+        self._reader.transfer(connection, body)
+        return True
+
+    def _is_at_bound(self, connection: Connection, body: Body) -> bool:
+        """Return whether no more may be read: then a client's end lies behind bytes that stay unread."""
+        if body.ended:
+            return connection.parser.pending >= self._server.bounds.pipelined
+        if body.full:
+            assert self._server.loop.current is not None
+            body.tell_when_room(self._server.loop.current)
+        return body.full
+
+    # -- responses
+
+    def _respond(self, connection: Connection, head: Request, answer: Answer, body_read: bool) -> bool:
+        """Write an answer; return whether the connection goes on."""
+        server = self._server
+        keep = head.keep_alive and body_read and not self._is_last(connection)
+        if server.watcher is not None:
+            server.watcher.answering(connection.number)
+        is_intact = self._writer.write(connection, head, answer, keep)
+        if not keep or not is_intact:
+            return False
+        if server.watcher is not None:
+            server.watcher.idle(connection.number, connection.parser.unread)
+        connection.parser.next_message()
+        if connection.parser.pending:
+            connection.since = connection.last_recv
+        server.loop.breathe()
+        return True
+
+    def _is_last(self, connection: Connection) -> bool:
+        """Return whether the process shuts down and no further request of the client has arrived.
+
+        Requests that arrived behind another one are served; those that still arrive when no request is waited
+        for any more end with the connection.
+        """
+        server = self._server
+        if not server.draining:
+            return False
+        is_over = server.last is not None and server.loop.now() >= server.last
+        return is_over or not connection.has_more()
+
+    def respond_alone(self, connection: Connection, answer: Answer) -> None:
+        """Write the only answer of a connection, its last one."""
+        self._writer.write_last(connection, answer)
--- a/orchidlane/gateway/server/resp_server.py
+++ b/orchidlane/gateway/server/resp_server.py
@@ -17,7 +17,7 @@
 from orchidlane.gateway.control.settings import Fleet
 from orchidlane.gateway.peers.token_requests import LimitService, NoAnswer
 from orchidlane.gateway.server.accept_loop import accept_clients
-from orchidlane.gateway.server.http_server import Watcher, recv_watched, send_all
+from orchidlane.gateway.server.client_connection import Watcher, recv_watched, send_all
 from orchidlane.limits import LedgerError, Outcome
 from orchidlane.resp import ErrorReply, Simple
 from orchidlane.routes import Generation
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -11,6 +11,8 @@
 from orchidlane.gateway.control.json_stream import Objects
 from orchidlane.gateway.forwarding.connection_pool import Pool
 from orchidlane.gateway.server.http_server import Front
+from orchidlane.gateway.server.request_handler import RequestHandler
+from orchidlane.gateway.server.request_reader import RequestReader
 from orchidlane.platform import discovery, lifecycle, shutdown
 from orchidlane.platform.discovery import Tracker
 from orchidlane.runtime import Lingering, Loop, RealWorld
@@ -37,8 +39,8 @@
     return line.strip() and line
 
 
-def first_bytes_or_none(self, connection, patience):
-    return self._recv(connection, patience)
+def wait_without_a_look(self, connection, timeout):
+    return self._receive(connection, timeout)
 
 
 def old_shutdown(now, longest):
@@ -87,9 +89,9 @@
         (),
     ),
     "idle time without a look": (
-        Front,
-        "_first_bytes",
-        first_bytes_or_none,
+        RequestReader,
+        "wait_for_first_bytes",
+        wait_without_a_look,
         moments.test_a_request_that_came_as_its_idle_time_ended_is_served,
         (),
     ),
@@ -108,16 +110,16 @@
         (),
     ),
     "drains with the first answer": (
-        Front,
+        RequestHandler,
         "_is_last",
-        lambda self, connection: self.draining,
+        lambda self, connection: self._server.draining,
         moments.test_requests_behind_another_one_when_a_gateway_leaves_are_served_like_it,
         (True,),
     ),
     "drains for ever": (
-        Front,
+        RequestHandler,
         "_is_last",
-        lambda self, connection: self.draining and not connection.stream.waiting(),
+        lambda self, connection: self._server.draining and not connection.stream.waiting(),
         moments.test_a_client_that_sends_ever_more_finds_an_end_when_a_shutdown_is_over,
         (),
     ),
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -16,7 +16,7 @@
 from orchidlane.gateway.forwarding import connection_pool
 from orchidlane.gateway.forwarding.pending_request import Answer
 from orchidlane.gateway.forwarding.policy_driver import Host
-from orchidlane.gateway.server.http_server import Front
+from orchidlane.gateway.server.response_writer import ResponseWriter
 from orchidlane.policy.gateway import Gateway
 from orchidlane.simulation.backends import play, simulate
 from orchidlane.simulation.random_faults import broken, play_seeds
@@ -112,26 +112,26 @@
 
 
 def test_the_audit_objects_to_a_doubled_answer(monkeypatch):
-    write = Front._write
+    write = ResponseWriter.write
 
     def twice(self, connection, head, answer, keep):
         write(self, connection, head, answer, keep)
         return write(self, connection, head, answer, keep)
 
-    monkeypatch.setattr(Front, "_write", twice)
+    monkeypatch.setattr(ResponseWriter, "write", twice)
     verdict = simulate(day(span=3), 1)
     assert verdict.doubled
     assert not verdict.rules["1"]
 
 
 def test_the_audit_objects_to_a_late_answer(monkeypatch):
-    write = Front._write
+    write = ResponseWriter.write
 
     def late(self, connection, head, answer, keep):
-        self.loop.sleep(300_000 if answer.status == 503 else 0)
+        self._server.loop.sleep(300_000 if answer.status == 503 else 0)
         return write(self, connection, head, answer, keep)
 
-    monkeypatch.setattr(Front, "_write", late)
+    monkeypatch.setattr(ResponseWriter, "write", late)
     verdict = simulate(day(step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, silent=0.3), span=4), 1)
     assert verdict.late
     assert not verdict.rules["1"]
