--- a/tests/harness/gateway_house.py
+++ b/tests/harness/gateway_harness.py
@@ -38,7 +38,7 @@
     return found
 
 
-class House:
+class GatewayHarness:
     """The world of one test: ``handlers`` serve the nodes' connections, one handler for each node."""
 
     def __init__(self, *handlers, racks: list[str] | None = None, seed: int = 1, **changes) -> None:
@@ -172,20 +172,20 @@
 UPLOAD = request("PUT", "/v1/tests/1", "Idempotency-Key: k\r\n", b"data")
 
 
-def good(house: House, index: int, stream) -> None:
+def good(house: GatewayHarness, index: int, stream) -> None:
     """A node that serves."""
     while True:
         house.read_request(index, stream)
         stream.send(OK)
 
 
-def resets_after(house: House, index: int, stream) -> None:
+def resets_after(house: GatewayHarness, index: int, stream) -> None:
     """A node that reads a request and resets."""
     house.read_request(index, stream)
     stream.abort()
 
 
-def silent(house: House, index: int, stream) -> None:
+def silent(house: GatewayHarness, index: int, stream) -> None:
     """A node that accepts and says nothing."""
     house.read_request(index, stream)
     house.loop.sleep(60 * SECOND)
--- a/tests/harness/platform_house.py
+++ b/tests/harness/platform_house.py
@@ -6,7 +6,7 @@
 import os
 from contextlib import suppress
 
-from harness.gateway_house import House
+from harness.gateway_harness import GatewayHarness
 from orchidlane.platform.configuration import Config, parse
 from orchidlane.platform.lifecycle import Life
 from orchidlane.runtime import CONTROL, Closed, Faults, Loop, RealWorld, Scope, SimWorld
@@ -154,7 +154,7 @@
             self.send(stream, {"generation": generation, "reset": reset, "instances": list(instances)})
 
 
-class PlatformHouse(House):
+class PlatformHouse(GatewayHarness):
     """One gateway; ``handlers`` serve the hosts' connections, one handler for each host."""
 
     at = "127.0.0.1"  # where all of it listens
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from harness.gateway_house import MATERIALS
+from harness.gateway_harness import MATERIALS
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
--- a/tests/test_change_stories.py
+++ b/tests/test_change_stories.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 import pytest
-from harness.gateway_house import MATERIALS, fleet
+from harness.gateway_harness import MATERIALS, fleet
 from test_day import quiet  # noqa: F401
 
 from orchidlane.simulation.rollout_scenarios import KINDS, Story, Wrong, draw, play_story
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -5,7 +5,7 @@
 import json
 
 import pytest
-from harness.gateway_house import (
+from harness.gateway_harness import (
     GET,
     KEY,
     MS,
@@ -14,7 +14,7 @@
     SECOND,
     SETTINGS,
     UPLOAD,
-    House,
+    GatewayHarness,
     good,
     request,
     resets_after,
@@ -31,8 +31,8 @@
     return http1.header(headers, name)
 
 
-def run(*handlers, test, **changes) -> House:
-    house = House(*handlers, **changes)
+def run(*handlers, test, **changes) -> GatewayHarness:
+    house = GatewayHarness(*handlers, **changes)
     house.run(test)
     return house
 
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -21,7 +21,17 @@
 import pytest
 from click.testing import CliRunner
 from golden import check_golden
-from harness.gateway_house import GET, KEY, REPORT, SETTINGS, UPLOAD, House, good, request, resets_after
+from harness.gateway_harness import (
+    GET,
+    KEY,
+    REPORT,
+    SETTINGS,
+    UPLOAD,
+    GatewayHarness,
+    good,
+    request,
+    resets_after,
+)
 from harness.platform_house import PlatformHouse, call, settings
 from harness.platform_house import file as platform_file
 
@@ -525,7 +535,7 @@
     return [line for line in page.decode().splitlines() if not line.startswith("# HELP ")]
 
 
-def ask_admin(house: House, target: str) -> tuple[int, dict[str, str], bytes]:
+def ask_admin(house: GatewayHarness, target: str) -> tuple[int, dict[str, str], bytes]:
     """Status, headers and body of an answer at the admin address."""
     stream = house.world.connect(("127.0.0.1", 8280))
     stream.send(f"GET {target} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
@@ -556,7 +566,7 @@
             frames.append(without_build(msgspec.msgpack.decode(body[at + 8 : at + 8 + length])))
             at += 8 + length
 
-    House(good, resets_after, good, seed=5).run(test)
+    GatewayHarness(good, resets_after, good, seed=5).run(test)
     return found
 
 
@@ -647,7 +657,7 @@
             house.ask(raw)
         path.write_bytes(ask_admin(house, "/state")[2])
 
-    House(good, resets_after, good, seed=5).run(test)
+    GatewayHarness(good, resets_after, good, seed=5).run(test)
     calls = {
         "state": ("state", str(path), "--json"),
         "counts of a customer": ("counts", str(path), "1", "--json"),
@@ -688,7 +698,7 @@
 # What clients of the gateway are answered
 
 
-def http_answer(house: House, raw: bytes) -> list:
+def http_answer(house: GatewayHarness, raw: bytes) -> list:
     """Status, headers and body of an answer; of a problem its keys, whose prose may change."""
     status, headers, body = house.ask(raw)
     fields = {name.decode(): value.decode() for name, value in headers}
@@ -723,8 +733,10 @@
     def test_broken(house):
         found["may have run"] = http_answer(house, REPORT)
 
-    House(good, good, seed=5, plans=fleet_settings.parse_fleet(SETTINGS, "fleet.cue").plans).run(test)
-    House(resets_after, seed=5).run(test_broken)
+    GatewayHarness(good, good, seed=5, plans=fleet_settings.parse_fleet(SETTINGS, "fleet.cue").plans).run(
+        test
+    )
+    GatewayHarness(resets_after, seed=5).run(test_broken)
     assert {answer[0] for answer in found.values()} >= {200, 400, 401, 404, 405, 429, 502}
     check_golden("http-answers", found)
 
@@ -763,7 +775,7 @@
             found.append([words, reply.split()[0] if reply.startswith("-") else reply])
 
     fleet = fleet_settings.parse_fleet(SETTINGS, "fleet.cue")
-    House(good, gateways=fleet.gateways[:1], seed=5).run(test)
+    GatewayHarness(good, gateways=fleet.gateways[:1], seed=5).run(test)
     check_golden("resp-replies", found)
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 
 import pytest
-from harness.gateway_house import resets_after
+from harness.gateway_harness import resets_after
 from harness.platform_house import (
     DISCOVERY,
     MS,
--- a/tests/test_respfront.py
+++ b/tests/test_respfront.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from harness.gateway_house import GET, KEY, MS, SECOND, SETTINGS, House, good
+from harness.gateway_harness import GET, KEY, MS, SECOND, SETTINGS, GatewayHarness, good
 from test_gateway import TIGHT
 
 from orchidlane.gateway.control.settings import parse_fleet
@@ -17,10 +17,10 @@
 
 def run(test, **changes) -> None:
     limits = {"token_life": 1 * SECOND, **changes.pop("limits", {})}
-    House(good, gateways=ALONE, limits=limits, **changes).run(test)
+    GatewayHarness(good, gateways=ALONE, limits=limits, **changes).run(test)
 
 
-def replies(house: House, stream, count: int, wait: int = 5 * SECOND) -> list:
+def replies(house: GatewayHarness, stream, count: int, wait: int = 5 * SECOND) -> list:
     decoder, found = Decoder(), []
     while len(found) < count:
         decoder.receive(stream.recv(deadline=house.loop.now() + wait))
@@ -29,7 +29,7 @@
     return found
 
 
-def call(house: House, *words) -> object:
+def call(house: GatewayHarness, *words) -> object:
     stream = house.world.connect(DOOR)
     stream.send(encode([KEY if word is KEY else str(word) for word in words]))
     found = replies(house, stream, 1)[0]
@@ -179,7 +179,7 @@
     run(test, limits={"connections": 2})
 
 
-def to_the_end(house: House, stream) -> bytes:
+def to_the_end(house: GatewayHarness, stream) -> bytes:
     """All up to an end in order; a reset raises Closed."""
     found = b""
     while data := stream.recv(deadline=house.loop.now() + 5 * SECOND):
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -7,8 +7,8 @@
 import msgspec
 import pytest
 from conftest import PLAIN, SECOND, SETTINGS
-from harness.gateway_house import GET, MS, House
-from harness.gateway_house import SETTINGS as FLEET
+from harness.gateway_harness import GET, MS, GatewayHarness
+from harness.gateway_harness import SETTINGS as FLEET
 from hypothesis import given
 from hypothesis import strategies as st
 from test_day import day, quiet  # noqa: F401
@@ -104,7 +104,7 @@
     assert list(survivors([row], life, ("another",), START)) == []
 
 
-class Alone(House):
+class Alone(GatewayHarness):
     """One gateway in its fleet, with a folder for its state."""
 
     def __init__(self, *handlers) -> None:
@@ -117,7 +117,7 @@
         return sum(self.ask(GET)[0] == 200 for _ in range(most))
 
 
-def again(house: House) -> None:
+def again(house: GatewayHarness) -> None:
     house.start()
     house.loop.sleep(300 * MS)
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 from conftest import SECOND
-from harness.gateway_house import GET, MS, House, good
+from harness.gateway_harness import GET, MS, GatewayHarness, good
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_day import day, quiet, step  # noqa: F401
@@ -139,14 +139,14 @@
 # Against a gateway
 
 
-def ask_admin(house: House, target: bytes):
+def ask_admin(house: GatewayHarness, target: bytes):
     stream = house.world.connect(("127.0.0.1", 8280))
     stream.send(b"GET %s HTTP/1.1\r\nHost: a\r\n\r\n" % target)
     return house.answer(stream)
 
 
 def test_a_state_told_by_a_gateway_under_load_is_whole_and_a_second_one_waits(tmp_path):
-    def test(house: House) -> None:
+    def test(house: GatewayHarness) -> None:
         assert house.ask(GET)[0] == 200
         status, _, body = ask_admin(house, b"/state")
         assert status == 200
@@ -161,13 +161,13 @@
         assert ask_admin(house, b"/view?customer=1")[0] == 200
         assert ask_admin(house, b"/view?customer=%ff%00")[0] == 404
 
-    House(good).run(test)
+    GatewayHarness(good).run(test)
 
 
 def test_a_tool_that_hangs_slows_nothing_and_is_let_go(monkeypatch):
     monkeypatch.setattr("orchidlane.runtime.simulated_backend.WINDOW", 4096)
 
-    def test(house: House) -> None:
+    def test(house: GatewayHarness) -> None:
         rules = house.program.host.rules
         for customer in range(2_000):
             rules._account(customer + 10, 0, 0, 3, trusted=True)
@@ -185,7 +185,7 @@
         assert not house.program.admin.telling
         assert type(rules.accounts) is recording.Accounts
 
-    House(good).run(test)
+    GatewayHarness(good).run(test)
 
 
 def test_segments_begin_with_a_state_in_pages_and_replay_from_any_of_them(tmp_path, monkeypatch):
@@ -463,7 +463,7 @@
 def test_top_shows_who_answers_and_who_does_not():
     from orchidlane.cli.screen import Screen, as_rows
 
-    def test(house: House) -> None:
+    def test(house: GatewayHarness) -> None:
         screen = Screen(house.loop, "t", [("gw-0", ("127.0.0.1", 8280)), ("gw-1", ("127.0.0.1", 8281))])
         screen.look()
         for _ in range(10):
@@ -475,7 +475,7 @@
         assert rows[1] == {"gateway": "gw-1", "up": False}
         assert len(screen.table(screen.look()).columns) == 10
 
-    House(good).run(test)
+    GatewayHarness(good).run(test)
 
 
 @pytest.mark.parametrize("shell", ["bash", "zsh", "fish"])
@@ -506,8 +506,8 @@
 
 
 def test_a_question_that_never_comes_is_given_up_at_its_deadline():
-    def test(house: House) -> None:
+    def test(house: GatewayHarness) -> None:
         stream = house.world.connect(("127.0.0.1", 8280))
         assert stream.recv(deadline=house.loop.now() + 6 * SECOND) == b""
 
-    House(good).run(test)
+    GatewayHarness(good).run(test)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,7 +13,7 @@
 import pytest
 import structlog
 from conftest import SECOND
-from harness.gateway_house import GENERATION, GET, MS, OK, REPORT, SETTINGS, House, good, request
+from harness.gateway_harness import GENERATION, GET, MS, OK, REPORT, SETTINGS, GatewayHarness, good, request
 from test_day import quiet  # noqa: F401
 
 from orchidlane import http1, recording
@@ -27,7 +27,7 @@
 from orchidlane.runtime import Expired, LoopError
 
 
-class Upgraded(House):
+class Upgraded(GatewayHarness):
     """A house whose gateway can be upgraded; ``programs`` are all processes of it, the latest at the end."""
 
     def __init__(
@@ -133,7 +133,7 @@
         ]
 
 
-def slow(house: House, index: int, stream) -> None:
+def slow(house: GatewayHarness, index: int, stream) -> None:
     """A node that serves after a while."""
     while True:
         house.read_request(index, stream)
@@ -425,7 +425,7 @@
 def test_a_request_under_way_of_any_kind_gets_its_one_answer():
     """Half a body, half a head, an unsafe attempt that is out, a pipeline: at the moment itself."""
 
-    def late(house: House, index: int, stream) -> None:
+    def late(house: GatewayHarness, index: int, stream) -> None:
         while True:
             house.read_request(index, stream)
             house.loop.sleep(60 * MS)
