--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -14,7 +14,7 @@
 from orchidlane import recording
 from orchidlane.gateway.telemetry.admin_api import StateFrames
 from orchidlane.hot_restart.account_recovery import Life, survivors
-from orchidlane.policy.state import Account
+from orchidlane.policy.accounts import Account
 
 if TYPE_CHECKING:
     from orchidlane.gateway.lifecycle.process import Program
--- a/orchidlane/gateway/telemetry/policy_views.py
+++ b/orchidlane/gateway/telemetry/policy_views.py
@@ -13,8 +13,9 @@
 import msgspec
 
 from orchidlane import policy, recording
+from orchidlane.policy import quota
+from orchidlane.policy.accounts import Account
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account
 
 VIEW_FORMAT = 1
 NUMBER = (1 << 32) - 1  # of the request that is asked about
@@ -150,7 +151,7 @@
     found: dict[str, PlanCounts] = defaultdict(PlanCounts)
     for row in reader.accounts():
         account = recording.load_account(row)
-        gateway._lift(account)
+        quota.refill(gateway, account)
         _count(found[header.plan_names[account.plan]], account, gateway.settings.plans[account.plan], most)
     for counts in found.values():
         counts.pressed = sorted((-share, -number) for share, number in counts.pressed)
--- a/orchidlane/hot_restart/account_recovery.py
+++ b/orchidlane/hot_restart/account_recovery.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Any, NamedTuple
 
-from orchidlane.policy.state import Account
+from orchidlane.policy.accounts import Account
 from orchidlane.recording import load_account
 
 
@@ -39,7 +39,7 @@
         plan = numbers.get(life.plans[account.plan])
         if plan is None:
             continue
-        account.key = (plan, *account.key[1:])
+        account.key = account.key._replace(plan=plan)
         room = account.remaining if life.clean and not back else 0.0
         account.limit, account.refilled_at_us = account.spent_total + max(0.0, room), risen
         account.replica_counts.pop(life.rank, None)
--- a/orchidlane/hot_restart/tables.py
+++ b/orchidlane/hot_restart/tables.py
@@ -14,8 +14,8 @@
 
 from orchidlane import policy
 from orchidlane.limits import Holder, Ledger
+from orchidlane.policy.accounts import Account
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account
 from orchidlane.recording import Accounts, Dump, dump, load_account, restore, track
 from orchidlane.recording.state_dump import dump_account
 
--- /dev/null
+++ b/orchidlane/policy/endpoint_selection.py
@@ -0,0 +1,79 @@
+"""Endpoint selection: the allowed endpoint with the lowest expected cost, and slow start."""
+
+from __future__ import annotations
+
+from orchidlane.policy import endpoint_registry, health
+from orchidlane.policy.constants import US_PER_MS
+from orchidlane.policy.endpoints import Endpoint
+from orchidlane.policy.events import EndpointState
+from orchidlane.policy.settings import Idempotency
+from orchidlane.policy.state import PendingRequest, PolicyState
+
+DEADLINE_MARGIN_US = 30 * US_PER_MS  # kept free before a deadline or the end of a deduplication window
+ENDPOINTS_COMPARED = 12
+COST_JITTER = 0.1  # random part of a cost, so that gateways do not all choose the same endpoint
+FAILURE_COST = 3.0  # how much slower an endpoint seems for each unit of its failure score
+SLOW_START_MARGIN = 0.9  # part of the allowed slow-start traffic that is used
+
+
+def choose_endpoint(state: PolicyState, request: PendingRequest) -> Endpoint | None:
+    """Return the endpoint that should answer soonest of those that may get the request, or None."""
+    if cold := _sample_cold_endpoint(state, request):
+        return cold
+    executed = request.executed_attempts
+    if executed:
+        scope = request.request_class.deduplication_scope
+        pool = endpoint_registry.endpoints_sharing(state, executed[0].endpoint, scope)
+    else:
+        pool = state.warm_pool.endpoints
+    if len(pool) > ENDPOINTS_COMPARED:
+        pool = state.random.sample(pool, ENDPOINTS_COMPARED)
+    usable = [
+        endpoint
+        for endpoint in pool
+        if endpoint_registry.is_warm(state, endpoint) and _may_send(state, request, endpoint)
+    ]
+    return min(usable, key=lambda endpoint: _cost(state, request, endpoint), default=None)
+
+
+def _cost(state: PolicyState, request: PendingRequest, endpoint: Endpoint) -> float:
+    """Return the expected latency, raised by recent failures of the endpoint, its zone and this request."""
+    cost = health.expected_latency_us(state, endpoint, request.event.request_class)
+    cost *= 1 + COST_JITTER * state.random.random()
+    cost *= 1 + FAILURE_COST * endpoint.decayed_failure_score(state.now)
+    cost *= 1 + FAILURE_COST * state.zone_health[endpoint.entry.zone].decayed_failure_score(state.now)
+    return cost * (1 + FAILURE_COST * any(attempt.endpoint is endpoint for attempt in request.attempts))
+
+
+def _may_send(state: PolicyState, request: PendingRequest, endpoint: Endpoint) -> bool:
+    """Tell whether the endpoint takes requests, and none may be executed twice by sending this one there."""
+    if endpoint.entry.state is not EndpointState.READY:
+        return False
+    executed = request.executed_attempts
+    request_class = request.request_class
+    if not executed or request_class.idempotency is Idempotency.IDEMPOTENT:
+        return True
+    if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
+        return False
+    first = executed[0]
+    if state.now >= first.sent_at_us + request_class.deduplication_window_us - DEADLINE_MARGIN_US:
+        return False
+    scope = request_class.deduplication_scope
+    return endpoint.deduplication_key(scope) == first.endpoint.deduplication_key(scope)
+
+
+def _sample_cold_endpoint(state: PolicyState, request: PendingRequest) -> Endpoint | None:
+    """Slow start: the attempt's sampled value picks one of all endpoints, a cold one by its ramp's chance."""
+    endpoint_registry.promote_warmed_up(state)
+    cold = state.cold_pool.endpoints
+    endpoint_count = len(cold) + len(state.warm_pool.endpoints)
+    index, chance = divmod(request.sampled_value * endpoint_count, 1)
+    if index >= len(cold):
+        return None
+    endpoint = cold[int(index)]
+    settings = state.settings
+    progress = max(0, state.now - endpoint.entry.started_at_us) / settings.slow_start_duration_us
+    ramp = settings.slow_start_initial_share + (1 - settings.slow_start_initial_share) * progress
+    if chance < SLOW_START_MARGIN * ramp and _may_send(state, request, endpoint):
+        return endpoint
+    return None
--- a/orchidlane/policy/events.py
+++ b/orchidlane/policy/events.py
@@ -8,7 +8,6 @@
 
 import enum
 from dataclasses import dataclass
-from typing import ClassVar
 
 EndpointId = bytes
 
@@ -59,8 +58,6 @@
 class EndpointListReceived:
     """Discovery told something."""
 
-    topic: ClassVar[str] = "server_listed"
-
     kind: EndpointListKind
     version: int
     entries: tuple[EndpointEntry, ...]
@@ -70,8 +67,6 @@
 class RequestArrived:
     """A client's request; the set names the gateways that the customer may use."""
 
-    topic: ClassVar[str] = "request_arrived"
-
     request: int
     customer: int
     plan: int
@@ -87,8 +82,6 @@
 class QuotaRequested:
     """Units wanted without a server: somebody else carries the request out."""
 
-    topic: ClassVar[str] = "take_arrived"
-
     request: int
     customer: int
     plan: int
@@ -102,8 +95,6 @@
 class AttemptEnded:
     """An attempt's outcome; answered means that the request needs no more answer."""
 
-    topic: ClassVar[str] = "attempt_ended"
-
     request: int
     attempt: int
     endpoint: EndpointId
@@ -119,8 +110,6 @@
 class ResponseStreamStarted:
     """A streamed answer has begun: no deadline runs any more."""
 
-    topic: ClassVar[str] = "stream_started"
-
     request: int
     attempt: int
     endpoint: EndpointId
@@ -131,8 +120,6 @@
 class ClientDisconnected:
     """The client left; nothing more is owed."""
 
-    topic: ClassVar[str] = "client_gone"
-
     request: int
 
 
@@ -140,8 +127,6 @@
 class TimerFired:
     """A timer that was set is up."""
 
-    topic: ClassVar[str] = "timer_fired"
-
     token: int
 
 
@@ -149,8 +134,6 @@
 class HealthCheckEnded:
     """What came of a probe."""
 
-    topic: ClassVar[str] = "probe_ended"
-
     endpoint: EndpointId
     outcome: Outcome
     duration_us: int
@@ -161,8 +144,6 @@
 class PeerMessageReceived:
     """Bytes from another gateway; untrusted."""
 
-    topic: ClassVar[str] = "peer_message"
-
     sender: int
     body: bytes
 
@@ -171,8 +152,6 @@
 class CounterAnswered:
     """What came of a call to the shared counter."""
 
-    topic: ClassVar[str] = "counter_answered"
-
     name: int
     outcome: Outcome
     value: float
@@ -183,8 +162,6 @@
 class CountRecovered:
     """What another process of this very gateway counted under our rank, before or after us."""
 
-    topic: ClassVar[str] = "counted"
-
     customer: int
     plan: int
     replica_set_start: int
@@ -197,8 +174,6 @@
 class ReplicaSetChanged:
     """A customer's set is another from now on, or begins anew: no part of its ceiling is carried over."""
 
-    topic: ClassVar[str] = "set_moved"
-
     customer: int
     plan: int
     replica_set_start: int
--- /dev/null
+++ b/orchidlane/policy/health.py
@@ -0,0 +1,62 @@
+"""Health estimates: what attempts teach about endpoints, zones and the fleet, and what latency to expect."""
+
+from __future__ import annotations
+
+from orchidlane.policy.endpoints import INITIAL_LOAD, Endpoint
+from orchidlane.policy.events import AttemptEnded, Outcome
+from orchidlane.policy.state import INITIAL_LATENCY_SHARE, Attempt, PolicyState
+
+SMOOTHING = 0.15  # weight of the newest latency in a moving average
+MAX_SLOWNESS = 8.0  # multiple of the usual latency that one answer may count for
+MAX_FAILURE_SCORE = 1 / SMOOTHING  # low enough to be forgiven soon
+
+ANSWERED_OUTCOMES = (Outcome.SERVED, Outcome.ERROR, Outcome.ENDPOINT_FULL)
+MEASURED_OUTCOMES = (Outcome.SERVED, Outcome.TIMED_OUT)
+NEUTRAL_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)  # these say nothing of the endpoint
+
+
+def expected_latency_us(state: PolicyState, endpoint: Endpoint, request_class: int) -> float:
+    """Return the latency to expect, by decayed slowness and load, and by how long it has been silent."""
+    fleet_slowness = state.fleet_health.decayed_slowness(state.now)
+    slowness = endpoint.decayed_slowness(state.now, fleet_slowness)
+    load = endpoint.in_flight + INITIAL_LOAD
+    latency_us = state.usual_duration_us[request_class] * slowness * load / endpoint.baseline_load
+    if endpoint.in_flight:  # a stalled endpoint answers nobody, so no latency is measured there
+        latency_us = max(latency_us, state.now - endpoint.last_active_at_us)
+    return latency_us
+
+
+def record_outcome(state: PolicyState, attempt: Attempt, request_class: int, event: AttemptEnded) -> None:
+    """Update the estimates of the attempt's endpoint, its zone and the fleet by its outcome."""
+    endpoint = attempt.endpoint
+    zone_health = state.zone_health[endpoint.entry.zone]
+    for estimate in (endpoint, zone_health, state.fleet_health):
+        estimate.decay(state.now)
+    if event.outcome in ANSWERED_OUTCOMES:
+        endpoint.last_active_at_us = state.now
+    if event.outcome in MEASURED_OUTCOMES:
+        _record_latency(state, attempt, request_class, event)
+    # The zone counts too: in a partition each of its endpoints would else be tried in turn.
+    for estimate in (endpoint, zone_health):
+        if event.outcome is Outcome.SERVED:
+            estimate.failure_score /= 2
+        elif event.outcome not in NEUTRAL_OUTCOMES:
+            estimate.failure_score = min(estimate.failure_score + 1, MAX_FAILURE_SCORE)
+
+
+def _record_latency(state: PolicyState, attempt: Attempt, request_class: int, event: AttemptEnded) -> None:
+    endpoint = attempt.endpoint
+    usual_us = state.usual_duration_us[request_class]
+    slowness = min(MAX_SLOWNESS, event.duration_us / usual_us)
+    endpoint.slowness += SMOOTHING * (slowness - endpoint.slowness)
+    # In a large fleet under overload a gateway meets each endpoint too seldom to learn, so the fleet counts
+    # too; but an endpoint that answered nobody meanwhile may be down, and says nothing of the others.
+    is_silent = event.outcome is Outcome.TIMED_OUT and endpoint.last_active_at_us <= attempt.sent_at_us
+    if not is_silent:
+        state.fleet_health.slowness += SMOOTHING * (slowness - state.fleet_health.slowness)
+    endpoint.baseline_load += SMOOTHING * (attempt.load - endpoint.baseline_load)
+    # Capped, so that under overload an idle endpoint still seems worth an attempt and recovery is noticed.
+    cap_us = INITIAL_LATENCY_SHARE * state.settings.classes[request_class].latency_objective_us
+    state.usual_duration_us[request_class] = min(
+        cap_us, usual_us + SMOOTHING / 5 * (event.duration_us - usual_us)
+    )
--- /dev/null
+++ b/orchidlane/policy/quota.py
@@ -0,0 +1,109 @@
+"""Quotas: accounts, the refill of their limits and ceilings, and the G-counter of what was spent."""
+
+from __future__ import annotations
+
+from orchidlane.policy import replica_set
+from orchidlane.policy.accounts import NO_COUNT, Account, AccountKey, ReplicaCount
+from orchidlane.policy.constants import US_PER_SECOND
+from orchidlane.policy.state import PolicyState
+
+EXHAUSTED_BELOW_SHARE = 0.25  # of the burst: with less remaining a customer is rejected ...
+READMITTED_FROM_SHARE = 0.6  # ... until so much has refilled
+MIN_UNREACHABLE_SHARE = 0.25  # below it, lost messages and restarts explain missing replies
+MAX_COUNTS_PER_ROW = 3  # counts in a gossip row; its total includes the older ones
+
+
+def find_or_create_account(
+    state: PolicyState, customer: int, plan: int, replica_set_start: int, replica_set_size: int
+) -> Account:
+    """Return the customer's account, created with a full burst and, where peers share it, unconfirmed."""
+    account = state.accounts.get(customer)
+    if account is not None:
+        return account
+    size = max(1, min(replica_set_size, state.settings.replica_count))
+    account = Account(
+        customer,
+        AccountKey(plan, replica_set_start, size),
+        state.settings.plans[plan].burst,
+        state.started_at_us,
+        unconfirmed=size > 1 and not state.is_standalone,
+    )
+    state.accounts[customer] = account
+    state.idle_queue.append(customer)
+    return account
+
+
+def update_account_key(
+    state: PolicyState, customer: int, plan: int, replica_set_start: int, replica_set_size: int
+) -> Account:
+    """Return the customer's account, with the plan and replica set that a request names.
+
+    A request is more up to date than what peers report: their rows leave the key as it is.
+    """
+    account = find_or_create_account(state, customer, plan, replica_set_start, replica_set_size)
+    size = max(1, min(replica_set_size, state.settings.replica_count))
+    key = (plan, replica_set_start, size)
+    if account.key != key:
+        account.key = AccountKey(*key)
+    return account
+
+
+def refill(state: PolicyState, account: Account) -> None:
+    """Raise the limit and the ceiling's tokens by the time elapsed, and update whether it is exhausted."""
+    plan = state.settings.plans[account.plan]
+    elapsed_us = state.now - account.refilled_at_us
+    account.refilled_at_us = state.now
+    if plan.ceiling_rate:
+        share = ceiling_share(state, account)
+        gained = plan.ceiling_rate * share * elapsed_us / US_PER_SECOND
+        account.ceiling_tokens = min(plan.ceiling_burst * share, account.ceiling_tokens + gained)
+    reachable_share = _reachable_share(state, account)
+    burst = plan.burst * reachable_share
+    # What was spent over quota is no debt: the limit never lies below the units spent.
+    limit = max(account.spent_total, account.limit + plan.rate * reachable_share * elapsed_us / US_PER_SECOND)
+    account.limit = min(limit, account.spent_total + burst)
+    threshold = READMITTED_FROM_SHARE if account.exhausted else EXHAUSTED_BELOW_SHARE
+    account.exhausted = account.remaining < threshold * burst
+    if not account.exhausted:
+        state.exhausted_customers.pop(account.customer, None)
+    elif account.customer not in state.exhausted_customers:
+        state.exhausted_customers[account.customer] = 0
+
+
+def _reachable_share(state: PolicyState, account: Account) -> float:
+    """Return the share of the quota that is spent here: unreachable peers may spend theirs unnoticed."""
+    unreachable = 1.0 if state.is_standalone else state.unreachable_share
+    if unreachable < MIN_UNREACHABLE_SHARE:
+        return 1.0
+    size = account.replica_set_size
+    return 1 - unreachable * (size - 1) / size
+
+
+def ceiling_share(state: PolicyState, account: Account) -> float:
+    """Return this gateway's share of the ceiling; its token bucket fills alone, from empty at its start.
+
+    Half of the ceiling is the token owner's, who grants of it what others request: it deducts the tokens
+    before it sends them. A gateway that is no member of the set has none; a share of a former set would be
+    tokens beside those of the new one.
+    """
+    size = account.replica_set_size
+    if replica_set.position(state, state.replica, account.replica_set_start) >= size:
+        return 0.0
+    is_owner = replica_set.token_owner(state, account) == state.replica
+    return (1 + size * is_owner) / (2 * size)
+
+
+def record_count(account: Account, replica: int, count: ReplicaCount) -> float:
+    """Merge one replica's count: the later start wins, then the larger value. Returns the growth.
+
+    Where the start is new, the whole value is growth: what an earlier incarnation spent stays spent.
+    """
+    known = account.replica_counts.get(replica, NO_COUNT)
+    if count <= known:
+        return 0.0
+    account.replica_counts[replica] = count
+    others = (other for other in account.recently_changed if other != replica)
+    account.recently_changed = (*others, replica)[-MAX_COUNTS_PER_ROW:]
+    growth = count.value - known.value if count.start == known.start else count.value
+    account.counted_total += growth
+    return growth
--- a/orchidlane/recording/snapshot.py
+++ b/orchidlane/recording/snapshot.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterator
 from typing import Any, Protocol
 
+from orchidlane.policy.accounts import Account
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account
 from orchidlane.recording.state_dump import Dump, dump, dump_account
 
 PAGE = 256  # accounts of one page: about 2 ms of the loop
--- a/orchidlane/recording/state_dump.py
+++ b/orchidlane/recording/state_dump.py
@@ -14,8 +14,10 @@
 import msgspec
 
 from orchidlane import policy
+from orchidlane.policy.accounts import Account, AccountKey, ReplicaCount
+from orchidlane.policy.endpoints import Endpoint, EndpointPool, HealthEstimate
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account, Attempt, Endpoint, EndpointPool, HealthEstimate, PendingRequest
+from orchidlane.policy.state import Attempt, AwaitedReply, PendingRequest
 from orchidlane.recording.codec import FormatError, pack_event, unpack_event
 
 FORMAT = 1
@@ -223,7 +225,7 @@
         made.exhausted_customers = dict(zip(kept.closed, kept.told or [0] * len(kept.closed), strict=True))
         made.last_seen_at_us = dict(kept.heard)
         made.pending_deltas = {rank: dict(owed) for rank, owed in kept.owed}
-        made.awaited_replies = deque(tuple(row) for row in kept.asked)  # type: ignore[misc]
+        made.awaited_replies = deque(AwaitedReply(*row) for row in kept.asked)
         self._servers()
         self._requests()
         return made
@@ -278,7 +280,7 @@
 
 def _gone(customer: int, event: Any, gateway: Gateway) -> Account:
     """An account that the module has dropped, for an attempt that still names it."""
-    key = (event.plan, event.replica_set_start, max(1, event.replica_set_size))
+    key = AccountKey(event.plan, event.replica_set_start, max(1, event.replica_set_size))
     account = Account(customer, key, 0.0, gateway.now)
     account.in_flight = 1
     return account
@@ -296,8 +298,10 @@
 def load_account(row: list[Any]) -> Account:
     """The account of a row of ``Dump.accounts``."""
     values = dict(zip(ACCOUNT, row, strict=True))
-    values["key"] = tuple(values["key"])
-    values["replica_counts"] = {rank: (start, value) for rank, start, value in values["replica_counts"]}
+    values["key"] = AccountKey(*values["key"])
+    values["replica_counts"] = {
+        rank: ReplicaCount(start, value) for rank, start, value in values["replica_counts"]
+    }
     for name in ("recently_changed", "peer_admissions_at_us"):
         values[name] = tuple(values[name])
     return Account(**values)
--- a/orchidlane/simulation/mutants.py
+++ b/orchidlane/simulation/mutants.py
@@ -41,9 +41,9 @@
     "fails as it serves": _soon("1 // 0"),  # not a crash: all that it has is ended in order
     "hangs as it serves": _soon('__import__("time").sleep(60)'),
     "refuses everything": Change(
-        "policy/gateway.py",
-        "        self._lift(account)\n        if plan.ceiling_rate",
-        "        self._lift(account)\n        return False\n        if plan.ceiling_rate",
+        "policy/admission.py",
+        "    quota.refill(state, account)\n    if plan.ceiling_rate",
+        "    quota.refill(state, account)\n    return False\n    if plan.ceiling_rate",
     ),
 }
 
