--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -517,7 +517,7 @@
         assert counted(new) == 5
         stream.send(resp_command(b"LIMIT.GIVEBACK", b"a-key", b"t1"))
         assert reply(stream) == b":1\r\n"
-        assert new.limits.ledger.credits()[0][:2] == (1, 5.0)
+        assert new.limits.grants.credits()[0][:2] == (1, 5.0)
 
     Upgraded(good, upgrade_alone=True).run(test)
 
@@ -732,7 +732,10 @@
     for name, data in house.world.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
-    lives = [recording.replay(life) for life in recording.lives_of(recording.read_folder(str(tmp_path)))]
+    lives = [
+        recording.replay(life)
+        for life in recording.group_by_incarnation(recording.list_segments(str(tmp_path)))
+    ]
     assert len(lives) == 2
-    assert all(one.difference is None and not one.unchecked and one.events > 100 for one in lives)
-    assert recording.audit_records(recording.read_folder(str(tmp_path))).faults == {}
+    assert all(one.difference is None and not one.unchecked_parts and one.events > 100 for one in lives)
+    assert recording.audit_records(recording.list_segments(str(tmp_path))).faults == {}
