--- a/orchidlane/gateway/telemetry/plan_counts.py
+++ b/orchidlane/gateway/telemetry/plan_counts.py
@@ -11,8 +11,9 @@
 
 from orchidlane import policy, recording
 from orchidlane.gateway.telemetry.policy_views import check_build
+from orchidlane.policy import quota
+from orchidlane.policy.accounts import Account
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account
 
 
 class CustomerShare(NamedTuple):
@@ -47,7 +48,7 @@
     counters: dict[str, _PlanCounter] = defaultdict(lambda: _PlanCounter(max_customers))
     for row in reader.account_rows():
         account = recording.account_from_row(row)
-        gateway._lift(account)
+        quota.refill(gateway, account)
         counters[header.plan_names[account.plan]].add(account, gateway.settings.plans[account.plan])
     return {plan: counter.result() for plan, counter in counters.items()}
 
--- a/orchidlane/hot_restart/tables.py
+++ b/orchidlane/hot_restart/tables.py
@@ -14,8 +14,8 @@
 
 from orchidlane import policy
 from orchidlane.limits import GrantStore, TokenOwner
+from orchidlane.policy.accounts import Account
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account
 from orchidlane.recording import (
     ObservableAccounts,
     StateDump,
--- a/orchidlane/recording/snapshot.py
+++ b/orchidlane/recording/snapshot.py
@@ -16,8 +16,8 @@
 from collections.abc import Iterator
 from typing import Any, Protocol
 
+from orchidlane.policy.accounts import Account
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account
 from orchidlane.recording.state_dump import StateDump, account_to_row, dump_state
 
 PAGE_ACCOUNTS = 256  # about 2 ms of the loop
--- a/orchidlane/recording/state_dump.py
+++ b/orchidlane/recording/state_dump.py
@@ -14,8 +14,10 @@
 
 import msgspec
 
+from orchidlane.policy.accounts import Account
+from orchidlane.policy.endpoints import Endpoint, HealthEstimate
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account, Attempt, Endpoint, HealthEstimate, PendingRequest
+from orchidlane.policy.state import Attempt, PendingRequest
 from orchidlane.recording.codec import pack_event
 
 FORMAT_VERSION = 1
--- a/orchidlane/recording/state_restore.py
+++ b/orchidlane/recording/state_restore.py
@@ -10,8 +10,10 @@
 from typing import Any
 
 from orchidlane import policy
+from orchidlane.policy.accounts import Account, AccountKey, ReplicaCount
+from orchidlane.policy.endpoints import Endpoint, EndpointPool, HealthEstimate
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account, Attempt, Endpoint, EndpointPool, HealthEstimate, PendingRequest
+from orchidlane.policy.state import Attempt, AwaitedReply, PendingRequest
 from orchidlane.recording.codec import unpack_event
 from orchidlane.recording.errors import FormatError
 from orchidlane.recording.state_dump import (
@@ -37,8 +39,10 @@
 def account_from_row(row: list[Any]) -> Account:
     """Return the account of a row of ``StateDump.accounts``. Raises ValueError, TypeError."""
     values = dict(zip(ACCOUNT_FIELDS, row, strict=True))
-    values["key"] = tuple(values["key"])
-    values["replica_counts"] = {replica: (start, value) for replica, start, value in values["replica_counts"]}
+    values["key"] = AccountKey(*values["key"])
+    values["replica_counts"] = {
+        replica: ReplicaCount(start, value) for replica, start, value in values["replica_counts"]
+    }
     for name in ("recently_changed", "peer_admissions_at_us"):
         values[name] = tuple(values[name])
     return Account(**values)
@@ -85,7 +89,7 @@
         gateway, state = self._gateway, self._state
         gateway.last_seen_at_us = dict(state.last_seen)
         gateway.pending_deltas = {replica: dict(deltas) for replica, deltas in state.pending_deltas}
-        gateway.awaited_replies = deque(tuple(row) for row in state.awaited_replies)  # type: ignore[misc]
+        gateway.awaited_replies = deque(AwaitedReply(*row) for row in state.awaited_replies)
 
     def _restore_endpoints(self) -> None:
         gateway, state = self._gateway, self._state
@@ -140,7 +144,7 @@
 
 def _dropped_account(customer: int, event: Any, now_us: int) -> Account:
     """Return an account that the policy has dropped, for an attempt that still refers to it."""
-    key = (event.plan, event.replica_set_start, max(1, event.replica_set_size))
+    key = AccountKey(event.plan, event.replica_set_start, max(1, event.replica_set_size))
     account = Account(customer, key, 0.0, now_us)
     account.in_flight = 1
     return account
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 from conftest import SECOND
-from harness.gateway_house import GET, MS, House, good
+from harness.gateway_harness import GET, MS, GatewayHarness, good
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_day import day, quiet, step  # noqa: F401
@@ -23,7 +23,7 @@
 import orchidlane
 from orchidlane import policy, recording
 from orchidlane.gateway.telemetry.plan_counts import count_by_plan
-from orchidlane.policy.gateway import Gateway
+from orchidlane.policy import endpoint_selection, quota, retries
 from orchidlane.runtime import Loop, SimWorld
 from orchidlane.simulation.backends import SimulatedBacking
 from orchidlane.simulation.scenario import Runner, make_plan
@@ -127,7 +127,7 @@
     for plan, name in enumerate(NAMES[1]):
         accounts = [one for one in gateway.accounts.values() if one.plan == plan]
         for account in accounts:
-            gateway._lift(account)
+            quota.refill(gateway, account)
         if accounts:
             assert found[name].spent == pytest.approx(sum(one.spent_total for one in accounts))
             assert found[name].remaining == pytest.approx(sum(one.remaining for one in accounts))
@@ -139,14 +139,14 @@
 # Against a gateway
 
 
-def ask_admin(house: House, target: bytes):
+def ask_admin(house: GatewayHarness, target: bytes):
     stream = house.world.connect(("127.0.0.1", 8280))
     stream.send(b"GET %s HTTP/1.1\r\nHost: a\r\n\r\n" % target)
     return house.answer(stream)
 
 
 def test_a_state_told_by_a_gateway_under_load_is_whole_and_a_second_one_waits(tmp_path):
-    def test(house: House) -> None:
+    def test(house: GatewayHarness) -> None:
         assert house.ask(GET)[0] == 200
         status, _, body = ask_admin(house, b"/state")
         assert status == 200
@@ -161,16 +161,16 @@
         assert ask_admin(house, b"/view?customer=1")[0] == 200
         assert ask_admin(house, b"/view?customer=%ff%00")[0] == 404
 
-    House(good).run(test)
+    GatewayHarness(good).run(test)
 
 
 def test_a_tool_that_hangs_slows_nothing_and_is_let_go(monkeypatch):
     monkeypatch.setattr("orchidlane.runtime.simulated_backend.WINDOW", 4096)
 
-    def test(house: House) -> None:
+    def test(house: GatewayHarness) -> None:
         rules = house.program.host.rules
         for customer in range(2_000):
-            rules._account(customer + 10, 0, 0, 3, trusted=True)
+            quota.update_account_key(rules, customer + 10, 0, 0, 3)
         hung = house.world.connect(("127.0.0.1", 8280))
         hung.send(b"GET /state HTTP/1.1\r\nHost: a\r\n\r\n")
         house.loop.sleep(100 * MS)
@@ -185,7 +185,7 @@
         assert not house.program.admin.is_sending_state
         assert type(rules.accounts) is recording.ObservableAccounts
 
-    House(good).run(test)
+    GatewayHarness(good).run(test)
 
 
 def test_segments_begin_with_a_state_in_pages_and_replay_from_any_of_them(tmp_path, monkeypatch):
@@ -290,10 +290,15 @@
     folder = tmp_path_factory.mktemp("other")
     source = Path(orchidlane.__file__).parent
     shutil.copytree(source, folder / "orchidlane", ignore=shutil.ignore_patterns("__pycache__"))
-    rules = folder / "orchidlane" / "policy" / "gateway.py"
-    text = rules.read_text()
-    assert "CLOSE, REOPEN = 0.25, 0.6" in text
-    rules.write_text(text.replace("CLOSE, REOPEN = 0.25, 0.6", "CLOSE, REOPEN = 0.9, 0.95"))
+    quota_source = folder / "orchidlane" / "policy" / "quota.py"
+    text = quota_source.read_text()
+    for constant, value in {
+        "EXHAUSTED_BELOW_SHARE = 0.25": "0.9",
+        "READMITTED_FROM_SHARE = 0.6": "0.95",
+    }.items():
+        assert text.count(constant) == 1
+        text = text.replace(constant, constant.rpartition(" ")[0] + " " + value)
+    quota_source.write_text(text)
     return folder
 
 
@@ -377,16 +382,16 @@
 
 
 def test_the_audit_over_records_objects_to_an_unsafe_request_sent_again(tmp_path, monkeypatch):
-    def again(self, event):
-        self.end_attempt(event.request, event.attempt)
-        request = self.requests.get(event.request)
+    def again(state, event):
+        state.end_attempt(event.request, event.attempt)
+        request = state.requests.get(event.request)
         if request and event.answered:
-            self._drop(request)
+            retries._forget(state, request)
         elif request:
-            self._advance(request)
+            retries._advance(state, request)
 
-    monkeypatch.setattr(Gateway, "_attempt_ended", again)
-    monkeypatch.setattr(Gateway, "_may_send", lambda *_: True)
+    monkeypatch.setattr(retries, "attempt_ended", again)
+    monkeypatch.setattr(endpoint_selection, "_may_send", lambda *_: True)
     steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
     told = recorded_day(tmp_path, steps, span=3)
     assert told["gateways"]["faults"]["sent again"] > 0
@@ -463,7 +468,7 @@
 def test_top_shows_who_answers_and_who_does_not():
     from orchidlane.cli.screen import Screen, as_rows
 
-    def test(house: House) -> None:
+    def test(house: GatewayHarness) -> None:
         screen = Screen(house.loop, "t", [("gw-0", ("127.0.0.1", 8280)), ("gw-1", ("127.0.0.1", 8281))])
         screen.look()
         for _ in range(10):
@@ -475,7 +480,7 @@
         assert rows[1] == {"gateway": "gw-1", "up": False}
         assert len(screen.table(screen.look()).columns) == 10
 
-    House(good).run(test)
+    GatewayHarness(good).run(test)
 
 
 @pytest.mark.parametrize("shell", ["bash", "zsh", "fish"])
@@ -506,8 +511,8 @@
 
 
 def test_a_question_that_never_comes_is_given_up_at_its_deadline():
-    def test(house: House) -> None:
+    def test(house: GatewayHarness) -> None:
         stream = house.world.connect(("127.0.0.1", 8280))
         assert stream.recv(deadline=house.loop.now() + 6 * SECOND) == b""
 
-    House(good).run(test)
+    GatewayHarness(good).run(test)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,7 +13,7 @@
 import pytest
 import structlog
 from conftest import SECOND
-from harness.gateway_house import GENERATION, GET, MS, OK, REPORT, SETTINGS, House, good, request
+from harness.gateway_harness import GENERATION, GET, MS, OK, REPORT, SETTINGS, GatewayHarness, good, request
 from test_day import quiet  # noqa: F401
 
 from orchidlane import http1, recording
@@ -23,11 +23,12 @@
 from orchidlane.gateway.lifecycle import hot_restart
 from orchidlane.gateway.lifecycle.process import Program
 from orchidlane.hot_restart import messages, new_process, old_process
+from orchidlane.policy import admission, quota
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import Expired, LoopError
 
 
-class Upgraded(House):
+class Upgraded(GatewayHarness):
     """A house whose gateway can be upgraded; ``programs`` are all processes of it, the latest at the end."""
 
     def __init__(
@@ -133,7 +134,7 @@
         ]
 
 
-def slow(house: House, index: int, stream) -> None:
+def slow(house: GatewayHarness, index: int, stream) -> None:
     """A node that serves after a while."""
     while True:
         house.read_request(index, stream)
@@ -425,7 +426,7 @@
 def test_a_request_under_way_of_any_kind_gets_its_one_answer():
     """Half a body, half a head, an unsafe attempt that is out, a pipeline: at the moment itself."""
 
-    def late(house: House, index: int, stream) -> None:
+    def late(house: GatewayHarness, index: int, stream) -> None:
         while True:
             house.read_request(index, stream)
             house.loop.sleep(60 * MS)
@@ -568,13 +569,13 @@
 
 
 def test_a_build_that_refuses_everything_is_recalled_and_its_clients_come_back(monkeypatch):
-    admits = Gateway._admits
+    admits = admission.admits
     broken: list[Gateway] = []
 
-    def refuses(self, request) -> bool:
-        return False if self in broken else admits(self, request)
+    def refuses(state, event, account) -> bool:
+        return False if state in broken else admits(state, event, account)
 
-    monkeypatch.setattr(Gateway, "_admits", refuses)
+    monkeypatch.setattr(admission, "admits", refuses)
     go_on = hot_restart.TakingSide._begin_trial
 
     def spoilt(self) -> None:
@@ -679,7 +680,7 @@
     def test(house: Upgraded) -> None:
         rules = house.program.host.rules
         for customer in range(100_000):
-            account = rules._account(customer + 10, 0, 0, 3, trusted=True)
+            account = quota.update_account_key(rules, customer + 10, 0, 0, 3)
             account.spent_total, account.unconfirmed = 1.0, True  # unheard: none is forgotten on the way
         house.load(2 * SECOND)
         house.upgrade()
