--- /dev/null
+++ b/orchidlane/cli/admin_client.py
@@ -0,0 +1,58 @@
+"""Reads responses of gateways' admin addresses."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Iterator
+
+from orchidlane import http1
+from orchidlane.gateway.control.settings import address
+from orchidlane.gateway.telemetry.policy_views import ViewError
+from orchidlane.http1 import Data, End, Malformed, Response
+
+TIMEOUT_SECONDS = 5.0  # for each piece of a response
+RECEIVE_BYTES = 1 << 16
+HTTP_OK = 200
+
+
+def fetch(admin: str, target: str, max_bytes: int) -> Iterator[bytes]:
+    """Yield the parts of a response of a gateway's admin address. Raises ViewError."""
+    try:
+        admin_address = address(admin)
+    except ValueError:
+        raise ViewError(f"{admin}: no such file, and not an address as host:port") from None
+    try:
+        with socket.create_connection(admin_address, TIMEOUT_SECONDS) as connection:
+            connection.sendall(http1.request_head("GET", target.encode(), [(b"host", b"admin")]))
+            yield from _read_body(connection, admin, max_bytes)
+    except Malformed as error:
+        raise ViewError(f"{admin} does not answer as a gateway: {error}") from None
+    except TimeoutError:
+        raise ViewError(f"{admin} does not answer within {TIMEOUT_SECONDS:g} s") from None
+    except OSError as error:
+        raise ViewError(f"{admin}: {error.strerror or error}") from None
+
+
+def _read_body(connection: socket.socket, admin: str, max_bytes: int) -> Iterator[bytes]:
+    parser = http1.ResponseParser()
+    status = 0
+    error_text = b""
+    size = 0
+    while not isinstance(event := parser.next_event(), End):
+        match event:
+            case None:
+                if parser.ended:
+                    raise ViewError(f"{admin} ended its answer early")
+                parser.receive(connection.recv(RECEIVE_BYTES))
+            case Response():
+                status = event.status
+            case Data():
+                size += len(event.data)
+                if size > max_bytes:
+                    raise ViewError(f"{admin}: its answer has more than {max_bytes} bytes")
+                if status == HTTP_OK:
+                    yield event.data
+                else:
+                    error_text += event.data
+    if status != HTTP_OK:
+        raise ViewError(error_text.decode("utf-8", "replace").strip() or f"{admin} answers {status}")
--- a/orchidlane/cli/main.py
+++ b/orchidlane/cli/main.py
@@ -16,9 +16,13 @@
 import structlog
 
 from orchidlane import config
-from orchidlane.cli import tools
+from orchidlane.cli.audit_command import audit
 from orchidlane.cli.change import change
+from orchidlane.cli.completion import completion
+from orchidlane.cli.customer_commands import counts, diff
 from orchidlane.cli.errors import clear_errors
+from orchidlane.cli.gateway_commands import nodes, state, top
+from orchidlane.cli.record_commands import explain, replay
 from orchidlane.cli.roll import roll
 from orchidlane.cli.upgrade import upgrade
 from orchidlane.gateway.control.settings import load_fleet, schema
@@ -198,15 +202,15 @@
 
 
 for command in (
-    tools.audit,
-    tools.completion,
-    tools.counts,
-    tools.diff,
-    tools.explain,
-    tools.nodes,
-    tools.replay_command,
-    tools.state,
-    tools.top,
+    audit,
+    completion,
+    counts,
+    diff,
+    explain,
+    nodes,
+    replay,
+    state,
+    top,
     change,
     roll,
     upgrade,
--- a/orchidlane/cli/views.py
+++ b/orchidlane/cli/views.py
@@ -1,110 +1,80 @@
-"""Where tools get what a gateway knows: its admin address, a saved state, or every gateway of a settings
-file.
-"""
+"""Where commands get what a gateway knows: an admin address, a saved state, or a settings file."""
 
 from __future__ import annotations
 
 import contextlib
 import os
-import socket
 import tempfile
 from collections.abc import Iterator
 from urllib.parse import quote
 
-from orchidlane import http1, recording
-from orchidlane.gateway.control.settings import address, load_fleet
+from orchidlane import recording
+from orchidlane.cli.admin_client import fetch
+from orchidlane.gateway.control.settings import load_fleet
 from orchidlane.gateway.telemetry.policy_views import PolicyView, ViewError, decode_view, view_from_state
-from orchidlane.http1 import Data, End, Malformed, Response
+from orchidlane.recording.segments import SEGMENT_SUFFIX
 
-PATIENCE = 5.0  # seconds for each piece of a gateway's answer
-VIEW_MOST = 64 << 20  # bytes of a view; a whole state goes to a file instead
-STATE_MOST = 8 << 30  # bytes of a whole state
-SETTINGS = ".cue"
+MAX_VIEW_BYTES = 64 << 20  # a complete state goes to a file instead
+MAX_STATE_BYTES = 8 << 30
+SETTINGS_SUFFIX = ".cue"
 
 
-def places(where: str) -> list[str]:
-    """The admin addresses or the saved state that a word names: ``host:port``, a state, or settings."""
-    if not where.endswith(SETTINGS):
+def find_sources(where: str) -> list[str]:
+    """Return the admin addresses or the saved state that ``host:port``, a state or settings name."""
+    if not where.endswith(SETTINGS_SUFFIX):
         return [where]
-    found = [entry.admin for entry in load_fleet(where).gateways if entry.admin]
-    if not found:
+    admins = [entry.admin for entry in load_fleet(where).gateways if entry.admin]
+    if not admins:
         raise ViewError(f"{where}: no gateway has an admin address")
-    return found
+    return admins
 
 
-def is_saved(where: str) -> bool:
+def is_saved_state(source: str) -> bool:
     """Whether a word names a saved state and not an admin address."""
-    return os.path.exists(where)
+    return os.path.exists(source)
 
 
-def customer_view(where: str, customer: str) -> PolicyView:
-    """What one gateway knows of a customer. Raises ViewError, FormatError, OSError."""
-    if is_saved(where):
+def load_customer_view(source: str, customer: str) -> PolicyView:
+    """Return what one gateway knows of a customer. Raises ViewError, FormatError, OSError."""
+    if is_saved_state(source):
         if not customer.isdigit():
-            raise ViewError(f"{where}: a saved state knows customers by their numbers only")
-        with contextlib.closing(recording.SegmentReader(where)) as reader:
+            raise ViewError(f"{source}: a saved state knows customers by their numbers only")
+        with recording.SegmentReader(source) as reader:
             return view_from_state(reader, int(customer))
     name = quote(os.fsencode(customer), safe="")  # names need not be printable
-    return decode_view(b"".join(fetch(where, f"/view?customer={name}", VIEW_MOST)))
+    return decode_view(b"".join(fetch(source, f"/view?customer={name}", MAX_VIEW_BYTES)))
 
 
-def node_view(admin: str) -> PolicyView:
-    """What one gateway knows of its nodes. Raises ViewError, OSError."""
-    return decode_view(b"".join(fetch(admin, "/view", VIEW_MOST)))
+def load_endpoint_view(admin: str) -> PolicyView:
+    """Return what one gateway knows of its endpoints. Raises ViewError."""
+    return decode_view(b"".join(fetch(admin, "/view", MAX_VIEW_BYTES)))
+
+
+def request_class_number(view: PolicyView, name: str) -> int:
+    """Return the number of a request class; the first class where the name is empty. Raises ViewError."""
+    if not name:
+        return 0
+    if name not in view.class_names:
+        raise ViewError(f"no class {name!r}, allowed: {', '.join(view.class_names)}")
+    return view.class_names.index(name)
 
 
 @contextlib.contextmanager
-def open_state(where: str) -> Iterator[recording.SegmentReader]:
-    """A gateway's whole state, saved or told now; it goes through a file, so memory does not grow with it."""
+def open_state(source: str) -> Iterator[recording.SegmentReader]:
+    """Open a gateway's complete state, saved or fetched now.
+
+    It goes through a file, so memory does not grow with it. Raises ViewError, FormatError, OSError.
+    """
     with contextlib.ExitStack() as stack:
-        path = where
-        if not is_saved(where):
-            path = stack.enter_context(tempfile.NamedTemporaryFile(suffix=".olr")).name
-            save_state(where, path)
-        yield stack.enter_context(contextlib.closing(recording.SegmentReader(path)))
+        path = source
+        if not is_saved_state(source):
+            path = stack.enter_context(tempfile.NamedTemporaryFile(suffix=SEGMENT_SUFFIX)).name
+            save_state(source, path)
+        yield stack.enter_context(recording.SegmentReader(path))
 
 
 def save_state(admin: str, path: str) -> None:
-    """Write the state that a gateway tells to a file. Raises ViewError, OSError."""
+    """Write a gateway's complete state to a file. Raises ViewError, OSError."""
     with open(path, "wb") as file:
-        for part in fetch(admin, "/state", STATE_MOST):
+        for part in fetch(admin, "/state", MAX_STATE_BYTES):
             file.write(part)
-
-
-def fetch(admin: str, target: str, most: int) -> Iterator[bytes]:
-    """The parts of an answer of a gateway's admin address. Raises ViewError, OSError."""
-    try:
-        at = address(admin)
-    except ValueError:
-        raise ViewError(f"{admin}: no such file, and not an address as host:port") from None
-    try:
-        with socket.create_connection(at, PATIENCE) as sock:
-            sock.sendall(http1.request_head("GET", target.encode(), [(b"host", b"admin")]))
-            yield from _body(sock, admin, most)
-    except Malformed as wrong:
-        raise ViewError(f"{admin} does not answer as a gateway: {wrong}") from None
-    except TimeoutError:
-        raise ViewError(f"{admin} does not answer within {PATIENCE:g} s") from None
-    except OSError as wrong:
-        raise ViewError(f"{admin}: {wrong.strerror or wrong}") from None
-
-
-def _body(sock: socket.socket, admin: str, most: int) -> Iterator[bytes]:
-    parser, status, wrong, size = http1.ResponseParser(), 0, b"", 0
-    while not isinstance(event := parser.next_event(), End):
-        if event is None:
-            if parser.ended:
-                raise ViewError(f"{admin} ended its answer early")
-            parser.receive(sock.recv(65536))
-        elif isinstance(event, Response):
-            status = event.status
-        elif isinstance(event, Data):
-            size += len(event.data)
-            if size > most:
-                raise ViewError(f"{admin}: its answer has more than {most} bytes")
-            if status == 200:
-                yield event.data
-            else:
-                wrong += event.data
-    if status != 200:
-        raise ViewError(wrong.decode("utf-8", "replace").strip() or f"{admin} answers {status}")
--- a/orchidlane/gateway/telemetry/policy_views.py
+++ b/orchidlane/gateway/telemetry/policy_views.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from orchidlane import recording
+from orchidlane import policy, recording
 from orchidlane.gateway.telemetry.policy_host import PolicyNames
 from orchidlane.policy.gateway import Gateway
 
@@ -39,6 +39,13 @@
     plan_names: tuple[str, ...]
     customer: ViewedCustomer | None
 
+    def policy_settings(self) -> policy.Settings:
+        """Return the settings as the policy takes them. Raises ViewError."""
+        try:
+            return recording.settings_from_stored(self.settings)
+        except msgspec.ValidationError as error:
+            raise ViewError(str(error)) from None
+
 
 class ViewError(Exception):
     """A view that this build can't judge."""
--- a/orchidlane/gateway/telemetry/predictions.py
+++ b/orchidlane/gateway/telemetry/predictions.py
@@ -10,8 +10,6 @@
 from enum import StrEnum
 from typing import Any
 
-import msgspec
-
 from orchidlane import policy, recording
 from orchidlane.gateway.telemetry.policy_views import PolicyView, ViewedCustomer, ViewError
 from orchidlane.policy.gateway import Gateway
@@ -104,9 +102,8 @@
 
 def _restore(view: PolicyView) -> Gateway:
     try:
-        settings = recording.settings_from_stored(view.settings)
-        return recording.restore_gateway(settings, view.state)
-    except (msgspec.ValidationError, recording.FormatError) as error:
+        return recording.restore_gateway(view.policy_settings(), view.state)
+    except recording.FormatError as error:
         raise ViewError(str(error)) from None
 
 
--- a/orchidlane/recording/__init__.py
+++ b/orchidlane/recording/__init__.py
@@ -27,7 +27,7 @@
 from orchidlane.recording.settings_codec import settings_from_stored, settings_to_stored
 from orchidlane.recording.snapshot import ObservableAccounts, Snapshot, track_accounts
 from orchidlane.recording.state_dump import StateDump, account_to_row, dump_state
-from orchidlane.recording.state_restore import account_from_row, restore_gateway
+from orchidlane.recording.state_restore import account_from_row, listed_endpoints, restore_gateway
 from orchidlane.recording.what_if import WhatIfResult, simulate_settings
 
 __all__ = [
@@ -60,6 +60,7 @@
     "dump_state",
     "group_by_incarnation",
     "list_segments",
+    "listed_endpoints",
     "pack_account_page",
     "pack_action",
     "pack_entry",
--- a/orchidlane/recording/state_restore.py
+++ b/orchidlane/recording/state_restore.py
@@ -48,6 +48,11 @@
     return Account(**values)
 
 
+def listed_endpoints(state: StateDump) -> list[Endpoint]:
+    """Return the endpoints of a state that discovery lists. Raises ValueError, TypeError."""
+    return [_endpoint_from_row(row) for row in state.endpoints if row[3]]
+
+
 class _Restorer:
     """Fills a new policy with the values of one dump."""
 
