--- a/tests/golden.py
+++ b/tests/harness/golden_files.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-FOLDER = Path(__file__).parent / "corpus" / "golden_surface"
+FOLDER = Path(__file__).parent.parent / "corpus" / "golden_surface"
 
 
 def check_golden(name: str, found: Any) -> None:
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -18,7 +18,7 @@
 from functools import cache
 
 import pytest
-from golden import check_golden
+from harness.golden_files import check_golden
 
 from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -20,7 +20,6 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from golden import check_golden
 from harness.gateway_harness import (
     GET,
     KEY,
@@ -32,6 +31,7 @@
     request,
     resets_after,
 )
+from harness.golden_files import check_golden
 from harness.platform_house import PlatformHouse, call, settings
 from harness.platform_house import file as platform_file
 
