--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,7 +22,7 @@
     "cli",
     "day",
     "loop",
-    "record",
+    "live_tools",
     "resp",
     "tools",
     "upgrade_real",
--- /dev/null
+++ b/tests/harness/saved_states.py
@@ -0,0 +1,35 @@
+"""Complete states in files, as a gateway's admin address gives them."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from harness.event_story import Story
+from orchidlane import recording
+
+NAMES = tuple("abcde"), tuple("pqrs")
+
+
+def save(story: Story, path: Path, touch: int = 0, build: str = "") -> None:
+    """A whole state as a gateway tells it; so many more events happen between its pages."""
+    gateway = story.bench.gateway
+    recording.track_accounts(gateway)
+    snapshot = recording.Snapshot(gateway)
+    header = recording.Header(
+        format=recording.FORMAT_VERSION,
+        build=build or recording.build_name(),
+        gateway="gw",
+        started_at_us=story.bench.now,
+        number=0,
+        settings=recording.settings_to_stored(story.bench.settings),
+        state=snapshot.state,
+        class_names=NAMES[0],
+        plan_names=NAMES[1],
+        context={"now": story.bench.now},
+    )
+    data = recording.pack_header(header)
+    for rows in snapshot.pages():
+        data += recording.pack_account_page(0, rows, last=False)
+        for _ in range(touch):
+            story.step()
+    path.write_bytes(data + recording.pack_account_page(0, [], last=True))
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -662,7 +662,7 @@
 
 def first_state() -> bytes:
     """A state to begin with: that of a module that lived through random events, all of its fields filled."""
-    from test_record import Story
+    from harness.event_story import Story
 
     story = Story(20)
     for _ in range(38):
--- /dev/null
+++ b/tests/test_recording_state.py
@@ -0,0 +1,108 @@
+"""States of a policy: exact dumps, restored policies and stored events."""
+
+from __future__ import annotations
+
+import msgspec
+import pytest
+from conftest import Bench
+from harness.event_story import Story
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from orchidlane import policy, recording
+
+
+@settings(max_examples=40, deadline=None)
+@given(st.integers(0, 2**32), st.integers(0, 150))
+def test_a_module_restored_at_any_time_goes_on_just_the_same(seed, cut):
+    story = Story(seed)
+    for _ in range(cut):
+        story.step()
+    kept = recording.dump_state(story.bench.gateway)
+    packed = msgspec.msgpack.encode(kept)
+    again = recording.restore_gateway(
+        story.bench.settings, msgspec.msgpack.decode(packed, type=recording.StateDump)
+    )
+    begun = len(story.log)
+    for _ in range(100):
+        story.step()
+    assert msgspec.msgpack.encode(kept) == packed  # a state does not change with its module
+    for now, event, actions in story.log[begun:]:
+        assert again.handle(now, event) == actions
+    assert recording.dump_state(again) == recording.dump_state(story.bench.gateway)
+
+
+@given(st.integers(0, 2**32))
+def test_events_and_actions_come_back_as_they_were(seed):
+    story = Story(seed)
+    for _ in range(60):
+        story.step()
+    for _, event, actions in story.log:
+        wire = msgspec.msgpack.decode(msgspec.msgpack.encode(recording.pack_event(event)))
+        assert recording.unpack_event(wire) == event
+        for action in actions:
+            wire = msgspec.msgpack.decode(msgspec.msgpack.encode(recording.pack_action(action)))
+            assert recording.unpack_action(wire) == action
+
+
+def test_every_event_and_action_has_its_number():
+    assert set(recording.EVENT_TYPES.values()) == set(policy.Event.__args__)
+    assert set(recording.ACTION_TYPES.values()) == set(policy.Action.__args__)
+
+
+@pytest.mark.parametrize("values", [[], [99, 1], [6, 1, 2], [4, 1], ["x"]])
+def test_what_a_later_build_wrote_is_refused(values):
+    with pytest.raises(recording.FormatError):
+        recording.unpack_event(values)
+
+
+def test_a_state_of_another_format_or_that_does_not_fit_is_refused():
+    bench = Bench()
+    kept = recording.dump_state(bench.gateway)
+    with pytest.raises(recording.FormatError, match="format 9"):
+        recording.restore_gateway(bench.settings, msgspec.structs.replace(kept, format=9))
+    with pytest.raises(recording.FormatError):
+        recording.restore_gateway(bench.settings, msgspec.structs.replace(kept, pools=[[99], []]))
+    with pytest.raises(recording.FormatError):
+        recording.restore_gateway(bench.settings, msgspec.structs.replace(kept, scalars={}))
+
+
+@settings(max_examples=30, deadline=None)
+@given(st.integers(0, 2**32), st.integers(0, 120), st.integers(1, 3))
+def test_a_snapshot_is_the_state_of_its_moment_whatever_happens_between_its_pages(seed, before, page):
+    story, gateways = Story(seed), []
+    for _ in range(before):
+        story.step()
+    gateway = story.bench.gateway
+    recording.track_accounts(gateway)
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", page)
+        wanted = msgspec.msgpack.encode(recording.dump_state(gateway))
+        snapshots = recording.Snapshot(gateway), recording.Snapshot(gateway)  # two at once
+        for snapshot in snapshots:
+            rows = []
+            for some in snapshot.pages():
+                assert len(some) <= page
+                rows += msgspec.msgpack.decode(msgspec.msgpack.encode(some))
+                for _ in range(4):
+                    story.step()
+            gateways.append((snapshot.state, rows))
+    kept = msgspec.msgpack.decode(wanted, type=recording.StateDump)
+    for head, rows in gateways:
+        head = msgspec.msgpack.decode(msgspec.msgpack.encode(head), type=recording.StateDump)
+        assert sorted(rows) == sorted(kept.accounts)
+        assert msgspec.structs.replace(head, accounts=[]) == msgspec.structs.replace(kept, accounts=[])
+    assert type(gateway.accounts) is recording.ObservableAccounts  # nothing is paid any more
+
+
+def test_a_snapshot_that_is_given_up_costs_nothing_more():
+    story = Story(3)
+    for _ in range(50):
+        story.step()
+    gateway = story.bench.gateway
+    recording.track_accounts(gateway)
+    snapshot = recording.Snapshot(gateway)
+    assert type(gateway.accounts) is not recording.ObservableAccounts
+    snapshot.close()
+    assert type(gateway.accounts) is recording.ObservableAccounts
+    assert list(snapshot.pages()) == []
--- a/tests/test_upgrade_real.py
+++ b/tests/test_upgrade_real.py
@@ -8,8 +8,8 @@
 import time
 
 import pytest
+from harness.event_story import run
 from test_day import day, quiet  # noqa: F401
-from test_record import run
 
 from orchidlane.runtime import Loop, RealWorld
 from orchidlane.simulation.backends import RealBacking, play_while
