--- /dev/null
+++ b/tests/harness/golden_policy.py
@@ -0,0 +1,190 @@
+"""Golden values of states, records and views: what the bytes in ``corpus/golden`` hold."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import msgspec
+from conftest import SETTINGS, T0
+
+from orchidlane import policy, recording
+from orchidlane.gateway.telemetry import policy_views
+from orchidlane.policy import gossip_codec as module_messages
+from orchidlane.policy.accounts import Account, AccountKey, ReplicaCount
+from orchidlane.policy.gateway import Gateway
+
+GOLDEN = Path(__file__).parent.parent / "corpus" / "golden"
+
+
+SECRET = b"the golden fleet's key"
+
+
+BUILD = "1.2.3+0123456789ab"  # fixed: the real name changes with the sources
+
+
+CLASS_NAMES = ("safe", "keyed in a cell", "unsafe", "keyed", "keyed in a zone")
+
+
+PLAN_NAMES = ("plain", "capped", "with a ceiling", "idle earns")
+
+
+def golden_accounts() -> list[Account]:
+    """Two accounts; all fields of the first are other than a new account's."""
+    first = Account(
+        customer=7,
+        key=AccountKey(2, 1, 3),
+        limit=24.5,
+        refilled_at_us=T0 - 40,
+        replica_counts={0: ReplicaCount(15_900, 3.25), 2: ReplicaCount(15_950, 4.5)},
+        counted_total=7.75,
+        spent_total=9.25,
+        recently_changed=(2, 0),
+        unconfirmed=False,
+        in_flight=2,
+        peer_admissions_at_us=(T0 - 9, T0 - 5),
+        announced_at_us=T0 - 3,
+        ceiling_tokens=5.5,
+        requested_tokens=1.5,
+        exhausted=True,
+    )
+    return [first, Account(customer=4_000_000_000, key=AccountKey(0, 0, 1), limit=10.0, refilled_at_us=T0)]
+
+
+def golden_state() -> recording.StateDump:
+    """The state of a module with servers, accounts, requests under way and all else that a state holds."""
+    return msgspec.msgpack.decode(golden("module-state.msgpack"), type=recording.StateDump)
+
+
+def golden_module() -> Gateway:
+    """The module that the golden state makes, with whole numbers for times as in one that was never read."""
+    module = recording.restore_gateway(SETTINGS, golden_state())
+    for known in (module.fleet_health, *module.zone_health.values()):
+        known.updated_at_us = int(known.updated_at_us)
+    return module
+
+
+def golden_settings() -> dict[str, Any]:
+    """A module's settings as plain values, the way they are read."""
+    return msgspec.msgpack.decode(msgspec.msgpack.encode(recording.settings_to_stored(SETTINGS)))
+
+
+def golden_events() -> list[policy.Event]:
+    """Each type of event at least once, with each value of the enumerations that an event holds."""
+    entries = tuple(
+        policy.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, T0 - 90, 1.5)
+        for phase in policy.EndpointState
+    )
+    return [
+        *(policy.EndpointListReceived(kind, 12, entries) for kind in policy.EndpointListKind),
+        policy.RequestArrived(1, 7, 2, 1, 1.5, 2_000_000, 1, 3, True),
+        policy.QuotaRequested(2, 7, 2, 3, 2.5, 1, 3),
+        *(
+            policy.AttemptEnded(1, 4, b"10.0.0.1:80", outcome, 50_000, True, 9, 2.25, (0.5, 1.5))
+            for outcome in policy.Outcome
+        ),
+        policy.ResponseStreamStarted(1, 5, b"10.0.0.1:80", 60_000),
+        policy.ClientDisconnected(3),
+        policy.TimerFired(17),
+        *(policy.HealthCheckEnded(b"10.0.0.2:80", outcome, 700, (0.25,)) for outcome in policy.Outcome),
+        policy.PeerMessageReceived(2, bytes(range(0, 256, 5))),
+        *(policy.CounterAnswered(8, outcome, 6.5, 800) for outcome in policy.Outcome),
+        policy.CountRecovered(7, 2, 1, 3, 15_900, 3.25),
+        policy.ReplicaSetChanged(7, 2, 1, 3),
+    ]
+
+
+def golden_actions() -> list[policy.Action]:
+    """Each type of action once."""
+    return [
+        policy.SendAttempt(1, b"10.0.0.1:80", T0 + 5_000),
+        policy.CancelAttempt(1, 4),
+        policy.GrantQuota(2),
+        policy.RejectRequest(1, 250_000, True),
+        policy.FailRequest(3),
+        policy.SetTimer(40_000, 17),
+        policy.SendPeerMessage(2, b"\x02\x01rows"),
+        policy.CheckHealth(b"10.0.0.2:80"),
+        policy.WatchEndpoints(),
+        policy.FetchEndpoints(),
+    ]
+
+
+def golden_header() -> recording.Header:
+    """The head of a traffic record."""
+    return recording.Header(
+        format=2,
+        build=BUILD,
+        gateway="gateway-1",
+        started_at_us=T0 - 1_000_000,
+        number=3,
+        settings=golden_settings(),
+        state=msgspec.structs.replace(golden_state(), accounts=[]),
+        class_names=CLASS_NAMES,
+        plan_names=PLAN_NAMES,
+        context={"now": T0, "incarnation": T0 - 1_000_000, "list": ["epoch-1", 12, 2], "draining": True},
+    )
+
+
+def golden_view() -> policy_views.PolicyView:
+    """What a gateway tells tools of itself and one customer."""
+    return policy_views.PolicyView(
+        format=1,
+        build=BUILD,
+        gateway="gateway-1",
+        now=T0,
+        settings=golden_settings(),
+        state=golden_state(),
+        class_names=CLASS_NAMES,
+        plan_names=PLAN_NAMES,
+        customer=policy_views.ViewedCustomer(7, 2, 1, 3),
+    )
+
+
+def golden_module_row() -> module_messages.CustomerRow:
+    """What one gateway's module tells another of one customer."""
+    return module_messages.CustomerRow(7, 2, 1, 3, 2, 15.25, 9.25, 1.5, ((1, 15_900, 3.25), (2, 15_950, 4.5)))
+
+
+def as_hex(encoded: dict[Any, bytes]) -> bytes:
+    """Several small examples as one file: a name for each, and its bytes in hexadecimal."""
+    return (json.dumps({name: data.hex() for name, data in encoded.items()}, indent=1) + "\n").encode()
+
+
+NO_ACCOUNTS: dict[str, list[Any]] = {
+    name: []
+    for name in (
+        "idle_queue",
+        "pending_changes",
+        "awaited_replies",
+        "requests",
+        "detached_attempts",
+        "pending_deltas",
+        "exhausted_customers",
+        "exhaustion_notices",
+    )
+}
+
+
+PACK = msgspec.msgpack.encode
+
+
+def golden(name: str) -> bytes:
+    """The golden bytes of a form."""
+    return (GOLDEN / name).read_bytes()
+
+
+def golden_examples(name: str) -> dict[str, bytes]:
+    """The golden bytes of a file with several examples."""
+    return {label: bytes.fromhex(data) for label, data in json.loads(golden(name)).items()}
+
+
+def has_default(message: msgspec.Struct) -> list[str]:
+    """The fields of a message that have their default."""
+    found = []
+    for field in msgspec.structs.fields(message):
+        made = field.default if field.default_factory is msgspec.NODEFAULT else field.default_factory()
+        if getattr(message, field.name) == made:
+            found.append(field.name)
+    return found
--- /dev/null
+++ b/tests/test_golden_gateways.py
@@ -0,0 +1,129 @@
+"""Node lists, rolls, hot restarts and messages between gateways are read as the golden ones."""
+
+from __future__ import annotations
+
+from types import SimpleNamespace
+from typing import get_args
+
+import msgspec
+import pytest
+from conftest import T0
+from harness.golden_gateways import (
+    golden_limit_messages,
+    golden_restart_messages,
+    golden_roll,
+    golden_tracker,
+)
+from harness.golden_policy import (
+    PACK,
+    PLAN_NAMES,
+    SECRET,
+    golden,
+    golden_accounts,
+    golden_examples,
+    golden_module_row,
+    golden_state,
+    has_default,
+)
+from harness.golden_writers import Disk, read_restart_message, rolling_of
+
+from orchidlane import policy, recording
+from orchidlane.gateway.control import endpoint_list
+from orchidlane.gateway.peers import datagrams, query_exchange, token_messages, token_requests
+from orchidlane.hot_restart import messages as restart_messages
+from orchidlane.hot_restart import rolling_upgrade
+from orchidlane.limits import GrantStore, TokenOwner
+from orchidlane.policy import gossip_codec as module_messages
+from orchidlane.recording.state_dump import account_to_row
+
+
+def test_a_golden_cache_of_the_node_list_is_read_as_its_nodes():
+    tracker = endpoint_list.ListTracker("z1", 100)
+    assert tracker.restore(golden("node-list-cache.json")) == policy.EndpointListReceived(
+        policy.EndpointListKind.CACHED,
+        0,
+        (
+            policy.EndpointEntry(b"10.0.0.1:80", policy.EndpointState.READY, 0, 1, 55, 1.5),
+            policy.EndpointEntry(b"10.0.0.2:80", policy.EndpointState.DRAINING, 2, 3, 66, 2.0),
+        ),
+    )
+    assert tracker.nodes == golden_tracker().nodes
+
+
+def test_a_golden_roll_is_read_in_every_phase():
+    examples = golden_examples("roll-states.json")
+    assert set(examples) == {phase.value for phase in rolling_upgrade.Phase}
+    for name, data in examples.items():
+        kept = rolling_of(Disk(**{"state/roll.json": data})).left()
+        assert kept == golden_roll(rolling_upgrade.Phase(name))
+        assert {one.place for one in kept.state.ones} == set(rolling_upgrade.Place)
+
+
+def test_golden_examples_cover_every_message_of_a_hot_restart():
+    messages = golden_restart_messages()
+    assert {type(one) for one in messages.values()} == set(get_args(restart_messages.AnyMessage))
+    assert set(golden_examples("hot-restart-messages.json")) == set(messages)
+    assert {name: has_default(one) for name, one in messages.items() if has_default(one)} == {}
+
+
+@pytest.mark.parametrize("name", golden_restart_messages())
+def test_a_golden_message_of_a_hot_restart_is_read_as_its_values(name):
+    assert read_restart_message(name) == golden_restart_messages()[name]
+
+
+def test_rows_of_every_table_are_taken_and_told_again():
+    accounts = read_restart_message("rows of accounts").rows
+    assert [recording.account_from_row(row) for row in accounts] == golden_accounts()[:1]
+    assert PACK([account_to_row(recording.account_from_row(row)) for row in accounts]) == PACK(accounts)
+    holder, grants = TokenOwner(1, 10, T0), GrantStore(100, 1, 1)
+    for kept, name in ((holder, "rows of tokens"), (grants, "rows of grants")):
+        rows = read_restart_message(name).rows
+        for row in rows:
+            kept.load(row)
+        assert PACK([kept.row(row[0]) for row in rows]) == PACK(rows)
+
+
+def test_what_the_last_message_before_a_successor_serves_carries_is_taken_and_told_again():
+    final = read_restart_message("final")
+    terms = SimpleNamespace(token_life=1, tokens=10, grants=10, grant_life=1, credit_life=1)
+    fleet = SimpleNamespace(limits=terms, gateways=[None] * 3)
+    service = token_requests.LimitService(Disk(), fleet, 0, None, print)  # type: ignore[arg-type]
+    service.load_state(final.limits)
+    again = {**final.limits, "numbers": final.limits["numbers"] + query_exchange.QUERY_IDS_PER_PROCESS}
+    assert PACK(service.dump_state()) == PACK(again)
+    inbox = datagrams.Inbox(SECRET, 0, 3, T0, 9.0)
+    inbox.load_peer_rows(final.peers)
+    assert PACK(inbox.peer_rows()) == PACK(final.peers)
+    tracker = endpoint_list.ListTracker("z1", 100)
+    tracker.carry_on(final.nodes)
+    assert PACK(tracker.carried()) == PACK(final.nodes) == PACK(golden_tracker().carried())
+    head = msgspec.structs.replace(golden_state(), accounts=[])
+    assert final.module == head
+
+
+def test_golden_messages_of_the_limits_are_read_as_their_values():
+    here = [
+        one
+        for one in vars(token_messages).values()
+        if getattr(one, "__module__", "") == token_messages.__name__
+    ]
+    structs = {one for one in here if isinstance(one, type) and issubclass(one, msgspec.Struct)}
+    assert {type(one) for one in golden_limit_messages().values()} == structs
+    for name, message in golden_limit_messages().items():
+        assert has_default(message) == []
+        data = golden_examples("limit-messages.json")[name]
+        assert (
+            msgspec.msgpack.decode(data, type=token_messages.TokenQuery | token_messages.TokenReply)
+            == message
+        )
+
+
+def test_a_golden_message_of_the_module_is_read_as_its_values():
+    found = module_messages.decode_message(golden("module-message.bin"), T0 // 1000, 3, len(PLAN_NAMES))
+    assert found == module_messages.GossipMessage(T0 // 1000, True, True, (golden_module_row(),))
+
+
+def test_golden_datagrams_of_every_kind_are_taken():
+    for number, data in enumerate(golden_examples("datagrams.json").values()):
+        inbox = datagrams.Inbox(SECRET, 2, 3, T0, 9.0, 9.0, 9.0)
+        assert inbox.accept(T0, data) == (number, 1, b"a body")
--- /dev/null
+++ b/tests/test_golden_messages.py
@@ -0,0 +1,65 @@
+"""Messages of rollouts and hot restarts, commands and states of versions have the golden bytes."""
+
+from __future__ import annotations
+
+from typing import Any, get_args
+
+import msgspec
+from harness.golden_admin import without_build
+from harness.golden_events import SECRET
+from harness.golden_files import check_golden
+from harness.golden_samples import sample_struct, samples
+
+from orchidlane.gateway.rollout_agent import admin_api
+from orchidlane.gateway.rollout_agent import agent as versions_shell
+from orchidlane.hot_restart import messages as upgrade_messages
+from orchidlane.rollout import canary_analysis, replicated_state, version
+from orchidlane.rollout import messages as change_messages
+
+
+def test_messages_of_the_fleets_versions_have_the_golden_bytes():
+    found = samples(change_messages.Message)
+    bodies = {tag: change_messages.encode(message) for tag, message in found.items()}
+    assert {tag: change_messages.decode(body) for tag, body in bodies.items()} == found
+    check_golden("change-messages", {tag: body.hex() for tag, body in bodies.items()})
+
+
+def test_messages_of_an_upgrade_have_the_golden_bytes():
+    """An old process and a new one talk to each other across builds."""
+    found = samples(upgrade_messages.AnyMessage)
+    frames = {tag: upgrade_messages.encode(message) for tag, message in found.items()}
+    check_golden("upgrade-messages", {tag: data.hex() for tag, data in frames.items()})
+    for tag, data in frames.items():
+        parser = upgrade_messages.Parser()
+        parser.receive(data)
+        assert upgrade_messages.encode(parser.next_message()) == data, tag
+
+
+def test_ledgers_commands_and_states_of_versions_have_the_golden_names_and_values():
+    """What gateways and tools send each other over the admin address, and what names contents and seals."""
+    kinds = {
+        "command": admin_api.Order,
+        "how things stand": admin_api.Status,
+        "a gateway's state": admin_api.GatewayState,
+        "what became of a command": versions_shell.Outcome,
+        "answers counted": canary_analysis.Tally,
+        "ledger": replicated_state.Ledger,
+        "certificate": version.Certificate,
+        "change": replicated_state.Change,
+    }
+    found: dict[str, Any] = {}
+    for what, kind in kinds.items():
+        body = msgspec.msgpack.encode(sample_struct(kind))
+        assert msgspec.msgpack.decode(body, type=kind) == sample_struct(kind)
+        found[what] = [body.hex(), without_build(msgspec.msgpack.decode(body))]
+    found["name of a content"] = version.name_of(b"a content")
+    found["name of a version's contents"] = sample_struct(version.Version).content
+    found["seal"] = version.seal_of(SECRET, "admin", "GET", b"/change/status", b"").hex()
+    vote = version.cast(SECRET, version.Seat(1, 77), sample_struct(version.Version), 5, True, "why")
+    found["vote"] = without_build(msgspec.to_builtins(vote, builtin_types=(bytes,)))
+    check_golden("versions", found)
+
+
+def test_steps_of_the_ledger_have_the_golden_bytes():
+    steps = [sample_struct(kind) for kind in get_args(replicated_state.Step)]
+    check_golden("ledger-steps", [msgspec.msgpack.encode(one).hex() for one in steps])
--- /dev/null
+++ b/tests/test_golden_peers.py
@@ -0,0 +1,154 @@
+"""Messages and datagrams between gateways have the golden bytes."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+import msgspec
+from harness.gateway_harness import (
+    good,
+)
+from harness.golden_events import SECOND, SECRET, counts_row, message_values, sealed
+from harness.golden_files import check_golden
+from harness.golden_samples import samples
+from harness.platform_house import PlatformHouse, call, settings
+
+from orchidlane.gateway.peers import datagrams, token_messages
+from orchidlane.policy import gossip_codec
+
+ROWS = {
+    "one row": [counts_row(7, 0, 0, 3, 0, 4.5, 11.25, 0.0, ((0, 1_000, 6.0), (2, 990, 5.25)))],
+    "a brief row": [counts_row(1 << 33, 1, 2, 3, 2, 0.0, 300.0625, 0.0, ())],
+    "rights of a ceiling": [counts_row(9, 2, 1, 2, 1, 0.0, 0.0, 12.75, ((1, 15_000, 0.0625),))],
+    "a set of all, wrapped": [counts_row(8, 0, 2, 3, 0, 2.0, 9.0, 0.0, ((1, 16_000, 1.0), (2, 0, 8.0)))],
+    "no row": [],
+    "several": [counts_row(one, one % 3, one % 3, 1 + one % 3, 0, one, one, 0.0, ()) for one in range(9)],
+}
+
+
+SENT = {"early": 1_000_000, "its low bits repeat": (1 << 32) + 5, "just before they repeat": (1 << 32) - 1}
+
+
+def packed_messages() -> dict[str, bytes]:
+    """Every kind of message, by what it is."""
+    found = {}
+    for what, rows in ROWS.items():
+        for when, sent in SENT.items():
+            for ask, keep in ((False, False), (True, False), (False, True), (True, True)):
+                parts = gossip_codec.take_fitting(gossip_codec.encode_row(row, sent, 3) for row in rows)
+                found[f"{what}, {when}, {ask:d}{keep:d}"] = gossip_codec.encode_message(
+                    sent, ask, keep, parts
+                )
+    return found
+
+
+def test_messages_between_gateways_are_packed_to_the_golden_bytes():
+    check_golden("peer-messages", {what: body.hex() for what, body in packed_messages().items()})
+
+
+def test_messages_between_gateways_are_read_as_the_golden_values():
+    """The bytes are those of the golden file; so are damaged ones, most of which are no message."""
+    found, all_bytes = (
+        {},
+        json.loads((Path(__file__).parent / "corpus/golden_surface/peer-messages.json").read_text()),
+    )
+    for what, text in all_bytes.items():
+        body = bytes.fromhex(text)
+        for now in (1_000_400, (1 << 32) + 300):
+            found[f"{what}, read at {now}"] = message_values(gossip_codec.decode_message(body, now, 3, 3))
+    body = bytes.fromhex(all_bytes["one row, early, 11"])
+    for place in range(len(body)):
+        changed = body[:place] + bytes((body[place] ^ 0x81,)) + body[place + 1 :]
+        found[f"byte {place} changed"] = message_values(gossip_codec.decode_message(changed, 1_000_400, 3, 3))
+        found[f"cut at {place}"] = message_values(gossip_codec.decode_message(body[:place], 1_000_400, 3, 3))
+    found["a number too long"] = message_values(
+        gossip_codec.decode_message(body[:6] + b"\xff" * 12, 1_000_400, 3, 3)
+    )
+    assert None in found.values()
+    check_golden("peer-messages-read", found)
+
+
+def test_what_does_not_fit_into_a_message_is_left_out():
+    rows = [counts_row(1 << 30, 0, 0, 3, 0, 1.0, one, 0.0, ((0, 0, one),)) for one in range(60)]
+    parts = gossip_codec.take_fitting(gossip_codec.encode_row(row, 1_000_000, 3) for row in rows)
+    check_golden("peer-messages-full", {"rows": len(parts), "bytes": b"".join(parts).hex()})
+
+
+def test_datagrams_are_sealed_to_the_golden_bytes_and_taken():
+    kinds = {"module": 0, "limits": 1, "versions": 2}
+    found = {what: sealed(kind, b"body of " + what.encode()).hex() for what, kind in kinds.items()}
+    found["empty"] = sealed(0, b"").hex()
+    found["largest"] = sealed(1, bytes(range(256))).hex()
+    check_golden("sealed-datagrams", found)
+    inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
+    assert [
+        inbox.accept(1_000, sealed(kind, b"x", sequence)) for sequence, kind in enumerate(kinds.values(), 1)
+    ] == [(kind, 1, b"x") for kind in kinds.values()]
+
+
+def test_datagrams_that_are_not_for_us_are_refused_by_the_golden_reasons():
+    good_one = sealed(0, b"x")
+    wrong = {
+        "short": good_one[:20],
+        "too long": good_one + bytes(300),
+        "another magic": b"XX" + good_one[2:],
+        "another format": good_one[:2] + b"\2" + good_one[3:],
+        "an unknown kind": sealed(9, b"x"),
+        "to another": datagrams.encode_datagram(SECRET, 1, 0, 900, 5, b"x"),
+        "of our own rank": datagrams.encode_datagram(SECRET, 2, 2, 900, 5, b"x"),
+        "of no gateway": datagrams.encode_datagram(SECRET, 9, 2, 900, 5, b"x"),
+        "of another key": datagrams.encode_datagram(b"another key, long enough", 1, 2, 900, 5, b"x"),
+        "changed": good_one[:-1] + bytes((good_one[-1] ^ 1,)),
+        "a life far ahead": sealed(0, b"x", incarnation=61_000_000_000),
+    }
+    found = {}
+    for what, data in wrong.items():
+        inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
+        assert inbox.accept(1_000, data) is None
+        found[what] = inbox.rejected
+    inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 2.0)
+    taken = [inbox.accept(1_000, sealed(0, b"x", number)) is not None for number in (7, 7, 6, 8)]
+    found["7, 7, 6, 8 with an intake of two"] = [taken, inbox.rejected]
+    found["carried to a successor"] = [[*row[:3], row[3].hex()] for row in inbox.peer_rows()]
+    check_golden("refused-datagrams", found)
+
+
+def test_questions_of_the_limits_have_the_golden_bytes():
+    found = samples(token_messages.TokenQuery | token_messages.TokenReply)
+    bodies = {tag: msgspec.msgpack.encode(message) for tag, message in found.items()}
+    for tag, body in bodies.items():
+        assert (
+            msgspec.msgpack.decode(body, type=token_messages.TokenQuery | token_messages.TokenReply)
+            == found[tag]
+        )
+    shortest = [
+        token_messages.TokenQuery(5, token_messages.TokenOperation.LOOK_UP, b"name"),
+        token_messages.TokenReply(5),
+    ]
+    more = {f"shortest {place}": msgspec.msgpack.encode(one) for place, one in enumerate(shortest)}
+    more |= {f"op {op.value}": bytes((op.value,)) for op in token_messages.TokenOperation}
+    check_golden("limit-messages", {what: body.hex() for what, body in (bodies | more).items()})
+
+
+def test_the_platforms_gateways_send_the_golden_datagrams():
+    bodies = []
+
+    def test(house):
+        peer = house.world.datagrams(("127.0.0.1", 7947))
+
+        def hear() -> None:
+            while True:
+                bodies.append(peer.recv()[0].hex())
+
+        house.scope.spawn(hear)
+        for number in range(4):
+            asked = call(number=f"r{number}", client=f"{number:016x}", extras="units=1,spread=2,first=0")
+            assert house.ask(asked)[0] == 200
+        house.loop.sleep(2 * SECOND)
+
+    may = {**settings()["permissions"], "peers": True}
+    addresses = ["127.0.0.1:7946", "127.0.0.1:7947"]
+    PlatformHouse(good, good, peers=addresses, settings=settings(balancers=2, permissions=may)).run(test)
+    assert bodies
+    check_golden("platform-datagrams", bodies)
--- /dev/null
+++ b/tests/test_golden_responses.py
@@ -0,0 +1,143 @@
+"""Clients, tools and operators get the golden responses of a gateway."""
+
+from __future__ import annotations
+
+import json
+import struct
+from typing import Any
+
+import msgspec
+from harness.gateway_harness import (
+    GET,
+    KEY,
+    REPORT,
+    SETTINGS,
+    UPLOAD,
+    GatewayHarness,
+    good,
+    request,
+    resets_after,
+)
+from harness.golden_admin import ask_admin, without_build
+from harness.golden_events import SECOND
+from harness.golden_files import check_golden
+
+from orchidlane import resp
+from orchidlane.gateway.control import settings as fleet_settings
+
+
+def samples_of(page: bytes) -> list[str]:
+    """Names, labels, types and values of a page of metrics; its prose may change."""
+    return [line for line in page.decode().splitlines() if not line.startswith("# HELP ")]
+
+
+def admin_answers() -> dict[str, Any]:
+    """What the admin address of a gateway answers after a few requests."""
+    found: dict[str, Any] = {}
+
+    def test(house):
+        for raw in (GET, REPORT, UPLOAD, GET, GET, b"nonsense\r\n\r\n"):
+            house.ask(raw)
+        for target in ("/health", "/nothing", "/view?customer=nobody", "/change/status", "/change/content/x"):
+            status, headers, body = ask_admin(house, target)
+            found[target] = [status, headers, body.decode()]
+        status, headers, body = ask_admin(house, "/metrics")
+        del headers["content-length"]
+        found["/metrics"] = [status, headers, samples_of(body)]
+        for target in ("/view", "/view?customer=1"):
+            body = ask_admin(house, target)[2]
+            found[target] = without_build(msgspec.msgpack.decode(body))
+        body, at, frames = ask_admin(house, "/state")[2], 7, []
+        found["/state"] = [body[:at].decode(), frames]
+        while at < len(body):
+            length, _ = struct.unpack_from("<II", body, at)
+            frames.append(without_build(msgspec.msgpack.decode(body[at + 8 : at + 8 + length])))
+            at += 8 + length
+
+    GatewayHarness(good, resets_after, good, seed=5).run(test)
+    return found
+
+
+def test_the_admin_address_gives_the_golden_answers():
+    check_golden("admin-answers", admin_answers())
+
+
+def http_answer(house: GatewayHarness, raw: bytes) -> list:
+    """Status, headers and body of an answer; of a problem its keys, whose prose may change."""
+    status, headers, body = house.ask(raw)
+    fields = {name.decode(): value.decode() for name, value in headers}
+    if fields.get("content-type") != "application/problem+json":
+        return [status, fields, body.decode()]
+    fields.pop("content-length", None)
+    problem = json.loads(body)
+    return [status, fields, sorted(problem), problem["status"]]
+
+
+def test_clients_over_http_get_the_golden_answers():
+    """Status, headers and body: served, each error, and beyond the quota."""
+    asked = {
+        "served": GET,
+        "served under a key": UPLOAD,
+        "without a key": b"GET /v1/sheets/a HTTP/1.1\r\nHost: g\r\n\r\n",
+        "of no customer": b"GET /v1/sheets/a HTTP/1.1\r\nHost: g\r\nX-Api-Key: other\r\n\r\n",
+        "no such path": request("GET", "/v1/nothing"),
+        "no such method": request("DELETE", "/v1/reports"),
+        "a wrong patience": request("GET", "/v1/sheets/a", "Give-Up-After-Ms: soon\r\n"),
+        "without its key": request("PUT", "/v1/tests/1", body=b"x"),
+        "broken": b"nonsense\r\n\r\n",
+    }
+    found: dict[str, Any] = {}
+
+    def test(house):
+        for what, raw in asked.items():
+            found[what] = http_answer(house, raw)
+        for number in range(30):
+            found[f"request {number}"] = http_answer(house, GET)
+
+    def test_broken(house):
+        found["may have run"] = http_answer(house, REPORT)
+
+    GatewayHarness(good, good, seed=5, plans=fleet_settings.parse_fleet(SETTINGS, "fleet.cue").plans).run(
+        test
+    )
+    GatewayHarness(resets_after, seed=5).run(test_broken)
+    assert {answer[0] for answer in found.values()} >= {200, 400, 401, 404, 405, 429, 502}
+    check_golden("http-answers", found)
+
+
+def test_clients_over_resp_get_the_golden_replies():
+    """Each command once at least, by the bytes of its reply."""
+    key = KEY.decode()
+    commands = [
+        ["PING"], ["PING", "x"], ["ECHO", "x"], ["HELLO"], ["HELLO", "3"], ["SELECT", "0"], ["SELECT", "1"],
+        ["CLIENT", "SETNAME", "a"], ["CLIENT", "GETNAME"], ["COMMAND", "COUNT"], ["COMMAND", "DOCS"],
+        ["LIMIT.INFO"], ["LIMIT.PEEK", key], ["LIMIT.TAKE", key, "2"], ["LIMIT.TAKE", key, "100000"],
+        ["LIMIT.TAKE", key, "1", "WITHIN", "5", "CLASS", "sheet-read"],
+        ["LIMIT.TAKE", key, "2", "IDEMPOTENT", "t"], ["LIMIT.TAKE", key, "2", "IDEMPOTENT", "t"],
+        ["LIMIT.GIVEBACK", key, "t"], ["LIMIT.GIVEBACK", key, "t"], ["LIMIT.GIVEBACK", key, "other"],
+        ["LIMIT.RESERVE", key, "3", "FOR", "10000"], ["LIMIT.COMMIT", key, "RESERVED"],
+        ["LIMIT.RELEASE", key, "RESERVED"],
+        ["LIMIT.RELEASE", key, "0-0-1"], ["LIMIT.RELEASE", key, "none"],
+        ["CL.THROTTLE", key, "2999", "1000", "1"], ["CL.THROTTLE", key, "2999", "1000", "1", "5"],
+        ["CL.THROTTLE", key, "9", "10", "1"],
+        ["LIMIT.TAKE", "of nobody", "1"], ["LIMIT.TAKE", key, "many"], ["LIMIT.TAKE"], ["NOTHING"],
+        ["AUTH", "a password"], ["RESET"], ["QUIT"],
+    ]  # fmt: skip
+    found = []
+
+    def test(house):
+        house.loop.sleep(4 * SECOND)  # tokens are sure from then on
+        stream = house.world.connect(("127.0.0.1", 8380))
+        reserved = ""
+        for words in commands:
+            named = [reserved if word == "RESERVED" else word for word in words]
+            stream.send(resp.encode(named))
+            house.loop.sleep(500_000)
+            reply = stream.recv(deadline=house.loop.now() + SECOND).decode()
+            reserved = reply.split("\r\n")[1] if words[0] == "LIMIT.RESERVE" else reserved
+            # Of an error its first word counts, the rest is prose.
+            found.append([words, reply.split()[0] if reply.startswith("-") else reply])
+
+    fleet = fleet_settings.parse_fleet(SETTINGS, "fleet.cue")
+    GatewayHarness(good, gateways=fleet.gateways[:1], seed=5).run(test)
+    check_golden("resp-replies", found)
--- /dev/null
+++ b/tests/test_golden_settings.py
@@ -0,0 +1,89 @@
+"""Settings, scripted days and the platform's configuration have the golden names and defaults."""
+
+from __future__ import annotations
+
+import json
+import re
+from typing import Any
+
+from harness.golden_files import check_golden
+from harness.platform_house import file as platform_file
+
+from orchidlane import config
+from orchidlane.gateway.control import settings as fleet_settings
+from orchidlane.platform import configuration as platform_config
+from orchidlane.simulation import scenario as lab_day
+
+SMALLEST = """
+description: "d.yaml"
+customers:   "c.json"
+gateways: [{name: "a", listen: "127.0.0.1:1", peer: "127.0.0.1:2"}]
+plans: p: {rate: 1, burst: 2}
+plans: q: {rate: 0, burst: 0, ceiling: {rate: 1, burst: 2}}
+nodes: list: "127.0.0.1:3"
+peers: secret_file: "s"
+"""
+
+
+SMALLEST_DAY = """
+fleet: "f.cue"
+gateways: 1
+racks: 1
+rack_size: 1
+customers: 1
+rate: 1
+span: "1s"
+kinds: [{class: "c", share: 1, method: "GET", target: "/", work: "1ms"}]
+steps: [{at: "1s", do: "kill_gateway"}]
+"""
+
+
+def schema_without_comments(text: str) -> list[str]:
+    """The lines of a schema: names, bounds and defaults."""
+    lines = [re.sub(r"\s*//.*", "", line) for line in text.splitlines()]
+    return [" ".join(line.split()) for line in lines if line.strip()]
+
+
+def paths_of(value: Any, *path: Any) -> list[tuple[Any, ...]]:
+    """The path of each key within a value."""
+    inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
+    return [found for key, part in inner for found in [(*path, key), *paths_of(part, *path, key)]]
+
+
+def is_accepted(value: dict) -> bool:
+    """Whether the platform's configuration file may be so."""
+    try:
+        platform_config.parse(json.dumps(value).encode(), "config.json")
+    except platform_config.ConfigError:
+        return False
+    return True
+
+
+def test_the_platforms_configuration_has_the_golden_keys():
+    """Which keys may be missing, and which may not."""
+    known = {"generation": 3, "reset": True, "instances": []}
+    whole = platform_file(known=known)
+    found = {"whole": is_accepted(whole)}
+    for path in paths_of(whole):
+        value = json.loads(json.dumps(whole))
+        inner = value
+        for key in path[:-1]:
+            inner = inner[key]
+        del inner[path[-1]]
+        found["without " + "/".join(map(str, path))] = is_accepted(value)
+    assert found["whole"]
+    check_golden("platform-configuration", found)
+
+
+def test_settings_have_the_golden_names_and_defaults():
+    schema = fleet_settings.schema()
+    found = config.plain_values(SMALLEST, "smallest.cue", schema, "#Fleet")
+    fleet_settings.parse_fleet(SMALLEST, "smallest.cue")
+    check_golden("settings", {"defaults": found, "schema": schema_without_comments(schema)})
+
+
+def test_scripted_days_have_the_golden_names_and_defaults():
+    schema = lab_day.DAY_SCHEMA.read_text()
+    found = config.plain_values(SMALLEST_DAY, "smallest.cue", schema, "#Day")
+    config.load(SMALLEST_DAY, "smallest.cue", schema, "#Day", lab_day.Day)
+    check_golden("settings-of-a-day", {"defaults": found, "schema": schema_without_comments(schema)})
