--- a/tests/test_golden_command.py
+++ b/tests/test_golden_command.py
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("words", verbs(main), ids=" ".join)
-def test_each_command_tells_of_its_flags(words):
+def test_the_help_of_each_command_names_its_flags(words):
     code, text = run(*words, "--help")
     command = main
     for word in words:
@@ -100,7 +100,7 @@
     return re.sub(r'"build": ".*?"', '"build": ""', text.replace(str(folder), "FOLDER"))
 
 
-def test_tools_tell_the_golden_json_of_a_saved_state(tmp_path):
+def test_tools_print_the_golden_json_of_a_saved_state(tmp_path):
     path = tmp_path / "state.olr"
 
     def test(house):
@@ -123,7 +123,7 @@
     )
 
 
-def test_tools_tell_the_golden_json_of_a_record(tmp_path):
+def test_tools_print_the_golden_json_of_a_record(tmp_path):
     """A record of a released format, so that none of it depends on what this build writes."""
     shutil.copy(Path(__file__).parent / "corpus/record/format-2.olr", tmp_path / "gw-1-0.olr")
     folder = str(tmp_path)
@@ -139,7 +139,7 @@
 
 
 @pytest.mark.parametrize("words", [("38",), ("--customer", "3")], ids=["request", "customer"])
-def test_explain_tells_the_golden_json(words, tmp_path):
+def test_explain_prints_the_golden_json(words, tmp_path):
     """Its events and actions are told as text with the names of their types and fields."""
     shutil.copy(Path(__file__).parent / "corpus/record/format-2.olr", tmp_path / "gw-1-0.olr")
     code, text = run("explain", str(tmp_path), *words, "--json")
--- a/tests/test_golden_gateways.py
+++ b/tests/test_golden_gateways.py
@@ -71,7 +71,7 @@
     assert read_restart_message(name) == golden_restart_messages()[name]
 
 
-def test_rows_of_every_table_are_taken_and_told_again():
+def test_rows_of_every_table_are_loaded_and_dumped_again():
     accounts = read_restart_message("rows of accounts").rows
     assert [recording.account_from_row(row) for row in accounts] == golden_accounts()[:1]
     assert PACK([account_to_row(recording.account_from_row(row)) for row in accounts]) == PACK(accounts)
@@ -83,7 +83,7 @@
         assert PACK([kept.row(row[0]) for row in rows]) == PACK(rows)
 
 
-def test_what_the_last_message_before_a_successor_serves_carries_is_taken_and_told_again():
+def test_the_state_in_the_last_message_of_a_hot_restart_is_loaded_and_dumped_again():
     final = read_restart_message("final")
     terms = SimpleNamespace(token_life=1, tokens=10, grants=10, grant_life=1, credit_life=1)
     fleet = SimpleNamespace(limits=terms, gateways=[None] * 3)
@@ -101,7 +101,7 @@
     assert final.module == head
 
 
-def test_golden_messages_of_the_limits_are_read_as_their_values():
+def test_golden_token_messages_are_decoded_to_their_values():
     here = [
         one
         for one in vars(token_messages).values()
@@ -118,12 +118,12 @@
         )
 
 
-def test_a_golden_message_of_the_module_is_read_as_its_values():
+def test_a_golden_gossip_message_is_decoded_to_its_values():
     found = module_messages.decode_message(golden("module-message.bin"), T0 // 1000, 3, len(PLAN_NAMES))
     assert found == module_messages.GossipMessage(T0 // 1000, True, True, (golden_module_row(),))
 
 
-def test_golden_datagrams_of_every_kind_are_taken():
+def test_golden_datagrams_of_every_kind_are_accepted():
     for number, data in enumerate(golden_examples("datagrams.json").values()):
         inbox = datagrams.Inbox(SECRET, 2, 3, T0, 9.0, 9.0, 9.0)
         assert inbox.accept(T0, data) == (number, 1, b"a body")
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -17,14 +17,14 @@
 from orchidlane.rollout import messages as change_messages
 
 
-def test_messages_of_the_fleets_versions_have_the_golden_bytes():
+def test_messages_of_a_rollout_have_the_golden_bytes():
     found = samples(change_messages.Message)
     bodies = {tag: change_messages.encode(message) for tag, message in found.items()}
     assert {tag: change_messages.decode(body) for tag, body in bodies.items()} == found
     check_golden("change-messages", {tag: body.hex() for tag, body in bodies.items()})
 
 
-def test_messages_of_an_upgrade_have_the_golden_bytes():
+def test_messages_of_a_hot_restart_have_the_golden_bytes():
     """An old process and a new one talk to each other across builds."""
     found = samples(upgrade_messages.AnyMessage)
     frames = {tag: upgrade_messages.encode(message) for tag, message in found.items()}
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -43,11 +43,11 @@
     return found
 
 
-def test_messages_between_gateways_are_packed_to_the_golden_bytes():
+def test_messages_between_gateways_are_encoded_to_the_golden_bytes():
     check_golden("peer-messages", {what: body.hex() for what, body in packed_messages().items()})
 
 
-def test_messages_between_gateways_are_read_as_the_golden_values():
+def test_messages_between_gateways_are_decoded_to_the_golden_values():
     """The bytes are those of the golden file; so are damaged ones, most of which are no message."""
     found, all_bytes = (
         {},
@@ -69,13 +69,13 @@
     check_golden("peer-messages-read", found)
 
 
-def test_what_does_not_fit_into_a_message_is_left_out():
+def test_rows_beyond_the_size_of_a_message_are_left_out():
     rows = [counts_row(1 << 30, 0, 0, 3, 0, 1.0, one, 0.0, ((0, 0, one),)) for one in range(60)]
     parts = gossip_codec.take_fitting(gossip_codec.encode_row(row, 1_000_000, 3) for row in rows)
     check_golden("peer-messages-full", {"rows": len(parts), "bytes": b"".join(parts).hex()})
 
 
-def test_datagrams_are_sealed_to_the_golden_bytes_and_taken():
+def test_datagrams_are_encoded_to_the_golden_bytes_and_accepted():
     kinds = {"module": 0, "limits": 1, "versions": 2}
     found = {what: sealed(kind, b"body of " + what.encode()).hex() for what, kind in kinds.items()}
     found["empty"] = sealed(0, b"").hex()
@@ -87,7 +87,7 @@
     ] == [(kind, 1, b"x") for kind in kinds.values()]
 
 
-def test_datagrams_that_are_not_for_us_are_refused_by_the_golden_reasons():
+def test_datagrams_for_others_are_rejected_for_the_golden_reasons():
     good_one = sealed(0, b"x")
     wrong = {
         "short": good_one[:20],
@@ -114,7 +114,7 @@
     check_golden("refused-datagrams", found)
 
 
-def test_questions_of_the_limits_have_the_golden_bytes():
+def test_token_queries_and_replies_have_the_golden_bytes():
     found = samples(token_messages.TokenQuery | token_messages.TokenReply)
     bodies = {tag: msgspec.msgpack.encode(message) for tag, message in found.items()}
     for tag, body in bodies.items():
--- a/tests/test_golden_responses.py
+++ b/tests/test_golden_responses.py
@@ -58,7 +58,7 @@
     return found
 
 
-def test_the_admin_address_gives_the_golden_answers():
+def test_the_admin_address_gives_the_golden_responses():
     check_golden("admin-answers", admin_answers())
 
 
@@ -73,7 +73,7 @@
     return [status, fields, sorted(problem), problem["status"]]
 
 
-def test_clients_over_http_get_the_golden_answers():
+def test_clients_over_http_get_the_golden_responses():
     """Status, headers and body: served, each error, and beyond the quota."""
     asked = {
         "served": GET,
--- a/tests/test_golden_rollouts.py
+++ b/tests/test_golden_rollouts.py
@@ -27,7 +27,7 @@
 from orchidlane.rollout.canary_analysis import Tally
 
 
-def test_golden_examples_cover_every_message_on_fleet_versions():
+def test_golden_examples_cover_every_message_of_a_rollout():
     messages = golden_version_messages()
     assert {type(one) for one in messages.values()} == set(get_args(version_messages.Message))
     assert set(golden_examples("version-messages.json")) == set(messages)
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("name", golden_version_messages())
-def test_a_golden_message_on_fleet_versions_is_read_as_its_values(name):
+def test_a_golden_message_of_a_rollout_is_decoded_to_its_values(name):
     data = golden_examples("version-messages.json")[name]
     assert version_messages.decode(data) == golden_version_messages()[name]
 
@@ -61,7 +61,7 @@
     assert {type(one).__name__: has_default(one) for one in filled if has_default(one)} == {}
 
 
-def test_golden_certificates_are_sealed_for_their_versions():
+def test_golden_certificates_are_signed_for_their_versions():
     ledger = fleet_ledger.decode(golden("ledger.msgpack"))
     assert ledger.halted is not None and ledger.halted.certificate is not None
     for certificate in (ledger.current, ledger.halted.certificate):
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -1,7 +1,7 @@
 """The decision module as a whole: a fleet's session of many events gives the same actions as golden data.
 
 Events go in and actions come out as records of the binary wire, so that names in the code play no part. What
-the wire does not carry (takes, counts told by another process, sets that move) is built below. ``golden.py``
+the wire does not carry (takes, counts told by another process, sets that move) is built below. ``harness/golden_files.py``
 tells how the golden file is written.
 """
 
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -44,13 +44,13 @@
     assert [name for name in state.__struct_fields__ if not getattr(state, name)] == []
 
 
-def test_a_golden_state_makes_a_module_that_is_told_in_the_same_bytes():
+def test_a_policy_restored_from_the_golden_state_is_dumped_to_the_same_bytes():
     module = golden_module()
     assert msgspec.msgpack.encode(recording.dump_state(module)) == golden("module-state.msgpack")
     assert module.accounts and module.endpoints and module.requests and module.attempts
 
 
-def test_every_value_of_the_golden_state_stands_where_the_module_looks_for_it():
+def test_every_value_of_the_golden_state_is_restored_to_its_place_in_the_policy():
     module, state = golden_module(), golden_state()
     assert [module.now, module.allowance_refilled_at_us, module.started_at_us] == [
         1_000_549_025,
@@ -103,7 +103,7 @@
     assert list(module.awaited_replies) == [(1_000_470_794, 2, 5, 0)]
 
 
-def test_a_snapshot_of_the_golden_module_holds_the_golden_state():
+def test_a_snapshot_of_the_golden_policy_holds_the_golden_state():
     module = golden_module()
     recording.track_accounts(module)
     snapshot = recording.Snapshot(module)
@@ -147,7 +147,7 @@
     assert (answer.at_us, answer.event, answer.response) == (T0 + 91, None, (1, 429, "refused", 6_000))
 
 
-def test_a_golden_account_store_brings_back_its_accounts():
+def test_the_accounts_of_a_golden_account_store_are_restored():
     reader = recording.SegmentReader("golden", golden("account-store.olr"))
     rows = {row[0]: row for row in reader.read_state().accounts}
     assert [recording.account_from_row(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
