--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -23,7 +23,7 @@
 import structlog
 
 from orchidlane.config import Duration
-from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.gateway.rollout_agent.admin_api import Order
 from orchidlane.rollout.canary_analysis import KINDS, Judge, Tally
 from orchidlane.rollout.version import Parts, name_of
@@ -129,7 +129,7 @@
 
 def simulated(gateways: int) -> list[int]:
     """Milliseconds, virtual, from the command to all gateways, and from the undo on."""
-    fleet = parse_fleet((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
+    fleet = parse_settings((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
     customers = (MATERIALS / "customers.json").read_bytes()
     story = VersionFleet(Story(1, gateways, 5), fleet, rules, customers)
     spans: list[int] = []
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -96,7 +96,7 @@
 
 def list_server(port: int, node_port: int) -> None:
     """A node list with one node that is ready."""
-    from orchidlane.gateway.control.endpoint_list import NodeLine
+    from orchidlane.gateway.control.endpoint_list import EndpointRecord
     from orchidlane.runtime import Loop, RealWorld
     from orchidlane.simulation.fake_servers import NodeList
 
@@ -105,7 +105,7 @@
     def serve() -> None:
         nodes = NodeList(loop, ("127.0.0.1", port), (0, 0), lambda _: None)
         address = f"127.0.0.1:{node_port}"
-        nodes.nodes[address] = NodeLine(address, "ready", "z", "c")
+        nodes.nodes[address] = EndpointRecord(address, "ready", "z", "c")
         nodes.names[address] = "node"
         nodes.serve()
 
--- a/benchmarks/index.py
+++ b/benchmarks/index.py
@@ -13,7 +13,8 @@
 
 from benchmarks.layers import MATERIALS
 from orchidlane import policy, recording
-from orchidlane.gateway.control.settings import module_settings, parse_fleet
+from orchidlane.gateway.control.policy_settings import policy_settings
+from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording.index import request_of
 from orchidlane.routes import build, load_description
@@ -25,8 +26,8 @@
     """A segment with so many requests, each arrived and refused or served."""
     file = MATERIALS / "openapi.yaml"
     generation = build(load_description(file.read_bytes(), str(file)), str(file))
-    fleet = parse_fleet((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
-    settings = module_settings(fleet, 0, generation)
+    fleet = parse_settings((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
+    settings = policy_settings(fleet, 0, generation)
     gateway, now = Gateway(settings, 1, 10**15), 10**15
     entries = tuple(
         policy.EndpointEntry(b"s%d" % n, policy.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24)
--- a/benchmarks/layers.py
+++ b/benchmarks/layers.py
@@ -7,7 +7,8 @@
 from pathlib import Path
 
 from orchidlane import http1, policy
-from orchidlane.gateway.control.settings import module_settings, parse_fleet
+from orchidlane.gateway.control.policy_settings import policy_settings
+from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.policy.gateway import Gateway
 from orchidlane.routes import build, load_description
 
@@ -41,10 +42,10 @@
 
 
 def decider() -> Callable[[], None]:
-    fleet = parse_fleet((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
+    fleet = parse_settings((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
     file = MATERIALS / "openapi.yaml"
     generation = build(load_description(file.read_bytes(), str(file)), str(file))
-    settings = module_settings(fleet, 0, generation)
+    settings = policy_settings(fleet, 0, generation)
     gateway = Gateway(settings, 1, 10**15)
     gateway.start()
     entries = tuple(
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -20,7 +20,8 @@
 
 from benchmarks.layers import MATERIALS
 from orchidlane import policy, recording
-from orchidlane.gateway.control.settings import module_settings, parse_fleet
+from orchidlane.gateway.control.policy_settings import policy_settings
+from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.policy.gateway import Gateway
 from orchidlane.routes import build, load_description
 
@@ -32,8 +33,8 @@
     """A module that has met so many customers."""
     file = MATERIALS / "openapi.yaml"
     generation = build(load_description(file.read_bytes(), str(file)), str(file))
-    fleet = parse_fleet((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
-    gateway = Gateway(module_settings(fleet, 0, generation), 1, START)
+    fleet = parse_settings((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
+    gateway = Gateway(policy_settings(fleet, 0, generation), 1, START)
     recording.track(gateway)
     entries = tuple(
         policy.EndpointEntry(b"s%d" % n, policy.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24)
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -26,7 +26,7 @@
 from orchidlane import recording
 from orchidlane.cli.views import open_state
 from orchidlane.config import Duration
-from orchidlane.gateway.control.settings import address, parse_fleet
+from orchidlane.gateway.control.settings_loader import parse_host_port, parse_settings
 from orchidlane.resp import encode
 from orchidlane.runtime import Loop, RealWorld
 from orchidlane.simulation.audit import Verdict
@@ -61,7 +61,7 @@
         for old, wide in ((r"\brate: (4|10)\b", "rate: 1"), (r"\bburst: (12|30)\b", "burst: 1000000")):
             self.plan.text = re.sub(old, wide, self.plan.text)  # never full: no account is forgotten
         self.plan.text = re.sub(r"ceiling: \{[^}]*\}", "", self.plan.text)
-        self.plan.fleet = parse_fleet(self.plan.text, "day")
+        self.plan.fleet = parse_settings(self.plan.text, "day")
         self.backing.prepare(self.plan)
         self.runner = Runner(Loop(RealWorld(seed)), self.plan, self.backing)
         self.settings = str(self.folder / "gw-0.cue")
@@ -173,7 +173,7 @@
 
 def meet(scene: Scene, customers: int) -> None:
     """Have the gateway meet so many customers, by takes over RESP."""
-    with socket.create_connection(address(scene.plan.fleet.gateways[0].resp), 60) as sock:
+    with socket.create_connection(parse_host_port(scene.plan.fleet.gateways[0].resp), 60) as sock:
         for first in range(0, customers, 500):
             numbers = range(first, min(customers, first + 500))
             sock.sendall(b"".join(encode(["LIMIT.TAKE", f"key-of-{i}", "1"]) for i in numbers))
--- a/orchidlane/cli/change.py
+++ b/orchidlane/cli/change.py
@@ -13,8 +13,9 @@
 import structlog
 
 from orchidlane.cli.errors import clear_errors
-from orchidlane.gateway.control.configuration import make_knowledge, read_sources
-from orchidlane.gateway.control.settings import Fleet, address, load_fleet, read_secret
+from orchidlane.gateway.control.configuration import build_snapshot, read_source_files
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import load_settings, parse_host_port, read_secret
 from orchidlane.gateway.rollout_agent.admin_api import Order, Status
 from orchidlane.gateway.rollout_agent.admin_client import PREFIX, FetchError, call
 from orchidlane.gateway.rollout_agent.agent import Outcome, accounts_of
@@ -35,20 +36,20 @@
     """Sealed calls to the gateways of a fleet."""
 
     def __init__(self, settings: str) -> None:
-        self.fleet: Fleet = load_fleet(settings)
+        self.fleet: FleetSettings = load_settings(settings)
         check_terms(self.fleet)
-        if not self.fleet.change.voters:
+        if not self.fleet.rollout.voting_members:
             raise ValueError(f"{settings}: change.voters: none are named, so the fleet has no versions")
         self.secret = read_secret(self.fleet.peers.secret_file)
         names = [entry.name for entry in self.fleet.gateways]
-        self.voters = [names.index(name) for name in self.fleet.change.voters]
+        self.voters = [names.index(name) for name in self.fleet.rollout.voting_members]
 
     def call(
         self, rank: int, method: str, what: str, body: bytes = b"", most: int = 1 << 20
     ) -> tuple[int, bytes]:
         """Raises FetchError."""
         loop = Loop(RealWorld())
-        at = address(self.fleet.gateways[rank].admin)
+        at = parse_host_port(self.fleet.gateways[rank].admin)
         found: list[tuple[int, bytes] | FetchError] = []
         target = PREFIX + what.encode()
 
@@ -92,7 +93,7 @@
             if status != 200:
                 raise ValueError(f"status {status}: {data.decode(errors='replace').strip()}")
             found.append(msgspec.msgpack.decode(data, type=Status))
-            if found[-1].leads and 0 <= found[-1].confirmed <= self.fleet.change.silence:
+            if found[-1].leads and 0 <= found[-1].confirmed <= self.fleet.rollout.election_timeout_us:
                 return found[-1]
         if not found:
             raise ValueError(f"no voter answers; {why}")
@@ -100,7 +101,7 @@
 
     def content(self, name: str) -> bytes:
         """Raises ValueError."""
-        status, data = self.first("GET", f"content/{name}", most=int(self.fleet.change.content))
+        status, data = self.first("GET", f"content/{name}", most=int(self.fleet.rollout.max_content_bytes))
         if status != 200 or name_of(data) != name:
             raise ValueError(f"content {name[:12]} is not to be had: status {status}")
         return data
@@ -108,8 +109,10 @@
     def upload(self, data: bytes) -> str:
         """Leave a content with every voter that answers, at least one. Its name."""
         name, kept, why = name_of(data), 0, ""
-        if len(data) > int(self.fleet.change.content):
-            raise ValueError(f"a content of {len(data)} bytes, allowed: {int(self.fleet.change.content)}")
+        if len(data) > int(self.fleet.rollout.max_content_bytes):
+            raise ValueError(
+                f"a content of {len(data)} bytes, allowed: {int(self.fleet.rollout.max_content_bytes)}"
+            )
         for rank in self.voters:
             try:
                 status, told = self.call(rank, "PUT", f"content/{name}", data)
@@ -189,8 +192,8 @@
     Exit 0: every gateway goes by it, or does not serve; 1: it was refused, or taken back; 3: not known yet.
     """
     calls = Calls(settings)
-    sources = read_sources(RealWorld(), calls.fleet)
-    make_knowledge(*sources, calls.fleet, 0, structlog.get_logger())
+    sources = read_source_files(RealWorld(), calls.fleet)
+    build_snapshot(*sources, calls.fleet, 0, structlog.get_logger())
     status = calls.status()
     base = _latest(status)
     rules = calls.upload(sources[0])
@@ -260,9 +263,9 @@
     """The versions that lead to a customers' file: one, or those of a move of sets."""
     fleet, log = calls.fleet, structlog.get_logger()
     known = calls.content(base.parts.rules)
-    old = accounts_of(make_knowledge(known, calls.content(base.parts.customers), fleet, 0, log), fleet)
-    new = accounts_of(make_knowledge(known, customers, fleet, 0, log), fleet)
-    files = versions_between(old, new, customers, fleet.change.move)
+    old = accounts_of(build_snapshot(known, calls.content(base.parts.customers), fleet, 0, log), fleet)
+    new = accounts_of(build_snapshot(known, customers, fleet, 0, log), fleet)
+    files = versions_between(old, new, customers, fleet.rollout.max_migrating_share)
     return [Parts(rules, calls.upload(data)) for data in files]
 
 
@@ -318,7 +321,11 @@
     if not wait:
         click.echo("taken")
         sys.exit(0)
-    by = time.monotonic() + (int(calls.fleet.change.decide) + 3 * int(calls.fleet.change.lease)) / 1e6 + 5
+    by = (
+        time.monotonic()
+        + (int(calls.fleet.rollout.decision_timeout_us) + 3 * int(calls.fleet.rollout.lease_us)) / 1e6
+        + 5
+    )
     told = ""
     while time.monotonic() < by:
         try:
@@ -365,7 +372,7 @@
     """
     calls = Calls(settings)
     status = calls.status()
-    fresh = 0 <= status.confirmed <= int(calls.fleet.change.lease)
+    fresh = 0 <= status.confirmed <= int(calls.fleet.rollout.lease_us)
     if as_json:
         click.echo(msgspec.json.encode(status).decode())
         sys.exit(0 if fresh else UNKNOWN)
--- a/orchidlane/cli/main.py
+++ b/orchidlane/cli/main.py
@@ -21,7 +21,7 @@
 from orchidlane.cli.errors import clear_errors
 from orchidlane.cli.roll import roll
 from orchidlane.cli.upgrade import upgrade
-from orchidlane.gateway.control.settings import load_fleet, schema
+from orchidlane.gateway.control.settings_loader import load_settings, schema_text
 from orchidlane.routes import Match, build, load_description
 
 
@@ -54,7 +54,7 @@
     from orchidlane.cli.run import run_gateway
 
     with clear_errors():
-        failed = run_gateway(load_fleet(settings), rank, folder, take_over, ready_fd)
+        failed = run_gateway(load_settings(settings), rank, folder, take_over, ready_fd)
     if failed:
         click.echo(f"the take-over ended: {failed}", err=True)
         sys.exit(1)
@@ -148,7 +148,7 @@
 def config_check(file: str) -> None:
     """Whether a file of settings can be used; every problem on a line of its own."""
     with clear_errors():
-        load_fleet(file)
+        load_settings(file)
     click.echo(f"{file}: fine")
 
 
@@ -157,7 +157,7 @@
 def config_show(file: str) -> None:
     """The settings with all defaults filled in."""
     with clear_errors():
-        value = config.plain(Path(file).read_text(), file, schema(), "#Fleet")
+        value = config.plain(Path(file).read_text(), file, schema_text(), "#Fleet")
     click.echo(config.render(value)[2:-2].replace("\n\t", "\n").lstrip("\t"))
 
 
--- a/orchidlane/cli/roll.py
+++ b/orchidlane/cli/roll.py
@@ -16,7 +16,8 @@
 
 from orchidlane.cli.errors import UNUSABLE, clear_errors
 from orchidlane.cli.upgrade import OWN, successor_command
-from orchidlane.gateway.control.settings import Fleet, load_fleet
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import load_settings
 from orchidlane.gateway.lifecycle.rolling_upgrade import Kept, Rolling, UnfinishedRoll
 from orchidlane.hot_restart import rolling_upgrade as decisions
 from orchidlane.runtime import Loop, RealWorld
@@ -109,8 +110,8 @@
     brought back. It may be killed at any time and resumed.
     """
     with clear_errors():
-        fleet = load_fleet(settings)
-        if not fleet.state:
+        fleet = load_settings(settings)
+        if not fleet.state_directory:
             raise ValueError(f"{settings}: state: a folder is wanted, where the gateways take the call")
         own = [each.format(rank=rank, name=one.name) for rank, one in enumerate(fleet.gateways)]
         with open(log_to or "/dev/null", "ab") as log:
@@ -129,7 +130,7 @@
 
 def _run(rolling: Rolling, starter: Processes, programs: tuple[str, str], recall: bool) -> decisions.State:
     """Under a lock that a kernel gives up if we die."""
-    at = os.path.abspath(f"{rolling.fleet.state}/roll.lock"), 0
+    at = os.path.abspath(f"{rolling.fleet.state_directory}/roll.lock"), 0
     try:
         lock = rolling.loop.world.listen(at)
     except OSError as wrong:
@@ -146,7 +147,7 @@
         lock.close()
 
 
-def _show(kept: Kept | None, fleet: Fleet) -> None:
+def _show(kept: Kept | None, fleet: FleetSettings) -> None:
     if kept is None:
         click.echo("no roll so far")
         sys.exit(UNUSABLE)
--- a/orchidlane/cli/run.py
+++ b/orchidlane/cli/run.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from orchidlane.gateway.control.settings import Fleet, read_secret
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import read_secret
 from orchidlane.gateway.lifecycle.process import Program
 from orchidlane.gateway.rollout_agent.settings import check_terms
 from orchidlane.runtime import Loop, RealWorld
@@ -17,7 +18,7 @@
 
 
 def run_gateway(
-    fleet: Fleet, rank: int, folder: str | None = None, take_over: bool = False, ready_fd: int = -1
+    fleet: FleetSettings, rank: int, folder: str | None = None, take_over: bool = False, ready_fd: int = -1
 ) -> str:
     """Run one gateway: SIGTERM and SIGINT drain it, SIGHUP reloads description and customers.
 
--- a/orchidlane/cli/tools.py
+++ b/orchidlane/cli/tools.py
@@ -15,7 +15,8 @@
 from orchidlane.cli.errors import UNCHECKED, clear_errors
 from orchidlane.cli.screen import EVERY, Screen, as_rows
 from orchidlane.cli.views import SETTINGS, customer_view, node_view, open_state, places, save_state
-from orchidlane.gateway.control.settings import address, load_fleet, module_settings
+from orchidlane.gateway.control.policy_settings import policy_settings
+from orchidlane.gateway.control.settings_loader import load_settings, parse_host_port
 from orchidlane.gateway.telemetry.policy_views import (
     Next,
     View,
@@ -255,13 +256,13 @@
 
 
 def _what_if(paths: list[str], instead: str, as_json: bool) -> None:
-    fleet = load_fleet(instead)
+    fleet = load_settings(instead)
     with open(fleet.description, "rb") as file:
         generation = build(load_description(file.read(), fleet.description), fleet.description)
     reader = recording.SegmentReader(paths[0])
     rank = int(reader.header.settings["rank"])
     reader.close()
-    settings = module_settings(fleet, min(rank, len(fleet.gateways) - 1), generation)
+    settings = policy_settings(fleet, min(rank, len(fleet.gateways) - 1), generation)
     found = recording.what_if(paths, settings, tuple(fleet.plans))
     rows = {
         f"{kind} {plan}": {"recorded": found.recorded[kind, plan], "instead": found.instead[kind, plan]}
@@ -353,9 +354,11 @@
 def top(where: str, once: bool, as_json: bool) -> None:
     """A live screen of a fleet: WHERE is a settings file or one gateway's admin address."""
     with clear_errors():
-        admins = [(place, address(place)) for place in places(where)]
+        admins = [(place, parse_host_port(place)) for place in places(where)]
         if where.endswith(SETTINGS):
-            admins = [(one.name, address(one.admin)) for one in load_fleet(where).gateways if one.admin]
+            admins = [
+                (one.name, parse_host_port(one.admin)) for one in load_settings(where).gateways if one.admin
+            ]
     loop = Loop(RealWorld())
     screen = Screen(loop, "orchidlane top", admins)
     found: list[dict[str, float]] = []
--- a/orchidlane/cli/up.py
+++ b/orchidlane/cli/up.py
@@ -13,7 +13,8 @@
 
 from orchidlane.cli.screen import Screen
 from orchidlane.config import Duration
-from orchidlane.gateway.control.settings import Fleet, address, load_fleet
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import load_settings, parse_host_port
 from orchidlane.runtime import BACKGROUND, Loop, RealWorld
 from orchidlane.simulation.backends import RealBacking
 from orchidlane.simulation.scenario import Day, KindEntry, Runner, make_plan
@@ -30,7 +31,7 @@
 
 def run_fleet(settings: str, rate: float, nodes: int, seconds: int) -> None:
     """Start everything at the addresses of the settings, and show it until Ctrl-C."""
-    fleet = load_fleet(settings)
+    fleet = load_settings(settings)
     _refuse_taken(settings, fleet)
     click.echo(f"starting {len(fleet.gateways)} gateways and {nodes} stand-in nodes: the screen follows")
     day = Day(
@@ -60,7 +61,7 @@
         runner = Runner(loop, plan, backing, deque(maxlen=KEPT))
         door = plan.gateways[0]
         hint = f"curl -i -H 'X-Api-Key: key-of-1' http://{door[0]}:{door[1]}/v1/sheets/steel"
-        admins = [(entry.name, address(entry.admin)) for entry in plan.fleet.gateways]
+        admins = [(entry.name, parse_host_port(entry.admin)) for entry in plan.fleet.gateways]
         screen = Screen(loop, "orchidlane up", admins, hint)
         signal.signal(signal.SIGTERM, signal.default_int_handler)
         with contextlib.suppress(KeyboardInterrupt):
@@ -70,9 +71,9 @@
                 backing.end()
 
 
-def _refuse_taken(settings: str, fleet: Fleet) -> None:
+def _refuse_taken(settings: str, fleet: FleetSettings) -> None:
     """Say whose address something else has, before anything is started. Raises ValueError."""
-    wanted = [("nodes.list", fleet.nodes.list)]
+    wanted = [("nodes.list", fleet.endpoints.list_address)]
     for rank, entry in enumerate(fleet.gateways):
         wanted += [(f"gateways.{rank}.{name}", getattr(entry, name)) for name in PLACES]
     for where, at in wanted:
@@ -81,7 +82,7 @@
             if not datagrams:  # connections of an earlier run that fade away are no hindrance
                 probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
-                probe.bind(address(at))
+                probe.bind(parse_host_port(at))
             except OSError as wrong:
                 raise ValueError(
                     f"{settings}: {where}: {at}: {wrong.strerror}; does it run already?"
--- a/orchidlane/cli/upgrade.py
+++ b/orchidlane/cli/upgrade.py
@@ -13,7 +13,7 @@
 import click
 
 from orchidlane.cli.errors import clear_errors
-from orchidlane.gateway.control.settings import load_fleet, upgrade_address
+from orchidlane.gateway.control.settings_loader import hot_restart_address, load_settings
 from orchidlane.gateway.lifecycle.status_query import ask_status
 from orchidlane.hot_restart import messages
 from orchidlane.runtime import Loop, RealWorld
@@ -51,10 +51,10 @@
     Exit 0: the successor passed its trial and serves; 1: the old process goes on, and why.
     """
     with clear_errors():
-        fleet = load_fleet(settings)
+        fleet = load_settings(settings)
         if not 0 <= rank < len(fleet.gateways):
             raise ValueError(f"--rank: found {rank}, allowed: 0 to {len(fleet.gateways) - 1}")
-        at = upgrade_address(fleet, fleet.gateways[rank])
+        at = hot_restart_address(fleet, fleet.gateways[rank])
         if at is None:
             raise ValueError(f"{settings}: state: a folder is wanted, where the gateway takes the call")
         before = _ask(at[0])
@@ -69,7 +69,7 @@
         started = subprocess.Popen(
             command, stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True
         )
-        outcome = _await(started, at[0], time.monotonic() + fleet.upgrade.most / 1e6)
+        outcome = _await(started, at[0], time.monotonic() + fleet.hot_restart.total_timeout_us / 1e6)
         click.echo(outcome["told"])
         if not outcome["passed"]:
             _tell_last_words(log, since)
--- a/orchidlane/cli/views.py
+++ b/orchidlane/cli/views.py
@@ -12,7 +12,7 @@
 from urllib.parse import quote
 
 from orchidlane import http1, recording
-from orchidlane.gateway.control.settings import address, load_fleet
+from orchidlane.gateway.control.settings_loader import load_settings, parse_host_port
 from orchidlane.gateway.telemetry.policy_views import View, ViewError, read_view, saved_view
 from orchidlane.http1 import Data, End, Malformed, Response
 
@@ -26,7 +26,7 @@
     """The admin addresses or the saved state that a word names: ``host:port``, a state, or settings."""
     if not where.endswith(SETTINGS):
         return [where]
-    found = [entry.admin for entry in load_fleet(where).gateways if entry.admin]
+    found = [entry.admin for entry in load_settings(where).gateways if entry.admin]
     if not found:
         raise ViewError(f"{where}: no gateway has an admin address")
     return found
@@ -74,7 +74,7 @@
 def fetch(admin: str, target: str, most: int) -> Iterator[bytes]:
     """The parts of an answer of a gateway's admin address. Raises ViewError, OSError."""
     try:
-        at = address(admin)
+        at = parse_host_port(admin)
     except ValueError:
         raise ViewError(f"{admin}: no such file, and not an address as host:port") from None
     try:
--- a/orchidlane/gateway/control/configuration.py
+++ b/orchidlane/gateway/control/configuration.py
@@ -1,59 +1,46 @@
-"""What requests are understood by: one immutable value, replaced as a whole."""
+"""The configuration that requests are handled by: an immutable snapshot, replaced on each change."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Any
 
-from orchidlane.gateway.control.customers import Customers, load_customers
-from orchidlane.gateway.control.settings import Fleet
-from orchidlane.gateway.forwarding.openapi_adapter import call_of
-from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.gateway.control.customers import CustomerDirectory, load_customers
+from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.routes import Generation, build, load_description
 from orchidlane.runtime.backend import World
 
 
 @dataclass
-class Knowledge:
-    """What requests are understood by: replaced as a whole, never changed in place."""
+class ConfigurationSnapshot:
+    """What requests are handled by; replaced as a whole, never changed in place.
+
+    ``version`` names the fleet's version that it belongs to, "" where the fleet has none.
+    """
 
     generation: Generation
-    customers: Customers
+    customers: CustomerDirectory
     log: Any
     log_requests: bool
-    version: str = ""  # of the fleet, where it has versions
-
-    def log_answer(self, exchange: Exchange, answer: Answer, span: int) -> None:
-        """One line for a request, if the settings ask for it; never a key, target or body."""
-        if self.log_requests:
-            call = call_of(exchange)
-            self.log.info(
-                "answered",
-                request=exchange.number,
-                customer=call.customer,
-                operation=call.match.operation.name,
-                **({"version": call.version} if call.version else {}),
-                kind=answer.kind,
-                status=answer.status,
-                attempts=exchange.sends,
-                ms=span / 1_000,
-            )
-
-
-class UnfitContent(Exception):
-    """Contents that no knowledge can be made of; says where and why."""
-
-
-def read_sources(world: World, fleet: Fleet) -> tuple[bytes, bytes]:
-    """Description and customers as the files say now. Raises OSError."""
+    version: str = ""
+
+
+class ContentError(Exception):
+    """Contents of a fleet version that no snapshot can be built from."""
+
+
+def read_source_files(world: World, fleet: FleetSettings) -> tuple[bytes, bytes]:
+    """Read the files of the description and of the customers. Raises OSError."""
     return _read(world, fleet.description), _read(world, fleet.customers)
 
 
-def make_knowledge(rules: bytes, customers: bytes, fleet: Fleet, number: int, log: Any) -> Knowledge:
-    """What a description and customers mean. Raises DescriptionError, CustomersError."""
-    generation = build(load_description(rules, fleet.description), fleet.description, number)
-    known = load_customers(customers, fleet.customers, fleet)
-    return Knowledge(generation, known, log, fleet.log_requests)
+def build_snapshot(
+    description: bytes, customers: bytes, fleet: FleetSettings, number: int, log: Any
+) -> ConfigurationSnapshot:
+    """Build a snapshot from a description and customers. Raises DescriptionError, CustomersError."""
+    generation = build(load_description(description, fleet.description), fleet.description, number)
+    directory = load_customers(customers, fleet.customers, fleet)
+    return ConfigurationSnapshot(generation, directory, log, fleet.log_requests)
 
 
 def _read(world: World, path: str) -> bytes:
--- a/orchidlane/gateway/control/customers.py
+++ b/orchidlane/gateway/control/customers.py
@@ -1,4 +1,4 @@
-"""Who a key belongs to: an immutable generation, looked up by the key's digest."""
+"""Customers: an immutable directory, looked up by the digest of an API key."""
 
 from __future__ import annotations
 
@@ -8,47 +8,53 @@
 
 import msgspec
 
-from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.control.settings import FleetSettings
 
-NUMBER_MOST = 1 << 33  # customers' numbers lie below it
-NUMBER_DIGITS = 12
+CUSTOMER_NUMBER_LIMIT = 1 << 33  # numbers lie below it
+CUSTOMER_NUMBER_DIGITS_LIMIT = 12  # digits are fewer
+HASH_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash
+HASH_SHIFT = 12
 
 
-class CustomerEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One line of the customers' file; ``keys`` are SHA-256 digests in hexadecimal."""
+class CustomerRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One entry of the customers' file; ``keys`` are SHA-256 digests in hexadecimal.
+
+    ``replica_set_start`` of -1 leaves the place of the replica set to the customer's number. While
+    ``migrating`` is set, the replica set moves and nothing is served.
+    """
 
     id: int
     plan: str
     keys: tuple[str, ...]
     name: str = ""
-    first: int = -1
-    held: bool = False  # its set is on the move: nothing is served
+    replica_set_start: int = msgspec.field(name="first", default=-1)
+    migrating: bool = msgspec.field(name="held", default=False)
 
 
 class CustomersFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file."""
+    """The customers' file."""
 
-    customers: tuple[CustomerEntry, ...]
+    customers: tuple[CustomerRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer as requests name it: its number, plan, and the gateways that it uses."""
+    """A customer as requests refer to it: its number, plan and replica set."""
 
     number: int
     plan: int
     plan_name: str
-    set_first: int
-    set_size: int
-    held: bool = False
+    replica_set_start: int
+    replica_set_size: int
+    migrating: bool = False
 
 
 class CustomersError(Exception):
-    """The customers' file can't be used; says where and why."""
+    """The customers' file is not valid; the message says where and why."""
 
 
-class Customers:
-    """Customers by the digest of their keys."""
+class CustomerDirectory:
+    """Customers by the digest of their keys, by name and by number."""
 
     def __init__(
         self,
@@ -64,60 +70,81 @@
         return len(self._by_digest)
 
     def all(self) -> Iterable[Customer]:
-        """Each customer once."""
+        """Return each customer once."""
         return self._by_number.values()
 
-    def of_key(self, key: bytes) -> Customer | None:
-        """The customer of a key as it came with a request."""
+    def by_key(self, key: bytes) -> Customer | None:
+        """Return the customer of an API key as it came with a request."""
         return self._by_digest.get(hashlib.sha256(key).digest())
 
-    def named(self, name: bytes) -> Customer | None:
-        """The customer of a name or, failing that, of a key."""
-        return self._by_name.get(name) or self.of_key(name)
-
-    def numbered(self, word: bytes) -> Customer | None:
-        """The customer whose number a word is, in decimal digits."""
-        return self._by_number.get(int(word)) if word.isdigit() and len(word) < NUMBER_DIGITS else None
-
-
-def load_customers(text: bytes, file: str, fleet: Fleet) -> Customers:
-    """The customers of a file. Raises CustomersError."""
-    try:
-        entries = msgspec.json.decode(text, type=CustomersFile).customers
-    except (msgspec.DecodeError, UnicodeDecodeError) as wrong:
-        raise CustomersError(f"{file}: {wrong}") from None
-    if len(entries) > fleet.bounds.customers:
-        raise CustomersError(f"{file}: {len(entries)} customers, allowed: {fleet.bounds.customers}")
-    found: dict[bytes, Customer] = {}
-    names: dict[bytes, Customer] = {}
-    numbers: dict[int, Customer] = {}
-    plans = list(fleet.plans)
-    for index, entry in enumerate(entries):
-        place = f"{file}: customers[{index}]"
-        if not 0 <= entry.id < NUMBER_MOST or entry.id in numbers:
-            raise CustomersError(f"{place}.id: found {entry.id}, allowed: once, 0 to {NUMBER_MOST - 1}")
-        if entry.plan not in plans:
-            raise CustomersError(f"{place}.plan: found {entry.plan!r}, allowed: {', '.join(plans)}")
-        customer = numbers[entry.id] = make_customer(entry, fleet, plans)
-        if entry.name and names.setdefault(entry.name.encode(), customer) is not customer:
+    def by_name_or_key(self, name: bytes) -> Customer | None:
+        """Return the customer of a name or, failing that, of an API key."""
+        return self._by_name.get(name) or self.by_key(name)
+
+    def by_number(self, digits: bytes) -> Customer | None:
+        """Return the customer whose number is given in decimal digits."""
+        if not digits.isdigit() or len(digits) >= CUSTOMER_NUMBER_DIGITS_LIMIT:
+            return None
+        return self._by_number.get(int(digits))
+
+
+class _DirectoryBuilder:
+    """Collects records into a directory and checks that nothing is given twice."""
+
+    def __init__(self, file: str, fleet: FleetSettings) -> None:
+        self.file = file
+        self.fleet = fleet
+        self.plans = list(fleet.plans)
+        self.by_digest: dict[bytes, Customer] = {}
+        self.by_name: dict[bytes, Customer] = {}
+        self.by_number: dict[int, Customer] = {}
+
+    def add(self, index: int, record: CustomerRecord) -> None:
+        """Add the record at an index of the file. Raises CustomersError."""
+        place = f"{self.file}: customers[{index}]"
+        if not 0 <= record.id < CUSTOMER_NUMBER_LIMIT or record.id in self.by_number:
+            limit = CUSTOMER_NUMBER_LIMIT - 1
+            raise CustomersError(f"{place}.id: found {record.id}, allowed: once, 0 to {limit}")
+        if record.plan not in self.plans:
+            allowed = ", ".join(self.plans)
+            raise CustomersError(f"{place}.plan: found {record.plan!r}, allowed: {allowed}")
+        customer = make_customer(record, self.fleet, self.plans)
+        self.by_number[record.id] = customer
+        if record.name and self.by_name.setdefault(record.name.encode(), customer) is not customer:
             raise CustomersError(f"{place}.name: another customer has it")
-        for key in entry.keys:
-            digest = _digest(key, place)
-            if digest in found:
+        for key in record.keys:
+            digest = _parse_digest(key, place)
+            if digest in self.by_digest:
                 raise CustomersError(f"{place}.keys: a key that another customer has")
-            found[digest] = customer
-    return Customers(found, names, numbers)
+            self.by_digest[digest] = customer
 
 
-def make_customer(entry: CustomerEntry, fleet: Fleet, plans: list[str]) -> Customer:
-    """A customer with its set of gateways: so many as its plan says, from one that its number gives."""
+def load_customers(text: bytes, file: str, fleet: FleetSettings) -> CustomerDirectory:
+    """Parse the text of a customers' file; ``file`` is for messages. Raises CustomersError."""
+    try:
+        records = msgspec.json.decode(text, type=CustomersFile).customers
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise CustomersError(f"{file}: {error}") from None
+    max_customers = fleet.resource_limits.max_customers
+    if len(records) > max_customers:
+        raise CustomersError(f"{file}: {len(records)} customers, allowed: {max_customers}")
+    builder = _DirectoryBuilder(file, fleet)
+    for index, record in enumerate(records):
+        builder.add(index, record)
+    return CustomerDirectory(builder.by_digest, builder.by_name, builder.by_number)
+
+
+def make_customer(record: CustomerRecord, fleet: FleetSettings, plans: list[str]) -> Customer:
+    """Place a customer's replica set: its plan says how many gateways, its number or record where."""
     count = len(fleet.gateways)
-    size = min(fleet.plans[entry.plan].spread or count, count)
-    first = entry.first if 0 <= entry.first < count else (entry.id * 2_654_435_761 >> 12) % count
-    return Customer(entry.id, plans.index(entry.plan), entry.plan, first, size, entry.held)
+    size = min(fleet.plans[record.plan].replica_set_size or count, count)
+    start = record.replica_set_start
+    if not 0 <= start < count:
+        start = (record.id * HASH_MULTIPLIER >> HASH_SHIFT) % count
+    return Customer(record.id, plans.index(record.plan), record.plan, start, size, record.migrating)
 
 
-def _digest(text: str, place: str) -> bytes:
+def _parse_digest(text: str, place: str) -> bytes:
     try:
         digest = bytes.fromhex(text)
     except ValueError:
--- a/orchidlane/gateway/control/endpoint_list.py
+++ b/orchidlane/gateway/control/endpoint_list.py
@@ -1,10 +1,10 @@
-"""What the node list tells, brought into the order that the module relies on. Decides without I/O.
+"""The endpoint list: watch events put into the order that the policy relies on. Does no I/O.
 
-The list is a stream of JSON lines. ``whole`` ones replace, ``changes`` ones add to what came before; each has
-the list's epoch and a version that grows within it. What is out of order is not believed, since a list that
-went back in version would bring gone nodes back (rule 3): an older version of the same epoch is passed over,
-changes of another epoch, or with a gap before them, ask for the whole list. A whole list of a new epoch
-counts, an empty one too: it says that every node is gone.
+The list is a stream of JSON lines. A ``whole`` event replaces the list, a ``changes`` event adds to it; each
+has the list's epoch and a version that grows within it. A list that went back in version would bring removed
+endpoints back (rule 3), so events out of order are not applied: an older version of the same epoch is
+ignored, and changes of another epoch, or after a gap, make the watch start again from a complete list. A
+complete list of a new epoch is applied even if it is empty: it says that every endpoint is gone.
 """
 
 from __future__ import annotations
@@ -16,172 +16,186 @@
 
 from orchidlane import policy
 
-PHASES = {
+ENDPOINT_STATES = {
     "ready": policy.EndpointState.READY,
     "draining": policy.EndpointState.DRAINING,
     "gone": policy.EndpointState.GONE,
 }
-LINE_MOST = 8 << 20  # bytes of one line
+MAX_LINE_BYTES = 8 << 20
+CACHE_FORMAT = 1
 
 
-class NodeLine(msgspec.Struct, frozen=True):
-    """One node; ``launched`` is its start in microseconds of the time of day, 0: long ago."""
+class EndpointRecord(msgspec.Struct, frozen=True):
+    """One endpoint; ``started_at_us`` is microseconds of the time of day, 0 means long ago."""
 
     address: str
-    phase: Literal["ready", "draining", "gone"]
+    state: Literal["ready", "draining", "gone"] = msgspec.field(name="phase")
     zone: str
     cell: str
-    launched: int = 0
-    size: float = 1.0
+    started_at_us: int = msgspec.field(name="launched", default=0)
+    capacity_share: float = msgspec.field(name="size", default=1.0)
 
 
-class ListLine(msgspec.Struct, frozen=True):
-    """One line of the watch; ``after`` is the version that changes add to."""
+class WatchEvent(msgspec.Struct, frozen=True):
+    """One line of the watch; ``base_version`` is the version that changes add to."""
 
     kind: Literal["whole", "changes"]
     epoch: str
     version: int
-    nodes: tuple[NodeLine, ...]
-    after: int = 0
+    endpoints: tuple[EndpointRecord, ...] = msgspec.field(name="nodes")
+    base_version: int = msgspec.field(name="after", default=0)
 
 
-class Cached(msgspec.Struct, frozen=True):
-    """What is kept on disk for a restart."""
+class CachedEndpointList(msgspec.Struct, frozen=True):
+    """The list as it is cached on disk for a restart."""
 
     format: int
     epoch: str
     version: int
-    nodes: tuple[NodeLine, ...]
+    endpoints: tuple[EndpointRecord, ...] = msgspec.field(name="nodes")
 
 
-class Carried(msgspec.Struct, frozen=True):
-    """What passes from one process to its successor."""
+class TransferredEndpointList(msgspec.Struct, frozen=True):
+    """The list as a hot restart hands it to the new process."""
 
     epoch: str
     version: int
-    nodes: tuple[NodeLine, ...]
+    endpoints: tuple[EndpointRecord, ...] = msgspec.field(name="nodes")
     numbers: dict[str, int]
 
 
-CACHE_FORMAT = 1
-
-
-class ListRefused(Exception):
-    """A line that can't be used: the watch has to begin anew with the whole list."""
+class WatchEventError(Exception):
+    """A watch event that can't be applied: the watch has to start again from a complete list."""
 
 
 @dataclass
-class ListTracker:
-    """The list as it is known; ``zone`` is the gateway's own, so that it has number 0."""
+class EndpointListTracker:
+    """The current list; ``zone`` is the gateway's own, which gets number 0."""
 
     zone: str
-    most: int
+    max_endpoints: int
     epoch: str = ""
     version: int = -1
-    nodes: dict[str, NodeLine] = field(default_factory=dict)
-    passed_over: int = 0
+    endpoints: dict[str, EndpointRecord] = field(default_factory=dict)
+    ignored_events: int = 0
     _numbers: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self._number("zone:" + self.zone)
+        self._zone_number(self.zone)
 
-    def take(self, text: bytes) -> policy.EndpointListReceived | None:
-        """What a line tells the module, None where it is passed over. Raises ListRefused."""
-        try:
-            line = msgspec.json.decode(text, type=ListLine)
-        except (msgspec.DecodeError, UnicodeDecodeError) as wrong:
-            raise ListRefused(f"not a line of a node list: {wrong}") from None
-        if len(line.nodes) > self.most:
-            raise ListRefused(f"{len(line.nodes)} nodes, allowed: {self.most}")
-        known = line.epoch == self.epoch
-        if known and line.version < self.version:
-            self.passed_over += 1
+    def apply_line(self, line: bytes) -> policy.EndpointListReceived | None:
+        """Apply a watch event; return the policy's event, None where it is ignored.
+
+        Raises WatchEventError.
+        """
+        event = _decode_event(line)
+        self._check_size(len(event.endpoints))
+        same_epoch = event.epoch == self.epoch
+        if same_epoch and event.version < self.version:
+            self.ignored_events += 1
             return None
-        if line.kind == "changes":
-            return self._take_changes(line, known)
-        return self._take_whole(line)
-
-    def _take_whole(self, line: ListLine) -> policy.EndpointListReceived:
-        self.epoch, self.version = line.epoch, line.version
-        self.nodes = {node.address: node for node in line.nodes if node.phase != "gone"}
-        return self._listed(policy.EndpointListKind.COMPLETE, line.nodes)
-
-    def _take_changes(self, line: ListLine, known: bool) -> policy.EndpointListReceived | None:
-        if not known or line.after > self.version:
-            raise ListRefused("changes to a list that is not known")
-        if line.version == self.version:
-            self.passed_over += 1
+        if event.kind == "changes":
+            return self._apply_changes(event, same_epoch)
+        return self._apply_complete_list(event)
+
+    def _apply_complete_list(self, event: WatchEvent) -> policy.EndpointListReceived:
+        self.epoch = event.epoch
+        self.version = event.version
+        self.endpoints = {record.address: record for record in event.endpoints if record.state != "gone"}
+        return self._policy_event(policy.EndpointListKind.COMPLETE, event.endpoints)
+
+    def _apply_changes(self, event: WatchEvent, same_epoch: bool) -> policy.EndpointListReceived | None:
+        if not same_epoch or event.base_version > self.version:
+            raise WatchEventError("changes to a list that is not known")
+        if event.version == self.version:
+            self.ignored_events += 1
             return None
-        self.version = line.version
-        for node in line.nodes:
-            if node.phase == "gone":
-                self.nodes.pop(node.address, None)
+        self.version = event.version
+        for record in event.endpoints:
+            if record.state == "gone":
+                self.endpoints.pop(record.address, None)
             else:
-                self.nodes[node.address] = node
-        if len(self.nodes) > self.most:
-            raise ListRefused(f"{len(self.nodes)} nodes, allowed: {self.most}")
-        return self._listed(policy.EndpointListKind.DELTA, line.nodes)
-
-    def phase(self, server: bytes) -> str:
-        """What the list last said of a node."""
-        node = self.nodes.get(server.decode())
-        return node.phase if node else "gone"
-
-    def cached(self) -> bytes:
-        """What to keep on disk."""
-        kept = Cached(CACHE_FORMAT, self.epoch, self.version, tuple(self.nodes.values()))
-        return msgspec.json.encode(kept)
-
-    def carried(self) -> dict[str, object]:
-        """All that a successor needs to go on with the list as we know it."""
-        return {
-            "epoch": self.epoch,
-            "version": self.version,
-            "nodes": list(self.nodes.values()),
-            "numbers": self._numbers,
-        }
+                self.endpoints[record.address] = record
+        self._check_size(len(self.endpoints))
+        return self._policy_event(policy.EndpointListKind.DELTA, event.endpoints)
+
+    def _check_size(self, size: int) -> None:
+        if size > self.max_endpoints:
+            raise WatchEventError(f"{size} endpoints, allowed: {self.max_endpoints}")
+
+    def state(self, endpoint: bytes) -> str:
+        """Return the latest known state of an endpoint: ready, draining or gone."""
+        record = self.endpoints.get(endpoint.decode())
+        return record.state if record else "gone"
 
-    def carry_on(self, carried: dict[str, object]) -> None:
-        """Go on where another process of this gateway stood. Raises msgspec.ValidationError."""
-        found = msgspec.convert(carried, Carried)
-        self.epoch, self.version, self._numbers = found.epoch, found.version, found.numbers
-        self.nodes = {node.address: node for node in found.nodes}
+    def encode_cache(self) -> bytes:
+        """Return the list as ``load_cache`` reads it."""
+        cached = CachedEndpointList(CACHE_FORMAT, self.epoch, self.version, tuple(self.endpoints.values()))
+        return msgspec.json.encode(cached)
 
-    def restore(self, text: bytes) -> policy.EndpointListReceived | None:
-        """What a kept list tells the module; None where it can't be read, which costs no more than a wait.
+    def load_cache(self, text: bytes) -> policy.EndpointListReceived | None:
+        """Start with a cached list; return the policy's event, None where the cache can't be read.
 
-        The version is forgotten: whatever the list's service says first counts, older or newer.
+        The version is not restored: the first complete list of the service is applied, older or newer.
         """
         try:
-            kept = msgspec.json.decode(text, type=Cached)
+            cached = msgspec.json.decode(text, type=CachedEndpointList)
         except (msgspec.DecodeError, UnicodeDecodeError):
             return None
-        if kept.format != CACHE_FORMAT or len(kept.nodes) > self.most:
+        if cached.format != CACHE_FORMAT or len(cached.endpoints) > self.max_endpoints:
             return None
-        self.nodes = {node.address: node for node in kept.nodes}
-        return self._listed(policy.EndpointListKind.CACHED, kept.nodes)
+        self.endpoints = {record.address: record for record in cached.endpoints}
+        return self._policy_event(policy.EndpointListKind.CACHED, cached.endpoints)
 
-    def _listed(
-        self, kind: policy.EndpointListKind, nodes: tuple[NodeLine, ...]
+    def export_state(self) -> dict[str, object]:
+        """Return what a new process needs to continue with this list."""
+        return {
+            "epoch": self.epoch,
+            "version": self.version,
+            "nodes": list(self.endpoints.values()),
+            "numbers": self._numbers,
+        }
+
+    def import_state(self, exported: dict[str, object]) -> None:
+        """Continue with the list of another process of this gateway. Raises msgspec.ValidationError."""
+        transferred = msgspec.convert(exported, TransferredEndpointList)
+        self.epoch = transferred.epoch
+        self.version = transferred.version
+        self._numbers = transferred.numbers
+        self.endpoints = {record.address: record for record in transferred.endpoints}
+
+    def _policy_event(
+        self, kind: policy.EndpointListKind, records: tuple[EndpointRecord, ...]
     ) -> policy.EndpointListReceived:
-        entries = tuple(
-            policy.EndpointEntry(
-                endpoint=node.address.encode(),
-                state=PHASES[node.phase],
-                zone=self._number("zone:" + node.zone),
-                cell=self._number("cell:" + node.zone + "/" + node.cell),
-                started_at_us=node.launched,
-                capacity_share=node.size,
-            )
-            for node in nodes
-        )
+        entries = tuple(self._policy_entry(record) for record in records)
         return policy.EndpointListReceived(kind, max(0, self.version), entries)
 
+    def _policy_entry(self, record: EndpointRecord) -> policy.EndpointEntry:
+        return policy.EndpointEntry(
+            endpoint=record.address.encode(),
+            state=ENDPOINT_STATES[record.state],
+            zone=self._zone_number(record.zone),
+            cell=self._number("cell:" + record.zone + "/" + record.cell),
+            started_at_us=record.started_at_us,
+            capacity_share=record.capacity_share,
+        )
+
+    def _zone_number(self, zone: str) -> int:
+        return self._number("zone:" + zone)
+
     def _number(self, name: str) -> int:
-        """A stable number for a zone or cell; so many names as nodes, twice, are remembered."""
+        """Return the stable number of a zone or cell, at most twice as many as endpoints."""
         number = self._numbers.get(name)
         if number is None:
-            if len(self._numbers) > 2 * self.most:
-                raise ListRefused("too many zones and cells")
-            number = self._numbers[name] = len(self._numbers)
+            if len(self._numbers) > 2 * self.max_endpoints:
+                raise WatchEventError("too many zones and cells")
+            number = len(self._numbers)
+            self._numbers[name] = number
         return number
+
+
+def _decode_event(line: bytes) -> WatchEvent:
+    try:
+        return msgspec.json.decode(line, type=WatchEvent)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise WatchEventError(f"not a line of an endpoint list: {error}") from None
--- a/orchidlane/gateway/control/endpoint_watch.py
+++ b/orchidlane/gateway/control/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Follows the node list: one long answer over HTTP, a JSON line for each piece of news."""
+"""Watches the endpoint list: one long HTTP response with a JSON line for each watch event."""
 
 from __future__ import annotations
 
@@ -6,84 +6,101 @@
 from collections.abc import Callable
 
 from orchidlane import http1, policy
-from orchidlane.gateway.control.endpoint_list import LINE_MOST, ListRefused, ListTracker
-from orchidlane.gateway.control.json_stream import LineTooLong, whole_objects
-from orchidlane.gateway.control.settings import Fleet, address
+from orchidlane.gateway.control.endpoint_list import (
+    MAX_LINE_BYTES,
+    EndpointListTracker,
+    WatchEventError,
+)
+from orchidlane.gateway.control.json_stream import LineTooLongError, read_objects
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.http1 import Malformed
 from orchidlane.runtime import Loop, LoopError
 
-CONNECT = 2_000_000  # microseconds
-SILENCE = 15_000_000  # the list sends an empty line at least every few seconds; then it is asked anew
-AGAIN_FIRST, AGAIN_MOST = 100_000, 5_000_000  # microseconds between two tries, doubled each time
+CONNECT_TIMEOUT_US = 2_000_000
+SILENCE_TIMEOUT_US = 15_000_000  # the service sends an empty line at least every few seconds
+MIN_RETRY_DELAY_US = 100_000
+MAX_RETRY_DELAY_US = 5_000_000
+CACHE_INTERVAL_US = 1_000_000
 
 
-class Watch:
-    """The task that reads the list; ``told`` is called with what it tells the module."""
+class EndpointWatch:
+    """Keeps a tracker up to date; ``notify`` is called with each event for the policy."""
 
     def __init__(
         self,
         loop: Loop,
-        fleet: Fleet,
-        tracker: ListTracker,
+        fleet: FleetSettings,
+        tracker: EndpointListTracker,
         name: str,
-        cache: str,
-        told: Callable[[policy.EndpointListReceived], None],
+        cache_path: str,
+        notify: Callable[[policy.EndpointListReceived], None],
     ) -> None:
         self.loop = loop
         self.fleet = fleet
         self.tracker = tracker
         self.name = name
-        self.cache = cache
-        self.told = told
+        self.cache_path = cache_path
+        self.notify = notify
         self.failures = 0
-        self._kept = b""
+        self._cached_digest = b""
 
-    def restore(self) -> None:
-        """Begin with the list as it was kept."""
-        text = self.loop.world.read_file(self.cache) if self.cache else None
-        if text is not None and (listed := self.tracker.restore(text)) is not None:
-            self._kept = hashlib.sha256(text).digest()
-            self.told(listed)
+    def load_cache(self) -> None:
+        """Start with the cached list, if there is one that can be read."""
+        text = self.loop.world.read_file(self.cache_path) if self.cache_path else None
+        if text is None:
+            return
+        event = self.tracker.load_cache(text)
+        if event is not None:
+            self._cached_digest = hashlib.sha256(text).digest()
+            self.notify(event)
 
-    def work(self) -> None:
-        """Follow the list for ever; failures are waited out, the list as it is known stays."""
-        span = AGAIN_FIRST
+    def run(self) -> None:
+        """Watch the list for ever, with backoff after failures; meanwhile the list stays as it is."""
+        delay_us = MIN_RETRY_DELAY_US
         while True:
             began = self.loop.now()
             try:
-                self._follow()
-            except (LoopError, Malformed, LineTooLong, ListRefused):
+                self._watch()
+            except (LoopError, Malformed, LineTooLongError, WatchEventError):
                 self.failures += 1
-                self.told(policy.EndpointListReceived(policy.EndpointListKind.FAILED, 0, ()))
-            span = AGAIN_FIRST if self.loop.now() - began > AGAIN_MOST else min(AGAIN_MOST, 2 * span)
-            self.loop.sleep(int(span * (0.5 + self.loop.world.random.random())))
+                self.notify(policy.EndpointListReceived(policy.EndpointListKind.FAILED, 0, ()))
+            lasted_us = self.loop.now() - began
+            delay_us = (
+                MIN_RETRY_DELAY_US
+                if lasted_us > MAX_RETRY_DELAY_US
+                else min(MAX_RETRY_DELAY_US, 2 * delay_us)
+            )
+            self.loop.sleep(int(delay_us * (0.5 + self.loop.world.random.random())))
 
-    def _follow(self) -> None:
-        where = self.fleet.nodes.list
-        stream = self.loop.world.connect(address(where), self.loop.now() + CONNECT)
+    def _watch(self) -> None:
+        service = self.fleet.endpoints.list_address
+        stream = self.loop.world.connect(parse_host_port(service), self.loop.now() + CONNECT_TIMEOUT_US)
         try:
-            query = f"/v1/nodes?epoch={self.tracker.epoch}&after={self.tracker.version}"
-            stream.send(
-                http1.request_head(
-                    "GET",
-                    query.encode(),
-                    [(b"host", where.encode()), (b"user-agent", b"orchidlane " + self.name.encode())],
-                )
-            )
-            for objects in whole_objects(self.loop, stream, SILENCE, LINE_MOST):
-                for line in objects:
-                    if (listed := self.tracker.take(line)) is not None:
-                        self.told(listed)
+            stream.send(self._request(service))
+            for lines in read_objects(self.loop, stream, SILENCE_TIMEOUT_US, MAX_LINE_BYTES):
+                for line in lines:
+                    event = self.tracker.apply_line(line)
+                    if event is not None:
+                        self.notify(event)
         finally:
             stream.close()
 
-    def keep(self) -> None:
-        """Write the list down for a restart, if it changed; as background work."""
+    def _request(self, service: str) -> bytes:
+        target = f"/v1/nodes?epoch={self.tracker.epoch}&after={self.tracker.version}"
+        headers = [(b"host", service.encode()), (b"user-agent", b"orchidlane " + self.name.encode())]
+        return http1.request_head("GET", target.encode(), headers)
+
+    def run_cache_writer(self) -> None:
+        """Write the list to the cache for ever, whenever it has changed: background work."""
         while True:
-            self.loop.sleep(1_000_000)
-            if self.cache and self.tracker.nodes:
-                text = self.tracker.cached()
-                digest = hashlib.sha256(text).digest()
-                if digest != self._kept:
-                    self._kept = digest
-                    self.loop.world.write_file(self.cache, text)
+            self.loop.sleep(CACHE_INTERVAL_US)
+            if self.cache_path and self.tracker.endpoints:
+                self._write_cache()
+
+    def _write_cache(self) -> None:
+        text = self.tracker.encode_cache()
+        digest = hashlib.sha256(text).digest()
+        if digest != self._cached_digest:
+            self._cached_digest = digest
+            self.loop.world.write_file(self.cache_path, text)
--- a/orchidlane/gateway/control/json_stream.py
+++ b/orchidlane/gateway/control/json_stream.py
@@ -1,4 +1,4 @@
-"""The objects of one long answer over HTTP: how every list of nodes comes."""
+"""Reads the JSON objects of one long HTTP response: how every endpoint list is watched."""
 
 from __future__ import annotations
 
@@ -9,71 +9,79 @@
 from orchidlane.http1 import Data, End, Response
 from orchidlane.runtime import Closed, Loop, NotConnected, Stream
 
-STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
+JSON_STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
 
 
-class LineTooLong(Exception):
-    """More than the bound came without an end of line, or of an object."""
+class LineTooLongError(Exception):
+    """More bytes than allowed came without the end of a line or of an object."""
 
 
-class Objects:
-    """Tells JSON objects apart, each on a line of its own or indented over several. Decides without I/O.
+class JsonObjectSplitter:
+    """Splits bytes into JSON objects, each on one line or indented over several. Does no I/O.
 
-    A line that begins no object counts as one, so that whoever reads it says what is wrong with it.
+    A line that begins no object counts as an object, so that its reader reports what is wrong with it.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
         self._rest = b""
-        self._lines: list[bytes] = []  # of an object that has not ended yet
-        self._held = 0  # their bytes
+        self._lines: list[bytes] = []  # of an incomplete object
+        self._buffered_bytes = 0
         self._depth = 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """What these bytes complete: objects, and ``b""`` for each blank line between two. Raises
-        LineTooLong.
+        """Return the objects that these bytes complete, and ``b""`` for each blank line between two.
+
+        Raises LineTooLongError.
         """
         *lines, self._rest = (self._rest + data).split(b"\n")
-        found = [one for line in lines if (one := self._line(line)) is not None]
-        if self._held + len(self._rest) > self.most:
-            raise LineTooLong(f"over {self.most} bytes without an end")
-        return found
+        objects = [item for line in lines if (item := self._feed_line(line)) is not None]
+        if self._buffered_bytes + len(self._rest) > self.max_bytes:
+            raise LineTooLongError(f"over {self.max_bytes} bytes without an end")
+        return objects
 
-    def _line(self, line: bytes) -> bytes | None:
+    def _feed_line(self, line: bytes) -> bytes | None:
         if not self._lines and not line.strip():
             return b""
-        bare = STRING.sub(b"", line)  # no string reaches over the end of a line
-        self._depth += bare.count(b"{") - bare.count(b"}")
+        without_strings = JSON_STRING.sub(b"", line)  # no string reaches over the end of a line
+        self._depth += without_strings.count(b"{") - without_strings.count(b"}")
         self._lines.append(line)
-        self._held += len(line)
+        self._buffered_bytes += len(line)
         if self._depth > 0:
             return None
-        found, self._lines, self._held, self._depth = b"\n".join(self._lines), [], 0, 0
-        return found
+        complete = b"\n".join(self._lines)
+        self._lines = []
+        self._buffered_bytes = 0
+        self._depth = 0
+        return complete
 
 
-def whole_objects(loop: Loop, stream: Stream, silence: int, most: int) -> Iterator[list[bytes]]:
-    """The objects that each piece of the answer completes, blank lines left out; first none, for its head.
+def read_objects(
+    loop: Loop, stream: Stream, silence_timeout_us: int, max_bytes: int
+) -> Iterator[list[bytes]]:
+    """Yield the objects that each piece of the response completes; an empty list first, for its head.
 
-    Waits at most ``silence`` microseconds from one object or blank line to the next: bytes that complete
-    nothing are no sign of life. ``most`` bytes may wait for the end of their object. Raises NotConnected
-    where the answer is no 200, Closed at its end, Expired, Malformed, LineTooLong.
+    Blank lines are left out, but they count as a sign of life, as objects do; bytes that complete neither
+    don't. Raises NotConnected unless the status is 200, Closed at the end of the response, Expired after a
+    silence, Malformed, LineTooLongError.
     """
-    parser, split, by = http1.ResponseParser(), Objects(most), loop.now() + silence
+    parser = http1.ResponseParser()
+    splitter = JsonObjectSplitter(max_bytes)
+    deadline = loop.now() + silence_timeout_us
     while True:
         event = parser.next_event()
         if event is None:
-            parser.receive(stream.recv(deadline=by))
+            parser.receive(stream.recv(deadline=deadline))
             if parser.ended and parser.next_event() is None:
-                raise Closed("the list ended")
+                raise Closed("the endpoint list ended")
         elif isinstance(event, Response):
             if event.status != 200:
-                raise NotConnected(f"the list's service answers {event.status}")
-            by = loop.now() + silence
+                raise NotConnected(f"the endpoint list's service answers {event.status}")
+            deadline = loop.now() + silence_timeout_us
             yield []
         elif isinstance(event, Data):
-            if found := split.feed(event.data):
-                by = loop.now() + silence
-                yield [one for one in found if one]
+            if items := splitter.feed(event.data):
+                deadline = loop.now() + silence_timeout_us
+                yield [item for item in items if item]
         elif isinstance(event, End):
-            raise Closed("the list ended")
+            raise Closed("the endpoint list ended")
--- a/orchidlane/gateway/control/settings.py
+++ b/orchidlane/gateway/control/settings.py
@@ -1,26 +1,21 @@
-"""A fleet's settings as records, and what the decision module is told of them."""
+"""The settings of a fleet, as typed records.
 
-from __future__ import annotations
+A record's fields have the code's names; ``name=`` gives the key that settings files use where it differs.
+The schema of the files, with defaults and bounds, is ``schema.cue``. Durations are in microseconds, sizes in
+bytes.
+"""
 
-import os
-from functools import cache
-from pathlib import Path
+from __future__ import annotations
 
 import msgspec
 
-from orchidlane import config, policy
 from orchidlane.config import Duration, Size
-from orchidlane.routes import Generation
-from orchidlane.runtime import Address
 
-SCHEMA = Path(__file__).with_name("schema.cue")
-SECRET_LEAST = 16  # bytes
-START_WITHIN = 30_000_000  # microseconds beyond an upgrade's own terms: a process takes a while to start
-PATH_MOST = 107  # bytes of a Unix socket's path, unix(7)
+PROCESS_START_TIMEOUT_US = 30_000_000
 
 
 class Ceiling(msgspec.Struct, frozen=True):
-    """See ``#Ceiling``."""
+    """``#Ceiling``: a hard limit above a customer's quota, in units."""
 
     rate: float
     burst: float
@@ -28,20 +23,20 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """See ``#Plan``."""
+    """``#Plan``: the quotas of each customer on one plan."""
 
     rate: float
     burst: float
-    open: int
+    max_in_flight: int = msgspec.field(name="open")
     price: float
-    beyond_earns: float
-    beyond_costs: float
-    spread: int
+    over_quota_credit: float = msgspec.field(name="beyond_earns")
+    over_quota_charge: float = msgspec.field(name="beyond_costs")
+    replica_set_size: int = msgspec.field(name="spread")  # 0: all gateways
     ceiling: Ceiling | None = None
 
 
 class GatewayEntry(msgspec.Struct, frozen=True):
-    """See ``#Gateway``."""
+    """``#Gateway``: the addresses of one gateway; its rank is its place in the list."""
 
     name: str
     listen: str
@@ -51,270 +46,165 @@
     zone: str
 
 
-class Nodes(msgspec.Struct, frozen=True):
-    """See ``#Nodes``; spans in microseconds."""
+class EndpointSettings(msgspec.Struct, frozen=True):
+    """``#Nodes``: where the endpoint list is and how endpoints start, drain and report load."""
 
-    list: str
-    drain_grace: Duration
-    cold_from: float
-    warm_within: Duration
-    fall_multiple: float
-    overload_for: Duration
-    full_header: str
-    report_header: str
-    reports: tuple[str, ...]
+    list_address: str = msgspec.field(name="list")
+    drain_grace_us: Duration = msgspec.field(name="drain_grace")
+    slow_start_initial_share: float = msgspec.field(name="cold_from")
+    slow_start_duration_us: Duration = msgspec.field(name="warm_within")
+    overload_multiple: float = msgspec.field(name="fall_multiple")
+    overload_duration_us: Duration = msgspec.field(name="overload_for")
+    rejection_header: str = msgspec.field(name="full_header")
+    load_report_header: str = msgspec.field(name="report_header")
+    load_report_names: tuple[str, ...] = msgspec.field(name="reports")
 
 
-class Peers(msgspec.Struct, frozen=True):
-    """See ``#Peers``."""
+class PeerSettings(msgspec.Struct, frozen=True):
+    """``#Peers``: gossip between the gateways."""
 
     secret_file: str
-    intake: float
-
-
-class Bounds(msgspec.Struct, frozen=True):
-    """See ``#Bounds``; sizes in bytes."""
-
-    connections: int
-    open: int
-    node_connections: int
-    request_line: Size
-    request_head: Size
-    request_headers: int
-    request_body: Size
-    held_body: Size
-    held_answer: Size
-    pipelined: Size
-    lingering: int
-    nodes: int
-    customers: int
+    messages_per_second: float = msgspec.field(name="intake")
+
+
+class ResourceLimits(msgspec.Struct, frozen=True):
+    """``#Bounds``: what one gateway holds at most."""
+
+    max_connections: int = msgspec.field(name="connections")
+    max_requests_in_flight: int = msgspec.field(name="open")
+    max_connections_per_endpoint: int = msgspec.field(name="node_connections")
+    max_request_line_bytes: Size = msgspec.field(name="request_line")
+    max_request_head_bytes: Size = msgspec.field(name="request_head")
+    max_request_headers: int = msgspec.field(name="request_headers")
+    max_request_body_bytes: Size = msgspec.field(name="request_body")
+    max_replay_bytes: Size = msgspec.field(name="held_body")
+    max_buffered_response_bytes: Size = msgspec.field(name="held_answer")
+    max_pipelined_bytes: Size = msgspec.field(name="pipelined")
+    max_lingering_connections: int = msgspec.field(name="lingering")
+    max_endpoints: int = msgspec.field(name="nodes")
+    max_customers: int = msgspec.field(name="customers")
 
     @property
-    def all_node_connections(self) -> int:
-        """As many as each node may have."""
-        return self.nodes * self.node_connections
+    def max_endpoint_connections(self) -> int:
+        """Connections to all endpoints together: each may have as many as it may."""
+        return self.max_endpoints * self.max_connections_per_endpoint
 
 
-class Times(msgspec.Struct, frozen=True):
-    """See ``#Times``; spans in microseconds."""
+class Timeouts(msgspec.Struct, frozen=True):
+    """``#Times``: how long the steps of a request may take."""
 
-    head: Duration
-    body: Duration
-    idle: Duration
-    write: Duration
-    connect: Duration
-    node_idle: Duration
-    unsafe_idle: Duration
-    client_margin: Duration
-    drain: Duration
-    linger: Duration
+    request_head_us: Duration = msgspec.field(name="head")
+    body_progress_us: Duration = msgspec.field(name="body")
+    client_idle_us: Duration = msgspec.field(name="idle")
+    client_write_us: Duration = msgspec.field(name="write")
+    endpoint_connect_us: Duration = msgspec.field(name="connect")
+    endpoint_idle_us: Duration = msgspec.field(name="node_idle")
+    non_idempotent_idle_us: Duration = msgspec.field(name="unsafe_idle")
+    response_margin_us: Duration = msgspec.field(name="client_margin")
+    drain_us: Duration = msgspec.field(name="drain")
+    linger_us: Duration = msgspec.field(name="linger")
 
     @property
-    def newcomer(self) -> int:
-        """A new client may be silent for as long as one between two requests."""
+    def first_request_us(self) -> int:
+        """0: a new client may be silent for as long as one between two requests."""
         return 0
 
     @property
-    def node_rest(self) -> int:
-        """Nodes answer once: a connection is taken up again at once."""
+    def endpoint_reuse_delay_us(self) -> int:
+        """0: endpoints answer once, so a connection is reused at once."""
         return 0
 
     @property
-    def wrong(self) -> int:
-        """An error leaves at once."""
+    def error_delay_us(self) -> int:
+        """0: an error response leaves at once."""
         return 0
 
     @property
-    def idle_least(self) -> int:
-        """Any idle client may go to make room."""
+    def min_client_idle_us(self) -> int:
+        """0: any idle client may be closed to make room."""
         return 0
 
 
-class LimitTerms(msgspec.Struct, frozen=True):
-    """See ``#Limits``; spans in microseconds."""
+class QuotaSettings(msgspec.Struct, frozen=True):
+    """``#Limits``: the quota server, which speaks RESP."""
 
     passwords: tuple[str, ...]
-    token_life: Duration
-    tokens: int
-    grants: int
-    grant_life: Duration
-    credit_life: Duration
-    reserve_most: Duration
-    within_most: Duration
-    answer: Duration
-    again: Duration
-    intake: float
-    connections: int
-    bulk: Size
-    items: int
-
-
-class UpgradeTerms(msgspec.Struct, frozen=True):
-    """See ``#Upgrade``; spans in microseconds."""
-
-    warm: Duration
-    trial: Duration
-    silence: Duration
+    token_lifetime_us: Duration = msgspec.field(name="token_life")
+    max_tokens: int = msgspec.field(name="tokens")
+    max_grants: int = msgspec.field(name="grants")
+    grant_lifetime_us: Duration = msgspec.field(name="grant_life")
+    credit_lifetime_us: Duration = msgspec.field(name="credit_life")
+    max_reservation_us: Duration = msgspec.field(name="reserve_most")
+    max_wait_us: Duration = msgspec.field(name="within_most")
+    peer_reply_timeout_us: Duration = msgspec.field(name="answer")
+    retry_delay_us: Duration = msgspec.field(name="again")
+    messages_per_second: float = msgspec.field(name="intake")
+    max_connections: int = msgspec.field(name="connections")
+    max_bulk_bytes: Size = msgspec.field(name="bulk")
+    max_command_words: int = msgspec.field(name="items")
+
+
+class HotRestartSettings(msgspec.Struct, frozen=True):
+    """``#Upgrade``: the hand-over from an old process to a new one."""
+
+    transfer_timeout_us: Duration = msgspec.field(name="warm")
+    probation_us: Duration = msgspec.field(name="trial")
+    silence_timeout_us: Duration = msgspec.field(name="silence")
 
     @property
-    def most(self) -> int:
-        """Microseconds that one upgrade may take in all."""
-        return int(self.warm) + int(self.trial) + START_WITHIN
+    def total_timeout_us(self) -> int:
+        """How long one hot restart may take in all, the start of the new process included."""
+        return int(self.transfer_timeout_us) + int(self.probation_us) + PROCESS_START_TIMEOUT_US
 
 
-class RestartTerms(msgspec.Struct, frozen=True):
-    """See ``#Restart``; the span in microseconds."""
+class AccountStoreSettings(msgspec.Struct, frozen=True):
+    """``#Restart``: the accounts' copy on disk; an interval of 0 turns it off."""
 
-    every: Duration
+    write_interval_us: Duration = msgspec.field(name="every")
 
 
-class RollTerms(msgspec.Struct, frozen=True):
-    """See ``#Roll``; the span in microseconds."""
+class RollingUpgradeSettings(msgspec.Struct, frozen=True):
+    """``#Roll``: how much of the fleet one batch of an upgrade may hold."""
 
-    share: float
-    set_share: float
-    load: float
-    halls: int
-    soak: Duration
-    growth: int
+    max_share: float = msgspec.field(name="share")
+    max_replica_set_share: float = msgspec.field(name="set_share")
+    max_load_share: float = msgspec.field(name="load")
+    max_zones: int = msgspec.field(name="halls")
+    soak_us: Duration = msgspec.field(name="soak")
+    max_batch_growth: int = msgspec.field(name="growth")
 
 
-class ChangeTerms(msgspec.Struct, frozen=True):
-    """See ``#Change``; spans in microseconds."""
+class RolloutSettings(msgspec.Struct, frozen=True):
+    """``#Change``: versions of the fleet's configuration, approved by a quorum."""
 
-    voters: tuple[str, ...]
-    lease: Duration
-    every: Duration
-    beat: Duration
-    silence: Duration
-    decide: Duration
-    content: Size
-    intake: float
-    move: float
-    soak: Duration
+    voting_members: tuple[str, ...] = msgspec.field(name="voters")
+    lease_us: Duration = msgspec.field(name="lease")
+    poll_interval_us: Duration = msgspec.field(name="every")
+    heartbeat_interval_us: Duration = msgspec.field(name="beat")
+    election_timeout_us: Duration = msgspec.field(name="silence")
+    decision_timeout_us: Duration = msgspec.field(name="decide")
+    max_content_bytes: Size = msgspec.field(name="content")
+    messages_per_second: float = msgspec.field(name="intake")
+    max_migrating_share: float = msgspec.field(name="move")
+    soak_us: Duration = msgspec.field(name="soak")
 
 
-class Fleet(msgspec.Struct, frozen=True):
-    """See ``#Fleet``."""
+class FleetSettings(msgspec.Struct, frozen=True):
+    """``#Fleet``: everything that a settings file says."""
 
     description: str
     customers: str
-    state: str
+    state_directory: str = msgspec.field(name="state")  # "": nothing is written
     gateways: tuple[GatewayEntry, ...]
     plans: dict[str, Plan]
-    nodes: Nodes
-    peers: Peers
-    bounds: Bounds
-    times: Times
-    limits: LimitTerms
-    upgrade: UpgradeTerms
-    roll: RollTerms
-    restart: RestartTerms
-    change: ChangeTerms
+    endpoints: EndpointSettings = msgspec.field(name="nodes")
+    peers: PeerSettings
+    resource_limits: ResourceLimits = msgspec.field(name="bounds")
+    timeouts: Timeouts = msgspec.field(name="times")
+    quotas: QuotaSettings = msgspec.field(name="limits")
+    hot_restart: HotRestartSettings = msgspec.field(name="upgrade")
+    rolling_upgrade: RollingUpgradeSettings = msgspec.field(name="roll")
+    account_store: AccountStoreSettings = msgspec.field(name="restart")
+    rollout: RolloutSettings = msgspec.field(name="change")
     max_attempts: int
     log_requests: bool
-
-
-@cache
-def schema() -> str:
-    """The text of the schema."""
-    return SCHEMA.read_text()
-
-
-def load_fleet(path: str) -> Fleet:
-    """The settings of a file, its relative paths taken from its folder. Raises ConfigError, OSError."""
-    fleet = parse_fleet(Path(path).read_text(), path)
-    base = Path(path).parent
-    peers = msgspec.structs.replace(fleet.peers, secret_file=str(base / fleet.peers.secret_file))
-    return msgspec.structs.replace(
-        fleet,
-        description=str(base / fleet.description),
-        customers=str(base / fleet.customers),
-        state=str(base / fleet.state) if fleet.state else "",
-        peers=peers,
-    )
-
-
-def parse_fleet(text: str, file: str) -> Fleet:
-    """The settings of a text. Raises ConfigError."""
-    return config.load(text, file, schema(), "#Fleet", Fleet)
-
-
-def address(text: str) -> Address:
-    """Host and port of ``host:port``."""
-    host, _, port = text.rpartition(":")
-    return host, int(port)
-
-
-def upgrade_address(fleet: Fleet, entry: GatewayEntry) -> Address | None:
-    """The Unix socket at which a gateway hands over to its successor; none without a folder for its state.
-
-    Raises ValueError where the path is too long for one.
-    """
-    if not fleet.state:
-        return None
-    path = os.path.abspath(f"{fleet.state}/{entry.name}.upgrade")
-    if len(os.fsencode(path)) > PATH_MOST:
-        raise ValueError(
-            f"state: {path} is longer than the {PATH_MOST} bytes that a Unix socket's path may have"
-        )
-    return path, 0
-
-
-def read_secret(path: str) -> bytes:
-    """The fleet's key for datagrams. Raises ValueError where it is too short or others may read it."""
-    with open(path, "rb") as file:
-        if os.fstat(file.fileno()).st_mode & 0o007:
-            raise ValueError(f"{path}: others may read this secret; take their rights off it")
-        secret = file.read(4096).strip()
-    if len(secret) < SECRET_LEAST:
-        raise ValueError(f"{path}: a secret has at least {SECRET_LEAST} bytes")
-    return secret
-
-
-def module_settings(fleet: Fleet, rank: int, generation: Generation) -> policy.Settings:
-    """What the decision module of one gateway is told when it starts."""
-    nodes = fleet.nodes
-    return policy.Settings(
-        replica=rank,
-        replica_count=len(fleet.gateways),
-        zone=0,
-        classes=generation.classes,
-        plans=tuple(_module_plan(plan) for plan in fleet.plans.values()),
-        may_gossip=len(fleet.gateways) > 1,
-        may_check_health=False,
-        may_cancel=True,
-        may_hedge=False,
-        max_attempts=fleet.max_attempts,
-        max_retry_after_us=1_000_000,
-        peer_messages_per_second=fleet.peers.intake,
-        peer_charge=0.0,
-        health_check_charge=0.0,
-        waste_charge=0.0,
-        cross_zone_charge=0.0,
-        has_shared_counter=False,
-        polls_endpoint_list=True,
-        poll_timeout_us=10_000_000,
-        load_report_source=policy.LoadReportSource.INLINE if nodes.reports else policy.LoadReportSource.NONE,
-        load_report_names=nodes.reports,
-        slow_start_initial_share=nodes.cold_from,
-        slow_start_duration_us=int(nodes.warm_within),
-        overload_multiple=nodes.fall_multiple,
-        overload_duration_us=int(nodes.overload_for),
-        drain_grace_us=int(nodes.drain_grace),
-    )
-
-
-def _module_plan(plan: Plan) -> policy.Plan:
-    ceiling = plan.ceiling or Ceiling(0.0, 0.0, 0.0)
-    return policy.Plan(
-        rate=plan.rate,
-        burst=plan.burst,
-        max_in_flight=plan.open,
-        price=plan.price,
-        over_quota_credit=plan.beyond_earns,
-        over_quota_charge=plan.beyond_costs,
-        ceiling_rate=ceiling.rate,
-        ceiling_burst=ceiling.burst,
-        ceiling_slack=ceiling.slack,
-    )
--- a/orchidlane/gateway/forwarding/connection_pool.py
+++ b/orchidlane/gateway/forwarding/connection_pool.py
@@ -20,7 +20,7 @@
 from orchidlane.gateway.forwarding.connection_reuse import Reuse
 from orchidlane.gateway.forwarding.last_check import CLIENT_LEFT, Leaving, why_not
 from orchidlane.gateway.forwarding.pending_request import Answer, Exchange, Pieces
-from orchidlane.gateway.forwarding.protocol_adapter import Nodes, Terms
+from orchidlane.gateway.forwarding.protocol_adapter import GatewayLimits, Nodes
 from orchidlane.http1 import Data, End, Response
 from orchidlane.policy import Idempotency, Outcome
 from orchidlane.runtime import (
@@ -66,13 +66,18 @@
 class Pool:
     """Connections by node: idle ones are taken up again, the latest first; all are bounded."""
 
-    def __init__(self, loop: Loop, terms: Terms, scope: Scope) -> None:
+    def __init__(self, loop: Loop, terms: GatewayLimits, scope: Scope) -> None:
         self.loop = loop
-        self.times = terms.times
-        self.lingering = Lingering(loop, scope, terms.times.linger, terms.bounds.lingering)
-        self.most = terms.bounds.node_connections
-        self.most_in_all = terms.bounds.all_node_connections
-        self.limits = http1.Limits(head=terms.bounds.request_head * 2, headers=terms.bounds.request_headers)
+        self.times = terms.timeouts
+        self.lingering = Lingering(
+            loop, scope, terms.timeouts.linger_us, terms.resource_limits.max_lingering_connections
+        )
+        self.most = terms.resource_limits.max_connections_per_endpoint
+        self.most_in_all = terms.resource_limits.max_endpoint_connections
+        self.limits = http1.Limits(
+            head=terms.resource_limits.max_request_head_bytes * 2,
+            headers=terms.resource_limits.max_request_headers,
+        )
         self.open = 0
         self.reuse = Reuse(loop.now())
         self._idle: dict[bytes, deque[Connection]] = {}
@@ -82,7 +87,7 @@
         """A connection to the node at its address of now. No byte left us where this raises NotConnected
         (also over the node's bound), Expired, or NoRoom over the bound of all.
         """
-        longest = self.times.unsafe_idle if unsafe else self.times.node_idle
+        longest = self.times.non_idempotent_idle_us if unsafe else self.times.endpoint_idle_us
         idle = self._idle.get(server)
         while idle and (place := self._latest_rested(idle)) is not None:
             if unsafe and not self._may(idle[place], unsafe):
@@ -100,7 +105,7 @@
         self._count[server] = self._count.get(server, 0) + 1
         self.open += 1
         try:
-            by = min(deadline, self.loop.now() + self.times.connect)
+            by = min(deadline, self.loop.now() + self.times.endpoint_connect_us)
             return Connection(self.loop.world.connect(address, by), self.limits, address)
         except BaseException:
             self._uncount(server)
@@ -111,7 +116,7 @@
 
         Guards against a second answer that comes a little late: it would be taken for the next request's.
         """
-        least = self.loop.now() - self.times.node_rest
+        least = self.loop.now() - self.times.endpoint_reuse_delay_us
         return next((at for at in range(len(idle) - 1, -1, -1) if idle[at].idle_since <= least), None)
 
     def _may(self, connection: Connection, unsafe: bool) -> bool:
@@ -171,7 +176,7 @@
             self.loop.sleep(SWEEP)
             for server in list(self._idle):
                 idle = self._idle.get(server)
-                while idle and self.loop.now() - idle[0].idle_since > self.times.node_idle:
+                while idle and self.loop.now() - idle[0].idle_since > self.times.endpoint_idle_us:
                     self.retire(server, idle.popleft())
 
     def forget(self, server: bytes) -> None:
@@ -188,12 +193,12 @@
 class Upstream:
     """Begins attempts and follows each to its outcome."""
 
-    def __init__(self, loop: Loop, terms: Terms, scope: Scope, nodes: Nodes) -> None:
+    def __init__(self, loop: Loop, terms: GatewayLimits, scope: Scope, nodes: Nodes) -> None:
         self.loop = loop
         self.scope = scope
         self.nodes = nodes
-        self.times = terms.times
-        self.held_answer = terms.bounds.held_answer
+        self.times = terms.timeouts
+        self.held_answer = terms.resource_limits.max_buffered_response_bytes
         self.host: Host
         self.pool = Pool(loop, terms, scope)
         scope.spawn(self.pool.sweep, kind=BACKGROUND, name="sweep")
@@ -488,5 +493,5 @@
         return Outcome.SERVED, None, self._rested(connection, head)
 
     def _next_flowing(self, connection: Connection) -> http1.Event:
-        self.give_up_at = self.loop.now() + self.up.times.body
+        self.give_up_at = self.loop.now() + self.up.times.body_progress_us
         return self._next(connection)
--- a/orchidlane/gateway/forwarding/openapi_adapter.py
+++ b/orchidlane/gateway/forwarding/openapi_adapter.py
@@ -8,9 +8,11 @@
 from urllib.parse import unquote_to_bytes
 
 from orchidlane import http1, policy
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot
 from orchidlane.gateway.control.customers import Customer
-from orchidlane.gateway.control.endpoint_list import ListTracker
-from orchidlane.gateway.control.settings import Fleet, address
+from orchidlane.gateway.control.endpoint_list import EndpointListTracker
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
 from orchidlane.gateway.forwarding.protocol_adapter import Call
 from orchidlane.gateway.server.error_responses import HARMLESS, failed, problem, refused
@@ -21,7 +23,6 @@
 from orchidlane.runtime import Address
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.control.configuration import Knowledge
     from orchidlane.gateway.forwarding.policy_driver import Host
     from orchidlane.gateway.telemetry.metrics import Metrics
 
@@ -51,8 +52,8 @@
 
     def __init__(
         self,
-        fleet: Fleet,
-        knowledge: Callable[[], Knowledge],
+        fleet: FleetSettings,
+        knowledge: Callable[[], ConfigurationSnapshot],
         host: Callable[[], Host],
         metrics: Metrics,
         why_not: Callable[[], str] = str,
@@ -76,10 +77,10 @@
             return _missed(match)
         operation = match.operation
         key = _key(head, match)
-        customer = knowledge.customers.of_key(key) if key is not None else None
+        customer = knowledge.customers.by_key(key) if key is not None else None
         if customer is None:
             return problem(401, "No key of a customer.", ((b"www-authenticate", b"ApiKey"),))
-        if customer.held:
+        if customer.migrating:
             detail = f"The subscriber's set of gateways is on the move. {HARMLESS}"
             return problem(503, detail, ((b"retry-after", b"1"),))
         cls = generation.classes[operation.kind]
@@ -88,7 +89,7 @@
         patience = give_up_after(operation, head.headers, cls.deadline_us)
         if patience is None:
             return problem(400, "The time to give up after is no whole number of milliseconds.")
-        if in_flight >= self.fleet.bounds.open:
+        if in_flight >= self.fleet.resource_limits.max_requests_in_flight:
             return problem(503, "Too many requests under way.", ((b"retry-after", b"1"),))
         return OperationCall(
             kind=operation.kind,
@@ -96,8 +97,8 @@
             customer=customer.number,
             plan=customer.plan,
             units=operation.cost,
-            set_first=customer.set_first,
-            set_size=customer.set_size,
+            replica_set_start=customer.replica_set_start,
+            replica_set_size=customer.replica_set_size,
             patience=patience,
             target=_upstream_target(head.target, match),
             match=match,
@@ -126,7 +127,7 @@
         self._add_figures(exchange, answer)
         if self.note is not None:
             self.note(exchange, answer, span)
-        self.knowledge().log_answer(exchange, answer, span)
+        _log_response(self.knowledge(), exchange, answer, span)
 
     def over(self, exchange: Exchange) -> None:
         """Nothing is held for a request."""
@@ -148,6 +149,24 @@
         answer.headers.append((b"ratelimit", b'"%s";r=%d' % (name, room)))
 
 
+def _log_response(snapshot: ConfigurationSnapshot, exchange: Exchange, answer: Answer, span: int) -> None:
+    """Log one line for a request if the settings ask for it; never a key, target or body."""
+    if not snapshot.log_requests:
+        return
+    call = call_of(exchange)
+    snapshot.log.info(
+        "answered",
+        request=exchange.number,
+        customer=call.customer,
+        operation=call.match.operation.name,
+        **({"version": call.version} if call.version else {}),
+        kind=answer.kind,
+        status=answer.status,
+        attempts=exchange.sends,
+        ms=span / 1_000,
+    )
+
+
 class OpenApiNodes:
     """Attempts as a description's operations want them, outcomes by the settings' header names."""
 
@@ -155,22 +174,24 @@
     passes_streams = True
     cut_short = Outcome.CONNECTION_BROKEN
 
-    def __init__(self, fleet: Fleet, name: str, incarnation: int, tracker: ListTracker) -> None:
+    def __init__(
+        self, fleet: FleetSettings, name: str, incarnation: int, tracker: EndpointListTracker
+    ) -> None:
         self.tracker = tracker
         self.life = b"%s-%x" % (name.encode(), incarnation)
         self.via = VIA + name.encode()
-        self.full_header = fleet.nodes.full_header.lower().encode()
-        self.report_header = fleet.nodes.report_header.lower().encode()
-        self.reports = fleet.nodes.reports
+        self.full_header = fleet.endpoints.rejection_header.lower().encode()
+        self.report_header = fleet.endpoints.load_report_header.lower().encode()
+        self.reports = fleet.endpoints.load_report_names
         self._dropped: dict[Operation, frozenset[bytes]] = {}
 
     def address(self, server: bytes) -> Address | None:
         """A node is named by its address."""
-        return address(server.decode())
+        return parse_host_port(server.decode())
 
     def phase(self, server: bytes) -> str:
         """By the list."""
-        return self.tracker.phase(server)
+        return self.tracker.state(server)
 
     def outcome(self, head: Response) -> Outcome:
         """A 503 with the header that the settings name never ran; any other 5xx may have."""
--- a/orchidlane/gateway/forwarding/policy_driver.py
+++ b/orchidlane/gateway/forwarding/policy_driver.py
@@ -7,7 +7,7 @@
 
 from orchidlane import policy
 from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
-from orchidlane.gateway.forwarding.protocol_adapter import Clients, Payer
+from orchidlane.gateway.forwarding.protocol_adapter import Clients, QuotaOwner
 from orchidlane.gateway.telemetry.counters import Counts
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import Loop
@@ -20,7 +20,7 @@
 class Lent(Protocol):
     """Asks the process that decides on units in our place."""
 
-    def take(self, customer: Payer, units: float, kind: int) -> bool:
+    def take(self, customer: QuotaOwner, units: float, kind: int) -> bool:
         """Ask for units; waits for the answer. No answer is a no."""
 
 
@@ -91,13 +91,19 @@
         self.numbers += 1
         return self.numbers
 
-    def take(self, customer: Payer, units: float, kind: int) -> bool:
+    def take(self, customer: QuotaOwner, units: float, kind: int) -> bool:
         """Ask for units without a node; the module answers at once, our successor's after a while."""
         if self.lent is not None:
             return self.lent.take(customer, units, kind)
         number = self.next_number()
         taken = policy.QuotaRequested(
-            number, customer.number, customer.plan, kind, units, customer.set_first, customer.set_size
+            number,
+            customer.number,
+            customer.plan,
+            kind,
+            units,
+            customer.replica_set_start,
+            customer.replica_set_size,
         )
         self._granted, self._taking = None, customer.number
         self.feed(taken)
@@ -118,8 +124,8 @@
                 request_class=call.kind,
                 units=call.units,
                 time_left_us=time_left,
-                replica_set_start=call.set_first,
-                replica_set_size=call.set_size,
+                replica_set_start=call.replica_set_start,
+                replica_set_size=call.replica_set_size,
                 is_retry=call.is_repeat,
             )
         )
--- a/orchidlane/gateway/forwarding/protocol_adapter.py
+++ b/orchidlane/gateway/forwarding/protocol_adapter.py
@@ -26,8 +26,8 @@
     customer: int
     plan: int
     units: float
-    set_first: int
-    set_size: int
+    replica_set_start: int
+    replica_set_size: int
     patience: int
     target: bytes  # what nodes are asked for
     is_repeat: bool = False
@@ -38,7 +38,7 @@
         return self.customer
 
 
-class Payer(Protocol):
+class QuotaOwner(Protocol):
     """Whose units a request takes."""
 
     @property
@@ -50,127 +50,127 @@
         """Its plan's number."""
 
     @property
-    def set_first(self) -> int:
+    def replica_set_start(self) -> int:
         """The first gateway of its set."""
 
     @property
-    def set_size(self) -> int:
+    def replica_set_size(self) -> int:
         """How many gateways its set has."""
 
 
-class Bounds(Protocol):
+class ResourceLimits(Protocol):
     """What the front and the attempts hold at most; sizes in bytes."""
 
     @property
-    def connections(self) -> int:
+    def max_connections(self) -> int:
         """Clients' connections."""
 
     @property
-    def node_connections(self) -> int:
+    def max_connections_per_endpoint(self) -> int:
         """Connections to one node."""
 
     @property
-    def all_node_connections(self) -> int:
+    def max_endpoint_connections(self) -> int:
         """Connections to all nodes together."""
 
     @property
-    def request_line(self) -> int:
+    def max_request_line_bytes(self) -> int:
         """A request's first line."""
 
     @property
-    def request_head(self) -> int:
+    def max_request_head_bytes(self) -> int:
         """A request's head; an answer's may be twice as long."""
 
     @property
-    def request_headers(self) -> int:
+    def max_request_headers(self) -> int:
         """Header lines of a head."""
 
     @property
-    def request_body(self) -> int:
+    def max_request_body_bytes(self) -> int:
         """A request's body."""
 
     @property
-    def held_body(self) -> int:
+    def max_replay_bytes(self) -> int:
         """What is held of a body for further attempts."""
 
     @property
-    def held_answer(self) -> int:
+    def max_buffered_response_bytes(self) -> int:
         """What is held of an answer."""
 
     @property
-    def pipelined(self) -> int:
+    def max_pipelined_bytes(self) -> int:
         """What is read of a client's further requests while one is under way."""
 
     @property
-    def lingering(self) -> int:
+    def max_lingering_connections(self) -> int:
         """Connections of clients that are ending, and as many of nodes; beyond it they close at once."""
 
 
-class Times(Protocol):
+class Timeouts(Protocol):
     """How long things may take, in microseconds."""
 
     @property
-    def newcomer(self) -> int:
+    def first_request_us(self) -> int:
         """A new connection until its first whole request; 0: as any other."""
 
     @property
-    def head(self) -> int:
+    def request_head_us(self) -> int:
         """A head from its first byte on."""
 
     @property
-    def body(self) -> int:
+    def body_progress_us(self) -> int:
         """Between two pieces of a body."""
 
     @property
-    def wrong(self) -> int:
+    def error_delay_us(self) -> int:
         """Until a request that can't be used gets its error; 0: at once."""
 
     @property
-    def idle(self) -> int:
+    def client_idle_us(self) -> int:
         """Between two requests of a client."""
 
     @property
-    def idle_least(self) -> int:
+    def min_client_idle_us(self) -> int:
         """A connection that was idle for less is not closed to make room."""
 
     @property
-    def write(self) -> int:
+    def client_write_us(self) -> int:
         """An answer's write."""
 
     @property
-    def connect(self) -> int:
+    def endpoint_connect_us(self) -> int:
         """A connection to a node until it is made."""
 
     @property
-    def node_idle(self) -> int:
+    def endpoint_idle_us(self) -> int:
         """A node's connection between two requests."""
 
     @property
-    def node_rest(self) -> int:
+    def endpoint_reuse_delay_us(self) -> int:
         """A node's connection carries no request sooner after an answer."""
 
     @property
-    def unsafe_idle(self) -> int:
+    def non_idempotent_idle_us(self) -> int:
         """The same before an unsafe request."""
 
     @property
-    def client_margin(self) -> int:
+    def response_margin_us(self) -> int:
         """Taken off the client's time for the way back."""
 
     @property
-    def linger(self) -> int:
+    def linger_us(self) -> int:
         """From our end of a connection until it is closed, if the other side does not end."""
 
 
-class Terms(Protocol):
+class GatewayLimits(Protocol):
     """Bounds and times of one gateway."""
 
     @property
-    def bounds(self) -> Bounds:
+    def resource_limits(self) -> ResourceLimits:
         """How much."""
 
     @property
-    def times(self) -> Times:
+    def timeouts(self) -> Timeouts:
         """How long."""
 
 
--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -31,7 +31,7 @@
         self.program = program
         self.loop = program.loop
         self.path = path
-        self.every = int(program.fleet.restart.every)
+        self.every = int(program.fleet.account_store.write_interval_us)
         self._until = 0
 
     # -- at a start
--- a/orchidlane/gateway/lifecycle/hot_restart.py
+++ b/orchidlane/gateway/lifecycle/hot_restart.py
@@ -23,8 +23,8 @@
 
 from orchidlane import policy, recording
 from orchidlane.gateway.control.customers import Customer
-from orchidlane.gateway.control.settings import upgrade_address
-from orchidlane.gateway.forwarding.protocol_adapter import Payer
+from orchidlane.gateway.control.settings_loader import hot_restart_address
+from orchidlane.gateway.forwarding.protocol_adapter import QuotaOwner
 from orchidlane.gateway.server.error_responses import failed
 from orchidlane.gateway.server.http_server import Connection
 from orchidlane.gateway.server.resp_server import Session
@@ -207,7 +207,7 @@
         self.waiting: dict[int, tuple[Task, list[bool]]] = {}
         self._numbers = 0
 
-    def take(self, customer: Payer, units: float, kind: int) -> bool:
+    def take(self, customer: QuotaOwner, units: float, kind: int) -> bool:
         """See ``host.Lent``."""
         loop = self.channel.loop
         task = loop.current
@@ -222,8 +222,8 @@
                 customer.plan,
                 kind,
                 units,
-                customer.set_first,
-                customer.set_size,
+                customer.replica_set_start,
+                customer.replica_set_size,
             )
         )
         by = loop.now() + TAKE_WITHIN
@@ -255,12 +255,14 @@
         self.program = program
         self.loop = program.loop
         self.scope = scope
-        terms = program.fleet.upgrade
+        terms = program.fleet.hot_restart
         layout = old_process.Layout(
             program.entry.name, program.rank, len(program.fleet.gateways), tuple(program.fleet.plans)
         )
-        silence = int(terms.silence)
-        spans = old_process.Terms(int(terms.warm), silence, trial=int(terms.trial), silence=silence)
+        silence = int(terms.silence_timeout_us)
+        spans = old_process.Terms(
+            int(terms.transfer_timeout_us), silence, trial=int(terms.probation_us), silence=silence
+        )
         self.machine = old_process.Giver(layout, spans)
         self.channels: dict[int, Channel] = {}
         self.reserve: dict[int, Kept] = {}
@@ -407,7 +409,7 @@
                 handle = channel.stream.take_handle()
                 if handle is not None:
                     now = self.loop.now()
-                    session = (2, b"", not self.program.fleet.limits.passwords)
+                    session = (2, b"", not self.program.fleet.quotas.passwords)
                     kept = Kept(handle, message.front, since=now, last=now, session=session)
                     self.reserve[message.connection] = kept
             case messages.Reading() | messages.Began() | messages.Answering() | messages.Idle():
@@ -511,7 +513,7 @@
             messages.Final(
                 module=module_at_moment(program.host.rules),
                 limits=program.limits.carried(),
-                nodes=msgspec.to_builtins(program.tracker.carried()),
+                nodes=msgspec.to_builtins(program.tracker.export_state()),
                 peers=[list(row) for row in program.inbox.carried()],
                 sequence=program.sequence,
                 number=program.host.numbers,
@@ -663,7 +665,9 @@
         self.program = program
         self.loop = program.loop
         self.scope = scope
-        self.machine = new_process.Taker(new_process.Terms(warm=int(program.fleet.upgrade.warm)))
+        self.machine = new_process.Taker(
+            new_process.Terms(warm=int(program.fleet.hot_restart.transfer_timeout_us))
+        )
         self.channel: Channel
         self.places: dict[str, Handle] = {}
         self.wanted: tuple[str, ...] = ()
@@ -676,7 +680,7 @@
 
     def take_over(self) -> bool:
         """Call, and wait until we serve; False where nothing becomes of it (``ended_because`` says why)."""
-        at = upgrade_address(self.program.fleet, self.program.entry)
+        at = hot_restart_address(self.program.fleet, self.program.entry)
         if at is None:
             self.ended_because = "the settings have no folder for the state, where the old process listens"
             return False
@@ -849,7 +853,7 @@
         recording.track(rules)
         program.host.go_on_with(rules, final.number)
         program.limits.carry_on(final.limits)
-        program.tracker.carry_on(final.nodes)
+        program.tracker.import_state(final.nodes)
         program.inbox.carry_on([tuple(row) for row in final.peers])
         program.sequence = final.sequence
         self.feed(new_process.CameFinal())
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -9,10 +9,12 @@
 import structlog
 
 from orchidlane import policy
-from orchidlane.gateway.control.configuration import Knowledge, make_knowledge, read_sources
-from orchidlane.gateway.control.endpoint_list import ListTracker
-from orchidlane.gateway.control.endpoint_watch import Watch
-from orchidlane.gateway.control.settings import Fleet, address, module_settings, upgrade_address
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot, build_snapshot, read_source_files
+from orchidlane.gateway.control.endpoint_list import EndpointListTracker
+from orchidlane.gateway.control.endpoint_watch import EndpointWatch
+from orchidlane.gateway.control.policy_settings import policy_settings
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import hot_restart_address, parse_host_port
 from orchidlane.gateway.forwarding.connection_pool import Upstream
 from orchidlane.gateway.forwarding.openapi_adapter import OpenApiClients, OpenApiNodes
 from orchidlane.gateway.forwarding.policy_driver import Host
@@ -49,10 +51,10 @@
     def __init__(
         self,
         loop: Loop,
-        fleet: Fleet,
+        fleet: FleetSettings,
         rank: int,
         secret: bytes,
-        knowledge: Knowledge | None = None,
+        knowledge: ConfigurationSnapshot | None = None,
         record_to: str | None = None,
         take_over: bool = False,
     ) -> None:
@@ -66,7 +68,7 @@
         self.log = structlog.get_logger().bind(gateway=self.entry.name)
         self.given = knowledge is not None
         self.sources: tuple[bytes, bytes] | None = None  # what our files say
-        self.versions = Versions(self) if fleet.change.voters else None
+        self.versions = Versions(self) if fleet.rollout.voting_members else None
         self.knowledge = knowledge or self._first_knowledge(1)
         self.metrics = Metrics()
         self.stopping = False
@@ -76,13 +78,13 @@
         self.when_ready: Callable[[], None] = lambda: None  # called once, when requests are served
         self.incarnation = loop.now()
         self.sequence = 0
-        self.peers = [address(entry.peer) for entry in fleet.gateways]
+        self.peers = [parse_host_port(entry.peer) for entry in fleet.gateways]
         self.places: dict[str, Any] = {}
         self.front: Front
         self.host: Host
         self.inbox: Inbox
         self.memory: Memory | None = None
-        self.tracker = ListTracker(self.entry.zone, fleet.bounds.nodes)
+        self.tracker = EndpointListTracker(self.entry.zone, fleet.resource_limits.max_endpoints)
         self._hearing: Task
 
     def run(self) -> None:
@@ -122,12 +124,12 @@
         if name in self.places:
             return
         if name == "peer":
-            self.places[name] = world.datagrams(address(entry.peer))
+            self.places[name] = world.datagrams(parse_host_port(entry.peer))
             return
         wanted = {"http": entry.listen, "resp": entry.resp, "admin": entry.admin}
-        at = upgrade_address(self.fleet, entry) if name == "upgrade" else None
+        at = hot_restart_address(self.fleet, entry) if name == "upgrade" else None
         if wanted.get(name):
-            at = address(wanted[name])
+            at = parse_host_port(wanted[name])
         if at is not None:
             self.places[name] = world.listen(at)
 
@@ -140,15 +142,15 @@
 
     # -- parts
 
-    def _first_knowledge(self, number: int) -> Knowledge:
+    def _first_knowledge(self, number: int) -> ConfigurationSnapshot:
         """What an earlier life went by, or what the files say. Raises what ``_read_files`` does."""
         found = self.versions.restored(number) if self.versions is not None else None
         return found or self._read_files(number)
 
-    def _read_files(self, number: int) -> Knowledge:
+    def _read_files(self, number: int) -> ConfigurationSnapshot:
         """Raises DescriptionError, CustomersError, OSError."""
-        sources = read_sources(self.loop.world, self.fleet)
-        found = make_knowledge(*sources, self.fleet, number, self.log)
+        sources = read_source_files(self.loop.world, self.fleet)
+        found = build_snapshot(*sources, self.fleet, number, self.log)
         self.sources = sources
         return found
 
@@ -160,10 +162,10 @@
     def build(self, scope: Scope) -> None:
         """Make all parts; none of them does anything yet."""
         self.scope = scope
-        settings = module_settings(self.fleet, self.rank, self.knowledge.generation)
-        intakes = [self.fleet.peers.intake, self.fleet.limits.intake]
+        settings = policy_settings(self.fleet, self.rank, self.knowledge.generation)
+        intakes = [self.fleet.peers.messages_per_second, self.fleet.quotas.messages_per_second]
         if self.versions is not None:
-            intakes.append(self.fleet.change.intake)
+            intakes.append(self.fleet.rollout.messages_per_second)
         self.inbox = Inbox(self.secret, self.rank, len(self.peers), self.loop.now(), *intakes)
         nodes = OpenApiNodes(self.fleet, self.entry.name, self.incarnation, self.tracker)
         why_not = self.versions.why_not_serve if self.versions is not None else str
@@ -181,7 +183,7 @@
         self.metrics.gauges = {
             "connections": ("Clients' connections", lambda: len(self.front.connections)),
             "open_requests": ("Requests under way", lambda: len(self.host.exchanges)),
-            "nodes": ("Nodes on the list", lambda: len(self.tracker.nodes)),
+            "nodes": ("Nodes on the list", lambda: len(self.tracker.endpoints)),
             "longest_turn_seconds": ("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
         }
         self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, self.tell_limits, scope)
@@ -197,13 +199,15 @@
             self.names,
             Desk(self.versions) if self.versions is not None else None,
         )
-        cache = f"{self.fleet.state}/{self.entry.name}.nodes.json" if self.fleet.state else ""
-        self.watch = Watch(self.loop, self.fleet, self.tracker, self.entry.name, cache, self._listed)
+        cache = (
+            f"{self.fleet.state_directory}/{self.entry.name}.nodes.json" if self.fleet.state_directory else ""
+        )
+        self.watch = EndpointWatch(self.loop, self.fleet, self.tracker, self.entry.name, cache, self._listed)
 
     def start_serving(self, scope: Scope) -> None:
         """Take requests; what is not bound or taken over yet is bound here."""
         if not self.take_over:
-            self.watch.restore()
+            self.watch.load_cache()
         self._remember(scope)
         for name in ("http", "peer", "resp", "admin"):
             self.open(name)
@@ -212,8 +216,8 @@
             self._record(scope, self.record_to)
         if self.versions is not None:
             self.versions.start(scope)
-        scope.spawn(self.watch.work, kind=CONTROL, name="node list")
-        scope.spawn(self.watch.keep, kind=BACKGROUND, name="node list's cache")
+        scope.spawn(self.watch.run, kind=CONTROL, name="node list")
+        scope.spawn(self.watch.run_cache_writer, kind=BACKGROUND, name="node list's cache")
         self._listen()
         self.front.listen(self.places["http"])
         if "resp" in self.places:
@@ -225,9 +229,9 @@
 
     def _remember(self, scope: Scope) -> None:
         """Go on with the accounts of an earlier life, unless another process told us its own."""
-        if not self.fleet.state or not self.fleet.restart.every:
+        if not self.fleet.state_directory or not self.fleet.account_store.write_interval_us:
             return
-        self.memory = Memory(self, f"{self.fleet.state}/{self.entry.name}.accounts")
+        self.memory = Memory(self, f"{self.fleet.state_directory}/{self.entry.name}.accounts")
         if not self.take_over:
             self.log.info("remembered", accounts=self.memory.load())
             self.memory.begin()
@@ -283,10 +287,10 @@
             "incarnation": self.incarnation,
             "sequence": self.sequence,
             "generation": self.knowledge.generation.number,
-            "list": [self.tracker.epoch, self.tracker.version, len(self.tracker.nodes)],
+            "list": [self.tracker.epoch, self.tracker.version, len(self.tracker.endpoints)],
             "open": len(self.host.exchanges),
             "draining": self.stopping,
-            "client_margin": int(self.fleet.times.client_margin),
+            "client_margin": int(self.fleet.timeouts.response_margin_us),
             **({"version": self.versions.show()} if self.versions is not None else {}),
         }
 
@@ -302,7 +306,7 @@
         self.front.drain()
         if "resp" in self.places:
             self.resp.drain()
-        by = self.loop.now() + self.fleet.times.drain
+        by = self.loop.now() + self.fleet.timeouts.drain_us
         while (self.front.connections or self.resp.sessions) and self.loop.now() < by:
             self.loop.sleep(DRAIN_LOOK)
         self.front.lingering.wait(by)
--- a/orchidlane/gateway/lifecycle/rolling_upgrade.py
+++ b/orchidlane/gateway/lifecycle/rolling_upgrade.py
@@ -12,7 +12,8 @@
 
 import msgspec
 
-from orchidlane.gateway.control.settings import Fleet, upgrade_address
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import hot_restart_address
 from orchidlane.gateway.lifecycle.status_query import ask_status
 from orchidlane.hot_restart import messages, rolling_upgrade
 from orchidlane.hot_restart.probation import Answers
@@ -58,12 +59,14 @@
 class Rolling:
     """One roll of a fleet, from its start or from where it was left."""
 
-    def __init__(self, loop: Loop, fleet: Fleet, starter: Starter, tell: Callable[[str], None]) -> None:
+    def __init__(
+        self, loop: Loop, fleet: FleetSettings, starter: Starter, tell: Callable[[str], None]
+    ) -> None:
         self.loop = loop
         self.fleet = fleet
         self.starter = starter
         self.tell = tell
-        self.path = f"{fleet.state}/roll.json"
+        self.path = f"{fleet.state_directory}/roll.json"
         self.kept: Kept
         self.roller: rolling_upgrade.Roller
         self._written = b""
@@ -120,12 +123,14 @@
     def _layout(self, loads: list[float]) -> Layout:
         halls = [entry.zone for entry in self.fleet.gateways]
         members = tuple(Member(rank, halls[rank], load) for rank, load in enumerate(loads))
-        return Layout(members, tuple(sorted({plan.spread for plan in self.fleet.plans.values()})))
+        return Layout(members, tuple(sorted({plan.replica_set_size for plan in self.fleet.plans.values()})))
 
     def _terms(self) -> rolling_upgrade.Terms:
-        terms = self.fleet.roll
-        limits = Limits(terms.share, terms.set_share, terms.halls, terms.load)
-        return rolling_upgrade.Terms(limits, int(terms.soak), self.fleet.upgrade.most, terms.growth)
+        terms = self.fleet.rolling_upgrade
+        limits = Limits(terms.max_share, terms.max_replica_set_share, terms.max_zones, terms.max_load_share)
+        return rolling_upgrade.Terms(
+            limits, int(terms.soak_us), self.fleet.hot_restart.total_timeout_us, terms.max_batch_growth
+        )
 
     # -- looks
 
@@ -141,7 +146,7 @@
         return found
 
     def _ask(self, rank: int) -> messages.Status | None:
-        at = upgrade_address(self.fleet, self.fleet.gateways[rank])
+        at = hot_restart_address(self.fleet, self.fleet.gateways[rank])
         assert at is not None
         return ask_status(self.loop, at)
 
--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from orchidlane.gateway.control.customers import Customer
-from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.limits import (
     Claim,
@@ -83,14 +83,14 @@
     def __init__(
         self,
         loop: Loop,
-        fleet: Fleet,
+        fleet: FleetSettings,
         rank: int,
         host: Host,
         tell: Callable[[int, bytes], None],
         scope: Scope,
     ) -> None:
         self.loop = loop
-        self.terms = fleet.limits
+        self.terms = fleet.quotas
         self.gateways = len(fleet.gateways)
         self.rank = rank
         self.host = host
@@ -98,8 +98,10 @@
         self.scope = scope
         now = loop.now()
         self.life = now
-        self.holder = Holder(self.terms.token_life, self.terms.tokens, now)
-        self.ledger = Ledger(self.terms.grants, self.terms.grant_life, self.terms.credit_life)
+        self.holder = Holder(self.terms.token_lifetime_us, self.terms.max_tokens, now)
+        self.ledger = Ledger(
+            self.terms.max_grants, self.terms.grant_lifetime_us, self.terms.credit_lifetime_us
+        )
         self.granted = self.refused = 0
         self._asked: dict[int, tuple[Task, list[Reply]]] = {}
         self._answered: OrderedDict[tuple[int, int], bytes] = OrderedDict()
@@ -132,7 +134,7 @@
         now = self.loop.now()
         self.lent = None
         self._numbers += 2 * NUMBERS_APART
-        self.holder.sure_from = now + self.terms.token_life
+        self.holder.sure_from = now + self.terms.token_lifetime_us
         self.ledger.drop_credits()
 
     # -- the store of a customer, as it is known here
@@ -181,7 +183,7 @@
     def take_once(self, customer: Customer, units: float, kind: int, span: int, token: bytes) -> bool:
         """A take that counts once however often it comes with its token. Raises NoAnswer, LedgerError."""
         name = token_name(customer.number, token)
-        by = self.loop.now() + max(span, 2 * self.terms.answer)
+        by = self.loop.now() + max(span, 2 * self.terms.peer_reply_timeout_us)
         while True:
             number = self._next()
             claim = self._claim(name, customer, number)
@@ -229,7 +231,7 @@
         self._ask_all(fresh, Question(0, Op.GIVE_UP, name, customer.number, number))
 
     def _set(self, customer: Customer) -> list[int]:
-        return [(customer.set_first + i) % self.gateways for i in range(customer.set_size)]
+        return [(customer.replica_set_start + i) % self.gateways for i in range(customer.replica_set_size)]
 
     def _next(self) -> int:
         self._numbers += 1
@@ -291,8 +293,8 @@
                 waiting[rank] = asked.id
                 self._asked[asked.id] = task, []
                 self.tell(rank, msgspec.msgpack.encode(asked))
-        by = self.loop.now() + self.terms.answer
-        again = self.loop.now() + self.terms.again
+        by = self.loop.now() + self.terms.peer_reply_timeout_us
+        again = self.loop.now() + self.terms.retry_delay_us
         try:
             while self._collect(waiting, found) and (enough is None or len(found) < enough):
                 if self.loop.now() >= by:
@@ -300,7 +302,7 @@
                 try:
                     self.loop.park(min(by, again))
                 except Expired:
-                    again = self.loop.now() + self.terms.again
+                    again = self.loop.now() + self.terms.retry_delay_us
                     for rank, number in waiting.items():
                         asked = msgspec.structs.replace(question, id=number)
                         self.tell(rank, msgspec.msgpack.encode(asked))
--- a/orchidlane/gateway/rollout_agent/admin_api.py
+++ b/orchidlane/gateway/rollout_agent/admin_api.py
@@ -79,7 +79,7 @@
 
     def __init__(self, versions: Versions) -> None:
         self.versions = versions
-        self.body_most = int(versions.fleet.change.content)
+        self.body_most = int(versions.fleet.rollout.max_content_bytes)
 
     def answer(self, method: str, target: bytes, seal: bytes | None, body: bytes) -> Answer:
         """Status and body."""
--- a/orchidlane/gateway/rollout_agent/agent.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -14,9 +14,10 @@
 
 import msgspec
 
-from orchidlane.gateway.control.configuration import Knowledge, UnfitContent, make_knowledge
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot, ContentError, build_snapshot
 from orchidlane.gateway.control.customers import CustomersError
-from orchidlane.gateway.control.settings import Fleet, address
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
 from orchidlane.gateway.rollout_agent.admin_client import PREFIX, FetchError, call
 from orchidlane.gateway.rollout_agent.answer_tally import Book
@@ -71,13 +72,19 @@
         self.loop, self.fleet, self.rank = program.loop, program.fleet, program.rank
         self.world, self.secret, self.log = program.loop.world, program.secret, program.log
         fleet = self.fleet
-        terms = fleet.change
+        terms = fleet.rollout
         names = [entry.name for entry in fleet.gateways]
-        self.voters = [names.index(name) for name in terms.voters]
-        self.files = Files(self.world, f"{fleet.state}/{program.entry.name}")
+        self.voters = [names.index(name) for name in terms.voting_members]
+        self.files = Files(self.world, f"{fleet.state_directory}/{program.entry.name}")
         rng, count = self.world.random, len(fleet.gateways)
-        self.spread = Spread(self.rank, count, self.voters, terms.lease, terms.every, rng)
-        self.terms = conduct.Terms(terms.lease, terms.beat, terms.silence, terms.decide, _stages(fleet))
+        self.spread = Spread(self.rank, count, self.voters, terms.lease_us, terms.poll_interval_us, rng)
+        self.terms = conduct.Terms(
+            terms.lease_us,
+            terms.heartbeat_interval_us,
+            terms.election_timeout_us,
+            terms.decision_timeout_us,
+            _stages(fleet),
+        )
         self.book = Book()
         self._counted: dict[tuple[int, bool], Tallies] = {}  # at the latest look, by rank and side
         self._turn = 0
@@ -102,7 +109,7 @@
 
     # -- at a start
 
-    def restored(self, number: int) -> Knowledge | None:
+    def restored(self, number: int) -> ConfigurationSnapshot | None:
         """What the earlier life ran, by its own files; None where there is nothing of it."""
         try:
             kept = self.files.read_running()
@@ -113,7 +120,7 @@
             if why:
                 raise Damaged(f"its certificate: {why}")
             knowledge = self._knowledge(kept.running, number, aside=False)
-        except (Damaged, msgspec.DecodeError, OSError, UnfitContent, ValueError) as wrong:
+        except (Damaged, msgspec.DecodeError, OSError, ContentError, ValueError) as wrong:
             self.log.error("version not restored", why=str(wrong))
             return None
         self.running = kept.running
@@ -396,7 +403,7 @@
         """A content by its name, verified, from the first gateway that has it."""
         for rank in ranks:
             by = self.loop.now() + FETCH_WITHIN
-            most = int(self.fleet.change.content)
+            most = int(self.fleet.rollout.max_content_bytes)
             target = PREFIX + b"content/" + name.encode()
             try:
                 status, data = call(
@@ -410,7 +417,7 @@
 
     def admin_of(self, rank: int) -> Address:
         """Where a gateway answers tools."""
-        return address(self.fleet.gateways[rank].admin)
+        return parse_host_port(self.fleet.gateways[rank].admin)
 
     # -- the clock
 
@@ -565,13 +572,13 @@
         self._have(version.parts)
         try:
             new = self._read(version.parts, version.number)
-        except UnfitContent as wrong:
+        except ContentError as wrong:
             return str(wrong)
         if version.undoes and version.parts == latest.current.version.parts:
             return ""  # what ran a moment ago, and still runs in part
         try:
             old = self._read(latest.current.version.parts, latest.current.version.number)
-        except UnfitContent as wrong:
+        except ContentError as wrong:
             return f"the version that runs: {wrong}"
         fleet = self.fleet
         why: str = self.world.aside(lambda: why_not_beside(_material(old, fleet), _material(new, fleet)))
@@ -617,12 +624,12 @@
         try:
             why = why_not_certified(self.secret, wanted)
             if why:
-                raise UnfitContent(f"no certificate: {why}")
+                raise ContentError(f"no certificate: {why}")
             self._have(version.parts)
             knowledge = self._knowledge(wanted, program.knowledge.generation.number + 1)
             if knowledge.generation.classes != program.knowledge.generation.classes:
-                raise UnfitContent("other classes need a restart of the gateway")
-        except (FetchError, UnfitContent, OSError) as wrong:
+                raise ContentError("other classes need a restart of the gateway")
+        except (FetchError, ContentError, OSError) as wrong:
             if str(wrong) != self.why_behind:
                 self.log.error("version not adopted", version=version.show(), why=str(wrong))
             self.why_behind = str(wrong)
@@ -638,7 +645,7 @@
         self._look_at_target()
         self._remember()
 
-    def _moved(self, old: Knowledge, new: Knowledge) -> tuple[list[int], list[int]]:
+    def _moved(self, old: ConfigurationSnapshot, new: ConfigurationSnapshot) -> tuple[list[int], list[int]]:
         """Whose parts begin anew: those held, and those served. All are looked at, so beside the loop."""
 
         def compare() -> tuple[list[int], list[int]]:
@@ -649,12 +656,14 @@
         found: tuple[list[int], list[int]] = self.world.aside(compare)
         return found
 
-    def _begin_sets(self, moved: list[int], knowledge: Knowledge) -> None:
+    def _begin_sets(self, moved: list[int], knowledge: ConfigurationSnapshot) -> None:
         """Tell the module of customers whose parts begin anew."""
         for number in moved:
-            one = knowledge.customers.numbered(b"%d" % number)
+            one = knowledge.customers.by_number(b"%d" % number)
             assert one is not None
-            self.program.host.feed(ReplicaSetChanged(number, one.plan, one.set_first, one.set_size))
+            self.program.host.feed(
+                ReplicaSetChanged(number, one.plan, one.replica_set_start, one.replica_set_size)
+            )
 
     def _have(self, parts: Parts) -> None:
         """Fetch and write down what we lack of a version. Raises FetchError, OSError."""
@@ -676,20 +685,20 @@
         ranks = dict.fromkeys([*some, rng.choice(seats), leader, rng.choice(seats)])
         return [rank for rank in ranks if rank >= 0 and rank != self.rank]
 
-    def _read(self, parts: Parts, number: int, aside: bool = True) -> Knowledge:
+    def _read(self, parts: Parts, number: int, aside: bool = True) -> ConfigurationSnapshot:
         """The knowledge of contents that are here, made beside the loop. Raises UnfitContent."""
         rules, customers = self.files.get(parts.rules), self.files.get(parts.customers)
         if rules is None or customers is None:
-            raise UnfitContent("its contents are not on this disk")
+            raise ContentError("its contents are not on this disk")
         fleet, log = self.fleet, self.log
         try:
             if not aside:
-                return make_knowledge(rules, customers, fleet, number, log)
-            return self.world.aside(lambda: make_knowledge(rules, customers, fleet, number, log))
+                return build_snapshot(rules, customers, fleet, number, log)
+            return self.world.aside(lambda: build_snapshot(rules, customers, fleet, number, log))
         except (DescriptionError, CustomersError, ValueError) as wrong:
-            raise UnfitContent(str(wrong)) from None
+            raise ContentError(str(wrong)) from None
 
-    def _knowledge(self, wanted: Certificate, number: int, aside: bool = True) -> Knowledge:
+    def _knowledge(self, wanted: Certificate, number: int, aside: bool = True) -> ConfigurationSnapshot:
         knowledge = self._read(wanted.version.parts, number, aside)
         return dataclasses.replace(knowledge, version=wanted.version.show())
 
@@ -750,26 +759,28 @@
         return told[0]
 
 
-def accounts_of(knowledge: Knowledge, fleet: Fleet) -> dict[int, Account]:
+def accounts_of(knowledge: ConfigurationSnapshot, fleet: FleetSettings) -> dict[int, Account]:
     """What the map of sets and plans says of each customer."""
     ceilings = {name: plan.ceiling is not None for name, plan in fleet.plans.items()}
     return {
-        one.number: Account(one.plan_name, one.set_first, one.set_size, ceilings[one.plan_name], one.held)
+        one.number: Account(
+            one.plan_name, one.replica_set_start, one.replica_set_size, ceilings[one.plan_name], one.migrating
+        )
         for one in knowledge.customers.all()
     }
 
 
-def _stages(fleet: Fleet) -> Terms:
+def _stages(fleet: FleetSettings) -> Terms:
     """A change's batches are as a roll's."""
-    roll, count = fleet.roll, len(fleet.gateways)
+    roll, count = fleet.rolling_upgrade, len(fleet.gateways)
     return Terms(
-        soak=int(fleet.change.soak),
-        growth=roll.growth,
-        limits=Limits(roll.share, roll.set_share, roll.halls, roll.load),
+        soak=int(fleet.rollout.soak_us),
+        growth=roll.max_batch_growth,
+        limits=Limits(roll.max_share, roll.max_replica_set_share, roll.max_zones, roll.max_load_share),
         halls=tuple(entry.zone for entry in fleet.gateways),
-        spreads=tuple(sorted({min(plan.spread or count, count) for plan in fleet.plans.values()})),
+        spreads=tuple(sorted({min(plan.replica_set_size or count, count) for plan in fleet.plans.values()})),
     )
 
 
-def _material(knowledge: Knowledge, fleet: Fleet) -> Material:
+def _material(knowledge: ConfigurationSnapshot, fleet: FleetSettings) -> Material:
     return Material(knowledge.generation, accounts_of(knowledge, fleet))
--- a/orchidlane/gateway/rollout_agent/settings.py
+++ b/orchidlane/gateway/rollout_agent/settings.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.control.settings import FleetSettings
 
 
-def check_terms(fleet: Fleet) -> None:
+def check_terms(fleet: FleetSettings) -> None:
     """Raises ValueError where the settings name voters and lack what voting needs."""
-    voters, names = fleet.change.voters, [entry.name for entry in fleet.gateways]
+    voters, names = fleet.rollout.voting_members, [entry.name for entry in fleet.gateways]
     if not voters:
         return
     if len(voters) not in (3, 5, 7) or len(set(voters)) != len(voters):
@@ -18,5 +18,5 @@
     without = [entry.name for entry in fleet.gateways if not entry.admin]
     if without:
         raise ValueError(f"change.voters: gateways without an admin address: {', '.join(without)}")
-    if not fleet.state:
+    if not fleet.state_directory:
         raise ValueError("state: a folder is wanted, where votes and versions are kept")
--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -13,7 +13,7 @@
 
 from orchidlane import http1
 from orchidlane.gateway.forwarding.pending_request import Answer, Body, Exchange
-from orchidlane.gateway.forwarding.protocol_adapter import Call, Clients, Terms
+from orchidlane.gateway.forwarding.protocol_adapter import Call, Clients, GatewayLimits
 from orchidlane.gateway.server.accept_loop import NO_DESCRIPTOR_WAIT, accept_clients
 from orchidlane.http1 import Data, End, Malformed, Request
 from orchidlane.runtime import (
@@ -102,25 +102,27 @@
 class Front:
     """Accepts clients and serves them."""
 
-    def __init__(self, loop: Loop, terms: Terms, host: Host, clients: Clients, scope: Scope) -> None:
+    def __init__(self, loop: Loop, terms: GatewayLimits, host: Host, clients: Clients, scope: Scope) -> None:
         self.loop = loop
-        self.bounds = terms.bounds
-        self.times = terms.times
+        self.bounds = terms.resource_limits
+        self.times = terms.timeouts
         self.host = host
         self.clients = clients
         self.scope = scope
         self.metrics = host.metrics
         self.draining = False
         self.limits = http1.Limits(
-            line=terms.bounds.request_line,
-            head=terms.bounds.request_head,
-            headers=terms.bounds.request_headers,
-            body=terms.bounds.request_body,
+            line=terms.resource_limits.max_request_line_bytes,
+            head=terms.resource_limits.max_request_head_bytes,
+            headers=terms.resource_limits.max_request_headers,
+            body=terms.resource_limits.max_request_body_bytes,
         )
         self.connections: dict[Connection, None] = {}
         self.newcomers: dict[Connection, None] = {}  # those that asked nothing yet, the oldest first
         self.idle: dict[Connection, None] = {}  # those between two requests, the longest idle first
-        self.lingering = Lingering(loop, scope, terms.times.linger, terms.bounds.lingering)
+        self.lingering = Lingering(
+            loop, scope, terms.timeouts.linger_us, terms.resource_limits.max_lingering_connections
+        )
         self.listener: Listener
         self.pass_on: Callable[[Connection], None] | None = None  # gets each connection between two requests
         self.contain: Callable[[str, Exception], None] | None = None  # is told of failures, which end there
@@ -195,19 +197,19 @@
         self._begin(connection)
 
     def _begin(self, connection: Connection) -> None:
-        connection.known = not self.times.newcomer
+        connection.known = not self.times.first_request_us
         self.connections[connection] = None
         connection.task = self.scope.spawn(self._client, connection, kind=REQUESTS, name="client")
 
     def _make_room(self) -> None:
         """At the bound the client that is idle for longest goes; while all are busy, no more are taken."""
-        while len(self.connections) >= self.bounds.connections:
+        while len(self.connections) >= self.bounds.max_connections:
             if not self._evict():
                 self.loop.sleep(NO_DESCRIPTOR_WAIT)
 
     def _evict(self) -> bool:
         """End a client that has no request under way: silent newcomers first, then the longest idle one."""
-        least = self.loop.now() - self.times.idle_least
+        least = self.loop.now() - self.times.min_client_idle_us
         for resting in (self.newcomers, self.idle):
             connection = next(iter(resting), None)
             # Guards against a close that crosses a request: what has come already is served.
@@ -253,7 +255,7 @@
         self.draining = True
         self.loop.cancel(self._accepting)
         with suppress(Closed, NotConnected):
-            while len(self.connections) < self.bounds.connections:
+            while len(self.connections) < self.bounds.max_connections:
                 if (stream := self._next_waiting()) is None:
                     break
                 self._take(stream)
@@ -344,10 +346,10 @@
 
     def _pause(self, connection: Connection) -> None:
         """Guards against clients that send the same again at once: an error costs them time, us little."""
-        if self.times.wrong:
+        if self.times.error_delay_us:
             connection.rested = self.loop.now()
             self.newcomers[connection] = None
-            self.loop.sleep(self.times.wrong)
+            self.loop.sleep(self.times.error_delay_us)
             self.newcomers.pop(connection, None)
 
     def _is_known(self, connection: Connection) -> None:
@@ -357,8 +359,10 @@
     def _due(self, connection: Connection) -> int:
         """When a request that has begun to come must be whole."""
         if connection.known:
-            return connection.since + self.times.head
-        return min(connection.opened + self.times.newcomer, connection.since + self.times.head)
+            return connection.since + self.times.request_head_us
+        return min(
+            connection.opened + self.times.first_request_us, connection.since + self.times.request_head_us
+        )
 
     def _read_head(self, connection: Connection) -> Request | None:
         """The next head; None where the client left or stayed silent between requests."""
@@ -366,7 +370,7 @@
         connection.rested = self.loop.now()
         (self.idle if known else self.newcomers)[connection] = None
         try:
-            patience = self.times.idle if known else self.times.newcomer
+            patience = self.times.client_idle_us if known else self.times.first_request_us
             if not parser.pending:
                 if self.draining and not connection.stream.waiting():
                     return None
@@ -395,7 +399,7 @@
             if not connection.stream.waiting():
                 return False
             # Guards against our own standing still: what came in the meantime is served.
-            return self._recv(connection, self.times.head)
+            return self._recv(connection, self.times.request_head_us)
 
     def _recv(self, connection: Connection, patience: int) -> bool:
         """Feed the parser once; False at the end of input."""
@@ -427,7 +431,7 @@
                 raise Malformed(408, "the body took too long") from None
             self._pump(connection, body)
         exchange.arrived = connection.last_recv
-        exchange.until = exchange.arrived + exchange.call.patience - self.times.client_margin
+        exchange.until = exchange.arrived + exchange.call.patience - self.times.response_margin_us
         if self.last is not None:
             exchange.until = min(exchange.until, self.last)
 
@@ -438,9 +442,9 @@
             number=self.host.next_number(),
             head=head,
             call=call,
-            body=Body(self.loop, self.bounds.held_body, head.length),
+            body=Body(self.loop, self.bounds.max_replay_bytes, head.length),
             task=task,
-            until=connection.since + call.patience - self.times.client_margin,
+            until=connection.since + call.patience - self.times.response_margin_us,
             arrived=connection.since,
             awaits_continue=head.expects_continue,
             client_left=connection.stream.has_left,
@@ -465,13 +469,15 @@
         hints, exchange.hints = exchange.hints, []
         for hint in hints if exchange.head.minor else ():
             data = http1.response_head(hint.status, http1.end_to_end(hint.headers))
-            connection.stream.send(data, self.loop.now() + self.times.write)
+            connection.stream.send(data, self.loop.now() + self.times.client_write_us)
 
     def _wait(self, exchange: Exchange) -> None:
         body = exchange.body
         settled = body.ended or body.full
         try:
-            self.loop.park(exchange.until + OVERDUE if settled else self.loop.now() + self.times.body)
+            self.loop.park(
+                exchange.until + OVERDUE if settled else self.loop.now() + self.times.body_progress_us
+            )
         except Expired:
             if settled:
                 self.host.overdue(exchange)
@@ -501,7 +507,7 @@
     def _reads_no_more(self, connection: Connection, body: Body) -> bool:
         """Whether the bounds are reached: then a client's end lies behind bytes that stay unread."""
         if body.ended:
-            return connection.parser.pending >= self.bounds.pipelined
+            return connection.parser.pending >= self.bounds.max_pipelined_bytes
         if body.full:
             assert self.loop.current is not None
             body.tell_when_room(self.loop.current)
@@ -558,7 +564,7 @@
         if self.watcher is not None:
             self.watcher.answering(connection.number)
         data = self._head_of(answer, keep=False, length=len(answer.body)) + answer.body
-        connection.stream.send(data, self.loop.now() + self.times.write)
+        connection.stream.send(data, self.loop.now() + self.times.client_write_us)
         return False
 
     def answer_alone(self, stream: Stream, answer: Answer) -> None:
@@ -577,7 +583,7 @@
         return http1.response_head(answer.status, headers)
 
     def _write(self, connection: Connection, head: Request, answer: Answer, keep: bool) -> bool:
-        by = self.loop.now() + self.times.write
+        by = self.loop.now() + self.times.client_write_us
         if answer.stream is not None:
             return self._write_stream(connection, head, answer, keep)
         bodiless = head.method == "HEAD" or answer.status in (204, 304)
@@ -596,10 +602,12 @@
             headers = [*headers, (b"connection", b"close")]
         done = False
         try:
-            connection.stream.send(http1.response_head(answer.status, headers), self.loop.now() + times.write)
-            while (piece := pieces.take(self.loop.now() + 2 * times.body)) is not None:
+            connection.stream.send(
+                http1.response_head(answer.status, headers), self.loop.now() + times.client_write_us
+            )
+            while (piece := pieces.take(self.loop.now() + 2 * times.body_progress_us)) is not None:
                 data = http1.chunk(piece) if chunked else piece
-                connection.stream.send(data, self.loop.now() + times.write)
+                connection.stream.send(data, self.loop.now() + times.client_write_us)
             done = not pieces.broken
         finally:
             if not done:
@@ -608,5 +616,5 @@
             connection.stream.abort()
             return False
         if chunked:
-            connection.stream.send(http1.last_chunk(pieces.trailers), self.loop.now() + times.write)
+            connection.stream.send(http1.last_chunk(pieces.trailers), self.loop.now() + times.client_write_us)
         return chunked
--- a/orchidlane/gateway/server/resp_server.py
+++ b/orchidlane/gateway/server/resp_server.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from orchidlane import resp
-from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot
 from orchidlane.gateway.control.customers import Customer
-from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.peers.token_requests import LimitService, NoAnswer
 from orchidlane.gateway.server.accept_loop import accept_clients
 from orchidlane.gateway.server.http_server import Watcher, recv_watched, send_all
@@ -62,24 +62,29 @@
     def __init__(
         self,
         loop: Loop,
-        fleet: Fleet,
+        fleet: FleetSettings,
         service: LimitService,
-        knowledge: Callable[[], Knowledge],
+        knowledge: Callable[[], ConfigurationSnapshot],
         scope: Scope,
         why_not: Callable[[], str] = str,
     ) -> None:
         self.loop = loop
         self.fleet = fleet
         self.why_not = why_not  # commands are carried out; "" where they are
-        self.terms = fleet.limits
+        self.terms = fleet.quotas
         self.service = service
         self.knowledge = knowledge
         self.scope = scope
         self.limits = resp.Limits(
-            bulk=self.terms.bulk, count=self.terms.items, total=self.terms.items, depth=4
+            bulk=self.terms.max_bulk_bytes,
+            count=self.terms.max_command_words,
+            total=self.terms.max_command_words,
+            depth=4,
         )
         self.sessions: dict[Session, None] = {}
-        self.lingering = Lingering(loop, scope, fleet.times.linger, fleet.bounds.lingering)
+        self.lingering = Lingering(
+            loop, scope, fleet.timeouts.linger_us, fleet.resource_limits.max_lingering_connections
+        )
         self.draining = False
         self.listener: Listener
         self.pass_on: Callable[[Session], None] | None = None  # gets each session between two commands
@@ -159,7 +164,7 @@
             session.decoder.receive(unread)
             lost = sum(bool(words) for words in iter(session.decoder.next_command, None))
         replies = resp.encode(LOST, session.version) * lost
-        stream.send(replies, self.loop.now() + self.fleet.times.write)
+        stream.send(replies, self.loop.now() + self.fleet.timeouts.client_write_us)
         if unread is None:
             self.lingering.close(stream)
         else:
@@ -174,7 +179,7 @@
         accept_clients(self.loop, self.listener, self._take_client)
 
     def _take_client(self, stream: Stream) -> None:
-        if len(self.sessions) >= self.terms.connections:
+        if len(self.sessions) >= self.terms.max_connections:
             self.scope.spawn(self._turn_away, stream, kind=REQUESTS, name="resp turned away")
             return
         session = Session(stream, self.next_number(), self.limits, not self.terms.passwords)
@@ -189,7 +194,7 @@
     def _turn_away(self, stream: Stream) -> None:
         try:
             reply = ErrorReply("ERR max number of clients reached")
-            stream.send(resp.encode(reply), self.loop.now() + self.fleet.times.write)
+            stream.send(resp.encode(reply), self.loop.now() + self.fleet.timeouts.client_write_us)
         except (Closed, Expired):
             pass
         finally:
@@ -239,8 +244,8 @@
 
     def _more(self, session: Session) -> bool:
         """Read once: long for a new command, shorter for the rest of one."""
-        times = self.fleet.times
-        span = times.body if session.decoder.pending else times.idle
+        times = self.fleet.timeouts
+        span = times.body_progress_us if session.decoder.pending else times.client_idle_us
         by = self.loop.now() + span
         if self.watcher is None:
             data = session.stream.recv(deadline=by)
@@ -285,7 +290,7 @@
         if out:
             if self.watcher is not None:
                 self.watcher.answering(session.number)
-            send_all(session.stream, bytes(out), self.loop.now() + self.fleet.times.write)
+            send_all(session.stream, bytes(out), self.loop.now() + self.fleet.timeouts.client_write_us)
             out.clear()
             self._tell_idle(session)
 
@@ -394,10 +399,10 @@
     # -- limits
 
     def _customer(self, key: bytes) -> Customer:
-        customer = self.knowledge().customers.named(key)
+        customer = self.knowledge().customers.by_name_or_key(key)
         if customer is None:
             raise CommandError("NOCUSTOMER no customer has this name or key")
-        why = "its set of gateways is on the move" if customer.held else self.why_not()
+        why = "its set of gateways is on the move" if customer.migrating else self.why_not()
         if why:
             raise CommandError(f"TRYAGAIN {why}; nothing was counted by this command")
         return customer
@@ -422,7 +427,7 @@
         customer, units = self._customer(words[0]), _units(words[1])
         options = _options(words[2:], (b"CLASS", b"WITHIN", b"IDEMPOTENT"))
         kind = self._class(options.get(b"CLASS"))
-        span = self._span(options.get(b"WITHIN"), "WITHIN", self.terms.within_most)
+        span = self._span(options.get(b"WITHIN"), "WITHIN", self.terms.max_wait_us)
         token = options.get(b"IDEMPOTENT")
         if token is None:
             granted = self.service.take_within(customer, units, kind, span)
@@ -461,7 +466,7 @@
         customer, units = self._customer(words[0]), _units(words[1])
         if words[2].upper() != b"FOR":
             raise CommandError("ERR syntax error, allowed: LIMIT.RESERVE key units FOR ms")
-        span = self._span(words[3], "FOR", self.terms.reserve_most)
+        span = self._span(words[3], "FOR", self.terms.max_reservation_us)
         if not span:
             raise CommandError("ERR FOR is at least 1 ms")
         return self.service.reserve(customer, units, 0, span)
--- a/orchidlane/gateway/telemetry/admin_api.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -13,7 +13,7 @@
 from urllib.parse import unquote_to_bytes
 
 from orchidlane import http1, recording
-from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot
 from orchidlane.gateway.control.customers import Customer
 from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.gateway.server.accept_loop import accept_clients
@@ -90,7 +90,7 @@
         name: str,
         host: Host,
         metrics: Metrics,
-        knowledge: Callable[[], Knowledge],
+        knowledge: Callable[[], ConfigurationSnapshot],
         about: Callable[[], dict[str, Any]],
         healthy: Callable[[], bool],
         names: Callable[[], Names],
@@ -188,13 +188,13 @@
             found = self._find(unquote_to_bytes(target.partition(b"?customer=")[2]))
             if found is None:
                 return 404, b"no customer has this name, number or key\n"
-            customer = found.number, found.plan, found.set_first, found.set_size
+            customer = found.number, found.plan, found.replica_set_start, found.replica_set_size
         made = make_view(self.host.rules, self.name, self.loop.now(), self.names(), customer)
         return 200, made
 
     def _find(self, word: bytes) -> Customer | None:
         customers = self.knowledge().customers
-        return customers.named(word) or customers.numbered(word)
+        return customers.by_name_or_key(word) or customers.by_number(word)
 
     def _tell_state(self, stream: Stream) -> None:
         self.telling = True
--- a/orchidlane/platform/discovery.py
+++ b/orchidlane/platform/discovery.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from orchidlane import http1, policy
-from orchidlane.gateway.control.endpoint_list import ListRefused
-from orchidlane.gateway.control.json_stream import LineTooLong, whole_objects
+from orchidlane.gateway.control.endpoint_list import WatchEventError
+from orchidlane.gateway.control.json_stream import LineTooLongError, read_objects
 from orchidlane.http1 import Malformed
 from orchidlane.platform.polling import SILENCE, Asking
 from orchidlane.runtime import CONTROL, Address, Expired, Loop, LoopError, Scope, Task
@@ -83,7 +83,7 @@
         try:
             line = msgspec.json.decode(text, type=ListLine)
         except (msgspec.DecodeError, UnicodeDecodeError) as wrong:
-            raise ListRefused(f"not a line of a list: {wrong}") from None
+            raise WatchEventError(f"not a line of a list: {wrong}") from None
         return self.apply(line, policy.EndpointListKind.COMPLETE)
 
     def apply(self, line: ListLine, snapshot: policy.EndpointListKind) -> policy.EndpointListReceived | None:
@@ -137,7 +137,7 @@
         """Refuse before anything has changed."""
         size = len(self.nodes) + sum(entry.endpoint not in self.nodes for entry, _ in news)
         if size > NODES_MOST:
-            raise ListRefused(f"{size} instances, allowed: {NODES_MOST}")
+            raise WatchEventError(f"{size} instances, allowed: {NODES_MOST}")
 
     def _put(self, entry: policy.EndpointEntry, place: Address | None) -> None:
         if place is None:
@@ -162,18 +162,18 @@
 
     def _checked(self, line: ListLine) -> News:
         if len(line.instances) > NODES_MOST:
-            raise ListRefused(f"{len(line.instances)} instances, allowed: {NODES_MOST}")
+            raise WatchEventError(f"{len(line.instances)} instances, allowed: {NODES_MOST}")
         return [self._entry(instance) for instance in line.instances]
 
     def _entry(self, instance: Instance) -> tuple[policy.EndpointEntry, Address | None]:
         """What the module is told of an instance, and where it listens unless it has left."""
         phase = PHASES.get(instance.lifecycle)
         if phase is None or not instance.instance_id:
-            raise ListRefused(f"an instance with the lifecycle {instance.lifecycle!r}")
+            raise WatchEventError(f"an instance with the lifecycle {instance.lifecycle!r}")
         try:
             place = parse_address(instance.host_port) if phase is not policy.EndpointState.GONE else None
         except ValueError as wrong:
-            raise ListRefused(f"an instance whose hostPort {wrong}") from None
+            raise WatchEventError(f"an instance whose hostPort {wrong}") from None
         entry = policy.EndpointEntry(
             endpoint=instance.instance_id.encode(),
             state=phase,
@@ -241,7 +241,7 @@
         """One call from its begin to its end, which the next one may wait for."""
         try:
             self._follow(number, at, followed)
-        except (LoopError, Malformed, LineTooLong, ListRefused) as wrong:
+        except (LoopError, Malformed, LineTooLongError, WatchEventError) as wrong:
             if str(wrong) != self._why:
                 self._why = str(wrong)
                 self.failed(f"discovery: {wrong}")
@@ -257,7 +257,7 @@
             if self.tracker.generation >= 0:
                 target += f"&from={self.tracker.generation}"
             stream.send(http1.request_head("GET", target.encode(), [(b"host", show(at).encode())]))
-            for piece, objects in enumerate(whole_objects(self.loop, stream, SILENCE, LINE_MOST)):
+            for piece, objects in enumerate(read_objects(self.loop, stream, SILENCE, LINE_MOST)):
                 self._give_up(self.asking.spoke(number))
                 for line in objects:
                     if (listed := self.tracker.take(line)) is not None:
--- a/orchidlane/platform/lifecycle.py
+++ b/orchidlane/platform/lifecycle.py
@@ -16,17 +16,18 @@
 from typing import Any
 
 from orchidlane import policy
+from orchidlane.gateway.control.endpoint_list import WatchEventError
 from orchidlane.gateway.forwarding.connection_pool import Upstream
 from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.gateway.server.http_server import Front
 from orchidlane.gateway.telemetry.counters import Counts
 from orchidlane.platform.configuration import Config, ConfigError, parse
-from orchidlane.platform.discovery import ListRefused, Tracker, Watch
+from orchidlane.platform.discovery import Tracker, Watch
 from orchidlane.platform.polling import retry_interval
 from orchidlane.platform.protocol_adapter import PlatformClients
 from orchidlane.platform.rate_limited_log import Log
 from orchidlane.platform.request_parsing import Reader
-from orchidlane.platform.resource_limits import terms_of
+from orchidlane.platform.resource_limits import limits_for
 from orchidlane.platform.response_outcomes import PlatformNodes
 from orchidlane.platform.shutdown import Shutdown, graceful_shutdown
 from orchidlane.policy.gateway import Gateway
@@ -87,11 +88,14 @@
 
     def _build(self, scope: Scope) -> None:
         config, loop = self.config, self.loop
-        terms = terms_of(config)
+        terms = limits_for(config)
         may = config.names.permissions
         reader = Reader(config.settings, config.names)
         self.clients = PlatformClients(
-            reader, int(may.open_cap) or terms.bounds.connections, may.retry_after, self._is_ready
+            reader,
+            int(may.open_cap) or terms.resource_limits.max_connections,
+            may.retry_after,
+            self._is_ready,
         )
         rules = Gateway(config.settings, config.seed, loop.now())
         upstream = Upstream(
@@ -150,7 +154,7 @@
         assert self.config.known is not None
         try:
             listed = self.tracker.apply(self.config.known, policy.EndpointListKind.CACHED)
-        except ListRefused as wrong:
+        except WatchEventError as wrong:
             self.log.say(f"the known list can't be used: {wrong}")
             return
         self.tracker.generation = -1  # it may be old: what discovery says first counts, whatever its number
--- a/orchidlane/platform/resource_limits.py
+++ b/orchidlane/platform/resource_limits.py
@@ -28,50 +28,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ResourceLimits:
     """See ``seam.Bounds``."""
 
-    connections: int
-    node_connections: int
-    all_node_connections: int
-    lingering: int
-    request_line: int = LINE_MOST
-    request_head: int = HEAD_MOST
-    request_headers: int = HEADERS_MOST
-    request_body: int = BODY_MOST
-    held_body: int = BODY_MOST + 1
-    held_answer: int = BODY_MOST
-    pipelined: int = PIPELINED_MOST
+    max_connections: int
+    max_connections_per_endpoint: int
+    max_endpoint_connections: int
+    max_lingering_connections: int
+    max_request_line_bytes: int = LINE_MOST
+    max_request_head_bytes: int = HEAD_MOST
+    max_request_headers: int = HEADERS_MOST
+    max_request_body_bytes: int = BODY_MOST
+    max_replay_bytes: int = BODY_MOST + 1
+    max_buffered_response_bytes: int = BODY_MOST
+    max_pipelined_bytes: int = PIPELINED_MOST
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class Timeouts:
     """See ``seam.Times``; microseconds."""
 
-    connect: int
-    node_idle: int
-    unsafe_idle: int
-    newcomer: int = 2_300_000  # a close or an error is owed within 3 s of connecting
-    head: int = 2_300_000
-    body: int = 2_300_000
-    wrong: int = 500_000
-    idle: int = 20_000_000
-    idle_least: int = 150_000
-    write: int = 2_000_000
-    client_margin: int = 12_000
-    linger: int = 300_000
-    node_rest: int = 10_000  # a second answer may come some milliseconds late, by the protocol
+    endpoint_connect_us: int
+    endpoint_idle_us: int
+    non_idempotent_idle_us: int
+    first_request_us: int = 2_300_000  # a close or an error is owed within 3 s of connecting
+    request_head_us: int = 2_300_000
+    body_progress_us: int = 2_300_000
+    error_delay_us: int = 500_000
+    client_idle_us: int = 20_000_000
+    min_client_idle_us: int = 150_000
+    client_write_us: int = 2_000_000
+    response_margin_us: int = 12_000
+    linger_us: int = 300_000
+    endpoint_reuse_delay_us: int = 10_000  # a second answer may come some milliseconds late, by the protocol
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class PlatformLimits:
     """See ``seam.Terms``."""
 
-    bounds: Bounds
-    times: Times
+    resource_limits: ResourceLimits
+    timeouts: Timeouts
 
 
-def terms_of(config: Config) -> Terms:
+def limits_for(config: Config) -> PlatformLimits:
     """What fits the machine."""
     sockets = int(config.limits.sockets)
     room = sockets - REST
@@ -81,11 +81,16 @@
     nodes = room - clients
     may = config.names.permissions
     idle = int(may.idle_close) or 10_000_000
-    return Terms(
-        Bounds(connections=clients, node_connections=nodes, all_node_connections=nodes, lingering=lingering),
-        Times(
-            connect=int(may.connect_timeout) or 1_000_000,
-            node_idle=int(idle * IDLE_SHARE),
-            unsafe_idle=int(idle * UNSAFE_SHARE),
+    return PlatformLimits(
+        ResourceLimits(
+            max_connections=clients,
+            max_connections_per_endpoint=nodes,
+            max_endpoint_connections=nodes,
+            max_lingering_connections=lingering,
+        ),
+        Timeouts(
+            endpoint_connect_us=int(may.connect_timeout) or 1_000_000,
+            endpoint_idle_us=int(idle * IDLE_SHARE),
+            non_idempotent_idle_us=int(idle * UNSAFE_SHARE),
         ),
     )
--- a/orchidlane/simulation/backends.py
+++ b/orchidlane/simulation/backends.py
@@ -16,9 +16,10 @@
 import msgspec
 import structlog
 
-from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot
 from orchidlane.gateway.control.customers import load_customers
-from orchidlane.gateway.control.settings import Fleet, upgrade_address
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import hot_restart_address
 from orchidlane.gateway.lifecycle.process import Program
 from orchidlane.gateway.lifecycle.status_query import ask_status
 from orchidlane.hot_restart import new_process
@@ -60,19 +61,19 @@
         process = self.world.start(f"gw-{rank}", self._gateway, self.own_fleet(rank), rank)
         self.processes[f"gw-{rank}"] = process
 
-    def own_fleet(self, rank: int) -> Fleet:
+    def own_fleet(self, rank: int) -> FleetSettings:
         """The settings of one gateway: its own datagrams' address in place of the relay's."""
         entries = list(self.plan.fleet.gateways)
         own = self.plan.relay[rank][1]
         entries[rank] = msgspec.structs.replace(entries[rank], peer=f"{own[0]}:{own[1]}")
         return msgspec.structs.replace(self.plan.fleet, gateways=tuple(entries))
 
-    def program(self, fleet: Fleet, rank: int, take_over: bool = False) -> Program:
+    def program(self, fleet: FleetSettings, rank: int, take_over: bool = False) -> Program:
         """A gateway that does not run yet."""
-        knowledge = Knowledge(self.plan.generation, self.customers, structlog.get_logger(), False)
+        knowledge = ConfigurationSnapshot(self.plan.generation, self.customers, structlog.get_logger(), False)
         return Program(self.loop, fleet, rank, SECRET, knowledge, self.record_to, take_over)
 
-    def _gateway(self, fleet: Fleet, rank: int) -> None:
+    def _gateway(self, fleet: FleetSettings, rank: int) -> None:
         self.programs[rank] = self.program(fleet, rank)
         self.programs[rank].run()
 
@@ -305,7 +306,7 @@
         while not over.is_set():
             loop.sleep(100_000)
         for entry in runner.plan.fleet.gateways:
-            at = upgrade_address(runner.plan.fleet, entry)
+            at = hot_restart_address(runner.plan.fleet, entry)
             status = ask_status(loop, at) if at is not None else None
             left.extend([status.pid] if status is not None else [])
         runner.end_load()
--- a/orchidlane/simulation/fake_servers.py
+++ b/orchidlane/simulation/fake_servers.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from orchidlane import http1
-from orchidlane.gateway.control.endpoint_list import ListLine, NodeLine
+from orchidlane.gateway.control.endpoint_list import EndpointRecord, WatchEvent
 from orchidlane.gateway.peers.datagrams import HEAD
 from orchidlane.http1 import Malformed, Request
 from orchidlane.runtime import CONTROL, PEERS, Closed, Expired, Loop, Scope, Stream
@@ -28,41 +28,41 @@
         self.record = record
         self.epoch = "one"
         self.version = 0
-        self.nodes: dict[str, NodeLine] = {}
+        self.nodes: dict[str, EndpointRecord] = {}
         self.names: dict[str, str] = {}  # address -> node
         self.watches: dict[Stream, str] = {}
         self._last: dict[str, int] = {}  # when a node's latest news is due: each node's keep their order
         self.listener = loop.world.listen(at)
 
-    def set(self, name: str, node: NodeLine) -> None:
+    def set(self, name: str, node: EndpointRecord) -> None:
         """A node's state changed just now; the watches hear of it later."""
         due = self.loop.now() + self.loop.world.random.randint(*self.delay)
         self._last[name] = due = max(due, self._last.get(name, 0) + 1)
         self.loop.call_at(due, self._publish, (name, node))
 
-    def _publish(self, what: tuple[str, NodeLine]) -> None:
+    def _publish(self, what: tuple[str, EndpointRecord]) -> None:
         name, node = what
         self.version += 1
         self.names[node.address] = name
-        if node.phase == "gone":
+        if node.state == "gone":
             self.nodes.pop(node.address, None)
         else:
             self.nodes[node.address] = node
-        line = ListLine("changes", self.epoch, self.version, (node,), self.version - 1)
+        line = WatchEvent("changes", self.epoch, self.version, (node,), self.version - 1)
         for stream, gateway in list(self.watches.items()):
             self._push(stream, gateway, line)
 
-    def _push(self, stream: Stream, gateway: str, line: ListLine) -> None:
+    def _push(self, stream: Stream, gateway: str, line: WatchEvent) -> None:
         self.loop.spawn(self._write, stream, gateway, line, kind=CONTROL, name="push")
 
-    def _write(self, stream: Stream, gateway: str, line: ListLine) -> None:
+    def _write(self, stream: Stream, gateway: str, line: WatchEvent) -> None:
         try:
             stream.send(http1.chunk(msgspec.json.encode(line) + b"\n"), self.loop.now() + 5_000_000)
         except (Closed, Expired):
             self._drop(stream)
             return
-        for node in line.nodes:
-            self.record(Told(self.loop.now(), gateway, self.names[node.address], node.phase))
+        for node in line.endpoints:
+            self.record(Told(self.loop.now(), gateway, self.names[node.address], node.state))
 
     def serve(self) -> None:
         """Take watches for ever."""
@@ -83,7 +83,7 @@
                     return
             gateway = (http1.header(head.headers, b"user-agent") or b" ").decode().split(" ")[-1]
             stream.send(http1.response_head(200, [(b"transfer-encoding", b"chunked")]))
-            whole = ListLine("whole", self.epoch, self.version, tuple(self.nodes.values()))
+            whole = WatchEvent("whole", self.epoch, self.version, tuple(self.nodes.values()))
             self.watches[stream] = gateway
             self._write(stream, gateway, whole)
             for address, name in self.names.items():
--- a/orchidlane/simulation/process_fleet.py
+++ b/orchidlane/simulation/process_fleet.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from orchidlane import config
-from orchidlane.gateway.control.settings import address, schema
+from orchidlane.gateway.control.settings_loader import parse_host_port, schema_text
 from orchidlane.gateway.peers.datagrams import CHANGE, HEAD, MAC
 from orchidlane.rollout import messages
 from orchidlane.runtime import Loop, RealWorld
@@ -49,7 +49,7 @@
         super().prepare(plan)
         count = plan.day.gateways
         pairs = [(one, other) for one in range(count) for other in range(count) if one != other]
-        admins = [address(entry.admin) for entry in plan.fleet.gateways]
+        admins = [parse_host_port(entry.admin) for entry in plan.fleet.gateways]
         places = zip(pairs, self.free_addresses(len(pairs)), strict=True)
         self.ways = {pair: (at, admins[pair[1]]) for pair, at in places}
         description = Path(plan.fleet.description).read_bytes()
@@ -59,7 +59,7 @@
             self._write(f"gw-{rank}.cue", own_settings(plan, rank), rank)
 
     def _write(self, name: str, text: str, rank: int) -> None:
-        value = config.plain(text, name, schema(), "#Fleet")
+        value = config.plain(text, name, schema_text(), "#Fleet")
         value["description"] = str(self.folder / "openapi.yaml")
         self.edit(value)
         for (one, other), (at, _) in self.ways.items():
--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -21,7 +21,8 @@
 import msgspec
 
 from orchidlane.config import Duration
-from orchidlane.gateway.control.settings import Fleet, address
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.gateway.lifecycle.process import Program
 from orchidlane.gateway.rollout_agent.admin_api import Order, Status
 from orchidlane.gateway.rollout_agent.admin_client import PREFIX, FetchError, call
@@ -71,7 +72,9 @@
 class VersionFleet:
     """The gateways of a story; ``rules`` makes the description of an edit."""
 
-    def __init__(self, story: Story, fleet: Fleet, rules: Callable[[int], bytes], customers: bytes) -> None:
+    def __init__(
+        self, story: Story, fleet: FleetSettings, rules: Callable[[int], bytes], customers: bytes
+    ) -> None:
         self.story = story
         self.random = random.Random(story.seed ^ 0x5EED)
         calm = Faults(delay=(100, 900), slow_chance=0.0, datagram_loss=0.0)
@@ -89,7 +92,7 @@
         self.approved: set[tuple[int, str]] = set()
         self.edits = 0
 
-    def _settings(self, fleet: Fleet) -> Fleet:
+    def _settings(self, fleet: FleetSettings) -> FleetSettings:
         entry = fleet.gateways[0]
         entries = tuple(
             msgspec.structs.replace(
@@ -103,17 +106,22 @@
             for rank in range(self.story.gateways)
         )
         terms = msgspec.structs.replace(
-            fleet.change,
-            voters=tuple(f"gw-{rank}" for rank in range(self.story.voters)),
-            lease=Duration(2 * SECOND),
-            every=Duration(SECOND // 10),
-            beat=Duration(SECOND // 20),
-            silence=Duration(SECOND * 3 // 10),
-            decide=Duration(3 * SECOND),
-            soak=Duration(self.story.soak),
+            fleet.rollout,
+            voting_members=tuple(f"gw-{rank}" for rank in range(self.story.voters)),
+            lease_us=Duration(2 * SECOND),
+            poll_interval_us=Duration(SECOND // 10),
+            heartbeat_interval_us=Duration(SECOND // 20),
+            election_timeout_us=Duration(SECOND * 3 // 10),
+            decision_timeout_us=Duration(3 * SECOND),
+            soak_us=Duration(self.story.soak),
         )
         return msgspec.structs.replace(
-            fleet, gateways=entries, change=terms, description="openapi", customers="customers", state="state"
+            fleet,
+            gateways=entries,
+            rollout=terms,
+            description="openapi",
+            customers="customers",
+            state_directory="state",
         )
 
     # -- gateways
@@ -234,7 +242,7 @@
                 self.story.told["unheard"] += 1
 
     def _ask(self, rank: int, method: str, what: str, body: bytes = b"") -> bytes:
-        at = address(self.fleet.gateways[rank].admin)
+        at = parse_host_port(self.fleet.gateways[rank].admin)
         by = self.loop.now() + CALL
         return call(self.loop, at, SECRET, method, PREFIX + what.encode(), body, by=by, most=1 << 20)[1]
 
@@ -402,13 +410,15 @@
             raise Wrong(f"gw-{rank} runs {version.show()}, which nobody approved")
 
     def _check_serving(self, rank: int, number: int, now: int) -> None:
-        before = now - int(self.fleet.change.lease) - SLACK
+        before = now - int(self.fleet.rollout.lease_us) - SLACK
         oldest = max((index for index, at in self.since.items() if at <= before), default=0)
         wanted = {one.target(rank).version.number for index, one in self.ledgers.items() if index >= oldest}
         if number not in wanted:
             raise Wrong(f"gw-{rank} serves by version {number}, wanted of late: {wanted}")
 
 
-def play_story(story: Story, fleet: Fleet, rules: Callable[[int], bytes], customers: bytes) -> Counter[str]:
+def play_story(
+    story: Story, fleet: FleetSettings, rules: Callable[[int], bytes], customers: bytes
+) -> Counter[str]:
     """What was done in a story. Raises Wrong."""
     return VersionFleet(story, fleet, rules, customers).run().told
--- a/orchidlane/simulation/scenario.py
+++ b/orchidlane/simulation/scenario.py
@@ -19,9 +19,10 @@
 
 from orchidlane import config
 from orchidlane.config import Duration
-from orchidlane.gateway.control.customers import CustomerEntry, make_customer
-from orchidlane.gateway.control.endpoint_list import NodeLine
-from orchidlane.gateway.control.settings import Fleet, address, parse_fleet, schema
+from orchidlane.gateway.control.customers import CustomerRecord, make_customer
+from orchidlane.gateway.control.endpoint_list import EndpointRecord
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import parse_host_port, parse_settings, schema_text
 from orchidlane.routes import Generation, build, load_description
 from orchidlane.runtime import CONTROL, PEERS, REQUESTS, Loop, LoopError, Scope
 from orchidlane.runtime.backend import Address
@@ -143,7 +144,7 @@
     """A day with its addresses, customers and settings: all that both worlds need."""
 
     day: Day
-    fleet: Fleet
+    fleet: FleetSettings
     generation: Generation
     text: str  # the fleet's settings, as a file for gateways
     folder: str
@@ -152,7 +153,7 @@
     list_at: Address
     relay: list[tuple[Address, Address]]
     nodes: list[NodeSpec]
-    customers: list[CustomerEntry]
+    customers: list[CustomerRecord]
 
 
 @cache
@@ -166,17 +167,17 @@
     ``as_written`` keeps the addresses of the fleet's file, so that a person can find the gateways.
     """
     source = Path(day.fleet)
-    value = config.plain(source.read_text(), day.fleet, schema(), "#Fleet")
+    value = config.plain(source.read_text(), day.fleet, schema_text(), "#Fleet")
     count = day.gateways
     places = free(5 * count + 1 + day.racks * day.rack_size)
     listen, own, relayed, admin, resp = (places[i * count : (i + 1) * count] for i in range(5))
     list_at, node_places = places[5 * count], places[5 * count + 1 :]
     if as_written:
         listen, relayed, admin, resp = (
-            [address(entry[name]) for entry in value["gateways"]]
+            [parse_host_port(entry[name]) for entry in value["gateways"]]
             for name in ("listen", "peer", "admin", "resp")
         )
-        list_at = address(value["nodes"]["list"])
+        list_at = parse_host_port(value["nodes"]["list"])
     value |= {
         "description": str((source.parent / value["description"]).resolve()),
         "customers": f"{folder}/customers.json",
@@ -186,7 +187,7 @@
     value["nodes"]["list"] = _text(list_at)
     value["peers"]["secret_file"] = f"{folder}/secret"
     text = config.render(value)[1:-1]
-    fleet = parse_fleet(text, "day")
+    fleet = parse_settings(text, "day")
     plan = Plan(
         day=day,
         fleet=fleet,
@@ -207,7 +208,7 @@
 
 def own_settings(plan: Plan, rank: int) -> str:
     """One gateway's settings: its own datagrams' address in place of the relay's, which the others use."""
-    value = config.plain(plan.text, "day", schema(), "#Fleet")
+    value = config.plain(plan.text, "day", schema_text(), "#Fleet")
     value["gateways"][rank]["peer"] = _text(plan.relay[rank][1])
     return config.render(value)[1:-1]
 
@@ -230,7 +231,7 @@
 
 
 def _node_spec(plan: Plan, index: int, at: Address) -> NodeSpec:
-    day, nodes = plan.day, plan.fleet.nodes
+    day, nodes = plan.day, plan.fleet.endpoints
     operations = {operation.class_name: operation for operation in plan.generation.operations}
     work = tuple(
         Work(kind.method, kind.class_name, int(kind.work), operations[kind.class_name].cost)
@@ -243,16 +244,16 @@
         records=f"{plan.folder}/node-{index}.records",
         work=work,
         cores=day.cores,
-        cold_from=nodes.cold_from,
-        warm_within=int(nodes.warm_within),
-        fall_multiple=nodes.fall_multiple,
-        overload_for=int(nodes.overload_for),
+        cold_from=nodes.slow_start_initial_share,
+        warm_within=int(nodes.slow_start_duration_us),
+        fall_multiple=nodes.overload_multiple,
+        overload_for=int(nodes.overload_duration_us),
     )
 
 
-def _customer(index: int, plans: list[str]) -> CustomerEntry:
+def _customer(index: int, plans: list[str]) -> CustomerRecord:
     key = hashlib.sha256(_key(index).encode()).hexdigest()
-    return CustomerEntry(
+    return CustomerRecord(
         id=index + 1, plan=plans[index % len(plans)], keys=(key,), name=f"subscriber {index}"
     )
 
@@ -337,8 +338,8 @@
             self.loop.sleep(10_000)
         self.loop.sleep(100_000)
 
-    def _line(self, spec: NodeSpec, phase: Any, launched: int) -> NodeLine:
-        return NodeLine(_text(spec.address), phase, "hall-1", spec.cell, launched, 1.0)
+    def _line(self, spec: NodeSpec, phase: Any, launched: int) -> EndpointRecord:
+        return EndpointRecord(_text(spec.address), phase, "hall-1", spec.cell, launched, 1.0)
 
     def _until_up(self, at: Address) -> None:
         by = self.loop.now() + UP_WITHIN
@@ -358,7 +359,9 @@
         subscribers = []
         for index, entry in enumerate(plan.customers):
             customer = make_customer(entry, plan.fleet, names)
-            ranks = [(customer.set_first + i) % day.gateways for i in range(customer.set_size)]
+            ranks = [
+                (customer.replica_set_start + i) % day.gateways for i in range(customer.replica_set_size)
+            ]
             random.shuffle(ranks)
             weight = plan.fleet.plans[entry.plan].rate * random.choice((0.4, 0.8, 0.8, 4.0))
             subscribers.append(Subscriber(entry.id, _key(index), weight, tuple(ranks)))
@@ -381,7 +384,7 @@
     def _takers(self) -> Takers:
         """The same subscribers over the other front."""
         assert self.crowd is not None
-        doors = [(one.name, address(one.resp)) for one in self.plan.fleet.gateways]
+        doors = [(one.name, parse_host_port(one.resp)) for one in self.plan.fleet.gateways]
         day = self.plan.day
         return Takers(self.loop, doors, self.crowd.subscribers, day.takes, day.span, self.records.append)
 
@@ -397,7 +400,7 @@
                 ceilings[entry.id] = ceiling.rate, ceiling.burst, ceiling.slack
         return Terms(
             effects=dict(zip(plan.generation.class_names, plan.generation.classes, strict=True)),
-            drain_grace=plan.fleet.nodes.drain_grace,
+            drain_grace=plan.fleet.endpoints.drain_grace_us,
             answer_slack=plan.day.answer_slack,
             arrival_slack=plan.day.arrival_slack,
             ceilings=ceilings,
--- a/tests/harness/gateway_house.py
+++ b/tests/harness/gateway_house.py
@@ -4,15 +4,17 @@
 
 import hashlib
 from pathlib import Path
+from typing import Any
 
 import msgspec
 import structlog
 
 from orchidlane import http1
-from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot
 from orchidlane.gateway.control.customers import load_customers
-from orchidlane.gateway.control.endpoint_list import NodeLine
-from orchidlane.gateway.control.settings import Fleet, parse_fleet
+from orchidlane.gateway.control.endpoint_list import EndpointRecord
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.gateway.lifecycle.process import Program
 from orchidlane.routes import build, load_description
 from orchidlane.runtime import CONTROL, Closed, Expired, Faults, Loop, Scope, SimWorld
@@ -26,16 +28,23 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-def fleet(**changes) -> Fleet:
-    """The example's settings with a roomy plan and some records changed."""
-    found = parse_fleet(SETTINGS, "fleet.cue")
+def fleet(**changes) -> FleetSettings:
+    """The example's settings with a roomy plan and some changes, by the keys of settings files."""
+    found = parse_settings(SETTINGS, "fleet.cue")
     roomy = msgspec.structs.replace(found.plans["basico"], rate=1_000.0, burst=3_000.0)
     found = msgspec.structs.replace(found, plans={**found.plans, "basico": roomy})
-    for name, values in changes.items():
-        if isinstance(values, dict) and name != "plans":
-            values = msgspec.structs.replace(getattr(found, name), **values)
-        found = msgspec.structs.replace(found, **{name: values})
-    return found
+    return replace_settings(found, changes)
+
+
+def replace_settings(record: msgspec.Struct, changes: dict[str, Any]) -> Any:
+    """A copy of a settings record with some keys changed; a dict changes keys of the record that is there."""
+    fields = {field.encode_name: field.name for field in msgspec.structs.fields(record)}
+    values = {}
+    for key, value in changes.items():
+        inner = getattr(record, fields[key])
+        nested = isinstance(value, dict) and isinstance(inner, msgspec.Struct)
+        values[fields[key]] = replace_settings(inner, value) if nested else value
+    return msgspec.structs.replace(record, **values)
 
 
 class House:
@@ -77,7 +86,7 @@
         self.process = self.world.start("gw-0", self._gateway, rank)
 
     def _gateway(self, rank: int) -> None:
-        knowledge = Knowledge(GENERATION, self.customers, structlog.get_logger(), False)
+        knowledge = ConfigurationSnapshot(GENERATION, self.customers, structlog.get_logger(), False)
         self.program = Program(self.loop, self.fleet, rank, b"0123456789abcdef", knowledge)
         self.program.run()
 
@@ -87,7 +96,7 @@
 
     def set_phase(self, index: int, phase: str, launched: int = 0) -> None:
         """What the node list says of a node from now on."""
-        node = NodeLine(f"127.0.0.1:{9000 + index}", phase, "hall-1", self.racks[index], launched)
+        node = EndpointRecord(f"127.0.0.1:{9000 + index}", phase, "hall-1", self.racks[index], launched)
         self.list.set(f"node-{index}", node)
 
     def _serve(self, index: int) -> None:
--- a/tests/processes/test_change_processes.py
+++ b/tests/processes/test_change_processes.py
@@ -12,8 +12,8 @@
 import pytest
 from harness.process_fleets import COST, EDITED, SECOND, fleet_of, rules_hold
 
-from orchidlane.gateway.control.customers import CustomerEntry, make_customer
-from orchidlane.gateway.control.settings import address
+from orchidlane.gateway.control.customers import CustomerRecord, make_customer
+from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.rollout import messages
 
 LEASE = 2 * SECOND
@@ -259,7 +259,7 @@
 
 def forged(fleet) -> set[int]:
     """What whoever merely reaches the admin address gets."""
-    at = address(fleet.runner.plan.fleet.gateways[0].admin)
+    at = parse_host_port(fleet.runner.plan.fleet.gateways[0].admin)
     found = set()
     for head in (
         b"GET /change/status HTTP/1.1\r\nhost: a\r\n\r\n",
@@ -281,9 +281,9 @@
         customers = json.loads(path.read_text())["customers"]
         moving = next(one for one in customers if one["plan"] == "amplio")
         known = make_customer(
-            msgspec.convert(moving, CustomerEntry), fleet.runner.plan.fleet, ["basico", "amplio"]
+            msgspec.convert(moving, CustomerRecord), fleet.runner.plan.fleet, ["basico", "amplio"]
         )
-        moving["first"] = (known.set_first + 3) % 6
+        moving["first"] = (known.replica_set_start + 3) % 6
         path.write_text(json.dumps({"customers": customers}))
         leader = fleet.leader()
         asleep = next(rank for rank in range(6) if rank != leader)
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -8,7 +8,7 @@
 import test_watches as watches
 from harness.platform_house import SECOND, PlatformHouse
 
-from orchidlane.gateway.control.json_stream import Objects
+from orchidlane.gateway.control.json_stream import JsonObjectSplitter
 from orchidlane.gateway.forwarding.connection_pool import Pool
 from orchidlane.gateway.server.http_server import Front
 from orchidlane.platform import discovery, lifecycle, shutdown
@@ -147,15 +147,15 @@
         (PlatformHouse, "silent"),
     ),
     "any byte is life": (
-        Objects,
+        JsonObjectSplitter,
         "feed",
         lambda self, data: [b""],
         watches.test_what_a_broken_watch_misses_is_known_when_it_counts_as_told,
         (PlatformHouse, "trickles"),
     ),
     "a line is an object": (
-        Objects,
-        "_line",
+        JsonObjectSplitter,
+        "_feed_line",
         one_line_one_object,
         watches.test_an_indented_list_counts,
         (PlatformHouse,),
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -163,7 +163,7 @@
 
 
 def test_the_audit_objects_to_work_for_a_draining_node(monkeypatch):
-    monkeypatch.setitem(endpoint_list.PHASES, "draining", policy.EndpointState.READY)
+    monkeypatch.setitem(endpoint_list.ENDPOINT_STATES, "draining", policy.EndpointState.READY)
     monkeypatch.setattr(connection_pool, "why_not", lambda *_: None)
     verdict = simulate(day(step(0.5, "drain_node", 0, 1, span=3), span=4), 1)
     assert verdict.sent_after_drain
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -22,9 +22,9 @@
 )
 
 from orchidlane import http1
-from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.gateway.control.settings_loader import parse_settings
 
-TIGHT = parse_fleet(SETTINGS, "fleet.cue").plans
+TIGHT = parse_settings(SETTINGS, "fleet.cue").plans
 
 
 def header(headers, name: bytes) -> bytes | None:
@@ -511,7 +511,7 @@
         house.loop.sleep(100 * MS)
         assert house.process.tasks
         assert stream.recv(deadline=house.loop.now() + SECOND) == b""  # an end, no reset
-        house.loop.sleep(int(house.program.fleet.times.linger))  # which it keeps open
+        house.loop.sleep(int(house.program.fleet.timeouts.linger_us))  # which it keeps open
         assert not house.process.tasks
 
     run(good, test=test)
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -208,10 +208,10 @@
     return json.dumps(line).encode()
 
 
-def golden_tracker() -> endpoint_list.ListTracker:
+def golden_tracker() -> endpoint_list.EndpointListTracker:
     """The list of nodes as one gateway knows it."""
-    tracker = endpoint_list.ListTracker("z1", 100)
-    tracker.take(golden_node_list())
+    tracker = endpoint_list.EndpointListTracker("z1", 100)
+    tracker.apply_line(golden_node_list())
     return tracker
 
 
@@ -291,7 +291,7 @@
         "final": told.Final(
             msgspec.structs.replace(golden_state(), accounts=[]),
             golden_limits_carried(),
-            msgspec.to_builtins(golden_tracker().carried()),
+            msgspec.to_builtins(golden_tracker().export_state()),
             golden_peers(),
             5_000,
             6_000,
@@ -513,7 +513,9 @@
         loop=disk,
         host=SimpleNamespace(loop=disk, rules=gateway, settings=SETTINGS),
         fleet=SimpleNamespace(
-            restart=SimpleNamespace(every=2_000_000), plans=dict.fromkeys(PLAN_NAMES), gateways=[]
+            account_store=SimpleNamespace(write_interval_us=2_000_000),
+            plans=dict.fromkeys(PLAN_NAMES),
+            gateways=[],
         ),
         entry=SimpleNamespace(name="gateway-1"),
         incarnation=T0 - 1_000_000,
@@ -540,7 +542,7 @@
 def rolling_of(disk: Disk) -> Rolling:
     """What carries out a roll of the golden gateways."""
     gateways = [SimpleNamespace(name=name) for name in golden_roll(rolling_upgrade.Phase.ROLLING).names]
-    fleet = SimpleNamespace(state="state", gateways=gateways)
+    fleet = SimpleNamespace(state_directory="state", gateways=gateways)
     return Rolling(disk, fleet, None, print)  # type: ignore[arg-type]
 
 
@@ -590,7 +592,7 @@
     "traffic-record.olr": write_record,
     "account-store.olr": write_account_store,
     "view.msgpack": lambda: PACK(golden_view()),
-    "node-list-cache.json": lambda: golden_tracker().cached(),
+    "node-list-cache.json": lambda: golden_tracker().encode_cache(),
     "roll-states.json": lambda: as_hex({phase.value: write_roll(phase) for phase in rolling_upgrade.Phase}),
     "hot-restart-messages.json": lambda: write_messages(golden_restart_messages(), restart_messages.encode),
     "limit-messages.json": lambda: write_messages(golden_limit_messages(), PACK),
@@ -813,8 +815,8 @@
 
 
 def test_a_golden_cache_of_the_node_list_is_read_as_its_nodes():
-    tracker = endpoint_list.ListTracker("z1", 100)
-    assert tracker.restore(golden("node-list-cache.json")) == policy.EndpointListReceived(
+    tracker = endpoint_list.EndpointListTracker("z1", 100)
+    assert tracker.load_cache(golden("node-list-cache.json")) == policy.EndpointListReceived(
         policy.EndpointListKind.CACHED,
         0,
         (
@@ -822,7 +824,7 @@
             policy.EndpointEntry(b"10.0.0.2:80", policy.EndpointState.DRAINING, 2, 3, 66, 2.0),
         ),
     )
-    assert tracker.nodes == golden_tracker().nodes
+    assert tracker.endpoints == golden_tracker().endpoints
 
 
 def test_a_golden_roll_is_read_in_every_phase():
@@ -863,8 +865,10 @@
 
 def test_what_the_last_message_before_a_successor_serves_carries_is_taken_and_told_again():
     final = read_restart_message("final")
-    terms = SimpleNamespace(token_life=1, tokens=10, grants=10, grant_life=1, credit_life=1)
-    fleet = SimpleNamespace(limits=terms, gateways=[None] * 3)
+    quotas = SimpleNamespace(
+        token_lifetime_us=1, max_tokens=10, max_grants=10, grant_lifetime_us=1, credit_lifetime_us=1
+    )
+    fleet = SimpleNamespace(quotas=quotas, gateways=[None] * 3)
     service = token_requests.LimitService(Disk(), fleet, 0, None, print, None)  # type: ignore[arg-type]
     service.carry_on(final.limits)
     again = {**final.limits, "numbers": final.limits["numbers"] + token_requests.NUMBERS_APART}
@@ -872,9 +876,9 @@
     inbox = datagrams.Inbox(SECRET, 0, 3, T0, 9.0)
     inbox.carry_on(final.peers)
     assert PACK(inbox.carried()) == PACK(final.peers)
-    tracker = endpoint_list.ListTracker("z1", 100)
-    tracker.carry_on(final.nodes)
-    assert PACK(tracker.carried()) == PACK(final.nodes) == PACK(golden_tracker().carried())
+    tracker = endpoint_list.EndpointListTracker("z1", 100)
+    tracker.import_state(final.nodes)
+    assert PACK(tracker.export_state()) == PACK(final.nodes) == PACK(golden_tracker().export_state())
     head = msgspec.structs.replace(golden_state(), accounts=[])
     assert final.module == head
 
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -27,7 +27,7 @@
 
 from orchidlane import config, policy, resp
 from orchidlane.cli.main import main
-from orchidlane.gateway.control import settings as fleet_settings
+from orchidlane.gateway.control import settings_loader
 from orchidlane.gateway.peers import datagrams, token_requests
 from orchidlane.gateway.rollout_agent import admin_api
 from orchidlane.gateway.rollout_agent import agent as versions_shell
@@ -723,7 +723,7 @@
     def test_broken(house):
         found["may have run"] = http_answer(house, REPORT)
 
-    House(good, good, seed=5, plans=fleet_settings.parse_fleet(SETTINGS, "fleet.cue").plans).run(test)
+    House(good, good, seed=5, plans=settings_loader.parse_settings(SETTINGS, "fleet.cue").plans).run(test)
     House(resets_after, seed=5).run(test_broken)
     assert {answer[0] for answer in found.values()} >= {200, 400, 401, 404, 405, 429, 502}
     check_golden("http-answers", found)
@@ -762,7 +762,7 @@
             # Of an error its first word counts, the rest is prose.
             found.append([words, reply.split()[0] if reply.startswith("-") else reply])
 
-    fleet = fleet_settings.parse_fleet(SETTINGS, "fleet.cue")
+    fleet = settings_loader.parse_settings(SETTINGS, "fleet.cue")
     House(good, gateways=fleet.gateways[:1], seed=5).run(test)
     check_golden("resp-replies", found)
 
@@ -830,9 +830,9 @@
 
 
 def test_settings_have_the_golden_names_and_defaults():
-    schema = fleet_settings.schema()
+    schema = settings_loader.schema_text()
     found = config.plain(SMALLEST, "smallest.cue", schema, "#Fleet")
-    fleet_settings.parse_fleet(SMALLEST, "smallest.cue")
+    settings_loader.parse_settings(SMALLEST, "smallest.cue")
     check_golden("settings", {"defaults": found, "schema": schema_without_comments(schema)})
 
 
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -155,7 +155,7 @@
 def test_a_request_that_came_as_its_idle_time_ended_is_served():
     def test(house):
         front = house.life.front
-        front.times = dataclasses.replace(front.times, idle=30 * MS)
+        front.times = dataclasses.replace(front.times, client_idle_us=30 * MS)
         client = idle_client(house)
         by = house.loop.now() + 40 * MS
         client.send(call())
@@ -169,7 +169,7 @@
 def test_an_idle_connection_that_is_ended_for_its_time_resets_nothing():
     def test(house):
         front = house.life.front
-        front.times = dataclasses.replace(front.times, idle=30 * MS)
+        front.times = dataclasses.replace(front.times, client_idle_us=30 * MS)
         client = idle_client(house)
         house.until(lambda: not front.connections)
         client.send(call())  # crosses the end
@@ -184,7 +184,7 @@
     def test(house):
         house.answer_now = False
         front = house.life.front
-        front.times = dataclasses.replace(front.times, wrong=60 * SECOND)
+        front.times = dataclasses.replace(front.times, error_delay_us=60 * SECOND)
         busy = house.connect()
         busy.send(call())
         house.until(lambda: house.seen)
@@ -243,7 +243,7 @@
         house.answer_now = False
         front = house.life.front
         if not read:  # the bound of what is read ahead is reached with the first of them
-            front.bounds = dataclasses.replace(front.bounds, pipelined=1)
+            front.bounds = dataclasses.replace(front.bounds, max_pipelined_bytes=1)
         client = house.connect()
         for _ in range(3):
             client.send(call())
@@ -293,7 +293,7 @@
     def test(house):
         house.answer_now = False
         front = house.life.front
-        front.bounds = dataclasses.replace(front.bounds, connections=1)
+        front.bounds = dataclasses.replace(front.bounds, max_connections=1)
         busy, crowded = house.connect(), house.connect()
         busy.send(call())
         house.until(lambda: house.seen)
@@ -490,9 +490,9 @@
 
     def test(house):
         assert house.ask(call())[0] == 200
-        house.loop.sleep(2 * house.life.pool.times.node_rest)
+        house.loop.sleep(2 * house.life.pool.times.endpoint_reuse_delay_us)
         (resting,) = house.life.pool._idle[b"s-0"]
-        resting.idle_since -= house.life.pool.times.node_idle - 150 * MS
+        resting.idle_since -= house.life.pool.times.endpoint_idle_us - 150 * MS
         before = resting.idle_since
         client = house.connect()
         client.send(call())
@@ -586,7 +586,7 @@
         for number in (b"01", b"02", b"03"):
             client.send(call())
             assert house.answer(client)[2] == number
-            house.loop.sleep(2 * house.life.pool.times.node_rest)
+            house.loop.sleep(2 * house.life.pool.times.endpoint_reuse_delay_us)
 
     run(answers_again, test=test)
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from orchidlane import policy
-from orchidlane.gateway.control.endpoint_list import ListRefused, ListTracker
+from orchidlane.gateway.control.endpoint_list import EndpointListTracker, WatchEventError
 from orchidlane.gateway.forwarding.last_check import Leaving, why_not
 from orchidlane.gateway.peers.datagrams import BODY_MOST, WINDOW, Inbox, seal
 
@@ -90,50 +90,50 @@
 
 
 def test_an_older_version_of_the_same_epoch_is_passed_over():
-    tracker = ListTracker("z", 10)
-    tracker.take(line(version=5, n1="draining"))
-    assert tracker.take(line(version=4, n1="ready")) is None
-    assert tracker.phase(b"127.0.0.1:1") == "draining"
-    assert tracker.passed_over == 1
+    tracker = EndpointListTracker("z", 10)
+    tracker.apply_line(line(version=5, n1="draining"))
+    assert tracker.apply_line(line(version=4, n1="ready")) is None
+    assert tracker.state(b"127.0.0.1:1") == "draining"
+    assert tracker.ignored_events == 1
 
 
 def test_changes_with_a_gap_or_of_another_epoch_ask_for_the_whole_list():
-    tracker = ListTracker("z", 10)
-    tracker.take(line(version=5, n1="ready"))
-    with pytest.raises(ListRefused):
-        tracker.take(line("changes", version=8, after=7, n1="draining"))
-    with pytest.raises(ListRefused):
-        tracker.take(line("changes", version=6, after=5, epoch="f", n1="draining"))
+    tracker = EndpointListTracker("z", 10)
+    tracker.apply_line(line(version=5, n1="ready"))
+    with pytest.raises(WatchEventError):
+        tracker.apply_line(line("changes", version=8, after=7, n1="draining"))
+    with pytest.raises(WatchEventError):
+        tracker.apply_line(line("changes", version=6, after=5, epoch="f", n1="draining"))
 
 
 def test_a_whole_list_of_a_new_epoch_counts_though_its_version_is_lower():
-    tracker = ListTracker("z", 10)
-    tracker.take(line(version=50, n1="ready", n2="ready"))
-    listed = tracker.take(line(version=1, epoch="f", n2="ready"))
+    tracker = EndpointListTracker("z", 10)
+    tracker.apply_line(line(version=50, n1="ready", n2="ready"))
+    listed = tracker.apply_line(line(version=1, epoch="f", n2="ready"))
     assert listed.kind is policy.EndpointListKind.COMPLETE
-    assert tracker.phase(b"127.0.0.1:1") == "gone"
+    assert tracker.state(b"127.0.0.1:1") == "gone"
 
 
 def test_a_kept_list_is_read_again_and_a_spoilt_one_is_not():
-    tracker = ListTracker("z", 10)
-    tracker.take(line(version=5, n1="ready", n2="draining"))
-    again = ListTracker("z", 10)
-    assert again.restore(tracker.cached()).kind is policy.EndpointListKind.CACHED
-    assert again.phase(b"127.0.0.1:2") == "draining"
-    assert again.take(line(version=2, n1="ready")) is not None
-    for cut in range(len(tracker.cached())):
-        assert ListTracker("z", 10).restore(tracker.cached()[:cut]) is None
+    tracker = EndpointListTracker("z", 10)
+    tracker.apply_line(line(version=5, n1="ready", n2="draining"))
+    again = EndpointListTracker("z", 10)
+    assert again.load_cache(tracker.encode_cache()).kind is policy.EndpointListKind.CACHED
+    assert again.state(b"127.0.0.1:2") == "draining"
+    assert again.apply_line(line(version=2, n1="ready")) is not None
+    for cut in range(len(tracker.encode_cache())):
+        assert EndpointListTracker("z", 10).load_cache(tracker.encode_cache()[:cut]) is None
 
 
 @pytest.mark.parametrize("text", [b"", b"{}", b"[1]", b'{"kind":"half"}', b"\xff", line(n1="asleep")])
 def test_what_is_no_line_is_refused(text):
-    with pytest.raises(ListRefused):
-        ListTracker("z", 10).take(text)
+    with pytest.raises(WatchEventError):
+        EndpointListTracker("z", 10).apply_line(text)
 
 
 def test_a_list_beyond_the_bound_is_refused():
-    with pytest.raises(ListRefused, match="allowed: 1"):
-        ListTracker("z", 1).take(line(n1="ready", n2="ready"))
+    with pytest.raises(WatchEventError, match="allowed: 1"):
+        EndpointListTracker("z", 1).apply_line(line(n1="ready", n2="ready"))
 
 
 # The last look
