--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -23,11 +23,12 @@
     settings,
 )
 
+from orchidlane.gateway.control.endpoint_list import WatchEventError
 from orchidlane.http1 import header
 from orchidlane.platform.configuration import ConfigError, parse
-from orchidlane.platform.discovery import ListRefused, Tracker
+from orchidlane.platform.discovery import Tracker
 from orchidlane.platform.rate_limited_log import Log
-from orchidlane.platform.resource_limits import terms_of
+from orchidlane.platform.resource_limits import limits_for
 from orchidlane.platform.shutdown import STAY
 from orchidlane.runtime import CONTROL, Closed
 
@@ -167,7 +168,7 @@
         crowd = [house.connect() for _ in range(300)]
         house.loop.sleep(200 * MS)
         assert house.ask(call())[0] == 200
-        assert len(house.life.front.connections) <= house.life.front.bounds.connections
+        assert len(house.life.front.connections) <= house.life.front.bounds.max_connections
         assert crowd
 
     run(good, test=test)
@@ -328,7 +329,7 @@
     ],
 )
 def test_a_line_that_is_none_is_refused(line):
-    with pytest.raises(ListRefused):
+    with pytest.raises(WatchEventError):
         Tracker(()).take(line)
 
 
@@ -537,9 +538,9 @@
 def test_the_bounds_of_connections_fit_the_machine():
     for sockets in (256, 384, 1024):
         limits = {"cores": 0.2, "memory_mb": 32, "sockets": sockets}
-        bounds = terms_of(configuration(limits=limits)).bounds
-        assert bounds.connections + bounds.all_node_connections <= sockets - 20
-        assert bounds.connections > sockets / 3
+        bounds = limits_for(configuration(limits=limits)).resource_limits
+        assert bounds.max_connections + bounds.max_endpoint_connections <= sockets - 20
+        assert bounds.max_connections > sockets / 3
 
 
 def test_a_known_list_is_believed_until_discovery_speaks_even_with_a_lower_number():
--- a/tests/test_respfront.py
+++ b/tests/test_respfront.py
@@ -2,17 +2,16 @@
 
 from __future__ import annotations
 
-import msgspec
 import pytest
 from harness.gateway_house import GET, KEY, MS, SECOND, SETTINGS, House, good
 from test_gateway import TIGHT
 
-from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.resp import Decoder, ErrorReply, encode
 from orchidlane.runtime import Closed, Expired
 
 DOOR = ("127.0.0.1", 8380)
-ALONE = parse_fleet(SETTINGS, "fleet.cue").gateways[:1]
+ALONE = parse_settings(SETTINGS, "fleet.cue").gateways[:1]
 
 
 def run(test, **changes) -> None:
@@ -239,4 +238,4 @@
 
 
 def test_settings_of_limits_have_defaults():
-    assert msgspec.structs.asdict(parse_fleet(SETTINGS, "f").limits)["token_life"] == 3 * SECOND
+    assert parse_settings(SETTINGS, "f").quotas.token_lifetime_us == 3 * SECOND
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -16,7 +16,7 @@
 
 from orchidlane import policy
 from orchidlane.config import Duration
-from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.hot_restart.account_recovery import Life, survivors
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.state import Account
@@ -108,7 +108,7 @@
     """One gateway in its fleet, with a folder for its state."""
 
     def __init__(self, *handlers) -> None:
-        example = parse_fleet(FLEET, "fleet.cue")
+        example = parse_settings(FLEET, "fleet.cue")
         plans = {"basico": msgspec.structs.replace(example.plans["basico"], rate=2.0, burst=40.0)}
         super().__init__(*handlers, state="/sim", gateways=example.gateways[:1], plans=plans)
 
@@ -181,8 +181,8 @@
         loop = Loop(world)
         backing = SimulatedBacking(loop, world)
         plan = make_plan(day(span=12, rate=160.0, customers=6, takes=0.0), "sim", backing.free_addresses)
-        restart = msgspec.structs.replace(plan.fleet.restart, every=Duration(every))
-        plan.fleet = msgspec.structs.replace(plan.fleet, restart=restart)
+        restart = msgspec.structs.replace(plan.fleet.account_store, write_interval_us=Duration(every))
+        plan.fleet = msgspec.structs.replace(plan.fleet, account_store=restart)
         backing.prepare(plan)
         runner = Runner(loop, plan, backing)
 
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -315,11 +315,11 @@
         self.backing = SimulatedBacking(self.loop, self.world)
         self.plan = make_plan(day(span=14, rate=120.0, gateways=8), "sim", self.backing.free_addresses)
         fleet = self.plan.fleet
-        terms = {"trial": Duration(800 * MS), "warm": Duration(2 * SECOND)}
+        terms = {"probation_us": Duration(800 * MS), "transfer_timeout_us": Duration(2 * SECOND)}
         self.plan.fleet = msgspec.structs.replace(
             fleet,
-            upgrade=msgspec.structs.replace(fleet.upgrade, **terms),
-            roll=msgspec.structs.replace(fleet.roll, soak=Duration(800 * MS)),
+            hot_restart=msgspec.structs.replace(fleet.hot_restart, **terms),
+            rolling_upgrade=msgspec.structs.replace(fleet.rolling_upgrade, soak_us=Duration(800 * MS)),
         )
         self.backing.prepare(self.plan)
         self.starter = Successors(self.backing, broken or {})
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,8 +18,8 @@
 
 from orchidlane import http1, recording
 from orchidlane.config import Duration
-from orchidlane.gateway.control.configuration import Knowledge
-from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot
+from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.gateway.lifecycle import hot_restart
 from orchidlane.gateway.lifecycle.process import Program
 from orchidlane.hot_restart import messages, new_process, old_process
@@ -40,7 +40,7 @@
     ) -> None:
         self.record_to = record_to
         if upgrade_alone:  # one gateway in its fleet: tokens have no other holders
-            first = parse_fleet(SETTINGS, "fleet.cue").gateways[:1]
+            first = parse_settings(SETTINGS, "fleet.cue").gateways[:1]
             changes["gateways"] = first
         upgrade = {
             "trial": Duration(trial),
@@ -55,7 +55,7 @@
         self.loading = 0
 
     def _gateway(self, rank: int, take_over: bool = False, spoil: Callable | None = None) -> None:
-        knowledge = Knowledge(GENERATION, self.customers, structlog.get_logger(), False)
+        knowledge = ConfigurationSnapshot(GENERATION, self.customers, structlog.get_logger(), False)
         secret = b"0123456789abcdef"
         facts = (rank, secret, knowledge, self.record_to, take_over)
         self.program = Program(self.loop, self.fleet, *facts)
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -19,9 +19,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidlane.gateway.control.json_stream import LineTooLong, Objects
+from orchidlane.gateway.control.endpoint_list import WatchEventError
+from orchidlane.gateway.control.json_stream import JsonObjectSplitter, LineTooLongError
 from orchidlane.platform import polling
-from orchidlane.platform.discovery import LEFT_LEAST, NODES_MOST, ListRefused, Tracker
+from orchidlane.platform.discovery import LEFT_LEAST, NODES_MOST, Tracker
 from orchidlane.platform.polling import Asking, retry_interval
 from orchidlane.runtime import CONTROL, Closed, NotConnected
 
@@ -113,7 +114,7 @@
         text += json.dumps(line, indent=indent).encode() + data.draw(
             st.sampled_from([b"\n", b"\r\n", b"\n\n"])
         )
-    split, found = Objects(1 << 20), []
+    split, found = JsonObjectSplitter(1 << 20), []
     for size in [*sizes, len(text)]:
         found += split.feed(text[:size])
         text = text[size:]
@@ -121,13 +122,13 @@
 
 
 def test_blank_lines_between_objects_are_told_and_those_within_are_not():
-    assert Objects(100).feed(b'\n{"a":\n\n1}\n\r\n') == [b"", b'{"a":\n\n1}', b""]
+    assert JsonObjectSplitter(100).feed(b'\n{"a":\n\n1}\n\r\n') == [b"", b'{"a":\n\n1}', b""]
 
 
 @pytest.mark.parametrize("piece", [b"x", b"{\n"])
 def test_what_never_ends_is_too_long(piece):
-    split = Objects(100)
-    with pytest.raises(LineTooLong):
+    split = JsonObjectSplitter(100)
+    with pytest.raises(LineTooLongError):
         for _ in range(200):
             split.feed(piece)
 
@@ -181,7 +182,7 @@
 def test_changes_beyond_the_bound_change_nothing():
     tracker = Tracker(("hall-1",))
     told(tracker, 1, *(instance(number) for number in range(NODES_MOST)), reset=True)
-    with pytest.raises(ListRefused):
+    with pytest.raises(WatchEventError):
         told(tracker, 2, instance(0, "leaving"), instance(NODES_MOST))
     assert (tracker.generation, tracker.phase(b"s-0"), len(tracker.nodes)) == (1, "ready", NODES_MOST)
 
