--- a/orchidlane/gateway/peers/query_exchange.py
+++ b/orchidlane/gateway/peers/query_exchange.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from orchidlane.gateway.control.settings import LimitTerms
+from orchidlane.gateway.control.settings import QuotaSettings
 from orchidlane.gateway.peers.token_messages import TokenQuery, TokenReply
 from orchidlane.runtime import Expired, Loop, Task
 
@@ -35,7 +35,7 @@
         self,
         loop: Loop,
         replica: int,
-        terms: LimitTerms,
+        terms: QuotaSettings,
         send: Callable[[int, bytes], None],
         answer: Callable[[int, TokenQuery], TokenReply],
     ) -> None:
@@ -94,15 +94,15 @@
         enough: int | None,
     ) -> None:
         """Wait for replies and move them over, sending queries again meanwhile."""
-        give_up_at = self._loop.now() + self._terms.answer
-        resend_at = self._loop.now() + self._terms.again
+        give_up_at = self._loop.now() + self._terms.peer_reply_timeout_us
+        resend_at = self._loop.now() + self._terms.retry_delay_us
         while self._collect(unanswered, replies) and (enough is None or len(replies) < enough):
             if self._loop.now() >= give_up_at:
                 return
             try:
                 self._loop.park(min(give_up_at, resend_at))
             except Expired:
-                resend_at = self._loop.now() + self._terms.again
+                resend_at = self._loop.now() + self._terms.retry_delay_us
                 for replica, query_id in unanswered.items():
                     numbered = msgspec.structs.replace(query, id=query_id)
                     self._send(replica, msgspec.msgpack.encode(numbered))
--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from orchidlane.gateway.control.customers import Customer
-from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.gateway.peers.query_exchange import QUERY_IDS_PER_PROCESS, QueryExchange
 from orchidlane.gateway.peers.token_messages import TokenOperation, TokenQuery, TokenReply
@@ -47,16 +47,18 @@
     """One gateway's part in quota requests, tokens and reservations."""
 
     def __init__(
-        self, loop: Loop, fleet: Fleet, rank: int, host: Host, send: Callable[[int, bytes], None]
+        self, loop: Loop, fleet: FleetSettings, rank: int, host: Host, send: Callable[[int, bytes], None]
     ) -> None:
         self.loop = loop
-        self.terms = fleet.limits
+        self.terms = fleet.quotas
         self.gateway_count = len(fleet.gateways)
         self.rank = rank
         self.host = host
         self.started_at_us = loop.now()
-        self.token_owner = TokenOwner(self.terms.token_life, self.terms.tokens, self.started_at_us)
-        self.grants = GrantStore(self.terms.grants, self.terms.grant_life, self.terms.credit_life)
+        self.token_owner = TokenOwner(self.terms.token_lifetime_us, self.terms.max_tokens, self.started_at_us)
+        self.grants = GrantStore(
+            self.terms.max_grants, self.terms.grant_lifetime_us, self.terms.credit_lifetime_us
+        )
         self.granted = 0
         self.rejected = 0
         self.successor: SuccessorGrants | None = None  # owns tokens and grants from its moment on
@@ -90,7 +92,7 @@
         """Decide again after another process did: what it granted meanwhile is not known here."""
         self.successor = None
         self.queries.last_id += 2 * QUERY_IDS_PER_PROCESS
-        self.token_owner.reliable_from_us = self.loop.now() + self.terms.token_life
+        self.token_owner.reliable_from_us = self.loop.now() + self.terms.token_lifetime_us
         self.grants.clear_credits()
 
     # A customer's quota, as it is known here
@@ -150,7 +152,7 @@
         Raises PeersUnreachableError, GrantStoreFullError.
         """
         name = token_name(customer.number, token)
-        give_up_at = self.loop.now() + max(timeout_us, 2 * self.terms.answer)
+        give_up_at = self.loop.now() + max(timeout_us, 2 * self.terms.peer_reply_timeout_us)
         while True:
             number = self.queries.next_id()
             claim = self._claim(name, customer, number)
@@ -207,7 +209,10 @@
         self._ask(claim.fresh_owners, query)
 
     def _replica_set(self, customer: Customer) -> list[int]:
-        return [(customer.set_first + offset) % self.gateway_count for offset in range(customer.set_size)]
+        return [
+            (customer.replica_set_start + offset) % self.gateway_count
+            for offset in range(customer.replica_set_size)
+        ]
 
     # Refunds and reservations
 
--- a/orchidlane/gateway/server/request_handler.py
+++ b/orchidlane/gateway/server/request_handler.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from orchidlane.gateway.forwarding.pending_request import Answer, Body, Exchange
-from orchidlane.gateway.forwarding.protocol_adapter import Bounds, Call, Clients
+from orchidlane.gateway.forwarding.protocol_adapter import Call, Clients, ResourceLimits
 from orchidlane.gateway.server.client_connection import Connection
 from orchidlane.gateway.server.request_reader import ReaderState, RequestReader
 from orchidlane.gateway.server.response_writer import CONTINUE, ResponseWriter
@@ -43,7 +43,7 @@
 class HandlerState(ReaderState, Protocol):
     """What a handler needs to know of its server."""
 
-    bounds: Bounds
+    bounds: ResourceLimits
     host: Driver
     clients: Clients
     metrics: Counts
@@ -108,10 +108,10 @@
     def _pause(self, connection: Connection) -> None:
         """Delay an error: a client that sends the same again at once costs itself time, and us little."""
         server = self._server
-        if server.times.wrong:
+        if server.times.error_delay_us:
             connection.rested = server.loop.now()
             server.newcomers[connection] = None
-            server.loop.sleep(server.times.wrong)
+            server.loop.sleep(server.times.error_delay_us)
             server.newcomers.pop(connection, None)
 
     def _exchange(self, connection: Connection, head: Request, call: Call) -> Exchange:
@@ -122,9 +122,9 @@
             number=server.host.next_number(),
             head=head,
             call=call,
-            body=Body(server.loop, server.bounds.held_body, head.length),
+            body=Body(server.loop, server.bounds.max_replay_bytes, head.length),
             task=task,
-            until=connection.since + call.patience - server.times.client_margin,
+            until=connection.since + call.patience - server.times.response_margin_us,
             arrived=connection.since,
             awaits_continue=head.expects_continue,
             client_left=connection.stream.has_left,
@@ -148,7 +148,9 @@
         """Wait until the task is woken: by an answer, by input, or because the time is over."""
         server, body = self._server, exchange.body
         is_settled = body.ended or body.full
-        deadline = exchange.until + OVERDUE_US if is_settled else server.loop.now() + server.times.body
+        deadline = (
+            exchange.until + OVERDUE_US if is_settled else server.loop.now() + server.times.body_progress_us
+        )
         try:
             server.loop.park(deadline)
         except Expired:
@@ -180,7 +182,7 @@
     def _is_at_bound(self, connection: Connection, body: Body) -> bool:
         """Return whether no more may be read: then a client's end lies behind bytes that stay unread."""
         if body.ended:
-            return connection.parser.pending >= self._server.bounds.pipelined
+            return connection.parser.pending >= self._server.bounds.max_pipelined_bytes
         if body.full:
             assert self._server.loop.current is not None
             body.tell_when_room(self._server.loop.current)
--- a/orchidlane/gateway/server/response_writer.py
+++ b/orchidlane/gateway/server/response_writer.py
@@ -6,7 +6,7 @@
 
 from orchidlane import http1
 from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
-from orchidlane.gateway.forwarding.protocol_adapter import Times
+from orchidlane.gateway.forwarding.protocol_adapter import Timeouts
 from orchidlane.gateway.server.client_connection import Connection, Watcher, send_all
 from orchidlane.http1 import Request
 from orchidlane.runtime import Loop
@@ -20,7 +20,7 @@
     """What a writer needs to know of its server."""
 
     loop: Loop
-    times: Times
+    times: Timeouts
     watcher: Watcher | None
 
 
@@ -69,7 +69,9 @@
         is_complete = False
         try:
             connection.stream.send(http1.response_head(answer.status, headers), self._deadline())
-            while (piece := pieces.take(loop.now() + STREAM_PIECE_WAITS * times.body)) is not None:
+            while (
+                piece := pieces.take(loop.now() + STREAM_PIECE_WAITS * times.body_progress_us)
+            ) is not None:
                 data = http1.chunk(piece) if is_chunked else piece
                 connection.stream.send(data, self._deadline())
             is_complete = not pieces.broken
@@ -84,7 +86,7 @@
         return is_chunked
 
     def _deadline(self) -> int:
-        return self._server.loop.now() + self._server.times.write
+        return self._server.loop.now() + self._server.times.client_write_us
 
 
 def _response_head(answer: Answer, keep: bool, length: int | None) -> bytes:
