--- a/orchidlane/platform/configuration.py
+++ b/orchidlane/platform/configuration.py
@@ -15,7 +15,8 @@
 from orchidlane.platform.discovery import ListLine
 from orchidlane.runtime import Address
 from orchidlane.runtime.backend import parse_address
-from orchidlane.simulator_protocol import codec
+from orchidlane.simulator_protocol import settings_json
+from orchidlane.simulator_protocol.errors import ProtocolError
 
 SOCKETS_LEAST = 64  # descriptors: less leaves too few beside those that are kept free (``terms.py``)
 
@@ -93,8 +94,8 @@
         found = msgspec.json.decode(text, type=File)
         settings = bytes(found.settings)
         names = msgspec.json.decode(settings, type=Names)
-        module = codec.parse_settings(settings)
-    except (msgspec.DecodeError, UnicodeDecodeError, codec.WireError) as wrong:
+        module = settings_json.parse_settings(settings)
+    except (msgspec.DecodeError, UnicodeDecodeError, ProtocolError) as wrong:
         raise ConfigError(f"{file}: {wrong}") from None
     if not SOCKETS_LEAST <= found.limits.sockets < 1 << 31:
         raise ConfigError(
--- a/orchidlane/policy/actions.py
+++ b/orchidlane/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the policy asks its driver to carry out, in this order. Nothing here decides anything."""
+"""Actions: what the policy asks its caller to carry out, in their order."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Begin an attempt; give_up_at 0 leaves it to the client's patience."""
+    """Start an attempt that times out at a clock time; 0 leaves that to the client."""
 
     request: int
     endpoint: EndpointId
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt, by its number in the request from 0."""
 
     request: int
     attempt: int
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantQuota:
-    """A take's units are counted: whoever asked may pass them on."""
+    """The units of a ``QuotaRequested`` are counted as spent."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not served, and trying again is harmless; beyond_quota tells why."""
+    """Final answer: not executed, or safe to repeat; ``retry_after_us`` is 0 where that time is not known."""
 
     request: int
     retry_after_us: int
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: not served, nothing promised."""
+    """Final answer: not served, but possibly executed."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired after a span."""
+    """Ask for a ``TimerFired`` with this token after a delay."""
 
     delay_us: int
     token: int
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send bytes to one peer."""
+    """Send bytes to one peer, by its rank; the message may be lost."""
 
     peer: int
     body: bytes
@@ -65,19 +65,19 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Ask a server for its state."""
+    """Start a health check of an endpoint."""
 
     endpoint: EndpointId
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Subscribe to discovery."""
+    """Subscribe to endpoint lists."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask discovery for the whole list once."""
+    """Fetch the complete endpoint list once."""
 
 
 Action = (
--- a/orchidlane/policy/events.py
+++ b/orchidlane/policy/events.py
@@ -1,4 +1,4 @@
-"""Events: what the policy is notified of, as frozen records. Nothing here decides anything.
+"""Events: what the policy is notified of.
 
 Times are integers in microseconds of the caller's clock. Endpoints are opaque, sortable bytes; requests and
 customers are integers.
@@ -13,7 +13,7 @@
 
 
 class Outcome(enum.Enum):
-    """How an attempt ended, or how a probe or a counter call went."""
+    """How an attempt, a health check or a call to the shared counter ended."""
 
     SERVED = "served"
     ERROR = "error"
@@ -26,7 +26,7 @@
 
 
 class EndpointState(enum.Enum):
-    """What discovery says of a server."""
+    """An endpoint's state by discovery."""
 
     GONE = 0
     READY = 1
@@ -34,7 +34,7 @@
 
 
 class EndpointListKind(enum.Enum):
-    """How a server list relates to the one before it."""
+    """How an endpoint list relates to the one before it."""
 
     DELTA = 0
     COMPLETE = 1
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One line of a server list; launched 0 means long ago."""
+    """One endpoint of a list; ``started_at_us`` 0 means long ago."""
 
     endpoint: EndpointId
     state: EndpointState
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListReceived:
-    """Discovery told something."""
+    """Discovery sent an endpoint list, or could not."""
 
     kind: EndpointListKind
     version: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request; the set names the gateways that the customer may use."""
+    """A client's request; the replica set names the gateways that serve the customer."""
 
     request: int
     customer: int
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaRequested:
-    """Units wanted without a server: somebody else carries the request out."""
+    """Units are requested without an endpoint: the caller serves the request itself."""
 
     request: int
     customer: int
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt's outcome; answered means that the request needs no more answer."""
+    """An attempt's outcome; ``answered`` means that the client has its final answer."""
 
     request: int
     attempt: int
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStreamStarted:
-    """A streamed answer has begun: no deadline runs any more."""
+    """A streamed response has started: its deadline no longer applies."""
 
     request: int
     attempt: int
@@ -118,21 +118,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; nothing more is owed."""
+    """The client left: it needs no answer."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was set is up."""
+    """A timer that was set has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """What came of a probe."""
+    """A health check's outcome."""
 
     endpoint: EndpointId
     outcome: Outcome
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """Bytes from another gateway; untrusted."""
+    """Bytes from a peer; they are not trusted."""
 
     sender: int
     body: bytes
@@ -150,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterAnswered:
-    """What came of a call to the shared counter."""
+    """The outcome of a call to the shared counter."""
 
     name: int
     outcome: Outcome
@@ -160,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CountRecovered:
-    """What another process of this very gateway counted under our rank, before or after us."""
+    """What another process of this gateway spent under the same rank, before or after this one."""
 
     customer: int
     plan: int
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSetChanged:
-    """A customer's set is another from now on, or begins anew: no part of its ceiling is carried over."""
+    """A customer's replica set has changed or starts anew: no share of its ceiling is carried over."""
 
     customer: int
     plan: int
--- a/orchidlane/policy/gossip_codec.py
+++ b/orchidlane/policy/gossip_codec.py
@@ -12,7 +12,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass
 from typing import NamedTuple
 
 FORMAT = 2
@@ -36,8 +35,7 @@
     value: float
 
 
-@dataclass(frozen=True, slots=True)
-class CustomerRow:
+class CustomerRow(NamedTuple):
     """What a message reports of one customer."""
 
     customer: int
@@ -51,8 +49,7 @@
     replica_counts: tuple[CountEntry, ...]
 
 
-@dataclass(frozen=True, slots=True)
-class GossipMessage:
+class GossipMessage(NamedTuple):
     """A decoded message."""
 
     sent_at_ms: int
--- a/orchidlane/policy/retries.py
+++ b/orchidlane/policy/retries.py
@@ -39,12 +39,12 @@
     """Learn from an outcome, then forget the request, retry it or answer it."""
     if (event.request, event.attempt) not in state.attempts:
         return
-    attempt, request_class = state.end_attempt(event.request, event.attempt)
-    health.record_outcome(state, attempt, request_class, event)
+    attempt, sent_request = state.end_attempt(event.request, event.attempt)
+    health.record_outcome(state, attempt, sent_request.event.request_class, event)
     attempt.possibly_executed = event.outcome not in NOT_EXECUTED_OUTCOMES
     request = state.requests.get(event.request)
     if request is None:
-        return
+        return  # it had its final answer
     if event.answered:
         _forget(state, request)
         return
--- a/orchidlane/policy/settings.py
+++ b/orchidlane/policy/settings.py
@@ -1,6 +1,6 @@
-"""Settings of the policy: request classes, plans, permissions and charges, as told once at the start.
+"""Settings of the policy, given once at the start: request classes, plans, permissions and charges.
 
-Times are integers in microseconds, rates in units per second. Nothing here decides anything.
+Times are integers in microseconds, rates in units per second.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Idempotency(enum.Enum):
-    """What a repeat of a request does."""
+    """Whether a request may be executed twice."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENT_WITH_KEY = "keyed"
@@ -18,7 +18,7 @@
 
 
 class DeduplicationScope(enum.Enum):
-    """Which servers together drop the repeats of a keyed request."""
+    """Which endpoints together drop repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One plan; zero rate, open or ceiling_rate means no such limit."""
+    """One plan; a ``rate``, ``max_in_flight`` or ``ceiling_rate`` of zero means no such limit."""
 
     rate: float
     burst: float
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway is told when it starts."""
+    """All settings of one gateway."""
 
     replica: int
     replica_count: int
--- a/orchidlane/policy/state.py
+++ b/orchidlane/policy/state.py
@@ -60,13 +60,6 @@
     owner_index: int
 
 
-class EndedAttempt(NamedTuple):
-    """An attempt that has its outcome, and its request's class."""
-
-    attempt: Attempt
-    request_class: int
-
-
 class PolicyState:
     """All that a gateway's decisions are made from. Times are the caller's clock in microseconds."""
 
@@ -115,11 +108,11 @@
         self.attempts[request.event.request, len(request.attempts)] = attempt, request
         request.attempts.append(attempt)
 
-    def end_attempt(self, request_id: int, number: int) -> EndedAttempt:
-        """Count an attempt as ended. Raises KeyError where it is not in flight."""
+    def end_attempt(self, request_id: int, number: int) -> tuple[Attempt, PendingRequest]:
+        """Count an attempt as ended; return it and its request. Raises KeyError where it is not in flight."""
         attempt, request = self.attempts.pop((request_id, number))
         assert request.account is not None
         attempt.in_flight = False
         attempt.endpoint.in_flight -= 1
         request.account.in_flight -= 1
-        return EndedAttempt(attempt, request.event.request_class)
+        return attempt, request
--- a/orchidlane/simulator_protocol/codec.py
+++ b/orchidlane/simulator_protocol/codec.py
@@ -1,44 +1,86 @@
-"""Codec of the binary wire: bytes to our events, our actions to bytes. It decides nothing."""
+"""Codec of the simulator's frames: records to the policy's events, and its actions to records.
+
+A frame is a header, records of one size, and a tail that records refer to by offset and length. Numbers are
+little-endian. A record begins with its code and, but for endpoint entries, the number of a gateway.
+"""
 
 from __future__ import annotations
 
-import json
+import enum
 import struct
-from dataclasses import dataclass, field
+from collections.abc import Callable
+from typing import Final, NamedTuple
 
 from orchidlane import policy
-
-HEADER = struct.Struct("<IIQ")
-REPLY_HEADER = struct.Struct("<II")
-EVENT_SIZE = 48
-ACTION_SIZE = 24
-ENTRY = struct.Struct("<fB6sBQBH")
-
-_INIT = struct.Struct("<HQII")
-_LIST = struct.Struct("<HII")
-_LIST_NEWS = struct.Struct("<HBHQ")
-_REQUEST = struct.Struct("<HIBHQIfffH")
-_GATEWAY = struct.Struct("<H")
-_PROBED = struct.Struct("<HIH6sB4f")
-_CALL = struct.Struct("<HI")
-_COUNTED = struct.Struct("<HfIHQ")
-_PEER = struct.Struct("<HHII")
-_STREAM = struct.Struct("<HIH6sI")
-_TIMER = struct.Struct("<HQ")
-_OUTCOME = struct.Struct("<HIH6sHIBHHB4f")
-
-_SEND = struct.Struct("<BHI6sQ")
-_CANCEL = struct.Struct("<BHIH")
-_SERVER_ONLY = struct.Struct("<BH6s")
-_BARE = struct.Struct("<BH")
+from orchidlane.simulator_protocol.errors import ProtocolError
+from orchidlane.simulator_protocol.settings_json import parse_settings
+
+FRAME_HEADER = struct.Struct("<IIQ")  # number of records, bytes behind the header, clock in microseconds
+REPLY_HEADER = struct.Struct("<II")  # number of records, bytes behind the header
+EVENT_BYTES: Final = 48
+ACTION_BYTES: Final = 24
+ENDPOINT_ENTRY = struct.Struct("<fB6sBQBH")
+
+IS_RETRY_FLAG: Final = 2
+
+
+class EventCode(enum.IntEnum):
+    """First byte of a record of an event."""
+
+    TIMER_FIRED = 1
+    PEER_MESSAGE = 2
+    CLIENT_DISCONNECTED = 3
+    STREAM_STARTED = 4
+    REQUEST_ARRIVED = 5
+    ATTEMPT_ENDED = 6
+    GATEWAY_STARTED = 7
+    GATEWAY_STOPPED = 8
+    ENDPOINT_LIST = 9
+    COUNTER_ANSWERED = 10
+    HEALTH_CHECK_ENDED = 11
+    ENDPOINT_ENTRIES = 12
+
+
+class ActionCode(enum.IntEnum):
+    """First byte of a record of an action."""
+
+    SEND_ATTEMPT = 65
+    REJECT_REQUEST = 66
+    FAIL_REQUEST = 67
+    CANCEL_ATTEMPT = 68
+    SET_TIMER = 69
+    CHECK_HEALTH = 70
+    SEND_PEER_MESSAGE = 72
+    POLICY_FAILURE = 74
+    WATCH_ENDPOINTS = 75
+    FETCH_ENDPOINTS = 76
+
+
+# Fields of events behind their code
+_GATEWAY_STARTED = struct.Struct("<HQII")
+_GATEWAY_STOPPED = struct.Struct("<H")
+_ENDPOINT_ENTRIES = struct.Struct("<HII")
+_ENDPOINT_LIST = struct.Struct("<HBHQ")
+_REQUEST_ARRIVED = struct.Struct("<HIBHQIfffH")
+_ATTEMPT_ENDED = struct.Struct("<HIH6sHIBHHB4f")
+_STREAM_STARTED = struct.Struct("<HIH6sI")
+_CLIENT_DISCONNECTED = struct.Struct("<HI")
+_TIMER_FIRED = struct.Struct("<HQ")
+_PEER_MESSAGE = struct.Struct("<HHII")
+_HEALTH_CHECK_ENDED = struct.Struct("<HIH6sB4f")
+_COUNTER_ANSWERED = struct.Struct("<HfIHQ")
+
+# Fields of actions with their code
+_SEND_ATTEMPT = struct.Struct("<BHI6sQ")
+_REJECT_REQUEST = struct.Struct("<BHII")
+_FAIL_REQUEST = struct.Struct("<BHI")
+_CANCEL_ATTEMPT = struct.Struct("<BHIH")
 _SET_TIMER = struct.Struct("<BHIQ")
-_TEXT = struct.Struct("<BHII")
-_FINAL = struct.Struct("<BHI")
-_TELL = struct.Struct("<BHHII")
-_WATCH = struct.Struct("<BHB")
-_REFUSE = struct.Struct("<BHII")
-
-BIT_REPEAT = 2
+_CHECK_HEALTH = struct.Struct("<BH6s")
+_SEND_PEER_MESSAGE = struct.Struct("<BHHII")
+_POLICY_FAILURE = struct.Struct("<BHII")
+_WATCH_ENDPOINTS = struct.Struct("<BHB")
+_FETCH_ENDPOINTS = struct.Struct("<BH")
 
 OUTCOMES = {
     100: policy.Outcome.SERVED,
@@ -50,285 +92,241 @@
     306: policy.Outcome.CANCELLED,
     307: policy.Outcome.NOT_SENT,
 }
-EFFECTS = {
-    "repeatable": policy.Idempotency.IDEMPOTENT,
-    "by_key": policy.Idempotency.IDEMPOTENT_WITH_KEY,
-    "once": policy.Idempotency.NOT_IDEMPOTENT,
-}
-REPORTS = {
-    "inline": policy.LoadReportSource.INLINE,
-    "on_probe": policy.LoadReportSource.ON_HEALTH_CHECK,
-    "off": policy.LoadReportSource.NONE,
-}
-
 
-class WireError(Exception):
-    """What came in is not of this wire."""
 
-
-@dataclass(frozen=True, slots=True)
-class Start:
+class StartGateway(NamedTuple):
     """A gateway comes up."""
 
     settings: policy.Settings
     seed: int
 
 
-@dataclass(frozen=True, slots=True)
-class Stop:
+class StopGateway:
     """A gateway is gone without warning."""
 
 
-@dataclass(slots=True)
+class GatewayEvent(NamedTuple):
+    """What happens to one gateway of the process."""
+
+    gateway: int
+    event: StartGateway | StopGateway | policy.Event
+
+
 class Decoder:
-    """Decodes frames; keeps the numbered server lists, which travel once for each process."""
+    """Decodes frames; keeps the numbered endpoint lists, which are sent once for all gateways."""
 
-    lists: dict[int, tuple[policy.EndpointEntry, ...]] = field(default_factory=dict)
+    def __init__(self) -> None:
+        self.endpoint_lists: dict[int, tuple[policy.EndpointEntry, ...]] = {}
 
-    def frame(self, count: int, body: bytes) -> list[tuple[int, Start | Stop | policy.Event]]:
-        """All events of one batch, each with its gateway's number."""
-        if len(body) < count * EVENT_SIZE:
-            raise WireError(f"frame of {len(body)} bytes is too short for {count} records")
-        tail = body[count * EVENT_SIZE :]
+    def decode_frame(self, record_count: int, body: bytes) -> list[GatewayEvent]:
+        """Return the events of a frame's body, in their order. Raises ProtocolError."""
+        if len(body) < record_count * EVENT_BYTES:
+            raise ProtocolError(f"frame of {len(body)} bytes is too short for {record_count} records")
+        tail = body[record_count * EVENT_BYTES :]
         events = []
-        for i in range(count):
-            at = i * EVENT_SIZE
-            code = body[at]
-            reader = _READERS.get(code)
-            if reader is None:
-                raise WireError(f"unknown record code {code}")
-            event = reader(self, body, at + 1, tail)
+        for offset in range(0, record_count * EVENT_BYTES, EVENT_BYTES):
+            read = _READERS.get(body[offset])
+            if read is None:
+                raise ProtocolError(f"unknown record code {body[offset]}")
+            event = read(self, body, offset + 1, tail)
             if event is not None:
                 events.append(event)
         return events
 
 
-def _cut(tail: bytes, offset: int, length: int) -> bytes:
-    if offset + length > len(tail):
-        raise WireError(f"offset {offset} with length {length} lies outside a tail of {len(tail)} bytes")
-    return tail[offset : offset + length]
+Reader = Callable[[Decoder, bytes, int, bytes], GatewayEvent | None]
 
 
-def _outcome(code: int) -> policy.Outcome:
-    try:
-        return OUTCOMES[code]
-    except KeyError:
-        raise WireError(f"unknown outcome {code}") from None
+def _read_gateway_started(_decoder: Decoder, body: bytes, offset: int, tail: bytes) -> GatewayEvent:
+    gateway, seed, text_offset, length = _GATEWAY_STARTED.unpack_from(body, offset)
+    settings = parse_settings(_slice_tail(tail, text_offset, length))
+    return GatewayEvent(gateway, StartGateway(settings, seed))
 
 
-def _init(_: Decoder, body: bytes, at: int, tail: bytes):
-    gateway, seed, offset, length = _INIT.unpack_from(body, at)
-    return gateway, Start(parse_settings(_cut(tail, offset, length)), seed)
+def _read_gateway_stopped(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    (gateway,) = _GATEWAY_STOPPED.unpack_from(body, offset)
+    return GatewayEvent(gateway, StopGateway())
 
 
-def _roster(decoder: Decoder, body: bytes, at: int, tail: bytes) -> None:
-    number, offset, count = _LIST.unpack_from(body, at)
-    raw = _cut(tail, offset, count * ENTRY.size)
+def _read_endpoint_entries(decoder: Decoder, body: bytes, offset: int, tail: bytes) -> None:
+    number, entries_offset, count = _ENDPOINT_ENTRIES.unpack_from(body, offset)
+    raw = _slice_tail(tail, entries_offset, count * ENDPOINT_ENTRY.size)
     entries = []
-    for share, _kind, server, zone, launched, phase, cell in ENTRY.iter_unpack(raw):
-        if phase > 2:
-            raise WireError(f"unknown phase {phase}")
-        entries.append(policy.EndpointEntry(server, policy.EndpointState(phase), zone, cell, launched, share))
-    decoder.lists[number] = tuple(entries)
-
-
-def _roster_change(decoder: Decoder, body: bytes, at: int, _: bytes):
-    gateway, kind, number, version = _LIST_NEWS.unpack_from(body, at)
-    if kind > 3:
-        raise WireError(f"unknown kind of list {kind}")
-    kind = policy.EndpointListKind(kind)
+    for capacity_share, _kind, endpoint, zone, started_at_us, state, cell in ENDPOINT_ENTRY.iter_unpack(raw):
+        if state > policy.EndpointState.DRAINING.value:
+            raise ProtocolError(f"unknown phase {state}")
+        entries.append(
+            policy.EndpointEntry(
+                endpoint, policy.EndpointState(state), zone, cell, started_at_us, capacity_share
+            )
+        )
+    decoder.endpoint_lists[number] = tuple(entries)
+
+
+def _read_endpoint_list(decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    gateway, kind_code, number, version = _ENDPOINT_LIST.unpack_from(body, offset)
+    if kind_code > policy.EndpointListKind.FAILED.value:
+        raise ProtocolError(f"unknown kind of list {kind_code}")
+    kind = policy.EndpointListKind(kind_code)
     if kind is policy.EndpointListKind.FAILED:
-        return gateway, policy.EndpointListReceived(kind, version, ())
-    if number not in decoder.lists:
-        raise WireError(f"list {number} was never sent")
-    return gateway, policy.EndpointListReceived(kind, version, decoder.lists[number])
-
-
-def _order(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, request, kind, plan, customer, left, units, size, first, bits = _REQUEST.unpack_from(body, at)
-    return gateway, policy.RequestArrived(
-        request, customer, plan, kind, units, left, int(first), int(size), bool(bits & BIT_REPEAT)
+        return GatewayEvent(gateway, policy.EndpointListReceived(kind, version, ()))
+    if number not in decoder.endpoint_lists:
+        raise ProtocolError(f"list {number} was never sent")
+    entries = decoder.endpoint_lists[number]
+    return GatewayEvent(gateway, policy.EndpointListReceived(kind, version, entries))
+
+
+def _read_request_arrived(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    fields = _REQUEST_ARRIVED.unpack_from(body, offset)
+    gateway, request, request_class, plan, customer, time_left_us, units, set_size, set_start, flags = fields
+    event = policy.RequestArrived(
+        request,
+        customer,
+        plan,
+        request_class,
+        units,
+        time_left_us,
+        replica_set_start=int(set_start),
+        replica_set_size=int(set_size),
+        is_retry=bool(flags & IS_RETRY_FLAG),
     )
+    return GatewayEvent(gateway, event)
+
+
+def _read_attempt_ended(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    fields = _ATTEMPT_ENDED.unpack_from(body, offset)
+    gateway, request, attempt, endpoint, outcome, duration_us, answered, use, units, count, *report = fields
+    event = policy.AttemptEnded(
+        request,
+        attempt,
+        endpoint,
+        _outcome(outcome),
+        duration_us,
+        answered=bool(answered),
+        use=use,
+        true_units=float(units),
+        load_report=tuple(report[:count]),
+    )
+    return GatewayEvent(gateway, event)
 
 
-def _teardown(_: Decoder, body: bytes, at: int, __: bytes):
-    return _GATEWAY.unpack_from(body, at)[0], Stop()
-
-
-def _probed(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, took, reason, server, n, *values = _PROBED.unpack_from(body, at)
-    return gateway, policy.HealthCheckEnded(server, _outcome(reason), took, tuple(values[:n]))
+def _read_stream_started(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    gateway, request, attempt, endpoint, duration_us = _STREAM_STARTED.unpack_from(body, offset)
+    return GatewayEvent(gateway, policy.ResponseStreamStarted(request, attempt, endpoint, duration_us))
 
 
-def _client_gone(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, request = _CALL.unpack_from(body, at)
-    return gateway, policy.ClientDisconnected(request)
+def _read_client_disconnected(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    gateway, request = _CLIENT_DISCONNECTED.unpack_from(body, offset)
+    return GatewayEvent(gateway, policy.ClientDisconnected(request))
 
 
-def _counted(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, value, took, reason, name = _COUNTED.unpack_from(body, at)
-    return gateway, policy.CounterAnswered(name, _outcome(reason), value, took)
+def _read_timer_fired(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    gateway, token = _TIMER_FIRED.unpack_from(body, offset)
+    return GatewayEvent(gateway, policy.TimerFired(token))
 
 
-def _neighbour(_: Decoder, body: bytes, at: int, tail: bytes):
-    gateway, sender, offset, length = _PEER.unpack_from(body, at)
-    return gateway, policy.PeerMessageReceived(sender, _cut(tail, offset, length))
+def _read_peer_message(_decoder: Decoder, body: bytes, offset: int, tail: bytes) -> GatewayEvent:
+    gateway, sender, message_offset, length = _PEER_MESSAGE.unpack_from(body, offset)
+    message = _slice_tail(tail, message_offset, length)
+    return GatewayEvent(gateway, policy.PeerMessageReceived(sender, message))
 
 
-def _flowing(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, request, attempt, server, took = _STREAM.unpack_from(body, at)
-    return gateway, policy.ResponseStreamStarted(request, attempt, server, took)
+def _read_health_check_ended(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    gateway, duration_us, outcome, endpoint, count, *report = _HEALTH_CHECK_ENDED.unpack_from(body, offset)
+    event = policy.HealthCheckEnded(endpoint, _outcome(outcome), duration_us, tuple(report[:count]))
+    return GatewayEvent(gateway, event)
 
 
-def _bell(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, token = _TIMER.unpack_from(body, at)
-    return gateway, policy.TimerFired(token)
+def _read_counter_answered(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    gateway, value, duration_us, outcome, name = _COUNTER_ANSWERED.unpack_from(body, offset)
+    return GatewayEvent(gateway, policy.CounterAnswered(name, _outcome(outcome), value, duration_us))
 
 
-def _answer(_: Decoder, body: bytes, at: int, __: bytes):
-    fields = _OUTCOME.unpack_from(body, at)
-    gateway, request, attempt, server, reason, took, settled, use, cost, n, *values = fields
-    return gateway, policy.AttemptEnded(
-        request, attempt, server, _outcome(reason), took, bool(settled), use, float(cost), tuple(values[:n])
-    )
+_READERS: dict[int, Reader] = {
+    EventCode.TIMER_FIRED: _read_timer_fired,
+    EventCode.PEER_MESSAGE: _read_peer_message,
+    EventCode.CLIENT_DISCONNECTED: _read_client_disconnected,
+    EventCode.STREAM_STARTED: _read_stream_started,
+    EventCode.REQUEST_ARRIVED: _read_request_arrived,
+    EventCode.ATTEMPT_ENDED: _read_attempt_ended,
+    EventCode.GATEWAY_STARTED: _read_gateway_started,
+    EventCode.GATEWAY_STOPPED: _read_gateway_stopped,
+    EventCode.ENDPOINT_LIST: _read_endpoint_list,
+    EventCode.COUNTER_ANSWERED: _read_counter_answered,
+    EventCode.HEALTH_CHECK_ENDED: _read_health_check_ended,
+    EventCode.ENDPOINT_ENTRIES: _read_endpoint_entries,
+}
 
 
-_READERS = {
-    1: _bell,
-    2: _neighbour,
-    3: _client_gone,
-    4: _flowing,
-    5: _order,
-    6: _answer,
-    7: _init,
-    8: _teardown,
-    9: _roster_change,
-    10: _counted,
-    11: _probed,
-    12: _roster,
-}
+def _slice_tail(tail: bytes, offset: int, length: int) -> bytes:
+    if offset + length > len(tail):
+        raise ProtocolError(f"offset {offset} with length {length} lies outside a tail of {len(tail)} bytes")
+    return tail[offset : offset + length]
 
 
-def parse_settings(raw: bytes) -> policy.Settings:
-    """The settings text as our own type; unknown keys are passed over, missing ones named."""
-    try:
-        s = json.loads(raw)
-    except ValueError:
-        raise WireError("settings are not JSON") from None
+def _outcome(code: int) -> policy.Outcome:
     try:
-        return _settings(s)
-    except KeyError as missing:
-        raise WireError(f"settings lack the key {missing.args[0]!r}") from None
-    except (TypeError, ValueError, AttributeError) as wrong:
-        raise WireError(f"settings have a value of the wrong kind: {wrong}") from None
-
-
-def _settings(s: dict) -> policy.Settings:
-    info, may, rules, charges, report = (
-        s["familyInfo"],
-        s["permissions"],
-        s["rules"],
-        s["charges"],
-        s["loadReport"],
-    )
-    return policy.Settings(
-        replica=int(s["rank"]),
-        replica_count=int(s["balancers"]),
-        zone=int(s["locality"]),
-        classes=tuple(_request_class(c) for c in s["classes"]),
-        plans=tuple(_plan(p) for p in s["packages"]),
-        may_gossip=bool(may["peers"]),
-        may_check_health=bool(may["probes"]),
-        may_cancel=bool(may["cancel"]),
-        may_hedge=bool(may["secondCopies"]),
-        max_attempts=int(may["maxAttempts"]),
-        max_retry_after_us=int(may["maxRetryAfter"]) if may["retryAfter"] else 0,
-        peer_messages_per_second=float(info["peerIntake"]),
-        peer_charge=float(charges["peer"]),
-        health_check_charge=float(charges["probe"]),
-        waste_charge=float(charges["waste"]),
-        cross_zone_charge=float(charges["crossZone"]),
-        has_shared_counter=bool(info["sharedCounter"]),
-        polls_endpoint_list=s["discovery"] == "on_request",
-        poll_timeout_us=int(rules["askWithin"]),
-        load_report_source=REPORTS[report["how"]],
-        load_report_names=tuple(report["names"]),
-        slow_start_initial_share=float(rules["coldFrom"]),
-        slow_start_duration_us=int(rules["warmWithin"]),
-        overload_multiple=float(rules["fallMultiple"]),
-        overload_duration_us=int(rules["overloadFor"]),
-        drain_grace_us=int(rules["drainGrace"]),
-    )
+        return OUTCOMES[code]
+    except KeyError:
+        raise ProtocolError(f"unknown outcome {code}") from None
 
 
-def _request_class(c: dict) -> policy.RequestClass:
-    return policy.RequestClass(
-        latency_objective_us=int(c["target"]),
-        deadline_us=int(c["deadline"]),
-        priority_weight=float(c["credit"]),
-        late_priority_weight=float(c["lateWorth"]),
-        idempotency=EFFECTS[c["effect"]],
-        deduplication_scope=policy.DeduplicationScope(c["group"]),
-        deduplication_window_us=int(c["dedupWindow"]),
-    )
+class Encoder:
+    """Collects the actions of one reply."""
 
+    def __init__(self) -> None:
+        self.records: list[bytes] = []
+        self.tail = bytearray()
 
-def _plan(p: dict) -> policy.Plan:
-    return policy.Plan(
-        rate=float(p["perSecond"]),
-        burst=float(p["peakUnits"]),
-        max_in_flight=int(p["open"]),
-        price=float(p["pays"]),
-        over_quota_credit=float(p["beyondEarns"]),
-        over_quota_charge=float(p["overrunCost"]),
-        ceiling_rate=float(p["hardRate"]),
-        ceiling_burst=float(p["capDepth"]),
-        ceiling_slack=float(p["capSlack"]),
-    )
+    def add_action(self, gateway: int, action: policy.Action) -> None:
+        """Add one action of one gateway. Raises TypeError where the protocol has no record for it."""
+        self._add_record(self._encode_action(gateway, action))
 
+    def add_failure(self, gateway: int, text: str) -> None:
+        """Report that a gateway's decision raised an exception."""
+        offset = self._append_to_tail(text.encode())
+        length = len(self.tail) - offset
+        self._add_record(_POLICY_FAILURE.pack(ActionCode.POLICY_FAILURE, gateway, offset, length))
 
-@dataclass(slots=True)
-class Encoder:
-    """Collects the actions of one reply."""
+    def encode_reply(self) -> bytes:
+        """Return the whole reply frame."""
+        body = b"".join(self.records) + self.tail
+        return REPLY_HEADER.pack(len(self.records), len(body)) + body
+
+    def _add_record(self, record: bytes) -> None:
+        self.records.append(record.ljust(ACTION_BYTES, b"\0"))
 
-    records: list[bytes] = field(default_factory=list)
-    tail: bytearray = field(default_factory=bytearray)
+    def _append_to_tail(self, data: bytes) -> int:
+        offset = len(self.tail)
+        self.tail += data
+        return offset
 
-    def add(self, gateway: int, action: policy.Action) -> None:
-        """One action of one gateway."""
+    def _encode_action(self, gateway: int, action: policy.Action) -> bytes:
+        code = ActionCode
         match action:
             case policy.SendAttempt():
-                raw = _SEND.pack(65, gateway, action.request, action.endpoint, action.timeout_at_us)
+                return _SEND_ATTEMPT.pack(
+                    code.SEND_ATTEMPT, gateway, action.request, action.endpoint, action.timeout_at_us
+                )
             case policy.RejectRequest():
-                raw = _REFUSE.pack(66, gateway, action.request, action.retry_after_us)
+                return _REJECT_REQUEST.pack(
+                    code.REJECT_REQUEST, gateway, action.request, action.retry_after_us
+                )
             case policy.FailRequest():
-                raw = _FINAL.pack(67, gateway, action.request)
+                return _FAIL_REQUEST.pack(code.FAIL_REQUEST, gateway, action.request)
             case policy.CancelAttempt():
-                raw = _CANCEL.pack(68, gateway, action.request, action.attempt)
+                return _CANCEL_ATTEMPT.pack(code.CANCEL_ATTEMPT, gateway, action.request, action.attempt)
             case policy.SetTimer():
-                raw = _SET_TIMER.pack(69, gateway, action.delay_us, action.token)
-            case policy.CheckHealth():
-                raw = _SERVER_ONLY.pack(70, gateway, action.endpoint)
+                return _SET_TIMER.pack(code.SET_TIMER, gateway, action.delay_us, action.token)
             case policy.SendPeerMessage():
-                raw = _TELL.pack(72, gateway, action.peer, *self._put(action.body))
+                offset = self._append_to_tail(action.body)
+                length = len(action.body)
+                return _SEND_PEER_MESSAGE.pack(code.SEND_PEER_MESSAGE, gateway, action.peer, offset, length)
+            case policy.CheckHealth():
+                return _CHECK_HEALTH.pack(code.CHECK_HEALTH, gateway, action.endpoint)
             case policy.WatchEndpoints():
-                raw = _WATCH.pack(75, gateway, 1)
+                return _WATCH_ENDPOINTS.pack(code.WATCH_ENDPOINTS, gateway, 1)
             case policy.FetchEndpoints():
-                raw = _BARE.pack(76, gateway)
+                return _FETCH_ENDPOINTS.pack(code.FETCH_ENDPOINTS, gateway)
             case _:
-                raise TypeError(f"no action of the wire: {action!r}")
-        self.records.append(raw.ljust(ACTION_SIZE, b"\0"))
-
-    def bug(self, gateway: int, text: str) -> None:
-        """The decisions failed."""
-        self.records.append(_TEXT.pack(74, gateway, *self._put(text.encode())).ljust(ACTION_SIZE, b"\0"))
-
-    def reply(self) -> bytes:
-        """The whole reply frame."""
-        body = b"".join(self.records) + self.tail
-        return REPLY_HEADER.pack(len(self.records), len(body)) + body
-
-    def _put(self, body: bytes) -> tuple[int, int]:
-        at = len(self.tail)
-        self.tail += body
-        return at, len(body)
+                raise TypeError(f"no action of the protocol: {action!r}")
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -22,7 +22,7 @@
 
 from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
-from orchidlane.simulator_protocol import codec, process
+from orchidlane.simulator_protocol import codec, process, settings_json
 
 MS, SECOND = 1_000, 1_000_000
 BEGIN = 1_000 * SECOND
@@ -39,7 +39,7 @@
 
 def make_gateway(settings: bytes, seed: int, now: int) -> Gateway:
     """A gateway's decisions."""
-    return Gateway(codec.parse_settings(settings), seed, now)
+    return Gateway(settings_json.parse_settings(settings), seed, now)
 
 
 def take_event(request: int, customer: int, plan: int, kind: int, units: float, first: int, size: int):
@@ -62,8 +62,8 @@
     if isinstance(action, policy.GrantQuota):
         return struct.pack("<BHI", 200, gateway, action.request)
     encoder = codec.Encoder()
-    encoder.add(gateway, action)
-    found = encoder.reply()[8:]
+    encoder.add_action(gateway, action)
+    found = encoder.encode_reply()[8:]
     if isinstance(action, policy.RejectRequest):
         found += b"beyond quota" if action.over_quota else b""
     return found
@@ -207,7 +207,7 @@
     def feed(self, gateway: int, *records: bytes, tail: bytes = b"") -> None:
         """Records for one gateway."""
         self.frames.append(frame(self.now, list(records), tail))
-        for number, event in self.decoder.frame(len(records), b"".join(records) + tail):
+        for number, event in self.decoder.decode_frame(len(records), b"".join(records) + tail):
             self.decide(number, event)
 
     def decide(self, gateway: int, event) -> None:
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -37,7 +37,7 @@
 from orchidlane.rollout import canary_analysis, replicated_state, version
 from orchidlane.rollout import messages as change_messages
 from orchidlane.simulation import scenario as lab_day
-from orchidlane.simulator_protocol import codec
+from orchidlane.simulator_protocol import codec, settings_json
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 SECOND = 1_000_000
@@ -98,7 +98,7 @@
     return [event.kind.value, event.version, entries]
 
 
-def start_values(event: codec.Start) -> list:
+def start_values(event: codec.StartGateway) -> list:
     """A gateway's start as plain values."""
     return [event.seed, settings_values(event.settings)]
 
@@ -123,8 +123,8 @@
         event.duration_us,
         list(event.load_report),
     ],
-    codec.Start: start_values,
-    codec.Stop: lambda event: [],
+    codec.StartGateway: start_values,
+    codec.StopGateway: lambda event: [],
 }
 
 ACTIONS: dict[int, list[policy.Action]] = {  # by the code of its record
@@ -395,7 +395,7 @@
 
 def record(code: int, layout: str, *values) -> bytes:
     """A record of an event, by the protocol's layout."""
-    return struct.pack("<B" + layout, code, *values).ljust(codec.EVENT_SIZE, b"\0")
+    return struct.pack("<B" + layout, code, *values).ljust(codec.EVENT_BYTES, b"\0")
 
 
 def frames_of_the_wire() -> dict[str, list[tuple[list[bytes], bytes]]]:
@@ -440,7 +440,7 @@
             body = b"".join(records) + tail
             events = [
                 [gateway, EVENT_VALUES[type(event)](event)]
-                for gateway, event in codec.Decoder().frame(len(records), body)
+                for gateway, event in codec.Decoder().decode_frame(len(records), body)
             ]
             found.setdefault(code, []).append({"records": len(records), "body": body.hex(), "events": events})
     assert {int(code) for code in found} == set(codec._READERS)
@@ -449,7 +449,7 @@
 
 def test_each_event_that_the_wire_has_is_covered():
     of_code = {policy.QuotaRequested, policy.CountRecovered, policy.ReplicaSetChanged}  # not of the wire
-    covered = {kind for kind in EVENT_VALUES if kind not in (codec.Start, codec.Stop)}
+    covered = {kind for kind in EVENT_VALUES if kind not in (codec.StartGateway, codec.StopGateway)}
     assert set(get_args(policy.Event)) - covered == of_code
 
 
@@ -458,12 +458,12 @@
     for code, actions in ACTIONS.items():
         encoder = codec.Encoder()
         for action in actions:
-            encoder.add(3, action)
-        found[str(code)] = encoder.reply().hex()
-        assert encoder.reply()[8] == code
+            encoder.add_action(3, action)
+        found[str(code)] = encoder.encode_reply().hex()
+        assert encoder.encode_reply()[8] == code
     encoder = codec.Encoder()
-    encoder.bug(3, "ValueError: what happened")
-    found["74"] = encoder.reply().hex()
+    encoder.add_failure(3, "ValueError: what happened")
+    found["74"] = encoder.encode_reply().hex()
     covered = {type(action) for actions in ACTIONS.values() for action in actions}
     assert covered | NOT_OF_THE_WIRE == set(get_args(policy.Action))
     check_golden("wire-actions", found)
@@ -481,7 +481,8 @@
         "by probes": settings(loadReport={"how": "on_probe", "names": ["util"]}, rank=2, balancers=5),
     }
     found = {
-        what: settings_values(codec.parse_settings(json.dumps(text).encode())) for what, text in texts.items()
+        what: settings_values(settings_json.parse_settings(json.dumps(text).encode()))
+        for what, text in texts.items()
     }
     check_golden("wire-settings", {"texts": texts, "values": found})
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,7 +12,8 @@
 import pytest
 
 from orchidlane import policy
-from orchidlane.simulator_protocol import codec, process
+from orchidlane.simulator_protocol import codec, process, settings_json
+from orchidlane.simulator_protocol.errors import ProtocolError
 
 ROOT = Path(__file__).parent.parent
 
@@ -70,22 +71,22 @@
 HOST = bytes.fromhex("0a124a072b23")
 
 
-def raw(text: str, size: int = codec.EVENT_SIZE) -> bytes:
+def raw(text: str, size: int = codec.EVENT_BYTES) -> bytes:
     """A record of the protocol note, zeros to its size."""
     return bytes.fromhex(text.replace(" ", "")).ljust(size, b"\0")
 
 
 def decode(*records: bytes, tail: bytes = b""):
     """The events of one frame."""
-    return codec.Decoder().frame(len(records), b"".join(records) + tail)
+    return codec.Decoder().decode_frame(len(records), b"".join(records) + tail)
 
 
 def encode(*actions: policy.Action) -> bytes:
     """The reply's bytes after its header."""
     encoder = codec.Encoder()
     for action in actions:
-        encoder.add(3, action)
-    return encoder.reply()[8:]
+        encoder.add_action(3, action)
+    return encoder.encode_reply()[8:]
 
 
 def frame(*records: bytes, tail: bytes = b"", now: int = 1) -> bytes:
@@ -232,13 +233,13 @@
 
 @pytest.mark.parametrize("path", [("rank",), ("rules", "coldFrom"), ("familyInfo", "peerIntake")])
 def test_a_missing_key_is_named(path):
-    with pytest.raises(codec.WireError, match=path[-1]):
-        codec.parse_settings(json.dumps(without(*path)).encode())
+    with pytest.raises(ProtocolError, match=path[-1]):
+        settings_json.parse_settings(json.dumps(without(*path)).encode())
 
 
 def test_unknown_keys_are_passed_over():
     more = {**SETTINGS, "new": 1, "rules": {**SETTINGS["rules"], "newer": 2}}
-    assert codec.parse_settings(json.dumps(more).encode()) == codec.parse_settings(
+    assert settings_json.parse_settings(json.dumps(more).encode()) == settings_json.parse_settings(
         json.dumps(SETTINGS).encode()
     )
 
