--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -26,11 +26,11 @@
     "resp",
     "tools",
     "upgrade_real",
-    "wire",
+    "simulator_protocol",
 )  # real sockets, all cores
 
 
-EACH_BY_ITSELF = ("change_model", "fleet")  # long, and they share nothing
+EACH_BY_ITSELF = ("change_model", "fleet_totals")  # long, and they share nothing
 # Each starts up to ten processes: two at a time take each other's cores, and a leader that is held up is
 # replaced
 PROCESSES = ("change_processes", "platform_processes")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet_totals.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 import pytest
-from harness.fleet_house import Fleet, Terms
+from harness.fleet_harness import Fleet, Terms
 from harness.platform_house import MS, SECOND
 
 from orchidlane.policy import admission, endpoint_registry, gossip, quota, token_owner
