--- /dev/null
+++ b/tests/test_endpoint_registry.py
@@ -0,0 +1,101 @@
+"""Endpoint lists, draining endpoints and slow start."""
+
+from __future__ import annotations
+
+import pytest
+from harness.policy_harness import SECOND, START_US, PolicyHarness, actions_of, endpoint_entry, endpoint_list
+
+from orchidlane import policy
+from orchidlane.policy import Outcome
+
+
+def final_answers(harness: PolicyHarness, request: int) -> list:
+    """Our final answers to one request."""
+    return [
+        a
+        for a in harness.actions
+        if isinstance(a, (policy.RejectRequest, policy.FailRequest)) and a.request == request
+    ]
+
+
+@pytest.mark.parametrize("phase", [policy.EndpointState.DRAINING, policy.EndpointState.GONE])
+def test_no_request_is_sent_to_a_draining_or_gone_endpoint(phase):
+    harness = PolicyHarness(endpoints=0)
+    harness.feed(endpoint_list(endpoint_entry(1), endpoint_entry(2)))
+    harness.feed(endpoint_list(endpoint_entry(1, state=phase), kind=policy.EndpointListKind.DELTA))
+    for request in range(1, 9):
+        for send in actions_of(harness.request(request, customer=request), policy.SendAttempt):
+            assert send.endpoint == endpoint_entry(2).endpoint
+            for again in actions_of(
+                harness.end_attempt(request, send.endpoint, Outcome.ENDPOINT_FULL), policy.SendAttempt
+            ):
+                assert again.endpoint == endpoint_entry(2).endpoint
+
+
+def test_endpoints_missing_from_a_complete_list_get_no_requests():
+    harness = PolicyHarness(endpoints=2)
+    harness.feed(endpoint_list())
+    assert not actions_of(harness.request(1), policy.SendAttempt)
+    assert not actions_of(harness.advance(2 * SECOND), policy.SendAttempt)
+    assert final_answers(harness, 1) == [policy.RejectRequest(1, 0)]
+
+
+def test_a_failed_list_request_changes_nothing(harness):
+    harness.feed(policy.EndpointListReceived(policy.EndpointListKind.FAILED, 9, ()))
+    assert actions_of(harness.request(1), policy.SendAttempt)
+
+
+def test_an_endpoint_in_slow_start_gets_at_most_its_ramp_of_a_warm_ones_share():
+    harness = PolicyHarness(endpoints=0)
+    cold = endpoint_entry(9, started_at_us=START_US)
+    harness.feed(endpoint_list(*(endpoint_entry(i) for i in range(4)), cold))
+    sent = {"cold": 0, "warm": 0}
+    for request in range(1, 401):
+        for send in actions_of(harness.request(request, customer=request), policy.SendAttempt):
+            sent["cold" if send.endpoint == cold.endpoint else "warm"] += 1
+            harness.end_attempt(request, send.endpoint, Outcome.SERVED, duration_us=1_000)
+        harness.advance(5_000)
+    ramp = 0.25 + 0.75 * 2 / 10  # two seconds into ten
+    assert sent["warm"] > 300
+    assert sent["cold"] <= ramp * sent["warm"] / 4 + 1
+
+
+def test_a_restarted_endpoint_is_in_slow_start_again():
+    harness = PolicyHarness(endpoints=0)
+    harness.feed(endpoint_list(endpoint_entry(1, started_at_us=START_US - 60 * SECOND)))
+    assert len(actions_of(harness.request(1), policy.SendAttempt)) == 1
+    harness.feed(endpoint_list(endpoint_entry(1, started_at_us=START_US), kind=policy.EndpointListKind.DELTA))
+    sends = [s for r in range(2, 402) for s in actions_of(harness.request(r, customer=r), policy.SendAttempt)]
+    assert 0 < len(sends) <= 0.25 * 400
+    for _ in range(50):  # what is held does not try its luck again and again
+        harness.advance(20_000)
+    assert len(actions_of(harness.actions, policy.SendAttempt)) <= 0.4 * 400
+
+
+def test_slow_start_holds_in_the_sum_of_many_gateways():
+    """A gateway of a large fleet sends to one server less than once in its warm-up: chance has to sum up."""
+    cold, sent = endpoint_entry(9, started_at_us=START_US), {True: 0, False: 0}
+    for seed in range(200):
+        harness = PolicyHarness(endpoints=0, seed=seed, replica_count=200, now=START_US + 2 * SECOND)
+        harness.feed(endpoint_list(*(endpoint_entry(i) for i in range(4)), cold))
+        for request in range(1, 11):
+            for send in actions_of(
+                harness.request(request, customer=request, replica_set_size=1), policy.SendAttempt
+            ):
+                sent[send.endpoint == cold.endpoint] += 1
+                harness.end_attempt(request, send.endpoint, Outcome.SERVED, duration_us=30_000)
+    assert 0.2 * sent[False] / 4 < sent[True] < 0.4 * sent[False] / 4
+
+
+def test_endpoints_that_are_gone_leave_no_state():
+    harness = PolicyHarness(endpoints=0)
+    for number in range(1, 200):
+        harness.feed(endpoint_list(endpoint_entry(number, cell=number), kind=policy.EndpointListKind.DELTA))
+        harness.feed(
+            endpoint_list(
+                endpoint_entry(number, cell=number, state=policy.EndpointState.GONE),
+                kind=policy.EndpointListKind.DELTA,
+            )
+        )
+    gateway = harness.gateway
+    assert not gateway.endpoints and not gateway.cell_pools and not gateway.zone_pools
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -1,219 +1,184 @@
-"""What the choice of server, the retries and the shedding have to withstand."""
+"""Endpoint selection and the health estimates that it goes by."""
 
 from __future__ import annotations
 
-from conftest import SECOND, Bench, entry, listed, of
+from harness.policy_harness import SECOND, PolicyHarness, actions_of, endpoint_entry, endpoint_list
 
 from orchidlane import policy
 from orchidlane.policy import Outcome
 
 
-def serve(bench: Bench, request: int, took) -> policy.SendAttempt | None:
+def serve_request(harness: PolicyHarness, request: int, took) -> policy.SendAttempt | None:
     """Ask, and answer at once with a time by server; the send, if there was one."""
-    sends = of(bench.ask(request, customer=request, left=2 * SECOND), policy.SendAttempt)
+    sends = actions_of(
+        harness.request(request, customer=request, time_left_us=2 * SECOND), policy.SendAttempt
+    )
     if not sends:
         return None
-    bench.run(10_000)
-    bench.outcome(request, sends[0].endpoint, Outcome.SERVED, took=took(sends[0].endpoint))
+    harness.advance(10_000)
+    harness.end_attempt(request, sends[0].endpoint, Outcome.SERVED, duration_us=took(sends[0].endpoint))
     return sends[0]
 
 
-def test_a_jam_ends_when_its_cause_does():
+def test_requests_are_admitted_again_after_an_overload():
     """An answer time learnt in a jam must not refuse everything for good (lockout of an incident)."""
-    bench = Bench(servers=3)
+    harness = PolicyHarness(endpoints=3)
     for request in range(1, 200):
-        serve(bench, request, lambda _: 3 * SECOND)
-    bench.run(10 * SECOND)
-    assert sum(serve(bench, r, lambda _: 20_000) is not None for r in range(200, 240)) > 30
+        serve_request(harness, request, lambda _: 3 * SECOND)
+    harness.advance(10 * SECOND)
+    assert sum(serve_request(harness, r, lambda _: 20_000) is not None for r in range(200, 240)) > 30
 
 
-def test_a_jam_of_the_whole_fleet_is_noticed_by_a_gateway_that_meets_each_server_seldom():
+def test_an_overload_of_a_large_fleet_is_detected_from_few_attempts_per_endpoint():
     """Each of many gateways met each server once in many seconds, learnt nothing, let all in (incident)."""
-    bench = Bench(servers=200)
+    harness = PolicyHarness(endpoints=200)
     for request in range(1, 40):
-        serve(bench, request, lambda _: 60_000)
-    before = sum(serve(bench, r, lambda _: 3 * SECOND) is not None for r in range(100, 140))
-    during = sum(serve(bench, r, lambda _: 3 * SECOND) is not None for r in range(200, 240))
+        serve_request(harness, request, lambda _: 60_000)
+    before = sum(serve_request(harness, r, lambda _: 3 * SECOND) is not None for r in range(100, 140))
+    during = sum(serve_request(harness, r, lambda _: 3 * SECOND) is not None for r in range(200, 240))
     assert during < before / 2
-    bench.run(15 * SECOND)
-    assert serve(bench, 300, lambda _: 60_000) is not None
+    harness.advance(15 * SECOND)
+    assert serve_request(harness, 300, lambda _: 60_000) is not None
 
 
-def test_a_gateway_in_a_jam_lets_one_in_every_few_seconds_and_no_more():
+def test_during_an_overload_one_request_passes_every_few_seconds():
     """Refusing all, it learnt nothing: a third of a fleet sent nothing for 4 to 8 s (roll+mass)."""
-    bench = Bench(servers=200)
+    harness = PolicyHarness(endpoints=200)
     for request in range(1, 80):
-        serve(bench, request, lambda _: 6 * SECOND)
-    sent = [bench.now]
+        serve_request(harness, request, lambda _: 6 * SECOND)
+    sent = [harness.now]
     for request in range(100, 220):  # ten a second, and the jam goes on
-        sent += [bench.now] * (serve(bench, request, lambda _: 6 * SECOND) is not None)
-        bench.run(90_000)
-    apart = [later - earlier for earlier, later in zip(sent, [*sent[1:], bench.now], strict=True)]
+        sent += [harness.now] * (serve_request(harness, request, lambda _: 6 * SECOND) is not None)
+        harness.advance(90_000)
+    apart = [later - earlier for earlier, later in zip(sent, [*sent[1:], harness.now], strict=True)]
     assert 3 <= len(sent) <= 5
     assert max(apart) < 3.5 * SECOND and min(apart[:-1]) >= 3 * SECOND
 
 
-def test_slow_servers_get_less_and_come_back():
-    bench = Bench(servers=4)
-    slow = entry(0).endpoint
+def test_a_slow_endpoint_gets_less_traffic_until_it_recovers():
+    harness = PolicyHarness(endpoints=4)
+    slow = endpoint_entry(0).endpoint
 
     def part(first: int, took) -> float:
-        sends = [s for r in range(first, first + 120) if (s := serve(bench, r, took))]
+        sends = [s for r in range(first, first + 120) if (s := serve_request(harness, r, took))]
         return sum(s.endpoint == slow for s in sends) / len(sends)
 
     assert part(1, lambda server: 200_000 if server == slow else 30_000) < 0.1
-    bench.run(15 * SECOND)
+    harness.advance(15 * SECOND)
     assert part(500, lambda _: 30_000) > 0.12
 
 
-def test_a_server_that_refuses_connections_is_left_alone():
-    bench = Bench(servers=4)
-    dead, tried = entry(0).endpoint, 0
+def test_an_endpoint_that_refuses_connections_is_avoided():
+    harness = PolicyHarness(endpoints=4)
+    dead, tried = endpoint_entry(0).endpoint, 0
     for request in range(1, 101):
-        send = of(bench.ask(request, customer=request), policy.SendAttempt)[0]
+        send = actions_of(harness.request(request, customer=request), policy.SendAttempt)[0]
         attempt = 0
         while send.endpoint == dead:
             tried += 1
-            send = of(
-                bench.outcome(request, dead, Outcome.CONNECT_FAILED, attempt=attempt), policy.SendAttempt
+            send = actions_of(
+                harness.end_attempt(request, dead, Outcome.CONNECT_FAILED, attempt=attempt),
+                policy.SendAttempt,
             )[0]
             attempt += 1
-        bench.run(5_000)
-        bench.outcome(request, send.endpoint, Outcome.SERVED, attempt=attempt, took=30_000)
+        harness.advance(5_000)
+        harness.end_attempt(request, send.endpoint, Outcome.SERVED, attempt=attempt, duration_us=30_000)
     assert tried <= 5
 
 
-def test_a_zone_that_cannot_be_reached_is_avoided_before_each_of_its_servers_failed():
+def test_an_unreachable_zone_is_avoided_before_each_of_its_endpoints_failed():
     """In a cut each server of the other zone was tried in turn (ctva-kathmandu-later big-1)."""
-    bench, tried = Bench(servers=0), 0
-    far = {entry(i).endpoint for i in range(50)}
-    bench.feed(listed(*(entry(i, zone=int(i >= 50)) for i in range(100))))
+    harness, tried = PolicyHarness(endpoints=0), 0
+    far = {endpoint_entry(i).endpoint for i in range(50)}
+    harness.feed(endpoint_list(*(endpoint_entry(i, zone=int(i >= 50)) for i in range(100))))
     for request in range(1, 101):
-        out, attempt = of(bench.ask(request, customer=request), policy.SendAttempt), 0
+        out, attempt = actions_of(harness.request(request, customer=request), policy.SendAttempt), 0
         while out:
             lost = out[0].endpoint in far
             tried += lost
             outcome = Outcome.CONNECT_FAILED if lost else Outcome.SERVED
-            out = of(
-                bench.outcome(request, out[0].endpoint, outcome, attempt=attempt, took=30_000),
+            out = actions_of(
+                harness.end_attempt(request, out[0].endpoint, outcome, attempt=attempt, duration_us=30_000),
                 policy.SendAttempt,
             )
             attempt += 1
-        bench.run(20_000)
+        harness.advance(20_000)
     assert tried < 20
 
 
-def test_servers_that_answer_nobody_do_not_make_all_others_look_slow():
+def test_timeouts_of_silent_endpoints_do_not_raise_the_latency_expected_of_others():
     """A lost zone: time-outs there refused nine in ten requests in all zones (zone+mass, seed 3)."""
-    bench = Bench(servers=200)
+    harness = PolicyHarness(endpoints=200)
     for request in range(1, 40):
-        serve(bench, request, lambda _: 60_000)
+        serve_request(harness, request, lambda _: 60_000)
     sent = [
-        of(bench.ask(r, customer=r, left=2 * SECOND), policy.SendAttempt)[0].endpoint for r in range(100, 120)
+        actions_of(harness.request(r, customer=r, time_left_us=2 * SECOND), policy.SendAttempt)[0].endpoint
+        for r in range(100, 120)
     ]
-    bench.run(2 * SECOND)
+    harness.advance(2 * SECOND)
     for request, server in zip(range(100, 120), sent, strict=True):
-        bench.outcome(request, server, Outcome.TIMED_OUT, took=2 * SECOND)
-    assert all(serve(bench, request, lambda _: 60_000) for request in range(200, 220))
+        harness.end_attempt(request, server, Outcome.TIMED_OUT, duration_us=2 * SECOND)
+    assert all(serve_request(harness, request, lambda _: 60_000) for request in range(200, 220))
 
 
-def test_when_all_servers_fail_none_is_put_aside_for_good():
-    bench = Bench(servers=3)
+def test_no_endpoint_is_ejected_for_good_when_all_fail():
+    harness = PolicyHarness(endpoints=3)
     for request in range(1, 30):
-        out, attempt = of(bench.ask(request, customer=request), policy.SendAttempt), 0
+        out, attempt = actions_of(harness.request(request, customer=request), policy.SendAttempt), 0
         while out:
-            out = of(
-                bench.outcome(request, out[0].endpoint, Outcome.CONNECT_FAILED, attempt=attempt),
+            out = actions_of(
+                harness.end_attempt(request, out[0].endpoint, Outcome.CONNECT_FAILED, attempt=attempt),
                 policy.SendAttempt,
             )
             attempt += 1
-    bench.run(10 * SECOND)
-    sends = [s for r in range(50, 62) for s in of(bench.ask(r, customer=r), policy.SendAttempt)]
+    harness.advance(10 * SECOND)
+    sends = [s for r in range(50, 62) for s in actions_of(harness.request(r, customer=r), policy.SendAttempt)]
     assert len({s.endpoint for s in sends}) == 3
 
 
-def test_errors_do_not_multiply_the_load():
-    bench = Bench(servers=4)
-    sends = 0
-    for request in range(1, 201):
-        out = of(bench.ask(request, customer=request), policy.SendAttempt)
-        attempt = 0
-        while out:
-            sends += 1
-            out = of(
-                bench.outcome(request, out[0].endpoint, Outcome.ERROR, attempt=attempt), policy.SendAttempt
-            )
-            attempt += 1
-        bench.run(50_000)
-    assert sends < 200 * 1.15
-
-
-def test_overload_is_refused_at_once():
-    bench = Bench(servers=2)
-    for request in range(1, 41):
-        serve(bench, request, lambda _: 60_000)
-    sends = [s for r in range(100, 200) for s in of(bench.ask(r, customer=r), policy.SendAttempt)]
-    assert 0 < len(sends) < 50
-    assert not [
-        a for a in bench.run(SECOND // 10) if isinstance(a, policy.RejectRequest)
-    ]  # none was held first
-
-
-def test_an_idle_slow_kind_is_not_shed():
-    """The usual answer time itself is no reason to refuse, however near to the aim it is."""
-    bench = Bench(servers=1)
-    assert all(serve(bench, r, lambda _: 110_000) for r in range(1, 60))
-
-
-def test_two_alike_gateways_act_alike():
+def test_equal_gateways_with_the_same_seed_decide_alike():
     logs = []
     for _ in range(2):
-        bench = Bench(servers=9, seed=3)
+        harness = PolicyHarness(endpoints=9, seed=3)
         for request in range(1, 50):
-            serve(bench, request, lambda s: 20_000 + 1_000 * s[3])
-        logs.append(bench.log)
+            serve_request(harness, request, lambda s: 20_000 + 1_000 * s[3])
+        logs.append(harness.actions)
     assert logs[0] == logs[1]
 
 
-def test_a_stalled_server_is_passed_over():
-    bench = Bench(servers=0)
-    bench.feed(listed(entry(1), entry(2)))
-    stalled = of(bench.ask(1, kind=2), policy.SendAttempt)[0].endpoint
-    bench.run(300_000)
+def test_a_stalled_endpoint_is_avoided():
+    harness = PolicyHarness(endpoints=0)
+    harness.feed(endpoint_list(endpoint_entry(1), endpoint_entry(2)))
+    stalled = actions_of(harness.request(1, request_class=2), policy.SendAttempt)[0].endpoint
+    harness.advance(300_000)
     others = [
-        s.endpoint for r in range(2, 6) for s in of(bench.ask(r, customer=r, kind=2), policy.SendAttempt)
+        s.endpoint
+        for r in range(2, 6)
+        for s in actions_of(harness.request(r, customer=r, request_class=2), policy.SendAttempt)
     ]
     assert others
     assert stalled not in others
 
 
-def test_the_few_servers_that_can_serve_are_found_among_many_cold_ones():
+def test_a_warm_endpoint_is_found_among_many_in_slow_start():
     """A sample of a mostly cold fleet held requests though a warm server was free (incident)."""
-    bench = Bench(servers=0)
-    bench.feed(listed(entry(0), *(entry(i, launched=bench.now) for i in range(1, 200))))
-    assert [s.endpoint for s in of(bench.ask(1), policy.SendAttempt)] == [entry(0).endpoint]
+    harness = PolicyHarness(endpoints=0)
+    harness.feed(
+        endpoint_list(
+            endpoint_entry(0), *(endpoint_entry(i, started_at_us=harness.now) for i in range(1, 200))
+        )
+    )
+    assert [s.endpoint for s in actions_of(harness.request(1), policy.SendAttempt)] == [
+        endpoint_entry(0).endpoint
+    ]
 
 
-def test_failures_move_the_choice_of_server_and_refuse_nobody():
+def test_failures_influence_the_choice_of_endpoint_but_reject_no_request():
     """Resets by the network say nothing of how long an answer takes: with all servers met by them, a
     request still goes to one."""
-    bench = Bench()
+    harness = PolicyHarness()
     for number in range(1, 9):
-        (send,) = of(bench.ask(number, kind=2, customer=number), policy.SendAttempt)
-        bench.outcome(number, send.endpoint, policy.Outcome.CONNECTION_BROKEN)
-    assert all(host.failure_score > 0 for host in bench.gateway.endpoints.values())
-    assert of(bench.ask(20, customer=20), policy.SendAttempt)
-
-
-def test_servers_that_are_gone_are_forgotten():
-    bench = Bench(servers=0)
-    for number in range(1, 200):
-        bench.feed(listed(entry(number, cell=number), kind=policy.EndpointListKind.DELTA))
-        bench.feed(
-            listed(
-                entry(number, cell=number, phase=policy.EndpointState.GONE),
-                kind=policy.EndpointListKind.DELTA,
-            )
-        )
-    gateway = bench.gateway
-    assert not gateway.endpoints and not gateway.cell_pools and not gateway.zone_pools
+        (send,) = actions_of(harness.request(number, request_class=2, customer=number), policy.SendAttempt)
+        harness.end_attempt(number, send.endpoint, policy.Outcome.CONNECTION_BROKEN)
+    assert all(host.failure_score > 0 for host in harness.gateway.endpoints.values())
+    assert actions_of(harness.request(20, customer=20), policy.SendAttempt)
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -20,7 +20,7 @@
 
 import msgspec
 import pytest
-from conftest import SETTINGS, T0
+from harness.policy_harness import SETTINGS, START_US
 
 from orchidlane import policy, recording
 from orchidlane.gateway.control import endpoint_list
@@ -61,7 +61,7 @@
         self.world = self
 
     def now(self) -> int:
-        return T0
+        return START_US
 
     def call_at(self, *_: Any) -> None:
         """No file grows too old here."""
@@ -85,20 +85,23 @@
         customer=7,
         key=AccountKey(2, 1, 3),
         limit=24.5,
-        refilled_at_us=T0 - 40,
+        refilled_at_us=START_US - 40,
         replica_counts={0: ReplicaCount(15_900, 3.25), 2: ReplicaCount(15_950, 4.5)},
         counted_total=7.75,
         spent_total=9.25,
         recently_changed=(2, 0),
         unconfirmed=False,
         in_flight=2,
-        peer_admissions_at_us=(T0 - 9, T0 - 5),
-        announced_at_us=T0 - 3,
+        peer_admissions_at_us=(START_US - 9, START_US - 5),
+        announced_at_us=START_US - 3,
         ceiling_tokens=5.5,
         requested_tokens=1.5,
         exhausted=True,
     )
-    return [first, Account(customer=4_000_000_000, key=AccountKey(0, 0, 1), limit=10.0, refilled_at_us=T0)]
+    return [
+        first,
+        Account(customer=4_000_000_000, key=AccountKey(0, 0, 1), limit=10.0, refilled_at_us=START_US),
+    ]
 
 
 def golden_state() -> recording.Dump:
@@ -122,7 +125,7 @@
 def golden_events() -> list[policy.Event]:
     """Each type of event at least once, with each value of the enumerations that an event holds."""
     entries = tuple(
-        policy.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, T0 - 90, 1.5)
+        policy.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, START_US - 90, 1.5)
         for phase in policy.EndpointState
     )
     return [
@@ -147,7 +150,7 @@
 def golden_actions() -> list[policy.Action]:
     """Each type of action once."""
     return [
-        policy.SendAttempt(1, b"10.0.0.1:80", T0 + 5_000),
+        policy.SendAttempt(1, b"10.0.0.1:80", START_US + 5_000),
         policy.CancelAttempt(1, 4),
         policy.GrantQuota(2),
         policy.RejectRequest(1, 250_000, True),
@@ -166,13 +169,18 @@
         format=2,
         build=BUILD,
         gateway="gateway-1",
-        life=T0 - 1_000_000,
+        life=START_US - 1_000_000,
         number=3,
         settings=golden_settings(),
         state=msgspec.structs.replace(golden_state(), accounts=[]),
         class_names=CLASS_NAMES,
         plan_names=PLAN_NAMES,
-        about={"now": T0, "incarnation": T0 - 1_000_000, "list": ["epoch-1", 12, 2], "draining": True},
+        about={
+            "now": START_US,
+            "incarnation": START_US - 1_000_000,
+            "list": ["epoch-1", 12, 2],
+            "draining": True,
+        },
     )
 
 
@@ -182,7 +190,7 @@
         format=1,
         build=BUILD,
         gateway="gateway-1",
-        now=T0,
+        now=START_US,
         settings=golden_settings(),
         state=golden_state(),
         class_names=CLASS_NAMES,
@@ -219,11 +227,19 @@
     """A roll's state in some phase, with one gateway in each place."""
     ones = [
         rolling_upgrade.One(
-            place, 4_000 + number, T0 + number, 2, Answers(900, 30, 4), 3_000 + number, True, "done", True
+            place,
+            4_000 + number,
+            START_US + number,
+            2,
+            Answers(900, 30, 4),
+            3_000 + number,
+            True,
+            "done",
+            True,
         )
         for number, place in enumerate(rolling_upgrade.Place)
     ]
-    state = rolling_upgrade.State(ones, phase, T0 + 99, True, 4, [3, 1, 2], "gateway-2: it serves less")
+    state = rolling_upgrade.State(ones, phase, START_US + 99, True, 4, [3, 1, 2], "gateway-2: it serves less")
     names = [f"gateway-{number}" for number in range(len(ones))]
     return Kept(names, ("orchidlane-old serve", "orchidlane-new serve"), [1.5, 2.5, 3.5, 0.5, 9.0], state)
 
@@ -231,10 +247,10 @@
 def golden_limits_carried() -> dict[str, Any]:
     """What a successor is told of takes, tokens and reservations, beside the tables' rows."""
     return {
-        "life": T0 - 1_000_000,
-        "numbers": T0 - 999_000,
-        "sure_from": T0 - 500_000,
-        "credits": [[7, 2.5, T0 + 60_000_000]],
+        "life": START_US - 1_000_000,
+        "numbers": START_US - 999_000,
+        "sure_from": START_US - 500_000,
+        "credits": [[7, 2.5, START_US + 60_000_000]],
         "answered": [[1, 55, b"an answer told before"]],
     }
 
@@ -245,13 +261,22 @@
     return {
         "accounts": [
             [
-                *(7, [2, 1, 3], 24.5, T0 - 40, [[0, 15_900, 3.25], [2, 15_950, 4.5]], 7.75, 9.25, [2, 0]),
-                *(False, 2, [T0 - 9, T0 - 5], T0 - 3, 5.5, 1.5, True),
+                *(
+                    7,
+                    [2, 1, 3],
+                    24.5,
+                    START_US - 40,
+                    [[0, 15_900, 3.25], [2, 15_950, 4.5]],
+                    7.75,
+                    9.25,
+                    [2, 0],
+                ),
+                *(False, 2, [START_US - 9, START_US - 5], START_US - 3, 5.5, 1.5, True),
             ]
         ],
-        "tokens": [[b"token-1", 1, 55, T0 + 5_000_000, True, 2.5]],
+        "tokens": [[b"token-1", 1, 55, START_US + 5_000_000, True, 2.5]],
         "grants": [
-            [b"grant-%d" % number, 7, 2.5, T0 + 6_000_000, True, end]
+            [b"grant-%d" % number, 7, 2.5, START_US + 6_000_000, True, end]
             for number, end in enumerate(["", *ends])
         ],
     }
@@ -259,7 +284,7 @@
 
 def golden_peers() -> list[Any]:
     """What came of each peer: rank, incarnation, latest number, which of those before it came."""
-    return [[1, T0 - 70, 900, bytes(range(128))], [2, T0 - 60, 800, bytes(range(127, -1, -1))]]
+    return [[1, START_US - 70, 900, bytes(range(128))], [2, START_US - 60, 800, bytes(range(127, -1, -1))]]
 
 
 def golden_restart_messages() -> dict[str, Any]:
@@ -282,7 +307,7 @@
         "ended": told.Ended(86),
         "took": told.Took(87, True),
         "returned": told.Returned(),
-        "offer": told.Offer(BUILD, T0, T0 - 1_000_000, 4, ("http", "resp", "peers")),
+        "offer": told.Offer(BUILD, START_US, START_US - 1_000_000, 4, ("http", "resp", "peers")),
         "place": told.Place("http"),
         "rows of accounts": told.Rows("accounts", golden_rows()["accounts"], [8, 9]),
         "rows of tokens": told.Rows("tokens", golden_rows()["tokens"], [b"token-2"]),
@@ -297,7 +322,9 @@
             6_000,
             CLASS_NAMES,
         ),
-        "connection": told.Connection(88, "resp", b"*1\r\n", T0 - 30, T0 - 20, (3, b"client", False)),
+        "connection": told.Connection(
+            88, "resp", b"*1\r\n", START_US - 30, START_US - 20, (3, b"client", False)
+        ),
         "take": told.Take(56, 7, 2, 1, 2.5, 1, 3),
         "tell": told.Tell(2, b"\x02a datagram's body"),
         "granted": told.Granted(b"grant-1", 7, 2.5, 60_000_000),
@@ -491,11 +518,14 @@
 def write_record() -> bytes:
     """A segment with its accounts in two pages, each event, all actions with the first, and an answer."""
     rows = [dump_account(account) for account in golden_accounts()]
-    parts = [recording.pack_header(golden_header()), recording.pack_accounts(T0 + 1, rows[:1], last=False)]
+    parts = [
+        recording.pack_header(golden_header()),
+        recording.pack_accounts(START_US + 1, rows[:1], last=False),
+    ]
     for number, event in enumerate(golden_events()):
-        parts.append(recording.pack_entry(T0 + 2 + number, event, [] if number else golden_actions()))
-    parts.append(recording.pack_accounts(T0 + 90, rows[1:], last=True))
-    parts.append(segments.pack_answer(T0 + 91, 1, 429, "refused", 6_000))
+        parts.append(recording.pack_entry(START_US + 2 + number, event, [] if number else golden_actions()))
+    parts.append(recording.pack_accounts(START_US + 90, rows[1:], last=True))
+    parts.append(segments.pack_answer(START_US + 91, 1, 429, "refused", 6_000))
     return b"".join(parts)
 
 
@@ -508,7 +538,13 @@
     """The account store of a gateway whose module holds the golden accounts, or none where they are read."""
     gateway = recording.restore(SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS))
     recording.track(gateway)
-    about = {"now": T0, "incarnation": T0 - 1_000_000, "sequence": 5_000, "generation": 4, "open": 2}
+    about = {
+        "now": START_US,
+        "incarnation": START_US - 1_000_000,
+        "sequence": 5_000,
+        "generation": 4,
+        "open": 2,
+    }
     program = SimpleNamespace(
         loop=disk,
         host=SimpleNamespace(loop=disk, rules=gateway, settings=SETTINGS),
@@ -516,7 +552,7 @@
             restart=SimpleNamespace(every=2_000_000), plans=dict.fromkeys(PLAN_NAMES), gateways=[]
         ),
         entry=SimpleNamespace(name="gateway-1"),
-        incarnation=T0 - 1_000_000,
+        incarnation=START_US - 1_000_000,
         names=lambda: (CLASS_NAMES, PLAN_NAMES),
         about=lambda: about,
         quiet=False,
@@ -566,7 +602,7 @@
 
 def write_module_message() -> bytes:
     """As the module tells its peers."""
-    sent = T0 // 1000
+    sent = START_US // 1000
     return module_messages.encode_message(
         sent, True, True, [module_messages.encode_row(golden_module_row(), sent, 3)]
     )
@@ -576,7 +612,7 @@
     """One sealed datagram of each kind."""
     kinds = {"module": datagrams.MODULE, "limits": datagrams.LIMITS, "versions": datagrams.CHANGE}
     return {
-        name: datagrams.seal(SECRET, 1, 2, T0 - 5, 900 + kind, b"a body", kind)
+        name: datagrams.seal(SECRET, 1, 2, START_US - 5, 900 + kind, b"a body", kind)
         for name, kind in kinds.items()
     }
 
@@ -700,7 +736,7 @@
     assert [module.now, module.allowance_refilled_at_us, module.started_at_us] == [
         1_000_549_025,
         1_000_470_794,
-        T0,
+        START_US,
     ]
     assert [module.last_attempt_at_us, module.retry_budget] == [1_000_412_080, 2.4499999999999984]
     assert [module.unreachable_share, module.message_allowance] == [0.14782969, 39.0]
@@ -783,9 +819,9 @@
     *entries, answer = reader.entries()
     assert reader.broken is None
     assert [entry.event for entry in entries] == golden_events()
-    assert [entry.now for entry in entries] == [T0 + 2 + number for number in range(len(entries))]
+    assert [entry.now for entry in entries] == [START_US + 2 + number for number in range(len(entries))]
     assert entries[0].actions == golden_actions()
-    assert (answer.now, answer.event, answer.facts) == (T0 + 91, None, (1, 429, "refused", 6_000))
+    assert (answer.now, answer.event, answer.facts) == (START_US + 91, None, (1, 429, "refused", 6_000))
 
 
 def test_a_golden_account_store_brings_back_its_accounts():
@@ -802,7 +838,7 @@
             one.spent_total,
             one.counted_total,
         )
-        assert (found.limit, found.refilled_at_us) == (max(one.limit, one.spent_total), T0)
+        assert (found.limit, found.refilled_at_us) == (max(one.limit, one.spent_total), START_US)
 
 
 def test_a_golden_view_is_read_as_its_values():
@@ -855,7 +891,7 @@
     accounts = read_restart_message("rows of accounts").rows
     assert [recording.load_account(row) for row in accounts] == golden_accounts()[:1]
     assert PACK([dump_account(recording.load_account(row)) for row in accounts]) == PACK(accounts)
-    holder, grants = Holder(1, 10, T0), GrantLedger(100, 1, 1)
+    holder, grants = Holder(1, 10, START_US), GrantLedger(100, 1, 1)
     for kept, name in ((holder, "rows of tokens"), (grants, "rows of grants")):
         rows = read_restart_message(name).rows
         for row in rows:
@@ -871,7 +907,7 @@
     service.carry_on(final.limits)
     again = {**final.limits, "numbers": final.limits["numbers"] + token_requests.NUMBERS_APART}
     assert PACK(service.carried()) == PACK(again)
-    inbox = datagrams.Inbox(SECRET, 0, 3, T0, 9.0)
+    inbox = datagrams.Inbox(SECRET, 0, 3, START_US, 9.0)
     inbox.carry_on(final.peers)
     assert PACK(inbox.carried()) == PACK(final.peers)
     tracker = endpoint_list.ListTracker("z1", 100)
@@ -899,14 +935,14 @@
 
 
 def test_a_golden_message_of_the_module_is_read_as_its_values():
-    found = module_messages.decode_message(golden("module-message.bin"), T0 // 1000, 3, len(PLAN_NAMES))
-    assert found == module_messages.GossipMessage(T0 // 1000, True, True, (golden_module_row(),))
+    found = module_messages.decode_message(golden("module-message.bin"), START_US // 1000, 3, len(PLAN_NAMES))
+    assert found == module_messages.GossipMessage(START_US // 1000, True, True, (golden_module_row(),))
 
 
 def test_golden_datagrams_of_every_kind_are_taken():
     for number, data in enumerate(golden_examples("datagrams.json").values()):
-        inbox = datagrams.Inbox(SECRET, 2, 3, T0, 9.0, 9.0, 9.0)
-        assert inbox.take(T0, data) == (number, 1, b"a body")
+        inbox = datagrams.Inbox(SECRET, 2, 3, START_US, 9.0, 9.0, 9.0)
+        assert inbox.take(START_US, data) == (number, 1, b"a body")
 
 
 # Fleet versions
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -2,22 +2,22 @@
 
 from __future__ import annotations
 
-from conftest import CEILED, Bench, of
+from harness.policy_harness import CEILING_PLAN, PolicyHarness, actions_of
 
 from orchidlane.policy import RejectRequest, SendPeerMessage
 
 
 def test_a_gateway_that_may_not_gossip_sends_no_peer_message_when_a_ceiling_is_reached():
-    bench = Bench(may_gossip=False, plans=(CEILED,))
+    harness = PolicyHarness(may_gossip=False, plans=(CEILING_PLAN,))
     for request in range(300):
-        bench.ask(request, customer=request // 10, size=3)
-    assert any(rejected.over_quota for rejected in of(bench.log, RejectRequest))
-    assert of(bench.log, SendPeerMessage) == []
+        harness.request(request, customer=request // 10, replica_set_size=3)
+    assert any(rejected.over_quota for rejected in actions_of(harness.actions, RejectRequest))
+    assert actions_of(harness.actions, SendPeerMessage) == []
 
 
 def test_a_gateway_that_may_not_gossip_sends_no_peer_message_below_its_ceilings():
-    bench = Bench(may_gossip=False)
+    harness = PolicyHarness(may_gossip=False)
     for request in range(20):
-        bench.ask(request, customer=request, size=3)
-    bench.run(2_000_000)
-    assert of(bench.log, SendPeerMessage) == []
+        harness.request(request, customer=request, replica_set_size=3)
+    harness.advance(2_000_000)
+    assert actions_of(harness.actions, SendPeerMessage) == []
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from conftest import SECOND, Bench, entry, listed, of
+from harness.policy_harness import SECOND, PolicyHarness, actions_of, endpoint_entry, endpoint_list
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_day import MATERIALS, day, quiet, step  # noqa: F401
@@ -34,7 +34,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.bench = Bench(servers=5, seed=seed)
+        self.bench = PolicyHarness(endpoints=5, seed=seed)
         self.number = 0
         self.out: list[tuple[int, int, bytes]] = []
         self.sends: dict[int, int] = {}
@@ -43,7 +43,7 @@
     def tell(self, event: policy.Event) -> None:
         actions = self.bench.feed(event)
         self.log.append((self.bench.now, event, actions))
-        for send in of(actions, policy.SendAttempt):
+        for send in actions_of(actions, policy.SendAttempt):
             number = self.sends[send.request] = self.sends.get(send.request, -1) + 1
             self.out.append((send.request, number, send.endpoint))
 
@@ -74,7 +74,10 @@
             phase = rng.choice(list(EndpointState))
             launched = rng.choice((0, bench.now))
             self.tell(
-                listed(entry(rng.randrange(5), phase, launched=launched), kind=policy.EndpointListKind.DELTA)
+                endpoint_list(
+                    endpoint_entry(rng.randrange(5), phase, started_at_us=launched),
+                    kind=policy.EndpointListKind.DELTA,
+                )
             )
         else:
             counts = ((1, bench.now // 62_500, float(rng.randrange(9))),)
@@ -131,7 +134,7 @@
 
 
 def test_a_state_of_another_format_or_that_does_not_fit_is_refused():
-    bench = Bench()
+    bench = PolicyHarness()
     kept = recording.dump(bench.gateway)
     with pytest.raises(recording.FormatError, match="format 9"):
         recording.restore(bench.settings, msgspec.structs.replace(kept, format=9))
@@ -389,9 +392,9 @@
             actions = story.log[-1][2]
             done = (
                 "sent"
-                if of(actions, policy.SendAttempt)
+                if actions_of(actions, policy.SendAttempt)
                 else "refused"
-                if of(actions, policy.RejectRequest)
+                if actions_of(actions, policy.RejectRequest)
                 else "held"
             )
             assert foretold.decision == done
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -6,9 +6,9 @@
 
 import msgspec
 import pytest
-from conftest import PLAIN, SECOND, SETTINGS
 from harness.gateway_harness import GET, MS, GatewayHarness
 from harness.gateway_harness import SETTINGS as FLEET
+from harness.policy_harness import PLAIN_PLAN, SECOND, SETTINGS
 from hypothesis import given
 from hypothesis import strategies as st
 from test_day import day, quiet  # noqa: F401
@@ -31,7 +31,7 @@
 
 
 def module(rate: float, burst: float) -> Gateway:
-    plan = dataclasses.replace(PLAIN, rate=rate, burst=burst)
+    plan = dataclasses.replace(PLAIN_PLAN, rate=rate, burst=burst)
     alone = dataclasses.replace(SETTINGS, replica_count=1, may_gossip=False, plans=(plan,))
     return Gateway(alone, 1, START)
 
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -11,7 +11,7 @@
 
 import msgspec
 import pytest
-from conftest import SECOND
+from harness.policy_harness import SECOND
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_day import day, quiet  # noqa: F401
--- a/tests/test_shard_migration.py
+++ b/tests/test_shard_migration.py
@@ -6,7 +6,7 @@
 import json
 
 import pytest
-from conftest import CEILED, SECOND, SETTINGS, T0
+from harness.policy_harness import CEILING_PLAN, SECOND, SETTINGS, START_US
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -24,8 +24,8 @@
     """Six modules and who adopted what; a subscriber with a ceiling asks wherever it is served."""
 
     def __init__(self, with_hold: bool = True) -> None:
-        plan = dataclasses.replace(CEILED, rate=0.0, burst=0.0)
-        self.now, self.with_hold = T0, with_hold
+        plan = dataclasses.replace(CEILING_PLAN, rate=0.0, burst=0.0)
+        self.now, self.with_hold = START_US, with_hold
         changes = {"replica_count": GATEWAYS, "plans": (plan,)}
         self.ones = [
             Gateway(dataclasses.replace(SETTINGS, replica=rank, **changes), rank, self.now - 60 * SECOND)
@@ -55,7 +55,7 @@
 
     def beyond(self) -> float:
         """The most that any span took beyond what one store gives: the audit's measure, without slack."""
-        room, at, worst = self.plan.ceiling_burst, T0, 0.0
+        room, at, worst = self.plan.ceiling_burst, START_US, 0.0
         for when, units in self.taken:
             room = min(self.plan.ceiling_burst, room + self.plan.ceiling_rate * (when - at) / SECOND)
             room, at = room - units, when
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -13,8 +13,8 @@
 
 import msgspec
 import pytest
-from conftest import SECOND
 from harness.gateway_harness import GET, MS, GatewayHarness, good
+from harness.policy_harness import SECOND
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_day import day, quiet, step  # noqa: F401
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,8 +12,8 @@
 import msgspec
 import pytest
 import structlog
-from conftest import SECOND
 from harness.gateway_harness import GENERATION, GET, MS, OK, REPORT, SETTINGS, GatewayHarness, good, request
+from harness.policy_harness import SECOND
 from test_day import quiet  # noqa: F401
 
 from orchidlane import http1, recording
