--- a/tests/harness/fleet_harness.py
+++ b/tests/harness/fleet_harness.py
@@ -1,7 +1,7 @@
-"""A fleet of platform gateways in the simulated world, with hosts that are cold at first and clients beside.
+"""A fleet of platform gateways in the simulated backend, with hosts in slow start and clients.
 
-Each gateway has an agent of discovery of its own, which hears of changes late by a time of its own. All is
-one seed.
+Each gateway has a discovery agent of its own, which learns of changes with a lag of its own. One
+seed determines the whole run.
 """
 
 from __future__ import annotations
@@ -21,90 +21,94 @@
 
 
 @dataclass
-class Host:
-    """An emulated host; ``started`` in microseconds, 0: long ago."""
+class FakeHost:
+    """An emulated host; ``started_at_us`` 0 means long ago."""
 
     number: int
-    started: int
+    started_at_us: int
     busy: int = 0
     waiting: int = 0
-    came: list[tuple[int, int]] = field(default_factory=list)  # when, from which gateway
-    gone: bool = False
+    request_times_us: list[int] = field(default_factory=list)
+    removed: bool = False
 
 
 @dataclass(frozen=True)
-class Terms:
-    """How a fleet is made; spans in microseconds."""
+class FleetTerms:
+    """How a fleet is made and loaded."""
 
     gateways: int
     hosts: int
     slots: int = 4
-    work: int = 50 * MS  # of one request on a warm host
+    work_us: int = 50 * MS  # of one request on a warm host
     load: float = 0.6  # of what all hosts can do when warm
-    late: int = 2 * SECOND  # the latest agent hears of a change so much later
-    cold_from: float = 0.25
-    warm_within: int = 10 * SECOND
-    fall_multiple: float = 2.5
-    overload_for: int = 1_200 * MS
-    span: int = 8 * SECOND
+    max_discovery_lag_us: int = 2 * SECOND  # of the agent that hears of changes last
+    slow_start_initial_share: float = 0.25
+    slow_start_us: int = 10 * SECOND
+    overload_multiple: float = 2.5
+    overload_window_us: int = 1_200 * MS
+    duration_us: int = 8 * SECOND
 
     @property
-    def capacity(self) -> float:
-        """Requests a second of one warm host."""
-        return self.slots * SECOND / self.work
+    def requests_per_second(self) -> float:
+        """What one warm host serves."""
+        return self.slots * SECOND / self.work_us
 
 
-class Fleet:
-    """Gateways, agents, hosts and clients; ``play`` runs them."""
+class SimulatedFleet:
+    """Gateways, discovery agents, hosts and clients; ``run`` runs them."""
 
     def __init__(
-        self, terms: Terms, plans: list[dict], customers: list[tuple[int, int]], seed: int = 1
+        self, terms: FleetTerms, plans: list[dict], customers: list[tuple[int, int]], seed: int = 1
     ) -> None:
-        """``customers``: plan and share of all requests, by number."""
+        """Make a fleet; ``customers`` are plan and share of all requests, by number."""
         self.terms, self.plans, self.customers = terms, plans, customers
         self.random = random.Random(seed)
         self.world = SimWorld(seed, Faults(delay=(100, 400), slow_chance=0.0, datagram_loss=0.02))
         self.loop = Loop(self.world)
-        self.hosts = [Host(number, 0) for number in range(terms.hosts)]
+        self.hosts = [FakeHost(number, 0) for number in range(terms.hosts)]
         self.generation = 1
-        self.changes: list[tuple[int, int, dict]] = []  # generation, when, entry
+        self.changes: list[tuple[int, int, dict]] = []  # generation, time, entry
         self.lives: list[Life] = []
-        self.asked: list[tuple[int, int]] = []  # when and whose: every try
-        self.sent: list[tuple[int, int]] = []  # the same: its first attempt reached a host
+        self.requests: list[tuple[int, int]] = []  # time and customer
+        self.first_attempts: list[tuple[int, int]] = []  # the same, when it first reached a host
         self.statuses: dict[int, int] = {}
-        self._firsts: set[bytes] = set()
+        self._seen_request_ids: set[bytes] = set()
 
-    # -- what the gateways are told
+    # Discovery
 
-    def at(self, kind: int, number: int) -> str:
+    def address(self, kind: int, number: int) -> str:
         return f"127.{kind}.{number // 250}.{1 + number % 250}"
 
-    def _entry(self, host: Host) -> dict:
+    def _discovery_entry(self, host: FakeHost) -> dict:
         return {
             "instanceId": f"s-{host.number}",
-            "hostPort": f"{self.at(3, host.number)}:9000",
+            "hostPort": f"{self.address(3, host.number)}:9000",
             "zone": HALLS[host.number % 2],
             "cell": host.number // 4,
-            "lifecycle": "left" if host.gone else "active",
-            "startedAtMs": host.started // MS,
+            "lifecycle": "left" if host.removed else "active",
+            "startedAtMs": host.started_at_us // MS,
         }
 
-    def _config(self, rank: int):
-        t = self.terms
-        rules = {**settings()["rules"], "coldFrom": t.cold_from, "warmWithin": t.warm_within}
-        rules |= {"fallMultiple": t.fall_multiple, "overloadFor": t.overload_for}
-        told = settings(rank=rank, balancers=t.gateways, packages=self.plans, rules=rules)
+    def _gateway_config(self, rank: int):
+        terms = self.terms
+        rules = {
+            **settings()["rules"],
+            "coldFrom": terms.slow_start_initial_share,
+            "warmWithin": terms.slow_start_us,
+        }
+        rules |= {"fallMultiple": terms.overload_multiple, "overloadFor": terms.overload_window_us}
+        told = settings(rank=rank, balancers=terms.gateways, packages=self.plans, rules=rules)
         told["permissions"] |= {"peers": True}
-        peers = [f"{self.at(1, number)}:7946" for number in range(t.gateways)]
+        peers = [f"{self.address(1, number)}:7946" for number in range(terms.gateways)]
         known = {
             "generation": 1,
             "reset": True,
-            "instances": [self._entry(host) for host in self.hosts[: t.hosts]],
+            "instances": [self._discovery_entry(host) for host in self.hosts[: terms.hosts]],
         }
         whole = file(
             name=f"n{rank}",
-            listen=f"{self.at(1, rank)}:8080",
-            discovery=f"{self.at(2, rank)}:8500",
+            listen=f"{self.address(1, rank)}:8080",
+            discovery=f"{self.address(2, rank)}:8500",
             peer_listen=peers[rank],
             peers=peers,
             seed=f"{rank:x}",
@@ -113,23 +117,27 @@
         )
         return parse(json.dumps(whole).encode(), "config.json")
 
-    def _agent(self, rank: int) -> None:
-        """Tells what it has heard of so far to each watch, and goes on."""
-        listener = self.world.listen((self.at(2, rank), 8500))
+    def _run_agent(self, rank: int) -> None:
+        """Serve the watches of one gateway."""
+        listener = self.world.listen((self.address(2, rank), 8500))
         while True:
-            self.scope.spawn(self._watch, listener.accept(), self._lag(rank))
+            self.scope.spawn(self._serve_watch, listener.accept(), self._discovery_lag_us(rank))
 
-    def _lag(self, rank: int) -> int:
-        return self.terms.late * rank // max(1, self.terms.gateways - 1)
+    def _discovery_lag_us(self, rank: int) -> int:
+        return self.terms.max_discovery_lag_us * rank // max(1, self.terms.gateways - 1)
 
-    def _watch(self, stream, lag: int) -> None:
+    def _serve_watch(self, stream, lag: int) -> None:
         try:
             asked = stream.recv().split(b" ")[1]
             begun = int(asked.partition(b"from=")[2] or b"1")
             stream.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             line = {"generation": begun, "reset": False, "instances": []}
             if b"from=" not in asked:
-                line = {"generation": 1, "reset": True, "instances": [self._entry(h) for h in self.first]}
+                line = {
+                    "generation": 1,
+                    "reset": True,
+                    "instances": [self._discovery_entry(h) for h in self.first],
+                }
             beat = 0
             while True:
                 if line or self.loop.now() - beat >= SECOND:
@@ -147,39 +155,42 @@
         except Closed:
             pass
 
-    # -- hosts
+    # Hosts
 
     def add(self) -> None:
-        """One more host starts, cold."""
-        host = Host(len(self.hosts), self.loop.now())
+        """Start one more host, in slow start."""
+        host = FakeHost(len(self.hosts), self.loop.now())
         self.hosts.append(host)
-        self.scope.spawn(self._host, host)
-        self._told(host)
+        self.scope.spawn(self._run_host, host)
+        self._publish(host)
 
-    def remove(self, host: Host) -> None:
-        """A host leaves, and what it has is not answered."""
-        host.gone = True
-        self._told(host)
+    def remove(self, host: FakeHost) -> None:
+        """Remove a host; the requests that it has are not answered."""
+        host.removed = True
+        self._publish(host)
 
-    def _told(self, host: Host) -> None:
+    def _publish(self, host: FakeHost) -> None:
         self.generation += 1
-        self.changes.append((self.generation, self.loop.now(), self._entry(host)))
+        self.changes.append((self.generation, self.loop.now(), self._discovery_entry(host)))
 
-    def ramp(self, host: Host, now: int) -> float:
-        """What part of its capacity a host has."""
-        if not host.started:
+    def ramp(self, host: FakeHost, now: int) -> float:
+        """Return the part of its capacity that a host has."""
+        if not host.started_at_us:
             return 1.0
         return min(
             1.0,
-            self.terms.cold_from + (1 - self.terms.cold_from) * (now - host.started) / self.terms.warm_within,
+            self.terms.slow_start_initial_share
+            + (1 - self.terms.slow_start_initial_share)
+            * (now - host.started_at_us)
+            / self.terms.slow_start_us,
         )
 
-    def _host(self, host: Host) -> None:
-        listener = self.world.listen((self.at(3, host.number), 9000))
+    def _run_host(self, host: FakeHost) -> None:
+        listener = self.world.listen((self.address(3, host.number), 9000))
         while True:
-            self.scope.spawn(self._serve, host, listener.accept())
+            self.scope.spawn(self._serve_connection, host, listener.accept())
 
-    def _serve(self, host: Host, stream) -> None:
+    def _serve_connection(self, host: FakeHost, stream) -> None:
         parser = http1.RequestParser()
         try:
             while True:
@@ -189,41 +200,43 @@
                     elif event is None:
                         parser.receive(data)
                     elif isinstance(event, http1.Request):
-                        self._came(host, event)
+                        self._note_request(host, event)
                 parser.next_message()
-                stream.send(self._work(host))
+                stream.send(self._serve_request(host))
         except Closed:
             pass
 
-    def _came(self, host: Host, head: http1.Request) -> None:
-        host.came.append((self.loop.now(), 0))
+    def _note_request(self, host: FakeHost, head: http1.Request) -> None:
+        host.request_times_us.append(self.loop.now())
         number = http1.header(head.headers, b"x-request-id") or b""
-        if number not in self._firsts:
-            self._firsts.add(number)
-            self.sent.append((self.loop.now(), int(head.target[-16:], 16)))
+        if number not in self._seen_request_ids:
+            self._seen_request_ids.add(number)
+            self.first_attempts.append((self.loop.now(), int(head.target[-16:], 16)))
 
-    def _work(self, host: Host) -> bytes:
-        if host.gone or (host.busy >= self.terms.slots and host.waiting >= 4 * self.terms.slots):
+    def _serve_request(self, host: FakeHost) -> bytes:
+        if host.removed or (host.busy >= self.terms.slots and host.waiting >= 4 * self.terms.slots):
             return FULL
         host.waiting += 1
         while host.busy >= self.terms.slots:
             self.loop.sleep(5 * MS)
         host.waiting -= 1
         host.busy += 1
-        self.loop.sleep(int(self.random.expovariate(1 / self.terms.work) / self.ramp(host, self.loop.now())))
+        self.loop.sleep(
+            int(self.random.expovariate(1 / self.terms.work_us) / self.ramp(host, self.loop.now()))
+        )
         host.busy -= 1
         return OK
 
-    # -- clients
+    # Clients
 
-    def _clients(self, rank: int, rate: float) -> None:
+    def _run_clients(self, rank: int, rate: float) -> None:
         weights = [share for _, share in self.customers]
         while True:
             self.loop.sleep(int(self.random.expovariate(rate) * SECOND))
             customer = self.random.choices(range(len(self.customers)), weights)[0]
-            self.scope.spawn(self._ask, rank, customer)
+            self.scope.spawn(self._send_request, rank, customer)
 
-    def _ask(self, rank: int, customer: int) -> None:
+    def _send_request(self, rank: int, customer: int) -> None:
         size = self.terms.gateways
         raw = call(
             client=f"{customer:016x}",
@@ -231,9 +244,9 @@
             left="1.000",
             extras=f"units=1,spread={size},first=0",
         )
-        self.asked.append((self.loop.now(), customer))
+        self.requests.append((self.loop.now(), customer))
         try:
-            stream = self.world.connect((self.at(1, rank), 8080))
+            stream = self.world.connect((self.address(1, rank), 8080))
             stream.send(raw)
             status = int(stream.recv(deadline=self.loop.now() + 2 * SECOND)[9:12] or b"0")
             stream.close()
@@ -241,18 +254,18 @@
             status = 0
         self.statuses[status] = self.statuses.get(status, 0) + 1
 
-    # -- a day
+    # The run
 
-    def play(self, during) -> Fleet:
-        """Run ``during(fleet)`` beside the load for the terms' span."""
-        self.loop.run(self._play, during)
+    def run(self, during) -> SimulatedFleet:
+        """Run the load for the duration, and ``during(fleet)`` beside it."""
+        self.loop.run(self._run, during)
         return self
 
     def start(self, rank: int) -> None:
-        """Start a gateway, or start it again."""
+        """Start a gateway, for the first time or again."""
 
         def work() -> None:
-            self.lives[rank] = Life(self.loop, self._config(rank), "config.json")
+            self.lives[rank] = Life(self.loop, self._gateway_config(rank), "config.json")
             self.lives[rank].run()
 
         self.processes[rank] = self.world.start(f"n{rank}", work)
@@ -262,37 +275,45 @@
         self.world.kill(self.processes[rank])
         self.start(rank)
 
-    def _play(self, during) -> None:
-        t = self.terms
+    def _run(self, during) -> None:
+        terms = self.terms
         self.first = list(self.hosts)
-        self.lives, self.processes = [None] * t.gateways, [None] * t.gateways
+        self.lives, self.processes = [None] * terms.gateways, [None] * terms.gateways
         with Scope(self.loop) as scope:
             self.scope = scope
             for host in self.hosts:
-                scope.spawn(self._host, host)
-            for rank in range(t.gateways):
-                scope.spawn(self._agent, rank, kind=CONTROL)
+                scope.spawn(self._run_host, host)
+            for rank in range(terms.gateways):
+                scope.spawn(self._run_agent, rank, kind=CONTROL)
                 self.start(rank)
             self.loop.sleep(200 * MS)
-            rate = t.load * t.capacity * t.hosts / t.gateways
-            for rank in range(t.gateways):
-                scope.spawn(self._clients, rank, rate)
+            rate = terms.load * terms.requests_per_second * terms.hosts / terms.gateways
+            for rank in range(terms.gateways):
+                scope.spawn(self._run_clients, rank, rate)
             began = self.loop.now()
             during(self)
-            self.loop.sleep(began + t.span - self.loop.now())
+            self.loop.sleep(began + terms.duration_us - self.loop.now())
             scope.cancel()
             for process in self.processes:
                 self.world.kill(process)
 
-    def over_budget(self, host: Host) -> float:
-        """How far beyond its budget a cold host was sent at worst, in units of what chance explains.
+    def worst_excess(self, host: FakeHost) -> float:
+        """Return how far requests to a cold host exceeded its budget at worst; chance explains 1.
 
-        The budget of a window is what the settings allow at its begin, in requests of mean work; chance
-        explains 2 x its root + 2 more.
+        The budget of a window is what the settings allow at its start, in requests of mean work; chance
+        explains twice its square root and 2 more.
         """
-        t, times, worst = self.terms, [when for when, _ in host.came], float("-inf")
+        terms = self.terms
+        times = host.request_times_us
+        worst = float("-inf")
         for first, begin in enumerate(times):
-            count = sum(1 for when in times[first:] if when < begin + t.overload_for)
-            budget = t.fall_multiple * self.ramp(host, begin) * t.capacity * t.overload_for / SECOND
+            count = sum(1 for when in times[first:] if when < begin + terms.overload_window_us)
+            budget = (
+                terms.overload_multiple
+                * self.ramp(host, begin)
+                * terms.requests_per_second
+                * terms.overload_window_us
+                / SECOND
+            )
             worst = max(worst, (count - budget) / (2 * budget**0.5 + 2))
         return worst
