--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -1,4 +1,4 @@
-"""The decision module as a whole: a fleet's session of many events gives the same actions as golden data.
+"""The policy as a whole: a fleet's session of many events leads to the same actions as golden data.
 
 Events go in and actions come out as records of the binary wire, so that names in the code play no part. What
 the wire does not carry (takes, counts told by another process, sets that move) is built below. ``golden.py``
@@ -25,40 +25,51 @@
 from orchidlane.simulator_protocol import codec, process, settings_json
 
 MS, SECOND = 1_000, 1_000_000
-BEGIN = 1_000 * SECOND
-SERVED, ERROR, FULL, TIMED_OUT, NOT_CONNECTED, BROKEN, CANCELLED, NEVER_SENT = (
+START_US = 1_000 * SECOND
+SERVED, ERROR, ENDPOINT_FULL, TIMED_OUT, CONNECT_FAILED, CONNECTION_BROKEN, CANCELLED, NOT_SENT = (
     100, 301, 302, 303, 304, 305, 306, 307,
 )  # fmt: skip
 GONE, READY, DRAINING = 0, 1, 2
-CHANGES, WHOLE, CACHED, FAILED = 0, 1, 2, 3
-SEND, REFUSE, FAIL, CANCEL, SET_TIMER, TELL, BUG, ASK_LIST = 65, 66, 67, 68, 69, 72, 74, 75
+DELTA, COMPLETE, CACHED, FAILED = 0, 1, 2, 3
+SEND, REJECT, FAIL, CANCEL, SET_TIMER, SEND_PEER_MESSAGE, POLICY_FAILURE, WATCH_ENDPOINTS = (
+    65,
+    66,
+    67,
+    68,
+    69,
+    72,
+    74,
+    75,
+)
 
 
 # What names the code's types: nothing else in this file does
 
 
 def make_gateway(settings: bytes, seed: int, now: int) -> Gateway:
-    """A gateway's decisions."""
+    """A gateway under test."""
     return Gateway(settings_json.parse_settings(settings), seed, now)
 
 
-def take_event(request: int, customer: int, plan: int, kind: int, units: float, first: int, size: int):
-    """Units that are wanted without a server."""
+def quota_requested_event(
+    request: int, customer: int, plan: int, kind: int, units: float, first: int, size: int
+):
+    """Quota is requested without an endpoint."""
     return policy.QuotaRequested(request, customer, plan, kind, units, first, size)
 
 
-def counted_event(customer: int, plan: int, first: int, size: int, start: int, value: float):
-    """What another process of this gateway counted."""
+def count_recovered_event(customer: int, plan: int, first: int, size: int, start: int, value: float):
+    """A count of another process of this gateway."""
     return policy.CountRecovered(customer, plan, first, size, start, value)
 
 
-def set_moved_event(customer: int, plan: int, first: int, size: int):
-    """A customer uses other gateways from now on."""
+def replica_set_changed_event(customer: int, plan: int, first: int, size: int):
+    """A customer's replica set changes."""
     return policy.ReplicaSetChanged(customer, plan, first, size)
 
 
 def action_bytes(gateway: int, action) -> bytes:
-    """An action as the wire has it; a grant, and why a request was refused, have no record there."""
+    """An action as the protocol encodes it; it has no record of grants and of the reason of a rejection."""
     if isinstance(action, policy.GrantQuota):
         return struct.pack("<BHI", 200, gateway, action.request)
     encoder = codec.Encoder()
@@ -90,7 +101,7 @@
 
 
 def frame(now: int, records: list[bytes], tail: bytes = b"") -> bytes:
-    """A batch of records."""
+    """A frame of records."""
     body = b"".join(records) + tail
     return struct.pack("<IIQ", len(records), len(body), now) + body
 
@@ -156,131 +167,134 @@
 
 
 @dataclass
-class Server:
-    """A server as discovery tells of it, and what is out at it."""
+class Endpoint:
+    """An endpoint as discovery reports it, and its requests in flight."""
 
     name: bytes
     zone: int
     cell: int
-    launched: int = 0
-    phase: int = READY
-    out: int = 0
+    started_at_us: int = 0
+    state: int = READY
+    in_flight: int = 0
 
     def entry(self) -> bytes:
-        """Its line of a list."""
-        return struct.pack("<fB6sBQBH", 1.0, 0, self.name, self.zone, self.launched, self.phase, self.cell)
+        """Its entry of an endpoint list."""
+        return struct.pack(
+            "<fB6sBQBH", 1.0, 0, self.name, self.zone, self.started_at_us, self.state, self.cell
+        )
 
 
 class Session:
-    """A fleet with its servers, clients, discovery and network under one clock, drawn from one seed."""
+    """A fleet with endpoints, clients, discovery and a network under one clock, all drawn from one seed."""
 
-    def __init__(self, seed: int, gateways: int, span: int, with_takes: bool, **permissions) -> None:
+    def __init__(self, seed: int, gateways: int, span: int, with_quota_events: bool, **permissions) -> None:
         self.random = random.Random(seed)
-        self.now, self.end = BEGIN, BEGIN + span
-        self.count = gateways
-        self.with_takes = with_takes
-        self.due: list = []  # when, order, what is to be called, with what
-        self.order = 0
-        self.events = 0
+        self.now, self.end = START_US, START_US + span
+        self.gateway_count = gateways
+        self.with_quota_events = with_quota_events
+        self.scheduled: list = []  # when, order, what is to be called, with what
+        self.schedule_count = 0
+        self.event_count = 0
         self.frames: list[bytes] = []  # what a process of the wire is told
         self.decoder = codec.Decoder()
         self.digest = hashlib.sha256()
         self.digests: list[str] = []
-        self.actions: Counter[int] = Counter()
-        self.open: dict[tuple[int, int], bytes] = {}  # attempts out, by gateway and request
-        self.attempts: Counter[tuple[int, int]] = Counter()
-        self.requests = 0
-        self.lists = 0
-        self.servers = [
-            Server(bytes((10, 0, zone, number, 0, 80)), zone, 2 * zone + number % 2)
+        self.action_counts: Counter[int] = Counter()
+        self.attempt_counts: Counter[tuple[int, int]] = Counter()
+        self.request_count = 0
+        self.list_count = 0
+        self.endpoints = [
+            Endpoint(bytes((10, 0, zone, number, 0, 80)), zone, 2 * zone + number % 2)
             for zone in range(3)
             for number in range(9)
         ]
         self.gateways: dict[int, Gateway] = {}
-        self.lives: Counter[int] = Counter()  # starts of each gateway
-        self.still: dict[int, int] = {}  # gateways whose timers are held up, until when
+        self.incarnations: Counter[int] = Counter()  # starts of each gateway
+        self.delayed_until: dict[int, int] = {}  # gateways whose timers are held up, until when
         self.seeds = [self.random.getrandbits(64) for _ in range(gateways)]
-        self.texts = [settings_text(rank, gateways, **permissions) for rank in range(gateways)]
+        self.settings_texts = [settings_text(rank, gateways, **permissions) for rank in range(gateways)]
 
     # -- events in, actions out
 
     def feed(self, gateway: int, *records: bytes, tail: bytes = b"") -> None:
-        """Records for one gateway."""
+        """Feed records to their gateway."""
         self.frames.append(frame(self.now, list(records), tail))
         for number, event in self.decoder.decode_frame(len(records), b"".join(records) + tail):
-            self.decide(number, event)
+            self.feed_event(number, event)
 
-    def decide(self, gateway: int, event) -> None:
-        """One event."""
-        self.events += 1
-        self.note(gateway, self.gateways[gateway].handle(self.now, event))
-        if self.events % 1_000 == 0:
+    def feed_event(self, gateway: int, event) -> None:
+        """Feed one event."""
+        self.event_count += 1
+        self.record_actions(gateway, self.gateways[gateway].handle(self.now, event))
+        if self.event_count % 1_000 == 0:
             self.digests.append(self.digest.hexdigest()[:16])
 
-    def note(self, gateway: int, actions) -> None:
-        """Digest the actions and carry them out."""
+    def record_actions(self, gateway: int, actions) -> None:
+        """Digest the actions and apply them."""
         for action in actions:
             data = action_bytes(gateway, action)
             self.digest.update(data)
-            self.actions[data[0]] += 1
-            self.carry_out(gateway, data)
+            self.action_counts[data[0]] += 1
+            self.apply_action(gateway, data)
 
-    def carry_out(self, gateway: int, data: bytes) -> None:
-        """What the world does about an action."""
+    def apply_action(self, gateway: int, data: bytes) -> None:
+        """Apply an action to the simulated fleet."""
         match data[0]:
             case 65:
                 _, _, request, server, _ = struct.unpack_from("<BHI6sQ", data)
-                self.send(gateway, request, server)
+                self.start_attempt(gateway, request, server)
             case 66 | 67:
-                self.attempts.pop((gateway, struct.unpack_from("<I", data, 3)[0]), None)
+                self.attempt_counts.pop((gateway, struct.unpack_from("<I", data, 3)[0]), None)
             case 69:
                 span, token = struct.unpack_from("<IQ", data, 3)
-                self.later(span, self.fire, gateway, self.lives[gateway], token)
+                self.schedule(span, self.fire_timer, gateway, self.incarnations[gateway], token)
             case 72:
-                self.carry(gateway, struct.unpack_from("<H", data, 3)[0], data[24:])
-
-    def later(self, span: int, what, *values) -> None:
-        """Call it after a span."""
-        self.order += 1
-        heapq.heappush(self.due, (self.now + span, self.order, what, values))
-
-    def fire(self, gateway: int, life: int, token: int) -> None:
-        """A timer, which ends with the life that it was set in."""
-        if self.now < self.still.get(gateway, 0):
-            self.later(self.still[gateway] - self.now, self.fire, gateway, life, token)
-        elif life == self.lives[gateway]:
+                self.transmit(gateway, struct.unpack_from("<H", data, 3)[0], data[24:])
+
+    def schedule(self, span: int, what, *values) -> None:
+        """Call something after a delay."""
+        self.schedule_count += 1
+        heapq.heappush(self.scheduled, (self.now + span, self.schedule_count, what, values))
+
+    def fire_timer(self, gateway: int, life: int, token: int) -> None:
+        """Fire a timer, unless its gateway restarted since."""
+        if self.now < self.delayed_until.get(gateway, 0):
+            self.schedule(self.delayed_until[gateway] - self.now, self.fire_timer, gateway, life, token)
+        elif life == self.incarnations[gateway]:
             self.feed(gateway, record(1, "HQ", gateway, token))
 
     # -- servers
 
-    def send(self, gateway: int, request: int, name: bytes) -> None:
-        """An attempt reaches a server, or not."""
-        attempt = self.attempts[gateway, request]
-        self.attempts[gateway, request] += 1
-        server = next(one for one in self.servers if one.name == name)
-        server.out += 1
-        draw, age = self.random.random(), self.now - BEGIN
-        took = int((40 + 25 * server.out) * MS * self.random.uniform(0.7, 1.4))
+    def start_attempt(self, gateway: int, request: int, name: bytes) -> None:
+        """Draw an attempt's outcome, and schedule it."""
+        attempt = self.attempt_counts[gateway, request]
+        self.attempt_counts[gateway, request] += 1
+        server = next(one for one in self.endpoints if one.name == name)
+        server.in_flight += 1
+        draw, age = self.random.random(), self.now - START_US
+        took = int((40 + 25 * server.in_flight) * MS * self.random.uniform(0.7, 1.4))
         outcome = SERVED
         if server.zone == 1 and 4 * SECOND < age < 7 * SECOND:
-            outcome = self.random.choice((NOT_CONNECTED, TIMED_OUT, BROKEN))
+            outcome = self.random.choice((CONNECT_FAILED, TIMED_OUT, CONNECTION_BROKEN))
             took = 900 * MS if outcome == TIMED_OUT else 5 * MS
         elif server.zone == 2 and 9 * SECOND < age < 10 * SECOND:
             took += 1_500 * MS
-        elif server.out > 12:
-            outcome, took = FULL, 2 * MS
+        elif server.in_flight > 12:
+            outcome, took = ENDPOINT_FULL, 2 * MS
         elif draw < 0.06:
-            outcome = self.random.choice((ERROR, FULL, NOT_CONNECTED, BROKEN, CANCELLED, NEVER_SENT))
+            outcome = self.random.choice(
+                (ERROR, ENDPOINT_FULL, CONNECT_FAILED, CONNECTION_BROKEN, CANCELLED, NOT_SENT)
+            )
         if self.random.random() < 0.05:
             stream = record(4, "HIH6sI", gateway, request, attempt, name, took // 2)
-            self.later(took // 2, self.feed, gateway, stream)
-        self.later(took, self.answer, gateway, request, attempt, server, outcome, took)
+            self.schedule(took // 2, self.feed, gateway, stream)
+        self.schedule(took, self.finish_attempt, gateway, request, attempt, server, outcome, took)
 
-    def answer(
-        self, gateway: int, request: int, attempt: int, server: Server, outcome: int, took: int
+    def finish_attempt(
+        self, gateway: int, request: int, attempt: int, server: Endpoint, outcome: int, took: int
     ) -> None:
-        """An attempt's outcome."""
-        server.out -= 1
+        """Feed an attempt's outcome."""
+        server.in_flight -= 1
         told = outcome_record(
             gateway, request, attempt, server.name, outcome, took, outcome in (SERVED, CANCELLED)
         )
@@ -288,41 +302,46 @@
         if self.random.random() < 0.02:
             self.feed(gateway, told)  # told twice: nothing follows
 
-    def tell_list(self, kind: int, servers: list[Server], *gateways: int) -> None:
-        """Discovery tells gateways of servers."""
-        self.lists += 1
+    def send_endpoint_list(self, kind: int, servers: list[Endpoint], *gateways: int) -> None:
+        """Send an endpoint list to gateways."""
+        self.list_count += 1
         tail = b"".join(server.entry() for server in servers)
-        for gateway in gateways or range(self.count):
-            entries = record(12, "HII", self.lists, 0, len(servers))
-            news = record(9, "HBHQ", gateway, kind, self.lists, self.lists)
+        for gateway in gateways or range(self.gateway_count):
+            entries = record(12, "HII", self.list_count, 0, len(servers))
+            news = record(9, "HBHQ", gateway, kind, self.list_count, self.list_count)
             self.feed(gateway, entries, news, tail=tail)
 
-    def change_servers(self) -> None:
-        """Some servers drain, go, start anew or are new."""
-        some = self.random.sample(self.servers, 3)
+    def change_endpoints(self) -> None:
+        """Drain, remove, restart or add some endpoints."""
+        some = self.random.sample(self.endpoints, 3)
         for server in some:
-            fresh = server.phase != READY or self.random.random() < 0.4
-            server.phase = READY if fresh else self.random.choice((DRAINING, GONE))
+            fresh = server.state != READY or self.random.random() < 0.4
+            server.state = READY if fresh else self.random.choice((DRAINING, GONE))
             if fresh:
-                server.launched = self.now - self.random.randrange(SECOND)
-        self.tell_list(CHANGES, some)
+                server.started_at_us = self.now - self.random.randrange(SECOND)
+        self.send_endpoint_list(DELTA, some)
         if self.random.random() < 0.3:
-            self.tell_list(FAILED, [], self.random.randrange(self.count))
+            self.send_endpoint_list(FAILED, [], self.random.randrange(self.gateway_count))
         if self.random.random() < 0.4:
-            ready = [server for server in self.servers if server.phase != GONE]
-            self.tell_list(self.random.choice((WHOLE, CACHED)), ready)
-        self.later(400 * MS, self.change_servers)
-
-    def lose_all_servers(self, back: int) -> None:
-        """A whole list without servers, and the old one again later."""
-        self.tell_list(WHOLE, [])
-        self.later(back, self.tell_list, WHOLE, [server for server in self.servers if server.phase != GONE])
+            ready = [server for server in self.endpoints if server.state != GONE]
+            self.send_endpoint_list(self.random.choice((COMPLETE, CACHED)), ready)
+        self.schedule(400 * MS, self.change_endpoints)
+
+    def remove_all_endpoints(self, back: int) -> None:
+        """Send a complete list without endpoints, and the former one later."""
+        self.send_endpoint_list(COMPLETE, [])
+        self.schedule(
+            back,
+            self.send_endpoint_list,
+            COMPLETE,
+            [server for server in self.endpoints if server.state != GONE],
+        )
 
     # -- peers
 
-    def carry(self, sender: int, receiver: int, body: bytes) -> None:
-        """A datagram, which may be lost, doubled, late or damaged."""
-        age = self.now - BEGIN
+    def transmit(self, sender: int, receiver: int, body: bytes) -> None:
+        """Transmit a datagram, which may be lost, duplicated, late or truncated."""
+        age = self.now - START_US
         cut = 5 * SECOND < age < 8 * SECOND and (sender < 3) != (receiver < 3)
         if cut or self.random.random() < 0.03:
             return
@@ -330,62 +349,80 @@
             late = self.random.randrange(3 * SECOND, 6 * SECOND) if self.random.random() < 0.02 else 0
             if self.random.random() < 0.01:
                 body = body[: self.random.randrange(len(body))]
-            self.later(self.random.randrange(1, 30) * MS + late, self.deliver, sender, receiver, body)
+            self.schedule(
+                self.random.randrange(1, 30) * MS + late, self.deliver_message, sender, receiver, body
+            )
 
-    def deliver(self, sender: int, receiver: int, body: bytes) -> None:
-        """A datagram has come."""
+    def deliver_message(self, sender: int, receiver: int, body: bytes) -> None:
+        """Feed a datagram."""
         self.feed(receiver, record(2, "HHII", receiver, sender, 0, len(body)), tail=body)
 
     # -- clients
 
-    def customer(self) -> tuple[int, int, int, int]:
-        """A customer with its plan and set: a few are fast, many come once."""
+    def draw_customer(self) -> tuple[int, int, int, int]:
+        """Draw a customer with its plan and replica set: a few are frequent, many come once."""
         number = min(int(4 * self.random.paretovariate(0.5)), 5_000)
-        sizes = (1, 2, 3, self.count, self.count, min(13, self.count))
-        return number, number % 6, number * 7 % self.count, min(sizes[number // 2 % 6], self.count)
+        sizes = (1, 2, 3, self.gateway_count, self.gateway_count, min(13, self.gateway_count))
+        return (
+            number,
+            number % 6,
+            number * 7 % self.gateway_count,
+            min(sizes[number // 2 % 6], self.gateway_count),
+        )
 
-    def ask(self, burst: int) -> None:
-        """A client's requests."""
-        number, plan, first, size = self.customer()
-        gateway = (first + self.random.randrange(size)) % self.count
+    def send_requests(self, burst: int) -> None:
+        """Feed a client's requests."""
+        number, plan, first, size = self.draw_customer()
+        gateway = (first + self.random.randrange(size)) % self.gateway_count
         for _ in range(burst):
-            self.requests += 1
+            self.request_count += 1
             left = self.random.choice((2_000_000, 2_000_000, 400_000, 20_000))
             kind, units = self.random.randrange(5), self.random.choice((1.0, 1.0, 2.0, 5.0))
             repeat = self.random.random() < 0.1
             self.feed(
                 gateway,
-                request_record(gateway, self.requests, number, plan, kind, units, left, first, size, repeat),
+                request_record(
+                    gateway, self.request_count, number, plan, kind, units, left, first, size, repeat
+                ),
             )
             if self.random.random() < 0.05:
-                gone = record(3, "HI", gateway, self.requests)
-                self.later(self.random.randrange(100 * MS), self.feed, gateway, gone)
-        crowd = 20 if 10 * SECOND < self.now - BEGIN < 11 * SECOND else 1
-        self.later(self.random.randrange(1, 16 * MS) // crowd, self.ask, self.random.choice((1, 1, 1, 4)))
-
-    def take(self) -> None:
-        """What the wire does not carry."""
-        number, plan, first, size = self.customer()
-        gateway = (first + self.random.randrange(size)) % self.count
+                gone = record(3, "HI", gateway, self.request_count)
+                self.schedule(self.random.randrange(100 * MS), self.feed, gateway, gone)
+        crowd = 20 if 10 * SECOND < self.now - START_US < 11 * SECOND else 1
+        self.schedule(
+            self.random.randrange(1, 16 * MS) // crowd, self.send_requests, self.random.choice((1, 1, 1, 4))
+        )
+
+    def feed_quota_events(self) -> None:
+        """Feed events that the protocol has no records for."""
+        number, plan, first, size = self.draw_customer()
+        gateway = (first + self.random.randrange(size)) % self.gateway_count
         draw = self.random.random()
         if draw < 0.8:
-            self.requests += 1
+            self.request_count += 1
             kind = self.random.randrange(5)
-            self.decide(gateway, take_event(self.requests, number, plan, kind, 1.0, first, size))
+            self.feed_event(
+                gateway, quota_requested_event(self.request_count, number, plan, kind, 1.0, first, size)
+            )
         elif draw < 0.9:
             start = self.now // MS // 62 - self.random.randrange(50)
-            self.decide(gateway, counted_event(number, plan, first, size, start, self.random.uniform(0, 9)))
+            self.feed_event(
+                gateway, count_recovered_event(number, plan, first, size, start, self.random.uniform(0, 9))
+            )
         else:
-            moved = self.random.randrange(self.count)
-            for one in range(self.count):
-                self.decide(
-                    one, set_moved_event(number, plan, moved, self.random.randrange(1, self.count + 1))
+            moved = self.random.randrange(self.gateway_count)
+            for one in range(self.gateway_count):
+                self.feed_event(
+                    one,
+                    replica_set_changed_event(
+                        number, plan, moved, self.random.randrange(1, self.gateway_count + 1)
+                    ),
                 )
-        self.later(self.random.randrange(30 * MS), self.take)
+        self.schedule(self.random.randrange(30 * MS), self.feed_quota_events)
 
-    def odd(self) -> None:
-        """What nothing follows from: counters and probes that answer, and timers and clients never met."""
-        gateway, server = self.random.randrange(self.count), self.random.choice(self.servers)
+    def feed_ignored_events(self) -> None:
+        """Feed events that lead to no action."""
+        gateway, server = self.random.randrange(self.gateway_count), self.random.choice(self.endpoints)
         self.feed(
             gateway,
             record(10, "HfIHQ", gateway, 38.0, 900, SERVED, 7),
@@ -393,87 +430,91 @@
             record(1, "HQ", gateway, 9_999_999),
             record(3, "HI", gateway, 9_999_999),
         )
-        self.later(500 * MS, self.odd)
+        self.schedule(500 * MS, self.feed_ignored_events)
 
-    def restart(self, gateway: int) -> None:
-        """A gateway is gone and comes up anew."""
-        self.start(gateway, record(8, "H", gateway))
-        self.tell_list(CACHED, [server for server in self.servers if server.phase != GONE], gateway)
+    def restart_gateway(self, gateway: int) -> None:
+        """Stop a gateway and start it again."""
+        self.start_gateway(gateway, record(8, "H", gateway))
+        self.send_endpoint_list(
+            CACHED, [server for server in self.endpoints if server.state != GONE], gateway
+        )
 
-    def hold_up(self, gateway: int, span: int) -> None:
-        """A gateway's timers come late, as where its process stands still."""
-        self.still[gateway] = self.now + span
+    def delay_timers(self, gateway: int, span: int) -> None:
+        """Delay a gateway's timers, as if its process were paused."""
+        self.delayed_until[gateway] = self.now + span
 
-    def start(self, gateway: int, *before: bytes) -> None:
-        """A gateway comes up."""
-        self.lives[gateway] += 1
-        text, seed = self.texts[gateway], self.seeds[gateway]
+    def start_gateway(self, gateway: int, *before: bytes) -> None:
+        """Start a gateway."""
+        self.incarnations[gateway] += 1
+        text, seed = self.settings_texts[gateway], self.seeds[gateway]
         start = record(7, "HQII", gateway, seed, 0, len(text))
         self.frames.append(frame(self.now, [*before, start], text))
         self.gateways[gateway] = make_gateway(text, seed, self.now)
-        self.note(gateway, self.gateways[gateway].start())
+        self.record_actions(gateway, self.gateways[gateway].start())
 
     def run(self) -> Session:
-        """The whole session."""
-        for gateway in range(self.count):
-            self.start(gateway)
-        self.tell_list(WHOLE, self.servers)
-        self.later(0, self.ask, 1)
-        self.later(2 * SECOND, self.change_servers)
-        self.later(3 * SECOND, self.odd)
-        self.later(8 * SECOND, self.lose_all_servers, 300 * MS)
-        self.later(6 * SECOND, self.restart, 1)
+        """Run the whole session."""
+        for gateway in range(self.gateway_count):
+            self.start_gateway(gateway)
+        self.send_endpoint_list(COMPLETE, self.endpoints)
+        self.schedule(0, self.send_requests, 1)
+        self.schedule(2 * SECOND, self.change_endpoints)
+        self.schedule(3 * SECOND, self.feed_ignored_events)
+        self.schedule(8 * SECOND, self.remove_all_endpoints, 300 * MS)
+        self.schedule(6 * SECOND, self.restart_gateway, 1)
         for age in (2, 3, 4):
-            self.later(age * SECOND, self.hold_up, 0, 700 * MS)
-        if self.with_takes:
-            self.later(SECOND, self.take)
-        while self.due and self.due[0][0] <= self.end:
-            self.now, _, what, values = heapq.heappop(self.due)
+            self.schedule(age * SECOND, self.delay_timers, 0, 700 * MS)
+        if self.with_quota_events:
+            self.schedule(SECOND, self.feed_quota_events)
+        while self.scheduled and self.scheduled[0][0] <= self.end:
+            self.now, _, what, values = heapq.heappop(self.scheduled)
             what(*values)
         return self
 
-    def found(self) -> dict:
-        """What is golden of it."""
+    def golden_value(self) -> dict:
+        """Return what the golden file has of it."""
         return {
-            "events": self.events,
-            "actions": {str(code): count for code, count in sorted(self.actions.items())},
+            "events": self.event_count,
+            "actions": {str(code): count for code, count in sorted(self.action_counts.items())},
             "digests": self.digests,
             "digest": self.digest.hexdigest(),
         }
 
 
 SESSIONS = {
-    "large-sets": {"seed": 1, "gateways": 24, "span": 12 * SECOND, "with_takes": False},
-    "three-gateways": {"seed": 2, "gateways": 3, "span": 14 * SECOND, "with_takes": False, "maxAttempts": 2},
-    "takes-and-moves": {"seed": 3, "gateways": 5, "span": 12 * SECOND, "with_takes": True},
+    "large-sets": {"seed": 1, "gateways": 24, "span": 12 * SECOND, "with_quota_events": False},
+    "three-gateways": {
+        "seed": 2, "gateways": 3, "span": 14 * SECOND, "with_quota_events": False, "maxAttempts": 2,
+    },
+    "takes-and-moves": {"seed": 3, "gateways": 5, "span": 12 * SECOND, "with_quota_events": True},
     "gateways-alone": {
-        "seed": 4, "gateways": 2, "span": 6 * SECOND, "with_takes": True, "peers": False, "cancel": False,
-        "retryAfter": False,
+        "seed": 4, "gateways": 2, "span": 6 * SECOND, "with_quota_events": True,
+        "peers": False, "cancel": False, "retryAfter": False,
     },
 }  # fmt: skip
 
 
 @cache
-def played(name: str) -> Session:
-    """A session, played once for all tests."""
+def play_session(name: str) -> Session:
+    """A session, run once for all tests."""
     return Session(**SESSIONS[name]).run()
 
 
 @pytest.mark.parametrize("name", SESSIONS)
-def test_a_session_gives_the_same_actions_as_the_golden_one(name):
-    session = played(name)
-    assert session.events > 2_000
-    check_golden(f"session-{name}", session.found())
+def test_a_session_leads_to_the_golden_actions(name):
+    session = play_session(name)
+    assert session.event_count > 2_000
+    check_golden(f"session-{name}", session.golden_value())
 
 
-def test_the_sessions_lead_to_every_action_that_the_decisions_know():
-    found = sum((played(name).actions for name in SESSIONS), Counter())
-    assert set(found) == {SEND, REFUSE, FAIL, CANCEL, SET_TIMER, TELL, ASK_LIST, 200}
+def test_the_sessions_lead_to_every_action_that_the_policy_takes():
+    found = sum((play_session(name).action_counts for name in SESSIONS), Counter())
+    assert set(found) == {SEND, REJECT, FAIL, CANCEL, SET_TIMER, SEND_PEER_MESSAGE, WATCH_ENDPOINTS, 200}
 
 
-@pytest.mark.parametrize("name", [name for name, terms in SESSIONS.items() if not terms["with_takes"]])
-def test_a_process_of_the_wire_answers_a_session_with_the_same_bytes(name):
-    session = played(name)
+@pytest.mark.parametrize("name", [name for name, terms in SESSIONS.items() if not terms["with_quota_events"]])
+def test_the_simulators_process_replies_to_a_session_with_the_golden_bytes(name):
+    session = play_session(name)
     sink = io.BytesIO()
     process.serve(io.BytesIO(b"".join(session.frames)), sink)
     replies, codes, at = sink.getvalue(), Counter(), 0
@@ -481,8 +522,8 @@
         count, length = struct.unpack_from("<II", replies, at)
         codes.update(replies[at + 8 + 24 * i] for i in range(count))
         at += 8 + length
-    assert codes == session.actions
-    assert codes[BUG] == 0
+    assert codes == session.action_counts
+    assert codes[POLICY_FAILURE] == 0
     frames = hashlib.sha256(b"".join(session.frames)).hexdigest()
     digest = hashlib.sha256(replies).hexdigest()
     check_golden(f"wire-{name}", {"frames": frames, "replies": digest, "bytes": len(replies)})
