--- /dev/null
+++ b/tests/test_retries.py
@@ -0,0 +1,190 @@
+"""Requests from arrival to their final answer: retries, deadlines and load shedding."""
+
+from __future__ import annotations
+
+import pytest
+from harness.policy_harness import SECOND, PolicyHarness, actions_of, endpoint_entry, endpoint_list
+
+from orchidlane import policy
+from orchidlane.policy import Outcome
+
+# Numbers of the harness's request classes
+KEYED_BY_CELL_CLASS = 1
+NOT_IDEMPOTENT_CLASS = 2
+KEYED_BY_ALL_CLASS = 3
+KEYED_BY_ZONE_CLASS = 4
+
+NOT_EXECUTED = (Outcome.ENDPOINT_FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+POSSIBLY_EXECUTED = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_BROKEN, Outcome.CANCELLED)
+
+
+def final_answers(harness: PolicyHarness, request: int) -> list:
+    """Our final answers to one request."""
+    return [
+        a
+        for a in harness.actions
+        if isinstance(a, (policy.RejectRequest, policy.FailRequest)) and a.request == request
+    ]
+
+
+def serve_request(harness: PolicyHarness, request: int, took) -> policy.SendAttempt | None:
+    """Ask, and answer at once with a time by server; the send, if there was one."""
+    sends = actions_of(
+        harness.request(request, customer=request, time_left_us=2 * SECOND), policy.SendAttempt
+    )
+    if not sends:
+        return None
+    harness.advance(10_000)
+    harness.end_attempt(request, sends[0].endpoint, Outcome.SERVED, duration_us=took(sends[0].endpoint))
+    return sends[0]
+
+
+def test_a_request_without_endpoints_is_held_and_rejected_before_its_deadline():
+    harness = PolicyHarness(endpoints=0)
+    assert not actions_of(harness.request(1, time_left_us=SECOND), (policy.RejectRequest, policy.FailRequest))
+    harness.advance(SECOND - 1)
+    assert final_answers(harness, 1) == [policy.RejectRequest(1, 0)]
+
+
+def test_a_held_request_is_sent_when_an_endpoint_is_listed():
+    harness = PolicyHarness(endpoints=0)
+    harness.request(1)
+    harness.advance(100_000)
+    harness.feed(endpoint_list(endpoint_entry(1)))
+    assert len(actions_of(harness.advance(100_000), policy.SendAttempt)) == 1
+
+
+def test_a_timeout_at_the_deadline_is_answered_once(harness):
+    send = actions_of(harness.request(1, request_class=NOT_IDEMPOTENT_CLASS), policy.SendAttempt)[0]
+    harness.now += 2 * SECOND
+    harness.end_attempt(1, send.endpoint, Outcome.TIMED_OUT, duration_us=2 * SECOND)
+    assert final_answers(harness, 1) == [policy.FailRequest(1)]
+    harness.advance(5 * SECOND)
+    assert len(final_answers(harness, 1)) == 1
+
+
+def test_no_action_follows_a_final_answer_or_a_client_disconnect(harness):
+    send = actions_of(harness.request(1), policy.SendAttempt)[0]
+    harness.end_attempt(1, send.endpoint, Outcome.SERVED)
+    other = actions_of(harness.request(2), policy.SendAttempt)[0]
+    harness.feed(policy.ClientDisconnected(2))
+    harness.end_attempt(2, other.endpoint, Outcome.ERROR)
+    assert not actions_of(
+        harness.advance(3 * SECOND), (policy.SendAttempt, policy.RejectRequest, policy.FailRequest)
+    )
+
+
+def test_events_of_unknown_requests_are_ignored(harness):
+    assert harness.end_attempt(99, endpoint_entry(1).endpoint, Outcome.SERVED) == []
+    assert harness.feed(policy.TimerFired(99)) == []
+    assert harness.feed(policy.ClientDisconnected(99)) == []
+
+
+@pytest.mark.parametrize("outcome", POSSIBLY_EXECUTED)
+def test_a_possibly_executed_request_that_is_not_idempotent_fails_without_retry(harness, outcome):
+    send = actions_of(harness.request(1, request_class=NOT_IDEMPOTENT_CLASS), policy.SendAttempt)[0]
+    harness.now += 10_000
+    actions = harness.end_attempt(1, send.endpoint, outcome)
+    assert not actions_of(actions, (policy.SendAttempt, policy.RejectRequest))
+    assert actions_of(actions, policy.FailRequest) == [policy.FailRequest(1)]
+
+
+@pytest.mark.parametrize("outcome", NOT_EXECUTED)
+def test_a_request_that_is_not_idempotent_is_retried_if_it_was_not_executed(harness, outcome):
+    send = actions_of(harness.request(1, request_class=NOT_IDEMPOTENT_CLASS), policy.SendAttempt)[0]
+    assert actions_of(harness.end_attempt(1, send.endpoint, outcome), policy.SendAttempt)
+
+
+def test_a_request_that_is_not_idempotent_is_not_hedged(harness):
+    harness.request(1, request_class=NOT_IDEMPOTENT_CLASS)
+    assert not actions_of(harness.advance(3 * SECOND), policy.SendAttempt)
+
+
+@pytest.mark.parametrize(("kind", "near"), [(KEYED_BY_CELL_CLASS, "cell"), (KEYED_BY_ZONE_CLASS, "zone")])
+def test_a_request_with_a_key_is_retried_within_its_deduplication_scope(kind, near):
+    for seed in range(12):
+        harness = PolicyHarness(endpoints=0, seed=seed)
+        where = {endpoint_entry(i).endpoint: i % 2 for i in range(6)}
+        harness.feed(endpoint_list(*(endpoint_entry(i, **{near: i % 2}) for i in range(6))))
+        send = actions_of(harness.request(1, request_class=kind), policy.SendAttempt)[0]
+        harness.now += 10_000
+        again = actions_of(
+            harness.end_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
+        )
+        assert [where[a.endpoint] for a in again] == [where[send.endpoint]]
+
+
+def test_a_request_with_a_key_fails_if_its_deduplication_scope_has_no_endpoint():
+    harness = PolicyHarness(endpoints=0)
+    harness.feed(endpoint_list(endpoint_entry(1, cell=1)))
+    send = actions_of(harness.request(1, request_class=KEYED_BY_CELL_CLASS), policy.SendAttempt)[0]
+    harness.feed(endpoint_list(endpoint_entry(2, cell=2)))
+    harness.now += 10_000
+    assert not actions_of(
+        harness.end_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
+    )
+    harness.advance(2 * SECOND)
+    assert final_answers(harness, 1) == [policy.FailRequest(1)]
+
+
+def test_a_request_with_a_key_is_not_retried_after_its_deduplication_window(harness):
+    send = actions_of(
+        harness.request(1, request_class=KEYED_BY_ALL_CLASS, time_left_us=4 * SECOND), policy.SendAttempt
+    )[0]
+    harness.now += SECOND + 1
+    assert not actions_of(
+        harness.end_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
+    )
+    harness.advance(4 * SECOND)
+    assert final_answers(harness, 1) == [policy.RejectRequest(1, 0)]
+
+
+def test_an_attempt_is_cancelled_when_the_client_disconnects(harness):
+    harness.request(1)
+    assert actions_of(harness.feed(policy.ClientDisconnected(1)), policy.CancelAttempt) == [
+        policy.CancelAttempt(1, 0)
+    ]
+
+
+def test_no_more_than_the_maximum_of_attempts_is_made():
+    harness = PolicyHarness(max_attempts=2)
+    send = actions_of(harness.request(1), policy.SendAttempt)[0]
+    send = actions_of(harness.end_attempt(1, send.endpoint, Outcome.ENDPOINT_FULL), policy.SendAttempt)[0]
+    actions = harness.end_attempt(1, send.endpoint, Outcome.ENDPOINT_FULL, attempt=1)
+    assert actions_of(actions, (policy.SendAttempt, policy.RejectRequest)) == [policy.RejectRequest(1, 0)]
+
+
+def test_the_retry_budget_limits_the_load_when_all_attempts_fail():
+    harness = PolicyHarness(endpoints=4)
+    sends = 0
+    for request in range(1, 201):
+        out = actions_of(harness.request(request, customer=request), policy.SendAttempt)
+        attempt = 0
+        while out:
+            sends += 1
+            out = actions_of(
+                harness.end_attempt(request, out[0].endpoint, Outcome.ERROR, attempt=attempt),
+                policy.SendAttempt,
+            )
+            attempt += 1
+        harness.advance(50_000)
+    assert sends < 200 * 1.15
+
+
+def test_requests_are_shed_at_once_in_overload():
+    harness = PolicyHarness(endpoints=2)
+    for request in range(1, 41):
+        serve_request(harness, request, lambda _: 60_000)
+    sends = [
+        s for r in range(100, 200) for s in actions_of(harness.request(r, customer=r), policy.SendAttempt)
+    ]
+    assert 0 < len(sends) < 50
+    assert not [
+        a for a in harness.advance(SECOND // 10) if isinstance(a, policy.RejectRequest)
+    ]  # none was held first
+
+
+def test_a_request_class_that_is_always_slow_is_not_shed():
+    """The usual answer time itself is no reason to refuse, however near to the aim it is."""
+    harness = PolicyHarness(endpoints=1)
+    assert all(serve_request(harness, r, lambda _: 110_000) for r in range(1, 60))
