--- a/orchidlane/cli/admin_client.py
+++ b/orchidlane/cli/admin_client.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 from orchidlane import http1
-from orchidlane.gateway.control.settings import address
+from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.gateway.telemetry.policy_views import ViewError
 from orchidlane.http1 import Data, End, Malformed, Response
 
@@ -18,7 +18,7 @@
 def fetch(admin: str, target: str, max_bytes: int) -> Iterator[bytes]:
     """Yield the parts of a response of a gateway's admin address. Raises ViewError."""
     try:
-        admin_address = address(admin)
+        admin_address = parse_host_port(admin)
     except ValueError:
         raise ViewError(f"{admin}: no such file, and not an address as host:port") from None
     try:
--- a/orchidlane/cli/gateway_commands.py
+++ b/orchidlane/cli/gateway_commands.py
@@ -19,7 +19,7 @@
     request_class_number,
     save_state,
 )
-from orchidlane.gateway.control.settings import address, load_fleet
+from orchidlane.gateway.control.settings_loader import load_settings, parse_host_port
 from orchidlane.gateway.telemetry.plan_counts import count_by_plan
 from orchidlane.gateway.telemetry.policy_views import PolicyView
 from orchidlane.gateway.telemetry.predictions import predict_endpoints
@@ -129,6 +129,8 @@
 def _admin_addresses(where: str) -> list[tuple[str, Address]]:
     """Return the names and admin addresses of the gateways that a word names."""
     if not where.endswith(SETTINGS_SUFFIX):
-        return [(where, address(where))]
+        return [(where, parse_host_port(where))]
     find_sources(where)  # says what is wrong where no gateway has an admin address
-    return [(entry.name, address(entry.admin)) for entry in load_fleet(where).gateways if entry.admin]
+    return [
+        (entry.name, parse_host_port(entry.admin)) for entry in load_settings(where).gateways if entry.admin
+    ]
--- a/orchidlane/cli/record_commands.py
+++ b/orchidlane/cli/record_commands.py
@@ -11,7 +11,8 @@
 from orchidlane import recording
 from orchidlane.cli.errors import UNCHECKED, clear_errors
 from orchidlane.cli.output import print_result
-from orchidlane.gateway.control.settings import load_fleet, module_settings
+from orchidlane.gateway.control.policy_settings import policy_settings
+from orchidlane.gateway.control.settings_loader import load_settings
 from orchidlane.recording.description import describe
 from orchidlane.routes import build, load_description
 
@@ -66,12 +67,12 @@
 
 
 def _simulate_settings(paths: list[str], settings_file: str, as_json: bool) -> None:
-    fleet = load_fleet(settings_file)
+    fleet = load_settings(settings_file)
     description = Path(fleet.description).read_bytes()
     generation = build(load_description(description, fleet.description), fleet.description)
     with recording.SegmentReader(paths[0]) as reader:
         replica = reader.header.policy_settings().replica
-    settings = module_settings(fleet, min(replica, len(fleet.gateways) - 1), generation)
+    settings = policy_settings(fleet, min(replica, len(fleet.gateways) - 1), generation)
     result = recording.simulate_settings(paths, settings, tuple(fleet.plans))
     rows = {
         f"{class_name} {plan}": {
--- a/orchidlane/cli/views.py
+++ b/orchidlane/cli/views.py
@@ -10,7 +10,7 @@
 
 from orchidlane import recording
 from orchidlane.cli.admin_client import fetch
-from orchidlane.gateway.control.settings import load_fleet
+from orchidlane.gateway.control.settings_loader import load_settings
 from orchidlane.gateway.telemetry.policy_views import PolicyView, ViewError, decode_view, view_from_state
 from orchidlane.recording.segments import SEGMENT_SUFFIX
 
@@ -23,7 +23,7 @@
     """Return the admin addresses or the saved state that ``host:port``, a state or settings name."""
     if not where.endswith(SETTINGS_SUFFIX):
         return [where]
-    admins = [entry.admin for entry in load_fleet(where).gateways if entry.admin]
+    admins = [entry.admin for entry in load_settings(where).gateways if entry.admin]
     if not admins:
         raise ViewError(f"{where}: no gateway has an admin address")
     return admins
--- a/orchidlane/gateway/telemetry/admin_api.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -175,7 +175,9 @@
             customer = self.sources.find_customer(unquote_to_bytes(target.partition(b"?customer=")[2]))
             if customer is None:
                 return _Response(404, b"no customer has this name, number or key\n")
-            viewed = ViewedCustomer(customer.number, customer.plan, customer.set_first, customer.set_size)
+            viewed = ViewedCustomer(
+                customer.number, customer.plan, customer.replica_set_start, customer.replica_set_size
+            )
         host = self.sources.host
         names = self.sources.names()
         return _Response(
--- a/tests/harness/event_story.py
+++ b/tests/harness/event_story.py
@@ -5,20 +5,22 @@
 import random
 
 from click.testing import CliRunner
-from conftest import SECOND, Bench, entry, listed, of
 
+from harness.policy_harness import SECOND, PolicyHarness, actions_of, endpoint_entry, endpoint_list
 from orchidlane import policy, recording
 from orchidlane.cli.main import main
 from orchidlane.policy import EndpointState, Outcome
 from orchidlane.policy.gossip_codec import CustomerRow, encode_message, encode_row
 
+DELTA = policy.EndpointListKind.DELTA
+
 
 class EventStory:
     """Random events for a module: requests, takes, outcomes, timers, lists and peers' messages."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.bench = Bench(servers=5, seed=seed)
+        self.bench = PolicyHarness(endpoints=5, seed=seed)
         self.number = 0
         self.attempts_in_flight: list[tuple[int, int, bytes]] = []
         self.last_attempts: dict[int, int] = {}
@@ -27,7 +29,7 @@
     def feed(self, event: policy.Event) -> None:
         actions = self.bench.feed(event)
         self.log.append((self.bench.now, event, actions))
-        for send in of(actions, policy.SendAttempt):
+        for send in actions_of(actions, policy.SendAttempt):
             number = self.last_attempts[send.request] = self.last_attempts.get(send.request, -1) + 1
             self.attempts_in_flight.append((send.request, number, send.endpoint))
 
@@ -60,7 +62,10 @@
             phase = rng.choice(list(EndpointState))
             launched = rng.choice((0, bench.now))
             self.feed(
-                listed(entry(rng.randrange(5), phase, launched=launched), kind=policy.EndpointListKind.DELTA)
+                endpoint_list(
+                    endpoint_entry(rng.randrange(5), phase, started_at_us=launched),
+                    kind=policy.EndpointListKind.DELTA,
+                )
             )
         else:
             counts = ((1, bench.now // 62_500, float(rng.randrange(9))),)
--- a/tests/harness/golden_events.py
+++ b/tests/harness/golden_events.py
@@ -75,7 +75,7 @@
     return [event.kind.value, event.version, entries]
 
 
-def start_values(event: codec.Start) -> list:
+def start_values(event: codec.StartGateway) -> list:
     """A gateway's start as plain values."""
     return [event.seed, settings_values(event.settings)]
 
@@ -100,8 +100,8 @@
         event.duration_us,
         list(event.load_report),
     ],
-    codec.Start: start_values,
-    codec.Stop: lambda event: [],
+    codec.StartGateway: start_values,
+    codec.StopGateway: lambda event: [],
 }
 
 
--- a/tests/harness/golden_policy.py
+++ b/tests/harness/golden_policy.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 import msgspec
-from conftest import SETTINGS, T0
 
+from harness.policy_harness import SETTINGS, START_US
 from orchidlane import policy, recording
 from orchidlane.gateway.telemetry import policy_views
 from orchidlane.policy import gossip_codec as module_messages
@@ -36,20 +36,23 @@
         customer=7,
         key=AccountKey(2, 1, 3),
         limit=24.5,
-        refilled_at_us=T0 - 40,
+        refilled_at_us=START_US - 40,
         replica_counts={0: ReplicaCount(15_900, 3.25), 2: ReplicaCount(15_950, 4.5)},
         counted_total=7.75,
         spent_total=9.25,
         recently_changed=(2, 0),
         unconfirmed=False,
         in_flight=2,
-        peer_admissions_at_us=(T0 - 9, T0 - 5),
-        announced_at_us=T0 - 3,
+        peer_admissions_at_us=(START_US - 9, START_US - 5),
+        announced_at_us=START_US - 3,
         ceiling_tokens=5.5,
         requested_tokens=1.5,
         exhausted=True,
     )
-    return [first, Account(customer=4_000_000_000, key=AccountKey(0, 0, 1), limit=10.0, refilled_at_us=T0)]
+    return [
+        first,
+        Account(customer=4_000_000_000, key=AccountKey(0, 0, 1), limit=10.0, refilled_at_us=START_US),
+    ]
 
 
 def golden_state() -> recording.StateDump:
@@ -73,7 +76,7 @@
 def golden_events() -> list[policy.Event]:
     """Each type of event at least once, with each value of the enumerations that an event holds."""
     entries = tuple(
-        policy.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, T0 - 90, 1.5)
+        policy.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, START_US - 90, 1.5)
         for phase in policy.EndpointState
     )
     return [
@@ -98,7 +101,7 @@
 def golden_actions() -> list[policy.Action]:
     """Each type of action once."""
     return [
-        policy.SendAttempt(1, b"10.0.0.1:80", T0 + 5_000),
+        policy.SendAttempt(1, b"10.0.0.1:80", START_US + 5_000),
         policy.CancelAttempt(1, 4),
         policy.GrantQuota(2),
         policy.RejectRequest(1, 250_000, True),
@@ -117,13 +120,18 @@
         format=2,
         build=BUILD,
         gateway="gateway-1",
-        started_at_us=T0 - 1_000_000,
+        started_at_us=START_US - 1_000_000,
         number=3,
         settings=golden_settings(),
         state=msgspec.structs.replace(golden_state(), accounts=[]),
         class_names=CLASS_NAMES,
         plan_names=PLAN_NAMES,
-        context={"now": T0, "incarnation": T0 - 1_000_000, "list": ["epoch-1", 12, 2], "draining": True},
+        context={
+            "now": START_US,
+            "incarnation": START_US - 1_000_000,
+            "list": ["epoch-1", 12, 2],
+            "draining": True,
+        },
     )
 
 
@@ -133,7 +141,7 @@
         format=1,
         build=BUILD,
         gateway="gateway-1",
-        now=T0,
+        now=START_US,
         settings=golden_settings(),
         state=golden_state(),
         class_names=CLASS_NAMES,
--- a/tests/harness/golden_writers.py
+++ b/tests/harness/golden_writers.py
@@ -14,7 +14,6 @@
 
 import msgspec
 import pytest
-from conftest import SETTINGS, T0
 
 from harness.golden_gateways import (
     golden_limit_messages,
@@ -52,9 +51,10 @@
     golden_version_messages,
     golden_voter_file,
 )
+from harness.policy_harness import SETTINGS, START_US
 from orchidlane import recording
-from orchidlane.gateway.lifecycle.account_store import Memory
-from orchidlane.gateway.lifecycle.rolling_upgrade import Rolling
+from orchidlane.gateway.lifecycle.account_store import AccountStore
+from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver
 from orchidlane.gateway.peers import datagrams
 from orchidlane.gateway.rollout_agent import storage
 from orchidlane.gateway.telemetry.policy_host import PolicyNames
@@ -76,7 +76,7 @@
         self.world = self
 
     def now(self) -> int:
-        return T0
+        return START_US
 
     def call_at(self, *_: Any) -> None:
         """No file grows too old here."""
@@ -101,63 +101,71 @@
     rows = [account_to_row(account) for account in golden_accounts()]
     parts = [
         recording.pack_header(golden_header()),
-        recording.pack_account_page(T0 + 1, rows[:1], last=False),
+        recording.pack_account_page(START_US + 1, rows[:1], last=False),
     ]
     for number, event in enumerate(golden_events()):
-        parts.append(recording.pack_entry(T0 + 2 + number, event, [] if number else golden_actions()))
-    parts.append(recording.pack_account_page(T0 + 90, rows[1:], last=True))
-    parts.append(segments.pack_response(T0 + 91, 1, 429, "refused", 6_000))
+        parts.append(recording.pack_entry(START_US + 2 + number, event, [] if number else golden_actions()))
+    parts.append(recording.pack_account_page(START_US + 90, rows[1:], last=True))
+    parts.append(segments.pack_response(START_US + 91, 1, 429, "refused", 6_000))
     return b"".join(parts)
 
 
-def account_store(disk: Disk) -> Memory:
+def account_store(disk: Disk) -> AccountStore:
     """The account store of a gateway whose module holds the golden accounts, or none where they are read."""
     gateway = recording.restore_gateway(
         SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS)
     )
     recording.track_accounts(gateway)
-    about = {"now": T0, "incarnation": T0 - 1_000_000, "sequence": 5_000, "generation": 4, "open": 2}
+    about = {
+        "now": START_US,
+        "incarnation": START_US - 1_000_000,
+        "sequence": 5_000,
+        "generation": 4,
+        "open": 2,
+    }
     program = SimpleNamespace(
         loop=disk,
         host=SimpleNamespace(loop=disk, rules=gateway, settings=SETTINGS),
         fleet=SimpleNamespace(
-            restart=SimpleNamespace(every=2_000_000), plans=dict.fromkeys(PLAN_NAMES), gateways=[]
+            account_store=SimpleNamespace(write_interval_us=2_000_000),
+            plans=dict.fromkeys(PLAN_NAMES),
+            gateways=[],
         ),
         entry=SimpleNamespace(name="gateway-1"),
-        incarnation=T0 - 1_000_000,
-        names=lambda: PolicyNames(CLASS_NAMES, PLAN_NAMES),
-        about=lambda: about,
-        quiet=False,
+        incarnation=START_US - 1_000_000,
+        state_names=lambda: PolicyNames(CLASS_NAMES, PLAN_NAMES),
+        describe_state=lambda: about,
+        superseded=False,
         stopping=False,
         log=SimpleNamespace(error=lambda what, **why: pytest.fail(f"{what}: {why}")),
     )
-    return Memory(program, "accounts")  # type: ignore[arg-type]
+    return AccountStore(program, "accounts")  # type: ignore[arg-type]
 
 
 def write_account_store() -> bytes:
     """As the program writes its accounts down at its end."""
     disk = Disk()
     store = account_store(disk)
-    store.program.host.rules.accounts.update({one.customer: one for one in golden_accounts()})
+    store.gateway.host.rules.accounts.update({one.customer: one for one in golden_accounts()})
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(recording, "build_name", lambda: BUILD)
-        store.finish()
+        store.save_final()
     return disk.files["accounts"]
 
 
-def rolling_of(disk: Disk) -> Rolling:
+def rolling_of(disk: Disk) -> RollDriver:
     """What carries out a roll of the golden gateways."""
     gateways = [SimpleNamespace(name=name) for name in golden_roll(rolling_upgrade.Phase.ROLLING).names]
-    fleet = SimpleNamespace(state="state", gateways=gateways)
-    return Rolling(disk, fleet, None, print)  # type: ignore[arg-type]
+    fleet = SimpleNamespace(state_directory="state", gateways=gateways)
+    return RollDriver(disk, fleet, None, print)  # type: ignore[arg-type]
 
 
 def write_roll(phase: rolling_upgrade.Phase) -> bytes:
     """As a roll writes its state down."""
     disk = Disk()
     written = rolling_of(disk)
-    written.kept = golden_roll(phase)
-    written._save()
+    written.stored = golden_roll(phase)
+    written._store()
     return disk.files["state/roll.json"]
 
 
@@ -174,7 +182,7 @@
 
 def write_module_message() -> bytes:
     """As the module tells its peers."""
-    sent = T0 // 1000
+    sent = START_US // 1000
     return module_messages.encode_message(
         sent, True, True, [module_messages.encode_row(golden_module_row(), sent, 3)]
     )
@@ -188,7 +196,7 @@
         "versions": datagrams.DatagramKind.ROLLOUT,
     }
     return {
-        name: datagrams.encode_datagram(SECRET, 1, 2, T0 - 5, 900 + kind, b"a body", kind)
+        name: datagrams.encode_datagram(SECRET, 1, 2, START_US - 5, 900 + kind, b"a body", kind)
         for name, kind in kinds.items()
     }
 
@@ -203,7 +211,7 @@
     "traffic-record.olr": write_record,
     "account-store.olr": write_account_store,
     "view.msgpack": lambda: PACK(golden_view()),
-    "node-list-cache.json": lambda: golden_tracker().cached(),
+    "node-list-cache.json": lambda: golden_tracker().encode_cache(),
     "roll-states.json": lambda: as_hex({phase.value: write_roll(phase) for phase in rolling_upgrade.Phase}),
     "hot-restart-messages.json": lambda: write_messages(golden_restart_messages(), restart_messages.encode),
     "limit-messages.json": lambda: write_messages(golden_limit_messages(), PACK),
--- a/tests/test_golden_responses.py
+++ b/tests/test_golden_responses.py
@@ -23,7 +23,7 @@
 from harness.golden_files import check_golden
 
 from orchidlane import resp
-from orchidlane.gateway.control import settings as fleet_settings
+from orchidlane.gateway.control import settings_loader
 
 
 def samples_of(page: bytes) -> list[str]:
@@ -97,7 +97,7 @@
     def test_broken(house):
         found["may have run"] = http_answer(house, REPORT)
 
-    GatewayHarness(good, good, seed=5, plans=fleet_settings.parse_fleet(SETTINGS, "fleet.cue").plans).run(
+    GatewayHarness(good, good, seed=5, plans=settings_loader.parse_settings(SETTINGS, "fleet.cue").plans).run(
         test
     )
     GatewayHarness(resets_after, seed=5).run(test_broken)
@@ -138,6 +138,6 @@
             # Of an error its first word counts, the rest is prose.
             found.append([words, reply.split()[0] if reply.startswith("-") else reply])
 
-    fleet = fleet_settings.parse_fleet(SETTINGS, "fleet.cue")
+    fleet = settings_loader.parse_settings(SETTINGS, "fleet.cue")
     GatewayHarness(good, gateways=fleet.gateways[:1], seed=5).run(test)
     check_golden("resp-replies", found)
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -10,7 +10,7 @@
 from harness.platform_house import file as platform_file
 
 from orchidlane import config
-from orchidlane.gateway.control import settings as fleet_settings
+from orchidlane.gateway.control import settings_loader
 from orchidlane.platform import configuration as platform_config
 from orchidlane.simulation import scenario as lab_day
 
@@ -76,9 +76,9 @@
 
 
 def test_settings_have_the_golden_names_and_defaults():
-    schema = fleet_settings.schema()
+    schema = settings_loader.schema_text()
     found = config.plain_values(SMALLEST, "smallest.cue", schema, "#Fleet")
-    fleet_settings.parse_fleet(SMALLEST, "smallest.cue")
+    settings_loader.parse_settings(SMALLEST, "smallest.cue")
     check_golden("settings", {"defaults": found, "schema": schema_without_comments(schema)})
 
 
--- a/tests/test_golden_simulator_protocol.py
+++ b/tests/test_golden_simulator_protocol.py
@@ -18,12 +18,12 @@
 from harness.platform_house import settings
 
 from orchidlane import policy
-from orchidlane.simulator_protocol import codec
+from orchidlane.simulator_protocol import codec, settings_json
 
 
 def record(code: int, layout: str, *values) -> bytes:
     """A record of an event, by the protocol's layout."""
-    return struct.pack("<B" + layout, code, *values).ljust(codec.EVENT_SIZE, b"\0")
+    return struct.pack("<B" + layout, code, *values).ljust(codec.EVENT_BYTES, b"\0")
 
 
 def frames_of_the_wire() -> dict[str, list[tuple[list[bytes], bytes]]]:
@@ -68,7 +68,7 @@
             body = b"".join(records) + tail
             events = [
                 [gateway, EVENT_VALUES[type(event)](event)]
-                for gateway, event in codec.Decoder().frame(len(records), body)
+                for gateway, event in codec.Decoder().decode_frame(len(records), body)
             ]
             found.setdefault(code, []).append({"records": len(records), "body": body.hex(), "events": events})
     assert {int(code) for code in found} == set(codec._READERS)
@@ -77,7 +77,7 @@
 
 def test_each_event_that_the_wire_has_is_covered():
     of_code = {policy.QuotaRequested, policy.CountRecovered, policy.ReplicaSetChanged}  # not of the wire
-    covered = {kind for kind in EVENT_VALUES if kind not in (codec.Start, codec.Stop)}
+    covered = {kind for kind in EVENT_VALUES if kind not in (codec.StartGateway, codec.StopGateway)}
     assert set(get_args(policy.Event)) - covered == of_code
 
 
@@ -86,12 +86,12 @@
     for code, actions in ACTIONS.items():
         encoder = codec.Encoder()
         for action in actions:
-            encoder.add(3, action)
-        found[str(code)] = encoder.reply().hex()
-        assert encoder.reply()[8] == code
+            encoder.add_action(3, action)
+        found[str(code)] = encoder.encode_reply().hex()
+        assert encoder.encode_reply()[8] == code
     encoder = codec.Encoder()
-    encoder.bug(3, "ValueError: what happened")
-    found["74"] = encoder.reply().hex()
+    encoder.add_failure(3, "ValueError: what happened")
+    found["74"] = encoder.encode_reply().hex()
     covered = {type(action) for actions in ACTIONS.values() for action in actions}
     assert covered | NOT_OF_THE_WIRE == set(get_args(policy.Action))
     check_golden("wire-actions", found)
@@ -109,6 +109,7 @@
         "by probes": settings(loadReport={"how": "on_probe", "names": ["util"]}, rank=2, balancers=5),
     }
     found = {
-        what: settings_values(codec.parse_settings(json.dumps(text).encode())) for what, text in texts.items()
+        what: settings_values(settings_json.parse_settings(json.dumps(text).encode()))
+        for what, text in texts.items()
     }
     check_golden("wire-settings", {"texts": texts, "values": found})
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -11,7 +11,6 @@
 
 import msgspec
 import pytest
-from conftest import SETTINGS, T0
 from harness.golden_policy import (
     BUILD,
     GOLDEN,
@@ -25,6 +24,7 @@
     golden_view,
 )
 from harness.golden_writers import WRITERS, Disk, account_store
+from harness.policy_harness import SETTINGS, START_US
 
 from orchidlane import policy, recording
 from orchidlane.gateway.telemetry import policy_views
@@ -55,7 +55,7 @@
     assert [module.now, module.allowance_refilled_at_us, module.started_at_us] == [
         1_000_549_025,
         1_000_470_794,
-        T0,
+        START_US,
     ]
     assert [module.last_attempt_at_us, module.retry_budget] == [1_000_412_080, 2.4499999999999984]
     assert [module.unreachable_share, module.message_allowance] == [0.14782969, 39.0]
@@ -142,9 +142,9 @@
     *entries, answer = reader.entries()
     assert reader.damage is None
     assert [entry.event for entry in entries] == golden_events()
-    assert [entry.at_us for entry in entries] == [T0 + 2 + number for number in range(len(entries))]
+    assert [entry.at_us for entry in entries] == [START_US + 2 + number for number in range(len(entries))]
     assert entries[0].actions == golden_actions()
-    assert (answer.at_us, answer.event, answer.response) == (T0 + 91, None, (1, 429, "refused", 6_000))
+    assert (answer.at_us, answer.event, answer.response) == (START_US + 91, None, (1, 429, "refused", 6_000))
 
 
 def test_the_accounts_of_a_golden_account_store_are_restored():
@@ -153,7 +153,7 @@
     assert [recording.account_from_row(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
     store = account_store(Disk(accounts=golden("account-store.olr")))
     assert store.load() == len(golden_accounts())
-    accounts = store.program.host.rules.accounts
+    accounts = store.gateway.host.rules.accounts
     for one in golden_accounts():
         found = accounts[one.customer]
         assert (found.key, found.spent_total, found.counted_total) == (
@@ -161,7 +161,7 @@
             one.spent_total,
             one.counted_total,
         )
-        assert (found.limit, found.refilled_at_us) == (max(one.limit, one.spent_total), T0)
+        assert (found.limit, found.refilled_at_us) == (max(one.limit, one.spent_total), START_US)
 
 
 def test_a_golden_view_is_read_as_its_values():
--- a/tests/test_recording_audit.py
+++ b/tests/test_recording_audit.py
@@ -5,9 +5,9 @@
 import json
 from pathlib import Path
 
-from conftest import SECOND
 from harness.event_story import EventStory, run_command
 from harness.gateway_harness import MS
+from harness.policy_harness import SECOND
 from harness.saved_states import NAMES
 from test_day import day, quiet, step  # noqa: F401
 
--- a/tests/test_recording_state.py
+++ b/tests/test_recording_state.py
@@ -4,8 +4,8 @@
 
 import msgspec
 import pytest
-from conftest import Bench
 from harness.event_story import EventStory
+from harness.policy_harness import PolicyHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -57,7 +57,7 @@
 
 
 def test_a_state_of_another_format_or_with_dangling_references_is_rejected():
-    bench = Bench()
+    bench = PolicyHarness()
     state = recording.dump_state(bench.gateway)
     with pytest.raises(recording.FormatError, match="format 9"):
         recording.restore_gateway(bench.settings, msgspec.structs.replace(state, format=9))
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -6,9 +6,9 @@
 
 import msgspec
 import pytest
-from conftest import PLAIN, SECOND, SETTINGS
 from harness.gateway_harness import GET, MS, GatewayHarness
 from harness.gateway_harness import SETTINGS as FLEET
+from harness.policy_harness import PLAIN_PLAN, SECOND, SETTINGS
 from hypothesis import given
 from hypothesis import strategies as st
 from test_day import day, quiet  # noqa: F401
@@ -16,7 +16,7 @@
 
 from orchidlane import policy
 from orchidlane.config import Duration
-from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.hot_restart.account_recovery import Life, survivors
 from orchidlane.policy.accounts import Account, AccountKey, ReplicaCount
 from orchidlane.policy.gateway import Gateway
@@ -31,7 +31,7 @@
 
 
 def module(rate: float, burst: float) -> Gateway:
-    plan = dataclasses.replace(PLAIN, rate=rate, burst=burst)
+    plan = dataclasses.replace(PLAIN_PLAN, rate=rate, burst=burst)
     alone = dataclasses.replace(SETTINGS, replica_count=1, may_gossip=False, plans=(plan,))
     return Gateway(alone, 1, START)
 
@@ -109,7 +109,7 @@
     """One gateway in its fleet, with a folder for its state."""
 
     def __init__(self, *handlers) -> None:
-        example = parse_fleet(FLEET, "fleet.cue")
+        example = parse_settings(FLEET, "fleet.cue")
         plans = {"basico": msgspec.structs.replace(example.plans["basico"], rate=2.0, burst=40.0)}
         super().__init__(*handlers, state="/sim", gateways=example.gateways[:1], plans=plans)
 
@@ -182,8 +182,8 @@
         loop = Loop(world)
         backing = SimulatedBacking(loop, world)
         plan = make_plan(day(span=12, rate=160.0, customers=6, takes=0.0), "sim", backing.free_addresses)
-        restart = msgspec.structs.replace(plan.fleet.restart, every=Duration(every))
-        plan.fleet = msgspec.structs.replace(plan.fleet, restart=restart)
+        restart = msgspec.structs.replace(plan.fleet.account_store, write_interval_us=Duration(every))
+        plan.fleet = msgspec.structs.replace(plan.fleet, account_store=restart)
         backing.prepare(plan)
         runner = Runner(loop, plan, backing)
 
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from conftest import SECOND, of
 from harness.event_story import EventStory, run_command
 from harness.gateway_harness import GET, MS, GatewayHarness, good
+from harness.policy_harness import SECOND, actions_of
 from harness.saved_states import NAMES, write_state
 from test_day import day, quiet, step  # noqa: F401
 
@@ -42,9 +42,9 @@
             actions = story.log[-1][2]
             decision = (
                 "sent"
-                if of(actions, policy.SendAttempt)
+                if actions_of(actions, policy.SendAttempt)
                 else "refused"
-                if of(actions, policy.RejectRequest)
+                if actions_of(actions, policy.RejectRequest)
                 else "held"
             )
             assert prediction.decision == decision
