--- a/benchmarks/roll.py
+++ b/benchmarks/roll.py
@@ -12,12 +12,12 @@
 import time
 
 from orchidlane.hot_restart import rolling_batches, rolling_upgrade
-from orchidlane.hot_restart.probation import Answers
+from orchidlane.hot_restart.probation import AnswerCounts
 
 FLEETS = 60
 
 
-def fleet(rng: random.Random, size: int) -> tuple[rolling_batches.Fleet, rolling_batches.Limits]:
+def fleet(rng: random.Random, size: int) -> tuple[rolling_batches.Fleet, rolling_batches.RiskLimits]:
     halls = rng.randint(1, 5)
     loads = [rng.lognormvariate(3, 0.6) for _ in range(size)]
     members = tuple(
@@ -25,28 +25,31 @@
     )
     spreads = tuple(sorted({rng.choice((1, 2, 3, 4, 6, 8)) for _ in range(rng.randint(1, 3))}))
     share, set_share, load = rng.choice((0.1, 0.25, 0.5)), rng.choice((0.34, 0.5)), rng.choice((0.2, 0.34))
-    return rolling_batches.Fleet(members, spreads), rolling_batches.Limits(
+    return rolling_batches.Fleet(members, spreads), rolling_batches.RiskLimits(
         share, set_share, rng.randint(1, 2), load
     )
 
 
-def batches(made: rolling_batches.Fleet, limits: rolling_batches.Limits) -> int:
+def batches(made: rolling_batches.Fleet, limits: rolling_batches.RiskLimits) -> int:
     """Of a whole roll in which all goes well."""
     size = len(made.members)
-    first = [rolling_upgrade.Seen(n, n + 1, True, "", Answers(100, 0, 0), False) for n in range(size)]
-    roller = rolling_upgrade.begin(made, rolling_upgrade.Terms(limits, soak=0), first)
-    actions, now, count = roller.handle(0, rolling_upgrade.Ticked()), 0, 0
-    while not any(isinstance(action, rolling_upgrade.End) for action in actions):
-        started = [action.rank for action in actions if isinstance(action, rolling_upgrade.Start)]
+    first = [
+        rolling_upgrade.StatusReceived(n, n + 1, True, "", AnswerCounts(100, 0, 0), False)
+        for n in range(size)
+    ]
+    roller = rolling_upgrade.start_roll(made, rolling_upgrade.RollSettings(limits, soak_us=0), first)
+    actions, now, count = roller.handle(0, rolling_upgrade.TimerFired()), 0, 0
+    while not any(isinstance(action, rolling_upgrade.Finish) for action in actions):
+        started = [action.rank for action in actions if isinstance(action, rolling_upgrade.StartSuccessor)]
         count += bool(started)
         actions = []
         for rank in started:
-            roller.handle(now, rolling_upgrade.Prepared(rank, 10_000 + rank))
+            roller.handle(now, rolling_upgrade.SuccessorPrepared(rank, 10_000 + rank))
         for rank in started:
             now += 1
-            seen = rolling_upgrade.Seen(rank, 10_000 + rank, True, "", Answers(), True)
+            seen = rolling_upgrade.StatusReceived(rank, 10_000 + rank, True, "", AnswerCounts(), True)
             actions += roller.handle(now, seen)
-        actions += roller.handle(now, rolling_upgrade.Ticked())
+        actions += roller.handle(now, rolling_upgrade.TimerFired())
     return count
 
 
@@ -58,9 +61,9 @@
         for _ in range(FLEETS):
             made, limits = fleet(rng, size)
             began = time.perf_counter()
-            found = rolling_batches.largest(made, limits, range(size), (), size)
+            found = rolling_batches.largest_batch(made, limits, range(size), (), size)
             times.append((time.perf_counter() - began) * 1e3)
-            shares.append(len(found) / rolling_batches.at_most(made, limits))
+            shares.append(len(found) / rolling_batches.batch_size_bound(made, limits))
             counts.append(batches(made, limits))
         reached = sum(share == 1 for share in shares) / len(shares)
         print(
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -31,7 +31,7 @@
 from orchidlane.runtime import Loop, RealWorld
 from orchidlane.simulation.audit import Verdict
 from orchidlane.simulation.backends import RealBacking, play_while
-from orchidlane.simulation.mutants import BROKEN, make_build
+from orchidlane.simulation.mutants import BROKEN_BUILDS, make_build
 from orchidlane.simulation.observations import Try
 from orchidlane.simulation.scenario import Runner, Step, load_day, make_plan
 
@@ -130,9 +130,10 @@
 def upgrades(count: int) -> None:
     with tempfile.TemporaryDirectory(prefix="orchidlane-") as folder:
         scene = Scene(folder, customers=4)
-        names = list(BROKEN)
+        names = list(BROKEN_BUILDS)
         builds = {
-            name: make_build(Path(folder, f"build-{names.index(name)}"), BROKEN[name]) for name in names
+            name: make_build(Path(folder, f"build-{names.index(name)}"), BROKEN_BUILDS[name])
+            for name in names
         }
         plan = [names[i // 3 % len(names)] if i % 3 == 2 else "" for i in range(count)]
         units = [0.0]
--- a/orchidlane/cli/roll.py
+++ b/orchidlane/cli/roll.py
@@ -10,33 +10,33 @@
 import subprocess
 import sys
 from collections.abc import Iterator
-from typing import IO, Any
+from typing import IO
 
 import click
 
 from orchidlane.cli.errors import UNUSABLE, clear_errors
-from orchidlane.cli.upgrade import OWN, successor_command
+from orchidlane.cli.upgrade import THIS_PROGRAM, successor_command
 from orchidlane.gateway.control.settings import Fleet, load_fleet
-from orchidlane.gateway.lifecycle.rolling_upgrade import Kept, Rolling, UnfinishedRoll
+from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver, StoredRoll, UnfinishedRollError
 from orchidlane.hot_restart import rolling_upgrade as decisions
 from orchidlane.runtime import Loop, RealWorld
 
-WAITS = ("/bin/sh", "-c", 'read -r go && exec "$@"', "sh")  # ends by itself if nobody lets it run
+WAIT_FOR_RELEASE = ("/bin/sh", "-c", 'read -r go && exec "$@"', "sh")  # ends by itself if nobody lets it run
 
 
-class Processes:
+class LocalProcesses:
     """Successors as processes of this machine, in sessions of their own: they outlive the roll."""
 
     def __init__(self, settings: list[str], log: IO[bytes]) -> None:
         self.settings = settings  # one for each gateway
         self.log = log
-        self.programs = ("", "")
+        self.commands = ("", "")
         self._ours: dict[int, subprocess.Popen[bytes]] = {}
 
     def prepare(self, rank: int, new: bool) -> int:
         """See ``rolling.Starter``; so are the others."""
         started = subprocess.Popen(
-            [*WAITS, *successor_command(self.programs[new], self.settings[rank], rank)],
+            [*WAIT_FOR_RELEASE, *successor_command(self.commands[new], self.settings[rank], rank)],
             stdin=subprocess.PIPE,
             stdout=self.log,
             stderr=self.log,
@@ -85,7 +85,7 @@
 @click.option("--program", default="", help="The new build's command.")
 @click.option(
     "--back",
-    default=shlex.join(OWN),
+    default=shlex.join(THIS_PROGRAM),
     help="The old build's command, to go back; this very program if left out.",
 )
 @click.option("--each", default="", help="Each gateway's own settings, with {rank} or {name} in the path.")
@@ -114,45 +114,47 @@
             raise ValueError(f"{settings}: state: a folder is wanted, where the gateways take the call")
         own = [each.format(rank=rank, name=one.name) for rank, one in enumerate(fleet.gateways)]
         with open(log_to or "/dev/null", "ab") as log:
-            starter = Processes(own if each else [settings] * len(fleet.gateways), log)
-            rolling = Rolling(Loop(RealWorld()), fleet, starter, click.echo)
+            starter = LocalProcesses(own if each else [settings] * len(fleet.gateways), log)
+            rolling = RollDriver(Loop(RealWorld()), fleet, starter, click.echo)
             if only_status:
-                return _show(rolling.left(), fleet)
+                return _show(rolling.load_stored(), fleet)
             if bool(program) + resume + recall != 1:
                 raise ValueError("one of --program, --resume and --recall is wanted")
-            found: list[decisions.State] = []
+            found: list[decisions.RollState] = []
             rolling.loop.run(lambda: found.append(_run(rolling, starter, (back, program), recall)))
     state = found[0]
-    click.echo(f"{state.phase.value}" + (f": {state.why}" if state.why else ""))
-    sys.exit({decisions.Phase.DONE: 0, decisions.Phase.RETURNED: 1}.get(state.phase, 4))
+    click.echo(f"{state.phase.value}" + (f": {state.reason}" if state.reason else ""))
+    sys.exit({decisions.Phase.DONE: 0, decisions.Phase.ROLLED_BACK: 1}.get(state.phase, 4))
 
 
-def _run(rolling: Rolling, starter: Processes, programs: tuple[str, str], recall: bool) -> decisions.State:
+def _run(
+    rolling: RollDriver, starter: LocalProcesses, programs: tuple[str, str], recall: bool
+) -> decisions.RollState:
     """Under a lock that a kernel gives up if we die."""
     at = os.path.abspath(f"{rolling.fleet.state}/roll.lock"), 0
     try:
         lock = rolling.loop.world.listen(at)
     except OSError as wrong:
-        raise UnfinishedRoll(f"{at[0]}: another roll is under way: {wrong.strerror}") from None
+        raise UnfinishedRollError(f"{at[0]}: another roll is under way: {wrong.strerror}") from None
     try:
         if programs[1]:
-            starter.programs = programs
+            starter.commands = programs
             rolling.begin(programs)
             return rolling.run()
         actions = rolling.resume()
-        starter.programs = rolling.kept.programs
+        starter.commands = rolling.stored.commands
         return rolling.run(actions, "asked for" if recall else "")
     finally:
         lock.close()
 
 
-def _show(kept: Kept | None, fleet: Fleet) -> None:
+def _show(kept: StoredRoll | None, fleet: Fleet) -> None:
     if kept is None:
         click.echo("no roll so far")
         sys.exit(UNUSABLE)
-    state: Any = kept.state
-    click.echo(f"{state.phase.value}" + (f": {state.why}" if state.why else ""))
-    click.echo(f"old  {kept.programs[0]}\nnew  {kept.programs[1]}")
-    for entry, one, load in zip(fleet.gateways, state.ones, kept.loads, strict=True):
-        told = f", process {one.pid}" if one.pid else ""
-        click.echo(f"{entry.name:12} {entry.zone:10} {one.place.value:7} {load:7.1f} answers/s{told}")
+    state = kept.state
+    click.echo(f"{state.phase.value}" + (f": {state.reason}" if state.reason else ""))
+    click.echo(f"old  {kept.commands[0]}\nnew  {kept.commands[1]}")
+    for entry, one, load in zip(fleet.gateways, state.gateways, kept.loads, strict=True):
+        told = f", process {one.successor_pid}" if one.successor_pid else ""
+        click.echo(f"{entry.name:12} {entry.zone:10} {one.phase.value:7} {load:7.1f} answers/s{told}")
--- a/orchidlane/cli/run.py
+++ b/orchidlane/cli/run.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from orchidlane.gateway.control.settings import Fleet, read_secret
-from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.rollout_agent.settings import check_terms
 from orchidlane.runtime import Loop, RealWorld
 from orchidlane.runtime.signals import serve
@@ -30,11 +30,11 @@
     world = RealWorld()
     loop = Loop(world)
     check_terms(fleet)
-    program = Program(loop, fleet, rank, secret, record_to=folder, take_over=take_over)
+    program = GatewayProcess(loop, fleet, rank, secret, record_to=folder, take_over=take_over)
     if ready_fd >= 0:
         program.when_ready = lambda: _say_ready(ready_fd)
     serve(loop, world, program.run, program.stop, program.reload)
-    return program.failed
+    return program.failure
 
 
 def _say_ready(number: int) -> None:
--- a/orchidlane/cli/upgrade.py
+++ b/orchidlane/cli/upgrade.py
@@ -14,26 +14,26 @@
 
 from orchidlane.cli.errors import clear_errors
 from orchidlane.gateway.control.settings import load_fleet, upgrade_address
-from orchidlane.gateway.lifecycle.status_query import ask_status
+from orchidlane.gateway.lifecycle.status_query import request_status
 from orchidlane.hot_restart import messages
 from orchidlane.runtime import Loop, RealWorld
 
-LOOK_EVERY = 0.1  # seconds between two looks
-ANSWER_WITHIN = 5_000_000  # microseconds
+STATUS_INTERVAL_SECONDS = 0.1  # seconds between two looks
+STATUS_TIMEOUT_US = 5_000_000  # microseconds
 WORDS_MOST, WORDS_LINES = 1 << 20, 5  # bytes looked at, lines told of what a failed successor printed
-OWN = (sys.executable, "-m", "orchidlane")
+THIS_PROGRAM = (sys.executable, "-m", "orchidlane")
 
 
 def successor_command(program: str, settings: str, rank: int) -> list[str]:
     """How a successor of a gateway is started; by this very program where none is named."""
-    build = shlex.split(program) or OWN
+    build = shlex.split(program) or THIS_PROGRAM
     return [*build, "gateway", settings, "--rank", str(rank), "--take-over"]
 
 
 def _ask(path: str) -> messages.Status | None:
     loop = Loop(RealWorld())
     found: list[messages.Status | None] = []
-    loop.run(lambda: found.append(ask_status(loop, (path, 0), ANSWER_WITHIN)))
+    loop.run(lambda: found.append(request_status(loop, (path, 0), STATUS_TIMEOUT_US)))
     return found[0]
 
 
@@ -61,7 +61,9 @@
         if before is None:
             raise ValueError(f"{at[0]}: no gateway answers there")
     if only_status:
-        click.echo(f"{before.phase}, process {before.pid}, build {before.build}; latest: {before.latest}")
+        click.echo(
+            f"{before.phase}, process {before.pid}, build {before.build}; latest: {before.last_outcome}"
+        )
         return
     command = successor_command(program, settings, rank)
     with open(log_to, "a+b") if log_to else tempfile.TemporaryFile() as log:
@@ -93,10 +95,10 @@
     while time.monotonic() < by:
         if started.poll() is not None:
             status = _ask(path)
-            why = status.latest if status is not None else "no gateway answers any more"
+            why = status.last_outcome if status is not None else "no gateway answers any more"
             return {"passed": False, "told": f"the old process goes on: {why}"}
         status = _ask(path)
         if status is not None and status.pid == started.pid:
             return {"passed": True, "told": f"passed: process {status.pid}, build {status.build}"}
-        time.sleep(LOOK_EVERY)
+        time.sleep(STATUS_INTERVAL_SECONDS)
     return {"passed": False, "told": "it took too long; see --status"}
--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -1,119 +1,149 @@
-"""Writes the accounts down every few seconds, and reads them at a start; ``upgrade.restart`` decides on them.
+"""Saves the accounts of a gateway periodically, and loads them at a start.
 
-A file says until when this life may spend beyond it. It is renewed long before; where that fails the file
-goes, so that a later life never believes it too long.
+``orchidlane.hot_restart.account_recovery`` decides what is made of them. A file says until when its
+incarnation may spend beyond it. It is renewed long before; where that fails the file is removed, so that a
+later incarnation never trusts it too long.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import TYPE_CHECKING
-
-import msgspec
+from typing import Any, Protocol
 
 from orchidlane import recording
-from orchidlane.gateway.telemetry.admin_api import StateFrames
-from orchidlane.hot_restart.account_recovery import Life, survivors
+from orchidlane.gateway.control.settings import Fleet, GatewayEntry
+from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.lifecycle.state_errors import INVALID_STATE_ERRORS
+from orchidlane.gateway.telemetry.admin_api import Names, StateFrames
+from orchidlane.hot_restart.account_recovery import PreviousIncarnation, recover_accounts
 from orchidlane.policy.state import Account
+from orchidlane.runtime import Loop
+
+MIN_INTERVAL_PER_SAVE = 20  # times as long as a save takes
+GRACE_US = 5_000_000  # beyond two intervals, for a slow disk or machine
+
+
+class StoredGateway(Protocol):
+    """What the store uses of the gateway process whose accounts it saves."""
+
+    loop: Loop
+    fleet: Fleet
+    entry: GatewayEntry
+    rank: int
+    log: Any
+    host: Host
+    incarnation: int
+    stopping: bool
+    superseded: bool
 
-if TYPE_CHECKING:
-    from orchidlane.gateway.lifecycle.process import Program
+    def state_names(self) -> Names:
+        """Return the names that a state's numbers stand for: classes, plans."""
 
-SHARE = 20  # of the time, one part at most goes into it
-LATE = 5_000_000  # microseconds beyond two rounds, for a disk or a machine that is slow
-BAD = (recording.FormatError, msgspec.ValidationError, ValueError, KeyError, TypeError, IndexError, OSError)
+    def describe_state(self) -> dict[str, Any]:
+        """Return the moment, incarnation and generations that a stored state belongs to."""
 
 
-class Memory:
+class AccountStore:
     """One gateway's accounts on disk."""
 
-    def __init__(self, program: Program, path: str) -> None:
-        self.program = program
-        self.loop = program.loop
+    def __init__(self, gateway: StoredGateway, path: str) -> None:
+        self.gateway = gateway
+        self.loop = gateway.loop
         self.path = path
-        self.every = int(program.fleet.restart.every)
-        self._until = 0
+        self.save_interval_us = int(gateway.fleet.restart.every)
+        self._valid_until_us = 0
 
     # -- at a start
 
     def load(self) -> int:
-        """Go on with what an earlier life wrote down. Gives how many accounts; what can't be used is said."""
+        """Go on with the saved accounts and return their number; an invalid file is logged and left out."""
         data = self.loop.world.read_file(self.path)
         if data is None:
             return 0
         try:
             reader = recording.SegmentReader(self.path, data)
             accounts = {account.customer: account for account in self._read(reader)}
-        except BAD as wrong:
-            self.program.log.error("accounts not read", file=self.path, why=str(wrong))
+        except (*INVALID_STATE_ERRORS, OSError) as error:
+            self.gateway.log.error("accounts not read", file=self.path, why=str(error))
             return 0
-        rules = self.program.host.rules
+        rules = self.gateway.host.rules
         rules.accounts.update(accounts)
         rules.idle_queue.extend(accounts)
         return len(accounts)
 
     def _read(self, reader: recording.SegmentReader) -> Iterator[Account]:
-        header, program = reader.header, self.program
-        if header.gateway != program.entry.name:
+        header = reader.header
+        if header.gateway != self.gateway.entry.name:
             raise recording.FormatError(f"it is {header.gateway}'s")
         about = header.about
-        life = Life(
-            int(header.settings["rank"]),
-            header.plan_names,
-            int(about["now"]),
-            int(about["until"]),
-            bool(about["clean"]),
+        previous = PreviousIncarnation(
+            rank=int(header.settings["rank"]),
+            plan_names=header.plan_names,
+            saved_at_us=int(about["now"]),
+            valid_until_us=int(about["until"]),
+            clean_shutdown=bool(about["clean"]),
         )
-        return survivors(reader.accounts(), life, tuple(program.fleet.plans), self.loop.now())
+        plans = tuple(self.gateway.fleet.plans)
+        return recover_accounts(reader.accounts(), previous, plans, self.loop.now())
 
-    # -- while it runs
+    # -- while the gateway runs
 
-    def work(self) -> None:
-        """Renew it again and again; nothing is written while another process serves in our place."""
-        took = 0
+    def save_periodically(self) -> None:
+        """Save for ever, except while another process serves in our place."""
+        duration = 0
         while True:
-            if not self.program.quiet:
+            if not self.gateway.superseded:
                 began = self.loop.now()
-                self._write(2 * max(self.every, SHARE * took) + LATE, aside=True)
-                took = self.loop.now() - began
-            self.loop.sleep(max(self.every, SHARE * took))
+                self._save(2 * self._interval(duration) + GRACE_US, aside=True)
+                duration = self.loop.now() - began
+            self.loop.sleep(self._interval(duration))
 
-    def begin(self) -> None:
-        """Before the first request: what was read must not be read again by a later life."""
-        self._write(2 * self.every + LATE, aside=False)
+    def _interval(self, duration: int) -> int:
+        return max(self.save_interval_us, MIN_INTERVAL_PER_SAVE * duration)
 
-    def finish(self) -> None:
-        """All is answered, and nothing will be spent any more."""
-        self._write(0, aside=False)
+    def save_before_serving(self) -> None:
+        """Save before the first request: a later incarnation must not load the earlier file again."""
+        self._save(2 * self.save_interval_us + GRACE_US, aside=False)
 
-    def _write(self, span: int, aside: bool) -> None:
-        program, world = self.program, self.loop.world
+    def save_final(self) -> None:
+        """Save after the last request: nothing will be spent any more."""
+        self._save(0, aside=False)
+
+    def _save(self, validity_us: int, aside: bool) -> None:
+        """Save the accounts; with ``aside`` give way while they are encoded, and write in a thread."""
+        world = self.loop.world
         now = self.loop.now()
-        about = {**program.about(), "until": now + span, "clean": not span}
-        frames = StateFrames(program.host, program.entry.name, program.incarnation, 0, program.names(), about)
+        data = self._encode(now, validity_us, aside)
+        try:
+            if aside:
+                world.aside(lambda: world.write_file(self.path, data))
+            else:
+                world.write_file(self.path, data)
+        except OSError as error:
+            self.gateway.log.error("accounts not written", file=self.path, why=str(error))
+            return
+        self._valid_until_us = now + validity_us
+        if validity_us:
+            self.loop.call_at(self._valid_until_us, self._expire, self._valid_until_us)
+
+    def _encode(self, now: int, validity_us: int, gives_way: bool) -> bytes:
+        gateway = self.gateway
+        about = {**gateway.describe_state(), "until": now + validity_us, "clean": not validity_us}
+        names = gateway.state_names()
+        frames = StateFrames(gateway.host, gateway.entry.name, gateway.incarnation, 0, names, about)
         parts = [frames.head]
         try:
             for page in frames:
                 parts.append(page)
-                if aside:
+                if gives_way:
                     self.loop.give_way()
         finally:
             frames.close()
-        data = b"".join(parts)
-        try:
-            if aside:
-                world.aside(lambda: world.write_file(self.path, data))
-            else:
-                world.write_file(self.path, data)
-        except OSError as wrong:
-            program.log.error("accounts not written", file=self.path, why=str(wrong))
-            return
-        self._until = now + span
-        if span:
-            self.loop.call_at(self._until, self._expire, self._until)
-
-    def _expire(self, until: int) -> None:
-        """It was not renewed in time, and we live: it would be believed too long."""
-        if until == self._until and not self.program.quiet and not self.program.stopping:
-            self.program.log.error("accounts too old", file=self.path)
+        return b"".join(parts)
+
+    def _expire(self, valid_until_us: int) -> None:
+        """Remove a file that was not renewed in time: it would be trusted too long."""
+        was_renewed = valid_until_us != self._valid_until_us
+        if not was_renewed and not self.gateway.superseded and not self.gateway.stopping:
+            self.gateway.log.error("accounts too old", file=self.path)
             self.loop.world.remove_file(self.path)
--- /dev/null
+++ b/orchidlane/gateway/lifecycle/client_transfer.py
@@ -0,0 +1,300 @@
+"""Client connections in a hot restart: handed over, retained in probation, reported, and taken back."""
+
+from __future__ import annotations
+
+import contextlib
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import Enum
+
+from orchidlane.gateway.lifecycle.restart_channel import Channel
+from orchidlane.gateway.lifecycle.served_gateway import ServedGateway
+from orchidlane.gateway.server.error_responses import failed
+from orchidlane.gateway.server.http_server import Connection
+from orchidlane.gateway.server.resp_server import Session
+from orchidlane.hot_restart import messages
+from orchidlane.hot_restart.messages import INITIAL_RESP_SESSION, RespSessionState
+from orchidlane.runtime import REQUESTS, Closed, Expired, Scope, Stream
+from orchidlane.runtime.backend import Handle
+
+HTTP = "http"
+RESP = "resp"
+
+
+def connection_id(protocol: str, number: int) -> int:
+    """Return an identifier that is unique over the connections of both servers."""
+    return number << 1 | (protocol == RESP)
+
+
+def connection_number(identifier: int) -> int:
+    """Return the number that a connection has in its own server."""
+    return identifier >> 1
+
+
+class ConnectionState(Enum):
+    """What the new process last reported of a connection."""
+
+    IDLE = "idle"
+    READING = "reading"
+    REQUEST_STARTED = "request started"
+    RESPONDING = "responding"
+
+
+@dataclass
+class RetainedConnection:
+    """A descriptor of a client's connection that the old process keeps in probation."""
+
+    handle: Handle
+    protocol: str
+    state: ConnectionState = ConnectionState.IDLE
+    unread: bytes = b""
+    unread_since_us: int = 0
+    last_received_at_us: int = 0
+    session: RespSessionState = INITIAL_RESP_SESSION
+
+
+class ClientTransfer:
+    """The old process's part: hands clients over, and takes back those that it has retained."""
+
+    def __init__(self, gateway: ServedGateway, scope: Scope, in_probation: Callable[[], bool]) -> None:
+        self.gateway = gateway
+        self.scope = scope
+        self.in_probation = in_probation
+        self.retained: dict[int, RetainedConnection] = {}
+
+    # -- handing over
+
+    def hand_over_http(self, channel: Channel, connection: Connection) -> None:
+        """Hand an idle HTTP connection over."""
+        retained = RetainedConnection(
+            connection.stream.share(),
+            HTTP,
+            unread=connection.parser.unread,
+            unread_since_us=connection.since,
+            last_received_at_us=connection.last_recv,
+        )
+        self._hand_over(channel, connection.stream, connection_id(HTTP, connection.number), retained)
+
+    def hand_over_resp(self, channel: Channel, session: Session) -> None:
+        """Hand an idle RESP connection over; one that is out of step is closed."""
+        unread = session.decoder.unread()
+        if unread is None:
+            session.stream.close()
+            return
+        state = RespSessionState(*session.facts)
+        retained = RetainedConnection(session.stream.share(), RESP, unread=unread, session=state)
+        self._hand_over(channel, session.stream, connection_id(RESP, session.number), retained)
+
+    def _hand_over(
+        self, channel: Channel, stream: Stream, identifier: int, retained: RetainedConnection
+    ) -> None:
+        message = messages.ConnectionHandover(
+            identifier,
+            retained.protocol,
+            retained.unread,
+            retained.unread_since_us,
+            retained.last_received_at_us,
+            retained.session,
+        )
+        channel.send(message, stream.share())
+        stream.release()
+        if self.in_probation():
+            self.retained[identifier] = retained
+        else:
+            self.gateway.loop.world.drop(retained.handle)
+
+    # -- reports of the new process
+
+    def receive(self, channel: Channel, message: messages.AnyMessage) -> None:
+        """Follow what becomes of a connection in the new process; other messages are ignored."""
+        match message:
+            case messages.ReadStarted():
+                self._set_state(message.connection_id, ConnectionState.READING)
+            case messages.RequestStarted():
+                self._set_state(message.connection_id, ConnectionState.REQUEST_STARTED)
+            case messages.ResponseStarted():
+                self._set_state(message.connection_id, ConnectionState.RESPONDING)
+            case messages.ConnectionIdle():
+                self._receive_idle(message)
+            case messages.ConnectionOpened():
+                self._receive_opened(channel, message)
+            case messages.ConnectionClosed():
+                self._drop(message.connection_id)
+            case messages.ConnectionAdopted():
+                if not message.adopted:
+                    self._close(message.connection_id)
+
+    def _set_state(self, identifier: int, state: ConnectionState) -> None:
+        retained = self.retained.get(identifier)
+        if retained is not None:
+            retained.state = state
+
+    def _receive_idle(self, message: messages.ConnectionIdle) -> None:
+        retained = self.retained.get(message.connection_id)
+        if retained is None:
+            return
+        retained.state = ConnectionState.IDLE
+        retained.unread = message.unread
+        retained.unread_since_us = self.gateway.loop.now()
+        retained.session = message.session or retained.session
+        if message.returned and not self.in_probation():
+            self._take_back(message.connection_id)
+
+    def _receive_opened(self, channel: Channel, message: messages.ConnectionOpened) -> None:
+        handle = channel.stream.take_handle()
+        if handle is None:
+            return
+        now = self.gateway.loop.now()
+        needs_password = bool(self.gateway.fleet.limits.passwords)
+        self.retained[message.connection_id] = RetainedConnection(
+            handle,
+            message.protocol,
+            unread_since_us=now,
+            last_received_at_us=now,
+            session=RespSessionState(2, b"", not needs_password),
+        )
+
+    def _drop(self, identifier: int) -> None:
+        """Release our descriptor; the connection goes on in the new process."""
+        retained = self.retained.pop(identifier, None)
+        if retained is not None:
+            self.gateway.loop.world.drop(retained.handle)
+
+    def _close(self, identifier: int) -> None:
+        """Close a connection that did not arrive."""
+        retained = self.retained.pop(identifier, None)
+        if retained is not None:
+            self.gateway.loop.world.adopt_stream(retained.handle).close()
+
+    def drop_all(self) -> None:
+        """Release all descriptors: probation is passed."""
+        for identifier in list(self.retained):
+            self._drop(identifier)
+
+    # -- taking back
+
+    def take_back_idle(self) -> None:
+        """Serve the idle clients again."""
+        for identifier, retained in list(self.retained.items()):
+            if retained.state is ConnectionState.IDLE:
+                self._take_back(identifier)
+
+    def _take_back(self, identifier: int) -> None:
+        retained = self.retained.pop(identifier)
+        stream = self.gateway.loop.world.adopt_stream(retained.handle)
+        if retained.protocol == HTTP:
+            server = self.gateway.front
+            since = retained.unread_since_us
+            server.adopt(stream, retained.unread, since, retained.last_received_at_us, server.next_number())
+        else:
+            resp = self.gateway.resp
+            resp.adopt(stream, retained.unread, retained.session, resp.next_number())
+
+    def answer_orphaned(self) -> None:
+        """Answer the clients that a dead process owed an answer, with one that promises nothing.
+
+        Where the answer had begun nobody knows how much of it was sent, so that connection is closed.
+        """
+        for identifier, retained in list(self.retained.items()):
+            if retained.state is ConnectionState.IDLE:  # it is owed nothing
+                self._take_back(identifier)
+                continue
+            stream = self.gateway.loop.world.adopt_stream(retained.handle)
+            if retained.state is ConnectionState.RESPONDING:
+                stream.close()
+            else:
+                self.scope.spawn(self._answer_failed, retained, stream, kind=REQUESTS, name="settle")
+        self.retained.clear()
+
+    def _answer_failed(self, retained: RetainedConnection, stream: Stream) -> None:
+        try:
+            if retained.protocol == HTTP:
+                self.gateway.front.answer_alone(stream, failed())
+            else:
+                resp = self.gateway.resp
+                began = retained.state is ConnectionState.REQUEST_STARTED
+                unread = retained.unread if began else None
+                resp.answer_alone(stream, unread, retained.session, resp.next_number())
+        except (Closed, Expired):
+            stream.close()
+
+
+class ConnectionReporter:
+    """Reports the new process's clients to the old one, before what could be lost with us happens.
+
+    Implements ``http_server.Watcher``.
+    """
+
+    def __init__(self, channel: Channel, protocol: str) -> None:
+        self.channel = channel
+        self.protocol = protocol
+
+    def opened(self, number: int, stream: Stream) -> None:
+        """Report a new client."""
+        identifier = connection_id(self.protocol, number)
+        self.channel.send(messages.ConnectionOpened(identifier, self.protocol), stream.share())
+
+    def reading(self, number: int) -> None:
+        """Report that bytes are about to be read, and wait until that is sent: they would be lost with us."""
+        self.channel.send(messages.ReadStarted(connection_id(self.protocol, number)))
+        if self.channel.has_backlog:
+            with contextlib.suppress(Expired):
+                self.channel.flush()
+
+    def began(self, number: int) -> None:
+        """Report that a request is in progress."""
+        self.channel.send(messages.RequestStarted(connection_id(self.protocol, number)))
+
+    def answering(self, number: int) -> None:
+        """Report that an answer is about to be written."""
+        self.channel.send(messages.ResponseStarted(connection_id(self.protocol, number)))
+
+    def idle(self, number: int, unread: bytes, session: tuple[int, bytes, bool] | None = None) -> None:
+        """Report that no request is in progress, with what was read of the next one."""
+        state = RespSessionState(*session) if session is not None else None
+        identifier = connection_id(self.protocol, number)
+        self.channel.send(messages.ConnectionIdle(identifier, unread=unread, session=state))
+
+    def ended(self, number: int) -> None:
+        """Report that a connection is closed."""
+        self.channel.send(messages.ConnectionClosed(connection_id(self.protocol, number)))
+
+
+class ClientReturn:
+    """The new process's part: adopts clients, and returns them as they become idle."""
+
+    def __init__(self, gateway: ServedGateway, channel: Channel) -> None:
+        self.gateway = gateway
+        self.channel = channel
+
+    def adopt(self, message: messages.ConnectionHandover) -> None:
+        """Serve a client of the old process."""
+        handle = self.channel.stream.take_handle()
+        self.channel.send(messages.ConnectionAdopted(message.connection_id, handle is not None))
+        if handle is None:
+            return
+        stream = self.gateway.loop.world.adopt_stream(handle)
+        number = connection_number(message.connection_id)
+        if message.protocol == HTTP:
+            since = message.unread_since_us
+            self.gateway.front.adopt(stream, message.unread, since, message.last_received_at_us, number)
+        else:
+            self.gateway.resp.adopt(stream, message.unread, message.session, number)
+
+    def return_http(self, connection: Connection) -> None:
+        """Return an idle HTTP connection."""
+        identifier = connection_id(HTTP, connection.number)
+        self.channel.send(messages.ConnectionIdle(identifier, True, connection.parser.unread))
+        connection.stream.release()
+
+    def return_resp(self, session: Session) -> None:
+        """Return an idle RESP connection; one that is out of step is closed."""
+        identifier = connection_id(RESP, session.number)
+        unread = session.decoder.unread()
+        if unread is None:
+            self.channel.send(messages.ConnectionClosed(identifier))
+            session.stream.close()
+            return
+        state = RespSessionState(*session.facts)
+        self.channel.send(messages.ConnectionIdle(identifier, True, unread, state))
+        session.stream.release()
--- /dev/null
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -0,0 +1,342 @@
+"""The new process's side of a hot restart; ``orchidlane.hot_restart.new_process`` decides.
+
+It connects to the old process's Unix socket, gets the listeners and the state, checks itself, and serves from
+the handover on. In probation it reports to the old process (see ``old_side``) before it acts.
+"""
+
+from __future__ import annotations
+
+import contextlib
+
+from orchidlane import policy, recording
+from orchidlane.gateway.control.customers import Customer
+from orchidlane.gateway.control.settings import upgrade_address
+from orchidlane.gateway.lifecycle.client_transfer import HTTP, RESP, ClientReturn, ConnectionReporter
+from orchidlane.gateway.lifecycle.restart_channel import Channel
+from orchidlane.gateway.lifecycle.served_gateway import ServedGateway, count_answers
+from orchidlane.gateway.lifecycle.state_errors import INVALID_STATE_ERRORS
+from orchidlane.hot_restart import messages, new_process
+from orchidlane.hot_restart.tables import ReceivedTables, restore_policy
+from orchidlane.policy.gateway import Gateway
+from orchidlane.runtime import CONTROL, Cancelled, Expired, NotConnected, Scope, Task
+from orchidlane.runtime.backend import Handle, show
+
+CONNECT_TIMEOUT_US = 5_000_000
+DRAIN_POLL_INTERVAL_US = 10_000
+SETTLED_PHASES = (new_process.Phase.PROBATION, new_process.Phase.INDEPENDENT, new_process.Phase.ENDED)
+
+
+class NewSide:
+    """Takes a running gateway over."""
+
+    def __init__(self, gateway: ServedGateway, scope: Scope) -> None:
+        self.gateway = gateway
+        self.loop = gateway.loop
+        self.scope = scope
+        timeouts = new_process.Timeouts(copy_us=int(gateway.fleet.upgrade.warm))
+        self.machine = new_process.NewProcess(timeouts)
+        self.channel: Channel
+        self.clients: ClientReturn
+        self.sockets: dict[str, Handle] = {}
+        self.expected_sockets: tuple[str, ...] = ()
+        self.received_tables: ReceivedTables
+        self.class_map: dict[int, int] = {}  # the old process's numbers of request classes to ours
+        self.failure = ""  # why nothing became of it
+        self._waiting: Task | None = None
+        self._built = False
+        self._returning = False
+
+    def take_over(self) -> bool:
+        """Connect, and wait until we serve; return False if we never will, ``failure`` says why."""
+        address = upgrade_address(self.gateway.fleet, self.gateway.entry)
+        if address is None:
+            self.failure = "the settings have no folder for the state, where the old process listens"
+            return False
+        try:
+            stream = self.loop.world.connect(address, self.loop.now() + CONNECT_TIMEOUT_US)
+        except (NotConnected, Expired) as error:
+            self.failure = f"nobody answers at {show(address)}: {error}"
+            return False
+        self.channel = Channel(self.loop, stream, 0, self.scope)
+        self.clients = ClientReturn(self.gateway, self.channel)
+        self.scope.spawn(self._serve_channel, kind=CONTROL, name="upgrade channel")
+        self._carry_out_all(self.machine.start(self.loop.now()))
+        self._waiting = self.loop.current
+        while self.machine.phase not in SETTLED_PHASES:
+            self.loop.park()
+        self._waiting = None
+        return not self.failure
+
+    def _serve_channel(self) -> None:
+        try:
+            try:
+                for message in self.channel.received():
+                    self._receive(message)
+            except (messages.ProtocolError, *INVALID_STATE_ERRORS) as error:
+                self._fail(f"garbage: {type(error).__name__} {error}")
+                self.channel.await_end()
+            self.feed(new_process.ChannelClosed())
+        except Cancelled:
+            raise
+        except Exception as error:  # a fault of this build shows here: it gives up rather than hang
+            self._fail(f"{type(error).__name__}: {error}")
+            raise
+
+    def feed(self, event: new_process.Event) -> None:
+        """Feed one event to the state machine and carry its actions out."""
+        previous = self.machine.phase
+        actions = self.machine.handle(self.loop.now(), event)
+        phase = self.machine.phase
+        if phase is not previous:
+            self.gateway.log.info("take-over", phase=phase.value, was=previous.value)
+        self._carry_out_all(actions)
+        if self._waiting is not None:
+            self.loop.wake(self._waiting)
+
+    def _fail(self, reason: str) -> None:
+        self.feed(new_process.FailureDetected(reason))
+
+    def _carry_out_all(self, actions: list[new_process.Action]) -> None:
+        for action in actions:
+            self._carry_out(action)
+
+    def _carry_out(self, action: new_process.Action) -> None:
+        match action:
+            case new_process.SendHello():
+                self._send_hello()
+            case new_process.RunSelfCheck():
+                self._run_self_check()
+            case new_process.SendReady():
+                self.channel.send(messages.Ready())
+            case new_process.StartServing():
+                self._start_probation()
+            case new_process.SendHeartbeat():
+                self._send_heartbeat()
+            case new_process.ServeAlone():
+                self._serve_alone(action.cold_start)
+            case new_process.StopServing():
+                self._stop_serving()
+            case new_process.EndProbation():
+                self._end_probation()
+            case new_process.Exit():
+                self._exit(action.reason)
+            case new_process.SetTimer():
+                due = self.loop.now() + action.delay_us
+                self.loop.call_at(due, lambda _: self.feed(new_process.TimerFired()))
+
+    def _exit(self, reason: str) -> None:
+        self.failure = reason
+        self.gateway.log.error("take-over ended", why=reason)
+        self.channel.send(messages.Failure(reason))
+        self.gateway.stopping = True
+        self.scope.spawn(self._close, kind=CONTROL, name="take-over ends")
+
+    def _close(self) -> None:
+        with contextlib.suppress(Expired):
+            self.channel.flush()
+        self.channel.close()
+
+    def _send_hello(self) -> None:
+        gateway = self.gateway
+        self.channel.send(
+            messages.Hello(
+                messages.PROTOCOL_VERSION,
+                recording.build_name(),
+                gateway.entry.name,
+                gateway.rank,
+                len(gateway.fleet.gateways),
+                tuple(gateway.fleet.plans),
+            )
+        )
+
+    def _send_heartbeat(self) -> None:
+        gateway = self.gateway
+        answers = count_answers(gateway.metrics)
+        self.channel.send(messages.Heartbeat(*answers, gateway.sequence, gateway.host.numbers))
+
+    # -- messages of the old process
+
+    def _receive(self, message: messages.AnyMessage) -> None:
+        match message:
+            case messages.Offer():
+                self._receive_offer(message)
+            case messages.InheritedSocket():
+                self._receive_socket(message)
+            case messages.TableRows():
+                tables = self.received_tables
+                tables.apply(message.table, message.rows, message.removed, self.loop.now())
+            case messages.CopyComplete():
+                self.feed(new_process.CopyCompleteReceived())
+            case messages.FinalState():
+                self._receive_final_state(message)
+            case messages.Reclaim():
+                self.feed(new_process.ReclaimReceived(message.reason))
+            case messages.Release():
+                self.feed(new_process.ReleaseReceived())
+            case messages.Abort():
+                self.feed(new_process.AbortReceived(message.reason))
+            case _:
+                self._receive_in_probation(message)
+
+    def _receive_in_probation(self, message: messages.AnyMessage) -> None:
+        """Receive what the old process sends for its clients and its requests in progress."""
+        match message:
+            case messages.ConnectionHandover():
+                self.clients.adopt(message)
+            case messages.UnitsRequest():
+                self._receive_units_request(message)
+            case messages.SendDatagram():
+                self._send_datagram(message)
+            case messages.GrantRecorded():
+                self._record_grant(message)
+            case _:
+                self._fail("a message that only the new process may send")
+
+    def _receive_offer(self, offer: messages.Offer) -> None:
+        """Go on with the old process's clock and incarnation; read and check our own configuration."""
+        gateway = self.gateway
+        self.loop.world.follow_clock(offer.clock_base_us)
+        gateway.incarnation = offer.incarnation
+        self.expected_sockets = offer.socket_names
+        gateway.load_configuration(offer.generation + 1)
+        gateway.build_parts(self.scope)
+        self._built = True
+        self.received_tables = ReceivedTables(gateway.limits.holder, gateway.limits.ledger)
+        self.feed(new_process.OfferReceived())
+
+    def _receive_socket(self, message: messages.InheritedSocket) -> None:
+        handle = self.channel.stream.take_handle()
+        if handle is None:
+            self._fail(f"the listener {message.name} got lost: no descriptor left?")
+        else:
+            self.sockets[message.name] = handle
+
+    def _run_self_check(self) -> None:
+        """Check that all sockets arrived, and that the policy of this build acts on a request."""
+        missing = [name for name in self.expected_sockets if name not in self.sockets]
+        if missing:
+            return self._fail(f"these listeners did not come: {', '.join(missing)}")
+        settings = self.gateway.host.settings
+        gateway = Gateway(settings, 0, self.loop.now())
+        deadline = settings.classes[0].deadline_us
+        request = policy.RequestArrived(1, 1, 0, 0, 1.0, deadline, 0, 1, False)
+        if not gateway.handle(self.loop.now(), request):
+            return self._fail("its module makes nothing of a request")
+        return self.feed(new_process.SelfCheckPassed())
+
+    def _receive_final_state(self, final: messages.FinalState) -> None:
+        """Go on from all that the old process had."""
+        gateway = self.gateway
+        old_numbers = {name: number for number, name in enumerate(final.class_names)}
+        names = gateway.knowledge.generation.class_names
+        self.class_map = {
+            old_numbers[name]: number for number, name in enumerate(names) if name in old_numbers
+        }
+        old_classes = [old_numbers.get(name) for name in names]
+        accounts = self.received_tables.accounts
+        rules = restore_policy(gateway.host.settings, final.policy_state, accounts, old_classes)
+        recording.track(rules)
+        gateway.host.go_on_with(rules, final.last_request_id)
+        gateway.limits.carry_on(final.limits)
+        gateway.tracker.carry_on(final.endpoints)
+        gateway.inbox.carry_on([tuple(row) for row in final.peers])
+        gateway.sequence = final.datagram_sequence
+        self.feed(new_process.FinalStateReceived())
+
+    def _receive_units_request(self, request: messages.UnitsRequest) -> None:
+        plan_names = tuple(self.gateway.fleet.plans)
+        customer = Customer(
+            request.customer,
+            request.plan,
+            plan_names[request.plan],
+            request.replica_set_start,
+            request.replica_set_size,
+        )
+        class_index = self.class_map.get(request.class_index)
+        granted = (
+            class_index is not None
+            and not self._returning
+            and self.gateway.host.take(customer, request.units, class_index)
+        )
+        self.channel.send(messages.UnitsReply(request.request_id, granted))
+
+    def _send_datagram(self, message: messages.SendDatagram) -> None:
+        limits = self.gateway.limits
+        if message.rank == self.gateway.rank:
+            limits.hear(message.rank, message.body)
+        else:
+            self.gateway.send_limits_datagram(message.rank, message.body)
+
+    def send_own_reply(self, body: bytes) -> None:
+        """Send the answer of our own token service to a token request of the old process."""
+        self.channel.send(messages.PeerReply(self.gateway.rank, body))
+
+    def _record_grant(self, grant: messages.GrantRecorded) -> None:
+        span = None if grant.reserved_us < 0 else grant.reserved_us
+        ledger = self.gateway.limits.ledger
+        ledger.grant(self.loop.now(), grant.name, grant.customer, grant.units, span)
+
+    # -- probation
+
+    def _start_probation(self) -> None:
+        gateway = self.gateway
+        gateway.front.watcher = ConnectionReporter(self.channel, HTTP)
+        gateway.resp.watcher = ConnectionReporter(self.channel, RESP)
+        gateway.host.spent = self._report_count
+        gateway.limits.others = self._pass_reply
+        gateway.sockets.adopt(self.sockets)
+        gateway.start_serving(self.scope)
+        self.channel.send(messages.Started())
+
+    def _report_count(self, customer: int) -> None:
+        """Report a count before the counted request is forwarded: the old process may have to go on."""
+        rules = self.gateway.host.rules
+        account = rules.accounts[customer]
+        incarnation, value = account.replica_counts[rules.replica]
+        self.channel.send(messages.CustomerCount(customer, *account.key, incarnation, value))
+
+    def _pass_reply(self, sender: int, body: bytes) -> None:
+        self.channel.send(messages.PeerReply(sender, body))
+
+    def _stop_reporting(self) -> None:
+        gateway = self.gateway
+        gateway.front.watcher = None
+        gateway.resp.watcher = None
+        gateway.host.spent = None
+
+    def _end_probation(self) -> None:
+        self._stop_reporting()
+        if self.channel.closed:
+            self.channel.stream.kill_peer()
+        self.gateway.accept_successors()
+
+    def _serve_alone(self, cold_start: bool) -> None:
+        """Make sure that the old process is dead, and serve in its place."""
+        gateway = self.gateway
+        self.channel.stream.kill_peer()
+        self._stop_reporting()
+        self._returning = False
+        if not cold_start:
+            gateway.resume_serving()
+        elif not self._built or "http" not in self.sockets:
+            self.failure = "the old side ended before it had passed its listeners"
+            return
+        else:
+            gateway.incarnation = self.loop.now()  # a new one: what the old process sent last is not known
+            gateway.sockets.adopt(self.sockets)
+            gateway.start_serving(self.scope)
+        gateway.accept_successors()
+
+    # -- giving everything back
+
+    def _stop_serving(self) -> None:
+        self._returning = True
+        self.gateway.stop_accepting(self.clients.return_http, self.clients.return_resp)
+        self.gateway.superseded = True
+        self.channel.send(messages.ServingStopped())
+        self.scope.spawn(self._await_drained, kind=CONTROL, name="returning")
+
+    def _await_drained(self) -> None:
+        while self.gateway.front.connections or self.gateway.resp.sessions:
+            self.loop.sleep(DRAIN_POLL_INTERVAL_US)
+        self.feed(new_process.Drained())
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -1,4 +1,4 @@
-"""The life of one gateway: what it knows, its parts, its start, reload and end."""
+"""The gateway process: builds its parts, starts, reloads, takes part in hot restarts, drains and exits."""
 
 from __future__ import annotations
 
@@ -12,38 +12,40 @@
 from orchidlane.gateway.control.configuration import Knowledge, make_knowledge, read_sources
 from orchidlane.gateway.control.endpoint_list import ListTracker
 from orchidlane.gateway.control.endpoint_watch import Watch
-from orchidlane.gateway.control.settings import Fleet, address, module_settings, upgrade_address
+from orchidlane.gateway.control.settings import Fleet, address, module_settings
 from orchidlane.gateway.forwarding.connection_pool import Upstream
 from orchidlane.gateway.forwarding.openapi_adapter import OpenApiClients, OpenApiNodes
 from orchidlane.gateway.forwarding.policy_driver import Host
-from orchidlane.gateway.lifecycle.account_store import Memory
-from orchidlane.gateway.lifecycle.hot_restart import GivingSide, Lent, TakingSide
+from orchidlane.gateway.lifecycle.account_store import AccountStore
+from orchidlane.gateway.lifecycle.new_side import NewSide
+from orchidlane.gateway.lifecycle.old_side import OldSide
+from orchidlane.gateway.lifecycle.sockets import PEER, GatewaySockets
+from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
 from orchidlane.gateway.peers.datagrams import CHANGE, LIMITS, MODULE, SIZE_MOST, Inbox, seal
 from orchidlane.gateway.peers.token_requests import LimitService
 from orchidlane.gateway.rollout_agent.admin_api import Desk
 from orchidlane.gateway.rollout_agent.agent import Versions
-from orchidlane.gateway.server import http_server as http_front
-from orchidlane.gateway.server.http_server import Front
+from orchidlane.gateway.server.http_server import Connection, Front
 from orchidlane.gateway.server.resp_server import RespFront, Session
 from orchidlane.gateway.telemetry.admin_api import Admin, Names
 from orchidlane.gateway.telemetry.metrics import Metrics
 from orchidlane.gateway.telemetry.traffic_recorder import Recorder
-from orchidlane.hot_restart import messages, new_process, old_process
+from orchidlane.hot_restart import new_process, old_process
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording import track
 from orchidlane.routes import DescriptionError
 from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, Loop, Scope, Task
-from orchidlane.runtime.backend import Handle
 
-DRAIN_LOOK = 10_000  # microseconds between two looks whether all is answered
+DRAIN_POLL_INTERVAL_US = 10_000
+STOP_POLL_INTERVAL_US = 50_000
 
 
-class Program:
+class GatewayProcess:
     """One gateway. ``run`` is its main task; ``stop`` and ``reload`` may be called from signals' tasks.
 
-    ``places`` are its listeners and the peers' datagrams by name: what a successor takes over. With
-    ``take_over`` they come from the process that runs now; ``failed`` says afterwards why nothing became of
-    it.
+    ``sockets`` are its listeners and the datagram socket of the peers by name: what a successor inherits.
+    With ``take_over`` they come from the process that runs now; ``failure`` says afterwards why it did not
+    take over.
     """
 
     def __init__(
@@ -62,102 +64,128 @@
         self.entry = fleet.gateways[rank]
         self.secret = secret
         self.record_to = record_to
-        self.take_over = take_over
+        self.takes_over = take_over
         self.log = structlog.get_logger().bind(gateway=self.entry.name)
-        self.given = knowledge is not None
-        self.sources: tuple[bytes, bytes] | None = None  # what our files say
+        self.configuration_given = knowledge is not None
+        self.sources: tuple[bytes, bytes] | None = None  # contents of the description and customers files
         self.versions = Versions(self) if fleet.change.voters else None
-        self.knowledge = knowledge or self._first_knowledge(1)
+        self.knowledge = knowledge or self._initial_configuration(1)
         self.metrics = Metrics()
         self.stopping = False
         self.ready = False
-        self.quiet = False  # peers hear of another process in our place
-        self.failed = ""
+        self.superseded = False  # another process serves in our place
+        self.failure = ""
         self.when_ready: Callable[[], None] = lambda: None  # called once, when requests are served
         self.incarnation = loop.now()
-        self.sequence = 0
+        self.sequence = 0  # of the latest datagram
         self.peers = [address(entry.peer) for entry in fleet.gateways]
-        self.places: dict[str, Any] = {}
-        self.front: Front
+        self.sockets = GatewaySockets(loop, fleet, self.entry)
         self.host: Host
+        self.front: Front
         self.inbox: Inbox
-        self.memory: Memory | None = None
+        self.account_store: AccountStore | None = None
         self.tracker = ListTracker(self.entry.zone, fleet.bounds.nodes)
-        self._hearing: Task
+        self._receiving: Task
+
+    # -- life
 
     def run(self) -> None:
-        """From start to the end of a drain."""
+        """Serve from start to the end of a drain."""
         with Scope(self.loop) as scope:
-            self.giving = GivingSide(self, scope)
-            if self.take_over:
-                self.taking = TakingSide(self, scope)
-                if not self.taking.take_over():
-                    self.failed = self.taking.ended_because
+            self.old_side = OldSide(self, scope)
+            if self.takes_over:
+                self.new_side = NewSide(self, scope)
+                if not self.new_side.take_over():
+                    self.failure = self.new_side.failure
                     scope.cancel()
                     return
             else:
-                for name in ("http", "peer"):
-                    self.open(name)
-                self.build(scope)
-                self.start_serving(scope)
-                self.giving.listen()
-            self._until_drained()
-            self.giving.part()
-            if self.host.recorder is not None:
-                self.host.recorder.finish()
-            if self.memory is not None and not self.quiet:
-                self.memory.finish()
+                self._start(scope)
+            self._run_until_drained()
+            self._finish()
             scope.cancel()
-        for place in self.places.values():
-            place.close()
-        if self.take_over:
-            self.failed = self.taking.ended_because
-        self.log.info("ended", why=self.failed)
-
-    # -- places
-
-    def open(self, name: str) -> None:
-        """Bind the address that the settings have for a place, if they have one and it is not ours yet."""
-        world, entry = self.loop.world, self.entry
-        if name in self.places:
-            return
-        if name == "peer":
-            self.places[name] = world.datagrams(address(entry.peer))
-            return
-        wanted = {"http": entry.listen, "resp": entry.resp, "admin": entry.admin}
-        at = upgrade_address(self.fleet, entry) if name == "upgrade" else None
-        if wanted.get(name):
-            at = address(wanted[name])
-        if at is not None:
-            self.places[name] = world.listen(at)
-
-    def adopt_places(self, handles: dict[str, Handle]) -> None:
-        """Take over the places of the process before us."""
-        world = self.loop.world
-        for name, handle in handles.items():
-            adopt = world.adopt_datagrams if name == "peer" else world.adopt_listener
-            self.places[name] = adopt(handle)
+        self.sockets.close()
+        if self.takes_over:
+            self.failure = self.new_side.failure
+        self.log.info("ended", why=self.failure)
+
+    def _start(self, scope: Scope) -> None:
+        for name in ("http", PEER):
+            self.sockets.bind(name)
+        self.build_parts(scope)
+        self.start_serving(scope)
+        self.accept_successors()
+
+    def _run_until_drained(self) -> None:
+        """Wait for ``stop``, then until all is answered or the time for it is over."""
+        while not self.stopping:
+            self.loop.sleep(STOP_POLL_INTERVAL_US)
+        self.front.drain()
+        if "resp" in self.sockets:
+            self.resp.drain()
+        deadline = self.loop.now() + self.fleet.times.drain
+        while (self.front.connections or self.resp.sessions) and self.loop.now() < deadline:
+            self.loop.sleep(DRAIN_POLL_INTERVAL_US)
+        self.front.lingering.wait(deadline)
+        self.resp.lingering.wait(deadline)
+
+    def _finish(self) -> None:
+        self.old_side.finish()
+        if self.host.recorder is not None:
+            self.host.recorder.finish()
+        if self.account_store is not None and not self.superseded:
+            self.account_store.save_final()
 
-    # -- parts
+    def stop(self) -> None:
+        """Begin to drain; in probation, release the new process or return everything to the old one first."""
+        self.old_side.feed(old_process.StopRequested())
+        if self.takes_over and self.new_side.machine.phase is new_process.Phase.PROBATION:
+            self.new_side.feed(new_process.StopRequested())
+        else:
+            self.stopping = True
 
-    def _first_knowledge(self, number: int) -> Knowledge:
-        """What an earlier life went by, or what the files say. Raises what ``_read_files`` does."""
-        found = self.versions.restored(number) if self.versions is not None else None
-        return found or self._read_files(number)
+    # -- configuration
 
-    def _read_files(self, number: int) -> Knowledge:
-        """Raises DescriptionError, CustomersError, OSError."""
+    def _initial_configuration(self, number: int) -> Knowledge:
+        """Return what an earlier incarnation ran with, or what the files say. Raises as the reading does."""
+        restored = self.versions.restored(number) if self.versions is not None else None
+        return restored or self._read_configuration(number)
+
+    def _read_configuration(self, number: int) -> Knowledge:
+        """Read description and customers. Raises DescriptionError, CustomersError, OSError."""
         sources = read_sources(self.loop.world, self.fleet)
-        found = make_knowledge(*sources, self.fleet, number, self.log)
+        knowledge = make_knowledge(*sources, self.fleet, number, self.log)
         self.sources = sources
-        return found
+        return knowledge
+
+    def load_configuration(self, number: int) -> None:
+        """Read the configuration in a thread of its own. Raises as ``_read_configuration``."""
+        if not self.configuration_given:
+            self.knowledge = self.loop.world.aside(lambda: self._initial_configuration(number))
 
-    def read(self, number: int) -> None:
-        """Read description and customers beside the loop. Raises what ``_read_files`` does."""
-        if not self.given:
-            self.knowledge = self.loop.world.aside(lambda: self._first_knowledge(number))
+    def reload(self) -> None:
+        """Read description and customers anew while serving; what is invalid changes nothing."""
+        number = self.knowledge.generation.number + 1
+        if self.versions is not None and self.versions.ledger is not None:
+            self.log.error("reload refused", why="the fleet goes by its ledger: propose the change")
+            return
+        try:
+            fresh = self.loop.world.aside(lambda: self._read_configuration(number))
+            self._check_classes(fresh)
+        except Exception as error:
+            self.log.error("reload refused", why=str(error))
+            return
+        self.knowledge = fresh
+        self.log.info("reloaded", generation=fresh.generation.number)
+
+    def _check_classes(self, fresh: Knowledge) -> None:
+        if fresh.generation.classes != self.knowledge.generation.classes:
+            reason = "other classes need a restart of the gateway"
+            raise DescriptionError(self.fleet.description, [("x-orchidlane", reason)])
+
+    # -- parts
 
-    def build(self, scope: Scope) -> None:
+    def build_parts(self, scope: Scope) -> None:
         """Make all parts; none of them does anything yet."""
         self.scope = scope
         settings = module_settings(self.fleet, self.rank, self.knowledge.generation)
@@ -165,120 +193,114 @@
         if self.versions is not None:
             intakes.append(self.fleet.change.intake)
         self.inbox = Inbox(self.secret, self.rank, len(self.peers), self.loop.now(), *intakes)
+        self._build_forwarding(settings, scope)
+        self.metrics.gauges = {
+            "connections": ("Clients' connections", lambda: len(self.front.connections)),
+            "open_requests": ("Requests under way", lambda: len(self.host.exchanges)),
+            "nodes": ("Nodes on the list", lambda: len(self.tracker.nodes)),
+            "longest_turn_seconds": ("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
+        }
+        send = self.send_limits_datagram
+        self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, send, scope)
+        self.resp = RespFront(
+            self.loop, self.fleet, self.limits, lambda: self.knowledge, scope, self._unready_reason
+        )
+        self._build_admin()
+        cache = f"{self.fleet.state}/{self.entry.name}.nodes.json" if self.fleet.state else ""
+        self.watch = Watch(self.loop, self.fleet, self.tracker, self.entry.name, cache, self._feed_list)
+
+    def _build_forwarding(self, settings: policy.Settings, scope: Scope) -> None:
         nodes = OpenApiNodes(self.fleet, self.entry.name, self.incarnation, self.tracker)
-        why_not = self.versions.why_not_serve if self.versions is not None else str
         note = self.versions.note if self.versions is not None else None
         clients = OpenApiClients(
-            self.fleet, lambda: self.knowledge, lambda: self.host, self.metrics, why_not, note
+            self.fleet,
+            lambda: self.knowledge,
+            lambda: self.host,
+            self.metrics,
+            self._unready_reason,
+            note,
         )
         rules = Gateway(settings, self.loop.world.random.getrandbits(64), self.loop.now())
         track(rules)
         upstream = Upstream(self.loop, self.fleet, scope, nodes)
-        begin = upstream.begin
-        self.host = Host(self.loop, settings, rules, self.metrics, clients, begin, self._tell)
+        self.host = Host(
+            self.loop, settings, rules, self.metrics, clients, upstream.begin, self._send_to_peer
+        )
         upstream.host = self.host
         self.front = Front(self.loop, self.fleet, self.host, clients, scope)
-        self.metrics.gauges = {
-            "connections": ("Clients' connections", lambda: len(self.front.connections)),
-            "open_requests": ("Requests under way", lambda: len(self.host.exchanges)),
-            "nodes": ("Nodes on the list", lambda: len(self.tracker.nodes)),
-            "longest_turn_seconds": ("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
-        }
-        self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, self.tell_limits, scope)
-        self.resp = RespFront(self.loop, self.fleet, self.limits, lambda: self.knowledge, scope, why_not)
+
+    def _build_admin(self) -> None:
         self.admin = Admin(
             self.loop,
             self.entry.name,
             self.host,
             self.metrics,
             lambda: self.knowledge,
-            self.about,
-            lambda: self.ready and not self.stopping and not why_not(),
-            self.names,
+            self.describe_state,
+            lambda: self.ready and not self.stopping and not self._unready_reason(),
+            self.state_names,
             Desk(self.versions) if self.versions is not None else None,
         )
-        cache = f"{self.fleet.state}/{self.entry.name}.nodes.json" if self.fleet.state else ""
-        self.watch = Watch(self.loop, self.fleet, self.tracker, self.entry.name, cache, self._listed)
+
+    def _unready_reason(self) -> str:
+        """Return why requests must not be served yet; empty if they may."""
+        return self.versions.why_not_serve() if self.versions is not None else ""
+
+    # -- serving
 
     def start_serving(self, scope: Scope) -> None:
-        """Take requests; what is not bound or taken over yet is bound here."""
-        if not self.take_over:
+        """Accept requests; sockets that are not bound or inherited yet are bound here."""
+        if not self.takes_over:
             self.watch.restore()
-        self._remember(scope)
-        for name in ("http", "peer", "resp", "admin"):
-            self.open(name)
+        self._start_account_store(scope)
+        for name in ("http", PEER, "resp", "admin"):
+            self.sockets.bind(name)
         self.host.start()
         if self.record_to:
-            self._record(scope, self.record_to)
+            self._start_recorder(scope, self.record_to)
         if self.versions is not None:
             self.versions.start(scope)
         scope.spawn(self.watch.work, kind=CONTROL, name="node list")
         scope.spawn(self.watch.keep, kind=BACKGROUND, name="node list's cache")
-        self._listen()
-        self.front.listen(self.places["http"])
-        if "resp" in self.places:
-            self.resp.listen(self.places["resp"])
+        self._receive_from_others()
+        self.front.listen(self.sockets["http"])
+        if "resp" in self.sockets:
+            self.resp.listen(self.sockets["resp"])
         self.ready = True
         if self.versions is None:
             self.when_ready()
         self.log.info("started", listen=self.entry.listen, rank=self.rank, pid=os.getpid())
 
-    def _remember(self, scope: Scope) -> None:
-        """Go on with the accounts of an earlier life, unless another process told us its own."""
+    def _start_account_store(self, scope: Scope) -> None:
+        """Go on with the accounts of an earlier incarnation, unless another process sent its own."""
         if not self.fleet.state or not self.fleet.restart.every:
             return
-        self.memory = Memory(self, f"{self.fleet.state}/{self.entry.name}.accounts")
-        if not self.take_over:
-            self.log.info("remembered", accounts=self.memory.load())
-            self.memory.begin()
-        scope.spawn(self.memory.work, kind=BACKGROUND, name="memory")
-
-    def _listen(self) -> None:
-        self._hearing = self.scope.spawn(self._hear, kind=PEERS, name="peers")
-        if "admin" in self.places:
-            self.admin.listen(self.places["admin"], self.scope)
-
-    # -- another process in our place
-
-    def lend(self, lent: Lent) -> None:
-        """Units are another process's to decide on from here on; what is held here asks it."""
-        self.quiet = True
-        self.host.lent = lent
-        self.limits.lent = lent
-        for exchange in self.host.exchanges.values():
-            exchange.held_at_moment = not exchange.sends
-
-    def hold(
-        self, pass_http: Callable[[http_front.Connection], None], pass_resp: Callable[[Session], None]
-    ) -> None:
-        """Take nothing new at any place; the clients are passed on between two requests."""
-        self.loop.cancel(self._hearing)
-        if self.versions is not None:
-            self.versions.stop()
-        self.admin.hold()
-        self.front.hold(pass_http)
-        if "resp" in self.places:
-            self.resp.hold(pass_resp)
+        self.account_store = AccountStore(self, f"{self.fleet.state}/{self.entry.name}.accounts")
+        if not self.takes_over:
+            self.log.info("remembered", accounts=self.account_store.load())
+            self.account_store.save_before_serving()
+        scope.spawn(self.account_store.save_periodically, kind=BACKGROUND, name="memory")
+
+    def _start_recorder(self, scope: Scope, folder: str) -> None:
+        names = self.state_names()
+        name, describe = self.entry.name, self.describe_state
+        recorder = Recorder(self.loop, folder, name, self.host, names, self.log, describe)
+        self.host.recorder = recorder
+        scope.spawn(recorder.work, kind=BACKGROUND, name="recorder")
 
-    def take_back(self) -> None:
-        """Serve again: nobody else does."""
-        self.quiet = False
-        self.host.lent = None
-        self.limits.hold_back()
-        self._listen()
-        if self.versions is not None:
-            self.versions.start(self.scope)
-        self.front.resume()
-        if "resp" in self.places:
-            self.resp.resume()
+    def _receive_from_others(self) -> None:
+        """Receive datagrams of peers, and requests of the admin API."""
+        self._receiving = self.scope.spawn(self._receive_datagrams, kind=PEERS, name="peers")
+        if "admin" in self.sockets:
+            self.admin.listen(self.sockets["admin"], self.scope)
 
-    def names(self) -> Names:
-        """The names that a state's numbers stand for: classes, plans."""
+    def state_names(self) -> Names:
+        """Return the names that a state's numbers stand for: classes, plans."""
         return self.knowledge.generation.class_names, tuple(self.fleet.plans)
 
-    def about(self) -> dict[str, Any]:
-        """What a state is told to be of: which moment of which life, and the generations it goes by."""
-        return {
+    def describe_state(self) -> dict[str, Any]:
+        """Return the moment, incarnation and generations that a stored state belongs to."""
+        description = {
             "now": self.loop.now(),
             "incarnation": self.incarnation,
             "sequence": self.sequence,
@@ -287,90 +309,87 @@
             "open": len(self.host.exchanges),
             "draining": self.stopping,
             "client_margin": int(self.fleet.times.client_margin),
-            **({"version": self.versions.show()} if self.versions is not None else {}),
         }
+        if self.versions is not None:
+            description["version"] = self.versions.show()
+        return description
 
-    def _record(self, scope: Scope, folder: str) -> None:
-        recorder = Recorder(self.loop, folder, self.entry.name, self.host, self.names(), self.log, self.about)
-        self.host.recorder = recorder
-        scope.spawn(recorder.work, kind=BACKGROUND, name="recorder")
+    # -- hot restart
 
-    def _until_drained(self) -> None:
-        """Wait for ``stop``, then until all is answered or the time for it is over."""
-        while not self.stopping:
-            self.loop.sleep(5 * DRAIN_LOOK)
-        self.front.drain()
-        if "resp" in self.places:
-            self.resp.drain()
-        by = self.loop.now() + self.fleet.times.drain
-        while (self.front.connections or self.resp.sessions) and self.loop.now() < by:
-            self.loop.sleep(DRAIN_LOOK)
-        self.front.lingering.wait(by)
-        self.resp.lingering.wait(by)
+    def accept_successors(self) -> None:
+        """Listen for the next hot restart."""
+        self.old_side.listen()
 
-    def stop(self) -> None:
-        """Begin to drain; while a successor is on trial, let it go on alone or give everything back first."""
-        self.giving.feed(old_process.Stopped())
-        if self.take_over and self.taking.machine.phase is new_process.Phase.TRIAL:
-            self.taking.feed(new_process.Stopped())
-        else:
-            self.stopping = True
+    def delegate_units(self, units: SuccessorUnits) -> None:
+        """Let another process decide on units from here on; requests held here ask it."""
+        self.superseded = True
+        self.host.lent = units
+        self.limits.lent = units
+        for exchange in self.host.exchanges.values():
+            exchange.held_at_moment = not exchange.sends
 
-    def reload(self) -> None:
-        """Read description and customers anew, beside the traffic; what can't be used changes nothing."""
-        world, number = self.loop.world, self.knowledge.generation.number + 1
-        if self.versions is not None and self.versions.ledger is not None:
-            self.log.error("reload refused", why="the fleet goes by its ledger: propose the change")
-            return
-        try:
-            fresh = world.aside(lambda: self._read_files(number))
-            if fresh.generation.classes != self.knowledge.generation.classes:
-                raise DescriptionError(
-                    self.fleet.description, [("x-orchidlane", "other classes need a restart of the gateway")]
-                )
-        except Exception as wrong:
-            self.log.error("reload refused", why=str(wrong))
-            return
-        self.knowledge = fresh
-        self.log.info("reloaded", generation=fresh.generation.number)
+    def stop_accepting(
+        self, pass_http: Callable[[Connection], None], pass_resp: Callable[[Session], None]
+    ) -> None:
+        """Accept nothing more on any socket; clients are passed on between two requests."""
+        self.loop.cancel(self._receiving)
+        if self.versions is not None:
+            self.versions.stop()
+        self.admin.hold()
+        self.front.hold(pass_http)
+        if "resp" in self.sockets:
+            self.resp.hold(pass_resp)
+
+    def resume_serving(self) -> None:
+        """Serve again: nobody else does."""
+        self.superseded = False
+        self.host.lent = None
+        self.limits.hold_back()
+        self._receive_from_others()
+        if self.versions is not None:
+            self.versions.start(self.scope)
+        self.front.resume()
+        if "resp" in self.sockets:
+            self.resp.resume()
 
-    # -- node list and peers
+    # -- endpoint list and peers
 
-    def _listed(self, listed: policy.EndpointListReceived) -> None:
-        self.host.feed(listed)
+    def _feed_list(self, event: policy.EndpointListReceived) -> None:
+        self.host.feed(event)
 
-    def tell_limits(self, rank: int, body: bytes) -> None:
-        """A question or answer of the limits: sealed by whoever serves in this gateway's name."""
-        if self.giving.lent is not None and self.quiet:
-            self.giving.lent.channel.send(messages.Tell(rank, body))
+    def send_limits_datagram(self, rank: int, body: bytes) -> None:
+        """Send a token request or reply, through the process that serves in this gateway's name."""
+        if self.old_side.successor_units is not None and self.superseded:
+            self.old_side.successor_units.send_datagram(rank, body)
         elif rank == self.rank:
-            self.taking.own_reply(body)  # to a question of the process before us
+            self.new_side.send_own_reply(body)  # to a request of the process before us
         else:
-            self._tell(rank, body, LIMITS)
+            self._send_to_peer(rank, body, LIMITS)
 
-    def tell_change(self, rank: int, body: bytes) -> None:
-        """A datagram about the fleet's versions."""
-        self._tell(rank, body, CHANGE)
+    def send_rollout_datagram(self, rank: int, body: bytes) -> None:
+        """Send a datagram about the fleet's versions."""
+        self._send_to_peer(rank, body, CHANGE)
 
-    def _tell(self, rank: int, body: bytes, kind: int = MODULE) -> None:
-        if self.quiet:
+    def _send_to_peer(self, rank: int, body: bytes, kind: int = MODULE) -> None:
+        if self.superseded:
             return
         self.sequence += 1
         self.metrics.told += 1
         sealed = seal(self.secret, self.rank, rank, self.incarnation, self.sequence, body, kind)
-        self.places["peer"].send(sealed, self.peers[rank])
+        self.sockets[PEER].send(sealed, self.peers[rank])
 
-    def _hear(self) -> None:
-        datagrams = self.places["peer"]
+    def _receive_datagrams(self) -> None:
+        datagrams = self.sockets[PEER]
         while True:
             data, _ = datagrams.recv()
             taken = self.inbox.take(self.loop.now(), data[: SIZE_MOST + 1])
-            if taken is not None:
-                self.metrics.heard += 1
-                kind, sender, body = taken
-                if kind == MODULE:
-                    self.host.feed(policy.PeerMessageReceived(sender, body))
-                elif kind == CHANGE and self.versions is not None:
-                    self.versions.hear(sender, body)
-                else:
-                    self.limits.hear(sender, body)
+            if taken is None:
+                continue
+            self.metrics.heard += 1
+            kind, sender, body = taken
+            if kind == MODULE:
+                self.host.feed(policy.PeerMessageReceived(sender, body))
+            elif kind == CHANGE and self.versions is not None:
+                self.versions.hear(sender, body)
+            else:
+                self.limits.hear(sender, body)
--- /dev/null
+++ b/orchidlane/gateway/lifecycle/served_gateway.py
@@ -0,0 +1,77 @@
+"""What the two sides of a hot restart use of the gateway process that they belong to."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.endpoint_list import ListTracker
+from orchidlane.gateway.control.settings import Fleet, GatewayEntry
+from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.lifecycle.sockets import GatewaySockets
+from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
+from orchidlane.gateway.peers.datagrams import Inbox
+from orchidlane.gateway.peers.token_requests import LimitService
+from orchidlane.gateway.server.http_server import Connection, Front
+from orchidlane.gateway.server.resp_server import RespFront, Session
+from orchidlane.gateway.telemetry.metrics import Metrics
+from orchidlane.hot_restart.probation import AnswerCounts
+from orchidlane.runtime import Loop, Scope
+
+
+class ServedGateway(Protocol):
+    """One gateway process, with all its parts."""
+
+    loop: Loop
+    fleet: Fleet
+    entry: GatewayEntry
+    rank: int
+    log: Any
+    metrics: Metrics
+    knowledge: Knowledge
+    host: Host
+    front: Front
+    resp: RespFront
+    limits: LimitService
+    tracker: ListTracker
+    inbox: Inbox
+    sockets: GatewaySockets
+    incarnation: int
+    sequence: int
+    stopping: bool
+    superseded: bool
+
+    def load_configuration(self, number: int) -> None:
+        """Read description and customers as the configuration of this number."""
+
+    def build_parts(self, scope: Scope) -> None:
+        """Make all parts; none of them does anything yet."""
+
+    def start_serving(self, scope: Scope) -> None:
+        """Accept requests."""
+
+    def delegate_units(self, units: SuccessorUnits) -> None:
+        """Let another process decide on units from here on."""
+
+    def stop_accepting(
+        self, pass_http: Callable[[Connection], None], pass_resp: Callable[[Session], None]
+    ) -> None:
+        """Accept nothing more, and pass each client on between two requests."""
+
+    def resume_serving(self) -> None:
+        """Serve again after another process did."""
+
+    def accept_successors(self) -> None:
+        """Listen for the next hot restart."""
+
+    def send_limits_datagram(self, rank: int, body: bytes) -> None:
+        """Send a datagram of the token requests to a peer."""
+
+
+def count_answers(metrics: Metrics) -> AnswerCounts:
+    """Return the answers given so far."""
+    counts = {"served": 0, "refused": 0, "failed": 0}  # the metric's values of ``kind``
+    for (kind, _), count in metrics.answers.items():
+        counts[kind] += count
+    return AnswerCounts(counts["served"], counts["refused"], counts["failed"])
--- /dev/null
+++ b/orchidlane/gateway/lifecycle/sockets.py
@@ -0,0 +1,60 @@
+"""The sockets of a gateway by name: listeners, the datagram socket of its peers, and the hot restart's."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from orchidlane.gateway.control.settings import Fleet, GatewayEntry, address, upgrade_address
+from orchidlane.runtime import Loop
+from orchidlane.runtime.backend import Address, Handle
+
+PEER = "peer"  # datagrams; all others are listeners
+
+
+class GatewaySockets:
+    """Bound from the settings, or adopted from the process before this one."""
+
+    def __init__(self, loop: Loop, fleet: Fleet, entry: GatewayEntry) -> None:
+        self.loop = loop
+        self.fleet = fleet
+        self.entry = entry
+        self._sockets: dict[str, Any] = {}
+
+    def __contains__(self, name: str) -> bool:
+        return name in self._sockets
+
+    def __getitem__(self, name: str) -> Any:
+        return self._sockets[name]
+
+    @property
+    def names(self) -> tuple[str, ...]:
+        """Names of the open sockets."""
+        return tuple(self._sockets)
+
+    def bind(self, name: str) -> None:
+        """Bind a socket, if the settings have an address for it and it is not open yet."""
+        if name in self._sockets:
+            return
+        at = self._address(name)
+        if at is not None:
+            world = self.loop.world
+            self._sockets[name] = world.datagrams(at) if name == PEER else world.listen(at)
+
+    def _address(self, name: str) -> Address | None:
+        if name == "upgrade":
+            return upgrade_address(self.fleet, self.entry)
+        entry = self.entry
+        text = {"http": entry.listen, "resp": entry.resp, "admin": entry.admin, PEER: entry.peer}[name]
+        return address(text) if text else None
+
+    def adopt(self, handles: dict[str, Handle]) -> None:
+        """Take over the sockets of another process."""
+        world = self.loop.world
+        for name, handle in handles.items():
+            adopt = world.adopt_datagrams if name == PEER else world.adopt_listener
+            self._sockets[name] = adopt(handle)
+
+    def close(self) -> None:
+        """Close all of them."""
+        for socket in self._sockets.values():
+            socket.close()
--- a/orchidlane/gateway/lifecycle/status_query.py
+++ b/orchidlane/gateway/lifecycle/status_query.py
@@ -1,30 +1,37 @@
-"""How a gateway stands, asked at the Unix socket where it hands over."""
+"""Asks a gateway how its hot restart stands, over the Unix socket where it accepts successors."""
 
 from __future__ import annotations
 
 from orchidlane.hot_restart import messages
-from orchidlane.runtime import Closed, Expired, Loop, NotConnected
+from orchidlane.runtime import Closed, Expired, Loop, NotConnected, Stream
 from orchidlane.runtime.backend import Address
 
-ANSWER_WITHIN = 1_000_000  # microseconds
+STATUS_TIMEOUT_US = 1_000_000
 
 
-def ask_status(loop: Loop, at: Address, within: int = ANSWER_WITHIN) -> messages.Status | None:
-    """What it says; None where nobody answers in time, or not in our words."""
-    by, parser = loop.now() + within, messages.Parser()
+def request_status(
+    loop: Loop, address: Address, timeout_us: int = STATUS_TIMEOUT_US
+) -> messages.Status | None:
+    """Return the status, None if there is no valid answer in time."""
+    deadline = loop.now() + timeout_us
     try:
-        stream = loop.world.connect(at, by)
+        stream = loop.world.connect(address, deadline)
     except (NotConnected, Expired):
         return None
     try:
-        stream.send(messages.encode(messages.Ask()), by)
-        while (found := parser.next_message()) is None:
-            data = stream.recv(deadline=by)
-            if not data:
-                return None
-            parser.receive(data)
-    except (Closed, Expired, messages.Garbled):
+        stream.send(messages.encode(messages.StatusRequest()), deadline)
+        return _receive_status(stream, deadline)
+    except (Closed, Expired, messages.ProtocolError):
         return None
     finally:
         stream.close()
-    return found if isinstance(found, messages.Status) else None
+
+
+def _receive_status(stream: Stream, deadline: int) -> messages.Status | None:
+    parser = messages.Parser()
+    while (message := parser.next_message()) is None:
+        data = stream.recv(deadline=deadline)
+        if not data:
+            return None
+        parser.receive(data)
+    return message if isinstance(message, messages.Status) else None
--- /dev/null
+++ b/orchidlane/gateway/lifecycle/successor_units.py
@@ -0,0 +1,78 @@
+"""Asks the new process for units on behalf of requests that the old process still has in progress."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from orchidlane.gateway.forwarding.protocol_adapter import Payer
+from orchidlane.gateway.lifecycle.restart_channel import Channel
+from orchidlane.hot_restart import messages
+from orchidlane.runtime import Expired, Task
+
+UNITS_TIMEOUT_US = 1_000_000
+NO_RESERVATION = -1
+
+
+@dataclass
+class PendingUnits:
+    """A task that waits for an answer."""
+
+    task: Task
+    granted: bool | None = None
+
+
+class SuccessorUnits:
+    """Stands in for the old process's own policy and token service after the handover."""
+
+    def __init__(self, channel: Channel) -> None:
+        self.channel = channel
+        self.pending: dict[int, PendingUnits] = {}
+        self._last_request_id = 0
+
+    def take(self, customer: Payer, units: float, kind: int) -> bool:
+        """Ask for units and wait; no answer in time counts as refused (see ``policy_driver.Lent``)."""
+        loop = self.channel.loop
+        task = loop.current
+        assert task is not None
+        self._last_request_id += 1
+        request_id = self._last_request_id
+        pending = PendingUnits(task)
+        self.pending[request_id] = pending
+        self.channel.send(
+            messages.UnitsRequest(
+                request_id,
+                customer.number,
+                customer.plan,
+                kind,
+                units,
+                customer.set_first,
+                customer.set_size,
+            )
+        )
+        deadline = loop.now() + UNITS_TIMEOUT_US
+        try:
+            while pending.granted is None and not self.channel.closed:
+                loop.park(deadline)
+        except Expired:
+            pass
+        finally:
+            del self.pending[request_id]
+        return bool(pending.granted)
+
+    def receive_reply(self, reply: messages.UnitsReply) -> None:
+        """Wake the task that waits for this answer."""
+        pending = self.pending.get(reply.request_id)
+        if pending is None:
+            return
+        if pending.granted is None:
+            pending.granted = reply.granted
+        self.channel.loop.wake(pending.task)
+
+    def granted(self, name: bytes, customer: int, units: float, span: int | None) -> None:
+        """Pass a grant on (see ``token_requests.LentLimits``)."""
+        reserved_us = NO_RESERVATION if span is None else span
+        self.channel.send(messages.GrantRecorded(name, customer, units, reserved_us))
+
+    def send_datagram(self, rank: int, body: bytes) -> None:
+        """Have the new process seal and send a datagram to a peer."""
+        self.channel.send(messages.SendDatagram(rank, body))
--- a/orchidlane/gateway/rollout_agent/agent.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -21,7 +21,7 @@
 from orchidlane.gateway.rollout_agent.admin_client import PREFIX, FetchError, call
 from orchidlane.gateway.rollout_agent.answer_tally import Book
 from orchidlane.gateway.rollout_agent.storage import Damaged, Files, RunningFile, VoterFile
-from orchidlane.hot_restart.rolling_batches import Limits
+from orchidlane.hot_restart.rolling_batches import RiskLimits
 from orchidlane.policy import ReplicaSetChanged
 from orchidlane.rollout import consensus, dissemination, messages, replicated_state
 from orchidlane.rollout import leader as conduct
@@ -39,7 +39,7 @@
 from orchidlane.runtime.backend import Address
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.lifecycle.process import Program
+    from orchidlane.gateway.lifecycle.process import GatewayProcess
 
 TICK = 20_000  # microseconds between two looks at what is due
 QUEUE_MOST = 1_000  # events that wait for the voter; more are lost, as datagrams may be
@@ -66,7 +66,7 @@
 class Versions:
     """The part that one gateway takes in the fleet's versions."""
 
-    def __init__(self, program: Program) -> None:
+    def __init__(self, program: GatewayProcess) -> None:
         self.program = program
         self.loop, self.fleet, self.rank = program.loop, program.fleet, program.rank
         self.world, self.secret, self.log = program.loop.world, program.secret, program.log
@@ -248,7 +248,7 @@
         if rank == self.rank:
             self.hear(rank, messages.encode(message))
         else:
-            self.program.tell_change(rank, messages.encode(message))
+            self.program.send_rollout_datagram(rank, messages.encode(message))
 
     def _tell_all(self, tells: list[consensus.Tell]) -> None:
         for tell in tells:
@@ -765,7 +765,7 @@
     return Terms(
         soak=int(fleet.change.soak),
         growth=roll.growth,
-        limits=Limits(roll.share, roll.set_share, roll.halls, roll.load),
+        limits=RiskLimits(roll.share, roll.set_share, roll.halls, roll.load),
         halls=tuple(entry.zone for entry in fleet.gateways),
         spreads=tuple(sorted({min(plan.spread or count, count) for plan in fleet.plans.values()})),
     )
--- a/orchidlane/hot_restart/messages.py
+++ b/orchidlane/hot_restart/messages.py
@@ -1,330 +1,353 @@
-"""What the two sides of an upgrade say to each other, over one Unix socket.
+"""Protocol between the old and the new process of a hot restart, over one Unix socket.
 
-    frames as in a record's segments: u32 length, u32 CRC-32 of the body, body (MessagePack), little-endian
+    frame: u32 length, u32 CRC-32 of the body, body (MessagePack); little-endian
 
-Each body is an array: a number for the message's type, then its fields. Numbers are never used again, fields
-are added at the end with a default; ``FORMAT`` grows when an old side could no longer understand a new one.
-What a handle comes with is said with each message; it travels beside the frame's first byte
-(``Stream.send_with``).
+The frame is that of a record's segments. Each body is an array: the number of the message's type, then its
+fields. Numbers are never reused, fields are only appended with a default; ``PROTOCOL_VERSION`` grows when an
+old process could no longer understand a new one. A message that passes a descriptor says so; the descriptor
+travels beside the frame's first byte (``Stream.send_with``).
 """
 
 from __future__ import annotations
 
 import zlib
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
 from orchidlane.recording.segments import FRAME, frame
 from orchidlane.recording.state_dump import Dump
 
-FORMAT = 1
-FRAME_MOST = 64 << 20  # bytes of one frame
+PROTOCOL_VERSION = 1
+MAX_FRAME_BYTES = 64 << 20
+
+
+class RespSessionState(NamedTuple):
+    """What a RESP connection has agreed on."""
+
+    version: int
+    name: bytes
+    authorized: bool
+
+
+INITIAL_RESP_SESSION = RespSessionState(2, b"", True)
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """Any of the below."""
+    """Base of all messages."""
 
 
-# Of the successor, from the first word on
+# Sent by the new process
 
 
 class Hello(Message, frozen=True, tag=1):
-    """Who calls, and what its state must fit: the names of plans, and how many gateways the fleet has."""
+    """First message: the sender, and what its settings must share with the old process."""
 
-    format: int
+    protocol_version: int
     build: str
     gateway: str
     rank: int
-    gateways: int
+    gateway_count: int
     plan_names: tuple[str, ...]
 
 
-class Warm(Message, frozen=True, tag=2):
-    """All that was told is in place and passed the successor's own check."""
+class Ready(Message, frozen=True, tag=2):
+    """The copied state is in place and the self-check passed."""
 
 
 class Started(Message, frozen=True, tag=3):
-    """It serves."""
+    """The new process serves."""
 
 
-class Pulse(Message, frozen=True, tag=4):
-    """How it fares in its trial: answers so far by kind, and the numbers that it has used."""
+class Heartbeat(Message, frozen=True, tag=4):
+    """Sent periodically in probation: answers so far by kind, and the numbers used so far."""
 
     served: int
-    refused: int
+    rejected: int
     failed: int
-    sequence: int
-    number: int
+    datagram_sequence: int
+    last_request_id: int
 
 
-class Unfit(Message, frozen=True, tag=5):
-    """It gives up by itself, and says why."""
+class Failure(Message, frozen=True, tag=5):
+    """The new process gives up by itself."""
 
-    why: str
+    reason: str
 
 
-class Taken(Message, frozen=True, tag=6):
-    """The answer to ``Take``."""
+class UnitsReply(Message, frozen=True, tag=6):
+    """Answer to ``UnitsRequest``."""
 
-    id: int
+    request_id: int
     granted: bool
 
 
-class Heard(Message, frozen=True, tag=7):
-    """A peer's answer to a question of the old side."""
+class PeerReply(Message, frozen=True, tag=7):
+    """A peer's answer to a token request of the old process."""
 
     sender: int
     body: bytes
 
 
-class Count(Message, frozen=True, tag=8):
-    """Our count of a customer is this now; said before what it counts is passed on."""
+class CustomerCount(Message, frozen=True, tag=8):
+    """This gateway's own count of a customer; sent before the counted request is forwarded."""
 
     customer: int
     plan: int
-    first: int
-    size: int
-    start: int
+    replica_set_start: int
+    replica_set_size: int
+    incarnation: int
     value: float
 
 
-class Reading(Message, frozen=True, tag=16):
-    """Bytes of this connection are about to be read: until the next word on it nobody else has them."""
+class ReadStarted(Message, frozen=True, tag=16):
+    """Bytes of this connection are about to be read; until its next message only the sender has them."""
 
-    connection: int
+    connection_id: int
 
 
-class Began(Message, frozen=True, tag=9):
-    """A request of this connection is under way; over RESP, one or more of those told last as unread."""
+class RequestStarted(Message, frozen=True, tag=9):
+    """A request of the connection is in progress; over RESP, at least one of those last sent as unread."""
 
-    connection: int
+    connection_id: int
 
 
-class Answering(Message, frozen=True, tag=10):
-    """Its answer is about to be written."""
+class ResponseStarted(Message, frozen=True, tag=10):
+    """The answer to the connection's request is about to be written."""
 
-    connection: int
+    connection_id: int
 
 
-class Idle(Message, frozen=True, tag=11):
-    """Nothing of the connection is under way. ``unread``: what was read of the next request, or more.
+class ConnectionIdle(Message, frozen=True, tag=11):
+    """No request of the connection is in progress.
 
-    ``back``: it is yours. ``session``: over RESP, version, name, and whether it is authorized.
+    ``unread`` is what was read of the next request or requests. With ``returned`` the connection belongs to
+    the old process again. ``session`` is sent for RESP only.
     """
 
-    connection: int
-    back: bool = False
+    connection_id: int
+    returned: bool = False
     unread: bytes = b""
-    session: tuple[int, bytes, bool] | None = None
+    session: RespSessionState | None = None
 
 
-class Opened(Message, frozen=True, tag=12):
-    """A new client, with a handle of its connection."""
+class ConnectionOpened(Message, frozen=True, tag=12):
+    """A new client; passes a descriptor of its connection."""
 
-    connection: int
-    front: str
+    connection_id: int
+    protocol: str
 
 
-class Ended(Message, frozen=True, tag=13):
+class ConnectionClosed(Message, frozen=True, tag=13):
     """A connection is over."""
 
-    connection: int
+    connection_id: int
 
 
-class Took(Message, frozen=True, tag=14):
-    """Whether a connection that was passed could be taken."""
+class ConnectionAdopted(Message, frozen=True, tag=14):
+    """Answer to ``ConnectionHandover``: whether the descriptor arrived."""
 
-    connection: int
-    taken: bool
+    connection_id: int
+    adopted: bool
 
 
-class Returned(Message, frozen=True, tag=15):
-    """It has stopped serving: whatever is told after this belongs to requests that it still holds."""
+class ServingStopped(Message, frozen=True, tag=15):
+    """The new process accepts no more requests; later messages belong to requests still in progress."""
 
 
-# Of the old side
+# Sent by the old process
 
 
 class Offer(Message, frozen=True, tag=20):
-    """The call is welcome. The clock is the one to go on with; the rest names the life that goes on."""
+    """The handshake is accepted. The new process goes on with this clock, incarnation and generation."""
 
     build: str
-    clock: int
+    clock_base_us: int
     incarnation: int
     generation: int
-    places: tuple[str, ...]  # of the listeners and datagrams that follow
+    socket_names: tuple[str, ...]  # of the listeners and the datagram socket that follow
 
 
-class Place(Message, frozen=True, tag=21):
-    """One of them, with its handle."""
+class InheritedSocket(Message, frozen=True, tag=21):
+    """One listener or datagram socket; passes its descriptor."""
 
     name: str
 
 
-class Rows(Message, frozen=True, tag=22):
-    """Some of a table as it is now; a later row of the same key replaces an earlier one."""
+class TableRows(Message, frozen=True, tag=22):
+    """Current rows of a table, and keys removed from it; a later row of a key replaces an earlier one."""
 
     table: str
     rows: list[Any]
-    gone: list[Any] = []
+    removed: list[Any] = []
 
 
-class Whole(Message, frozen=True, tag=23):
-    """Every row was told once; what changed since follows."""
+class CopyComplete(Message, frozen=True, tag=23):
+    """Every row was sent once; changes since then follow."""
 
 
-class Final(Message, frozen=True, tag=24):
-    """The moment: all before it was told, and from here on the successor decides."""
+class FinalState(Message, frozen=True, tag=24):
+    """The handover: all earlier state was sent, and from here on the new process decides."""
 
-    module: Dump  # without accounts
+    policy_state: Dump  # without accounts
     limits: dict[str, Any]
-    nodes: dict[str, Any]
-    peers: list[Any]  # what of theirs came: rank, incarnation, latest number, which before it
-    sequence: int
-    number: int  # of the latest request
+    endpoints: dict[str, Any]
+    peers: list[Any]  # received datagrams by peer: rank, incarnation, latest number, bitmap of earlier ones
+    datagram_sequence: int
+    last_request_id: int
     class_names: tuple[str, ...] = ()
 
 
-class Connection(Message, frozen=True, tag=25):
-    """A client between two requests, with a handle of its connection and the bytes read of the next one."""
+class ConnectionHandover(Message, frozen=True, tag=25):
+    """A client between two requests, with the bytes read of the next one; passes a descriptor."""
 
-    id: int
-    front: str
+    connection_id: int
+    protocol: str
     unread: bytes
-    since: int
-    last: int
-    session: tuple[int, bytes, bool] = (2, b"", True)  # RESP: version, name, authorized
+    unread_since_us: int
+    last_received_at_us: int
+    session: RespSessionState = INITIAL_RESP_SESSION
 
 
-class Take(Message, frozen=True, tag=26):
-    """Units that the old side needs for what it still holds."""
+class UnitsRequest(Message, frozen=True, tag=26):
+    """Asks for units of a customer's quota for a request that the old process still has in progress."""
 
-    id: int
+    request_id: int
     customer: int
     plan: int
-    kind: int
+    class_index: int
     units: float
-    first: int
-    size: int
+    replica_set_start: int
+    replica_set_size: int
 
 
-class Tell(Message, frozen=True, tag=27):
-    """A datagram of the old side's limits, to be sealed and sent as ours."""
+class SendDatagram(Message, frozen=True, tag=27):
+    """A datagram of the old process's token requests, to be sealed and sent by the new process."""
 
     rank: int
     body: bytes
 
 
-class Granted(Message, frozen=True, tag=28):
-    """A grant that the old side made of units it had taken; ``span`` -1: not a reservation."""
+class GrantRecorded(Message, frozen=True, tag=28):
+    """A grant that the old process made of units it had been given; ``reserved_us`` -1: no reservation."""
 
     name: bytes
     customer: int
     units: float
-    span: int
+    reserved_us: int
 
 
 class Abort(Message, frozen=True, tag=29):
-    """Nothing becomes of it; the old side goes on."""
+    """The old process ends the restart and goes on by itself."""
 
-    why: str
+    reason: str
 
 
-class Recall(Message, frozen=True, tag=30):
-    """The trial failed: stop serving, give the clients back, and end."""
+class Reclaim(Message, frozen=True, tag=30):
+    """Probation failed: stop serving, return the clients, and exit."""
 
-    why: str
+    reason: str
 
 
 class Release(Message, frozen=True, tag=31):
-    """The trial is passed; the old side ends once its own requests have."""
+    """Probation is passed; the old process exits once its own requests are answered."""
 
 
-class Ask(Message, frozen=True, tag=40):
-    """Of a tool: how an upgrade stands. Answered by ``Status``."""
+# Sent by command-line tools, and the answer
+
+
+class StatusRequest(Message, frozen=True, tag=40):
+    """Asks a gateway how its hot restart stands; answered by ``Status``."""
 
 
 class Status(Message, frozen=True, tag=41):
-    """Phase, build and process of who answers, what became of the latest upgrade, and its answers by kind."""
+    """Phase, build and process of the gateway, the outcome of its latest upgrade, its answers by kind."""
 
     phase: str
     build: str
     pid: int
-    latest: str
+    last_outcome: str
     served: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
 
 
 AnyMessage = (
     Hello
-    | Warm
+    | Ready
     | Started
-    | Pulse
-    | Unfit
-    | Taken
-    | Heard
-    | Count
-    | Reading
-    | Began
-    | Answering
-    | Idle
-    | Opened
-    | Ended
-    | Took
-    | Returned
+    | Heartbeat
+    | Failure
+    | UnitsReply
+    | PeerReply
+    | CustomerCount
+    | ReadStarted
+    | RequestStarted
+    | ResponseStarted
+    | ConnectionIdle
+    | ConnectionOpened
+    | ConnectionClosed
+    | ConnectionAdopted
+    | ServingStopped
     | Offer
-    | Place
-    | Rows
-    | Whole
-    | Final
-    | Connection
-    | Take
-    | Tell
-    | Granted
+    | InheritedSocket
+    | TableRows
+    | CopyComplete
+    | FinalState
+    | ConnectionHandover
+    | UnitsRequest
+    | SendDatagram
+    | GrantRecorded
     | Abort
-    | Recall
+    | Reclaim
     | Release
-    | Ask
+    | StatusRequest
     | Status
 )
 _DECODER = msgspec.msgpack.Decoder(AnyMessage)
 
 
-class Garbled(Exception):
-    """Bytes that are no message of the protocol."""
+class ProtocolError(Exception):
+    """The peer sent bytes that are no message of the protocol, or a message out of order."""
 
 
 def encode(message: Message) -> bytes:
-    """A message as a frame."""
+    """Encode a message as a frame."""
     return frame(msgspec.msgpack.encode(message))
 
 
 class Parser:
-    """Bytes in, messages out."""
+    """Incremental parser of frames: bytes in, messages out."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def receive(self, data: bytes) -> None:
-        """Feed bytes."""
+        """Append received bytes."""
         self._buffer += data
 
-    def next_message(self) -> Any:
-        """The next message, None until more bytes come. Raises Garbled."""
+    def next_message(self) -> AnyMessage | None:
+        """Return the next message, None until more bytes are received. Raises ProtocolError."""
+        body = self._next_body()
+        if body is None:
+            return None
+        try:
+            message: AnyMessage = _DECODER.decode(body)
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            raise ProtocolError(f"no message of the protocol: {error}") from None
+        return message
+
+    def _next_body(self) -> bytes | None:
         if len(self._buffer) < FRAME.size:
             return None
         length, checksum = FRAME.unpack_from(self._buffer)
-        if length > FRAME_MOST:
-            raise Garbled("a frame of impossible length")
-        if len(self._buffer) < FRAME.size + length:
+        if length > MAX_FRAME_BYTES:
+            raise ProtocolError("a frame of impossible length")
+        end = FRAME.size + length
+        if len(self._buffer) < end:
             return None
-        body = bytes(self._buffer[FRAME.size : FRAME.size + length])
-        del self._buffer[: FRAME.size + length]
+        body = bytes(self._buffer[FRAME.size : end])
+        del self._buffer[:end]
         if zlib.crc32(body) != checksum:
-            raise Garbled("a frame does not fit its checksum")
-        try:
-            return _DECODER.decode(body)
-        except (msgspec.DecodeError, UnicodeDecodeError) as wrong:
-            raise Garbled(f"no message of the protocol: {wrong}") from None
+            raise ProtocolError("a frame does not fit its checksum")
+        return body
--- a/orchidlane/hot_restart/new_process.py
+++ b/orchidlane/hot_restart/new_process.py
@@ -1,17 +1,17 @@
-"""The new side of an upgrade: events with a clock in, actions out. Decides without I/O.
-
-    CALLING    --offer-->    RECEIVING   listeners and rows come
-    RECEIVING  --whole-->    CHECKING    its own check runs
-    CHECKING   --fit-->      WARM
-    WARM       --final-->    TRIAL       it serves, and tells before it does anything that could be lost
-    TRIAL      --release-->  FREE        it stands alone
-    TRIAL      --recall-->   RETURNING   it has stopped; when its last request is answered it ends
-
-The channel is the fence (``old_process``): its old side closes its end only in death or after ``Abort``. So a
-channel that closes without a word means that the old one is dead, and what came decides: without the
-listeners we end; with them and before the moment we stand alone like a cold start, since what was spent
-meanwhile is not known; after the moment we have all. Whoever stands alone first makes sure of the other's
-death.
+"""The new process of a hot restart as a state machine: events with a clock in, actions out. No I/O.
+
+    CONNECTING --offer-->          RECEIVING    sockets and rows arrive
+    RECEIVING  --copy complete-->  CHECKING     the self-check runs
+    CHECKING   --passed-->         READY
+    READY      --final state-->    PROBATION    it serves, and reports before it does what could be lost
+    PROBATION  --release-->        INDEPENDENT
+    PROBATION  --reclaim-->        RETURNING    it has stopped serving; it exits with its last request
+
+The channel is the fence (see ``old_process``): the old process closes its end only when it dies or after
+``Abort``. A channel that closes without ``Abort`` therefore means that the old process is dead, and what has
+arrived decides. Without the sockets the new process exits; with them and before the handover it serves alone
+like a cold start, since what was spent meanwhile is not known; after the handover it has everything. Before
+it serves alone it makes sure that the old process is dead.
 """
 
 from __future__ import annotations
@@ -23,271 +23,279 @@
 
 
 class Phase(Enum):
-    """Where the new side stands."""
+    """Phase of the new process; the values are logged."""
 
-    CALLING = "calling"
+    CONNECTING = "calling"
     RECEIVING = "receiving"
     CHECKING = "checking"
-    WARM = "warm"
-    TRIAL = "trial"
+    READY = "warm"
+    PROBATION = "trial"
     RETURNING = "returning"
-    FREE = "free"
+    INDEPENDENT = "free"
     ENDED = "ended"
 
 
-class Terms(NamedTuple):
-    """Spans in microseconds."""
+class Timeouts(NamedTuple):
+    """How long each step may take, in microseconds, and the interval of heartbeats."""
 
-    answer: int = 5_000_000  # for the offer
-    warm: int = 60_000_000  # for the copy
-    moment: int = 10_000_000  # from our readiness to the moment
-    pulse: int = 200_000
+    offer_us: int = 5_000_000
+    copy_us: int = 60_000_000  # of the state, and then of the self-check
+    handover_us: int = 10_000_000  # from ready to the final state
+    heartbeat_interval_us: int = 200_000
 
 
-class Offered(NamedTuple):
-    """The listeners follow."""
+# Events
 
 
-class CameWhole(NamedTuple):
-    """Every row was told once, and the listeners are here."""
+class OfferReceived(NamedTuple):
+    """The old process accepts; sockets and rows follow."""
 
 
-class WasFit(NamedTuple):
-    """The own check passed."""
+class CopyCompleteReceived(NamedTuple):
+    """Every row was sent once, and all sockets before it."""
 
 
-class WasUnfit(NamedTuple):
-    """It did not, or what the old side says can't be understood."""
+class SelfCheckPassed(NamedTuple):
+    """The self-check passed."""
 
-    why: str
 
+class FailureDetected(NamedTuple):
+    """The self-check failed, or the old process sent something invalid."""
 
-class CameFinal(NamedTuple):
-    """The moment is here; the state could be made from what came."""
+    reason: str
 
 
-class Recalled(NamedTuple):
-    """Everything shall go back."""
+class FinalStateReceived(NamedTuple):
+    """The handover: the state was built from what arrived."""
 
-    why: str
 
+class ReclaimReceived(NamedTuple):
+    """The old process wants everything back."""
 
-class Released(NamedTuple):
-    """The trial is passed."""
+    reason: str
 
 
-class Aborted(NamedTuple):
-    """The old side goes on by itself."""
+class ReleaseReceived(NamedTuple):
+    """Probation is passed."""
 
-    why: str
 
+class AbortReceived(NamedTuple):
+    """The old process goes on by itself."""
 
-class Lost(NamedTuple):
-    """The old side's end of the channel is closed."""
+    reason: str
 
 
-class Ticked(NamedTuple):
-    """A time that was asked for has come."""
+class ChannelClosed(NamedTuple):
+    """The old process's end of the channel is closed."""
+
+
+class TimerFired(NamedTuple):
+    """A timer set by ``SetTimer`` has fired."""
 
 
 class Drained(NamedTuple):
-    """Our last request is answered, and our clients are gone or passed back."""
+    """The last request is answered, and the clients are gone or returned."""
+
 
+class StopRequested(NamedTuple):
+    """The process is asked to exit (SIGTERM)."""
 
-class Stopped(NamedTuple):
-    """We are asked to end (SIGTERM)."""
 
+# Actions
 
-class SayHello(NamedTuple):
-    """Call."""
 
+class SendHello(NamedTuple):
+    """Send ``Hello``."""
 
-class Check(NamedTuple):
-    """Make the own check."""
 
+class RunSelfCheck(NamedTuple):
+    """Check that everything arrived and that this build can use it."""
 
-class SayWarm(NamedTuple):
-    """Say that all is in place."""
 
+class SendReady(NamedTuple):
+    """Send ``Ready``."""
 
-class Serve(NamedTuple):
-    """Take requests, from the state of the moment, and say so."""
 
+class StartServing(NamedTuple):
+    """Serve from the final state, and send ``Started``."""
 
-class SayPulse(NamedTuple):
-    """Say how we fare."""
 
+class SendHeartbeat(NamedTuple):
+    """Send ``Heartbeat``."""
 
-class StandAlone(NamedTuple):
-    """Make sure that the old side is dead, then take requests: from what came, or ``cold``."""
 
-    cold: bool
+class ServeAlone(NamedTuple):
+    """Make sure that the old process is dead, then serve: from what arrived, or as after a cold start."""
+
+    cold_start: bool
 
 
 class StopServing(NamedTuple):
-    """Take no more requests, give idle clients back, and say so; the others follow as they become idle."""
+    """Accept no more requests, return idle clients, and say so; the others follow as they become idle."""
 
 
-class BeFree(NamedTuple):
-    """Nothing is told any more; the old side's questions are still answered until it is gone."""
+class EndProbation(NamedTuple):
+    """Report nothing more; requests of the old process are answered until it is gone."""
 
 
 class Exit(NamedTuple):
-    """End this process; it serves nothing."""
+    """Exit this process; it serves nothing."""
 
-    why: str
+    reason: str
 
 
-class Wake(NamedTuple):
-    """Send ``Ticked`` after so many microseconds."""
+class SetTimer(NamedTuple):
+    """Send ``TimerFired`` after a delay in microseconds."""
 
-    span: int
+    delay_us: int
 
 
 Event = (
-    Offered
-    | CameWhole
-    | WasFit
-    | WasUnfit
-    | CameFinal
-    | Recalled
-    | Released
-    | Aborted
-    | Lost
-    | Ticked
+    OfferReceived
+    | CopyCompleteReceived
+    | SelfCheckPassed
+    | FailureDetected
+    | FinalStateReceived
+    | ReclaimReceived
+    | ReleaseReceived
+    | AbortReceived
+    | ChannelClosed
+    | TimerFired
     | Drained
-    | Stopped
+    | StopRequested
+)
+Action = (
+    SendHello
+    | RunSelfCheck
+    | SendReady
+    | StartServing
+    | SendHeartbeat
+    | ServeAlone
+    | StopServing
+    | EndProbation
+    | Exit
+    | SetTimer
 )
-Action = SayHello | Check | SayWarm | Serve | SayPulse | StandAlone | StopServing | BeFree | Exit | Wake
 
 
 @dataclass
-class Taker:
-    """One process that wants to take over; feed events, carry out actions in their order."""
+class NewProcess:
+    """One process that wants to take over; feed events, carry out the actions in their order."""
 
-    terms: Terms = field(default_factory=Terms)
-    phase: Phase = Phase.CALLING
-    deadline: int = 0
+    timeouts: Timeouts = field(default_factory=Timeouts)
+    phase: Phase = Phase.CONNECTING
+    deadline_us: int = 0
     actions: list[Action] = field(default_factory=list)
 
     def start(self, now: int) -> list[Action]:
-        """The first actions."""
-        self.actions = [SayHello()]
-        self._wait(now, self.terms.answer)
+        """Return the first actions."""
+        self.actions = [SendHello()]
+        self._set_deadline(now, self.timeouts.offer_us)
         return self.actions
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """What to do about one event; one that has no place where we stand changes nothing."""
+        """Return the actions for one event; an event without a transition in this phase is ignored."""
         self.actions = []
-        method = TABLE.get((self.phase, type(event)))
-        if method is not None:
-            method(self, now, event)
+        handler = TRANSITIONS.get((self.phase, type(event)))
+        if handler is not None:
+            handler(self, now, event)
         return self.actions
 
-    def _wait(self, now: int, span: int) -> None:
-        self.deadline = now + span
-        self.actions.append(Wake(span))
+    def _set_deadline(self, now: int, delay_us: int) -> None:
+        self.deadline_us = now + delay_us
+        self.actions.append(SetTimer(delay_us))
 
-    # -- until the moment
+    # -- until the handover
 
-    def _offered(self, now: int, _event: Offered) -> None:
+    def _receive(self, now: int, _event: OfferReceived) -> None:
         self.phase = Phase.RECEIVING
-        self._wait(now, self.terms.warm)
+        self._set_deadline(now, self.timeouts.copy_us)
 
-    def _whole(self, now: int, _event: CameWhole) -> None:
+    def _check(self, now: int, _event: CopyCompleteReceived) -> None:
         self.phase = Phase.CHECKING
-        self.actions.append(Check())
-        self._wait(now, self.terms.warm)
+        self.actions.append(RunSelfCheck())
+        self._set_deadline(now, self.timeouts.copy_us)
 
-    def _fit(self, now: int, _event: WasFit) -> None:
-        self.phase = Phase.WARM
-        self.actions.append(SayWarm())
-        self._wait(now, self.terms.moment)
+    def _become_ready(self, now: int, _event: SelfCheckPassed) -> None:
+        self.phase = Phase.READY
+        self.actions.append(SendReady())
+        self._set_deadline(now, self.timeouts.handover_us)
 
-    def _give_up(self, _now: int, event: Any) -> None:
-        self._exit(getattr(event, "why", "the old side ended before it passed anything"))
+    def _give_up(self, _now: int, event: AbortReceived | FailureDetected) -> None:
+        self._exit(event.reason)
 
-    def _too_long(self, now: int, _event: Ticked) -> None:
-        if now >= self.deadline:
+    def _give_up_disconnected(self, _now: int, _event: ChannelClosed) -> None:
+        self._exit("the old side ended before it passed anything")
+
+    def _check_deadline(self, now: int, _event: TimerFired) -> None:
+        if now >= self.deadline_us:
             self._exit(f"the old side hangs: {self.phase.value}")
 
-    def _exit(self, why: str) -> None:
+    def _exit(self, reason: str) -> None:
         self.phase = Phase.ENDED
-        self.actions.append(Exit(why))
-
-    def _alone_cold(self, _now: int, _event: Lost) -> None:
-        self.phase = Phase.FREE
-        self.actions.append(StandAlone(cold=True))
-
-    def _alone(self, _now: int, _event: Lost) -> None:
-        self.phase = Phase.FREE
-        self.actions.append(StandAlone(cold=False))
+        self.actions.append(Exit(reason))
 
-    # -- the trial
+    def _start_cold(self, _now: int, _event: ChannelClosed) -> None:
+        self.phase = Phase.INDEPENDENT
+        self.actions.append(ServeAlone(cold_start=True))
 
-    def _serve(self, now: int, _event: CameFinal) -> None:
-        self.phase = Phase.TRIAL
-        self.actions.append(Serve())
-        self._wait(now, self.terms.pulse)
+    # -- probation
 
-    def _pulse(self, now: int, _event: Ticked) -> None:
-        if now >= self.deadline:
-            self.actions.append(SayPulse())
-            self._wait(now, self.terms.pulse)
+    def _start_probation(self, now: int, _event: FinalStateReceived) -> None:
+        self.phase = Phase.PROBATION
+        self.actions.append(StartServing())
+        self._set_deadline(now, self.timeouts.heartbeat_interval_us)
 
-    def _free(self, _now: int, _event: Released) -> None:
-        self.phase = Phase.FREE
-        self.actions.append(BeFree())
+    def _send_heartbeat(self, now: int, _event: TimerFired) -> None:
+        if now >= self.deadline_us:
+            self.actions.append(SendHeartbeat())
+            self._set_deadline(now, self.timeouts.heartbeat_interval_us)
 
-    def _recalled(self, _now: int, _event: Recalled) -> None:
-        self.phase = Phase.RETURNING
-        self.actions.append(StopServing())
+    def _become_independent(self, _now: int, _event: ReleaseReceived | ChannelClosed) -> None:
+        """Released, or the old process died in probation: all that it handed over stays here."""
+        self.phase = Phase.INDEPENDENT
+        self.actions.append(EndProbation())
 
-    def _stopped(self, _now: int, _event: Stopped) -> None:
+    def _return_clients(self, _now: int, _event: ReclaimReceived | StopRequested) -> None:
         self.phase = Phase.RETURNING
         self.actions.append(StopServing())
 
-    def _returned(self, _now: int, _event: Drained) -> None:
+    def _finish_returning(self, _now: int, _event: Drained) -> None:
         self._exit("recalled")
 
-    def _orphaned(self, _now: int, _event: Lost) -> None:
-        """The old one died in the trial: all that it passed is ours."""
-        self.phase = Phase.FREE
-        self.actions.append(BeFree())
-
-    def _orphaned_returning(self, _now: int, _event: Lost) -> None:
-        """It died while we gave everything back: nobody else is left to serve."""
-        self.phase = Phase.FREE
-        self.actions.append(StandAlone(cold=False))
-
-
-Method = Callable[[Taker, int, Any], None]
-TABLE: dict[tuple[Phase, type], Method] = {
-    (Phase.CALLING, Offered): Taker._offered,
-    (Phase.CALLING, Aborted): Taker._give_up,
-    (Phase.CALLING, WasUnfit): Taker._give_up,
-    (Phase.CALLING, Lost): Taker._give_up,
-    (Phase.CALLING, Ticked): Taker._too_long,
-    (Phase.RECEIVING, CameWhole): Taker._whole,
-    (Phase.RECEIVING, Aborted): Taker._give_up,
-    (Phase.RECEIVING, WasUnfit): Taker._give_up,
-    (Phase.RECEIVING, Lost): Taker._alone_cold,
-    (Phase.RECEIVING, Ticked): Taker._too_long,
-    (Phase.CHECKING, WasFit): Taker._fit,
-    (Phase.CHECKING, Aborted): Taker._give_up,
-    (Phase.CHECKING, WasUnfit): Taker._give_up,
-    (Phase.CHECKING, Lost): Taker._alone_cold,
-    (Phase.CHECKING, Ticked): Taker._too_long,
-    (Phase.WARM, CameFinal): Taker._serve,
-    (Phase.WARM, Aborted): Taker._give_up,
-    (Phase.WARM, WasUnfit): Taker._give_up,
-    (Phase.WARM, Lost): Taker._alone_cold,
-    (Phase.WARM, Ticked): Taker._too_long,
-    (Phase.TRIAL, Released): Taker._free,
-    (Phase.TRIAL, Recalled): Taker._recalled,
-    (Phase.TRIAL, Stopped): Taker._stopped,
-    (Phase.TRIAL, Lost): Taker._orphaned,
-    (Phase.TRIAL, Ticked): Taker._pulse,
-    (Phase.RETURNING, Drained): Taker._returned,
-    (Phase.RETURNING, Lost): Taker._orphaned_returning,
+    def _serve_again(self, _now: int, _event: ChannelClosed) -> None:
+        """The old process died while everything was returned to it: nobody else is left to serve."""
+        self.phase = Phase.INDEPENDENT
+        self.actions.append(ServeAlone(cold_start=False))
+
+
+Handler = Callable[[NewProcess, int, Any], None]
+TRANSITIONS: dict[tuple[Phase, type], Handler] = {
+    (Phase.CONNECTING, OfferReceived): NewProcess._receive,
+    (Phase.CONNECTING, AbortReceived): NewProcess._give_up,
+    (Phase.CONNECTING, FailureDetected): NewProcess._give_up,
+    (Phase.CONNECTING, ChannelClosed): NewProcess._give_up_disconnected,
+    (Phase.CONNECTING, TimerFired): NewProcess._check_deadline,
+    (Phase.RECEIVING, CopyCompleteReceived): NewProcess._check,
+    (Phase.RECEIVING, AbortReceived): NewProcess._give_up,
+    (Phase.RECEIVING, FailureDetected): NewProcess._give_up,
+    (Phase.RECEIVING, ChannelClosed): NewProcess._start_cold,
+    (Phase.RECEIVING, TimerFired): NewProcess._check_deadline,
+    (Phase.CHECKING, SelfCheckPassed): NewProcess._become_ready,
+    (Phase.CHECKING, AbortReceived): NewProcess._give_up,
+    (Phase.CHECKING, FailureDetected): NewProcess._give_up,
+    (Phase.CHECKING, ChannelClosed): NewProcess._start_cold,
+    (Phase.CHECKING, TimerFired): NewProcess._check_deadline,
+    (Phase.READY, FinalStateReceived): NewProcess._start_probation,
+    (Phase.READY, AbortReceived): NewProcess._give_up,
+    (Phase.READY, FailureDetected): NewProcess._give_up,
+    (Phase.READY, ChannelClosed): NewProcess._start_cold,
+    (Phase.READY, TimerFired): NewProcess._check_deadline,
+    (Phase.PROBATION, ReleaseReceived): NewProcess._become_independent,
+    (Phase.PROBATION, ReclaimReceived): NewProcess._return_clients,
+    (Phase.PROBATION, StopRequested): NewProcess._return_clients,
+    (Phase.PROBATION, ChannelClosed): NewProcess._become_independent,
+    (Phase.PROBATION, TimerFired): NewProcess._send_heartbeat,
+    (Phase.RETURNING, Drained): NewProcess._finish_returning,
+    (Phase.RETURNING, ChannelClosed): NewProcess._serve_again,
 }
--- a/orchidlane/hot_restart/old_process.py
+++ b/orchidlane/hot_restart/old_process.py
@@ -1,18 +1,18 @@
-"""The old side of an upgrade: events with a clock in, actions out. Decides without I/O.
-
-    SERVING    --call-->            OFFERED      the state is copied while traffic goes on OFFERED
-    --warm-->            COMMITTED    from this moment on the successor decides; we keep a hold on all OFFERED
-    --anything else-->   SERVING      nothing has happened COMMITTED  --started, trial-->  PARTING      the
-    successor stands alone; we end with our last request COMMITTED  --sick-->            RECALLING    it is
-    asked to give everything back COMMITTED  --silent-->          FENCING      it is killed: nobody can be
-    asked COMMITTED, RECALLING  --returned-->  RETURNED  we serve again, it answers what it still holds any of
-    these  --its end of the channel closes-->  SERVING
-
-The channel is the fence. A successor that serves never lets its end go before it has stopped, and a kernel
-closes the end of a process that died, so a closed channel, or its word that it has stopped, proves that
-nobody else serves. Until then we do not serve, whatever time has passed; a successor that hangs is killed
-first. Our own end is closed only after ``Abort`` or in death, so that the successor can tell the one from the
-other.
+"""The old process of a hot restart as a state machine: events with a clock in, actions out. No I/O.
+
+    SERVING    --hello-->               OFFERED      the state is copied while it serves
+    OFFERED    --ready-->               COMMITTED    from here on the new process decides, on probation
+    OFFERED    --anything else-->       SERVING      nothing has happened
+    COMMITTED  --probation passed-->    DRAINING     the new process is released; we exit with our requests
+    COMMITTED  --degraded-->            RECLAIMING   it is asked to return everything
+    COMMITTED  --no heartbeat-->        FENCING      it is killed
+    COMMITTED, RECLAIMING --stopped-->  RETURNED     we serve again; it answers what it still has in progress
+    any of these --channel closed-->    SERVING
+
+The channel is the fence. A new process that serves never closes its end before it has stopped, and the kernel
+closes the end of a process that died. So a closed channel, or ``ServingStopped``, proves that nobody else
+serves; until then we don't, whatever time has passed, and a process that hangs is killed first. Our own end
+is closed only after ``Abort`` or by our death, so that the new process can tell the two apart.
 """
 
 from __future__ import annotations
@@ -22,348 +22,400 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from orchidlane.hot_restart.messages import FORMAT, Hello
-from orchidlane.hot_restart.probation import Answers, why_sick
+from orchidlane.hot_restart.messages import PROTOCOL_VERSION, Hello
+from orchidlane.hot_restart.probation import AnswerCounts, degradation_reason
 
 
 class Phase(Enum):
-    """Where the old side stands."""
+    """Phase of the old process; the values are logged and sent in ``Status``."""
 
     SERVING = "serving"
     OFFERED = "offered"
     COMMITTED = "committed"
-    RECALLING = "recalling"
+    RECLAIMING = "recalling"
     RETURNED = "returned"
     FENCING = "fencing"
-    PARTING = "parting"
+    DRAINING = "parting"
     ENDED = "ended"
 
 
-class Terms(NamedTuple):
-    """Spans in microseconds."""
+class Timeouts(NamedTuple):
+    """How long each step may take, in microseconds."""
 
-    warm: int = 60_000_000  # for the copy and the successor's own check
-    start: int = 2_000_000  # from the moment to its first word
-    pulse: int = 200_000  # between two of its words in the trial
-    silence: int = 1_500_000  # without one it hangs
-    late: int = 250_000  # a tick later than that: we stood still ourselves
-    trial: int = 5_000_000
-    recall: int = 1_000_000  # to stop serving when it is asked to
-    drain: int = 15_000_000  # to answer what it still holds after that
+    copy_us: int = 60_000_000  # of the state, and the self-check
+    start_us: int = 2_000_000  # from the handover to ``Started``
+    heartbeat_us: int = 1_500_000  # between two heartbeats: without one the new process hangs
+    max_tick_delay_us: int = 250_000  # a timer that is later says that this process stood still
+    probation_us: int = 5_000_000
+    reclaim_us: int = 1_000_000  # to stop serving
+    drain_us: int = 15_000_000  # to answer what is in progress after that
 
 
-class Called(NamedTuple):
+# Events
+
+
+class HelloReceived(NamedTuple):
     """A process asks to take over, on a channel of its own."""
 
     channel: int
     hello: Hello
 
 
-class WasWarm(NamedTuple):
-    """It has all that was told, and found itself fit."""
+class ReadyReceived(NamedTuple):
+    """The new process has the copied state and passed its self-check."""
 
     channel: int
 
 
-class HasStarted(NamedTuple):
-    """It serves."""
+class StartedReceived(NamedTuple):
+    """The new process serves."""
 
     channel: int
 
 
-class Pulsed(NamedTuple):
-    """How it fares, and how we did before."""
+class HeartbeatReceived(NamedTuple):
+    """Answers of the new process in probation, and of this one before the handover."""
 
     channel: int
-    answers: Answers
-    before: Answers
+    answers: AnswerCounts
+    baseline: AnswerCounts
 
 
-class WasUnfit(NamedTuple):
-    """It gives up, or what it says can't be understood."""
+class FailureDetected(NamedTuple):
+    """The new process gives up, or sent something invalid."""
 
     channel: int
-    why: str
+    reason: str
 
 
-class WasReturned(NamedTuple):
-    """It has stopped serving, and given its idle clients back."""
+class ServingStoppedReceived(NamedTuple):
+    """The new process has stopped serving, and returned its idle clients."""
 
     channel: int
 
 
-class Lost(NamedTuple):
-    """Its end of the channel is closed: it is gone, or does not serve any more."""
+class ChannelClosed(NamedTuple):
+    """The new process's end of the channel is closed: it is dead or does not serve."""
 
     channel: int
 
 
-class Ticked(NamedTuple):
-    """A time that was asked for has come."""
+class TimerFired(NamedTuple):
+    """A timer set by ``SetTimer`` has fired."""
 
 
 class Drained(NamedTuple):
-    """Our last request is answered, and our clients are gone or passed."""
+    """The last request is answered, and the clients are gone or handed over."""
+
+
+class StopRequested(NamedTuple):
+    """The process is asked to exit (SIGTERM)."""
 
 
-class Stopped(NamedTuple):
-    """We are asked to end (SIGTERM)."""
+# Actions
 
 
-class MakeOffer(NamedTuple):
-    """Say that the call is welcome, pass the listeners, and copy the state."""
+class SendOffer(NamedTuple):
+    """Accept the handshake, pass the sockets, and copy the state."""
 
     channel: int
 
 
-class TurnAway(NamedTuple):
-    """Say why not, and close the channel; what was copied is dropped."""
+class Reject(NamedTuple):
+    """Send ``Abort`` with the reason and close the channel; drop the copy."""
 
     channel: int
-    why: str
+    reason: str
 
 
-class Commit(NamedTuple):
-    """Stop taking requests, tell what is left to tell, and pass the clients as they become idle."""
+class HandOver(NamedTuple):
+    """Stop serving, send the final state, and hand clients over as they become idle."""
 
     channel: int
 
 
-class AskBack(NamedTuple):
-    """Say that everything shall come back."""
+class SendReclaim(NamedTuple):
+    """Send ``Reclaim``."""
 
     channel: int
-    why: str
+    reason: str
 
 
-class Kill(NamedTuple):
-    """End the process on the other side."""
+class KillNewProcess(NamedTuple):
+    """Kill the process at the other end of the channel."""
 
     channel: int
 
 
-class TakeBack(NamedTuple):
-    """Serve again: nobody else does. Clients that are idle are ours again."""
+class ResumeServing(NamedTuple):
+    """Serve again: nobody else does. Idle clients are ours again."""
 
-    why: str
+    reason: str
 
 
-class Settle(NamedTuple):
-    """The other process is gone: close the channel; clients that it owed an answer get one that says so."""
+class AnswerOrphanedClients(NamedTuple):
+    """The new process is gone: close the channel, and answer the clients that it owed an answer."""
 
     channel: int
 
 
-class LetGo(NamedTuple):
-    """Say that the trial is passed, and let all holds go."""
+class Release(NamedTuple):
+    """Send ``Release``, and close the retained connections."""
 
     channel: int
 
 
-class End(NamedTuple):
+class Exit(NamedTuple):
     """Nothing is left to do here."""
 
 
-class Wake(NamedTuple):
-    """Send ``Ticked`` after so many microseconds."""
-
-    span: int
-
-
-Event = Called | WasWarm | HasStarted | Pulsed | WasUnfit | WasReturned | Lost | Ticked | Drained | Stopped
-Action = MakeOffer | TurnAway | Commit | AskBack | Kill | TakeBack | Settle | LetGo | End | Wake
+class SetTimer(NamedTuple):
+    """Send ``TimerFired`` after a delay in microseconds."""
+
+    delay_us: int
+
+
+Event = (
+    HelloReceived
+    | ReadyReceived
+    | StartedReceived
+    | HeartbeatReceived
+    | FailureDetected
+    | ServingStoppedReceived
+    | ChannelClosed
+    | TimerFired
+    | Drained
+    | StopRequested
+)
+Action = (
+    SendOffer
+    | Reject
+    | HandOver
+    | SendReclaim
+    | KillNewProcess
+    | ResumeServing
+    | AnswerOrphanedClients
+    | Release
+    | Exit
+    | SetTimer
+)
+OrderedEvent = ReadyReceived | StartedReceived | HeartbeatReceived
+EVENT_NAMES: dict[type, str] = {
+    ReadyReceived: "ready",
+    StartedReceived: "started",
+    HeartbeatReceived: "heartbeat",
+}
 
 
 @dataclass
-class Layout:
-    """What a successor's state must fit."""
+class GatewayIdentity:
+    """What the new process must share with this one."""
 
     gateway: str
     rank: int
-    gateways: int
+    gateway_count: int
     plan_names: tuple[str, ...]
 
 
 @dataclass
-class Giver:
-    """One gateway that may be upgraded; feed events, carry out actions in their order."""
+class OldProcess:
+    """One gateway that may be upgraded; feed events, carry out the actions in their order."""
 
-    layout: Layout
-    terms: Terms = field(default_factory=Terms)
+    identity: GatewayIdentity
+    timeouts: Timeouts = field(default_factory=Timeouts)
     phase: Phase = Phase.SERVING
     channel: int | None = None
-    deadline: int = 0  # of what is waited for now
-    trial_ends: int = 0
-    latest: str = "none"  # what became of the latest upgrade
+    deadline_us: int = 0  # of the current step
+    probation_ends_us: int = 0  # 0 until the new process has started
+    last_outcome: str = "none"  # of the latest upgrade
     actions: list[Action] = field(default_factory=list)
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """What to do about one event."""
+        """Return the actions for one event; events of other channels are ignored."""
         self.actions = []
-        if isinstance(event, Called):
-            self._called(now, event)
-        elif (channel := getattr(event, "channel", self.channel)) == self.channel:
-            method = TABLE.get((self.phase, type(event)))
-            if method is not None:
-                method(self, now, event)
-            elif channel is not None and isinstance(event, WasWarm | HasStarted | Pulsed):
-                self._out_of_turn(now, event)
+        match event:
+            case HelloReceived():
+                self._receive_hello(now, event)
+            case TimerFired() | Drained() | StopRequested():
+                self._dispatch(now, event)
+            case _ if event.channel == self.channel:
+                self._dispatch(now, event)
         return self.actions
 
-    # -- a call
+    def _dispatch(self, now: int, event: Event) -> None:
+        handler = TRANSITIONS.get((self.phase, type(event)))
+        if handler is not None:
+            handler(self, now, event)
+        elif self.channel is not None and isinstance(event, OrderedEvent):
+            self._reject_out_of_order(event)
+
+    # -- handshake
 
-    def _called(self, now: int, event: Called) -> None:
-        why = self._why_not(event.hello)
-        if why is not None:
-            self.actions.append(TurnAway(event.channel, why))
+    def _receive_hello(self, now: int, event: HelloReceived) -> None:
+        reason = self._rejection_reason(event.hello)
+        if reason is not None:
+            self.actions.append(Reject(event.channel, reason))
             return
-        self.phase, self.channel = Phase.OFFERED, event.channel
-        self.actions.append(MakeOffer(event.channel))
-        self._wait(now, self.terms.warm)
-
-    def _why_not(self, hello: Hello) -> str | None:
-        layout = self.layout
-        if hello.format != FORMAT:
-            return f"format {hello.format} of the protocol, this build speaks {FORMAT}"
+        self.phase = Phase.OFFERED
+        self.channel = event.channel
+        self.actions.append(SendOffer(event.channel))
+        self._set_deadline(now, self.timeouts.copy_us)
+
+    def _rejection_reason(self, hello: Hello) -> str | None:
+        identity = self.identity
+        if hello.protocol_version != PROTOCOL_VERSION:
+            return f"format {hello.protocol_version} of the protocol, this build speaks {PROTOCOL_VERSION}"
         if self.phase is not Phase.SERVING:
             return f"another upgrade is under way: {self.phase.value}"
-        if (hello.gateway, hello.rank) != (layout.gateway, layout.rank):
-            return f"this is {layout.gateway}, rank {layout.rank}"
-        if hello.gateways != layout.gateways or hello.plan_names != layout.plan_names:
+        if (hello.gateway, hello.rank) != (identity.gateway, identity.rank):
+            return f"this is {identity.gateway}, rank {identity.rank}"
+        if hello.gateway_count != identity.gateway_count or hello.plan_names != identity.plan_names:
             return "other gateways or plans in its settings: these need a restart"
         return None
 
-    def _wait(self, now: int, span: int) -> None:
-        self.deadline = now + span
-        self.actions.append(Wake(span))
+    def _set_deadline(self, now: int, delay_us: int) -> None:
+        self.deadline_us = now + delay_us
+        self.actions.append(SetTimer(delay_us))
 
-    # -- until the moment
+    # -- until the handover
 
-    def _warm(self, now: int, event: WasWarm) -> None:
+    def _hand_over(self, now: int, event: ReadyReceived) -> None:
         self.phase = Phase.COMMITTED
-        self.trial_ends = 0
-        self.actions.append(Commit(event.channel))
-        self._wait(now, self.terms.start)
+        self.probation_ends_us = 0
+        self.actions.append(HandOver(event.channel))
+        self._set_deadline(now, self.timeouts.start_us)
+
+    def _abandon(self, _now: int, event: FailureDetected) -> None:
+        self._return_to_serving(f"abandoned: {event.reason}")
+        self.actions.append(Reject(event.channel, event.reason))
 
-    def _abandon(self, _now: int, event: Any) -> None:
-        why = getattr(event, "why", "its process ended")
-        self._back_to_serving(f"abandoned: {why}")
-        self.actions.append(TurnAway(event.channel, why))
+    def _abandon_disconnected(self, now: int, event: ChannelClosed) -> None:
+        self._abandon(now, FailureDetected(event.channel, "its process ended"))
 
-    def _too_long(self, now: int, _event: Ticked) -> None:
-        if now < self.deadline:
+    def _check_copy_deadline(self, now: int, _event: TimerFired) -> None:
+        if now < self.deadline_us:
             return
         assert self.channel is not None
-        self.actions.append(TurnAway(self.channel, "it took too long"))
-        self._back_to_serving("abandoned: it took too long")
+        self.actions.append(Reject(self.channel, "it took too long"))
+        self._return_to_serving("abandoned: it took too long")
 
-    def _stop_offer(self, _now: int, _event: Stopped) -> None:
+    def _withdraw_offer(self, _now: int, _event: StopRequested) -> None:
         assert self.channel is not None
-        self.actions.append(TurnAway(self.channel, "the gateway is asked to end"))
-        self._back_to_serving("abandoned: the gateway was asked to end")
-
-    def _back_to_serving(self, latest: str) -> None:
-        self.phase, self.channel, self.latest = Phase.SERVING, None, latest
-
-    # -- the trial
-
-    def _started(self, now: int, _event: HasStarted) -> None:
-        if not self.trial_ends:
-            self.trial_ends = now + self.terms.trial
-            self._wait(now, self.terms.silence)
-
-    def _pulsed(self, now: int, event: Pulsed) -> None:
-        if not self.trial_ends:
-            return self._out_of_turn(now, event)
-        why = why_sick(event.before, event.answers)
-        if why is not None:
-            self.phase, self.latest = Phase.RECALLING, f"recalled: {why}"
-            self.actions.append(AskBack(event.channel, why))
-            self._wait(now, self.terms.recall)
-        elif now >= self.trial_ends:
-            self.phase, self.latest = Phase.PARTING, "passed"
-            self.actions.append(LetGo(event.channel))
-        else:
-            self._wait(now, self.terms.silence)
-
-    def _silent(self, now: int, _event: Ticked) -> None:
-        """Guards against our own stall, too: a tick so late says nothing of the other, whose words wait."""
-        if now > self.deadline + self.terms.late:
-            self._wait(now, self.terms.silence)
-        elif now >= self.deadline:
+        self.actions.append(Reject(self.channel, "the gateway is asked to end"))
+        self._return_to_serving("abandoned: the gateway was asked to end")
+
+    def _return_to_serving(self, outcome: str) -> None:
+        self.phase = Phase.SERVING
+        self.channel = None
+        self.last_outcome = outcome
+
+    # -- probation
+
+    def _start_probation(self, now: int, _event: StartedReceived) -> None:
+        if not self.probation_ends_us:
+            self.probation_ends_us = now + self.timeouts.probation_us
+            self._set_deadline(now, self.timeouts.heartbeat_us)
+
+    def _receive_heartbeat(self, now: int, event: HeartbeatReceived) -> None:
+        if not self.probation_ends_us:
+            return self._reject_out_of_order(event)
+        reason = degradation_reason(event.baseline, event.answers)
+        if reason is not None:
+            self.phase = Phase.RECLAIMING
+            self.last_outcome = f"recalled: {reason}"
+            self.actions.append(SendReclaim(event.channel, reason))
+            return self._set_deadline(now, self.timeouts.reclaim_us)
+        if now >= self.probation_ends_us:
+            return self._release("passed")
+        return self._set_deadline(now, self.timeouts.heartbeat_us)
+
+    def _check_heartbeat_deadline(self, now: int, _event: TimerFired) -> None:
+        """Fence at the deadline. A late timer says that we stood still: received messages may wait."""
+        if now > self.deadline_us + self.timeouts.max_tick_delay_us:
+            self._set_deadline(now, self.timeouts.heartbeat_us)
+        elif now >= self.deadline_us:
             self._fence("it hangs")
 
-    def _unfit(self, now: int, event: WasUnfit) -> None:
-        """It says so itself and still holds everything, or talks nonsense: it is not waited for."""
-        self._fence(event.why)
+    def _fence_failed(self, _now: int, event: FailureDetected) -> None:
+        """It failed and still has everything, or sends garbage: it is not asked to return anything."""
+        self._fence(event.reason)
 
-    def _out_of_turn(self, _now: int, event: Any) -> None:
-        """A word that has no place here is no better than garbage."""
-        why = f"{type(event).__name__} while {self.phase.value}"
+    def _reject_out_of_order(self, event: OrderedEvent) -> None:
+        """A message out of order is treated like garbage."""
+        reason = f"{EVENT_NAMES[type(event)]} while {self.phase.value}"
         if self.phase is Phase.OFFERED:
-            self._abandon(0, WasUnfit(event.channel, why))
+            self._abandon(0, FailureDetected(event.channel, reason))
         elif self.phase is Phase.COMMITTED:
-            self._fence(why)
+            self._fence(reason)
 
-    def _fence(self, why: str) -> None:
+    def _fence(self, reason: str) -> None:
         assert self.channel is not None
-        self.phase, self.latest = Phase.FENCING, f"ended by force: {why}"
-        self.actions.append(Kill(self.channel))
+        self.phase = Phase.FENCING
+        self.last_outcome = f"ended by force: {reason}"
+        self.actions.append(KillNewProcess(self.channel))
 
-    def _take_back(self, _now: int, event: Lost) -> None:
-        latest = self.latest if self.phase is not Phase.COMMITTED else "taken back: its process ended"
-        self._back_to_serving(latest)
-        self.actions += [TakeBack(latest), Settle(event.channel)]
+    # -- reclaim
 
-    def _returned(self, now: int, _event: WasReturned) -> None:
+    def _reclaim(self, _now: int, event: ChannelClosed) -> None:
         if self.phase is Phase.COMMITTED:
-            self.latest = "given back: it was asked to end"
+            self.last_outcome = "taken back: its process ended"
+        self._return_to_serving(self.last_outcome)
+        self.actions.append(ResumeServing(self.last_outcome))
+        self.actions.append(AnswerOrphanedClients(event.channel))
+
+    def _resume_while_draining(self, now: int, _event: ServingStoppedReceived) -> None:
+        if self.phase is Phase.COMMITTED:
+            self.last_outcome = "given back: it was asked to end"
         self.phase = Phase.RETURNED
-        self.actions.append(TakeBack(self.latest))
-        self._wait(now, self.terms.drain)
+        self.actions.append(ResumeServing(self.last_outcome))
+        self._set_deadline(now, self.timeouts.drain_us)
 
-    def _settled(self, _now: int, event: Lost) -> None:
-        self._back_to_serving(self.latest)
-        self.actions.append(Settle(event.channel))
+    def _finish_reclaim(self, _now: int, event: ChannelClosed) -> None:
+        self._return_to_serving(self.last_outcome)
+        self.actions.append(AnswerOrphanedClients(event.channel))
 
-    def _drains_too_long(self, now: int, _event: Ticked) -> None:
-        if now >= self.deadline:
+    def _check_drain_deadline(self, now: int, _event: TimerFired) -> None:
+        if now >= self.deadline_us:
             assert self.channel is not None
-            self.actions.append(Kill(self.channel))
+            self.actions.append(KillNewProcess(self.channel))
 
-    # -- the end
+    # -- exit
 
-    def _drained(self, _now: int, _event: Drained) -> None:
+    def _finish(self, _now: int, _event: Drained) -> None:
         self.phase = Phase.ENDED
-        self.actions.append(End())
+        self.actions.append(Exit())
+
+    def _release_early(self, _now: int, _event: StopRequested) -> None:
+        """SIGTERM in probation: the new process goes on without the rest of it."""
+        self._release("let go early: the old one was asked to end")
 
-    def _end_at_once(self, _now: int, _event: Stopped) -> None:
-        """SIGTERM while the successor is on trial: it is let go early, we end with our requests."""
+    def _release(self, outcome: str) -> None:
         assert self.channel is not None
-        self.phase, self.latest = Phase.PARTING, "let go early: the old one was asked to end"
-        self.actions.append(LetGo(self.channel))
-
-
-Method = Callable[[Giver, int, Any], None]
-TABLE: dict[tuple[Phase, type], Method] = {
-    (Phase.OFFERED, WasWarm): Giver._warm,
-    (Phase.OFFERED, WasUnfit): Giver._abandon,
-    (Phase.OFFERED, Lost): Giver._abandon,
-    (Phase.OFFERED, Ticked): Giver._too_long,
-    (Phase.OFFERED, Stopped): Giver._stop_offer,
-    (Phase.COMMITTED, HasStarted): Giver._started,
-    (Phase.COMMITTED, Pulsed): Giver._pulsed,
-    (Phase.COMMITTED, Ticked): Giver._silent,
-    (Phase.COMMITTED, WasUnfit): Giver._unfit,
-    (Phase.COMMITTED, Lost): Giver._take_back,
-    (Phase.COMMITTED, Stopped): Giver._end_at_once,
-    (Phase.COMMITTED, WasReturned): Giver._returned,
-    (Phase.RECALLING, WasReturned): Giver._returned,
-    (Phase.RECALLING, Lost): Giver._take_back,
-    (Phase.RECALLING, Ticked): Giver._silent,
-    (Phase.RECALLING, WasUnfit): Giver._unfit,
-    (Phase.RETURNED, Lost): Giver._settled,
-    (Phase.RETURNED, Ticked): Giver._drains_too_long,
-    (Phase.FENCING, Lost): Giver._take_back,
-    (Phase.PARTING, Drained): Giver._drained,
+        self.phase = Phase.DRAINING
+        self.last_outcome = outcome
+        self.actions.append(Release(self.channel))
+
+
+Handler = Callable[[OldProcess, int, Any], None]
+TRANSITIONS: dict[tuple[Phase, type], Handler] = {
+    (Phase.OFFERED, ReadyReceived): OldProcess._hand_over,
+    (Phase.OFFERED, FailureDetected): OldProcess._abandon,
+    (Phase.OFFERED, ChannelClosed): OldProcess._abandon_disconnected,
+    (Phase.OFFERED, TimerFired): OldProcess._check_copy_deadline,
+    (Phase.OFFERED, StopRequested): OldProcess._withdraw_offer,
+    (Phase.COMMITTED, StartedReceived): OldProcess._start_probation,
+    (Phase.COMMITTED, HeartbeatReceived): OldProcess._receive_heartbeat,
+    (Phase.COMMITTED, TimerFired): OldProcess._check_heartbeat_deadline,
+    (Phase.COMMITTED, FailureDetected): OldProcess._fence_failed,
+    (Phase.COMMITTED, ChannelClosed): OldProcess._reclaim,
+    (Phase.COMMITTED, StopRequested): OldProcess._release_early,
+    (Phase.COMMITTED, ServingStoppedReceived): OldProcess._resume_while_draining,
+    (Phase.RECLAIMING, ServingStoppedReceived): OldProcess._resume_while_draining,
+    (Phase.RECLAIMING, ChannelClosed): OldProcess._reclaim,
+    (Phase.RECLAIMING, TimerFired): OldProcess._check_heartbeat_deadline,
+    (Phase.RECLAIMING, FailureDetected): OldProcess._fence_failed,
+    (Phase.RETURNED, ChannelClosed): OldProcess._finish_reclaim,
+    (Phase.RETURNED, TimerFired): OldProcess._check_drain_deadline,
+    (Phase.FENCING, ChannelClosed): OldProcess._reclaim,
+    (Phase.DRAINING, Drained): OldProcess._finish,
 }
--- a/orchidlane/hot_restart/pre_copy.py
+++ b/orchidlane/hot_restart/pre_copy.py
@@ -1,93 +1,101 @@
-"""Brings tables over that go on changing: every row once, then again what changed, until little is left.
+"""Copies tables that go on changing: every row once, then again what changed, until little is left.
 
 As live migration does with memory pages (Clark et al., "Live Migration of Virtual Machines", NSDI 2005,
-section 3): the pause at the moment is then that of the last few rows, whatever the size of the tables. Rounds
-are bounded, since rows that change faster than they are told would be told for ever.
+section 3): the pause at the handover is then that of the last few rows, whatever the size of the tables.
+Rounds are bounded, since rows that change faster than they are sent would be sent for ever.
 """
 
 from __future__ import annotations
 
 from collections.abc import Hashable, Iterable
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
-PAGE = 256  # rows of one page
-ROUNDS = 5  # at most, after the first
-SMALL = 64  # rows that the moment may bring: then no further round is made
+PAGE_ROWS = 256
+MAX_ROUNDS = 5  # after the first, which sends every row
+MAX_FINAL_ROWS = 64  # that may be left to the handover
 
 
 class Table(Protocol):
-    """A table that tells what is touched while somebody watches."""
+    """A table that reports changes to an observer."""
 
     name: str
 
     def keys(self) -> Iterable[Hashable]:
-        """All keys there are now."""
+        """Return all current keys."""
 
     def row(self, key: Hashable) -> Any:
-        """The row of a key as plain values, None where there is none now."""
+        """Return the row of a key as plain values, None if there is none now."""
 
     def watch(self, touched: dict[Hashable, None] | None) -> None:
-        """Add each key that is changed, made or taken away from now on; None ends it."""
+        """Add each key that is changed, inserted or removed from now on to ``touched``; None ends it."""
+
+
+class Page(NamedTuple):
+    """Some rows of one table, and keys that were removed from it."""
+
+    table: str
+    rows: list[Any]
+    removed: list[Hashable]
 
 
 class PreCopy:
-    """The copy of some tables: take ``page`` until it is None, then at the moment all ``rest``."""
+    """The copy of some tables: send each ``next_page`` until it is None, then all ``final_pages``."""
 
     def __init__(self, tables: Iterable[Table]) -> None:
         self.tables = list(tables)
         self.rounds = 0
-        self.told = 0
-        self._touched: list[dict[Hashable, None]] = [{} for _ in self.tables]
-        self._left: list[list[Hashable]] = []
-        for table, touched in zip(self.tables, self._touched, strict=True):
-            self._left.append(list(table.keys()))
-            table.watch(touched)
-
-    def page(self) -> tuple[str, list[Any], list[Hashable]] | None:
-        """The next rows of a table, and keys that are gone; None once little is left for the moment."""
+        self.rows_sent = 0
+        self._changed: list[dict[Hashable, None]] = [{} for _ in self.tables]
+        self._unsent: list[list[Hashable]] = []
+        for table, changed in zip(self.tables, self._changed, strict=True):
+            self._unsent.append(list(table.keys()))
+            table.watch(changed)
+
+    def next_page(self) -> Page | None:
+        """Return the next page; None once few enough rows are left for the handover."""
         while True:
-            for table, left in zip(self.tables, self._left, strict=True):
-                if left:
-                    keys = left[-PAGE:]
-                    del left[-PAGE:]  # a page costs its own rows, however many are left
-                    return self._rows(table, keys)
-            if self.rounds >= ROUNDS or sum(map(len, self._touched)) <= SMALL:
+            for table, unsent in zip(self.tables, self._unsent, strict=True):
+                if unsent:
+                    keys = unsent[-PAGE_ROWS:]
+                    del unsent[-PAGE_ROWS:]  # at the end: a page costs its own rows, however many are left
+                    return self._make_page(table, keys)
+            if self.rounds >= MAX_ROUNDS or sum(map(len, self._changed)) <= MAX_FINAL_ROWS:
                 return None
-            self._next_round()
+            self._start_round()
 
-    def _next_round(self) -> None:
+    def _start_round(self) -> None:
         self.rounds += 1
-        for place, table in enumerate(self.tables):
-            self._left[place] = list(self._touched[place])
-            self._touched[place] = {}
-            table.watch(self._touched[place])
-
-    def again(self) -> None:
-        """Some time has passed: two more rounds may be made before the moment."""
-        self.rounds = min(self.rounds, ROUNDS - 2)
-
-    def rest(self) -> list[tuple[str, list[Any], list[Hashable]]]:
-        """All that changed since it was told last; the tables are watched no more."""
-        found = []
-        for place, table in enumerate(self.tables):
-            keys = list(dict.fromkeys([*self._left[place], *self._touched[place]]))
+        for index, table in enumerate(self.tables):
+            self._unsent[index] = list(self._changed[index])
+            self._changed[index] = {}
+            table.watch(self._changed[index])
+
+    def allow_more_rounds(self) -> None:
+        """Allow two more rounds, for what changed while the new process checked itself."""
+        self.rounds = min(self.rounds, MAX_ROUNDS - 2)
+
+    def final_pages(self) -> list[Page]:
+        """Return all that changed since it was sent last, and stop watching the tables."""
+        pages = []
+        for index, table in enumerate(self.tables):
+            keys = list(dict.fromkeys([*self._unsent[index], *self._changed[index]]))
             if keys:
-                found.append(self._rows(table, keys))
+                pages.append(self._make_page(table, keys))
         self.close()
-        return found
+        return pages
 
     def close(self) -> None:
-        """Nothing more is wanted."""
+        """Stop watching the tables."""
         for table in self.tables:
             table.watch(None)
 
-    def _rows(self, table: Table, keys: list[Hashable]) -> tuple[str, list[Any], list[Hashable]]:
-        rows, gone = [], []
+    def _make_page(self, table: Table, keys: list[Hashable]) -> Page:
+        page = Page(table.name, [], [])
         for key in keys:
             row = table.row(key)
             if row is None:
-                gone.append(key)
+                page.removed.append(key)
             else:
-                rows.append(row)
-        self.told += len(keys)
-        return table.name, rows, gone
+                page.rows.append(row)
+        self.rows_sent += len(keys)
+        return page
--- a/orchidlane/hot_restart/probation.py
+++ b/orchidlane/hot_restart/probation.py
@@ -1,49 +1,53 @@
-"""Whether a successor does well enough in its trial, beside what its predecessor did. Decides without I/O."""
+"""Judges a new process in probation by the answers of its predecessor. No I/O."""
 
 from __future__ import annotations
 
 from math import log
 from typing import NamedTuple
 
-ANSWERS_LEAST = 20  # of the trial, before its shares say anything
-SHARE_LEAST = 0.5  # of the share that was served before
-CHANCE_MOST = 1e-3  # that so few were served by bad luck alone: it is looked at again and again
+MIN_ANSWERS = 20  # before the ratio of served answers says anything
+MIN_SERVED_RATIO = 0.5  # of the predecessor's ratio of served answers
+MAX_FALSE_ALARM_PROBABILITY = 1e-3  # low, since the test is repeated
 
 
-class Answers(NamedTuple):
-    """Answers by kind over some span."""
+class AnswerCounts(NamedTuple):
+    """Answers by kind over some interval."""
 
     served: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
 
     @property
-    def all(self) -> int:
-        """How many."""
+    def total(self) -> int:
+        """Number of answers."""
         return sum(self)
 
-    def since(self, earlier: Answers) -> Answers:
-        """Those that came since."""
-        return Answers(*(now - then for now, then in zip(self, earlier, strict=True)))
+    def since(self, earlier: AnswerCounts) -> AnswerCounts:
+        """Return the answers given after an earlier count."""
+        return AnswerCounts(*(now - then for now, then in zip(self, earlier, strict=True)))
 
 
-def why_sick(before: Answers, trial: Answers) -> str | None:
-    """What is wrong with a successor, or None.
+def degradation_reason(baseline: AnswerCounts, probation: AnswerCounts) -> str | None:
+    """Return what is wrong with a new process, None if nothing is.
 
-    What the clients ask for goes on as before, so the share that is served should as well. Few answers say
-    nothing, and a predecessor that served nobody is no measure. Sick is who would have served so few by bad
-    luck once in ``1 / CHANCE_MOST`` cases even at the least share (Chernoff's bound on a binomial's tail).
+    The demand is the same as before, so the ratio of served answers should be, too. Few answers say nothing,
+    and a predecessor that served nobody is no baseline. A process is degraded if even one that serves
+    ``MIN_SERVED_RATIO`` of the baseline's ratio would serve so few with a probability below
+    ``MAX_FALSE_ALARM_PROBABILITY`` (Chernoff's bound on the tail of a binomial distribution).
     """
-    if trial.all < ANSWERS_LEAST or not before.served:
+    if probation.total < MIN_ANSWERS or not baseline.served:
         return None
-    usual, now = before.served / before.all, trial.served / trial.all
-    least = SHARE_LEAST * usual
-    if now < least and trial.all * _divergence(now, least) > -log(CHANCE_MOST):
-        return f"served {trial.served} of {trial.all} answers, {usual:.0%} before"
-    return None
+    baseline_ratio = baseline.served / baseline.total
+    ratio = probation.served / probation.total
+    least_ratio = MIN_SERVED_RATIO * baseline_ratio
+    if ratio >= least_ratio:
+        return None
+    if probation.total * _divergence(ratio, least_ratio) <= -log(MAX_FALSE_ALARM_PROBABILITY):
+        return None
+    return f"served {probation.served} of {probation.total} answers, {baseline_ratio:.0%} before"
 
 
-def _divergence(found: float, expected: float) -> float:
-    """Of a share from another, Kullback and Leibler's, in nats for each answer."""
-    part = found * log(found / expected) if found else 0.0
-    return part + (1 - found) * log((1 - found) / (1 - expected))
+def _divergence(observed: float, expected: float) -> float:
+    """Return the Kullback-Leibler divergence of two Bernoulli distributions, in nats."""
+    part = observed * log(observed / expected) if observed else 0.0
+    return part + (1 - observed) * log((1 - observed) / (1 - expected))
--- a/orchidlane/hot_restart/rolling_batches.py
+++ b/orchidlane/hot_restart/rolling_batches.py
@@ -1,140 +1,156 @@
-"""Which gateways may be upgraded together. Decides without I/O.
+"""Selects the gateways that may be upgraded together. No I/O.
 
-A successor that turns out bad is taken back, but until then its gateway is at risk. So of all gateways, of
-each customer's set, of the halls and of the load, only so much may be at risk at once. A customer's set is
-an arc of the ring of ranks (``Plan.spread`` ranks from any first one), so that the check of all sets is a
-check of the distances between the ranks at risk, whatever the number of customers.
+A bad successor is rolled back, but until then its gateway is at risk. So what is at risk at once is bounded:
+a share of all gateways, of each customer's replica set, of the load, and a number of zones. A customer's
+replica set is an arc of the ring of ranks (``Plan.spread`` ranks from any first one), so that all sets are
+checked by the distances between the ranks at risk, whatever the number of customers.
 
-The largest batch under such terms is a packing problem. ``largest`` tries a few orders and keeps the best;
-how far it stays from the bound, ``at_most``, is measured in ``benchmarks/roll.py``.
+The largest batch within these limits is a packing problem. ``largest_batch`` tries a few orders and keeps the
+best; ``benchmarks/roll.py`` compares it with ``batch_size_bound``.
 """
 
 from __future__ import annotations
 
+from collections import Counter
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-STARTS = 8  # ranks from which the ring is gone round, at most
+MAX_RING_STARTS = 8  # ranks from which an order goes round the ring
 
 
 class Member(NamedTuple):
     """One gateway of the fleet."""
 
     rank: int
-    hall: str
-    load: float  # answers a second, or any other measure that adds up
+    zone: str
+    load: float  # answers per second, or any other measure that adds up
 
 
-class Limits(NamedTuple):
+class RiskLimits(NamedTuple):
     """How much may be at risk at once; a single gateway always may."""
 
-    share: float = 0.25  # of all gateways
-    set_share: float = 0.5  # of the members of any customer's set
-    halls: int = 1
-    load: float = 0.34  # of what all gateways carry
+    fleet_share: float = 0.25  # of all gateways
+    replica_set_share: float = 0.5  # of the members of any customer's replica set
+    max_zones: int = 1
+    load_share: float = 0.34  # of the load of all gateways
 
 
 class Fleet(NamedTuple):
-    """All gateways by rank, and the sizes that customers' sets have."""
+    """All gateways by rank, and the sizes of customers' replica sets."""
 
     members: tuple[Member, ...]
-    spreads: tuple[int, ...]
+    replica_set_sizes: tuple[int, ...]
 
     @property
     def load(self) -> float:
-        """What all gateways carry."""
+        """Load of all gateways."""
         return sum(member.load for member in self.members)
 
 
-def _sets_hold(ranks: Sequence[int], size: int, spread: int, most: int) -> bool:
-    """Whether no arc of ``spread`` ranks has more than ``most`` of them; ``ranks`` in order."""
-    if len(ranks) <= most:
-        return True
-    if spread >= size:
-        return False
-    beyond = (
-        ranks[(i + most) % len(ranks)] + size * ((i + most) // len(ranks)) - rank
-        for i, rank in enumerate(ranks)
-    )
-    return min(beyond) >= spread
-
-
-def allowed(fleet: Fleet, limits: Limits, at_risk: Iterable[int]) -> bool:
-    """Whether these gateways may be at risk together. One alone always may, or nothing could ever be done."""
+def is_allowed(fleet: Fleet, limits: RiskLimits, at_risk: Iterable[int]) -> bool:
+    """Return whether these ranks may be at risk together. One always may, or no upgrade could ever start."""
     ranks = sorted(at_risk)
     if len(ranks) <= 1:
         return True
     size = len(fleet.members)
-    if (
-        len(ranks) > limits.share * size
-        or sum(fleet.members[r].load for r in ranks) > limits.load * fleet.load
-    ):
+    if len(ranks) > limits.fleet_share * size:
         return False
-    if len({fleet.members[rank].hall for rank in ranks}) > limits.halls:
+    if sum(fleet.members[rank].load for rank in ranks) > limits.load_share * fleet.load:
+        return False
+    if len({fleet.members[rank].zone for rank in ranks}) > limits.max_zones:
         return False
     return all(
-        _sets_hold(ranks, size, min(spread, size), max(1, int(limits.set_share * spread)))
-        for spread in fleet.spreads
+        _replica_sets_allow(ranks, size, min(set_size, size), _max_of_set(limits, set_size))
+        for set_size in fleet.replica_set_sizes
     )
 
 
-def _packed(fleet: Fleet, limits: Limits, order: Iterable[int], risk: set[int], most: int) -> list[int]:
-    """As many of an order as fit beside those at risk, each taken where it fits."""
-    found: list[int] = []
-    for rank in order:
-        if len(found) == most:
-            break
-        if allowed(fleet, limits, risk | {rank}):
-            found.append(rank)
-            risk = risk | {rank}
-    return found
+def _max_of_set(limits: RiskLimits, set_size: int) -> int:
+    return max(1, int(limits.replica_set_share * set_size))
+
+
+def _replica_sets_allow(ranks: Sequence[int], size: int, set_size: int, max_of_set: int) -> bool:
+    """Return whether no arc of ``set_size`` ranks has more than ``max_of_set`` of the sorted ``ranks``."""
+    if len(ranks) <= max_of_set:
+        return True
+    if set_size >= size:
+        return False
+    distances = (
+        ranks[(i + max_of_set) % len(ranks)] + size * ((i + max_of_set) // len(ranks)) - rank
+        for i, rank in enumerate(ranks)
+    )
+    return min(distances) >= set_size
 
 
-def largest(
-    fleet: Fleet, limits: Limits, wanted: Sequence[int], at_risk: Iterable[int], most: int
+def largest_batch(
+    fleet: Fleet, limits: RiskLimits, wanted: Sequence[int], at_risk: Iterable[int], max_size: int
 ) -> list[int]:
-    """The largest batch found of those wanted, of at most ``most``, beside those that are at risk already.
+    """Return the largest batch found of the wanted ranks, beside those that are at risk already.
 
-    Hall by hall, the least loaded first; then along the ring from a few starts. The first of the best orders
-    wins, so that the same fleet gives the same batch.
+    The first of the best orders wins, so that the same fleet gives the same batch.
     """
-    risk, members = set(at_risk), fleet.members
     if not wanted:
         return []
-    halls = sorted({members[rank].hall for rank in wanted})
+    risk = set(at_risk)
+    best: list[int] = []
+    for order in _orders(fleet, wanted):
+        batch = _pack(fleet, limits, order, risk, max_size)
+        if len(batch) > len(best):
+            best = batch
+        if len(best) == max_size:
+            break
+    return best
+
+
+def _orders(fleet: Fleet, wanted: Sequence[int]) -> list[list[int]]:
+    """Return orders zone by zone, the least loaded first; then along the ring from a few starts."""
+    members = fleet.members
+    zones = sorted({members[rank].zone for rank in wanted})
     orders = [
-        sorted(wanted, key=lambda rank: (members[rank].hall != hall, members[rank].load)) for hall in halls
+        sorted(wanted, key=lambda rank: (members[rank].zone != zone, members[rank].load)) for zone in zones
     ]
-    step = max(1, len(wanted) // STARTS)
+    step = max(1, len(wanted) // MAX_RING_STARTS)
     for start in range(0, len(wanted), step):
-        first, order = wanted[start], [*wanted[start:], *wanted[:start]]
-        orders.append(sorted(order, key=lambda rank: members[rank].hall != members[first].hall))
-    best: list[int] = []
-    for order in orders:
-        found = _packed(fleet, limits, order, risk, most)
-        if len(found) > len(best):
-            best = found
-        if len(best) == most:
+        first_zone = members[wanted[start]].zone
+        ring = [*wanted[start:], *wanted[:start]]
+        orders.append(sorted(ring, key=lambda rank: members[rank].zone != first_zone))
+    return orders
+
+
+def _pack(
+    fleet: Fleet, limits: RiskLimits, order: Iterable[int], at_risk: set[int], max_size: int
+) -> list[int]:
+    """Take each rank of an order that fits beside those at risk and those taken before."""
+    batch: list[int] = []
+    for rank in order:
+        if len(batch) == max_size:
             break
-    return best
+        if is_allowed(fleet, limits, at_risk | {rank}):
+            batch.append(rank)
+            at_risk = at_risk | {rank}
+    return batch
 
 
-def at_most(fleet: Fleet, limits: Limits) -> int:
-    """A bound on any batch, whatever its order: by number, by sets, by halls and by the lightest loads."""
+def batch_size_bound(fleet: Fleet, limits: RiskLimits) -> int:
+    """Return an upper bound on the size of any batch: by number, replica sets, zones and lightest loads."""
     size = len(fleet.members)
-    bounds = [max(1, int(limits.share * size))]
-    for spread in fleet.spreads:
-        most = max(1, int(limits.set_share * spread))
-        bounds.append(max(1, size * most // spread) if spread < size else most)
-    halls: dict[str, int] = {}
-    for member in fleet.members:
-        halls[member.hall] = halls.get(member.hall, 0) + 1
-    bounds.append(sum(sorted(halls.values())[-limits.halls :]))
-    carried, fit = 0.0, 0
+    bounds = [max(1, int(limits.fleet_share * size))]
+    for set_size in fleet.replica_set_sizes:
+        max_of_set = _max_of_set(limits, set_size)
+        bounds.append(max(1, size * max_of_set // set_size) if set_size < size else max_of_set)
+    zone_sizes = Counter(member.zone for member in fleet.members)
+    bounds.append(sum(sorted(zone_sizes.values())[-limits.max_zones :]))
+    bounds.append(max(1, _count_lightest(fleet, limits)))
+    return min(bounds)
+
+
+def _count_lightest(fleet: Fleet, limits: RiskLimits) -> int:
+    """Return how many of the least loaded gateways stay within the share of the load."""
+    total = 0.0
+    count = 0
     for load in sorted(member.load for member in fleet.members):
-        carried += load
-        if carried > limits.load * fleet.load:
+        total += load
+        if total > limits.load_share * fleet.load:
             break
-        fit += 1
-    bounds.append(max(1, fit))
-    return min(bounds)
+        count += 1
+    return count
