--- a/orchidlane/hot_restart/rolling_upgrade.py
+++ b/orchidlane/hot_restart/rolling_upgrade.py
@@ -1,16 +1,16 @@
-"""The upgrade of a fleet, batch by batch: stops at the first sign of harm and goes back. Decides without I/O.
+"""Upgrades a fleet batch by batch, stops at the first sign of harm and rolls back. No I/O.
 
-    ROLLING ──batch passed──> SOAKING ──calm──> ROLLING ... ──all are new──> DONE
-       │ harm                    │ harm
-       └────────────> RETURNING <┘ ──none is new──> RETURNED, or STUCK where one could not be brought back
+    ROLLING --batch upgraded--> SOAKING --soak over--> ROLLING ... --all upgraded--> DONE
+       | harm                      | harm
+       +------> ROLLING_BACK <-----+ --none upgraded--> ROLLED_BACK, or STUCK if one could not be reverted
 
-The first batch is one gateway, of middle load, so that its trial says something; each next may be twice as
-large, within ``batch.Limits``. A gateway that answers nobody counts as at risk as well. Harm is: an upgrade
-that fails, an upgraded gateway that falls silent, and any gateway that serves much less of its requests than
-before (``health.why_sick``; a new build's gossip may hurt the others, too).
+The first batch is one gateway, of median load, so that its probation says something; each next one may be
+larger by ``RollSettings.batch_growth``, within ``RiskLimits``. An unreachable gateway counts as at risk. Harm
+is: an upgrade that fails, an upgraded gateway that becomes unreachable, and any gateway that serves much less
+of its requests than before (``probation.degradation_reason``; gossip of a new build may hurt the others).
 
-What is known is one value, ``State``: written down whenever it changes, a roll that was killed goes on from
-it. An upgrade that was under way then is told by its processes: a gateway that runs the successor passed.
+All that is known is one value, ``RollState``, which is stored whenever it changes: a roll that was killed
+resumes from it. The outcome of an upgrade that was in progress then is learnt from its gateway's status.
 """
 
 from __future__ import annotations
@@ -21,322 +21,354 @@
 
 import msgspec
 
-from orchidlane.hot_restart.probation import Answers, why_sick
-from orchidlane.hot_restart.rolling_batches import Fleet, Limits, largest
+from orchidlane.hot_restart.probation import AnswerCounts, degradation_reason
+from orchidlane.hot_restart.rolling_batches import Fleet, RiskLimits, largest_batch
 
-TRIES = 3  # to bring one gateway back
+MAX_REVERT_ATTEMPTS = 3  # for one gateway
 
 
 class Phase(Enum):
-    """Where a roll stands."""
+    """Phase of a roll; the values are stored and shown."""
 
     ROLLING = "rolling"
     SOAKING = "soaking"
-    RETURNING = "returning"
+    ROLLING_BACK = "returning"
     DONE = "done"
-    RETURNED = "returned"
+    ROLLED_BACK = "returned"
     STUCK = "stuck"
 
 
-ENDS = (Phase.DONE, Phase.RETURNED, Phase.STUCK)
+FINAL_PHASES = (Phase.DONE, Phase.ROLLED_BACK, Phase.STUCK)
 
 
-class Place(Enum):
-    """Where one gateway stands."""
+class GatewayPhase(Enum):
+    """Phase of one gateway in a roll; the values are stored and shown."""
 
     OLD = "old"
-    GOING = "going"  # an upgrade is under way
-    NEW = "new"
-    COMING = "coming"  # it is being brought back
-    STUCK = "stuck"  # new, and could not be brought back
+    UPGRADING = "going"
+    UPGRADED = "new"
+    REVERTING = "coming"
+    STUCK = "stuck"  # upgraded, and could not be reverted
 
 
-class One(msgspec.Struct):
-    """What is known of one gateway."""
+class GatewayState(msgspec.Struct):
+    """What is known of one gateway. Field names in quotes are those of the stored file."""
 
-    place: Place = Place.OLD
-    pid: int = 0  # the successor of an upgrade under way; 0 until it is there
-    began: int = 0
-    tries: int = 0
-    before: Answers = Answers()  # until the roll began
-    process: int = 0  # that gave these answers
-    silent: bool = False
-    latest: str = ""  # what became of its latest upgrade, by its own word
-    again: bool = False  # the roll was killed: whether the successor was let run is not known
+    phase: GatewayPhase = msgspec.field(default=GatewayPhase.OLD, name="place")
+    successor_pid: int = msgspec.field(default=0, name="pid")  # 0 until the process is prepared
+    started_at_us: int = msgspec.field(default=0, name="began")
+    attempts: int = msgspec.field(default=0, name="tries")  # to revert it
+    baseline: AnswerCounts = msgspec.field(default=AnswerCounts(), name="before")  # before the roll
+    baseline_pid: int = msgspec.field(default=0, name="process")  # that gave these answers
+    unreachable: bool = msgspec.field(default=False, name="silent")
+    last_outcome: str = msgspec.field(default="", name="latest")  # as its status says
+    start_unconfirmed: bool = msgspec.field(default=False, name="again")  # the roll was killed meanwhile
 
+    @property
+    def in_progress(self) -> bool:
+        """Whether an upgrade or a reversal has no outcome yet."""
+        return self.phase in (GatewayPhase.UPGRADING, GatewayPhase.REVERTING)
 
-class State(msgspec.Struct):
-    """All that a roll has to remember. Times are microseconds of the roll's own clock."""
 
-    ones: list[One]
+class RollState(msgspec.Struct):
+    """The state of a roll. Field names in quotes are those of the stored file."""
+
+    gateways: list[GatewayState] = msgspec.field(name="ones")
     phase: Phase = Phase.ROLLING
-    since: int = 0  # when the soak began
-    fresh: bool = False  # something passed since the last soak
-    batch: int = 1  # the size of the next one
-    order: list[int] = msgspec.field(default_factory=list)  # those that passed, in turn
-    why: str = ""
+    soak_started_at_us: int = msgspec.field(default=0, name="since")  # by the roll's own clock
+    upgraded_since_soak: bool = msgspec.field(default=False, name="fresh")
+    batch_size: int = msgspec.field(default=1, name="batch")  # of the next batch, at most
+    upgrade_order: list[int] = msgspec.field(default_factory=list, name="order")  # ranks, the earliest first
+    reason: str = msgspec.field(default="", name="why")
 
 
-class Terms(msgspec.Struct, frozen=True):
-    """Spans in microseconds."""
+class RollSettings(msgspec.Struct, frozen=True):
+    """Settings of a roll; times in microseconds."""
 
-    limits: Limits = Limits()
-    soak: int = 5_000_000  # after each batch, before the next
-    upgrade: int = 95_000_000  # at most for one gateway
-    growth: int = 2
+    limits: RiskLimits = RiskLimits()
+    soak_us: int = 5_000_000  # after each batch
+    upgrade_timeout_us: int = 95_000_000  # for one gateway
+    batch_growth: int = 2
 
 
 # Events
 
 
-class Prepared(NamedTuple):
-    """A successor's process is there, and runs once this is written down."""
+class SuccessorPrepared(NamedTuple):
+    """The process of a successor exists; it runs once this event is stored."""
 
     rank: int
     pid: int
 
 
-class Seen(NamedTuple):
-    """What a gateway says of itself; ``alive``: whether the successor's process, if any, is."""
+class StatusReceived(NamedTuple):
+    """The status of a gateway."""
 
     rank: int
     pid: int
-    serving: bool  # and no other process has a part in it
-    latest: str
-    answers: Answers
-    alive: bool
+    serving: bool  # and no other process takes part
+    last_outcome: str
+    answers: AnswerCounts
+    successor_alive: bool
 
 
-class Silent(NamedTuple):
+class GatewayUnreachable(NamedTuple):
     """A gateway does not answer."""
 
     rank: int
-    alive: bool
+    successor_alive: bool
 
 
-class Ticked(NamedTuple):
+class TimerFired(NamedTuple):
     """Time has passed."""
 
 
-class Recalled(NamedTuple):
+class RollbackRequested(NamedTuple):
     """The operator wants the old build back."""
 
-    why: str
+    reason: str
+
 
+Event = SuccessorPrepared | StatusReceived | GatewayUnreachable | TimerFired | RollbackRequested
 
-Event = Prepared | Seen | Silent | Ticked | Recalled
 
+# Actions
 
-class Start(NamedTuple):
-    """Start a successor: of the new build, or of the old one again."""
+
+class StartSuccessor(NamedTuple):
+    """Start a successor of the new build, or of the old one to revert."""
 
     rank: int
-    new: bool
+    new_build: bool
 
 
-class Kill(NamedTuple):
-    """End a successor that takes too long: it may never have called."""
+class KillSuccessor(NamedTuple):
+    """Kill a successor that takes too long: it may never have connected."""
 
     pid: int
 
 
-class End(NamedTuple):
+class Finish(NamedTuple):
     """The roll is over."""
 
     phase: Phase
-    why: str
+    reason: str
 
 
-Action = Start | Kill | End
+Action = StartSuccessor | KillSuccessor | Finish
 
 
-class Roller:
-    """Decides the roll of a fleet."""
+class RollingUpgrade:
+    """Decides the roll of a fleet; feed events, carry out the actions in their order."""
 
-    def __init__(self, fleet: Fleet, terms: Terms, state: State) -> None:
+    def __init__(self, fleet: Fleet, settings: RollSettings, state: RollState) -> None:
         self.fleet = fleet
-        self.terms = terms
+        self.settings = settings
         self.state = state
-        self._first: list[Action] = []  # what an event asks for by itself
-        # Of all gateways until the roll began: one alone may have had too little to do.
-        self._usual = Answers(*map(sum, zip(*(one.before for one in state.ones), strict=True)))
+        self._urgent: list[Action] = []  # actions of the event itself, before any further step
+        # Of all gateways together: a single one may have had too few answers before the roll.
+        baselines = (gateway.baseline for gateway in state.gateways)
+        self._fleet_baseline = AnswerCounts(*map(sum, zip(*baselines, strict=True)))
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event, and say what is to be done."""
+        """Return the actions for one event."""
         state = self.state
-        if state.phase in ENDS:
+        if state.phase in FINAL_PHASES:
             return []
         match event:
-            case Prepared():
-                one = state.ones[event.rank]
-                one.pid, one.began = event.pid, now
-            case Seen():
-                self._seen(now, event)
-            case Silent():
-                self._silent(now, event)
-            case Recalled():
-                self._harm(event.why)
-            case Ticked():
+            case SuccessorPrepared():
+                gateway = state.gateways[event.rank]
+                gateway.successor_pid = event.pid
+                gateway.started_at_us = now
+            case StatusReceived():
+                self._receive_status(now, event)
+            case GatewayUnreachable():
+                self._mark_unreachable(now, event)
+            case RollbackRequested():
+                self._roll_back(event.reason)
+            case TimerFired():
                 pass
-        return self._go_on(now)
+        return self._advance(now)
 
     def resume(self, now: int) -> list[Action]:
-        """Go on from a state that was written down."""
-        for rank in self.under_way():
-            one = self.state.ones[rank]
-            one.again, one.began = True, now
-        self.state.since = now
-        never = [rank for rank in self.under_way() if not self.state.ones[rank].pid]
-        return [*self._starts(never), *self._go_on(now)]
-
-    def under_way(self) -> list[int]:
-        """The gateways whose upgrade has no outcome yet."""
-        return [rank for rank, one in enumerate(self.state.ones) if self._is_under_way(one)]
-
-    @staticmethod
-    def _is_under_way(one: One) -> bool:
-        return one.place in (Place.GOING, Place.COMING)
-
-    # -- what is heard of one gateway
-
-    def _seen(self, now: int, seen: Seen) -> None:
-        one = self.state.ones[seen.rank]
-        one.silent = False
-        if self._is_under_way(one):
-            return self._follow(now, seen, one)
-        one.latest = seen.latest
-        sick = self._why_sick(one, seen)
-        if sick is not None:
-            self._harm(f"{self._name(seen.rank)} {sick}")
-
-    def _why_sick(self, one: One, seen: Seen) -> str | None:
-        """A new process counts from nothing, an old one goes on from what it had when the roll began."""
-        answers = seen.answers.since(one.before) if seen.pid == one.process else seen.answers
-        return why_sick(self._usual, answers)
-
-    def _follow(self, now: int, seen: Seen, one: One) -> None:
-        """An upgrade under way: it passed, it failed, or it goes on."""
-        if not one.pid:
+        """Return the actions to go on from a state that was stored."""
+        for rank in self.in_progress():
+            gateway = self.state.gateways[rank]
+            gateway.start_unconfirmed = True
+            gateway.started_at_us = now
+        self.state.soak_started_at_us = now
+        unprepared = [rank for rank in self.in_progress() if not self.state.gateways[rank].successor_pid]
+        return [*self._start_successors(unprepared), *self._advance(now)]
+
+    def in_progress(self) -> list[int]:
+        """Return the ranks whose upgrade or reversal has no outcome yet."""
+        return [rank for rank, gateway in enumerate(self.state.gateways) if gateway.in_progress]
+
+    # -- status of one gateway
+
+    def _receive_status(self, now: int, status: StatusReceived) -> None:
+        gateway = self.state.gateways[status.rank]
+        gateway.unreachable = False
+        if gateway.in_progress:
+            return self._follow_upgrade(now, status, gateway)
+        gateway.last_outcome = status.last_outcome
+        reason = self._degradation_reason(gateway, status)
+        if reason is not None:
+            self._roll_back(f"{_name(status.rank)} {reason}")
+        return None
+
+    def _degradation_reason(self, gateway: GatewayState, status: StatusReceived) -> str | None:
+        """Judge the answers since the roll began: a new process counts from zero, an old one goes on."""
+        answers = status.answers
+        if status.pid == gateway.baseline_pid:
+            answers = answers.since(gateway.baseline)
+        return degradation_reason(self._fleet_baseline, answers)
+
+    def _follow_upgrade(self, now: int, status: StatusReceived, gateway: GatewayState) -> None:
+        if not gateway.successor_pid:
             return
-        if seen.serving and seen.pid == one.pid:
-            return self._passed(seen.rank, one)
-        if seen.serving and not seen.alive:
-            if one.again and seen.latest == one.latest:  # it may never have run
-                one.again, one.pid = False, 0
-                return self._first.extend(self._starts([seen.rank]))
-            return self._failed(seen.rank, one, seen.latest)
-        self._end_late(now, one, seen.alive)
-
-    def _end_late(self, now: int, one: One, alive: bool) -> None:
-        """Once it is killed its gateway tells what became of it, as always."""
-        if alive and now - one.began > self.terms.upgrade:
-            self._first.append(Kill(one.pid))
-
-    def _silent(self, now: int, silent: Silent) -> None:
-        one = self.state.ones[silent.rank]
-        one.silent = True
-        if self._is_under_way(one):
-            if one.pid and not silent.alive:
-                return self._failed(silent.rank, one, "no process of it answers")
-            self._end_late(now, one, silent.alive)
-        elif one.place is Place.NEW:
-            self._harm(f"{self._name(silent.rank)} does not answer any more")
+        if status.serving and status.pid == gateway.successor_pid:
+            self._succeed(status.rank, gateway)
+        elif not status.serving or status.successor_alive:
+            self._kill_late(now, gateway, status.successor_alive)
+        elif gateway.start_unconfirmed and status.last_outcome == gateway.last_outcome:
+            # it may never have run: start it again
+            gateway.start_unconfirmed = False
+            gateway.successor_pid = 0
+            self._urgent.extend(self._start_successors([status.rank]))
+        else:
+            self._fail(status.rank, gateway, status.last_outcome)
+
+    def _kill_late(self, now: int, gateway: GatewayState, successor_alive: bool) -> None:
+        """Kill a successor after the timeout; the gateway's status tells the outcome, as always."""
+        if successor_alive and now - gateway.started_at_us > self.settings.upgrade_timeout_us:
+            self._urgent.append(KillSuccessor(gateway.successor_pid))
+
+    def _mark_unreachable(self, now: int, event: GatewayUnreachable) -> None:
+        gateway = self.state.gateways[event.rank]
+        gateway.unreachable = True
+        if gateway.in_progress:
+            if gateway.successor_pid and not event.successor_alive:
+                self._fail(event.rank, gateway, "no process of it answers")
+            else:
+                self._kill_late(now, gateway, event.successor_alive)
+        elif gateway.phase is GatewayPhase.UPGRADED:
+            self._roll_back(f"{_name(event.rank)} does not answer any more")
 
     # -- outcomes
 
-    def _passed(self, rank: int, one: One) -> None:
-        going = one.place is Place.GOING
-        one.place, one.tries, one.pid, one.again = (Place.NEW if going else Place.OLD), 0, 0, False
-        if going:
-            self.state.order.append(rank)
-            self.state.fresh = True
+    def _succeed(self, rank: int, gateway: GatewayState) -> None:
+        upgraded = gateway.phase is GatewayPhase.UPGRADING
+        gateway.phase = GatewayPhase.UPGRADED if upgraded else GatewayPhase.OLD
+        gateway.attempts = 0
+        gateway.successor_pid = 0
+        gateway.start_unconfirmed = False
+        if upgraded:
+            self.state.upgrade_order.append(rank)
+            self.state.upgraded_since_soak = True
         else:
-            self.state.order.remove(rank)
-
-    def _failed(self, rank: int, one: One, why: str) -> None:
-        one.pid, one.again = 0, False
-        if one.place is Place.GOING:
-            one.place = Place.OLD
-            return self._harm(f"{self._name(rank)}: {why}")
-        one.tries += 1
-        one.place = Place.NEW if one.tries < TRIES else Place.STUCK
-
-    def _harm(self, why: str) -> None:
-        """The first sign of it ends the roll: what follows is the way back."""
-        if self.state.phase is not Phase.RETURNING:
-            self.state.phase, self.state.why = Phase.RETURNING, why
-
-    def _name(self, rank: int) -> str:
-        return f"gateway {rank}"
-
-    # -- what is next
-
-    def _go_on(self, now: int) -> list[Action]:
+            self.state.upgrade_order.remove(rank)
+
+    def _fail(self, rank: int, gateway: GatewayState, reason: str) -> None:
+        gateway.successor_pid = 0
+        gateway.start_unconfirmed = False
+        if gateway.phase is GatewayPhase.UPGRADING:
+            gateway.phase = GatewayPhase.OLD
+            return self._roll_back(f"{_name(rank)}: {reason}")
+        gateway.attempts += 1
+        can_retry = gateway.attempts < MAX_REVERT_ATTEMPTS
+        gateway.phase = GatewayPhase.UPGRADED if can_retry else GatewayPhase.STUCK
+        return None
+
+    def _roll_back(self, reason: str) -> None:
+        """Begin the rollback; only the first reason is kept."""
+        if self.state.phase is not Phase.ROLLING_BACK:
+            self.state.phase = Phase.ROLLING_BACK
+            self.state.reason = reason
+
+    # -- next step
+
+    def _advance(self, now: int) -> list[Action]:
         state = self.state
-        first, self._first = self._first, []
-        if first:
-            return first
-        if state.phase is Phase.RETURNING:
-            return self._return()
-        if self.under_way():
+        if self._urgent:
+            urgent = self._urgent
+            self._urgent = []
+            return urgent
+        if state.phase is Phase.ROLLING_BACK:
+            return self._revert_next()
+        if self.in_progress():
             return []
-        if state.phase is Phase.ROLLING and state.fresh:
-            state.phase, state.since, state.fresh = Phase.SOAKING, now, False
+        if state.phase is Phase.ROLLING and state.upgraded_since_soak:
+            state.phase = Phase.SOAKING
+            state.soak_started_at_us = now
+            state.upgraded_since_soak = False
         if state.phase is Phase.SOAKING:
-            if now - state.since < self.terms.soak:
+            if now - state.soak_started_at_us < self.settings.soak_us:
                 return []
-            state.phase, state.batch = Phase.ROLLING, state.batch * self.terms.growth
-        return self._next_batch()
+            state.phase = Phase.ROLLING
+            state.batch_size *= self.settings.batch_growth
+        return self._start_next_batch()
 
-    def _next_batch(self) -> list[Action]:
-        state = self.state
-        wanted = [rank for rank, one in enumerate(state.ones) if one.place is Place.OLD]
+    def _start_next_batch(self) -> list[Action]:
+        gateways = self.state.gateways
+        wanted = [rank for rank, gateway in enumerate(gateways) if gateway.phase is GatewayPhase.OLD]
         if not wanted:
-            return self._end(Phase.DONE)
-        wanted = [rank for rank in wanted if not state.ones[rank].silent]
-        if not state.order:
-            wanted = self._canary(wanted)
-        chosen = largest(self.fleet, self.terms.limits, wanted, self._lost(), state.batch)
-        return self._start(chosen, Place.GOING)
-
-    def _canary(self, wanted: list[int]) -> list[int]:
-        """The first: of middle load, so that its answers say something and few clients are at risk."""
+            return self._finish(Phase.DONE)
+        wanted = [rank for rank in wanted if not gateways[rank].unreachable]
+        if not self.state.upgrade_order:
+            wanted = self._choose_canary(wanted)
+        unreachable = [rank for rank, gateway in enumerate(gateways) if gateway.unreachable]
+        batch = largest_batch(self.fleet, self.settings.limits, wanted, unreachable, self.state.batch_size)
+        return self._start(batch, GatewayPhase.UPGRADING)
+
+    def _choose_canary(self, wanted: list[int]) -> list[int]:
+        """Choose the gateway of median load: enough answers to judge it by, few clients at risk."""
         by_load = sorted(wanted, key=lambda rank: (self.fleet.members[rank].load, rank))
         return by_load[len(by_load) // 2 :][:1]
 
-    def _lost(self) -> list[int]:
-        return [rank for rank, one in enumerate(self.state.ones) if one.silent]
-
-    def _return(self) -> list[Action]:
-        """Bring back, the latest first, as many as may be at risk, once all under way have an outcome."""
-        state = self.state
-        if any(one.place is Place.GOING for one in state.ones):
+    def _revert_next(self) -> list[Action]:
+        """Revert the latest upgrades first, as many as may be at risk, once no upgrade is in progress."""
+        gateways = self.state.gateways
+        if any(gateway.phase is GatewayPhase.UPGRADING for gateway in gateways):
             return []
-        wanted = [rank for rank in reversed(state.order) if state.ones[rank].place is Place.NEW]
-        coming = [rank for rank, one in enumerate(state.ones) if one.place is Place.COMING]
-        if wanted:  # those that are lost don't count here: this is to bring them back
-            chosen = largest(self.fleet, self.terms.limits, wanted, coming, len(state.ones))
-            return self._start(chosen, Place.COMING)
-        if coming:
+        upgraded = [
+            rank
+            for rank in reversed(self.state.upgrade_order)
+            if gateways[rank].phase is GatewayPhase.UPGRADED
+        ]
+        reverting = [rank for rank, gateway in enumerate(gateways) if gateway.phase is GatewayPhase.REVERTING]
+        if upgraded:  # unreachable ones don't count as at risk here: this is to bring them back
+            batch = largest_batch(self.fleet, self.settings.limits, upgraded, reverting, len(gateways))
+            return self._start(batch, GatewayPhase.REVERTING)
+        if reverting:
             return []
-        stuck = any(one.place is Place.STUCK for one in state.ones)
-        return self._end(Phase.STUCK if stuck else Phase.RETURNED)
+        stuck = any(gateway.phase is GatewayPhase.STUCK for gateway in gateways)
+        return self._finish(Phase.STUCK if stuck else Phase.ROLLED_BACK)
 
-    def _start(self, ranks: list[int], place: Place) -> list[Action]:
+    def _start(self, ranks: list[int], phase: GatewayPhase) -> list[Action]:
         for rank in ranks:
-            one = self.state.ones[rank]
-            one.place, one.pid = place, 0
-        return self._starts(ranks)
+            gateway = self.state.gateways[rank]
+            gateway.phase = phase
+            gateway.successor_pid = 0
+        return self._start_successors(ranks)
 
-    def _starts(self, ranks: list[int]) -> list[Action]:
-        return [Start(rank, self.state.ones[rank].place is Place.GOING) for rank in ranks]
+    def _start_successors(self, ranks: list[int]) -> list[Action]:
+        gateways = self.state.gateways
+        return [StartSuccessor(rank, gateways[rank].phase is GatewayPhase.UPGRADING) for rank in ranks]
 
-    def _end(self, phase: Phase) -> list[Action]:
+    def _finish(self, phase: Phase) -> list[Action]:
         self.state.phase = phase
-        return [End(phase, self.state.why)]
+        return [Finish(phase, self.state.reason)]
+
+
+def _name(rank: int) -> str:
+    return f"gateway {rank}"
 
 
-def begin(fleet: Fleet, terms: Terms, first: Sequence[Seen]) -> Roller:
-    """A roll in which nothing happened yet; by rank what the gateways said of themselves before it."""
-    ones = [One(before=one.answers, process=one.pid, latest=one.latest) for one in first]
-    return Roller(fleet, terms, State(ones))
+def start_roll(fleet: Fleet, settings: RollSettings, statuses: Sequence[StatusReceived]) -> RollingUpgrade:
+    """Return a roll that has not begun; ``statuses`` are those of all gateways, by rank."""
+    gateways = [
+        GatewayState(baseline=status.answers, baseline_pid=status.pid, last_outcome=status.last_outcome)
+        for status in statuses
+    ]
+    return RollingUpgrade(fleet, settings, RollState(gateways))
--- a/orchidlane/hot_restart/tables.py
+++ b/orchidlane/hot_restart/tables.py
@@ -1,8 +1,8 @@
-"""The tables of a gateway as ``PreCopy`` brings them over, and what a successor makes of their rows.
+"""Tables that ``PreCopy`` copies, and the state that a new process builds from their rows.
 
-What is out when the state passes stays with the old process, so a successor begins with nothing out: at nodes
-it counts from none, and a customer's open requests become approvals that others made lately, which the module
-takes to be out for as long as usual.
+Requests in flight at the handover stay with the old process, so a new process begins without any: no endpoint
+has one, and a customer's requests in flight become admissions that peers made lately, which the policy counts
+as in flight for the usual duration.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class AccountsTable:
-    """The counts, limits and rights of each customer."""
+    """The accounts of a policy: counts, limits and tokens of each customer."""
 
     name = "accounts"
 
@@ -31,16 +31,16 @@
         self._touched: dict[Hashable, None] | None = None
 
     def keys(self) -> Iterable[Hashable]:
-        """Customers."""
+        """Return the customers' numbers."""
         return list(self._accounts)
 
     def row(self, key: Any) -> Any:
-        """As ``Dump.accounts`` has it."""
+        """Return the row of a customer as in ``Dump.accounts``, None if there is no account."""
         account = dict.get(self._accounts, key)
         return dump_account(account) if account is not None else None
 
     def watch(self, touched: dict[Hashable, None] | None) -> None:
-        """By the dictionary through which the module reaches its accounts."""
+        """Observe the dictionary through which the policy reaches its accounts."""
         if self._touched is None and touched is not None:
             self._accounts.watch(self)
         elif touched is None and self._touched is not None:
@@ -48,97 +48,107 @@
         self._touched = touched
 
     def save(self, customer: int) -> None:
-        """The module reaches for an account: it may change."""
+        """Note an account that the policy has looked up: it may change."""
         if self._touched is not None:
             self._touched[customer] = None
 
 
 class NamedTable:
-    """Tokens or grants, by their names."""
+    """Tokens or grants by name."""
 
-    def __init__(self, name: str, kept: Holder | Ledger) -> None:
+    def __init__(self, name: str, entries: Holder | Ledger) -> None:
         self.name = name
-        self._kept = kept
+        self._entries = entries
 
     def keys(self) -> Iterable[Hashable]:
-        """Names."""
-        return list(self._kept.names())
+        """Return the names of the entries."""
+        return list(self._entries.names())
 
     def row(self, key: Any) -> Any:
-        """As the holder or ledger tells it."""
-        return self._kept.row(key)
+        """Return the row of an entry, None if there is none."""
+        return self._entries.row(key)
 
     def watch(self, touched: dict[Hashable, None] | None) -> None:
-        """By the holder's or ledger's own word."""
-        self._kept.touched = touched  # type: ignore[assignment]
+        """Have the holder or ledger note the names that it changes."""
+        self._entries.touched = touched  # type: ignore[assignment]
 
 
-class Carried:
-    """What a successor has been told so far; rows may be told again."""
+class ReceivedTables:
+    """What a new process has received so far; a row may be received again."""
 
     def __init__(self, holder: Holder, ledger: Ledger) -> None:
         self.accounts: dict[int, Account] = {}
         self.holder = holder
         self.ledger = ledger
 
-    def take(self, table: str, rows: list[Any], gone: list[Any], now: int) -> None:
-        """Rows of one table, and keys of it that are gone. Raises ValueError, KeyError, TypeError."""
+    def apply(self, table: str, rows: list[Any], removed: list[Any], now: int) -> None:
+        """Store rows of one table and remove keys from it. Raises ValueError, KeyError, TypeError."""
         if table == AccountsTable.name:
-            for row in rows:
-                account = load_account(row)
-                account.peer_admissions_at_us = (
-                    *account.peer_admissions_at_us,
-                    *(now for _ in range(account.in_flight)),
-                )
-                account.in_flight = 0
-                self.accounts[account.customer] = account
-            for customer in gone:
-                self.accounts.pop(customer, None)
+            self._apply_accounts(rows, removed, now)
             return
-        kept: Any = {"tokens": self.holder, "grants": self.ledger}[table]
+        entries: Any = {"tokens": self.holder, "grants": self.ledger}[table]
         for row in rows:
-            kept.load(row)
-        for name in gone:
-            kept.forget(name)
+            entries.load(row)
+        for name in removed:
+            entries.forget(name)
 
-
-def module_at_moment(gateway: Gateway) -> Dump:
-    """All of a module but its accounts and what is out."""
-    told = dump(gateway, customers=[])
+    def _apply_accounts(self, rows: list[Any], removed: list[Any], now: int) -> None:
+        for row in rows:
+            account = load_account(row)
+            in_flight_as_peers = (now for _ in range(account.in_flight))
+            account.peer_admissions_at_us = (*account.peer_admissions_at_us, *in_flight_as_peers)
+            account.in_flight = 0
+            self.accounts[account.customer] = account
+        for customer in removed:
+            self.accounts.pop(customer, None)
+
+
+def final_policy_state(gateway: Gateway) -> Dump:
+    """Return the state of a policy without its accounts and without requests in flight."""
+    state = dump(gateway, customers=[])
     plain = {
-        **told.plain,
+        **state.plain,
         "changed": list(gateway.pending_changes),
         "closed": list(gateway.exhausted_customers),
     }
-    return msgspec.structs.replace(told, plain=plain)
+    return msgspec.structs.replace(state, plain=plain)
 
 
-def module_of(
-    settings: policy.Settings, told: Dump, accounts: dict[int, Account], kinds: list[int | None]
+def restore_policy(
+    settings: policy.Settings, state: Dump, accounts: dict[int, Account], old_classes: list[int | None]
 ) -> Gateway:
-    """A successor's module. ``kinds``: for each of its classes the old number of it, None for a new one.
+    """Build a new process's policy.
 
+    ``old_classes`` has for each class of the new settings its number in the old process, None for a new one.
     Raises FormatError, KeyError.
     """
-    usual, changed, closed = told.plain["usual"], told.plain["changed"], told.plain.get("closed", ())
-    gateway = restore(settings, told)
-    fresh = Gateway(settings, 0, gateway.now).usual_duration_us
-    gateway.usual_duration_us = [fresh[i] if old is None else usual[old] for i, old in enumerate(kinds)]
+    plain = state.plain
+    usual = plain["usual"]
+    changed = plain["changed"]
+    exhausted = plain.get("closed", ())
+    gateway = restore(settings, state)
+    initial = Gateway(settings, 0, gateway.now).usual_duration_us
+    gateway.usual_duration_us = [
+        initial[new] if old is None else usual[old] for new, old in enumerate(old_classes)
+    ]
     gateway.accounts = Accounts(accounts)
-    gateway.idle_queue.extend(accounts)  # the order of looks is free
+    gateway.idle_queue.extend(accounts)  # in any order: it only says which account is examined next
     gateway.pending_changes = {customer: None for customer in changed if customer in accounts}
-    gateway.exhausted_customers = {customer: 0 for customer in closed if customer in accounts}  # told of anew
-    for host in gateway.endpoints.values():
-        host.in_flight = 0
+    gateway.exhausted_customers = {
+        customer: 0 for customer in exhausted if customer in accounts
+    }  # announced anew
+    for endpoint in gateway.endpoints.values():
+        endpoint.in_flight = 0
     return gateway
 
 
-def hold_back(gateway: Gateway) -> None:
-    """A module that decides again after another process did: rights that it may have used are not ours.
+def forfeit_ceiling_tokens(gateway: Gateway) -> None:
+    """Reset what another process may have used while it decided in this one's place.
 
-    Its counts were told as they grew; of ceilings nobody knows what was lent, so each part fills from
+    Its counts were reported as they grew; of ceilings nobody knows what was used, so each part fills from
     nothing, as at a start.
     """
-    gateway.started_at_us = gateway.now  # those not met yet, too
+    gateway.started_at_us = gateway.now  # for customers without an account, too
     for account in gateway.accounts.values():
-        account.ceiling_tokens = account.requested_tokens = 0.0
+        account.ceiling_tokens = 0.0
+        account.requested_tokens = 0.0
--- a/orchidlane/rollout/phases.py
+++ b/orchidlane/rollout/phases.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from orchidlane.hot_restart.rolling_batches import Fleet, Limits, Member, largest
+from orchidlane.hot_restart.rolling_batches import Fleet, Member, RiskLimits, largest_batch
 from orchidlane.rollout.canary_analysis import Judge, Tallies, sum_of
 
 SAMPLE = 8  # gateways of each side that are asked for their counts
@@ -29,7 +29,7 @@
 
     soak: int
     growth: int
-    limits: Limits
+    limits: RiskLimits
     halls: tuple[str, ...]  # of each gateway
     spreads: tuple[int, ...]
 
@@ -100,7 +100,7 @@
     rest = [rank for rank in range(len(loads)) if rank not in set(reached)]
     members = tuple(Member(rank, hall, loads[rank]) for rank, hall in enumerate(terms.halls))
     most = max(1, len(reached) * terms.growth)
-    chosen = largest(Fleet(members, terms.spreads), terms.limits, rest, [], most)
+    chosen = largest_batch(Fleet(members, terms.spreads), terms.limits, rest, [], most)
     return chosen or rest[:1]
 
 
--- a/orchidlane/simulation/backends.py
+++ b/orchidlane/simulation/backends.py
@@ -19,8 +19,8 @@
 from orchidlane.gateway.control.configuration import Knowledge
 from orchidlane.gateway.control.customers import load_customers
 from orchidlane.gateway.control.settings import Fleet, upgrade_address
-from orchidlane.gateway.lifecycle.process import Program
-from orchidlane.gateway.lifecycle.status_query import ask_status
+from orchidlane.gateway.lifecycle.process import GatewayProcess
+from orchidlane.gateway.lifecycle.status_query import request_status
 from orchidlane.hot_restart import new_process
 from orchidlane.runtime import Faults as NetFaults
 from orchidlane.runtime import Loop, Process, RealWorld, SimWorld
@@ -43,8 +43,8 @@
         self.plan: Plan
         self.settings: list[str] = []
         self.processes: dict[str, Process] = {}
-        self.programs: dict[int, Program] = {}
-        self.successors: dict[int, tuple[Process, list[Program]]] = {}
+        self.programs: dict[int, GatewayProcess] = {}
+        self.successors: dict[int, tuple[Process, list[GatewayProcess]]] = {}
         self._next = 20_000
 
     def free_addresses(self, count: int) -> list[Address]:
@@ -67,17 +67,17 @@
         entries[rank] = msgspec.structs.replace(entries[rank], peer=f"{own[0]}:{own[1]}")
         return msgspec.structs.replace(self.plan.fleet, gateways=tuple(entries))
 
-    def program(self, fleet: Fleet, rank: int, take_over: bool = False) -> Program:
+    def program(self, fleet: Fleet, rank: int, take_over: bool = False) -> GatewayProcess:
         """A gateway that does not run yet."""
         knowledge = Knowledge(self.plan.generation, self.customers, structlog.get_logger(), False)
-        return Program(self.loop, fleet, rank, SECRET, knowledge, self.record_to, take_over)
+        return GatewayProcess(self.loop, fleet, rank, SECRET, knowledge, self.record_to, take_over)
 
     def _gateway(self, fleet: Fleet, rank: int) -> None:
         self.programs[rank] = self.program(fleet, rank)
         self.programs[rank].run()
 
     def begin_upgrade(self, rank: int) -> None:
-        found: list[Program] = []
+        found: list[GatewayProcess] = []
 
         def succeed() -> None:
             found.append(self.program(self.own_fleet(rank), rank, True))
@@ -90,7 +90,7 @@
 
     def upgraded(self, rank: int, loop: Loop) -> bool | None:
         process, found = self.successors[rank]
-        if found and found[0].taking.machine.phase is new_process.Phase.FREE:
+        if found and found[0].new_side.machine.phase is new_process.Phase.INDEPENDENT:
             self.processes[f"gw-{rank}"], self.programs[rank] = process, found[0]
             return True
         return False if process.dead or (found and not process.tasks) else None
@@ -221,7 +221,7 @@
         own = self.successors[rank]
         if own.poll() is not None:
             return False
-        status = ask_status(loop, (f"{self.folder}/gw-{rank}.upgrade", 0))
+        status = request_status(loop, (f"{self.folder}/gw-{rank}.upgrade", 0))
         if status is None or status.pid != own.pid:
             return None
         self.parted.append(self.processes[f"gw-{rank}"])
@@ -306,7 +306,7 @@
             loop.sleep(100_000)
         for entry in runner.plan.fleet.gateways:
             at = upgrade_address(runner.plan.fleet, entry)
-            status = ask_status(loop, at) if at is not None else None
+            status = request_status(loop, at) if at is not None else None
             left.extend([status.pid] if status is not None else [])
         runner.end_load()
 
--- a/orchidlane/simulation/mutants.py
+++ b/orchidlane/simulation/mutants.py
@@ -10,7 +10,7 @@
 import orchidlane
 
 
-class Change(NamedTuple):
+class SourceChange(NamedTuple):
     """One text of a file for another."""
 
     file: str
@@ -18,29 +18,28 @@
     new: str
 
 
+_NEW_SIDE = "gateway/lifecycle/new_side.py"
 _CRASH = '__import__("os")._exit(9)'
 _STARTED = "        self.channel.send(messages.Started())\n"
 
 
-def _soon(does: str) -> Change:
+def _soon(does: str) -> SourceChange:
     """Does something 150 ms after it began to serve."""
     timer = f"        self.loop.call_at(self.loop.now() + 150_000, lambda _: {does})\n"
-    return Change("gateway/lifecycle/hot_restart.py", _STARTED, _STARTED + timer)
+    return SourceChange(_NEW_SIDE, _STARTED, _STARTED + timer)
 
 
-BROKEN = {
-    "does not start": Change(
-        "gateway/lifecycle/hot_restart.py", "class TakingSide:", "raise SystemExit(3)\n\n\nclass TakingSide:"
-    ),
-    "crashes with the listeners": Change(
-        "gateway/lifecycle/hot_restart.py",
-        "            case taker.Check():\n",
-        f"            case taker.Check():\n                {_CRASH}\n",
+BROKEN_BUILDS = {
+    "does not start": SourceChange(_NEW_SIDE, "class NewSide:", "raise SystemExit(3)\n\n\nclass NewSide:"),
+    "crashes with the listeners": SourceChange(
+        _NEW_SIDE,
+        "            case new_process.RunSelfCheck():\n",
+        f"            case new_process.RunSelfCheck():\n                {_CRASH}\n",
     ),
     "crashes as it serves": _soon(_CRASH),
     "fails as it serves": _soon("1 // 0"),  # not a crash: all that it has is ended in order
     "hangs as it serves": _soon('__import__("time").sleep(60)'),
-    "refuses everything": Change(
+    "refuses everything": SourceChange(
         "policy/gateway.py",
         "        self._lift(account)\n        if plan.ceiling_rate",
         "        self._lift(account)\n        return False\n        if plan.ceiling_rate",
@@ -48,7 +47,7 @@
 }
 
 
-def make_build(folder: Path, change: Change) -> str:
+def make_build(folder: Path, change: SourceChange) -> str:
     """A command that runs a copy of the program with the change. Raises ValueError where it does not fit."""
     source = Path(orchidlane.__file__).parent
     shutil.copytree(source, folder / "orchidlane", ignore=shutil.ignore_patterns("__pycache__"))
--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -22,7 +22,7 @@
 
 from orchidlane.config import Duration
 from orchidlane.gateway.control.settings import Fleet, address
-from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.rollout_agent.admin_api import Order, Status
 from orchidlane.gateway.rollout_agent.admin_client import PREFIX, FetchError, call
 from orchidlane.gateway.rollout_agent.agent import Outcome
@@ -81,7 +81,7 @@
         self.customers = customers
         self.fleet = self._settings(fleet)
         self.processes: dict[int, Process] = {}
-        self.programs: dict[int, Program] = {}
+        self.programs: dict[int, GatewayProcess] = {}
         self.old_files: dict[int, dict[str, bytes]] = {}
         self.names: dict[int, str] = {}  # index -> the ledger's name
         self.ledgers: dict[int, Ledger] = {}
@@ -123,7 +123,7 @@
         self.processes[rank] = self.world.start(f"gw-{rank}", self._gateway, rank)
 
     def _gateway(self, rank: int) -> None:
-        program = Program(self.loop, self.fleet, rank, SECRET)
+        program = GatewayProcess(self.loop, self.fleet, rank, SECRET)
         self.programs[rank] = program
         program.run()
 
--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -13,7 +13,7 @@
 from orchidlane.gateway.control.customers import load_customers
 from orchidlane.gateway.control.endpoint_list import NodeLine
 from orchidlane.gateway.control.settings import Fleet, parse_fleet
-from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.routes import build, load_description
 from orchidlane.runtime import CONTROL, Closed, Expired, Faults, Loop, Scope, SimWorld
 from orchidlane.simulation.fake_servers import NodeList
@@ -51,7 +51,7 @@
         digest = hashlib.sha256(KEY).hexdigest()
         text = b'{"customers":[{"id":1,"plan":"basico","keys":["%s"]}]}' % digest.encode()
         self.customers = load_customers(text, "customers.json", self.fleet)
-        self.program: Program
+        self.program: GatewayProcess
         self.list: NodeList
 
     def run(self, test) -> None:
@@ -78,7 +78,7 @@
 
     def _gateway(self, rank: int) -> None:
         knowledge = Knowledge(GENERATION, self.customers, structlog.get_logger(), False)
-        self.program = Program(self.loop, self.fleet, rank, b"0123456789abcdef", knowledge)
+        self.program = GatewayProcess(self.loop, self.fleet, rank, b"0123456789abcdef", knowledge)
         self.program.run()
 
     def address(self, index: int) -> tuple[str, int]:
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -24,14 +24,14 @@
 
 from orchidlane import policy, recording
 from orchidlane.gateway.control import endpoint_list
-from orchidlane.gateway.lifecycle.account_store import Memory
-from orchidlane.gateway.lifecycle.rolling_upgrade import Kept, Rolling
+from orchidlane.gateway.lifecycle.account_store import AccountStore
+from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver, StoredRoll
 from orchidlane.gateway.peers import datagrams, token_requests
 from orchidlane.gateway.rollout_agent import admin_api, agent, storage
 from orchidlane.gateway.telemetry import policy_views
 from orchidlane.hot_restart import messages as restart_messages
 from orchidlane.hot_restart import rolling_upgrade
-from orchidlane.hot_restart.probation import Answers
+from orchidlane.hot_restart.probation import AnswerCounts
 from orchidlane.limits import Holder
 from orchidlane.limits import Ledger as GrantLedger
 from orchidlane.limits.reservations import Outcome as GrantOutcome
@@ -215,17 +215,27 @@
     return tracker
 
 
-def golden_roll(phase: rolling_upgrade.Phase) -> Kept:
+def golden_roll(phase: rolling_upgrade.Phase) -> StoredRoll:
     """A roll's state in some phase, with one gateway in each place."""
     ones = [
-        rolling_upgrade.One(
-            place, 4_000 + number, T0 + number, 2, Answers(900, 30, 4), 3_000 + number, True, "done", True
+        rolling_upgrade.GatewayState(
+            place,
+            4_000 + number,
+            T0 + number,
+            2,
+            AnswerCounts(900, 30, 4),
+            3_000 + number,
+            True,
+            "done",
+            True,
         )
-        for number, place in enumerate(rolling_upgrade.Place)
+        for number, place in enumerate(rolling_upgrade.GatewayPhase)
     ]
-    state = rolling_upgrade.State(ones, phase, T0 + 99, True, 4, [3, 1, 2], "gateway-2: it serves less")
+    state = rolling_upgrade.RollState(ones, phase, T0 + 99, True, 4, [3, 1, 2], "gateway-2: it serves less")
     names = [f"gateway-{number}" for number in range(len(ones))]
-    return Kept(names, ("orchidlane-old serve", "orchidlane-new serve"), [1.5, 2.5, 3.5, 0.5, 9.0], state)
+    return StoredRoll(
+        names, ("orchidlane-old serve", "orchidlane-new serve"), [1.5, 2.5, 3.5, 0.5, 9.0], state
+    )
 
 
 def golden_limits_carried() -> dict[str, Any]:
@@ -267,28 +277,28 @@
     told = restart_messages
     return {
         "hello": told.Hello(1, BUILD, "gateway-1", 1, 3, PLAN_NAMES),
-        "warm": told.Warm(),
+        "warm": told.Ready(),
         "started": told.Started(),
-        "pulse": told.Pulse(900, 30, 4, 5_000, 6_000),
-        "unfit": told.Unfit("its settings are another fleet's"),
-        "taken": told.Taken(55, True),
-        "heard": told.Heard(2, b"\x01an answer"),
-        "count": told.Count(7, 2, 1, 3, 15_900, 3.25),
-        "reading": told.Reading(81),
-        "began": told.Began(82),
-        "answering": told.Answering(83),
-        "idle": told.Idle(84, True, b"GET / HT", (3, b"client", False)),
-        "opened": told.Opened(85, "resp"),
-        "ended": told.Ended(86),
-        "took": told.Took(87, True),
-        "returned": told.Returned(),
+        "pulse": told.Heartbeat(900, 30, 4, 5_000, 6_000),
+        "unfit": told.Failure("its settings are another fleet's"),
+        "taken": told.UnitsReply(55, True),
+        "heard": told.PeerReply(2, b"\x01an answer"),
+        "count": told.CustomerCount(7, 2, 1, 3, 15_900, 3.25),
+        "reading": told.ReadStarted(81),
+        "began": told.RequestStarted(82),
+        "answering": told.ResponseStarted(83),
+        "idle": told.ConnectionIdle(84, True, b"GET / HT", (3, b"client", False)),
+        "opened": told.ConnectionOpened(85, "resp"),
+        "ended": told.ConnectionClosed(86),
+        "took": told.ConnectionAdopted(87, True),
+        "returned": told.ServingStopped(),
         "offer": told.Offer(BUILD, T0, T0 - 1_000_000, 4, ("http", "resp", "peers")),
-        "place": told.Place("http"),
-        "rows of accounts": told.Rows("accounts", golden_rows()["accounts"], [8, 9]),
-        "rows of tokens": told.Rows("tokens", golden_rows()["tokens"], [b"token-2"]),
-        "rows of grants": told.Rows("grants", golden_rows()["grants"], [b"grant-9"]),
-        "whole": told.Whole(),
-        "final": told.Final(
+        "place": told.InheritedSocket("http"),
+        "rows of accounts": told.TableRows("accounts", golden_rows()["accounts"], [8, 9]),
+        "rows of tokens": told.TableRows("tokens", golden_rows()["tokens"], [b"token-2"]),
+        "rows of grants": told.TableRows("grants", golden_rows()["grants"], [b"grant-9"]),
+        "whole": told.CopyComplete(),
+        "final": told.FinalState(
             msgspec.structs.replace(golden_state(), accounts=[]),
             golden_limits_carried(),
             msgspec.to_builtins(golden_tracker().carried()),
@@ -297,14 +307,14 @@
             6_000,
             CLASS_NAMES,
         ),
-        "connection": told.Connection(88, "resp", b"*1\r\n", T0 - 30, T0 - 20, (3, b"client", False)),
-        "take": told.Take(56, 7, 2, 1, 2.5, 1, 3),
-        "tell": told.Tell(2, b"\x02a datagram's body"),
-        "granted": told.Granted(b"grant-1", 7, 2.5, 60_000_000),
+        "connection": told.ConnectionHandover(88, "resp", b"*1\r\n", T0 - 30, T0 - 20, (3, b"client", False)),
+        "take": told.UnitsRequest(56, 7, 2, 1, 2.5, 1, 3),
+        "tell": told.SendDatagram(2, b"\x02a datagram's body"),
+        "granted": told.GrantRecorded(b"grant-1", 7, 2.5, 60_000_000),
         "abort": told.Abort("it does not read"),
-        "recall": told.Recall("it serves less"),
+        "recall": told.Reclaim("it serves less"),
         "release": told.Release(),
-        "ask": told.Ask(),
+        "ask": told.StatusRequest(),
         "status": told.Status("trial", BUILD, 4_001, "done", 900, 30, 4),
     }
 
@@ -504,7 +514,7 @@
 }
 
 
-def account_store(disk: Disk) -> Memory:
+def account_store(disk: Disk) -> AccountStore:
     """The account store of a gateway whose module holds the golden accounts, or none where they are read."""
     gateway = recording.restore(SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS))
     recording.track(gateway)
@@ -517,38 +527,38 @@
         ),
         entry=SimpleNamespace(name="gateway-1"),
         incarnation=T0 - 1_000_000,
-        names=lambda: (CLASS_NAMES, PLAN_NAMES),
-        about=lambda: about,
-        quiet=False,
+        state_names=lambda: (CLASS_NAMES, PLAN_NAMES),
+        describe_state=lambda: about,
+        superseded=False,
         stopping=False,
         log=SimpleNamespace(error=lambda what, **why: pytest.fail(f"{what}: {why}")),
     )
-    return Memory(program, "accounts")  # type: ignore[arg-type]
+    return AccountStore(program, "accounts")  # type: ignore[arg-type]
 
 
 def write_account_store() -> bytes:
     """As the program writes its accounts down at its end."""
     disk = Disk()
     store = account_store(disk)
-    store.program.host.rules.accounts.update({one.customer: one for one in golden_accounts()})
+    store.gateway.host.rules.accounts.update({one.customer: one for one in golden_accounts()})
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(recording, "build_name", lambda: BUILD)
-        store.finish()
+        store.save_final()
     return disk.files["accounts"]
 
 
-def rolling_of(disk: Disk) -> Rolling:
+def rolling_of(disk: Disk) -> RollDriver:
     """What carries out a roll of the golden gateways."""
     gateways = [SimpleNamespace(name=name) for name in golden_roll(rolling_upgrade.Phase.ROLLING).names]
     fleet = SimpleNamespace(state="state", gateways=gateways)
-    return Rolling(disk, fleet, None, print)  # type: ignore[arg-type]
+    return RollDriver(disk, fleet, None, print)  # type: ignore[arg-type]
 
 
 def write_roll(phase: rolling_upgrade.Phase) -> bytes:
     """As a roll writes its state down."""
     disk = Disk()
     written = rolling_of(disk)
-    written.kept = golden_roll(phase)
+    written.stored = golden_roll(phase)
     written._save()
     return disk.files["state/roll.json"]
 
@@ -792,7 +802,7 @@
     assert [recording.load_account(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
     store = account_store(Disk(accounts=golden("account-store.olr")))
     assert store.load() == len(golden_accounts())
-    accounts = store.program.host.rules.accounts
+    accounts = store.gateway.host.rules.accounts
     for one in golden_accounts():
         found = accounts[one.customer]
         assert (found.key, found.spent_total, found.counted_total) == (
@@ -829,9 +839,9 @@
     examples = golden_examples("roll-states.json")
     assert set(examples) == {phase.value for phase in rolling_upgrade.Phase}
     for name, data in examples.items():
-        kept = rolling_of(Disk(**{"state/roll.json": data})).left()
+        kept = rolling_of(Disk(**{"state/roll.json": data})).load_stored()
         assert kept == golden_roll(rolling_upgrade.Phase(name))
-        assert {one.place for one in kept.state.ones} == set(rolling_upgrade.Place)
+        assert {one.phase for one in kept.state.gateways} == set(rolling_upgrade.GatewayPhase)
 
 
 # Hot restart
@@ -873,10 +883,10 @@
     inbox.carry_on(final.peers)
     assert PACK(inbox.carried()) == PACK(final.peers)
     tracker = endpoint_list.ListTracker("z1", 100)
-    tracker.carry_on(final.nodes)
-    assert PACK(tracker.carried()) == PACK(final.nodes) == PACK(golden_tracker().carried())
+    tracker.carry_on(final.endpoints)
+    assert PACK(tracker.carried()) == PACK(final.endpoints) == PACK(golden_tracker().carried())
     head = msgspec.structs.replace(golden_state(), accounts=[])
-    assert final.module == head
+    assert final.policy_state == head
 
 
 # Between gateways
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -14,7 +14,7 @@
 import sys
 from enum import Enum
 from pathlib import Path
-from typing import Any, get_args
+from typing import Any, get_args, get_type_hints
 
 import click
 import msgspec
@@ -313,6 +313,9 @@
         return next(iter(kind))
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return sample_struct(kind)
+    if isinstance(kind, type) and issubclass(kind, tuple) and hasattr(kind, "_fields"):
+        parts = get_type_hints(kind).values()
+        return kind(*(sample(part, number + place) for place, part in enumerate(parts)))
     parts = get_args(kind)
     if type(None) in parts:
         return sample(parts[0], number)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -17,7 +17,7 @@
 from orchidlane import policy
 from orchidlane.config import Duration
 from orchidlane.gateway.control.settings import parse_fleet
-from orchidlane.hot_restart.account_recovery import Life, survivors
+from orchidlane.hot_restart.account_recovery import PreviousIncarnation, recover_accounts
 from orchidlane.policy.gateway import Gateway
 from orchidlane.policy.state import Account
 from orchidlane.recording.state_dump import dump_account
@@ -65,7 +65,9 @@
         return
     now = max(now, taken) + gap * MS
     again = module(rate, burst)
-    (account,) = survivors([row], Life(0, ["a"], taken, taken + promise * MS, False), ["a"], now)
+    (account,) = recover_accounts(
+        [row], PreviousIncarnation(0, ["a"], taken, taken + promise * MS, False), ["a"], now
+    )
     again.accounts[1] = account
     again.idle_queue.append(1)
     for _ in range(30):
@@ -82,8 +84,8 @@
     account = Account(7, (1, 0, 3), 90.0, START, {0: (5, 10.0), 1: (6, 20.0)}, 30.0, 30.0, (1, 0), False, 2)
     account.ceiling_tokens, account.peer_admissions_at_us, account.announced_at_us = 9.0, (START,), START
     row = dump_account(account)
-    life = Life(0, PLANS, START, START + 4 * SECOND, False)
-    (found,) = survivors([row], life, ("amplio", "other"), START + 9 * SECOND)
+    life = PreviousIncarnation(0, PLANS, START, START + 4 * SECOND, False)
+    (found,) = recover_accounts([row], life, ("amplio", "other"), START + 9 * SECOND)
     assert (found.plan, found.remaining, found.refilled_at_us) == (0, 0.0, START + 4 * SECOND)
     assert (found.replica_counts, found.recently_changed, found.spent_total, found.counted_total) == (
         {1: (6, 20.0)},
@@ -97,11 +99,13 @@
         0.0,
         (),
     )
-    (clean,) = survivors([row], life._replace(until=START, clean=True), PLANS, START + 9 * SECOND)
+    (clean,) = recover_accounts(
+        [row], life._replace(valid_until_us=START, clean_shutdown=True), PLANS, START + 9 * SECOND
+    )
     assert (clean.remaining, clean.refilled_at_us) == (60.0, START)
-    (back,) = survivors([row], life._replace(clean=True), PLANS, START - SECOND)
+    (back,) = recover_accounts([row], life._replace(clean_shutdown=True), PLANS, START - SECOND)
     assert (back.remaining, back.refilled_at_us) == (0.0, START - SECOND)
-    assert list(survivors([row], life, ("another",), START)) == []
+    assert list(recover_accounts([row], life, ("another",), START)) == []
 
 
 class Alone(GatewayHarness):
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -17,9 +17,9 @@
 from test_day import day, quiet  # noqa: F401
 
 from orchidlane.config import Duration
-from orchidlane.gateway.lifecycle.rolling_upgrade import Rolling, UnfinishedRoll
+from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver, UnfinishedRollError
 from orchidlane.hot_restart import rolling_batches, rolling_upgrade
-from orchidlane.hot_restart.probation import Answers
+from orchidlane.hot_restart.probation import AnswerCounts
 from orchidlane.runtime import CONTROL, Loop, SimWorld
 from orchidlane.simulation.backends import SimulatedBacking
 from orchidlane.simulation.scenario import Runner, make_plan
@@ -35,28 +35,30 @@
 
 
 @st.composite
-def fleets(draw) -> tuple[rolling_batches.Fleet, rolling_batches.Limits]:
+def fleets(draw) -> tuple[rolling_batches.Fleet, rolling_batches.RiskLimits]:
     members = tuple(rolling_batches.Member(rank, *facts) for rank, facts in enumerate(draw(member_lists())))
     spreads = tuple(draw(st.sets(st.integers(1, 8), max_size=3)))
     share = st.floats(0.05, 1.0)
-    limits = rolling_batches.Limits(draw(share), draw(share), draw(st.integers(1, 3)), draw(share))
+    limits = rolling_batches.RiskLimits(draw(share), draw(share), draw(st.integers(1, 3)), draw(share))
     return rolling_batches.Fleet(members, spreads), limits
 
 
-def plainly_allowed(fleet: rolling_batches.Fleet, limits: rolling_batches.Limits, risk: set[int]) -> bool:
+def plainly_allowed(fleet: rolling_batches.Fleet, limits: rolling_batches.RiskLimits, risk: set[int]) -> bool:
     """The same by going through each customer's set."""
     size = len(fleet.members)
     if len(risk) <= 1:
         return True
-    for spread in fleet.spreads:
+    for spread in fleet.replica_set_sizes:
         for first in range(size):
             members = {(first + i) % size for i in range(min(spread, size))}
-            if len(members & risk) > max(1, int(limits.set_share * spread)):
+            if len(members & risk) > max(1, int(limits.replica_set_share * spread)):
                 return False
-    halls = {fleet.members[rank].hall for rank in risk}
+    halls = {fleet.members[rank].zone for rank in risk}
     load = sum(fleet.members[rank].load for rank in sorted(risk))
     return (
-        len(risk) <= limits.share * size and len(halls) <= limits.halls and load <= limits.load * fleet.load
+        len(risk) <= limits.fleet_share * size
+        and len(halls) <= limits.max_zones
+        and load <= limits.load_share * fleet.load
     )
 
 
@@ -64,7 +66,7 @@
 def test_what_may_be_at_risk_is_what_no_customers_set_forbids(made, data):
     fleet, limits = made
     risk = data.draw(st.sets(st.integers(0, len(fleet.members) - 1)))
-    assert rolling_batches.allowed(fleet, limits, risk) == plainly_allowed(fleet, limits, risk)
+    assert rolling_batches.is_allowed(fleet, limits, risk) == plainly_allowed(fleet, limits, risk)
 
 
 @settings(max_examples=60)
@@ -72,19 +74,19 @@
 def test_a_batch_is_allowed_and_never_beyond_the_bound(made):
     fleet, limits = made
     wanted = list(range(len(fleet.members)))
-    found = rolling_batches.largest(fleet, limits, wanted, (), len(wanted))
-    assert 1 <= len(found) <= rolling_batches.at_most(fleet, limits)
+    found = rolling_batches.largest_batch(fleet, limits, wanted, (), len(wanted))
+    assert 1 <= len(found) <= rolling_batches.batch_size_bound(fleet, limits)
     assert plainly_allowed(fleet, limits, set(found))
-    assert rolling_batches.largest(fleet, limits, wanted, (), 1) == found[:1] or len(found) > 1
-    assert not set(rolling_batches.largest(fleet, limits, wanted[1:], [0], len(wanted))) & {0}
+    assert rolling_batches.largest_batch(fleet, limits, wanted, (), 1) == found[:1] or len(found) > 1
+    assert not set(rolling_batches.largest_batch(fleet, limits, wanted[1:], [0], len(wanted))) & {0}
 
 
 # Every state of the machine
 
-LIMITS = rolling_batches.Limits(share=0.7, set_share=1.0, halls=2, load=1.0)
+LIMITS = rolling_batches.RiskLimits(fleet_share=0.7, replica_set_share=1.0, max_zones=2, load_share=1.0)
 FLEET = rolling_batches.Fleet(tuple(rolling_batches.Member(rank, "h", 1.0) for rank in range(3)), ())
-TERMS = rolling_upgrade.Terms(LIMITS, soak=10, upgrade=1_000)
-CALM, SICK = Answers(50, 0, 0), Answers(50, 0, 500)
+TERMS = rolling_upgrade.RollSettings(LIMITS, soak_us=10, upgrade_timeout_us=1_000)
+CALM, SICK = AnswerCounts(50, 0, 0), AnswerCounts(50, 0, 500)
 GRACE = 100_000  # a clock at which every span is over
 
 
@@ -104,15 +106,17 @@
 class Fleetwide:
     """A roll, its gateways, and what may befall them; what is kept is all that a killed roll leaves."""
 
-    machine = rolling_upgrade.Roller
+    machine = rolling_upgrade.RollingUpgrade
 
     def __init__(self, faults: int) -> None:
         self.gates = [Gate() for _ in FLEET.members]
-        first = [rolling_upgrade.Seen(rank, 1, True, "", CALM, False) for rank in range(len(self.gates))]
-        self.roller = self.machine(FLEET, TERMS, rolling_upgrade.begin(FLEET, TERMS, first).state)
+        first = [
+            rolling_upgrade.StatusReceived(rank, 1, True, "", CALM, False) for rank in range(len(self.gates))
+        ]
+        self.roller = self.machine(FLEET, TERMS, rolling_upgrade.start_roll(FLEET, TERMS, first).state)
         self.todo: tuple[rolling_upgrade.Action, ...] = ()
         self.faults = faults
-        self._feed(0, rolling_upgrade.Ticked())
+        self._feed(0, rolling_upgrade.TimerFired())
 
     def key(self):
         return msgspec.json.encode((self.roller.state, self.gates, self.faults)), repr(self.todo)
@@ -124,17 +128,17 @@
         state = self.roller.state
         lost = {rank for rank, gate in enumerate(self.gates) if gate.gone}
         risk = {rank for rank, gate in enumerate(self.gates) if gate.successor and gate.runs}
-        if not rolling_batches.allowed(FLEET, LIMITS, risk):
+        if not rolling_batches.is_allowed(FLEET, LIMITS, risk):
             return "too many at risk"
         builds = {gate.new for rank, gate in enumerate(self.gates) if rank not in lost}
         if state.phase is rolling_upgrade.Phase.DONE and builds != {True}:
             return "done, and an old build runs"
-        if state.phase is rolling_upgrade.Phase.RETURNED and builds - {False}:
+        if state.phase is rolling_upgrade.Phase.ROLLED_BACK and builds - {False}:
             return "returned, and the new build runs"
         return None
 
     def good(self) -> bool:
-        return self.roller.state.phase in rolling_upgrade.ENDS
+        return self.roller.state.phase in rolling_upgrade.FINAL_PHASES
 
     def moves(self) -> Iterable[tuple[str, Fleetwide]]:
         for name, change in self._all():
@@ -147,7 +151,7 @@
             yield name, after
 
     def _all(self) -> Iterable[tuple[str, Any]]:
-        if self.roller.state.phase in rolling_upgrade.ENDS:
+        if self.roller.state.phase in rolling_upgrade.FINAL_PHASES:
             return
         for action in self.todo[:1]:
             yield repr(action), lambda w, a=action: w._carry_out(a)
@@ -157,8 +161,13 @@
             if gate.successor and gate.runs and not gate.hangs:
                 yield f"pass {rank}", lambda w, r=rank: w._end(r, True)
         if not self.todo:
-            yield "time", lambda w: w._feed(w.roller.state.since + TERMS.soak, rolling_upgrade.Ticked())
-            yield "late", lambda w: [w._look(rank, GRACE) for rank in w.roller.under_way()]
+            yield (
+                "time",
+                lambda w: w._feed(
+                    w.roller.state.soak_started_at_us + TERMS.soak_us, rolling_upgrade.TimerFired()
+                ),
+            )
+            yield "late", lambda w: [w._look(rank, GRACE) for rank in w.roller.in_progress()]
         if self.faults:
             yield from self._mishaps()
 
@@ -175,14 +184,19 @@
 
     def _carry_out(self, action: rolling_upgrade.Action) -> None:
         self.todo = self.todo[1:]
-        if isinstance(action, rolling_upgrade.Start):
+        if isinstance(action, rolling_upgrade.StartSuccessor):
             gate = self.gates[action.rank]
-            gate.successor, gate.successor_new, gate.runs, gate.hangs = 3 - gate.pid, action.new, False, False
-            self._feed(0, rolling_upgrade.Prepared(action.rank, gate.successor))
+            gate.successor, gate.successor_new, gate.runs, gate.hangs = (
+                3 - gate.pid,
+                action.new_build,
+                False,
+                False,
+            )
+            self._feed(0, rolling_upgrade.SuccessorPrepared(action.rank, gate.successor))
             gate.runs = True
             if gate.gone:
                 gate.successor = 0  # nobody hands over to it
-        elif isinstance(action, rolling_upgrade.Kill):
+        elif isinstance(action, rolling_upgrade.KillSuccessor):
             for rank, gate in enumerate(self.gates):
                 if gate.successor == action.pid and gate.hangs:
                     self._end(rank, False)
@@ -195,13 +209,16 @@
             gate.latest = "taken back"
         gate.successor, gate.runs, gate.hangs = 0, False, False
 
-    def _look(self, rank: int, now: int, answers: Answers = CALM) -> None:
+    def _look(self, rank: int, now: int, answers: AnswerCounts = CALM) -> None:
         gate = self.gates[rank]
         if gate.gone:
-            return self._feed(now, rolling_upgrade.Silent(rank, bool(gate.successor)))
+            return self._feed(now, rolling_upgrade.GatewayUnreachable(rank, bool(gate.successor)))
         serving = not (gate.successor and gate.runs)
         self._feed(
-            now, rolling_upgrade.Seen(rank, gate.pid, serving, gate.latest, answers, bool(gate.successor))
+            now,
+            rolling_upgrade.StatusReceived(
+                rank, gate.pid, serving, gate.latest, answers, bool(gate.successor)
+            ),
         )
 
     def _die(self) -> None:
@@ -220,22 +237,26 @@
     assert found.states > 2_000
 
 
-class Forgetful(rolling_upgrade.Roller):
+class Forgetful(rolling_upgrade.RollingUpgrade):
     """Takes a successor that it finds dead for one that never ran."""
 
-    def _failed(self, rank: int, one: rolling_upgrade.One, why: str) -> None:
-        one.pid, one.place = 0, rolling_upgrade.Place.OLD
+    def _fail(self, rank: int, one: rolling_upgrade.GatewayState, why: str) -> None:
+        one.successor_pid, one.phase = 0, rolling_upgrade.GatewayPhase.OLD
 
 
-class Hasty(rolling_upgrade.Roller):
+class Hasty(rolling_upgrade.RollingUpgrade):
     """Starts all at once."""
 
-    def _next_batch(self) -> list[rolling_upgrade.Action]:
-        wanted = [rank for rank, one in enumerate(self.state.ones) if one.place is rolling_upgrade.Place.OLD]
+    def _start_next_batch(self) -> list[rolling_upgrade.Action]:
+        wanted = [
+            rank
+            for rank, one in enumerate(self.state.gateways)
+            if one.phase is rolling_upgrade.GatewayPhase.OLD
+        ]
         return (
-            self._start(wanted, rolling_upgrade.Place.GOING)
+            self._start(wanted, rolling_upgrade.GatewayPhase.UPGRADING)
             if wanted
-            else self._end(rolling_upgrade.Phase.DONE)
+            else self._finish(rolling_upgrade.Phase.DONE)
         )
 
 
@@ -276,7 +297,7 @@
         if broken is not None:
             backing.loop.spawn(broken, program, kind=CONTROL)
         program.run()
-        if not program.failed:
+        if not program.failure:
             backing.world.kill(backing.loop.process)
 
     def release(self, pid: int) -> None:
@@ -325,14 +346,14 @@
         self.starter = Successors(self.backing, broken or {})
         self.told: list[str] = []
 
-    def rolling(self) -> Rolling:
-        return Rolling(self.loop, self.plan.fleet, self.starter, self.told.append)
+    def rolling(self) -> RollDriver:
+        return RollDriver(self.loop, self.plan.fleet, self.starter, self.told.append)
 
     def builds(self) -> list[bool]:
         """Whether each gateway runs the new build, by the processes themselves."""
         started = zip(self.starter.processes, self.starter.started, strict=True)
         news = {pid for pid, (_, new) in started if new}
-        return [self.rolling()._ask(rank).pid in news for rank in range(8)]
+        return [self.rolling()._request_status(rank).pid in news for rank in range(8)]
 
     def run(self, drive) -> Any:
         runner = Runner(self.loop, self.plan, self.backing)
@@ -375,14 +396,16 @@
     def drive(rolled: Rolled) -> None:
         rolling = rolled.rolling()
         rolling.begin(("old", "new"))
-        rolling.roller.terms = msgspec.structs.replace(rolling.roller.terms, upgrade=4 * SECOND)
+        rolling.upgrade.settings = msgspec.structs.replace(
+            rolling.upgrade.settings, upgrade_timeout_us=4 * SECOND
+        )
         rolled.state = rolling.run()
         assert rolled.builds() == [False] * 8
 
     rolled = Rolled({3: broken})
     rolled.run(drive)
-    assert rolled.state.phase is rolling_upgrade.Phase.RETURNED
-    assert "gateway" in rolled.state.why
+    assert rolled.state.phase is rolling_upgrade.Phase.ROLLED_BACK
+    assert "gateway" in rolled.state.reason
     went = [rank for rank, new in rolled.starter.started if new]
     assert len(went) < 8
     assert any(not new for _, new in rolled.starter.started)
@@ -421,12 +444,12 @@
             if pid not in rolled.starter.released:  # it waited for the word of a roll that is dead
                 world.kill(prepared)
         rolling = rolled.rolling()
-        left = rolling.left()
+        left = rolling.load_stored()
         if left is None:
             rolling.begin(("old", "new"))
             state = rolling.run()
         else:
-            with pytest.raises(UnfinishedRoll, match="resume or recall"):
+            with pytest.raises(UnfinishedRollError, match="resume or recall"):
                 rolled.rolling().begin(("old", "new"))
             state = rolling.run(rolling.resume())
         assert state.phase is rolling_upgrade.Phase.DONE
@@ -440,12 +463,15 @@
         rolling = rolled.rolling()
         rolling.begin(("old", "new"))
         first = rolled.loop.spawn(rolling.run, kind=CONTROL)
-        while sum(one.place is rolling_upgrade.Place.NEW for one in rolling.roller.state.ones) < 3:
+        while (
+            sum(one.phase is rolling_upgrade.GatewayPhase.UPGRADED for one in rolling.upgrade.state.gateways)
+            < 3
+        ):
             rolled.loop.sleep(20 * MS)
         rolled.loop.cancel(first)
         again = rolled.rolling()
         state = again.run(again.resume(), recall="asked for")
-        assert (state.phase, state.why) == (rolling_upgrade.Phase.RETURNED, "asked for")
+        assert (state.phase, state.reason) == (rolling_upgrade.Phase.ROLLED_BACK, "asked for")
         assert rolled.builds() == [False] * 8
 
     Rolled().run(drive)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,8 +20,9 @@
 from orchidlane.config import Duration
 from orchidlane.gateway.control.configuration import Knowledge
 from orchidlane.gateway.control.settings import parse_fleet
-from orchidlane.gateway.lifecycle import hot_restart
-from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.gateway.lifecycle.new_side import NewSide
+from orchidlane.gateway.lifecycle.process import GatewayProcess
+from orchidlane.gateway.lifecycle.restart_channel import Channel
 from orchidlane.hot_restart import messages, new_process, old_process
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import Expired, LoopError
@@ -48,7 +49,7 @@
             "warm": Duration(2 * SECOND),
         }
         super().__init__(*handlers, state="/sim", upgrade=upgrade, **changes)
-        self.programs: list[Program] = []
+        self.programs: list[GatewayProcess] = []
         self.processes: list = []
         self.statuses: Counter[int] = Counter()
         self.longest = 0
@@ -58,7 +59,7 @@
         knowledge = Knowledge(GENERATION, self.customers, structlog.get_logger(), False)
         secret = b"0123456789abcdef"
         facts = (rank, secret, knowledge, self.record_to, take_over)
-        self.program = Program(self.loop, self.fleet, *facts)
+        self.program = GatewayProcess(self.loop, self.fleet, *facts)
         self.programs.append(self.program)
         if spoil is not None:
             spoil(self.program)
@@ -120,7 +121,7 @@
             assert self.loop.now() < by, "it never came"
             self.loop.sleep(10 * MS)
 
-    def serving(self) -> list[Program]:
+    def serving(self) -> list[GatewayProcess]:
         """The programs that take requests now."""
         return [
             program
@@ -141,13 +142,13 @@
         stream.send(OK)
 
 
-def settle(house: Upgraded) -> Program:
+def settle(house: Upgraded) -> GatewayProcess:
     """Wait for the end of load and upgrade: the one program that serves."""
     house.until(lambda: not house.loading)
     phases = (old_process.Phase.SERVING, old_process.Phase.ENDED)
     house.until(
         lambda: all(
-            p.giving.machine.phase in phases
+            p.old_side.machine.phase in phases
             for p, q in zip(house.programs, house.processes, strict=False)
             if not q.dead
         )
@@ -160,7 +161,7 @@
     return program
 
 
-def counted(program: Program) -> float:
+def counted(program: GatewayProcess) -> float:
     account = program.host.rules.accounts[1]
     return account.replica_counts[0][1]
 
@@ -183,12 +184,15 @@
         assert house.longest < 60 * MS
         assert counted(program) == sent_on(house)
         old, new = house.programs
-        assert (old.giving.machine.phase, old.giving.machine.latest) == (old_process.Phase.ENDED, "passed")
-        assert new.taking.machine.phase is new_process.Phase.FREE
+        assert (old.old_side.machine.phase, old.old_side.machine.last_outcome) == (
+            old_process.Phase.ENDED,
+            "passed",
+        )
+        assert new.new_side.machine.phase is new_process.Phase.INDEPENDENT
         assert new is program
         assert not house.processes[0].tasks
         assert new.incarnation == old.incarnation
-        assert old.giving.pause < 10 * MS
+        assert old.old_side.handover_pause_us < 10 * MS
 
     Upgraded(slow, slow, slow, slow).run(test)
 
@@ -209,12 +213,12 @@
     Upgraded(slow, slow, slow, slow, trial=300 * MS).run(test)
 
 
-def broken_at(event: type, what: str) -> Callable[[Program], None]:
+def broken_at(event: type, what: str) -> Callable[[GatewayProcess], None]:
     """A build that does something wrong when its machine is told this."""
 
-    def spoil(program: Program) -> None:
-        def feed(self, told, feed=hot_restart.TakingSide.feed) -> None:
-            if isinstance(told, event) and program.take_over and self.program is program:
+    def spoil(program: GatewayProcess) -> None:
+        def feed(self, told, feed=NewSide.feed) -> None:
+            if isinstance(told, event) and program.takes_over and self.gateway is program:
                 if what == "raise" and program.loop.current is not None:
                     raise RuntimeError("a broken build")
                 if what == "garbage":
@@ -229,7 +233,7 @@
                 return
             feed(self, told)
 
-        program.feed_of_taking = feed
+        program.feed_of_new_side = feed
 
     return spoil
 
@@ -237,24 +241,24 @@
 @pytest.fixture
 def spoilable(monkeypatch):
     """Lets a program break its own taking side."""
-    feed = hot_restart.TakingSide.feed
+    feed = NewSide.feed
 
     def own(self, told) -> None:
-        spoilt = getattr(self.program, "feed_of_taking", None)
+        spoilt = getattr(self.gateway, "feed_of_new_side", None)
         if spoilt is None:
             feed(self, told)
         else:
             spoilt(self, told, feed)
 
-    monkeypatch.setattr(hot_restart.TakingSide, "feed", own)
+    monkeypatch.setattr(NewSide, "feed", own)
 
 
 EVENTS = (
-    new_process.Offered,
-    new_process.CameWhole,
-    new_process.WasFit,
-    new_process.CameFinal,
-    new_process.Ticked,
+    new_process.OfferReceived,
+    new_process.CopyCompleteReceived,
+    new_process.SelfCheckPassed,
+    new_process.FinalStateReceived,
+    new_process.TimerFired,
 )
 
 
@@ -269,7 +273,7 @@
         house.upgrade(broken_at(event, what))
         house.until(lambda: len(house.programs) == 2)
         if (
-            event is new_process.Released
+            event is new_process.ReleaseReceived
         ):  # it stands alone by then: what it held is lost with it, as in any crash
             house.loop.sleep(8 * SECOND)
             return
@@ -290,7 +294,7 @@
     """Accepted, half of a head read, an attempt out: a crash, or an error that ends all tasks in order."""
 
     def test(house: Upgraded) -> None:
-        def die(program: Program) -> None:
+        def die(program: GatewayProcess) -> None:
             if end == "crash":
                 return house.world.kill(program.loop.process)
             raise RuntimeError("a broken build")
@@ -311,26 +315,26 @@
         read.close()
         house.loop.sleep(SECOND)
         assert house.ask(GET)[0] == 200
-        assert not house.programs[0].giving.reserve
+        assert not house.programs[0].old_side.clients.retained
 
     Upgraded(slow, slow, slow, slow).run(test)
 
 
 def test_a_client_answered_as_its_successor_dies_returning_hears_nothing_more(monkeypatch):
     """Guards against an answer to a client that is owed none."""
-    send = hot_restart.Channel.send
+    send = Channel.send
 
     def test(house: Upgraded) -> None:
         def dying(self, message, handle=None) -> None:
             send(self, message, handle)
-            returning = house.programs[-1].taking.machine.phase is new_process.Phase.RETURNING
-            if returning and isinstance(message, messages.Idle) and not message.back:
+            returning = house.programs[-1].new_side.machine.phase is new_process.Phase.RETURNING
+            if returning and isinstance(message, messages.ConnectionIdle) and not message.returned:
                 house.world.kill(house.processes[1])
                 house.loop.park()
 
         house.upgrade()
         house.until(lambda: len(house.programs) == 2 and house.programs[1] in house.serving())
-        monkeypatch.setattr(hot_restart.Channel, "send", dying)
+        monkeypatch.setattr(Channel, "send", dying)
         client = house.connect()
         client.send(GET)
         house.loop.sleep(4 * MS)
@@ -345,13 +349,24 @@
     Upgraded(slow, slow, slow, slow).run(test)
 
 
-POINTS = (*range(1, 21), "Took", "Opened", "Count", "Began", "Answering", "Idle", "Ended", "Pulse", "Release")
+POINTS = (
+    *range(1, 21),
+    "ConnectionAdopted",
+    "ConnectionOpened",
+    "CustomerCount",
+    "RequestStarted",
+    "ResponseStarted",
+    "ConnectionIdle",
+    "ConnectionClosed",
+    "Heartbeat",
+    "Release",
+)
 
 
 @pytest.mark.parametrize("side", ["old", "new"])
 def test_a_kill_of_either_side_at_any_message_leaves_one_that_serves(monkeypatch, side):
     """The n-th message of the channel is the last thing that one of the two lives to see."""
-    send = hot_restart.Channel.send
+    send = Channel.send
 
     def run(point: int | str) -> tuple[str, int]:
         sent, ends = [0], []
@@ -366,7 +381,7 @@
                 if house.loop.process is victim and house.loop.current is not None:
                     house.loop.park()  # no line of it runs after that
 
-        monkeypatch.setattr(hot_restart.Channel, "send", counting)
+        monkeypatch.setattr(Channel, "send", counting)
         house = Upgraded(slow, slow, slow, slow, trial=400 * MS)
 
         def test(house: Upgraded) -> None:
@@ -378,20 +393,21 @@
             serving = house.serving()
             if side == "old" and not serving:
                 # it died before it had passed its listeners: there is nothing to stand alone with
-                assert house.programs[1].failed
+                assert house.programs[1].failure
                 assert not house.processes[1].tasks
                 return
             (program,) = serving
             assert house.ask(GET)[0] == 200
-            lost = 6 if side == "old" else int(point == "Answering")
+            lost = 6 if side == "old" else int(point == "ResponseStarted")
             assert house.statuses[0] <= lost, (point, ends, house.statuses)
             assert house.statuses[502] <= 3
             moment = (
-                program is not house.programs[0] and program.taking.machine.phase is new_process.Phase.FREE
+                program is not house.programs[0]
+                and program.new_side.machine.phase is new_process.Phase.INDEPENDENT
             )
             if side == "new" or (moment and program.incarnation == house.programs[0].incarnation):
                 # what it counted may not have left any more: the one request that was on its way then
-                told_in_vain = 3 if point == "Count" else 1
+                told_in_vain = 3 if point == "CustomerCount" else 1
                 assert 0 <= counted(program) - sent_on(house) <= told_in_vain, (point, ends)
 
         house.run(test)
@@ -401,7 +417,16 @@
     points = [point for point in POINTS if side == "old" or point != "Release"]
     seen = [run(point) for point in points]
     names = {name for name, _ in seen}
-    wanted = {"Hello", "Offer", "Place", "Rows", "Whole", "Warm", "Final", "Connection"}
+    wanted = {
+        "Hello",
+        "Offer",
+        "InheritedSocket",
+        "TableRows",
+        "CopyComplete",
+        "Ready",
+        "FinalState",
+        "ConnectionHandover",
+    }
     assert wanted | {point for point in points if isinstance(point, str)} <= names, names
 
 
@@ -415,8 +440,8 @@
         house.upgrade()
         program = settle(house)
         assert set(house.statuses) == {200}
-        first, second = sorted(house.programs[1:], key=lambda one: bool(one.failed))
-        assert "another upgrade is under way" in second.failed
+        first, second = sorted(house.programs[1:], key=lambda one: bool(one.failure))
+        assert "another upgrade is under way" in second.failure
         assert program is first
 
     Upgraded(slow, slow, slow, slow).run(test)
@@ -575,13 +600,13 @@
         return False if self in broken else admits(self, request)
 
     monkeypatch.setattr(Gateway, "_admits", refuses)
-    go_on = hot_restart.TakingSide._begin_trial
+    go_on = NewSide._start_probation
 
     def spoilt(self) -> None:
-        broken.append(self.program.host.rules)
+        broken.append(self.gateway.host.rules)
         go_on(self)
 
-    monkeypatch.setattr(hot_restart.TakingSide, "_begin_trial", spoilt)
+    monkeypatch.setattr(NewSide, "_start_probation", spoilt)
 
     def test(house: Upgraded) -> None:
         house.load(6 * SECOND, clients=4)
@@ -589,8 +614,8 @@
         house.upgrade()
         program = settle(house)
         assert program is house.programs[0]
-        assert program.giving.machine.latest.startswith("recalled: served 0 of")
-        assert house.programs[1].failed == "recalled"
+        assert program.old_side.machine.last_outcome.startswith("recalled: served 0 of")
+        assert house.programs[1].failure == "recalled"
         assert set(house.statuses) == {200, 429}
         assert house.statuses[429] < 60
         assert counted(program) == sent_on(house)
@@ -614,7 +639,7 @@
             (program,) = house.serving()
             house.until(lambda: house.ask(GET)[0] == 200)
             assert counted(program) >= sent_on(house)  # what it decided on and could not send any more
-            found.append(program.giving.machine.latest + (" new" if program.take_over else " old"))
+            found.append(program.old_side.machine.last_outcome + (" new" if program.takes_over else " old"))
 
         found: list[str] = []
         house.run(test)
@@ -648,20 +673,20 @@
         house.upgrade()
         program = settle(house)
         assert program is house.programs[0]
-        assert "no descriptor left" in program.giving.machine.latest
+        assert "no descriptor left" in program.old_side.machine.last_outcome
         assert set(house.statuses) == {200}
 
     Upgraded(slow, slow, slow, slow).run(test)
 
 
 def test_clients_that_cannot_be_taken_are_closed_between_two_requests(monkeypatch):
-    begin = hot_restart.TakingSide._begin_trial
+    begin = NewSide._start_probation
 
     def without_descriptors(self) -> None:
         begin(self)
         self.loop.world.no_descriptors = True
 
-    monkeypatch.setattr(hot_restart.TakingSide, "_begin_trial", without_descriptors)
+    monkeypatch.setattr(NewSide, "_start_probation", without_descriptors)
 
     def test(house: Upgraded) -> None:
         idle = house.connect()
@@ -695,24 +720,24 @@
 @pytest.mark.parametrize(
     "change, why",
     [
-        ({"format": 99}, "format 99"),
+        ({"protocol_version": 99}, "format 99"),
         ({"rank": 1}, "rank 0"),
-        ({"gateways": 5}, "need a restart"),
+        ({"gateway_count": 5}, "need a restart"),
         ({"plan_names": ("other",)}, "need a restart"),
     ],
 )
 def test_a_successor_that_does_not_fit_is_told_why(monkeypatch, change, why):
     def says(self) -> None:
-        plans = tuple(self.program.fleet.plans)
-        hello = messages.Hello(messages.FORMAT, "b", "gw-0", 0, 3, plans)
+        plans = tuple(self.gateway.fleet.plans)
+        hello = messages.Hello(messages.PROTOCOL_VERSION, "b", "gw-0", 0, 3, plans)
         self.channel.send(msgspec.structs.replace(hello, **change))
 
-    monkeypatch.setattr(hot_restart.TakingSide, "_say_hello", says)
+    monkeypatch.setattr(NewSide, "_send_hello", says)
 
     def test(house: Upgraded) -> None:
         house.upgrade()
         house.loop.sleep(SECOND)
-        assert why in house.programs[1].failed
+        assert why in house.programs[1].failure
         assert house.serving() == [house.programs[0]]
 
     Upgraded(good).run(test)
--- a/tests/test_upgrade_model.py
+++ b/tests/test_upgrade_model.py
@@ -15,22 +15,22 @@
 from test_day import quiet  # noqa: F401
 
 from orchidlane.hot_restart import new_process, old_process
-from orchidlane.hot_restart.messages import FORMAT, Hello
-from orchidlane.hot_restart.probation import Answers
+from orchidlane.hot_restart.messages import PROTOCOL_VERSION, Hello
+from orchidlane.hot_restart.probation import AnswerCounts
 from orchidlane.simulation.state_exploration import explore
 
-LAYOUT = old_process.Layout("gw", 0, 3, ("p",))
-HELLO = Hello(FORMAT, "b", "gw", 0, 3, ("p",))
+LAYOUT = old_process.GatewayIdentity("gw", 0, 3, ("p",))
+HELLO = Hello(PROTOCOL_VERSION, "b", "gw", 0, 3, ("p",))
 LATE = 10**12  # a clock at which every deadline is over
-WELL, SICK = Answers(50, 1, 0), Answers(0, 50, 0)
+WELL, SICK = AnswerCounts(50, 1, 0), AnswerCounts(0, 50, 0)
 
 
 class World:
     """Both processes and the two ways of their channel."""
 
     def __init__(self, faults: int = 2) -> None:
-        self.giver = old_process.Giver(LAYOUT)
-        self.taker = new_process.Taker()
+        self.giver = old_process.OldProcess(LAYOUT)
+        self.taker = new_process.NewProcess()
         self.to_taker: tuple[str, ...] = ()
         self.to_giver: tuple[str, ...] = ()
         self.alive = [True, True]
@@ -48,7 +48,7 @@
         return (
             g.phase,
             g.channel,
-            bool(g.trial_ends),
+            bool(g.probation_ends_us),
             t.phase,
             self.to_taker,
             self.to_giver,
@@ -71,7 +71,7 @@
     def good(self) -> bool:
         """One serves and has nothing more to do with the other; or both were ended."""
         alone = self.giver.phase is old_process.Phase.SERVING and self.serves[0]
-        free = self.taker.phase is new_process.Phase.FREE and self.serves[1]
+        free = self.taker.phase is new_process.Phase.INDEPENDENT and self.serves[1]
         return alone or free or not any(self.alive)
 
     def moves(self) -> Iterable[tuple[str, World]]:
@@ -93,9 +93,9 @@
             elif self.closed[1] and not self.told[0] and not self.closed[0]:
                 yield "giver hears the end", lambda w: w.end_heard(0)
             if self.waits[0]:
-                yield "giver's time is up", lambda w: w.give(w.giver.deadline, old_process.Ticked())
-                yield "giver's time was up long ago", lambda w: w.give(LATE, old_process.Ticked())
-            if self.giver.phase is old_process.Phase.PARTING:
+                yield "giver's time is up", lambda w: w.give(w.giver.deadline_us, old_process.TimerFired())
+                yield "giver's time was up long ago", lambda w: w.give(LATE, old_process.TimerFired())
+            if self.giver.phase is old_process.Phase.DRAINING:
                 yield "giver is drained", lambda w: w.give(0, old_process.Drained())
         if self._runs(1):
             if self.to_taker:
@@ -103,13 +103,13 @@
             elif self.closed[0] and not self.told[1] and not self.closed[1]:
                 yield "taker hears the end", lambda w: w.end_heard(1)
             if self.waits[1]:
-                yield "taker's time is up", lambda w: w.take(LATE, new_process.Ticked())
+                yield "taker's time is up", lambda w: w.take(LATE, new_process.TimerFired())
             if self.checking:
-                yield "taker is fit", lambda w: w.checked(new_process.WasFit())
-                yield "taker is unfit", lambda w: w.checked(new_process.WasUnfit("no"))
+                yield "taker is fit", lambda w: w.checked(new_process.SelfCheckPassed())
+                yield "taker is unfit", lambda w: w.checked(new_process.FailureDetected("no"))
             if self.taker.phase is new_process.Phase.RETURNING:
                 yield "taker is drained", lambda w: w.take(0, new_process.Drained())
-            if self.taker.phase is new_process.Phase.TRIAL and len(self.to_giver) < 3:
+            if self.taker.phase is new_process.Phase.PROBATION and len(self.to_giver) < 3:
                 yield "taker fares badly", lambda w: w.say(1, "sick")
 
     def _mishaps(self):
@@ -126,9 +126,9 @@
             if self._runs(side) and not self.closed[side]:
                 yield f"!{name} talks nonsense", lambda w, s=side: w.fault(lambda: w.say(s, "nonsense"))
         if self._runs(0) and not self.stopped:
-            yield "!giver is asked to end", lambda w: w.fault(lambda: w.give(0, old_process.Stopped()))
+            yield "!giver is asked to end", lambda w: w.fault(lambda: w.give(0, old_process.StopRequested()))
         if self._runs(1) and not self.stopped:
-            yield "!taker is asked to end", lambda w: w.fault(lambda: w.take(0, new_process.Stopped()))
+            yield "!taker is asked to end", lambda w: w.fault(lambda: w.take(0, new_process.StopRequested()))
 
     # -- what happens
 
@@ -152,64 +152,64 @@
     def end_heard(self, side: int) -> None:
         self.told[side] = True
         if side:
-            self.take(0, new_process.Lost())
+            self.take(0, new_process.ChannelClosed())
         else:
-            self.give(0, old_process.Lost(1))
+            self.give(0, old_process.ChannelClosed(1))
 
     def giver_hears(self) -> None:
         word, self.to_giver = self.to_giver[0], self.to_giver[1:]
         told: dict[str, Any] = {
-            "hello": old_process.Called(1, HELLO),
-            "warm": old_process.WasWarm(1),
-            "started": old_process.HasStarted(1),
-            "pulse": old_process.Pulsed(1, WELL, WELL),
-            "sick": old_process.Pulsed(1, SICK, WELL),
-            "unfit": old_process.WasUnfit(1, "no"),
-            "nonsense": old_process.WasUnfit(1, "garbage"),
-            "returned": old_process.WasReturned(1),
+            "hello": old_process.HelloReceived(1, HELLO),
+            "warm": old_process.ReadyReceived(1),
+            "started": old_process.StartedReceived(1),
+            "pulse": old_process.HeartbeatReceived(1, WELL, WELL),
+            "sick": old_process.HeartbeatReceived(1, SICK, WELL),
+            "unfit": old_process.FailureDetected(1, "no"),
+            "nonsense": old_process.FailureDetected(1, "garbage"),
+            "returned": old_process.ServingStoppedReceived(1),
         }
         self.give(LATE if word == "pulse" else 0, told[word])
 
     def taker_hears(self) -> None:
         word, self.to_taker = self.to_taker[0], self.to_taker[1:]
         told: dict[str, Any] = {
-            "offer": new_process.Offered(),
-            "whole": new_process.CameWhole(),
-            "final": new_process.CameFinal(),
-            "recall": new_process.Recalled("sick"),
-            "release": new_process.Released(),
-            "abort": new_process.Aborted("no"),
-            "nonsense": new_process.WasUnfit("garbage"),
+            "offer": new_process.OfferReceived(),
+            "whole": new_process.CopyCompleteReceived(),
+            "final": new_process.FinalStateReceived(),
+            "recall": new_process.ReclaimReceived("sick"),
+            "release": new_process.ReleaseReceived(),
+            "abort": new_process.AbortReceived("no"),
+            "nonsense": new_process.FailureDetected("garbage"),
         }
         self.take(0, told[word])
 
     def give(self, now: int, event) -> None:
-        self.waits[0] = False if isinstance(event, old_process.Ticked) else self.waits[0]
-        self.giver.deadline = min(self.giver.deadline, 1)  # the clock's figure makes no other state
+        self.waits[0] = False if isinstance(event, old_process.TimerFired) else self.waits[0]
+        self.giver.deadline_us = min(self.giver.deadline_us, 1)  # the clock's figure makes no other state
         for action in self.giver.handle(now, event):
             match action:
-                case old_process.MakeOffer():
+                case old_process.SendOffer():
                     self.say(0, "offer")
                     self.say(0, "whole")
-                case old_process.TurnAway():
+                case old_process.Reject():
                     self.say(0, "abort")
                     self.closed[0] = True
-                case old_process.Commit():
+                case old_process.HandOver():
                     self.serves[0] = False
                     self.say(0, "final")
-                case old_process.AskBack():
+                case old_process.SendReclaim():
                     self.say(0, "recall")
-                case old_process.Kill():
+                case old_process.KillNewProcess():
                     self.die(1)
-                case old_process.TakeBack():
+                case old_process.ResumeServing():
                     self.serves[0] = True
-                case old_process.Settle():
+                case old_process.AnswerOrphanedClients():
                     self.closed[0] = True
-                case old_process.LetGo():
+                case old_process.Release():
                     self.say(0, "release")
-                case old_process.End():
+                case old_process.Exit():
                     self.die(0)
-                case old_process.Wake():
+                case old_process.SetTimer():
                     self.waits[0] = True
 
     def checked(self, event) -> None:
@@ -217,25 +217,25 @@
         self.take(0, event)
 
     def take(self, now: int, event) -> None:
-        self.waits[1] = False if isinstance(event, new_process.Ticked) else self.waits[1]
+        self.waits[1] = False if isinstance(event, new_process.TimerFired) else self.waits[1]
         self.carry_out(self.taker.handle(now, event))
 
     def carry_out(self, actions) -> None:
         for action in actions:
             match action:
-                case new_process.SayHello():
+                case new_process.SendHello():
                     self.say(1, "hello")
-                case new_process.Check():
+                case new_process.RunSelfCheck():
                     self.checking = True
-                case new_process.SayWarm():
+                case new_process.SendReady():
                     self.say(1, "warm")
-                case new_process.Serve():
+                case new_process.StartServing():
                     self.serves[1] = True
                     self.say(1, "started")
-                case new_process.SayPulse():
+                case new_process.SendHeartbeat():
                     if len(self.to_giver) < 3:
                         self.say(1, "pulse")
-                case new_process.StandAlone():
+                case new_process.ServeAlone():
                     if self.alive[0]:
                         self.die(0)
                     self.serves[1] = True
@@ -245,7 +245,7 @@
                 case new_process.Exit():
                     self.say(1, "unfit")
                     self.die(1)
-                case new_process.Wake():
+                case new_process.SetTimer():
                     self.waits[1] = True
 
 
@@ -268,34 +268,34 @@
         # takes back as soon as the successor is silent, without making sure
         (
             old_process.Phase.COMMITTED,
-            old_process.Ticked,
-            lambda g, now, e: g.actions.append(old_process.TakeBack("silent")),
+            old_process.TimerFired,
+            lambda g, now, e: g.actions.append(old_process.ResumeServing("silent")),
         ),
         # takes back on a sick successor's word alone
         (
             old_process.Phase.COMMITTED,
-            old_process.WasUnfit,
-            lambda g, now, e: g.actions.append(old_process.TakeBack("unfit")),
+            old_process.FailureDetected,
+            lambda g, now, e: g.actions.append(old_process.ResumeServing("unfit")),
         ),
     ],
 )
 def test_a_giver_that_does_not_fence_is_found(monkeypatch, phase, event, instead):
-    monkeypatch.setitem(old_process.TABLE, (phase, event), instead)
+    monkeypatch.setitem(old_process.TRANSITIONS, (phase, event), instead)
     assert explore(model()).wrong[0][0] == "both serve"
 
 
 def test_a_giver_that_forgets_a_dead_successor_is_found(monkeypatch):
-    monkeypatch.delitem(old_process.TABLE, (old_process.Phase.FENCING, old_process.Lost))
+    monkeypatch.delitem(old_process.TRANSITIONS, (old_process.Phase.FENCING, old_process.ChannelClosed))
     assert explore(model()).stuck
 
 
 def test_a_taker_that_goes_on_after_a_recall_is_found(monkeypatch):
     monkeypatch.setitem(
-        new_process.TABLE,
-        (new_process.Phase.TRIAL, new_process.Recalled),
-        lambda t, now, e: t.actions.append(new_process.SayPulse()),
+        new_process.TRANSITIONS,
+        (new_process.Phase.PROBATION, new_process.ReclaimReceived),
+        lambda t, now, e: t.actions.append(new_process.SendHeartbeat()),
     )
     found = explore(model())
     assert (found.stuck, found.wrong) == ([], [])  # it is killed after a while
-    monkeypatch.delitem(old_process.TABLE, (old_process.Phase.RECALLING, old_process.Ticked))
+    monkeypatch.delitem(old_process.TRANSITIONS, (old_process.Phase.RECLAIMING, old_process.TimerFired))
     assert explore(model()).stuck
--- a/tests/test_upgrade_real.py
+++ b/tests/test_upgrade_real.py
@@ -13,14 +13,16 @@
 
 from orchidlane.runtime import Loop, RealWorld
 from orchidlane.simulation.backends import RealBacking, play_while
-from orchidlane.simulation.mutants import BROKEN, make_build
+from orchidlane.simulation.mutants import BROKEN_BUILDS, make_build
 from orchidlane.simulation.scenario import Runner, make_plan
 
 
 @pytest.fixture(scope="module")
 def builds(tmp_path_factory) -> dict[str, str]:
     """The command of each broken build."""
-    return {name: make_build(tmp_path_factory.mktemp("build"), change) for name, change in BROKEN.items()}
+    return {
+        name: make_build(tmp_path_factory.mktemp("build"), change) for name, change in BROKEN_BUILDS.items()
+    }
 
 
 def test_upgrades_of_real_processes_lose_double_and_delay_nothing(tmp_path, builds):
