--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -16,7 +16,7 @@
 from orchidlane.gateway.lifecycle.state_errors import INVALID_STATE_ERRORS
 from orchidlane.gateway.telemetry.admin_api import Names, StateFrames
 from orchidlane.hot_restart.account_recovery import PreviousIncarnation, recover_accounts
-from orchidlane.policy.state import Account
+from orchidlane.policy.accounts import Account
 from orchidlane.runtime import Loop
 
 MIN_INTERVAL_PER_SAVE = 20  # times as long as a save takes
@@ -75,7 +75,7 @@
         header = reader.header
         if header.gateway != self.gateway.entry.name:
             raise recording.FormatError(f"it is {header.gateway}'s")
-        about = header.about
+        about = header.context
         previous = PreviousIncarnation(
             rank=int(header.settings["rank"]),
             plan_names=header.plan_names,
@@ -84,7 +84,7 @@
             clean_shutdown=bool(about["clean"]),
         )
         plans = tuple(self.gateway.fleet.plans)
-        return recover_accounts(reader.accounts(), previous, plans, self.loop.now())
+        return recover_accounts(reader.account_rows(), previous, plans, self.loop.now())
 
     # -- while the gateway runs
 
--- a/orchidlane/gateway/lifecycle/new_side.py
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -201,7 +201,7 @@
         gateway.load_configuration(offer.generation + 1)
         gateway.build_parts(self.scope)
         self._built = True
-        self.received_tables = ReceivedTables(gateway.limits.holder, gateway.limits.ledger)
+        self.received_tables = ReceivedTables(gateway.limits.token_owner, gateway.limits.grants)
         self.feed(new_process.OfferReceived())
 
     def _receive_socket(self, message: messages.InheritedSocket) -> None:
@@ -235,11 +235,11 @@
         old_classes = [old_numbers.get(name) for name in names]
         accounts = self.received_tables.accounts
         rules = restore_policy(gateway.host.settings, final.policy_state, accounts, old_classes)
-        recording.track(rules)
+        recording.track_accounts(rules)
         gateway.host.go_on_with(rules, final.last_request_id)
-        gateway.limits.carry_on(final.limits)
+        gateway.limits.load_state(final.limits)
         gateway.tracker.carry_on(final.endpoints)
-        gateway.inbox.carry_on([tuple(row) for row in final.peers])
+        gateway.inbox.load_peer_rows([tuple(row) for row in final.peers])
         gateway.sequence = final.datagram_sequence
         self.feed(new_process.FinalStateReceived())
 
@@ -263,7 +263,7 @@
     def _send_datagram(self, message: messages.SendDatagram) -> None:
         limits = self.gateway.limits
         if message.rank == self.gateway.rank:
-            limits.hear(message.rank, message.body)
+            limits.receive(message.rank, message.body)
         else:
             self.gateway.send_limits_datagram(message.rank, message.body)
 
@@ -273,8 +273,8 @@
 
     def _record_grant(self, grant: messages.GrantRecorded) -> None:
         span = None if grant.reserved_us < 0 else grant.reserved_us
-        ledger = self.gateway.limits.ledger
-        ledger.grant(self.loop.now(), grant.name, grant.customer, grant.units, span)
+        grants = self.gateway.limits.grants
+        grants.add_grant(self.loop.now(), grant.name, grant.customer, grant.units, span)
 
     # -- probation
 
@@ -283,7 +283,7 @@
         gateway.front.watcher = ConnectionReporter(self.channel, HTTP)
         gateway.resp.watcher = ConnectionReporter(self.channel, RESP)
         gateway.host.spent = self._report_count
-        gateway.limits.others = self._pass_reply
+        gateway.limits.queries.on_foreign_reply = self._pass_reply
         gateway.sockets.adopt(self.sockets)
         gateway.start_serving(self.scope)
         self.channel.send(messages.Started())
--- a/orchidlane/gateway/lifecycle/old_side.py
+++ b/orchidlane/gateway/lifecycle/old_side.py
@@ -205,7 +205,7 @@
                 if self.successor_units is not None:
                     self.successor_units.receive_reply(message)
             case messages.PeerReply():
-                self.gateway.limits.hear(message.sender, message.body)
+                self.gateway.limits.receive(message.sender, message.body)
             case messages.CustomerCount():
                 self.gateway.host.feed(
                     policy.CountRecovered(
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -21,7 +21,7 @@
 from orchidlane.gateway.lifecycle.old_side import OldSide
 from orchidlane.gateway.lifecycle.sockets import PEER, GatewaySockets
 from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
-from orchidlane.gateway.peers.datagrams import CHANGE, LIMITS, MODULE, SIZE_MOST, Inbox, seal
+from orchidlane.gateway.peers.datagrams import MAX_DATAGRAM_BYTES, DatagramKind, Inbox, encode_datagram
 from orchidlane.gateway.peers.token_requests import LimitService
 from orchidlane.gateway.rollout_agent.admin_api import Desk
 from orchidlane.gateway.rollout_agent.agent import Versions
@@ -32,8 +32,8 @@
 from orchidlane.gateway.telemetry.traffic_recorder import Recorder
 from orchidlane.hot_restart import new_process, old_process
 from orchidlane.policy.gateway import Gateway
-from orchidlane.recording import track
-from orchidlane.routes import DescriptionError
+from orchidlane.recording import track_accounts
+from orchidlane.routes import DescriptionError, DescriptionProblem
 from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, Loop, Scope, Task
 
 DRAIN_POLL_INTERVAL_US = 10_000
@@ -180,8 +180,8 @@
 
     def _check_classes(self, fresh: Knowledge) -> None:
         if fresh.generation.classes != self.knowledge.generation.classes:
-            reason = "other classes need a restart of the gateway"
-            raise DescriptionError(self.fleet.description, [("x-orchidlane", reason)])
+            problem = DescriptionProblem("x-orchidlane", "other classes need a restart of the gateway")
+            raise DescriptionError(self.fleet.description, [problem])
 
     # -- parts
 
@@ -201,7 +201,7 @@
             "longest_turn_seconds": ("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
         }
         send = self.send_limits_datagram
-        self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, send, scope)
+        self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, send)
         self.resp = RespFront(
             self.loop, self.fleet, self.limits, lambda: self.knowledge, scope, self._unready_reason
         )
@@ -221,7 +221,7 @@
             note,
         )
         rules = Gateway(settings, self.loop.world.random.getrandbits(64), self.loop.now())
-        track(rules)
+        track_accounts(rules)
         upstream = Upstream(self.loop, self.fleet, scope, nodes)
         self.host = Host(
             self.loop, settings, rules, self.metrics, clients, upstream.begin, self._send_to_peer
@@ -324,7 +324,7 @@
         """Let another process decide on units from here on; requests held here ask it."""
         self.superseded = True
         self.host.lent = units
-        self.limits.lent = units
+        self.limits.successor = units
         for exchange in self.host.exchanges.values():
             exchange.held_at_moment = not exchange.sends
 
@@ -344,7 +344,7 @@
         """Serve again: nobody else does."""
         self.superseded = False
         self.host.lent = None
-        self.limits.hold_back()
+        self.limits.reclaim()
         self._receive_from_others()
         if self.versions is not None:
             self.versions.start(self.scope)
@@ -364,32 +364,32 @@
         elif rank == self.rank:
             self.new_side.send_own_reply(body)  # to a request of the process before us
         else:
-            self._send_to_peer(rank, body, LIMITS)
+            self._send_to_peer(rank, body, DatagramKind.LIMITS)
 
     def send_rollout_datagram(self, rank: int, body: bytes) -> None:
         """Send a datagram about the fleet's versions."""
-        self._send_to_peer(rank, body, CHANGE)
+        self._send_to_peer(rank, body, DatagramKind.ROLLOUT)
 
-    def _send_to_peer(self, rank: int, body: bytes, kind: int = MODULE) -> None:
+    def _send_to_peer(self, rank: int, body: bytes, kind: int = DatagramKind.POLICY) -> None:
         if self.superseded:
             return
         self.sequence += 1
         self.metrics.told += 1
-        sealed = seal(self.secret, self.rank, rank, self.incarnation, self.sequence, body, kind)
+        sealed = encode_datagram(self.secret, self.rank, rank, self.incarnation, self.sequence, body, kind)
         self.sockets[PEER].send(sealed, self.peers[rank])
 
     def _receive_datagrams(self) -> None:
         datagrams = self.sockets[PEER]
         while True:
             data, _ = datagrams.recv()
-            taken = self.inbox.take(self.loop.now(), data[: SIZE_MOST + 1])
+            taken = self.inbox.accept(self.loop.now(), data[: MAX_DATAGRAM_BYTES + 1])
             if taken is None:
                 continue
             self.metrics.heard += 1
             kind, sender, body = taken
-            if kind == MODULE:
+            if kind == DatagramKind.POLICY:
                 self.host.feed(policy.PeerMessageReceived(sender, body))
-            elif kind == CHANGE and self.versions is not None:
+            elif kind == DatagramKind.ROLLOUT and self.versions is not None:
                 self.versions.hear(sender, body)
             else:
-                self.limits.hear(sender, body)
+                self.limits.receive(sender, body)
--- a/orchidlane/gateway/lifecycle/state_handover.py
+++ b/orchidlane/gateway/lifecycle/state_handover.py
@@ -27,8 +27,8 @@
         copy = PreCopy(
             [
                 AccountsTable(self.gateway.host.rules),
-                NamedTable("tokens", limits.holder),
-                NamedTable("grants", limits.ledger),
+                NamedTable("tokens", limits.token_owner),
+                NamedTable("grants", limits.grants),
             ]
         )
         self._channel = channel.number
@@ -79,9 +79,9 @@
         channel.send(
             messages.FinalState(
                 policy_state=final_policy_state(gateway.host.rules),
-                limits=gateway.limits.carried(),
+                limits=gateway.limits.dump_state(),
                 endpoints=msgspec.to_builtins(gateway.tracker.carried()),
-                peers=[list(row) for row in gateway.inbox.carried()],
+                peers=[list(row) for row in gateway.inbox.peer_rows()],
                 datagram_sequence=gateway.sequence,
                 last_request_id=gateway.host.numbers,
                 class_names=gateway.knowledge.generation.class_names,
--- a/orchidlane/gateway/lifecycle/successor_units.py
+++ b/orchidlane/gateway/lifecycle/successor_units.py
@@ -68,8 +68,8 @@
             pending.granted = reply.granted
         self.channel.loop.wake(pending.task)
 
-    def granted(self, name: bytes, customer: int, units: float, span: int | None) -> None:
-        """Pass a grant on (see ``token_requests.LentLimits``)."""
+    def add_grant(self, name: bytes, customer: int, units: float, span: int | None) -> None:
+        """Pass a grant on (see ``token_requests.SuccessorGrants``)."""
         reserved_us = NO_RESERVATION if span is None else span
         self.channel.send(messages.GrantRecorded(name, customer, units, reserved_us))
 
--- a/orchidlane/hot_restart/account_recovery.py
+++ b/orchidlane/hot_restart/account_recovery.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Any, NamedTuple
 
-from orchidlane.policy.state import Account
-from orchidlane.recording import load_account
+from orchidlane.policy.accounts import Account
+from orchidlane.recording import account_from_row
 
 
 class PreviousIncarnation(NamedTuple):
@@ -35,11 +35,11 @@
     """Yield the accounts to begin with, without those whose plan is gone. Raises what bad rows cause."""
     plan_numbers = {name: number for number, name in enumerate(plans)}
     for row in rows:
-        account = load_account(row)
+        account = account_from_row(row)
         plan = plan_numbers.get(previous.plan_names[account.plan])
         if plan is None:
             continue
-        account.key = (plan, *account.key[1:])
+        account.key = account.key._replace(plan=plan)
         _reset(account, previous, now)
         yield account
 
--- a/orchidlane/hot_restart/messages.py
+++ b/orchidlane/hot_restart/messages.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from orchidlane.recording.segments import FRAME, frame
-from orchidlane.recording.state_dump import Dump
+from orchidlane.recording.frames import FRAME_HEADER, encode_frame
+from orchidlane.recording.state_dump import StateDump
 
 PROTOCOL_VERSION = 1
 MAX_FRAME_BYTES = 64 << 20
@@ -189,7 +189,7 @@
 class FinalState(Message, frozen=True, tag=24):
     """The handover: all earlier state was sent, and from here on the new process decides."""
 
-    policy_state: Dump  # without accounts
+    policy_state: StateDump  # without accounts
     limits: dict[str, Any]
     endpoints: dict[str, Any]
     peers: list[Any]  # received datagrams by peer: rank, incarnation, latest number, bitmap of earlier ones
@@ -313,7 +313,7 @@
 
 def encode(message: Message) -> bytes:
     """Encode a message as a frame."""
-    return frame(msgspec.msgpack.encode(message))
+    return encode_frame(msgspec.msgpack.encode(message))
 
 
 class Parser:
@@ -338,15 +338,15 @@
         return message
 
     def _next_body(self) -> bytes | None:
-        if len(self._buffer) < FRAME.size:
+        if len(self._buffer) < FRAME_HEADER.size:
             return None
-        length, checksum = FRAME.unpack_from(self._buffer)
+        length, checksum = FRAME_HEADER.unpack_from(self._buffer)
         if length > MAX_FRAME_BYTES:
             raise ProtocolError("a frame of impossible length")
-        end = FRAME.size + length
+        end = FRAME_HEADER.size + length
         if len(self._buffer) < end:
             return None
-        body = bytes(self._buffer[FRAME.size : end])
+        body = bytes(self._buffer[FRAME_HEADER.size : end])
         del self._buffer[:end]
         if zlib.crc32(body) != checksum:
             raise ProtocolError("a frame does not fit its checksum")
--- a/orchidlane/hot_restart/tables.py
+++ b/orchidlane/hot_restart/tables.py
@@ -13,11 +13,18 @@
 import msgspec
 
 from orchidlane import policy
-from orchidlane.limits import Holder, Ledger
+from orchidlane.limits import GrantStore, TokenOwner
+from orchidlane.policy.accounts import Account
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account
-from orchidlane.recording import Accounts, Dump, dump, load_account, restore, track
-from orchidlane.recording.state_dump import dump_account
+from orchidlane.recording import (
+    ObservableAccounts,
+    StateDump,
+    account_from_row,
+    account_to_row,
+    dump_state,
+    restore_gateway,
+    track_accounts,
+)
 
 
 class AccountsTable:
@@ -26,8 +33,8 @@
     name = "accounts"
 
     def __init__(self, gateway: Gateway) -> None:
-        track(gateway)
-        self._accounts: Accounts = gateway.accounts  # type: ignore[assignment]
+        track_accounts(gateway)
+        self._accounts: ObservableAccounts = gateway.accounts  # type: ignore[assignment]
         self._touched: dict[Hashable, None] | None = None
 
     def keys(self) -> Iterable[Hashable]:
@@ -35,19 +42,19 @@
         return list(self._accounts)
 
     def row(self, key: Any) -> Any:
-        """Return the row of a customer as in ``Dump.accounts``, None if there is no account."""
+        """Return the row of a customer as in ``StateDump.accounts``, None if there is no account."""
         account = dict.get(self._accounts, key)
-        return dump_account(account) if account is not None else None
+        return account_to_row(account) if account is not None else None
 
     def watch(self, touched: dict[Hashable, None] | None) -> None:
         """Observe the dictionary through which the policy reaches its accounts."""
         if self._touched is None and touched is not None:
-            self._accounts.watch(self)
+            self._accounts.add_observer(self)
         elif touched is None and self._touched is not None:
-            self._accounts.unwatch(self)
+            self._accounts.remove_observer(self)
         self._touched = touched
 
-    def save(self, customer: int) -> None:
+    def before_access(self, customer: int) -> None:
         """Note an account that the policy has looked up: it may change."""
         if self._touched is not None:
             self._touched[customer] = None
@@ -56,7 +63,7 @@
 class NamedTable:
     """Tokens or grants by name."""
 
-    def __init__(self, name: str, entries: Holder | Ledger) -> None:
+    def __init__(self, name: str, entries: TokenOwner | GrantStore) -> None:
         self.name = name
         self._entries = entries
 
@@ -69,24 +76,24 @@
         return self._entries.row(key)
 
     def watch(self, touched: dict[Hashable, None] | None) -> None:
-        """Have the holder or ledger note the names that it changes."""
-        self._entries.touched = touched  # type: ignore[assignment]
+        """Have the store note the names that it changes."""
+        self._entries.touched = touched
 
 
 class ReceivedTables:
     """What a new process has received so far; a row may be received again."""
 
-    def __init__(self, holder: Holder, ledger: Ledger) -> None:
+    def __init__(self, token_owner: TokenOwner, grants: GrantStore) -> None:
         self.accounts: dict[int, Account] = {}
-        self.holder = holder
-        self.ledger = ledger
+        self.token_owner = token_owner
+        self.grants = grants
 
     def apply(self, table: str, rows: list[Any], removed: list[Any], now: int) -> None:
         """Store rows of one table and remove keys from it. Raises ValueError, KeyError, TypeError."""
         if table == AccountsTable.name:
             self._apply_accounts(rows, removed, now)
             return
-        entries: Any = {"tokens": self.holder, "grants": self.ledger}[table]
+        entries: Any = {"tokens": self.token_owner, "grants": self.grants}[table]
         for row in rows:
             entries.load(row)
         for name in removed:
@@ -94,7 +101,7 @@
 
     def _apply_accounts(self, rows: list[Any], removed: list[Any], now: int) -> None:
         for row in rows:
-            account = load_account(row)
+            account = account_from_row(row)
             in_flight_as_peers = (now for _ in range(account.in_flight))
             account.peer_admissions_at_us = (*account.peer_admissions_at_us, *in_flight_as_peers)
             account.in_flight = 0
@@ -103,35 +110,35 @@
             self.accounts.pop(customer, None)
 
 
-def final_policy_state(gateway: Gateway) -> Dump:
+def final_policy_state(gateway: Gateway) -> StateDump:
     """Return the state of a policy without its accounts and without requests in flight."""
-    state = dump(gateway, customers=[])
-    plain = {
-        **state.plain,
+    state = dump_state(gateway, customers=[])
+    scalars = {
+        **state.scalars,
         "changed": list(gateway.pending_changes),
         "closed": list(gateway.exhausted_customers),
     }
-    return msgspec.structs.replace(state, plain=plain)
+    return msgspec.structs.replace(state, scalars=scalars)
 
 
 def restore_policy(
-    settings: policy.Settings, state: Dump, accounts: dict[int, Account], old_classes: list[int | None]
+    settings: policy.Settings, state: StateDump, accounts: dict[int, Account], old_classes: list[int | None]
 ) -> Gateway:
     """Build a new process's policy.
 
     ``old_classes`` has for each class of the new settings its number in the old process, None for a new one.
     Raises FormatError, KeyError.
     """
-    plain = state.plain
-    usual = plain["usual"]
-    changed = plain["changed"]
-    exhausted = plain.get("closed", ())
-    gateway = restore(settings, state)
+    scalars = state.scalars
+    usual = scalars["usual"]
+    changed = scalars["changed"]
+    exhausted = scalars.get("closed", ())
+    gateway = restore_gateway(settings, state)
     initial = Gateway(settings, 0, gateway.now).usual_duration_us
     gateway.usual_duration_us = [
         initial[new] if old is None else usual[old] for new, old in enumerate(old_classes)
     ]
-    gateway.accounts = Accounts(accounts)
+    gateway.accounts = ObservableAccounts(accounts)
     gateway.idle_queue.extend(accounts)  # in any order: it only says which account is examined next
     gateway.pending_changes = {customer: None for customer in changed if customer in accounts}
     gateway.exhausted_customers = {
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -16,8 +16,8 @@
 from orchidlane.gateway.forwarding import connection_pool
 from orchidlane.gateway.forwarding.pending_request import Answer
 from orchidlane.gateway.forwarding.policy_driver import Host
-from orchidlane.gateway.server.http_server import Front
-from orchidlane.policy.gateway import Gateway
+from orchidlane.gateway.server.response_writer import ResponseWriter
+from orchidlane.policy import admission, endpoint_registry, retries
 from orchidlane.simulation.backends import play, simulate
 from orchidlane.simulation.random_faults import broken, play_seeds
 from orchidlane.simulation.scenario import Day, Step, load_day
@@ -112,26 +112,26 @@
 
 
 def test_the_audit_objects_to_a_doubled_answer(monkeypatch):
-    write = Front._write
+    write = ResponseWriter.write
 
     def twice(self, connection, head, answer, keep):
         write(self, connection, head, answer, keep)
         return write(self, connection, head, answer, keep)
 
-    monkeypatch.setattr(Front, "_write", twice)
+    monkeypatch.setattr(ResponseWriter, "write", twice)
     verdict = simulate(day(span=3), 1)
     assert verdict.doubled
     assert not verdict.rules["1"]
 
 
 def test_the_audit_objects_to_a_late_answer(monkeypatch):
-    write = Front._write
+    write = ResponseWriter.write
 
     def late(self, connection, head, answer, keep):
-        self.loop.sleep(300_000 if answer.status == 503 else 0)
+        self._server.loop.sleep(300_000 if answer.status == 503 else 0)
         return write(self, connection, head, answer, keep)
 
-    monkeypatch.setattr(Front, "_write", late)
+    monkeypatch.setattr(ResponseWriter, "write", late)
     verdict = simulate(day(step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, silent=0.3), span=4), 1)
     assert verdict.late
     assert not verdict.rules["1"]
@@ -171,8 +171,8 @@
 
 
 def test_the_audit_objects_to_a_cold_node_pushed_over(monkeypatch):
-    monkeypatch.setattr(Gateway, "_is_warm", lambda self, host: True)
-    monkeypatch.setattr(Gateway, "_patience", lambda self, request: 1e12)
+    monkeypatch.setattr(endpoint_registry, "is_warm", lambda state, endpoint: True)
+    monkeypatch.setattr(retries, "_admission_latency_bound_us", lambda state, request: 1e12)
     steps = step(0.5, "kill_node", 0, 1, 2, 3, 4, back=0.1)
     verdict = simulate(day(steps, rate=500.0, customers=500, cores=1.0), 1)
     assert verdict.fell_over
@@ -180,14 +180,14 @@
 
 
 def test_the_audit_objects_to_a_ceiling_passed(monkeypatch):
-    admits = Gateway._admits
+    admits = admission.admits
 
-    def lets_all_in(self, request):
-        admits(self, request)
-        request.account.ceiling_tokens = max(request.account.ceiling_tokens, request.event.units)
+    def lets_all_in(state, event, account):
+        admits(state, event, account)
+        account.ceiling_tokens = max(account.ceiling_tokens, event.units)
         return True
 
-    monkeypatch.setattr(Gateway, "_admits", lets_all_in)
+    monkeypatch.setattr(admission, "admits", lets_all_in)
     verdict = simulate(day(customers=2, rate=120.0), 1)
     assert verdict.ceiling_worst > 1
     assert not verdict.rules["5"]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,8 +8,8 @@
 from harness.fleet_house import Fleet, Terms
 from harness.platform_house import MS, SECOND
 
-from orchidlane.policy import gateway as rules
-from orchidlane.recording.reference_quota import TrueStore
+from orchidlane.policy import admission, endpoint_registry, gossip, quota, token_owner
+from orchidlane.recording.reference_quota import ReferenceQuota
 
 PLAN = {
     "beyondEarns": 0,
@@ -53,7 +53,7 @@
 
 def test_a_fleet_that_sends_cold_hosts_what_warm_ones_get_is_found(monkeypatch):
     """The check can fail: without the ramp the same day breaks it."""
-    monkeypatch.setattr(rules.Gateway, "_is_warm", lambda self, host: True)
+    monkeypatch.setattr(endpoint_registry, "is_warm", lambda state, endpoint: True)
     terms = Terms(gateways=20, hosts=10, load=0.9, fall_multiple=1.0)
     assert worst(Fleet(terms, ROOMY, CROWD, seed=20).play(replaced)) > 1.0
 
@@ -89,16 +89,16 @@
     """Lets a customer in by the true state of its store, as it was some time ago."""
 
     def __init__(self, rate: float, burst: float, now: int) -> None:
-        self.seen, self.true = TrueStore(rate, burst, now), TrueStore(rate, burst, now)
+        self.seen, self.true = ReferenceQuota(rate, burst, now), ReferenceQuota(rate, burst, now)
         self._taken: deque[int] = deque()
 
     def beyond(self, now: int) -> bool | None:
         """Whether it sends a request beyond the quota; None where it sends none."""
         while self._taken and self._taken[0] <= now - LATE:
-            self.seen.force(self._taken.popleft(), 1.0)
-        if self.seen.at(now - LATE) < 1.0:
+            self.seen.draw(self._taken.popleft(), 1.0)
+        if self.seen.available_at(now - LATE) < 1.0:
             return None
-        if not self.true.take(now, 1.0):
+        if not self.true.try_draw(now, 1.0):
             return True
         self._taken.append(now)
         return False
@@ -110,16 +110,19 @@
     stores, policies, offered = {}, {}, {}
     for number, (plan, _) in enumerate(fleet.customers):
         rate, burst = fleet.plans[plan]["perSecond"], fleet.plans[plan]["peakUnits"]
-        stores[number], offered[number] = TrueStore(rate, burst, start), TrueStore(rate, burst, start)
+        stores[number], offered[number] = (
+            ReferenceQuota(rate, burst, start),
+            ReferenceQuota(rate, burst, start),
+        )
         policies[number] = LatePolicy(rate, burst, start)
     for now, customer in fleet.asked:
         plan = fleet.plans[fleet.customers[customer][0]]
         worth = plan["pays"]
-        inside += worth * offered[customer].take(now, 1.0)
+        inside += worth * offered[customer].try_draw(now, 1.0)
         late += worth * plan["overrunCost"] * (policies[customer].beyond(now) is True)
     for now, customer in fleet.sent:
         plan = fleet.plans[fleet.customers[customer][0]]
-        ours += plan["pays"] * plan["overrunCost"] * (not stores[customer].take(now, 1.0))
+        ours += plan["pays"] * plan["overrunCost"] * (not stores[customer].try_draw(now, 1.0))
     return ours / inside, late / inside
 
 
@@ -141,17 +144,13 @@
 
 def test_a_fleet_without_counts_of_each_other_is_found(monkeypatch):
     """The check can fail: where nobody hears of the others, each lets in the whole quota."""
-    monkeypatch.setattr(rules.Gateway, "_peer_message", lambda self, event: None)
-    monkeypatch.setattr(rules.Gateway, "_admits", admits_by_itself)
-    monkeypatch.setattr(rules, "HEAR", 0.0)  # nor takes silence for a cut
+    monkeypatch.setattr(gossip, "peer_message_received", lambda state, event: None)
+    monkeypatch.setattr(admission, "admits", admits_by_itself)
+    monkeypatch.setattr(token_owner, "UNREACHABLE_SMOOTHING", 0.0)  # nor takes silence for a partition
     _, ours, late = quiet_day(20)
     assert ours > late + 0.1, (ours, late)
 
 
-def admits_by_itself(gateway, request) -> bool:
-    event = request.event
-    request.account = gateway._account(
-        event.customer, event.plan, event.replica_set_start, event.replica_set_size, trusted=True
-    )
-    gateway._lift(request.account)
-    return request.account.remaining >= event.units
+def admits_by_itself(state, event, account) -> bool:
+    quota.refill(state, account)
+    return account.remaining >= event.units
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -26,20 +26,18 @@
 from orchidlane.gateway.control import endpoint_list
 from orchidlane.gateway.lifecycle.account_store import AccountStore
 from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver, StoredRoll
-from orchidlane.gateway.peers import datagrams, token_requests
+from orchidlane.gateway.peers import datagrams, query_exchange, token_messages, token_requests
 from orchidlane.gateway.rollout_agent import admin_api, agent, storage
 from orchidlane.gateway.telemetry import policy_views
 from orchidlane.hot_restart import messages as restart_messages
 from orchidlane.hot_restart import rolling_upgrade
 from orchidlane.hot_restart.probation import AnswerCounts
-from orchidlane.limits import Holder
-from orchidlane.limits import Ledger as GrantLedger
-from orchidlane.limits.reservations import Outcome as GrantOutcome
+from orchidlane.limits import GrantOutcome, GrantStore, TokenOwner
 from orchidlane.policy import gossip_codec as module_messages
+from orchidlane.policy.accounts import Account, AccountKey, ReplicaCount
 from orchidlane.policy.gateway import Gateway
-from orchidlane.policy.state import Account
 from orchidlane.recording import segments
-from orchidlane.recording.state_dump import dump_account
+from orchidlane.recording.state_dump import account_to_row
 from orchidlane.rollout import messages as version_messages
 from orchidlane.rollout import replicated_state as fleet_ledger
 from orchidlane.rollout import version
@@ -83,10 +81,10 @@
     """Two accounts; all fields of the first are other than a new account's."""
     first = Account(
         customer=7,
-        key=(2, 1, 3),
+        key=AccountKey(2, 1, 3),
         limit=24.5,
         refilled_at_us=T0 - 40,
-        replica_counts={0: (15_900, 3.25), 2: (15_950, 4.5)},
+        replica_counts={0: ReplicaCount(15_900, 3.25), 2: ReplicaCount(15_950, 4.5)},
         counted_total=7.75,
         spent_total=9.25,
         recently_changed=(2, 0),
@@ -98,17 +96,17 @@
         requested_tokens=1.5,
         exhausted=True,
     )
-    return [first, Account(customer=4_000_000_000, key=(0, 0, 1), limit=10.0, refilled_at_us=T0)]
+    return [first, Account(customer=4_000_000_000, key=AccountKey(0, 0, 1), limit=10.0, refilled_at_us=T0)]
 
 
-def golden_state() -> recording.Dump:
+def golden_state() -> recording.StateDump:
     """The state of a module with servers, accounts, requests under way and all else that a state holds."""
-    return msgspec.msgpack.decode(golden("module-state.msgpack"), type=recording.Dump)
+    return msgspec.msgpack.decode(golden("module-state.msgpack"), type=recording.StateDump)
 
 
 def golden_module() -> Gateway:
     """The module that the golden state makes, with whole numbers for times as in one that was never read."""
-    module = recording.restore(SETTINGS, golden_state())
+    module = recording.restore_gateway(SETTINGS, golden_state())
     for known in (module.fleet_health, *module.zone_health.values()):
         known.updated_at_us = int(known.updated_at_us)
     return module
@@ -166,13 +164,13 @@
         format=2,
         build=BUILD,
         gateway="gateway-1",
-        life=T0 - 1_000_000,
+        started_at_us=T0 - 1_000_000,
         number=3,
         settings=golden_settings(),
         state=msgspec.structs.replace(golden_state(), accounts=[]),
         class_names=CLASS_NAMES,
         plan_names=PLAN_NAMES,
-        about={"now": T0, "incarnation": T0 - 1_000_000, "list": ["epoch-1", 12, 2], "draining": True},
+        context={"now": T0, "incarnation": T0 - 1_000_000, "list": ["epoch-1", 12, 2], "draining": True},
     )
 
 
@@ -322,8 +320,8 @@
 def golden_limit_messages() -> dict[str, Any]:
     """One of each message of the limits between gateways."""
     return {
-        "question": token_requests.Question(55, 1, b"token-1", 7, 66, 2.5),
-        "reply": token_requests.Reply(55, 2, 1, 2.5, "done before"),
+        "question": token_messages.TokenQuery(55, 1, b"token-1", 7, 66, 2.5),
+        "reply": token_messages.TokenReply(55, 2, 1, 2.5, "done before"),
     }
 
 
@@ -495,29 +493,44 @@
 
 def write_state() -> bytes:
     """The state of the golden module."""
-    return msgspec.msgpack.encode(recording.dump(golden_module()))
+    return msgspec.msgpack.encode(recording.dump_state(golden_module()))
 
 
 def write_record() -> bytes:
     """A segment with its accounts in two pages, each event, all actions with the first, and an answer."""
-    rows = [dump_account(account) for account in golden_accounts()]
-    parts = [recording.pack_header(golden_header()), recording.pack_accounts(T0 + 1, rows[:1], last=False)]
+    rows = [account_to_row(account) for account in golden_accounts()]
+    parts = [
+        recording.pack_header(golden_header()),
+        recording.pack_account_page(T0 + 1, rows[:1], last=False),
+    ]
     for number, event in enumerate(golden_events()):
         parts.append(recording.pack_entry(T0 + 2 + number, event, [] if number else golden_actions()))
-    parts.append(recording.pack_accounts(T0 + 90, rows[1:], last=True))
-    parts.append(segments.pack_answer(T0 + 91, 1, 429, "refused", 6_000))
+    parts.append(recording.pack_account_page(T0 + 90, rows[1:], last=True))
+    parts.append(segments.pack_response(T0 + 91, 1, 429, "refused", 6_000))
     return b"".join(parts)
 
 
 NO_ACCOUNTS: dict[str, list[Any]] = {
-    name: [] for name in ("idle_queue", "changed", "asked", "requests", "detached", "owed", "closed", "told")
+    name: []
+    for name in (
+        "idle_queue",
+        "pending_changes",
+        "awaited_replies",
+        "requests",
+        "detached_attempts",
+        "pending_deltas",
+        "exhausted_customers",
+        "exhaustion_notices",
+    )
 }
 
 
 def account_store(disk: Disk) -> AccountStore:
     """The account store of a gateway whose module holds the golden accounts, or none where they are read."""
-    gateway = recording.restore(SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS))
-    recording.track(gateway)
+    gateway = recording.restore_gateway(
+        SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS)
+    )
+    recording.track_accounts(gateway)
     about = {"now": T0, "incarnation": T0 - 1_000_000, "sequence": 5_000, "generation": 4, "open": 2}
     program = SimpleNamespace(
         loop=disk,
@@ -577,14 +590,20 @@
 def write_module_message() -> bytes:
     """As the module tells its peers."""
     sent = T0 // 1000
-    return module_messages.pack(sent, True, True, [module_messages.pack_row(golden_module_row(), sent, 3)])
+    return module_messages.encode_message(
+        sent, True, True, [module_messages.encode_row(golden_module_row(), sent, 3)]
+    )
 
 
 def write_datagrams() -> dict[str, bytes]:
     """One sealed datagram of each kind."""
-    kinds = {"module": datagrams.MODULE, "limits": datagrams.LIMITS, "versions": datagrams.CHANGE}
+    kinds = {
+        "module": datagrams.DatagramKind.POLICY,
+        "limits": datagrams.DatagramKind.LIMITS,
+        "versions": datagrams.DatagramKind.ROLLOUT,
+    }
     return {
-        name: datagrams.seal(SECRET, 1, 2, T0 - 5, 900 + kind, b"a body", kind)
+        name: datagrams.encode_datagram(SECRET, 1, 2, T0 - 5, 900 + kind, b"a body", kind)
         for name, kind in kinds.items()
     }
 
@@ -661,7 +680,7 @@
     customers = list(gateway.accounts)
     gateway.pending_deltas = {1: {customers[0]: 1}, 2: {customers[1]: 2}}
     gateway.exhausted_customers = dict.fromkeys(gateway.exhausted_customers, 2)
-    return msgspec.msgpack.encode(recording.dump(gateway))
+    return msgspec.msgpack.encode(recording.dump_state(gateway))
 
 
 write_missing()
@@ -699,7 +718,7 @@
 
 def test_a_golden_state_makes_a_module_that_is_told_in_the_same_bytes():
     module = golden_module()
-    assert msgspec.msgpack.encode(recording.dump(module)) == golden("module-state.msgpack")
+    assert msgspec.msgpack.encode(recording.dump_state(module)) == golden("module-state.msgpack")
     assert module.accounts and module.endpoints and module.requests and module.attempts
 
 
@@ -758,11 +777,11 @@
 
 def test_a_snapshot_of_the_golden_module_holds_the_golden_state():
     module = golden_module()
-    recording.track(module)
+    recording.track_accounts(module)
     snapshot = recording.Snapshot(module)
     rows = [row for page in snapshot.pages() for row in page]
     state = golden_state()
-    told = msgspec.msgpack.decode(msgspec.msgpack.encode((snapshot.head, rows)))
+    told = msgspec.msgpack.decode(msgspec.msgpack.encode((snapshot.state, rows)))
     head = msgspec.structs.replace(state, accounts=[])
     assert told[0] == msgspec.msgpack.decode(msgspec.msgpack.encode(head))
     assert sorted(told[1]) == sorted(msgspec.to_builtins(state.accounts))
@@ -770,11 +789,15 @@
 
 def test_the_golden_record_has_every_event_action_and_enumerated_value():
     events, actions = golden_events(), golden_actions()
-    assert {type(event) for event in events} == set(get_args(policy.Event)) == set(recording.EVENTS.values())
+    assert (
+        {type(event) for event in events}
+        == set(get_args(policy.Event))
+        == set(recording.EVENT_TYPES.values())
+    )
     assert (
         {type(action) for action in actions}
         == set(get_args(policy.Action))
-        == set(recording.ACTIONS.values())
+        == set(recording.ACTION_TYPES.values())
     )
     for kind in (policy.AttemptEnded, policy.HealthCheckEnded, policy.CounterAnswered):
         assert {one.outcome for one in events if type(one) is kind} == set(policy.Outcome)
@@ -786,20 +809,20 @@
 def test_a_golden_record_is_read_as_its_values():
     reader = recording.SegmentReader("golden", golden("traffic-record.olr"))
     assert reader.header == golden_header()
-    assert reader.header.module_settings() == SETTINGS
-    assert [recording.load_account(row) for row in reader.state().accounts] == golden_accounts()
+    assert reader.header.policy_settings() == SETTINGS
+    assert [recording.account_from_row(row) for row in reader.read_state().accounts] == golden_accounts()
     *entries, answer = reader.entries()
-    assert reader.broken is None
+    assert reader.damage is None
     assert [entry.event for entry in entries] == golden_events()
-    assert [entry.now for entry in entries] == [T0 + 2 + number for number in range(len(entries))]
+    assert [entry.at_us for entry in entries] == [T0 + 2 + number for number in range(len(entries))]
     assert entries[0].actions == golden_actions()
-    assert (answer.now, answer.event, answer.facts) == (T0 + 91, None, (1, 429, "refused", 6_000))
+    assert (answer.at_us, answer.event, answer.response) == (T0 + 91, None, (1, 429, "refused", 6_000))
 
 
 def test_a_golden_account_store_brings_back_its_accounts():
     reader = recording.SegmentReader("golden", golden("account-store.olr"))
-    rows = {row[0]: row for row in reader.state().accounts}
-    assert [recording.load_account(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
+    rows = {row[0]: row for row in reader.read_state().accounts}
+    assert [recording.account_from_row(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
     store = account_store(Disk(accounts=golden("account-store.olr")))
     assert store.load() == len(golden_accounts())
     accounts = store.gateway.host.rules.accounts
@@ -861,9 +884,9 @@
 
 def test_rows_of_every_table_are_taken_and_told_again():
     accounts = read_restart_message("rows of accounts").rows
-    assert [recording.load_account(row) for row in accounts] == golden_accounts()[:1]
-    assert PACK([dump_account(recording.load_account(row)) for row in accounts]) == PACK(accounts)
-    holder, grants = Holder(1, 10, T0), GrantLedger(100, 1, 1)
+    assert [recording.account_from_row(row) for row in accounts] == golden_accounts()[:1]
+    assert PACK([account_to_row(recording.account_from_row(row)) for row in accounts]) == PACK(accounts)
+    holder, grants = TokenOwner(1, 10, T0), GrantStore(100, 1, 1)
     for kept, name in ((holder, "rows of tokens"), (grants, "rows of grants")):
         rows = read_restart_message(name).rows
         for row in rows:
@@ -875,13 +898,13 @@
     final = read_restart_message("final")
     terms = SimpleNamespace(token_life=1, tokens=10, grants=10, grant_life=1, credit_life=1)
     fleet = SimpleNamespace(limits=terms, gateways=[None] * 3)
-    service = token_requests.LimitService(Disk(), fleet, 0, None, print, None)  # type: ignore[arg-type]
-    service.carry_on(final.limits)
-    again = {**final.limits, "numbers": final.limits["numbers"] + token_requests.NUMBERS_APART}
-    assert PACK(service.carried()) == PACK(again)
+    service = token_requests.LimitService(Disk(), fleet, 0, None, print)  # type: ignore[arg-type]
+    service.load_state(final.limits)
+    again = {**final.limits, "numbers": final.limits["numbers"] + query_exchange.QUERY_IDS_PER_PROCESS}
+    assert PACK(service.dump_state()) == PACK(again)
     inbox = datagrams.Inbox(SECRET, 0, 3, T0, 9.0)
-    inbox.carry_on(final.peers)
-    assert PACK(inbox.carried()) == PACK(final.peers)
+    inbox.load_peer_rows(final.peers)
+    assert PACK(inbox.peer_rows()) == PACK(final.peers)
     tracker = endpoint_list.ListTracker("z1", 100)
     tracker.carry_on(final.endpoints)
     assert PACK(tracker.carried()) == PACK(final.endpoints) == PACK(golden_tracker().carried())
@@ -895,26 +918,29 @@
 def test_golden_messages_of_the_limits_are_read_as_their_values():
     here = [
         one
-        for one in vars(token_requests).values()
-        if getattr(one, "__module__", "") == token_requests.__name__
+        for one in vars(token_messages).values()
+        if getattr(one, "__module__", "") == token_messages.__name__
     ]
     structs = {one for one in here if isinstance(one, type) and issubclass(one, msgspec.Struct)}
     assert {type(one) for one in golden_limit_messages().values()} == structs
     for name, message in golden_limit_messages().items():
         assert has_default(message) == []
         data = golden_examples("limit-messages.json")[name]
-        assert msgspec.msgpack.decode(data, type=token_requests.Question | token_requests.Reply) == message
+        assert (
+            msgspec.msgpack.decode(data, type=token_messages.TokenQuery | token_messages.TokenReply)
+            == message
+        )
 
 
 def test_a_golden_message_of_the_module_is_read_as_its_values():
-    found = module_messages.unpack(golden("module-message.bin"), T0 // 1000, 3, len(PLAN_NAMES))
+    found = module_messages.decode_message(golden("module-message.bin"), T0 // 1000, 3, len(PLAN_NAMES))
     assert found == module_messages.GossipMessage(T0 // 1000, True, True, (golden_module_row(),))
 
 
 def test_golden_datagrams_of_every_kind_are_taken():
     for number, data in enumerate(golden_examples("datagrams.json").values()):
         inbox = datagrams.Inbox(SECRET, 2, 3, T0, 9.0, 9.0, 9.0)
-        assert inbox.take(T0, data) == (number, 1, b"a body")
+        assert inbox.accept(T0, data) == (number, 1, b"a body")
 
 
 # Fleet versions
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -38,7 +38,7 @@
 from orchidlane import config, policy, resp
 from orchidlane.cli.main import main
 from orchidlane.gateway.control import settings as fleet_settings
-from orchidlane.gateway.peers import datagrams, token_requests
+from orchidlane.gateway.peers import datagrams, token_messages
 from orchidlane.gateway.rollout_agent import admin_api
 from orchidlane.gateway.rollout_agent import agent as versions_shell
 from orchidlane.hot_restart import messages as upgrade_messages
@@ -195,7 +195,7 @@
 
 def sealed(kind: int, body: bytes, sequence: int = 5, incarnation: int = 900) -> bytes:
     """A datagram from gateway 1 to gateway 2."""
-    return datagrams.seal(SECRET, 1, 2, incarnation, sequence, body, kind)
+    return datagrams.encode_datagram(SECRET, 1, 2, incarnation, sequence, body, kind)
 
 
 # Messages between gateways
@@ -217,8 +217,10 @@
     for what, rows in ROWS.items():
         for when, sent in SENT.items():
             for ask, keep in ((False, False), (True, False), (False, True), (True, True)):
-                parts = gossip_codec.fit(gossip_codec.pack_row(row, sent, 3) for row in rows)
-                found[f"{what}, {when}, {ask:d}{keep:d}"] = gossip_codec.pack(sent, ask, keep, parts)
+                parts = gossip_codec.take_fitting(gossip_codec.encode_row(row, sent, 3) for row in rows)
+                found[f"{what}, {when}, {ask:d}{keep:d}"] = gossip_codec.encode_message(
+                    sent, ask, keep, parts
+                )
     return found
 
 
@@ -235,20 +237,22 @@
     for what, text in all_bytes.items():
         body = bytes.fromhex(text)
         for now in (1_000_400, (1 << 32) + 300):
-            found[f"{what}, read at {now}"] = message_values(gossip_codec.unpack(body, now, 3, 3))
+            found[f"{what}, read at {now}"] = message_values(gossip_codec.decode_message(body, now, 3, 3))
     body = bytes.fromhex(all_bytes["one row, early, 11"])
     for place in range(len(body)):
         changed = body[:place] + bytes((body[place] ^ 0x81,)) + body[place + 1 :]
-        found[f"byte {place} changed"] = message_values(gossip_codec.unpack(changed, 1_000_400, 3, 3))
-        found[f"cut at {place}"] = message_values(gossip_codec.unpack(body[:place], 1_000_400, 3, 3))
-    found["a number too long"] = message_values(gossip_codec.unpack(body[:6] + b"\xff" * 12, 1_000_400, 3, 3))
+        found[f"byte {place} changed"] = message_values(gossip_codec.decode_message(changed, 1_000_400, 3, 3))
+        found[f"cut at {place}"] = message_values(gossip_codec.decode_message(body[:place], 1_000_400, 3, 3))
+    found["a number too long"] = message_values(
+        gossip_codec.decode_message(body[:6] + b"\xff" * 12, 1_000_400, 3, 3)
+    )
     assert None in found.values()
     check_golden("peer-messages-read", found)
 
 
 def test_what_does_not_fit_into_a_message_is_left_out():
     rows = [counts_row(1 << 30, 0, 0, 3, 0, 1.0, one, 0.0, ((0, 0, one),)) for one in range(60)]
-    parts = gossip_codec.fit(gossip_codec.pack_row(row, 1_000_000, 3) for row in rows)
+    parts = gossip_codec.take_fitting(gossip_codec.encode_row(row, 1_000_000, 3) for row in rows)
     check_golden("peer-messages-full", {"rows": len(parts), "bytes": b"".join(parts).hex()})
 
 
@@ -263,7 +267,7 @@
     check_golden("sealed-datagrams", found)
     inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
     assert [
-        inbox.take(1_000, sealed(kind, b"x", sequence)) for sequence, kind in enumerate(kinds.values(), 1)
+        inbox.accept(1_000, sealed(kind, b"x", sequence)) for sequence, kind in enumerate(kinds.values(), 1)
     ] == [(kind, 1, b"x") for kind in kinds.values()]
 
 
@@ -275,22 +279,22 @@
         "another magic": b"XX" + good_one[2:],
         "another format": good_one[:2] + b"\2" + good_one[3:],
         "an unknown kind": sealed(9, b"x"),
-        "to another": datagrams.seal(SECRET, 1, 0, 900, 5, b"x"),
-        "of our own rank": datagrams.seal(SECRET, 2, 2, 900, 5, b"x"),
-        "of no gateway": datagrams.seal(SECRET, 9, 2, 900, 5, b"x"),
-        "of another key": datagrams.seal(b"another key, long enough", 1, 2, 900, 5, b"x"),
+        "to another": datagrams.encode_datagram(SECRET, 1, 0, 900, 5, b"x"),
+        "of our own rank": datagrams.encode_datagram(SECRET, 2, 2, 900, 5, b"x"),
+        "of no gateway": datagrams.encode_datagram(SECRET, 9, 2, 900, 5, b"x"),
+        "of another key": datagrams.encode_datagram(b"another key, long enough", 1, 2, 900, 5, b"x"),
         "changed": good_one[:-1] + bytes((good_one[-1] ^ 1,)),
         "a life far ahead": sealed(0, b"x", incarnation=61_000_000_000),
     }
     found = {}
     for what, data in wrong.items():
         inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
-        assert inbox.take(1_000, data) is None
-        found[what] = inbox.refused
+        assert inbox.accept(1_000, data) is None
+        found[what] = inbox.rejected
     inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 2.0)
-    taken = [inbox.take(1_000, sealed(0, b"x", number)) is not None for number in (7, 7, 6, 8)]
-    found["7, 7, 6, 8 with an intake of two"] = [taken, inbox.refused]
-    found["carried to a successor"] = [[*row[:3], row[3].hex()] for row in inbox.carried()]
+    taken = [inbox.accept(1_000, sealed(0, b"x", number)) is not None for number in (7, 7, 6, 8)]
+    found["7, 7, 6, 8 with an intake of two"] = [taken, inbox.rejected]
+    found["carried to a successor"] = [[*row[:3], row[3].hex()] for row in inbox.peer_rows()]
     check_golden("refused-datagrams", found)
 
 
@@ -341,13 +345,19 @@
 
 
 def test_questions_of_the_limits_have_the_golden_bytes():
-    found = samples(token_requests.Question | token_requests.Reply)
+    found = samples(token_messages.TokenQuery | token_messages.TokenReply)
     bodies = {tag: msgspec.msgpack.encode(message) for tag, message in found.items()}
     for tag, body in bodies.items():
-        assert msgspec.msgpack.decode(body, type=token_requests.Question | token_requests.Reply) == found[tag]
-    shortest = [token_requests.Question(5, token_requests.Op.LOOK, b"name"), token_requests.Reply(5)]
+        assert (
+            msgspec.msgpack.decode(body, type=token_messages.TokenQuery | token_messages.TokenReply)
+            == found[tag]
+        )
+    shortest = [
+        token_messages.TokenQuery(5, token_messages.TokenOperation.LOOK_UP, b"name"),
+        token_messages.TokenReply(5),
+    ]
     more = {f"shortest {place}": msgspec.msgpack.encode(one) for place, one in enumerate(shortest)}
-    more |= {f"op {op.value}": bytes((op.value,)) for op in token_requests.Op}
+    more |= {f"op {op.value}": bytes((op.value,)) for op in token_messages.TokenOperation}
     check_golden("limit-messages", {what: body.hex() for what, body in (bodies | more).items()})
 
 
@@ -457,9 +467,9 @@
 
 
 def test_each_event_that_the_wire_has_is_covered():
-    of_code = {"take_arrived", "counted", "set_moved"}  # not of the wire
+    of_code = {policy.QuotaRequested, policy.CountRecovered, policy.ReplicaSetChanged}  # not of the wire
     covered = {kind for kind in EVENT_VALUES if kind not in (codec.Start, codec.Stop)}
-    assert {kind.topic for kind in set(get_args(policy.Event)) - covered} == of_code
+    assert set(get_args(policy.Event)) - covered == of_code
 
 
 def test_each_action_has_the_golden_record():
@@ -846,13 +856,13 @@
 
 def test_settings_have_the_golden_names_and_defaults():
     schema = fleet_settings.schema()
-    found = config.plain(SMALLEST, "smallest.cue", schema, "#Fleet")
+    found = config.plain_values(SMALLEST, "smallest.cue", schema, "#Fleet")
     fleet_settings.parse_fleet(SMALLEST, "smallest.cue")
     check_golden("settings", {"defaults": found, "schema": schema_without_comments(schema)})
 
 
 def test_scripted_days_have_the_golden_names_and_defaults():
     schema = lab_day.DAY_SCHEMA.read_text()
-    found = config.plain(SMALLEST_DAY, "smallest.cue", schema, "#Day")
+    found = config.plain_values(SMALLEST_DAY, "smallest.cue", schema, "#Day")
     config.load(SMALLEST_DAY, "smallest.cue", schema, "#Day", lab_day.Day)
     check_golden("settings-of-a-day", {"defaults": found, "schema": schema_without_comments(schema)})
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -24,6 +24,7 @@
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.lifecycle.restart_channel import Channel
 from orchidlane.hot_restart import messages, new_process, old_process
+from orchidlane.policy import admission, quota
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import Expired, LoopError
 
@@ -541,7 +542,7 @@
         assert counted(new) == 5
         stream.send(resp_command(b"LIMIT.GIVEBACK", b"a-key", b"t1"))
         assert reply(stream) == b":1\r\n"
-        assert new.limits.ledger.credits()[0][:2] == (1, 5.0)
+        assert new.limits.grants.credits()[0][:2] == (1, 5.0)
 
     Upgraded(good, upgrade_alone=True).run(test)
 
@@ -593,13 +594,13 @@
 
 
 def test_a_build_that_refuses_everything_is_recalled_and_its_clients_come_back(monkeypatch):
-    admits = Gateway._admits
+    admits = admission.admits
     broken: list[Gateway] = []
 
-    def refuses(self, request) -> bool:
-        return False if self in broken else admits(self, request)
+    def refuses(state, event, account) -> bool:
+        return False if state in broken else admits(state, event, account)
 
-    monkeypatch.setattr(Gateway, "_admits", refuses)
+    monkeypatch.setattr(admission, "admits", refuses)
     go_on = NewSide._start_probation
 
     def spoilt(self) -> None:
@@ -704,7 +705,7 @@
     def test(house: Upgraded) -> None:
         rules = house.program.host.rules
         for customer in range(100_000):
-            account = rules._account(customer + 10, 0, 0, 3, trusted=True)
+            account = quota.update_account_key(rules, customer + 10, 0, 0, 3)
             account.spent_total, account.unconfirmed = 1.0, True  # unheard: none is forgotten on the way
         house.load(2 * SECOND)
         house.upgrade()
@@ -756,7 +757,10 @@
     for name, data in house.world.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
-    lives = [recording.replay(life) for life in recording.lives_of(recording.read_folder(str(tmp_path)))]
+    lives = [
+        recording.replay(life)
+        for life in recording.group_by_incarnation(recording.list_segments(str(tmp_path)))
+    ]
     assert len(lives) == 2
-    assert all(one.difference is None and not one.unchecked and one.events > 100 for one in lives)
-    assert recording.audit_records(recording.read_folder(str(tmp_path))).faults == {}
+    assert all(one.difference is None and not one.unchecked_parts and one.events > 100 for one in lives)
+    assert recording.audit_records(recording.list_segments(str(tmp_path))).faults == {}
