--- a/orchidlane/cli/roll.py
+++ b/orchidlane/cli/roll.py
@@ -1,4 +1,4 @@
-"""``orchidlane roll``: upgrade all gateways of a fleet, stop at the first sign of harm and go back."""
+"""``orchidlane roll``: upgrade all gateways of a fleet, stop at the first sign of harm and roll back."""
 
 from __future__ import annotations
 
@@ -18,66 +18,76 @@
 from orchidlane.cli.upgrade import THIS_PROGRAM, successor_command
 from orchidlane.gateway.control.settings import Fleet, load_fleet
 from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver, StoredRoll, UnfinishedRollError
-from orchidlane.hot_restart import rolling_upgrade as decisions
+from orchidlane.hot_restart.rolling_upgrade import Phase, RollState
 from orchidlane.runtime import Loop, RealWorld
 
-WAIT_FOR_RELEASE = ("/bin/sh", "-c", 'read -r go && exec "$@"', "sh")  # ends by itself if nobody lets it run
+# Runs a command once a line is written to its standard input; exits if that is closed before.
+WAIT_FOR_RELEASE = ("/bin/sh", "-c", 'read -r go && exec "$@"', "sh")
+EXIT_CODES = {Phase.DONE: 0, Phase.ROLLED_BACK: 1, Phase.STUCK: 4}
 
 
 class LocalProcesses:
-    """Successors as processes of this machine, in sessions of their own: they outlive the roll."""
+    """Starts successors on this machine, in sessions of their own: they outlive the roll.
+
+    Implements ``orchidlane.gateway.lifecycle.rolling_upgrade.SuccessorStarter``.
+    """
 
     def __init__(self, settings: list[str], log: IO[bytes]) -> None:
-        self.settings = settings  # one for each gateway
+        self.settings = settings  # one path for each gateway
         self.log = log
-        self.commands = ("", "")
-        self._ours: dict[int, subprocess.Popen[bytes]] = {}
-
-    def prepare(self, rank: int, new: bool) -> int:
-        """See ``rolling.Starter``; so are the others."""
-        started = subprocess.Popen(
-            [*WAIT_FOR_RELEASE, *successor_command(self.commands[new], self.settings[rank], rank)],
+        self.commands = ("", "")  # of the old and of the new build
+        self._children: dict[int, subprocess.Popen[bytes]] = {}
+
+    def prepare(self, rank: int, new_build: bool) -> int:
+        """Start a process that waits for ``release``, and return its process id."""
+        command = successor_command(self.commands[new_build], self.settings[rank], rank)
+        child = subprocess.Popen(
+            [*WAIT_FOR_RELEASE, *command],
             stdin=subprocess.PIPE,
             stdout=self.log,
             stderr=self.log,
             start_new_session=True,
         )
-        self._ours[started.pid] = started
-        return started.pid
+        self._children[child.pid] = child
+        return child.pid
 
     def release(self, pid: int) -> None:
-        own = self._ours[pid]
-        assert own.stdin is not None
-        try:
-            own.stdin.write(b"go\n")
-            own.stdin.close()
-        except BrokenPipeError:
-            pass  # it is gone, as the next look will find
+        """Let a prepared process run; one that has exited meanwhile is noticed by the next status."""
+        child = self._children[pid]
+        assert child.stdin is not None
+        with contextlib.suppress(BrokenPipeError):
+            child.stdin.write(b"go\n")
+            child.stdin.close()
 
     def alive(self, pid: int) -> bool:
-        if pid in self._ours:
-            return self._ours[pid].poll() is None
-        with _process(pid) as number:
-            return number is not None and not select.select([number], [], [], 0)[0]
+        """Return whether a process has not exited; it may be a child of an earlier roll."""
+        if pid in self._children:
+            return self._children[pid].poll() is None
+        with _open_process(pid) as descriptor:
+            return descriptor is not None and not select.select([descriptor], [], [], 0)[0]
 
     def kill(self, pid: int) -> None:
-        with _process(pid) as number:
-            if number is not None:
-                signal.pidfd_send_signal(number, signal.SIGKILL)
+        """Kill a process if it has not exited."""
+        with _open_process(pid) as descriptor:
+            if descriptor is not None:
+                signal.pidfd_send_signal(descriptor, signal.SIGKILL)
 
 
 @contextlib.contextmanager
-def _process(pid: int) -> Iterator[int | None]:
-    """A descriptor of a process, readable once it has ended, pidfd_open(2); None where there is none."""
+def _open_process(pid: int) -> Iterator[int | None]:
+    """Open a descriptor of a process, readable once it has exited; None if there is no such process.
+
+    See pidfd_open(2).
+    """
     try:
-        number = os.pidfd_open(pid)
+        descriptor = os.pidfd_open(pid)
     except OSError:
         yield None
         return
     try:
-        yield number
+        yield descriptor
     finally:
-        os.close(number)
+        os.close(descriptor)
 
 
 @click.command()
@@ -112,49 +122,61 @@
         fleet = load_fleet(settings)
         if not fleet.state:
             raise ValueError(f"{settings}: state: a folder is wanted, where the gateways take the call")
-        own = [each.format(rank=rank, name=one.name) for rank, one in enumerate(fleet.gateways)]
         with open(log_to or "/dev/null", "ab") as log:
-            starter = LocalProcesses(own if each else [settings] * len(fleet.gateways), log)
-            rolling = RollDriver(Loop(RealWorld()), fleet, starter, click.echo)
+            starter = LocalProcesses(_settings_of_each(fleet, settings, each), log)
+            driver = RollDriver(Loop(RealWorld()), fleet, starter, click.echo)
             if only_status:
-                return _show(rolling.load_stored(), fleet)
+                _show(driver.load_stored(), fleet)
+                return
             if bool(program) + resume + recall != 1:
                 raise ValueError("one of --program, --resume and --recall is wanted")
-            found: list[decisions.RollState] = []
-            rolling.loop.run(lambda: found.append(_run(rolling, starter, (back, program), recall)))
-    state = found[0]
-    click.echo(f"{state.phase.value}" + (f": {state.reason}" if state.reason else ""))
-    sys.exit({decisions.Phase.DONE: 0, decisions.Phase.ROLLED_BACK: 1}.get(state.phase, 4))
-
-
-def _run(
-    rolling: RollDriver, starter: LocalProcesses, programs: tuple[str, str], recall: bool
-) -> decisions.RollState:
-    """Under a lock that a kernel gives up if we die."""
-    at = os.path.abspath(f"{rolling.fleet.state}/roll.lock"), 0
+            states: list[RollState] = []
+            driver.loop.run(lambda: states.append(_run(driver, starter, (back, program), recall)))
+    state = states[0]
+    click.echo(_summary(state))
+    sys.exit(EXIT_CODES[state.phase])
+
+
+def _settings_of_each(fleet: Fleet, settings: str, each: str) -> list[str]:
+    """Return the path of each gateway's settings file."""
+    if not each:
+        return [settings] * len(fleet.gateways)
+    return [each.format(rank=rank, name=entry.name) for rank, entry in enumerate(fleet.gateways)]
+
+
+def _run(driver: RollDriver, starter: LocalProcesses, commands: tuple[str, str], recall: bool) -> RollState:
+    """Run a roll under a lock that the kernel releases if we die: a listening Unix socket."""
+    path = os.path.abspath(f"{driver.fleet.state}/roll.lock")
     try:
-        lock = rolling.loop.world.listen(at)
-    except OSError as wrong:
-        raise UnfinishedRollError(f"{at[0]}: another roll is under way: {wrong.strerror}") from None
+        lock = driver.loop.world.listen((path, 0))
+    except OSError as error:
+        raise UnfinishedRollError(f"{path}: another roll is under way: {error.strerror}") from None
     try:
-        if programs[1]:
-            starter.commands = programs
-            rolling.begin(programs)
-            return rolling.run()
-        actions = rolling.resume()
-        starter.commands = rolling.stored.commands
-        return rolling.run(actions, "asked for" if recall else "")
+        new_command = commands[1]
+        if new_command:
+            starter.commands = commands
+            driver.begin(commands)
+            return driver.run()
+        actions = driver.resume()
+        starter.commands = driver.stored.commands
+        return driver.run(actions, "asked for" if recall else "")
     finally:
         lock.close()
 
 
-def _show(kept: StoredRoll | None, fleet: Fleet) -> None:
-    if kept is None:
+def _summary(state: RollState) -> str:
+    return f"{state.phase.value}: {state.reason}" if state.reason else state.phase.value
+
+
+def _show(stored: StoredRoll | None, fleet: Fleet) -> None:
+    """Print how the latest roll stands."""
+    if stored is None:
         click.echo("no roll so far")
         sys.exit(UNUSABLE)
-    state = kept.state
-    click.echo(f"{state.phase.value}" + (f": {state.reason}" if state.reason else ""))
-    click.echo(f"old  {kept.commands[0]}\nnew  {kept.commands[1]}")
-    for entry, one, load in zip(fleet.gateways, state.gateways, kept.loads, strict=True):
-        told = f", process {one.successor_pid}" if one.successor_pid else ""
-        click.echo(f"{entry.name:12} {entry.zone:10} {one.phase.value:7} {load:7.1f} answers/s{told}")
+    old_command, new_command = stored.commands
+    click.echo(_summary(stored.state))
+    click.echo(f"old  {old_command}\nnew  {new_command}")
+    for entry, gateway, load in zip(fleet.gateways, stored.state.gateways, stored.loads, strict=True):
+        process = f", process {gateway.successor_pid}" if gateway.successor_pid else ""
+        phase = gateway.phase.value
+        click.echo(f"{entry.name:12} {entry.zone:10} {phase:7} {load:7.1f} answers/s{process}")
--- a/orchidlane/cli/upgrade.py
+++ b/orchidlane/cli/upgrade.py
@@ -1,4 +1,4 @@
-"""``orchidlane upgrade``: start a successor of one gateway, and say what became of it."""
+"""``orchidlane upgrade``: start a successor of one gateway, and report the outcome."""
 
 from __future__ import annotations
 
@@ -8,33 +8,41 @@
 import sys
 import tempfile
 import time
-from typing import IO, Any
+from typing import IO, NamedTuple
 
 import click
 
 from orchidlane.cli.errors import clear_errors
 from orchidlane.gateway.control.settings import load_fleet, upgrade_address
 from orchidlane.gateway.lifecycle.status_query import request_status
-from orchidlane.hot_restart import messages
+from orchidlane.hot_restart.messages import Status
 from orchidlane.runtime import Loop, RealWorld
 
-STATUS_INTERVAL_SECONDS = 0.1  # seconds between two looks
-STATUS_TIMEOUT_US = 5_000_000  # microseconds
-WORDS_MOST, WORDS_LINES = 1 << 20, 5  # bytes looked at, lines told of what a failed successor printed
+STATUS_INTERVAL_SECONDS = 0.1
+STATUS_TIMEOUT_US = 5_000_000
+MAX_LOG_BYTES = 1 << 20  # of a failed successor's output that are searched
+MAX_LOG_LINES = 5  # of it that are shown
 THIS_PROGRAM = (sys.executable, "-m", "orchidlane")
 
 
+class Outcome(NamedTuple):
+    """What became of an upgrade, and a line that says so."""
+
+    passed: bool
+    summary: str
+
+
 def successor_command(program: str, settings: str, rank: int) -> list[str]:
-    """How a successor of a gateway is started; by this very program where none is named."""
+    """Return the command of a gateway's successor: of this program if none is named."""
     build = shlex.split(program) or THIS_PROGRAM
     return [*build, "gateway", settings, "--rank", str(rank), "--take-over"]
 
 
-def _ask(path: str) -> messages.Status | None:
+def _request_status(path: str) -> Status | None:
     loop = Loop(RealWorld())
-    found: list[messages.Status | None] = []
-    loop.run(lambda: found.append(request_status(loop, (path, 0), STATUS_TIMEOUT_US)))
-    return found[0]
+    statuses: list[Status | None] = []
+    loop.run(lambda: statuses.append(request_status(loop, (path, 0), STATUS_TIMEOUT_US)))
+    return statuses[0]
 
 
 @click.command()
@@ -54,51 +62,54 @@
         fleet = load_fleet(settings)
         if not 0 <= rank < len(fleet.gateways):
             raise ValueError(f"--rank: found {rank}, allowed: 0 to {len(fleet.gateways) - 1}")
-        at = upgrade_address(fleet, fleet.gateways[rank])
-        if at is None:
+        address = upgrade_address(fleet, fleet.gateways[rank])
+        if address is None:
             raise ValueError(f"{settings}: state: a folder is wanted, where the gateway takes the call")
-        before = _ask(at[0])
-        if before is None:
-            raise ValueError(f"{at[0]}: no gateway answers there")
+        path = address[0]
+        status = _request_status(path)
+        if status is None:
+            raise ValueError(f"{path}: no gateway answers there")
     if only_status:
-        click.echo(
-            f"{before.phase}, process {before.pid}, build {before.build}; latest: {before.last_outcome}"
-        )
+        process = f"process {status.pid}, build {status.build}"
+        click.echo(f"{status.phase}, {process}; latest: {status.last_outcome}")
         return
     command = successor_command(program, settings, rank)
+    outcome = _run_successor(command, log_to, path, fleet.upgrade.most / 1e6)
+    sys.exit(0 if outcome.passed else 1)
+
+
+def _run_successor(command: list[str], log_to: str | None, path: str, timeout_seconds: float) -> Outcome:
+    """Start a successor in a session of its own, and report what becomes of it."""
     with open(log_to, "a+b") if log_to else tempfile.TemporaryFile() as log:
-        since = log.seek(0, os.SEEK_END)
-        started = subprocess.Popen(
+        start = log.seek(0, os.SEEK_END)
+        successor = subprocess.Popen(
             command, stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True
         )
-        outcome = _await(started, at[0], time.monotonic() + fleet.upgrade.most / 1e6)
-        click.echo(outcome["told"])
-        if not outcome["passed"]:
-            _tell_last_words(log, since)
-    sys.exit(0 if outcome["passed"] else 1)
-
-
-def _tell_last_words(log: IO[bytes], since: int) -> None:
-    """What the successor said in plain words, which may be all that is known of it."""
-    log.seek(since)
-    said = [
-        line
-        for line in log.read(WORDS_MOST).decode(errors="replace").splitlines()
-        if line and line[0] not in "{ "
-    ]
-    for line in said[-WORDS_LINES:]:
+        outcome = _await_outcome(successor, path, time.monotonic() + timeout_seconds)
+        click.echo(outcome.summary)
+        if not outcome.passed:
+            _show_last_lines(log, start)
+    return outcome
+
+
+def _show_last_lines(log: IO[bytes], start: int) -> None:
+    """Show the last lines that are neither log events nor tracebacks: they may be all that is known."""
+    log.seek(start)
+    lines = log.read(MAX_LOG_BYTES).decode(errors="replace").splitlines()
+    plain_lines = [line for line in lines if line and line[0] not in "{ "]
+    for line in plain_lines[-MAX_LOG_LINES:]:
         click.echo(f"its words: {line}", err=True)
 
 
-def _await(started: subprocess.Popen[bytes], path: str, by: float) -> dict[str, Any]:
-    """Until the successor serves alone, or has ended."""
-    while time.monotonic() < by:
-        if started.poll() is not None:
-            status = _ask(path)
-            why = status.last_outcome if status is not None else "no gateway answers any more"
-            return {"passed": False, "told": f"the old process goes on: {why}"}
-        status = _ask(path)
-        if status is not None and status.pid == started.pid:
-            return {"passed": True, "told": f"passed: process {status.pid}, build {status.build}"}
+def _await_outcome(successor: subprocess.Popen[bytes], path: str, deadline: float) -> Outcome:
+    """Wait until the successor serves alone or has exited."""
+    while time.monotonic() < deadline:
+        if successor.poll() is not None:
+            status = _request_status(path)
+            reason = status.last_outcome if status is not None else "no gateway answers any more"
+            return Outcome(False, f"the old process goes on: {reason}")
+        status = _request_status(path)
+        if status is not None and status.pid == successor.pid:
+            return Outcome(True, f"passed: process {status.pid}, build {status.build}")
         time.sleep(STATUS_INTERVAL_SECONDS)
-    return {"passed": False, "told": "it took too long; see --status"}
+    return Outcome(False, "it took too long; see --status")
--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -64,7 +64,7 @@
             reader = recording.SegmentReader(self.path, data)
             accounts = {account.customer: account for account in self._read(reader)}
         except (*INVALID_STATE_ERRORS, OSError) as error:
-            self.gateway.log.error("accounts not read", file=self.path, why=str(error))
+            self._log_error("accounts not read", error)
             return 0
         rules = self.gateway.host.rules
         rules.accounts.update(accounts)
@@ -120,7 +120,7 @@
             else:
                 world.write_file(self.path, data)
         except OSError as error:
-            self.gateway.log.error("accounts not written", file=self.path, why=str(error))
+            self._log_error("accounts not written", error)
             return
         self._valid_until_us = now + validity_us
         if validity_us:
@@ -141,6 +141,9 @@
             frames.close()
         return b"".join(parts)
 
+    def _log_error(self, event: str, error: Exception) -> None:
+        self.gateway.log.error(event, file=self.path, why=str(error))
+
     def _expire(self, valid_until_us: int) -> None:
         """Remove a file that was not renewed in time: it would be trusted too long."""
         was_renewed = valid_until_us != self._valid_until_us
--- a/orchidlane/gateway/lifecycle/new_side.py
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -108,21 +108,26 @@
                 self._run_self_check()
             case new_process.SendReady():
                 self.channel.send(messages.Ready())
-            case new_process.StartServing():
-                self._start_probation()
             case new_process.SendHeartbeat():
                 self._send_heartbeat()
+            case new_process.Exit():
+                self._exit(action.reason)
+            case new_process.SetTimer():
+                due = self.loop.now() + action.delay_us
+                self.loop.call_at(due, lambda _: self.feed(new_process.TimerFired()))
+            case _:
+                self._change_serving(action)
+
+    def _change_serving(self, action: new_process.Action) -> None:
+        match action:
+            case new_process.StartServing():
+                self._start_probation()
             case new_process.ServeAlone():
                 self._serve_alone(action.cold_start)
             case new_process.StopServing():
                 self._stop_serving()
             case new_process.EndProbation():
                 self._end_probation()
-            case new_process.Exit():
-                self._exit(action.reason)
-            case new_process.SetTimer():
-                due = self.loop.now() + action.delay_us
-                self.loop.call_at(due, lambda _: self.feed(new_process.TimerFired()))
 
     def _exit(self, reason: str) -> None:
         self.failure = reason
--- a/orchidlane/gateway/lifecycle/old_side.py
+++ b/orchidlane/gateway/lifecycle/old_side.py
@@ -26,6 +26,7 @@
 from orchidlane.gateway.lifecycle.state_handover import StateHandover
 from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
 from orchidlane.hot_restart import messages, old_process
+from orchidlane.hot_restart.handshake import GatewayIdentity
 from orchidlane.hot_restart.probation import AnswerCounts
 from orchidlane.hot_restart.tables import forfeit_ceiling_tokens
 from orchidlane.runtime import BACKGROUND, CONTROL, Closed, Expired, Scope, Task
@@ -132,12 +133,18 @@
                 self.channels[action.channel].send(messages.Reclaim(action.reason))
             case old_process.KillNewProcess():
                 self.channels[action.channel].stream.kill_peer()
+            case old_process.Release():
+                self._release(self.channels[action.channel])
+            case _:
+                self._carry_out_alone(action)
+
+    def _carry_out_alone(self, action: old_process.Action) -> None:
+        """Carry out an action that needs no channel."""
+        match action:
             case old_process.ResumeServing():
                 self._resume_serving()
             case old_process.AnswerOrphanedClients():
                 self.clients.answer_orphaned()
-            case old_process.Release():
-                self._release(self.channels[action.channel])
             case old_process.SetTimer():
                 due = self.loop.now() + action.delay_us
                 self.loop.call_at(due, lambda _: self.feed(old_process.TimerFired()))
@@ -292,11 +299,9 @@
                 channel.flush()
 
 
-def _identity(gateway: ServedGateway) -> old_process.GatewayIdentity:
+def _identity(gateway: ServedGateway) -> GatewayIdentity:
     fleet = gateway.fleet
-    return old_process.GatewayIdentity(
-        gateway.entry.name, gateway.rank, len(fleet.gateways), tuple(fleet.plans)
-    )
+    return GatewayIdentity(gateway.entry.name, gateway.rank, len(fleet.gateways), tuple(fleet.plans))
 
 
 def _timeouts(gateway: ServedGateway) -> old_process.Timeouts:
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -167,17 +167,20 @@
         """Read description and customers anew while serving; what is invalid changes nothing."""
         number = self.knowledge.generation.number + 1
         if self.versions is not None and self.versions.ledger is not None:
-            self.log.error("reload refused", why="the fleet goes by its ledger: propose the change")
+            self._refuse_reload("the fleet goes by its ledger: propose the change")
             return
         try:
             fresh = self.loop.world.aside(lambda: self._read_configuration(number))
             self._check_classes(fresh)
         except Exception as error:
-            self.log.error("reload refused", why=str(error))
+            self._refuse_reload(str(error))
             return
         self.knowledge = fresh
         self.log.info("reloaded", generation=fresh.generation.number)
 
+    def _refuse_reload(self, reason: str) -> None:
+        self.log.error("reload refused", why=reason)
+
     def _check_classes(self, fresh: Knowledge) -> None:
         if fresh.generation.classes != self.knowledge.generation.classes:
             problem = DescriptionProblem("x-orchidlane", "other classes need a restart of the gateway")
--- a/orchidlane/hot_restart/old_process.py
+++ b/orchidlane/hot_restart/old_process.py
@@ -22,7 +22,8 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from orchidlane.hot_restart.messages import PROTOCOL_VERSION, Hello
+from orchidlane.hot_restart.handshake import GatewayIdentity, rejection_reason
+from orchidlane.hot_restart.messages import Hello
 from orchidlane.hot_restart.probation import AnswerCounts, degradation_reason
 
 
@@ -207,16 +208,6 @@
 }
 
 
-@dataclass
-class GatewayIdentity:
-    """What the new process must share with this one."""
-
-    gateway: str
-    rank: int
-    gateway_count: int
-    plan_names: tuple[str, ...]
-
-
 @dataclass
 class OldProcess:
     """One gateway that may be upgraded; feed events, carry out the actions in their order."""
@@ -252,27 +243,16 @@
     # -- handshake
 
     def _receive_hello(self, now: int, event: HelloReceived) -> None:
-        reason = self._rejection_reason(event.hello)
+        in_progress = None if self.phase is Phase.SERVING else self.phase.value
+        reason = rejection_reason(event.hello, self.identity, in_progress)
         if reason is not None:
             self.actions.append(Reject(event.channel, reason))
             return
         self.phase = Phase.OFFERED
         self.channel = event.channel
-        self.actions.append(SendOffer(event.channel))
+        self.actions.append(SendOffer(self.channel))
         self._set_deadline(now, self.timeouts.copy_us)
 
-    def _rejection_reason(self, hello: Hello) -> str | None:
-        identity = self.identity
-        if hello.protocol_version != PROTOCOL_VERSION:
-            return f"format {hello.protocol_version} of the protocol, this build speaks {PROTOCOL_VERSION}"
-        if self.phase is not Phase.SERVING:
-            return f"another upgrade is under way: {self.phase.value}"
-        if (hello.gateway, hello.rank) != (identity.gateway, identity.rank):
-            return f"this is {identity.gateway}, rank {identity.rank}"
-        if hello.gateway_count != identity.gateway_count or hello.plan_names != identity.plan_names:
-            return "other gateways or plans in its settings: these need a restart"
-        return None
-
     def _set_deadline(self, now: int, delay_us: int) -> None:
         self.deadline_us = now + delay_us
         self.actions.append(SetTimer(delay_us))
--- a/orchidlane/simulation/mutants.py
+++ b/orchidlane/simulation/mutants.py
@@ -1,4 +1,4 @@
-"""Builds of the program that are broken on purpose: copies of it with one thing changed."""
+"""Broken builds for tests of the hot restart: copies of this program with one text replaced."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SourceChange(NamedTuple):
-    """One text of a file for another."""
+    """Replaces one text of a source file."""
 
     file: str
     old: str
@@ -23,9 +23,9 @@
 _STARTED = "        self.channel.send(messages.Started())\n"
 
 
-def _soon(does: str) -> SourceChange:
-    """Does something 150 ms after it began to serve."""
-    timer = f"        self.loop.call_at(self.loop.now() + 150_000, lambda _: {does})\n"
+def _soon_after_start(expression: str) -> SourceChange:
+    """Return a change that runs an expression 150 ms after the new process began to serve."""
+    timer = f"        self.loop.call_at(self.loop.now() + 150_000, lambda _: {expression})\n"
     return SourceChange(_NEW_SIDE, _STARTED, _STARTED + timer)
 
 
@@ -36,9 +36,9 @@
         "            case new_process.RunSelfCheck():\n",
         f"            case new_process.RunSelfCheck():\n                {_CRASH}\n",
     ),
-    "crashes as it serves": _soon(_CRASH),
-    "fails as it serves": _soon("1 // 0"),  # not a crash: all that it has is ended in order
-    "hangs as it serves": _soon('__import__("time").sleep(60)'),
+    "crashes as it serves": _soon_after_start(_CRASH),
+    "fails as it serves": _soon_after_start("1 // 0"),  # not a crash: its tasks are cancelled in order
+    "hangs as it serves": _soon_after_start('__import__("time").sleep(60)'),
     "refuses everything": SourceChange(
         "policy/admission.py",
         "    quota.refill(state, account)\n    if plan.ceiling_rate",
@@ -48,10 +48,14 @@
 
 
 def make_build(folder: Path, change: SourceChange) -> str:
-    """A command that runs a copy of the program with the change. Raises ValueError where it does not fit."""
+    """Copy this program with a change, and return the command that runs the copy.
+
+    Raises ValueError if the text to be replaced is not there.
+    """
     source = Path(orchidlane.__file__).parent
-    shutil.copytree(source, folder / "orchidlane", ignore=shutil.ignore_patterns("__pycache__"))
-    changed = folder / "orchidlane" / change.file
+    copy = folder / "orchidlane"
+    shutil.copytree(source, copy, ignore=shutil.ignore_patterns("__pycache__"))
+    changed = copy / change.file
     text = changed.read_text()
     if change.old not in text:
         raise ValueError(f"{change.file}: the text to be changed is not there")
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -572,7 +572,7 @@
     disk = Disk()
     written = rolling_of(disk)
     written.stored = golden_roll(phase)
-    written._save()
+    written._store()
     return disk.files["state/roll.json"]
 
 
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -488,7 +488,7 @@
             rolled.loop.sleep(20 * MS)
         rolled.loop.cancel(first)
         again = rolled.rolling()
-        state = again.run(again.resume(), recall="asked for")
+        state = again.run(again.resume(), rollback_reason="asked for")
         assert (state.phase, state.reason) == (rolling_upgrade.Phase.ROLLED_BACK, "asked for")
         assert rolled.builds() == [False] * 8
 
--- a/tests/test_upgrade_model.py
+++ b/tests/test_upgrade_model.py
@@ -15,11 +15,12 @@
 from test_day import quiet  # noqa: F401
 
 from orchidlane.hot_restart import new_process, old_process
+from orchidlane.hot_restart.handshake import GatewayIdentity
 from orchidlane.hot_restart.messages import PROTOCOL_VERSION, Hello
 from orchidlane.hot_restart.probation import AnswerCounts
 from orchidlane.simulation.state_exploration import explore
 
-LAYOUT = old_process.GatewayIdentity("gw", 0, 3, ("p",))
+LAYOUT = GatewayIdentity("gw", 0, 3, ("p",))
 HELLO = Hello(PROTOCOL_VERSION, "b", "gw", 0, 3, ("p",))
 LATE = 10**12  # a clock at which every deadline is over
 WELL, SICK = AnswerCounts(50, 1, 0), AnswerCounts(0, 50, 0)
