--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,7 +25,7 @@
     "record",
     "resp",
     "tools",
-    "upgrade_real",
+    "hot_restart_real",
     "wire",
 )  # real sockets, all cores
 
--- a/tests/test_restart.py
+++ b/tests/test_account_recovery.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from test_day import day, quiet  # noqa: F401
-from test_upgrade import slow
+from test_hot_restart import slow
 
 from orchidlane import policy
 from orchidlane.config import Duration
