--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,7 +20,7 @@
     "live_tools",
     "resp",
     "tools",
-    "upgrade_real",
+    "hot_restart_real",
     "simulator_protocol",
 )  # real sockets, all cores
 
--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -15,7 +15,7 @@
 from orchidlane.gateway.control.endpoint_list import EndpointRecord
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import parse_settings
-from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.routes import build, load_description
 from orchidlane.runtime import CONTROL, Closed, Expired, Faults, Loop, Scope, SimWorld
 from orchidlane.simulation.fake_servers import NodeList
@@ -60,7 +60,7 @@
         digest = hashlib.sha256(KEY).hexdigest()
         text = b'{"customers":[{"id":1,"plan":"basico","keys":["%s"]}]}' % digest.encode()
         self.customers = load_customers(text, "customers.json", self.fleet)
-        self.program: Program
+        self.program: GatewayProcess
         self.list: NodeList
 
     def run(self, test) -> None:
@@ -87,7 +87,7 @@
 
     def _gateway(self, rank: int) -> None:
         knowledge = ConfigurationSnapshot(GENERATION, self.customers, structlog.get_logger(), False)
-        self.program = Program(self.loop, self.fleet, rank, b"0123456789abcdef", knowledge)
+        self.program = GatewayProcess(self.loop, self.fleet, rank, b"0123456789abcdef", knowledge)
         self.program.run()
 
     def address(self, index: int) -> tuple[str, int]:
