--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -24,11 +24,11 @@
 
 from orchidlane.config import Duration
 from orchidlane.gateway.control.settings import parse_fleet
-from orchidlane.gateway.rollout_agent.admin_api import Order
-from orchidlane.rollout.canary_analysis import KINDS, Judge, Tally
-from orchidlane.rollout.version import Parts, name_of
+from orchidlane.gateway.rollout_agent.admin_api import CommandRequest
+from orchidlane.rollout.canary_analysis import OUTCOME_KINDS, AnswerCounts, CanaryAnalysis
+from orchidlane.rollout.version import ContentHashes, content_hash
 from orchidlane.simulation.process_fleet import ProcessFleet, play_fleet
-from orchidlane.simulation.rollout_scenarios import Story, VersionFleet
+from orchidlane.simulation.rollout_scenarios import RolloutScenario, SimulatedRolloutFleet
 from orchidlane.simulation.scenario import load_day
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
@@ -131,41 +131,43 @@
     """Milliseconds, virtual, from the command to all gateways, and from the undo on."""
     fleet = parse_fleet((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
     customers = (MATERIALS / "customers.json").read_bytes()
-    story = VersionFleet(Story(1, gateways, 5), fleet, rules, customers)
+    story = SimulatedRolloutFleet(RolloutScenario(1, gateways, 5), fleet, rules, customers)
     spans: list[int] = []
 
     def change(number: int, data: bytes, undoes: int) -> None:
-        name = name_of(data)
-        story._ask(0, "PUT", f"content/{name}", data)
-        parts = Parts(name, name_of(customers))
-        order = Order(f"order-{number}", "propose", number - 1, "bench", "measured", parts, undoes)
+        name = content_hash(data)
+        story._call(0, "PUT", f"content/{name}", data)
+        parts = ContentHashes(name, content_hash(customers))
+        order = CommandRequest(f"order-{number}", "propose", number - 1, "bench", "measured", parts, undoes)
         began = story.loop.now()
-        story._ask(0, "POST", "command", msgspec.msgpack.encode(order))
-        story._until(lambda: story._settled() and _number(story) == number, 120 * SECOND, "not adopted")
+        story._call(0, "POST", "command", msgspec.msgpack.encode(order))
+        story._wait_until(
+            lambda: story._has_converged() and _number(story) == number, 120 * SECOND, "not adopted"
+        )
         spans.append((story.loop.now() - began) // 1_000)
 
     def run() -> None:
         story.world.files["openapi"], story.world.files["customers"] = rules(0), customers
         for rank in range(gateways):
             story.start(rank)
-        story._until(story._settled, 120 * SECOND, "not founded")
+        story._wait_until(story._has_converged, 120 * SECOND, "not founded")
         change(1, rules(1), 0)
         change(2, rules(0), 1)
-        for rank in story.alive():
+        for rank in story.running_ranks():
             story.kill(rank)
 
     story.loop.run(run)
     return spans
 
 
-def _number(story: VersionFleet) -> int:
+def _number(story: SimulatedRolloutFleet) -> int:
     versions = story.programs[0].versions
-    return versions.number if versions is not None else -1
+    return versions.running_number if versions is not None else -1
 
 
 def judged(seed: int, harm: dict[str, float]) -> bool:
     """Whether a stage of 40 looks is stopped, with shares and a load that wander."""
-    rng, judge, usual = random.Random(seed), Judge(), dict(USUAL)
+    rng, judge, usual = random.Random(seed), CanaryAnalysis(), dict(USUAL)
     for _ in range(40):
         usual["refused"] = min(0.6, max(0.02, usual["refused"] + rng.uniform(-0.05, 0.05)))
         load = rng.randint(2, 30)
@@ -173,10 +175,12 @@
         for times in (harm, {}):
             size = rng.randint(0, load) if times is harm else 2 * load
             shares = {kind: min(1.0, share * times.get(kind, 1.0)) for kind, share in usual.items()}
-            bad = {k: sum(rng.random() < shares[k] for _ in range(size)) for k in KINDS if k != "served"}
+            bad = {
+                k: sum(rng.random() < shares[k] for _ in range(size)) for k in OUTCOME_KINDS if k != "served"
+            }
             bad["failed"] = min(bad["failed"], size - bad["refused"])
-            sides.append({"one": Tally(size, **bad)})
-        if judge.look(*sides).harm:
+            sides.append({"one": AnswerCounts(size, **bad)})
+        if judge.observe(*sides).harm:
             return True
     return False
 
--- a/orchidlane/cli/change.py
+++ b/orchidlane/cli/change.py
@@ -15,13 +15,14 @@
 from orchidlane.cli.errors import clear_errors
 from orchidlane.gateway.control.configuration import make_knowledge, read_sources
 from orchidlane.gateway.control.settings import Fleet, address, load_fleet, read_secret
-from orchidlane.gateway.rollout_agent.admin_api import Order, Status
-from orchidlane.gateway.rollout_agent.admin_client import PREFIX, FetchError, call
-from orchidlane.gateway.rollout_agent.agent import Outcome, accounts_of
-from orchidlane.gateway.rollout_agent.settings import check_terms
-from orchidlane.rollout.rollback import Conflict, customers_without, rules_without
-from orchidlane.rollout.shard_migration import versions_between
-from orchidlane.rollout.version import Parts, Version, name_of
+from orchidlane.gateway.rollout_agent.admin_api import CommandRequest, RolloutStatus
+from orchidlane.gateway.rollout_agent.admin_client import PATH_PREFIX, AdminCallError, call_admin_api
+from orchidlane.gateway.rollout_agent.agent import CommandOutcome, customer_assignments
+from orchidlane.gateway.rollout_agent.settings import check_rollout_settings
+from orchidlane.rollout.errors import RollbackConflictError
+from orchidlane.rollout.rollback import revert_customers_edit, revert_description_edit
+from orchidlane.rollout.shard_migration import migration_files
+from orchidlane.rollout.version import ContentHashes, Version, content_hash
 from orchidlane.runtime import Loop, RealWorld
 
 CALL_WITHIN = 8_000_000  # microseconds
@@ -36,7 +37,7 @@
 
     def __init__(self, settings: str) -> None:
         self.fleet: Fleet = load_fleet(settings)
-        check_terms(self.fleet)
+        check_rollout_settings(self.fleet)
         if not self.fleet.change.voters:
             raise ValueError(f"{settings}: change.voters: none are named, so the fleet has no versions")
         self.secret = read_secret(self.fleet.peers.secret_file)
@@ -49,19 +50,23 @@
         """Raises FetchError."""
         loop = Loop(RealWorld())
         at = address(self.fleet.gateways[rank].admin)
-        found: list[tuple[int, bytes] | FetchError] = []
-        target = PREFIX + what.encode()
+        found: list[tuple[int, bytes] | AdminCallError] = []
+        target = PATH_PREFIX + what.encode()
 
         def ask() -> None:
             by = loop.now() + CALL_WITHIN
             try:
-                found.append(call(loop, at, self.secret, method, target, body, by=by, most=most))
-            except FetchError as wrong:
+                found.append(
+                    call_admin_api(
+                        loop, at, self.secret, method, target, body, deadline_us=by, max_response_bytes=most
+                    )
+                )
+            except AdminCallError as wrong:
                 found.append(wrong)
 
         loop.run(ask)
         answer = found[0]
-        if isinstance(answer, FetchError):
+        if isinstance(answer, AdminCallError):
             raise answer
         return answer
 
@@ -72,48 +77,48 @@
         for rank in (*self.voters, *others):
             try:
                 status, data = self.call(rank, method, what, body, most)
-            except FetchError as wrong:
+            except AdminCallError as wrong:
                 why = why or f"{self.fleet.gateways[rank].name}: {wrong}"
                 continue
             if status != 404:
                 return status, data
         raise ValueError(f"no gateway answers for this; {why}")
 
-    def status(self) -> Status:
+    def status(self) -> RolloutStatus:
         """As whoever leads knows it, or failing that the latest that any voter knows. Raises ValueError."""
-        found: list[Status] = []
+        found: list[RolloutStatus] = []
         why = ""
         for rank in self.voters:
             try:
                 status, data = self.call(rank, "GET", "status")
-            except FetchError as wrong:
+            except AdminCallError as wrong:
                 why = f"{self.fleet.gateways[rank].name}: {wrong}"
                 continue
             if status != 200:
                 raise ValueError(f"status {status}: {data.decode(errors='replace').strip()}")
-            found.append(msgspec.msgpack.decode(data, type=Status))
-            if found[-1].leads and 0 <= found[-1].confirmed <= self.fleet.change.silence:
+            found.append(msgspec.msgpack.decode(data, type=RolloutStatus))
+            if found[-1].is_leader and 0 <= found[-1].confirmed_us_ago <= self.fleet.change.silence:
                 return found[-1]
         if not found:
             raise ValueError(f"no voter answers; {why}")
-        return max(found, key=lambda one: (one.index, -one.confirmed))
+        return max(found, key=lambda one: (one.index, -one.confirmed_us_ago))
 
     def content(self, name: str) -> bytes:
         """Raises ValueError."""
         status, data = self.first("GET", f"content/{name}", most=int(self.fleet.change.content))
-        if status != 200 or name_of(data) != name:
+        if status != 200 or content_hash(data) != name:
             raise ValueError(f"content {name[:12]} is not to be had: status {status}")
         return data
 
     def upload(self, data: bytes) -> str:
         """Leave a content with every voter that answers, at least one. Its name."""
-        name, kept, why = name_of(data), 0, ""
+        name, kept, why = content_hash(data), 0, ""
         if len(data) > int(self.fleet.change.content):
             raise ValueError(f"a content of {len(data)} bytes, allowed: {int(self.fleet.change.content)}")
         for rank in self.voters:
             try:
                 status, told = self.call(rank, "PUT", f"content/{name}", data)
-            except FetchError as wrong:
+            except AdminCallError as wrong:
                 why = str(wrong)
                 continue
             kept += status == 200
@@ -122,32 +127,32 @@
             raise ValueError(f"no voter takes the contents: {why}")
         return name
 
-    def order(self, order: Order) -> Outcome:
+    def order(self, order: CommandRequest) -> CommandOutcome:
         """Told to whoever leads, as far as any voter knows. Raises ValueError."""
         leader = self.status().leader
         if leader < 0:
-            return Outcome(False, "nobody leads yet", again=True)
+            return CommandOutcome(False, "nobody leads yet", is_retryable=True)
         try:
             status, data = self.call(leader, "POST", "command", msgspec.msgpack.encode(order))
-        except FetchError as wrong:
+        except AdminCallError as wrong:
             name = self.fleet.gateways[leader].name
-            return Outcome(False, f"{name}, which leads, does not answer: {wrong}", again=True)
+            return CommandOutcome(False, f"{name}, which leads, does not answer: {wrong}", is_retryable=True)
         if status not in (200, 409):
             raise ValueError(f"status {status}: {data.decode(errors='replace').strip()}")
-        return msgspec.msgpack.decode(data, type=Outcome)
+        return msgspec.msgpack.decode(data, type=CommandOutcome)
 
 
-def _latest(status: Status) -> Version:
+def _latest(status: RolloutStatus) -> Version:
     """The latest version that there is. Raises ValueError where none is founded."""
-    found = status.change or status.current
+    found = status.rollout_version or status.current_version
     if found is None:
         raise ValueError("no ledger is founded yet: all voters are needed for that, once")
     return found
 
 
-def _versions(status: Status) -> dict[int, Version]:
+def _versions(status: RolloutStatus) -> dict[int, Version]:
     found = {entry.version.number: entry.version for entry in status.history}
-    for one in (status.current, status.halted, status.change):
+    for one in (status.current_version, status.halted_version, status.rollout_version):
         if one is not None:
             found[one.number] = one
     return found
@@ -196,7 +201,7 @@
     rules = calls.upload(sources[0])
     parts, *then = _by_steps(calls, base, rules, sources[1])
     name = author or getpass.getuser()
-    order = Order(_new_id(), "propose", base.number, name, reason, parts, then=tuple(then))
+    order = CommandRequest(_new_id(), "propose", base.number, name, reason, parts, followed_by=tuple(then))
     _carry_through(calls, order, wait)
 
 
@@ -220,27 +225,29 @@
         raise ValueError(f"version {number} is not known any more, known: {sorted(known)}")
     if wanted.number == 0:
         raise ValueError("version 0 is the first: there is nothing before it")
-    if status.change is not None and wanted == status.change:
-        assert status.current is not None
-        parts, then = status.current.parts, tuple[Parts, ...]()
+    if status.rollout_version is not None and wanted == status.rollout_version:
+        assert status.current_version is not None
+        parts, then = status.current_version.contents, tuple[ContentHashes, ...]()
     else:
         parts, then = _without(calls, wanted, known, latest)
     why = reason or f"undo of version {wanted.number}"
     name = author or getpass.getuser()
-    order = Order(_new_id(), "propose", latest.number, name, why, parts, undoes=wanted.number, then=then)
+    order = CommandRequest(
+        _new_id(), "propose", latest.number, name, why, parts, reverts=wanted.number, followed_by=then
+    )
     _carry_through(calls, order, wait)
 
 
 def _without(
     calls: Calls, wanted: Version, known: dict[int, Version], latest: Version
-) -> tuple[Parts, tuple[Parts, ...]]:
+) -> tuple[ContentHashes, tuple[ContentHashes, ...]]:
     """The latest contents without one version's edit, and the versions that follow on the way there."""
     base = known.get(wanted.base)
     if base is None:
         raise ValueError(f"version {wanted.base}, which {wanted.number} was made from, is not known any more")
     found = {}
-    for kind, take_back in (("rules", rules_without), ("customers", customers_without)):
-        names = [getattr(one.parts, kind) for one in (base, wanted, latest)]
+    for kind, take_back in (("rules", revert_description_edit), ("customers", revert_customers_edit)):
+        names = [getattr(one.contents, kind) for one in (base, wanted, latest)]
         if names[0] == names[1]:
             found[kind] = names[2]
         elif names[1] == names[2]:
@@ -248,22 +255,24 @@
         else:
             try:
                 found[kind] = calls.upload(take_back(*(calls.content(name) for name in names)))
-            except Conflict as wrong:
+            except RollbackConflictError as wrong:
                 raise ValueError(f"version {wanted.number} can't be taken back alone: {wrong}") from None
-    if found["customers"] == latest.parts.customers:
-        return msgspec.structs.replace(latest.parts, **found), ()
+    if found["customers"] == latest.contents.customers:
+        return msgspec.structs.replace(latest.contents, **found), ()
     parts, *then = _by_steps(calls, latest, found["rules"], calls.content(found["customers"]))
     return parts, tuple(then)
 
 
-def _by_steps(calls: Calls, base: Version, rules: str, customers: bytes) -> list[Parts]:
+def _by_steps(calls: Calls, base: Version, rules: str, customers: bytes) -> list[ContentHashes]:
     """The versions that lead to a customers' file: one, or those of a move of sets."""
     fleet, log = calls.fleet, structlog.get_logger()
-    known = calls.content(base.parts.rules)
-    old = accounts_of(make_knowledge(known, calls.content(base.parts.customers), fleet, 0, log), fleet)
-    new = accounts_of(make_knowledge(known, customers, fleet, 0, log), fleet)
-    files = versions_between(old, new, customers, fleet.change.move)
-    return [Parts(rules, calls.upload(data)) for data in files]
+    known = calls.content(base.contents.rules)
+    old = customer_assignments(
+        make_knowledge(known, calls.content(base.contents.customers), fleet, 0, log), fleet
+    )
+    new = customer_assignments(make_knowledge(known, customers, fleet, 0, log), fleet)
+    files = migration_files(old, new, customers, fleet.change.move)
+    return [ContentHashes(rules, calls.upload(data)) for data in files]
 
 
 @change.command()
@@ -288,32 +297,32 @@
 def _order_on_change(settings: str, do: str, reason: str, author: str | None) -> None:
     calls = Calls(settings)
     status = calls.status()
-    if status.change is None:
+    if status.rollout_version is None:
         raise ValueError("no change is on its way")
-    number = status.change.number
-    order = Order(_new_id(), do, number, author or getpass.getuser(), reason)
+    number = status.rollout_version.number
+    order = CommandRequest(_new_id(), do, number, author or getpass.getuser(), reason)
     _end(_insist(calls, order), f"{do}: version {number}")
 
 
-def _end(outcome: Outcome, done: str) -> NoReturn:
-    click.echo(done if outcome.taken else f"not taken: {outcome.why}")
-    sys.exit(0 if outcome.taken else NO)
+def _end(outcome: CommandOutcome, done: str) -> NoReturn:
+    click.echo(done if outcome.is_accepted else f"not taken: {outcome.reason}")
+    sys.exit(0 if outcome.is_accepted else NO)
 
 
-def _insist(calls: Calls, order: Order) -> Outcome:
+def _insist(calls: Calls, order: CommandRequest) -> CommandOutcome:
     """Tell a command again while nobody leads: by its name it is taken once at most."""
     by = time.monotonic() + INSIST
     while True:
         outcome = calls.order(order)
-        if outcome.taken or not outcome.again or time.monotonic() > by:
+        if outcome.is_accepted or not outcome.is_retryable or time.monotonic() > by:
             return outcome
         time.sleep(LOOK_EVERY)
 
 
-def _carry_through(calls: Calls, order: Order, wait: bool) -> NoReturn:
+def _carry_through(calls: Calls, order: CommandRequest, wait: bool) -> NoReturn:
     """Propose, and follow it to its end."""
     outcome = _insist(calls, order)
-    if not outcome.taken:
+    if not outcome.is_accepted:
         _end(outcome, "")
     if not wait:
         click.echo("taken")
@@ -337,20 +346,25 @@
     sys.exit(UNKNOWN)
 
 
-def _how_it_stands(order: Order, status: Status) -> tuple[str, int | None]:
+def _how_it_stands(order: CommandRequest, status: RolloutStatus) -> tuple[str, int | None]:
     """A line about a proposal, and the exit code once it is over."""
-    change = status.change
-    if change is not None and change.proposal == order.id:
-        done = sum(one.runs == change.number for one in status.gateways)
-        paused = f", stopped: {status.paused}" if status.paused else ""
+    change = status.rollout_version
+    if change is not None and change.proposal_id == order.command_id:
+        done = sum(one.running_number == change.number for one in status.gateways)
+        paused = f", stopped: {status.pause_reason}" if status.pause_reason else ""
         return (
-            f"version {change.show()}: {status.stage}, {done} of {len(status.gateways)} run it{paused}",
+            f"version {change.label()}: {status.phase}, {done} of {len(status.gateways)} run it{paused}",
             None,
         )
     for entry in reversed(status.history):
-        if entry.version.proposal == order.id and not (entry.state == "done" and entry.version.then):
-            why = f": {entry.why}" if entry.why else ""
-            return f"version {entry.version.show()}: {entry.state}{why}", 0 if entry.state == "done" else NO
+        if entry.version.proposal_id == order.command_id and not (
+            entry.outcome == "done" and entry.version.followed_by
+        ):
+            why = f": {entry.reason}" if entry.reason else ""
+            return (
+                f"version {entry.version.label()}: {entry.outcome}{why}",
+                0 if entry.outcome == "done" else NO,
+            )
     return "", None
 
 
@@ -365,40 +379,44 @@
     """
     calls = Calls(settings)
     status = calls.status()
-    fresh = 0 <= status.confirmed <= int(calls.fleet.change.lease)
+    fresh = 0 <= status.confirmed_us_ago <= int(calls.fleet.change.lease)
     if as_json:
         click.echo(msgspec.json.encode(status).decode())
         sys.exit(0 if fresh else UNKNOWN)
     names = [entry.name for entry in calls.fleet.gateways]
     click.echo(f"leader     {names[status.leader] if status.leader >= 0 else 'none'}, term {status.term}")
-    click.echo(f"voters     {', '.join(names[rank] for rank in status.seats) or 'not founded yet'}")
-    if status.confirmed < 0:
+    click.echo(f"voters     {', '.join(names[rank] for rank in status.member_ranks) or 'not founded yet'}")
+    if status.confirmed_us_ago < 0:
         click.echo("confirmed  never, as far as is known here: no change can be made without a quorum")
     else:
         late = "" if fresh else "; no quorum since: no change can be made, and gateways stop to serve"
-        click.echo(f"confirmed  {status.confirmed / 1e6:.1f} s ago{late}")
-    if status.current is not None:
-        click.echo(f"current    {_line(status.current)}")
-    if status.change is not None:
-        paused = f", stopped: {status.paused}" if status.paused else ""
-        click.echo(f"on its way {_line(status.change)}: {status.stage}{paused}")
-    if status.halted is not None:
-        click.echo(f"taken back {_line(status.halted)}")
+        click.echo(f"confirmed  {status.confirmed_us_ago / 1e6:.1f} s ago{late}")
+    if status.current_version is not None:
+        click.echo(f"current    {_line(status.current_version)}")
+    if status.rollout_version is not None:
+        paused = f", stopped: {status.pause_reason}" if status.pause_reason else ""
+        click.echo(f"on its way {_line(status.rollout_version)}: {status.phase}{paused}")
+    if status.halted_version is not None:
+        click.echo(f"taken back {_line(status.halted_version)}")
     for one in status.gateways:
         click.echo(f"{names[one.rank]:16} {_gateway_line(one)}")
     sys.exit(0 if fresh else UNKNOWN)
 
 
 def _gateway_line(one: Any) -> str:
-    if one.heard < 0:
+    if one.last_seen_us_ago < 0:
         return "not heard of by whoever leads now"
-    behind = f", wanted {one.wanted}: {one.why or 'on its way'}" if one.runs != one.wanted else ""
-    return f"runs {one.runs} for {one.since / 1e6:.1f} s, heard {one.heard / 1e6:.1f} s ago{behind}"
+    behind = (
+        f", wanted {one.target_number}: {one.reason or 'on its way'}"
+        if one.running_number != one.target_number
+        else ""
+    )
+    return f"runs {one.running_number} for {one.running_for_us / 1e6:.1f} s, heard {one.last_seen_us_ago / 1e6:.1f} s ago{behind}"
 
 
 def _line(version: Version) -> str:
-    undoes = f", undoes {version.undoes}" if version.undoes else ""
-    return f"{version.show()} from {version.base} by {version.author}{undoes}: {version.reason}"
+    undoes = f", undoes {version.reverts}" if version.reverts else ""
+    return f"{version.label()} from {version.base} by {version.author}{undoes}: {version.reason}"
 
 
 @change.command()
@@ -412,4 +430,6 @@
         click.echo(msgspec.json.encode(status.history).decode())
         return
     for entry in status.history:
-        click.echo(f"{entry.state:8} {_line(entry.version)}" + (f" ({entry.why})" if entry.why else ""))
+        click.echo(
+            f"{entry.outcome:8} {_line(entry.version)}" + (f" ({entry.reason})" if entry.reason else "")
+        )
--- a/orchidlane/cli/run.py
+++ b/orchidlane/cli/run.py
@@ -10,7 +10,7 @@
 
 from orchidlane.gateway.control.settings import Fleet, read_secret
 from orchidlane.gateway.lifecycle.process import Program
-from orchidlane.gateway.rollout_agent.settings import check_terms
+from orchidlane.gateway.rollout_agent.settings import check_rollout_settings
 from orchidlane.runtime import Loop, RealWorld
 from orchidlane.runtime.signals import serve
 from orchidlane.simulation.fake_endpoint import Node, NodeSpec
@@ -29,7 +29,7 @@
     secret = read_secret(fleet.peers.secret_file)
     world = RealWorld()
     loop = Loop(world)
-    check_terms(fleet)
+    check_rollout_settings(fleet)
     program = Program(loop, fleet, rank, secret, record_to=folder, take_over=take_over)
     if ready_fd >= 0:
         program.when_ready = lambda: _say_ready(ready_fd)
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -20,8 +20,8 @@
 from orchidlane.gateway.lifecycle.hot_restart import GivingSide, Lent, TakingSide
 from orchidlane.gateway.peers.datagrams import CHANGE, LIMITS, MODULE, SIZE_MOST, Inbox, seal
 from orchidlane.gateway.peers.token_requests import LimitService
-from orchidlane.gateway.rollout_agent.admin_api import Desk
-from orchidlane.gateway.rollout_agent.agent import Versions
+from orchidlane.gateway.rollout_agent.admin_api import RolloutAdminApi
+from orchidlane.gateway.rollout_agent.agent import RolloutAgent
 from orchidlane.gateway.server import http_server as http_front
 from orchidlane.gateway.server.http_server import Front
 from orchidlane.gateway.server.resp_server import RespFront, Session
@@ -66,7 +66,7 @@
         self.log = structlog.get_logger().bind(gateway=self.entry.name)
         self.given = knowledge is not None
         self.sources: tuple[bytes, bytes] | None = None  # what our files say
-        self.versions = Versions(self) if fleet.change.voters else None
+        self.versions = RolloutAgent(self) if fleet.change.voters else None
         self.knowledge = knowledge or self._first_knowledge(1)
         self.metrics = Metrics()
         self.stopping = False
@@ -142,7 +142,7 @@
 
     def _first_knowledge(self, number: int) -> Knowledge:
         """What an earlier life went by, or what the files say. Raises what ``_read_files`` does."""
-        found = self.versions.restored(number) if self.versions is not None else None
+        found = self.versions.restore(number) if self.versions is not None else None
         return found or self._read_files(number)
 
     def _read_files(self, number: int) -> Knowledge:
@@ -166,8 +166,8 @@
             intakes.append(self.fleet.change.intake)
         self.inbox = Inbox(self.secret, self.rank, len(self.peers), self.loop.now(), *intakes)
         nodes = OpenApiNodes(self.fleet, self.entry.name, self.incarnation, self.tracker)
-        why_not = self.versions.why_not_serve if self.versions is not None else str
-        note = self.versions.note if self.versions is not None else None
+        why_not = self.versions.rejection_reason if self.versions is not None else str
+        note = self.versions.record_answer if self.versions is not None else None
         clients = OpenApiClients(
             self.fleet, lambda: self.knowledge, lambda: self.host, self.metrics, why_not, note
         )
@@ -195,7 +195,7 @@
             self.about,
             lambda: self.ready and not self.stopping and not why_not(),
             self.names,
-            Desk(self.versions) if self.versions is not None else None,
+            RolloutAdminApi(self.versions) if self.versions is not None else None,
         )
         cache = f"{self.fleet.state}/{self.entry.name}.nodes.json" if self.fleet.state else ""
         self.watch = Watch(self.loop, self.fleet, self.tracker, self.entry.name, cache, self._listed)
@@ -287,7 +287,7 @@
             "open": len(self.host.exchanges),
             "draining": self.stopping,
             "client_margin": int(self.fleet.times.client_margin),
-            **({"version": self.versions.show()} if self.versions is not None else {}),
+            **({"version": self.versions.running_label()} if self.versions is not None else {}),
         }
 
     def _record(self, scope: Scope, folder: str) -> None:
@@ -319,7 +319,7 @@
     def reload(self) -> None:
         """Read description and customers anew, beside the traffic; what can't be used changes nothing."""
         world, number = self.loop.world, self.knowledge.generation.number + 1
-        if self.versions is not None and self.versions.ledger is not None:
+        if self.versions is not None and self.versions.state is not None:
             self.log.error("reload refused", why="the fleet goes by its ledger: propose the change")
             return
         try:
@@ -371,6 +371,6 @@
                 if kind == MODULE:
                     self.host.feed(policy.PeerMessageReceived(sender, body))
                 elif kind == CHANGE and self.versions is not None:
-                    self.versions.hear(sender, body)
+                    self.versions.receive(sender, body)
                 else:
                     self.limits.hear(sender, body)
--- a/orchidlane/gateway/rollout_agent/admin_api.py
+++ b/orchidlane/gateway/rollout_agent/admin_api.py
@@ -10,209 +10,250 @@
 
 import msgspec
 
-from orchidlane.gateway.rollout_agent.admin_client import PREFIX, PURPOSE, FetchError, call
-from orchidlane.gateway.rollout_agent.agent import OUTCOME_WITHIN, Outcome, Versions
-from orchidlane.rollout.replicated_state import Entry, Ledger, Propose, Resume, Stop
-from orchidlane.rollout.version import TEXT_MOST, Parts, Version, is_name, is_sealed, name_of
-
-FORWARD_WITHIN = OUTCOME_WITHIN + 1_000_000  # microseconds
-THEN_MOST = 14  # versions that follow one proposal
-ID_MOST = 64  # characters
-
-Answer = tuple[int, bytes]
-
-
-class Order(msgspec.Struct, frozen=True):
+from orchidlane.gateway.rollout_agent.admin_client import (
+    PATH_PREFIX,
+    SEAL_PURPOSE,
+    AdminCallError,
+    call_admin_api,
+)
+from orchidlane.gateway.rollout_agent.agent import COMMAND_TIMEOUT_US, CommandOutcome, RolloutAgent
+from orchidlane.rollout.commands import ProposeVersion, ResumeRollout, StopRollout
+from orchidlane.rollout.replicated_state import HistoryEntry, ReplicatedState
+from orchidlane.rollout.version import (
+    MAX_TEXT_CHARACTERS,
+    ContentHashes,
+    Version,
+    content_hash,
+    is_content_hash,
+    verify_seal,
+)
+
+FORWARD_TIMEOUT_US = COMMAND_TIMEOUT_US + 1_000_000  # microseconds
+MAX_FOLLOWING_VERSIONS = 14  # versions that follow one proposal
+MAX_ID_CHARACTERS = 64  # characters
+
+Response = tuple[int, bytes]
+
+
+class CommandRequest(msgspec.Struct, frozen=True):
     """A command, as it is sent. ``base`` is the latest version that its author knew of."""
 
-    id: str
-    do: str  # propose, stop, resume
+    command_id: str = msgspec.field(name="id")
+    action: str = msgspec.field(name="do")  # propose, stop, resume
     base: int
     author: str = ""
     reason: str = ""
-    parts: Parts | None = None
-    undoes: int = 0
-    then: tuple[Parts, ...] = ()
-    passed_on: bool = False
+    contents: ContentHashes | None = msgspec.field(default=None, name="parts")
+    reverts: int = msgspec.field(default=0, name="undoes")
+    followed_by: tuple[ContentHashes, ...] = msgspec.field(default=(), name="then")
+    is_forwarded: bool = msgspec.field(default=False, name="passed_on")
 
 
-class GatewayState(msgspec.Struct, frozen=True):
+class GatewayStatus(msgspec.Struct, frozen=True):
     """What whoever leads knows of one gateway; spans in microseconds, -1: never heard of."""
 
     rank: int
-    runs: int = -1
-    wanted: int = -1
-    why: str = ""
-    heard: int = -1  # ago
-    since: int = -1  # it runs that for so long, as far as we heard
+    running_number: int = msgspec.field(default=-1, name="runs")
+    target_number: int = msgspec.field(default=-1, name="wanted")
+    reason: str = msgspec.field(default="", name="why")
+    last_seen_us_ago: int = msgspec.field(default=-1, name="heard")  # ago
+    running_for_us: int = msgspec.field(
+        default=-1, name="since"
+    )  # it runs that for so long, as far as we heard
 
 
-class Status(msgspec.Struct, frozen=True):
+class RolloutStatus(msgspec.Struct, frozen=True):
     """How things stand, as the gateway that answers knows them."""
 
     gateway: int
-    leads: bool
+    is_leader: bool = msgspec.field(name="leads")
     term: int
     leader: int
-    confirmed: int  # microseconds ago a quorum confirmed this, -1: never
-    serves: str  # why not; "" where it does
-    running: str
+    confirmed_us_ago: int = msgspec.field(
+        name="confirmed"
+    )  # microseconds ago a quorum confirmed this, -1: never
+    rejection_reason: str = msgspec.field(name="serves")  # why not; "" where it does
+    running_version: str = msgspec.field(name="running")
     index: int
-    current: Version | None
-    change: Version | None
-    stage: str
-    paused: str
-    halted: Version | None
-    history: tuple[Entry, ...]
-    seats: tuple[int, ...]
+    current_version: Version | None = msgspec.field(name="current")
+    rollout_version: Version | None = msgspec.field(name="change")
+    phase: str = msgspec.field(name="stage")
+    pause_reason: str = msgspec.field(name="paused")
+    halted_version: Version | None = msgspec.field(name="halted")
+    history: tuple[HistoryEntry, ...]
+    member_ranks: tuple[int, ...] = msgspec.field(name="seats")
     votes: dict[int, str]
-    gateways: tuple[GatewayState, ...]
+    gateways: tuple[GatewayStatus, ...]
 
 
-def latest_of(versions: Versions) -> list[Version]:
+def known_versions(agent: RolloutAgent) -> list[Version]:
     """The versions of the latest ledger."""
-    return versions.ledger.versions() if versions.ledger is not None else []
+    return agent.state.versions() if agent.state is not None else []
 
 
-class Desk:
+class RolloutAdminApi:
     """Answers for one gateway."""
 
-    def __init__(self, versions: Versions) -> None:
-        self.versions = versions
-        self.body_most = int(versions.fleet.change.content)
+    def __init__(self, agent: RolloutAgent) -> None:
+        self.agent = agent
+        self.body_most = int(agent.fleet.change.content)
 
-    def answer(self, method: str, target: bytes, seal: bytes | None, body: bytes) -> Answer:
+    def answer(self, method: str, target: bytes, seal: bytes | None, body: bytes) -> Response:
         """Status and body."""
         try:
             sealed = bytes.fromhex((seal or b"").decode("latin-1"))
         except ValueError:
             sealed = b""
-        if not is_sealed(self.versions.secret, sealed, PURPOSE, method, target, body):
+        if not verify_seal(self.agent.secret, sealed, SEAL_PURPOSE, method, target, body):
             return 403, b"not sealed under the fleet's key\n"
-        what, _, name = target.removeprefix(PREFIX).decode("latin-1").partition("/")
+        what, _, name = target.removeprefix(PATH_PREFIX).decode("latin-1").partition("/")
         match method, what:
-            case "GET", "content" if is_name(name):
-                return self._content(name)
-            case "PUT", "content" if is_name(name):
-                return self._upload(name, body)
+            case "GET", "content" if is_content_hash(name):
+                return self._get_content(name)
+            case "PUT", "content" if is_content_hash(name):
+                return self._put_content(name, body)
             case "GET", "counts":
-                return 200, msgspec.msgpack.encode(self.versions.book.tallies())
+                return 200, msgspec.msgpack.encode(self.agent.answer_tally.counts())
             case "GET", "status":
                 return 200, msgspec.msgpack.encode(self.status())
             case "POST", "command":
-                return self._command(body)
+                return self._post_command(body)
         return 404, b"no such call\n"
 
-    def _content(self, name: str) -> Answer:
-        data = self.versions.files.get(name)
+    def _get_content(self, name: str) -> Response:
+        data = self.agent.storage.read_blob(name)
         return (200, data) if data is not None else (404, b"not here\n")
 
-    def _upload(self, name: str, data: bytes) -> Answer:
+    def _put_content(self, name: str, data: bytes) -> Response:
         """Contents of a proposal to come; those that nothing came of go first."""
-        files = self.versions.files
-        if name_of(data) != name:
+        files = self.agent.storage
+        if content_hash(data) != name:
             return 400, b"not the content of this name\n"
         try:
-            files.upload(name, data)
+            files.write_upload(name, data)
         except OSError as wrong:
             return 507, f"not written: {wrong.strerror}\n".encode()
         return 200, b"kept\n"
 
     # -- commands
 
-    def _command(self, body: bytes) -> Answer:
+    def _post_command(self, body: bytes) -> Response:
         try:
-            order = msgspec.msgpack.decode(body, type=Order)
+            order = msgspec.msgpack.decode(body, type=CommandRequest)
         except msgspec.DecodeError as wrong:
             return 400, f"{wrong}\n".encode()
-        latest = self.versions.ledger
+        latest = self.agent.state
         if latest is None:
-            return self._tell(Outcome(False, "no ledger is founded: all voters are needed for that, once"))
-        step = self._step(order)
+            return self._outcome_response(
+                CommandOutcome(False, "no ledger is founded: all voters are needed for that, once")
+            )
+        step = self._to_command(order)
         if isinstance(step, str):
-            return self._tell(Outcome(False, step))
-        outcome = self.versions.command(step, order.id)
+            return self._outcome_response(CommandOutcome(False, step))
+        outcome = self.agent.run_command(step, order.command_id)
         if outcome is None:
-            return self._pass_on(order, latest)
-        if any(one.proposal == order.id for one in latest_of(self.versions)):
-            outcome = Outcome(True)  # told again
-        return self._tell(outcome)
+            return self._forward(order, latest)
+        if any(one.proposal_id == order.command_id for one in known_versions(self.agent)):
+            outcome = CommandOutcome(True)  # told again
+        return self._outcome_response(outcome)
 
-    def _step(self, order: Order) -> Propose | Stop | Resume | str:
-        if not 0 < len(order.id) <= ID_MOST:
+    def _to_command(self, request: CommandRequest) -> ProposeVersion | StopRollout | ResumeRollout | str:
+        if not 0 < len(request.command_id) <= MAX_ID_CHARACTERS:
             return "a command has a name"
-        author, reason = order.author[:TEXT_MOST], order.reason[:TEXT_MOST]
-        match order.do:
-            case "propose" if order.parts is not None:
-                if len(order.then) > THEN_MOST:
-                    return f"{len(order.then)} versions that follow, allowed: {THEN_MOST}"
-                return Propose(0, order.id, order.parts, order.base, author, reason, order.undoes, order.then)
+        author, reason = request.author[:MAX_TEXT_CHARACTERS], request.reason[:MAX_TEXT_CHARACTERS]
+        match request.action:
+            case "propose" if request.contents is not None:
+                if len(request.followed_by) > MAX_FOLLOWING_VERSIONS:
+                    return (
+                        f"{len(request.followed_by)} versions that follow, allowed: {MAX_FOLLOWING_VERSIONS}"
+                    )
+                return ProposeVersion(
+                    0,
+                    request.command_id,
+                    request.contents,
+                    request.base,
+                    author,
+                    reason,
+                    request.reverts,
+                    request.followed_by,
+                )
             case "stop":
-                return Stop(0, order.base, f"by {author}: {reason}" if reason else f"by {author}", order.id)
+                return StopRollout(
+                    0,
+                    request.base,
+                    f"by {author}: {reason}" if reason else f"by {author}",
+                    request.command_id,
+                )
             case "resume":
-                return Resume(0, order.base, order.id)
-        return f"no such command: {order.do!r}"
+                return ResumeRollout(0, request.base, request.command_id)
+        return f"no such command: {request.action!r}"
 
-    def _pass_on(self, order: Order, latest: Ledger) -> Answer:
-        if order.passed_on or latest.leader in (-1, self.versions.rank):
+    def _forward(self, request: CommandRequest, state: ReplicatedState) -> Response:
+        if request.is_forwarded or state.leader in (-1, self.agent.rank):
             gone = (
-                f"nobody leads: gateway {latest.leader} did in term {latest.term}; without a quorum of voters"
+                f"nobody leads: gateway {state.leader} did in term {state.term}; without a quorum of voters"
                 " nothing changes, and what runs is served for a lease after their last word"
             )
-            return self._tell(Outcome(False, gone, again=True))
-        body = msgspec.msgpack.encode(msgspec.structs.replace(order, passed_on=True))
-        return self._ask_leader("POST", PREFIX + b"command", body, latest.leader)
+            return self._outcome_response(CommandOutcome(False, gone, is_retryable=True))
+        body = msgspec.msgpack.encode(msgspec.structs.replace(request, is_forwarded=True))
+        return self._call_leader("POST", PATH_PREFIX + b"command", body, state.leader)
 
-    def _ask_leader(self, method: str, target: bytes, body: bytes, rank: int) -> Answer:
-        versions = self.versions
-        by = versions.loop.now() + FORWARD_WITHIN
+    def _call_leader(self, method: str, target: bytes, body: bytes, rank: int) -> Response:
+        versions = self.agent
+        by = versions.loop.now() + FORWARD_TIMEOUT_US
         try:
-            return call(versions.loop, versions.admin_of(rank), versions.secret, method, target, body, by=by)
-        except FetchError as wrong:
+            return call_admin_api(
+                versions.loop, versions.admin_of(rank), versions.secret, method, target, body, deadline_us=by
+            )
+        except AdminCallError as wrong:
             gone = f"gateway {rank}, which leads, does not answer: {wrong}"
-            return self._tell(Outcome(False, gone, again=True))
+            return self._outcome_response(CommandOutcome(False, gone, is_retryable=True))
 
-    def _tell(self, outcome: Outcome) -> Answer:
-        return 200 if outcome.taken else 409, msgspec.msgpack.encode(outcome)
+    def _outcome_response(self, outcome: CommandOutcome) -> Response:
+        return 200 if outcome.is_accepted else 409, msgspec.msgpack.encode(outcome)
 
     # -- how things stand
 
-    def status(self) -> Status:
+    def status(self) -> RolloutStatus:
         """As this gateway knows it."""
-        versions, latest = self.versions, self.versions.ledger
-        conductor, now = versions.conductor, versions.loop.now()
-        change = latest.change if latest is not None else None
-        leads = conductor is not None and conductor.leads
-        fresh = versions.spread.fresh
-        return Status(
+        versions, latest = self.agent, self.agent.state
+        conductor, now = versions.leadership, versions.loop.now()
+        change = latest.rollout if latest is not None else None
+        leads = conductor is not None and conductor.is_leader
+        fresh = versions.dissemination.confirmed_at
+        return RolloutStatus(
             gateway=versions.rank,
-            leads=leads,
+            is_leader=leads,
             term=latest.term if latest else 0,
             leader=latest.leader if latest else -1,
-            confirmed=-1 if fresh is None else now - fresh,
-            serves=versions.why_not_serve(),
-            running=versions.show(),
+            confirmed_us_ago=-1 if fresh is None else now - fresh,
+            rejection_reason=versions.rejection_reason(),
+            running_version=versions.running_label(),
             index=latest.index if latest else 0,
-            current=latest.current.version if latest else None,
-            change=change.version if change else None,
-            stage=change.stage.value if change else "",
-            paused=change.paused if change else "",
-            halted=latest.halted.version if latest and latest.halted else None,
+            current_version=latest.current.version if latest else None,
+            rollout_version=change.version if change else None,
+            phase=change.phase.value if change else "",
+            pause_reason=change.pause_reason if change else "",
+            halted_version=latest.halted_rollout.version if latest and latest.halted_rollout else None,
             history=latest.history if latest else (),
-            seats=tuple(seat.rank for seat in latest.seats) if latest else (),
-            votes={rank: vote.why or "yes" for rank, vote in conductor.votes.items()} if conductor else {},
+            member_ranks=tuple(seat.rank for seat in latest.members) if latest else (),
+            votes={rank: vote.reason or "yes" for rank, vote in conductor.driver.votes.items()}
+            if conductor
+            else {},
             gateways=self._gateways(now) if leads else (),
         )
 
-    def _gateways(self, now: int) -> tuple[GatewayState, ...]:
-        conductor = self.versions.conductor
+    def _gateways(self, now: int) -> tuple[GatewayStatus, ...]:
+        conductor = self.agent.leadership
         assert conductor is not None
         found = []
-        for rank in range(conductor.gateways):
-            known = conductor.reports.get(rank)
+        for rank in range(conductor.driver.gateway_count):
+            known = conductor.driver.reports.get(rank)
             if known is None:
-                found.append(GatewayState(rank))
+                found.append(GatewayStatus(rank))
             else:
-                heard, since = now - known.at, now - known.since
-                found.append(GatewayState(rank, known.number, known.wanted, known.why, heard, since))
+                heard, since = now - known.received_at, now - known.running_since
+                found.append(
+                    GatewayStatus(rank, known.running_number, known.target_number, known.reason, heard, since)
+                )
         return tuple(found)
--- a/orchidlane/gateway/rollout_agent/settings.py
+++ b/orchidlane/gateway/rollout_agent/settings.py
@@ -5,7 +5,7 @@
 from orchidlane.gateway.control.settings import Fleet
 
 
-def check_terms(fleet: Fleet) -> None:
+def check_rollout_settings(fleet: Fleet) -> None:
     """Raises ValueError where the settings name voters and lack what voting needs."""
     voters, names = fleet.change.voters, [entry.name for entry in fleet.gateways]
     if not voters:
--- a/orchidlane/gateway/rollout_agent/storage.py
+++ b/orchidlane/gateway/rollout_agent/storage.py
@@ -10,82 +10,82 @@
 
 import msgspec
 
-from orchidlane.rollout.consensus import Kept
-from orchidlane.rollout.version import Certificate, name_of
+from orchidlane.rollout.version import Certificate, content_hash
+from orchidlane.rollout.voter_state import VoterState
 from orchidlane.runtime.backend import World
 
-DIGEST = 64
-UPLOADS_MOST = 32  # contents that wait for their proposal
-LEDGERS_MOST = 32  # held in memory, for others to fetch
+DIGEST_BYTES = 64
+MAX_UPLOADS = 32  # contents that wait for their proposal
+MAX_CACHED_STATES = 32  # held in memory, for others to fetch
 
 
 class VoterFile(msgspec.Struct, frozen=True):
     """A voter's disk: its votes, the ledger that it accepted, the latest that it knows to be chosen."""
 
-    kept: Kept
-    voted: bytes = b""
-    chosen: bytes = b""
+    voter_state: VoterState = msgspec.field(name="kept")
+    accepted_state: bytes = msgspec.field(default=b"", name="voted")
+    chosen_state: bytes = msgspec.field(default=b"", name="chosen")
 
 
 class RunningFile(msgspec.Struct, frozen=True):
     """The latest ledger and the version that runs; the contents that are on disk."""
 
-    ledger: bytes
+    state: bytes = msgspec.field(name="ledger")
     running: Certificate
     contents: tuple[str, ...] = ()
 
 
-class Damaged(Exception):
+class CorruptFileError(Exception):
     """A file that is there and can't be used; says which and why."""
 
 
-class Files:
+class RolloutStorage:
     """One gateway's files; ``prefix`` is their folder and the gateway's name."""
 
     def __init__(self, world: World, prefix: str) -> None:
         self.world = world
         self.prefix = prefix
-        self.ledgers: dict[str, bytes] = {}  # by name, the latest last
+        self.cached_states: dict[str, bytes] = {}  # by name, the latest last
         self.contents: dict[str, None] = {}  # names of those on disk
         self.uploads: dict[str, None] = {}  # those of proposals to come, the latest last
 
     # -- contents
 
-    def hold(self, name: str, data: bytes) -> None:
+    def cache_state(self, state_hash: str, data: bytes) -> None:
         """Keep a ledger at hand."""
-        self.ledgers.pop(name, None)
-        self.ledgers[name] = data
-        while len(self.ledgers) > LEDGERS_MOST:
-            del self.ledgers[next(iter(self.ledgers))]
+        self.cached_states.pop(state_hash, None)
+        self.cached_states[state_hash] = data
+        while len(self.cached_states) > MAX_CACHED_STATES:
+            del self.cached_states[next(iter(self.cached_states))]
 
-    def get(self, name: str) -> bytes | None:
+    def read_blob(self, blob_hash: str) -> bytes | None:
         """A ledger or a content by its name; None where we have none, or the disk's is not what it was."""
-        if name in self.ledgers:
-            return self.ledgers[name]
-        data = self.world.read_file(self._content(name))
-        return data if data is not None and name_of(data) == name else None
+        if blob_hash in self.cached_states:
+            return self.cached_states[blob_hash]
+        data = self.world.read_file(self._content_path(blob_hash))
+        return data if data is not None and content_hash(data) == blob_hash else None
 
-    def keep(self, name: str, data: bytes) -> None:
+    def write_content(self, blob_hash: str, data: bytes) -> None:
         """Write a content down. Raises OSError."""
-        path = self._content(name)
+        path = self._content_path(blob_hash)
         self.world.aside(lambda: self.world.write_file(path, data))
-        self.contents[name] = None
+        self.contents[blob_hash] = None
 
-    def upload(self, name: str, data: bytes) -> None:
+    def write_upload(self, blob_hash: str, data: bytes) -> None:
         """Keep a content that no version names yet; the latest few stay. Raises OSError."""
-        self.keep(name, data)
-        self.uploads.pop(name, None)
-        self.uploads[name] = None
-        while len(self.uploads) > UPLOADS_MOST:
+        self.write_content(blob_hash, data)
+        self.uploads.pop(blob_hash, None)
+        self.uploads[blob_hash] = None
+        while len(self.uploads) > MAX_UPLOADS:
             del self.uploads[next(iter(self.uploads))]
 
-    def drop_others(self, names: set[str]) -> None:
+    def remove_unreferenced_contents(self, referenced: set[str]) -> None:
         """Contents that no version names any more go."""
-        for name in [one for one in self.contents if one not in names and one not in self.uploads]:
-            self.world.remove_file(self._content(name))
+        for name in [one for one in self.contents if one not in referenced and one not in self.uploads]:
+            self.world.remove_file(self._content_path(name))
             del self.contents[name]
 
-    def _content(self, name: str) -> str:
+    def _content_path(self, name: str) -> str:
         return f"{self.prefix}.content.{name}"
 
     # -- the voter, and the latest
@@ -109,20 +109,20 @@
         """Raises OSError."""
         self._write("running", file)
 
-    def _read(self, kind: str, of: type[Any]) -> Any:
+    def _read(self, kind: str, file_type: type[Any]) -> Any:
         path = f"{self.prefix}.{kind}"
         data = self.world.read_file(path)
         if data is None:
             return None
-        body, digest = data[:-DIGEST], data[-DIGEST:]
-        if name_of(body).encode() != digest:
-            raise Damaged(f"{path}: {len(data)} bytes, cut or changed")
+        body, digest = data[:-DIGEST_BYTES], data[-DIGEST_BYTES:]
+        if content_hash(body).encode() != digest:
+            raise CorruptFileError(f"{path}: {len(data)} bytes, cut or changed")
         try:
-            return msgspec.msgpack.decode(body, type=of)
+            return msgspec.msgpack.decode(body, type=file_type)
         except msgspec.DecodeError as wrong:
-            raise Damaged(f"{path}: {wrong}") from None
+            raise CorruptFileError(f"{path}: {wrong}") from None
 
     def _write(self, kind: str, file: msgspec.Struct) -> None:
         body = msgspec.msgpack.encode(file)
-        path, data = f"{self.prefix}.{kind}", body + name_of(body).encode()
+        path, data = f"{self.prefix}.{kind}", body + content_hash(body).encode()
         self.world.aside(lambda: self.world.write_file(path, data))
--- /dev/null
+++ b/orchidlane/rollout/acceptor.py
@@ -0,0 +1,199 @@
+"""The acceptor of a voter: promises, acceptances and votes, and the check that its disk is no old copy.
+
+A voter that restarts asks the others for the highest vote count of its store that they have seen
+(``verifying_store``). A count above that on its disk proves that the disk is an old copy: the voter takes a
+new store and waits to be admitted. It goes on once all others answered and saw no such vote; the others drop
+what its earlier incarnation sent and is still in flight (see the datagrams' incarnation). Where some do not
+answer, they alone may know of a later vote: if the others are a majority that votes, it has itself admitted
+anew by them, else it waits.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+import msgspec
+
+from orchidlane.rollout.messages import (
+    Accept,
+    Accepted,
+    Message,
+    Nack,
+    Prepare,
+    Promise,
+    VoteCountRequest,
+    VoteCountResponse,
+)
+from orchidlane.rollout.replicated_state import ReplicatedState
+from orchidlane.rollout.version import Version, Vote, VotingMember, has_quorum
+from orchidlane.rollout.voter_state import (
+    STORE_ID_BITS,
+    Action,
+    CastVote,
+    LogWarning,
+    Persist,
+    SeenVoteCount,
+    Send,
+    StoreBlob,
+    VoterState,
+)
+
+RESEND_INTERVAL_US = 100_000  # to voters that did not answer
+STORE_CHECK_TIMEOUT_US = 2_000_000  # for the other voters' answers, before the voter has itself admitted anew
+NOTHING_SEEN = SeenVoteCount(0, 0)
+
+
+class Acceptor:
+    """A voter's disk and what it may vote on. Times are microseconds of its own clock.
+
+    ``voter_state`` is what is on disk, ``accepted_state`` the state that was accepted and ``chosen_state``
+    the latest one that is known to be chosen.
+    """
+
+    def __init__(
+        self,
+        rank: int,
+        voter_state: VoterState,
+        accepted_state: ReplicatedState | None,
+        chosen_state: ReplicatedState | None,
+        rng: random.Random,
+        now: int,
+        verifying_store: bool = False,
+    ) -> None:
+        self.rank = rank
+        self.voter_state = voter_state
+        self.accepted_state = accepted_state
+        self.chosen_state = chosen_state
+        self.random = rng
+        self.verifying_store = verifying_store  # the disk of an earlier incarnation may be an old copy
+        self._check_started_at = now
+        self._check_sent_at = 0
+        self._check_responses: dict[int, bool] = {}  # rank that saw no later vote -> whether it votes
+        self._actions: list[Action] = []
+
+    @property
+    def member(self) -> VotingMember:
+        """The member that this voter is, if it is admitted."""
+        return VotingMember(self.rank, self.voter_state.store_id)
+
+    @property
+    def is_member(self) -> bool:
+        """Whether our store is a member in the latest state."""
+        return self.chosen_state is not None and self.member in self.chosen_state.members
+
+    @property
+    def may_vote(self) -> bool:
+        """Whether this voter may vote and lead."""
+        return self.is_member and not self.verifying_store
+
+    def vote(self, term: int, version: Version, make_vote: Callable[[], Vote]) -> list[Action]:
+        """Vote on a version, once in a term; ``voter_state.latest_vote`` has the vote that counts."""
+
+        def cast() -> None:
+            latest = self.voter_state.latest_vote
+            if self.may_vote and (latest is None or latest[:2] < (term, version.number)):
+                self._vote_with(latest_vote=CastVote(term, version.number, make_vote()))
+
+        return self._collect_actions(cast)
+
+    def reset_store(self) -> None:
+        """Take a new store, which has to be admitted: nothing on the present disk may be voted by."""
+        self.voter_state = VoterState(self.random.getrandbits(STORE_ID_BITS) + 1)
+        self.accepted_state = None
+        self.verifying_store = False
+
+    def _collect_actions(self, handle: Callable[[], None]) -> list[Action]:
+        """Run a handler; blobs come first, then the write of a changed state, then everything else."""
+        self._actions = []
+        before = self.voter_state
+        handle()
+        if self.voter_state is before:
+            return self._actions
+        blobs = [action for action in self._actions if isinstance(action, StoreBlob)]
+        others = [action for action in self._actions if not isinstance(action, StoreBlob)]
+        return [*blobs, Persist(self.voter_state), *others]
+
+    def _update(self, **changes: object) -> None:
+        self.voter_state = msgspec.structs.replace(self.voter_state, **changes)
+
+    def _vote_with(self, **changes: object) -> None:
+        """Change the state by a promise, an acceptance or a vote, which are counted."""
+        self._update(vote_count=self.voter_state.vote_count + 1, **changes)
+
+    def _send(self, rank: int, message: Message) -> None:
+        self._actions.append(Send(rank, message))
+
+    # -- requests of proposers
+
+    def _on_prepare(self, sender: int, message: Prepare) -> None:
+        if not self.may_vote or self._rejects(sender, message):
+            return
+        if message.ballot > self.voter_state.promised:
+            self._vote_with(promised=message.ballot)
+        own = self.voter_state
+        promise = Promise(message.ballot, own.accepted, own.accepted_hash, own.store_id, own.vote_count)
+        self._send(sender, promise)
+
+    def _on_accept(self, sender: int, message: Accept, state: ReplicatedState) -> None:
+        if not self.may_vote or self._rejects(sender, message):
+            return
+        if message.ballot != self.voter_state.accepted:
+            self.accepted_state = state
+            self._vote_with(
+                promised=message.ballot, accepted=message.ballot, accepted_hash=message.state_hash
+            )
+        own = self.voter_state
+        self._send(sender, Accepted(message.ballot, own.store_id, own.vote_count))
+
+    def _rejects(self, sender: int, message: Prepare | Accept) -> bool:
+        """Send a Nack where a later ballot was promised."""
+        self._record_vote_count(sender, message.ballot.store_id, message.vote_count)
+        if message.ballot >= self.voter_state.promised:
+            return False
+        self._send(sender, Nack(message.ballot, self.voter_state.promised))
+        return True
+
+    # -- vote counts: is our disk an old copy?
+
+    def _record_vote_count(self, rank: int, store_id: int, vote_count: int) -> None:
+        """Remember a vote that we saw; it is on disk with the next write, at the latest of a chosen state."""
+        known = self.voter_state.seen_vote_counts.get(rank, NOTHING_SEEN)
+        if known.store_id != store_id or known.vote_count < vote_count:  # datagrams come in any order
+            self.voter_state.seen_vote_counts[rank] = SeenVoteCount(store_id, vote_count)
+
+    def _on_vote_count_request(self, sender: int, message: VoteCountRequest) -> None:
+        seen = self.voter_state.seen_vote_counts.get(sender, NOTHING_SEEN)
+        vote_count = seen.vote_count if seen.store_id == message.store_id else 0
+        self._send(sender, VoteCountResponse(message.store_id, vote_count, self.may_vote))
+
+    def _verify_store(self, now: int) -> None:
+        """Ask the other members, or conclude from their answers."""
+        if not self.is_member or self.chosen_state is None:
+            return
+        others = [member for member in self.chosen_state.members if member.rank != self.rank]
+        answered = [member for member in others if member.rank in self._check_responses]
+        voting = [member for member in answered if self._check_responses[member.rank]]
+        timed_out = now - self._check_started_at > STORE_CHECK_TIMEOUT_US
+        if len(answered) == len(others):
+            self.verifying_store = False
+            self._actions.append(LogWarning("votes again"))
+        elif timed_out and has_quorum((*others, self.member), voting):
+            silent = sorted({member.rank for member in others} - self._check_responses.keys())
+            text = f"has itself admitted anew: gateways {silent} can't say what they saw"
+            self._actions.append(LogWarning(text))
+            self.reset_store()
+        elif now - self._check_sent_at >= RESEND_INTERVAL_US:
+            self._check_sent_at = now
+            for member in others:
+                if member.rank not in self._check_responses:
+                    self._send(member.rank, VoteCountRequest(self.voter_state.store_id))
+
+    def _on_vote_count(self, sender: int, message: VoteCountResponse) -> None:
+        if not self.verifying_store or message.store_id != self.voter_state.store_id:
+            return
+        if message.vote_count > self.voter_state.vote_count:
+            self._actions.append(LogWarning(f"the disk is an old one: gateway {sender} saw later votes"))
+            self.reset_store()
+        else:
+            self._check_responses[sender] = message.may_vote
--- a/orchidlane/rollout/bootstrap.py
+++ b/orchidlane/rollout/bootstrap.py
@@ -1,42 +1,62 @@
-"""The first ledger: founded once, by all voters together. Decides without I/O.
+"""Creation of the first replicated state by all voters together. Decides without I/O.
 
-Before it every gateway goes by its own files. It is founded only when every voter that the settings name says
-that its store is a new one and that its files have the same content, each with its vote for version 0; so a
-voter that lost its disk later can't be part of a second founding beside one that remembers the first.
+Before it exists every gateway uses its own files. It is created only when every voter that the settings name
+reports an unused store and files with the same contents, each with its vote for version 0. A voter that later
+loses its disk can therefore not take part in a second creation beside a voter that remembers the first.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
 
-from orchidlane.rollout.messages import Waiting
-from orchidlane.rollout.replicated_state import Entry, Ledger
-from orchidlane.rollout.version import Certificate, Parts, Seat, Version, Vote, cast, is_cast
-
-
-def first_version(parts: Parts) -> Version:
-    """What the files have, as a version."""
-    return Version(0, parts, 0, "files", "as the files had it")
-
-
-def own_waiting(secret: bytes, rank: int, store: int, parts: Parts) -> Waiting:
-    """What a voter without a seat says."""
-    vote = cast(secret, Seat(rank, store), first_version(parts), 0, True, "")
-    return Waiting(store, parts.content[:16], vote.seal)
+from orchidlane.rollout.messages import AdmissionRequest
+from orchidlane.rollout.replicated_state import DONE, HistoryEntry, ReplicatedState
+from orchidlane.rollout.version import (
+    Certificate,
+    ContentHashes,
+    Version,
+    Vote,
+    VotingMember,
+    cast_vote,
+    is_valid_vote,
+)
+
+CONTENTS_PREFIX_CHARACTERS = 16
+
+
+def initial_version(contents: ContentHashes) -> Version:
+    """Return version 0, which has the contents of the files."""
+    return Version(0, contents, 0, "files", "as the files had it")
+
+
+def admission_request(secret: bytes, rank: int, store_id: int, contents: ContentHashes) -> AdmissionRequest:
+    """Return the request of a voter whose store is no member."""
+    member = VotingMember(rank, store_id)
+    vote = cast_vote(secret, member, initial_version(contents), 0, True, "")
+    return AdmissionRequest(store_id, _prefix(contents), vote.seal)
+
+
+def bootstrap_state(
+    secret: bytes,
+    voters: Sequence[int],
+    requests: Mapping[int, AdmissionRequest],
+    contents: ContentHashes,
+) -> ReplicatedState | str:
+    """Return the first state, or the reason why it can't be created yet."""
+    unreachable = [rank for rank in voters if rank not in requests]
+    if unreachable:
+        return f"voters not heard of: {unreachable}"
+    differing = [rank for rank in voters if requests[rank].contents_prefix != _prefix(contents)]
+    if differing:
+        return f"voters whose files differ from ours: {differing}"
+    version = initial_version(contents)
+    votes = tuple(Vote(rank, requests[rank].store_id, True, "", requests[rank].seal) for rank in voters)
+    if not all(is_valid_vote(secret, vote, version, 0) for vote in votes):
+        return "a vote is not sealed for what our files have"
+    members = tuple(vote.member for vote in votes)
+    entry = HistoryEntry(version, DONE)
+    return ReplicatedState(1, members, Certificate(version, 0, members, votes), history=(entry,))
 
 
-def found(secret: bytes, voters: Sequence[int], waiting: Mapping[int, Waiting], parts: Parts) -> Ledger | str:
-    """The first ledger, or why there is none yet."""
-    silent = [rank for rank in voters if rank not in waiting]
-    if silent:
-        return f"voters not heard of: {silent}"
-    other = [rank for rank in voters if waiting[rank].content != parts.content[:16]]
-    if other:
-        return f"voters whose files differ from ours: {other}"
-    version = first_version(parts)
-    votes = tuple(Vote(rank, waiting[rank].store, True, "", waiting[rank].seal) for rank in voters)
-    if not all(is_cast(secret, vote, version, 0) for vote in votes):
-        return "a vote is not sealed for what our files have"
-    seats = tuple(Seat(vote.rank, vote.store) for vote in votes)
-    entry = Entry(version, "done")
-    return Ledger(1, seats, Certificate(version, 0, seats, votes), history=(entry,))
+def _prefix(contents: ContentHashes) -> str:
+    return contents.combined_hash[:CONTENTS_PREFIX_CHARACTERS]
--- a/orchidlane/rollout/canary_analysis.py
+++ b/orchidlane/rollout/canary_analysis.py
@@ -1,16 +1,16 @@
-"""Whether gateways on the new version do worse than like ones still on the old, at the same moment. Pure.
-
-Each look brings what both sides answered since the last one, by class and plan. For each such stratum and
-each kind of harm (refused, failed, late, slow, further attempts) the bad answers of the two sides are
-compared given their sum: without harm the new side's part of them is a draw with a known chance, whatever
-the load, the hour or the clients. The evidence of a look is a likelihood ratio of harms of several sizes
-against a harmless difference (an e-value); their product over looks and their mean over all strata and
-kinds that there may be is an e-process. By Ville's inequality it ever passes 1/FALSE_STOPS with a chance of
-FALSE_STOPS at most, so it may be looked at at any time.
-
-The same from the other side: old gateways that do worse since some run the new version. A new gateway that
-is silent is harm, too; an old one that is silent is no progress; too few answers are waited for, up to a
-limit.
+"""Canary analysis: whether gateways on the new version do worse than like ones on the old. Pure.
+
+Each observation brings what both sides answered since the last one, by class and plan (a stratum). For each
+stratum and each kind of harm (refused, failed, late, slow, further attempts) the bad answers of the two sides
+are compared given their sum: without harm the new side's part of them is a draw with a known probability,
+whatever the load, the hour or the clients. The two sides are compared at the same moment. The evidence of an
+observation is a likelihood ratio of harms of several sizes against a harmless difference (an e-value); the
+product over the observations and the mean over all strata and kinds that there may be is an e-process. By
+Ville's inequality it ever passes 1/FALSE_POSITIVE_RATE with a probability of at most FALSE_POSITIVE_RATE, so
+that it may be tested at any time.
+
+Not judged: old gateways that do worse since some run the new version. A new gateway that is silent is harm
+too; an old one that is silent is no progress; for more answers the stage waits, up to a limit.
 """
 
 from __future__ import annotations
@@ -21,17 +21,18 @@
 
 import msgspec
 
-FALSE_STOPS = 1e-3  # the chance that a harmless version is ever stopped, within the margin below
-MARGIN = 1.25  # so many times as many bad answers are not harm: two groups of gateways are never quite alike
-HARMS = (2.0, 4.0, 16.0)  # times as many bad answers that the evidence looks for
-STRATA_MOST = 64  # classes by plans that are looked at, the first by name
-LEAST = 50  # answers of each side before a stage may pass
+FALSE_POSITIVE_RATE = 1e-3  # of harmless versions that are ever stopped
+HARMLESS_RATIO = 1.25  # of bad answers: two groups of gateways are never quite alike
+HARM_RATIOS = (2.0, 4.0, 16.0)  # of bad answers, for which evidence is gathered
+MAX_STRATA = 64  # the first by name
+MIN_ANSWERS = 50  # of each side before a stage may pass
+MAX_EXPONENT = 700.0  # of a float
 
 Stratum = str
 
 
-class Tally(msgspec.Struct, frozen=True, array_like=True):
-    """Answers of one stratum over some span."""
+class AnswerCounts(msgspec.Struct, frozen=True, array_like=True):
+    """Final answers of one stratum in some time."""
 
     answers: int = 0
     refused: int = 0
@@ -42,104 +43,121 @@
 
     @property
     def served(self) -> int:
-        """Neither refused nor failed."""
+        """Answers that were neither refused nor failed."""
         return self.answers - self.refused - self.failed
 
-    def plus(self, other: Tally) -> Tally:
-        """Both together."""
-        return Tally(*(one + two for one, two in zip(_all(self), _all(other), strict=True)))
+    def plus(self, other: AnswerCounts) -> AnswerCounts:
+        """Return the sums."""
+        return AnswerCounts(*(a + b for a, b in zip(_values(self), _values(other), strict=True)))
 
-    def since(self, earlier: Tally) -> Tally:
-        """What came since; a count that went back is of another life."""
-        parts = [now - then for now, then in zip(_all(self), _all(earlier), strict=True)]
-        return self if min(parts) < 0 else Tally(*parts)
+    def since(self, earlier: AnswerCounts) -> AnswerCounts:
+        """Return the differences; a count that went back is of another incarnation, and taken as it is."""
+        differences = [a - b for a, b in zip(_values(self), _values(earlier), strict=True)]
+        return self if min(differences) < 0 else AnswerCounts(*differences)
 
 
-def _all(tally: Tally) -> tuple[int, ...]:
-    return msgspec.structs.astuple(tally)
+def _values(counts: AnswerCounts) -> tuple[int, ...]:
+    return msgspec.structs.astuple(counts)
 
 
-Tallies = Mapping[Stratum, Tally]
-KINDS = ("refused", "failed", "late", "slow", "attempts", "served")
+CountsByStratum = Mapping[Stratum, AnswerCounts]
+SERVED = "served"
+OUTCOME_KINDS = ("refused", "failed", "late", "slow", "attempts", SERVED)
 
 
 class Verdict(NamedTuple):
-    """What is known so far."""
+    """What the evidence shows so far; ``harm`` is "" while it shows none."""
 
-    harm: str = ""  # what was found
-    enough: bool = False  # answers of both sides to let a stage pass
+    harm: str = ""
+    has_enough_answers: bool = False
 
 
-class Judge:
-    """The evidence of one change."""
+class CanaryAnalysis:
+    """The evidence of one stage."""
 
     def __init__(self) -> None:
-        self._logs: dict[tuple[Stratum, str], list[float]] = {}  # for each size of harm
-        self.new = self.old = 0
-
-    def look(self, new: Tallies, old: Tallies) -> Verdict:
-        """What both sides answered since the last look."""
-        for stratum in sorted(new.keys() & old.keys())[:STRATA_MOST]:
-            self._weigh(stratum, new[stratum], old[stratum])
-        self.new += sum(tally.answers for tally in new.values())
-        self.old += sum(tally.answers for tally in old.values())
-        return Verdict(self.harm(), min(self.new, self.old) >= LEAST)
-
-    def _weigh(self, stratum: Stratum, new: Tally, old: Tally) -> None:
+        # for each of HARM_RATIOS
+        self._log_likelihood_ratios: dict[tuple[Stratum, str], list[float]] = {}
+        self.new_answers = 0
+        self.old_answers = 0
+
+    def observe(self, new: CountsByStratum, old: CountsByStratum) -> Verdict:
+        """Weigh what both sides answered since the last observation."""
+        for stratum in sorted(new.keys() & old.keys())[:MAX_STRATA]:
+            self._add_evidence(stratum, new[stratum], old[stratum])
+        self.new_answers += sum(counts.answers for counts in new.values())
+        self.old_answers += sum(counts.answers for counts in old.values())
+        return Verdict(self.harm(), min(self.new_answers, self.old_answers) >= MIN_ANSWERS)
+
+    def _add_evidence(self, stratum: Stratum, new: AnswerCounts, old: AnswerCounts) -> None:
         if not new.answers or not old.answers:
             return
-        for kind in KINDS:
-            bad, usual = getattr(new, kind), getattr(old, kind)
-            logs = self._logs.setdefault((stratum, kind), [0.0] * len(HARMS))
-            for number, harm in enumerate(HARMS):
-                # Fewer served says what more refused can't where many are refused on both sides.
-                sizes = (1 / MARGIN, 1 / harm) if kind == "served" else (MARGIN, harm)
-                logs[number] += _evidence(bad, usual, new.answers, old.answers, *sizes)
+        for kind in OUTCOME_KINDS:
+            new_bad = getattr(new, kind)
+            old_bad = getattr(old, kind)
+            logs = self._log_likelihood_ratios.setdefault((stratum, kind), [0.0] * len(HARM_RATIOS))
+            for number, harm_ratio in enumerate(HARM_RATIOS):
+                ratios = (HARMLESS_RATIO, harm_ratio)
+                if kind == SERVED:
+                    # Fewer served tells what more refused can't, where many are refused on both sides.
+                    ratios = (1 / HARMLESS_RATIO, 1 / harm_ratio)
+                logs[number] += _log_likelihood_ratio(new_bad, old_bad, new.answers, old.answers, *ratios)
 
     def harm(self) -> str:
-        """Which harm the evidence shows, "" while it shows none."""
-        if not self._logs:
+        """Return the harm that the evidence shows most clearly; "" while it shows none."""
+        if not self._log_likelihood_ratios:
             return ""
-        values = {
-            key: sum(exp(min(log_, 700.0)) for log_ in logs) / len(HARMS) for key, logs in self._logs.items()
+        e_values = {
+            key: sum(exp(min(value, MAX_EXPONENT)) for value in logs) / len(HARM_RATIOS)
+            for key, logs in self._log_likelihood_ratios.items()
         }
-        others = STRATA_MOST * len(KINDS) - len(values)  # of which nothing is known: 1 each
-        if (sum(values.values()) + others) / (len(values) + others) < 1 / FALSE_STOPS:
+        unobserved = MAX_STRATA * len(OUTCOME_KINDS) - len(e_values)  # with an e-value of 1 each
+        mean = (sum(e_values.values()) + unobserved) / (len(e_values) + unobserved)
+        if mean < 1 / FALSE_POSITIVE_RATE:
             return ""
-        stratum, kind = max(values, key=lambda key: values[key])
-        less = "fewer" if kind == "served" else "more"
-        return f"{less} {kind} in {stratum} than where the old version runs"
-
-
-def _evidence(bad: int, usual: int, answers: int, others: int, margin: float, harm: float) -> float:
-    """The log of how much likelier so many of both are the new side's under a harm than without one."""
-    none, some = margin * answers / (margin * answers + others), harm * answers / (harm * answers + others)
-    return bad * log(some / none) + usual * log((1 - some) / (1 - none))
+        stratum, kind = max(e_values, key=lambda key: e_values[key])
+        comparative = "fewer" if kind == SERVED else "more"
+        return f"{comparative} {kind} in {stratum} than where the old version runs"
+
+
+def _log_likelihood_ratio(
+    new_bad: int, old_bad: int, new_answers: int, old_answers: int, harmless_ratio: float, harm_ratio: float
+) -> float:
+    """Return the log of how much likelier the new side's part of the bad answers is under a harm."""
+    harmless_part = harmless_ratio * new_answers / (harmless_ratio * new_answers + old_answers)
+    harmful_part = harm_ratio * new_answers / (harm_ratio * new_answers + old_answers)
+    return new_bad * log(harmful_part / harmless_part) + old_bad * log(
+        (1 - harmful_part) / (1 - harmless_part)
+    )
 
 
-def sum_of(tallies: Iterable[Tallies]) -> dict[Stratum, Tally]:
-    """Several gateways as one."""
-    found: dict[Stratum, Tally] = {}
-    for one in tallies:
-        for stratum, tally in one.items():
-            found[stratum] = found.get(stratum, Tally()).plus(tally)
-    return found
+def merge_counts(counts: Iterable[CountsByStratum]) -> dict[Stratum, AnswerCounts]:
+    """Return the sums over several gateways."""
+    merged: dict[Stratum, AnswerCounts] = {}
+    for of_gateway in counts:
+        for stratum, added in of_gateway.items():
+            merged[stratum] = merged.get(stratum, AnswerCounts()).plus(added)
+    return merged
 
 
-def between(now: Tallies, then: Tallies) -> dict[Stratum, Tally]:
-    """What one gateway answered between two looks."""
-    return {stratum: tally.since(then.get(stratum, Tally())) for stratum, tally in now.items()}
+def counts_since(now: CountsByStratum, earlier: CountsByStratum) -> dict[Stratum, AnswerCounts]:
+    """Return what one gateway answered between two observations."""
+    return {stratum: counts.since(earlier.get(stratum, AnswerCounts())) for stratum, counts in now.items()}
 
 
-def answers_until_found(share: float, usual: float) -> float:
-    """About how many answers of each side a harm takes to be found.
+def expected_answers_to_detect(harmful_share: float, baseline_share: float) -> float:
+    """Return about how many answers of each side it takes to detect a harm, in one stratum.
 
-    ``usual`` is the share of bad answers on the old side, ``share`` on the new one, all in one stratum.
+    ``baseline_share`` is the share of bad answers on the old side, ``harmful_share`` on the new one.
     """
-    if share <= MARGIN * usual:
+    if harmful_share <= HARMLESS_RATIO * baseline_share:
         return inf
-    best = max(
-        share * log(harm * (1 + MARGIN) / (MARGIN * (1 + harm))) + usual * log((1 + MARGIN) / (1 + harm))
-        for harm in HARMS
+    evidence_per_answer = max(
+        harmful_share * log(ratio * (1 + HARMLESS_RATIO) / (HARMLESS_RATIO * (1 + ratio)))
+        + baseline_share * log((1 + HARMLESS_RATIO) / (1 + ratio))
+        for ratio in HARM_RATIOS
     )
-    return log(STRATA_MOST * len(KINDS) * len(HARMS) / FALSE_STOPS) / best if best > 0 else inf
+    if evidence_per_answer <= 0:
+        return inf
+    needed = log(MAX_STRATA * len(OUTCOME_KINDS) * len(HARM_RATIOS) / FALSE_POSITIVE_RATE)
+    return needed / evidence_per_answer
--- a/orchidlane/rollout/compatibility.py
+++ b/orchidlane/rollout/compatibility.py
@@ -1,99 +1,142 @@
-"""What may serve side by side, and what a voter may say yes to. Decides without I/O.
+"""Which two versions may serve side by side; decides what a voter may approve, without I/O.
 
-While a change is adopted some gateways go by the old version and some by the new one, and a request's retry
-may come through another gateway than the request did.
+While a version is adopted some gateways serve by the old version and some by the new one, and a request's
+retry may come through another gateway than the request did.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping
-
-import msgspec
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import dataclass
 
 from orchidlane.policy import Idempotency
 from orchidlane.routes import Generation, Operation
 
-MOVED_MOST = 10_000  # sets in one version: each gateway looks at each of them as it adopts
-NAMED_MOST = 5  # operations or customers that a reason names
+MAX_MIGRATING_CUSTOMERS = 10_000  # in one version: each gateway looks at each of them as it adopts
+MAX_NAMED_IN_REASON = 5  # operations or customers
+
 
+@dataclass(frozen=True, slots=True)
+class CustomerAssignment:
+    """A customer's plan and its replica set: ``replica_count`` ranks from ``first_replica`` on.
 
-class Account(msgspec.Struct, frozen=True):
-    """What a version says of one customer."""
+    ``is_suspended``: nothing is served while its replica set changes.
+    """
 
     plan: str
-    first: int
-    size: int
-    ceiling: bool = False  # its plan has one
-    held: bool = False  # nothing is served while its set moves
+    first_replica: int
+    replica_count: int
+    has_ceiling: bool = False
+    is_suspended: bool = False
+
 
+Assignments = Mapping[int, CustomerAssignment]
 
-class Material(msgspec.Struct, frozen=True):
-    """All that a version's contents say, as far as it matters here."""
+
+@dataclass(frozen=True, slots=True)
+class VersionConfiguration:
+    """What a version's contents say, as far as it matters here; assignments by customer number."""
 
     generation: Generation
-    accounts: Mapping[int, Account]
+    assignments: Assignments
 
 
-def why_not_beside(old: Material, new: Material) -> str:
-    """Why gateways of these two versions may not serve side by side; "" where they may."""
-    return "; ".join([*_rules(old.generation, new.generation), *_accounts(old.accounts, new.accounts)])
+def incompatibility(old: VersionConfiguration, new: VersionConfiguration) -> str:
+    """Return why gateways of these two versions may not serve side by side; "" where they may."""
+    conflicts = [
+        *_generation_conflicts(old.generation, new.generation),
+        *_assignment_conflicts(old.assignments, new.assignments),
+    ]
+    return "; ".join(conflicts)
 
 
-def _rules(old: Generation, new: Generation) -> Iterator[str]:
+def _generation_conflicts(old: Generation, new: Generation) -> Iterator[str]:
     if old.class_names != new.class_names or old.classes != new.classes:
-        names = sorted(set(old.class_names) ^ set(new.class_names)) or [
-            name
-            for name, before, after in zip(old.class_names, old.classes, new.classes, strict=False)
-            if before != after
-        ]
-        yield f"classes change ({_some(names)}): that takes a restart of the gateways"
+        names = _changed_classes(old, new)
+        yield f"classes change ({_shorten(names)}): that takes a restart of the gateways"
         return
-    before = {(one.method, one.path): one for one in old.operations}
-    for after in new.operations:
-        known = before.get((after.method, after.path))
-        if known is not None and (why := _operation(old, known, after)):
-            yield f"{after.name}: {why}"
-
-
-def _operation(old: Generation, before: Operation, after: Operation) -> str:
-    """A retry through a gateway of the other version must be as safe as through one of the same."""
-    was, will = old.classes[before.kind], old.classes[after.kind]
-    if was.idempotency is not will.idempotency:
+    old_operations = {(operation.method, operation.path): operation for operation in old.operations}
+    for operation in new.operations:
+        old_operation = old_operations.get((operation.method, operation.path))
+        if old_operation is None:
+            continue
+        conflict = _operation_conflict(old, old_operation, operation)
+        if conflict:
+            yield f"{operation.name}: {conflict}"
+
+
+def _changed_classes(old: Generation, new: Generation) -> list[str]:
+    """Return the names that came or went, or failing these the names whose classes differ."""
+    names = sorted(set(old.class_names) ^ set(new.class_names))
+    return names or [
+        name
+        for name, before, after in zip(old.class_names, old.classes, new.classes, strict=False)
+        if before != after
+    ]
+
+
+def _operation_conflict(generation: Generation, before: Operation, after: Operation) -> str:
+    """Return why a retry through a gateway of the other version is less safe; "" where it is as safe."""
+    old_class = generation.classes[before.kind]
+    new_class = generation.classes[after.kind]
+    if old_class.idempotency is not new_class.idempotency:
         return (
-            f"from {was.idempotency.value} to {will.idempotency.value}: one gateway would repeat what another"
-            " holds for done once; let it go under a new path, and drop the old one when nobody asks for it"
+            f"from {old_class.idempotency.value} to {new_class.idempotency.value}: one gateway would repeat"
+            " what another holds for done once; let it go under a new path, and drop the old one when nobody"
+            " asks for it"
         )
-    if was.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-        if before.idempotency_header != after.idempotency_header:
-            return "its key moves to another header: one gateway would not know the other's repeats"
-        if will.deduplication_scope is not was.deduplication_scope:
-            return "servers that drop its repeats change: a repeat could reach one that does not know it"
-        if will.deduplication_window_us < was.deduplication_window_us:
-            return "the window of its keys shrinks: a repeat that one gateway allows would run again"
+    if old_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
+        return ""
+    if before.idempotency_header != after.idempotency_header:
+        return "its key moves to another header: one gateway would not know the other's repeats"
+    if new_class.deduplication_scope is not old_class.deduplication_scope:
+        return "servers that drop its repeats change: a repeat could reach one that does not know it"
+    if new_class.deduplication_window_us < old_class.deduplication_window_us:
+        return "the window of its keys shrinks: a repeat that one gateway allows would run again"
     return ""
 
 
-def _accounts(old: Mapping[int, Account], new: Mapping[int, Account]) -> Iterator[str]:
-    moved = [n for n, one in new.items() if n in old and one.ceiling and is_moved(old[n], one)]
-    if unheld := [n for n in moved if not new[n].held]:
-        yield f"sets move (customers {_some(unheld)}): both sets would have rights; hold them first"
-    if len(moved) > MOVED_MOST:
-        yield f"{len(moved)} sets move at once, allowed: {MOVED_MOST}"
-    changed = [n for n, one in new.items() if n in old and one.plan != old[n].plan]
-    if changed:
-        yield f"plans of customers change ({_some(changed)}): rights would be created while both serve"
-
-
-def is_moved(old: Account, new: Account) -> bool:
-    """Whether a customer has another set."""
-    return (old.first, old.size) != (new.first, new.size)
-
-
-def moves(old: Mapping[int, Account], new: Mapping[int, Account]) -> list[int]:
-    """The customers whose parts begin anew with a version: those that move, and those that are let go on."""
-    return [n for n, one in new.items() if n in old and (is_moved(old[n], one) or old[n].held != one.held)]
+def _assignment_conflicts(old: Assignments, new: Assignments) -> Iterator[str]:
+    migrating = migrating_customers(old, new)
+    unsuspended = [number for number in migrating if not new[number].is_suspended]
+    if unsuspended:
+        yield f"sets move (customers {_shorten(unsuspended)}): both sets would have rights; hold them first"
+    if len(migrating) > MAX_MIGRATING_CUSTOMERS:
+        yield f"{len(migrating)} sets move at once, allowed: {MAX_MIGRATING_CUSTOMERS}"
+    replanned = [
+        number for number, assignment in new.items() if number in old and assignment.plan != old[number].plan
+    ]
+    if replanned:
+        yield f"plans of customers change ({_shorten(replanned)}): rights would be created while both serve"
+
+
+def has_other_replicas(old: CustomerAssignment, new: CustomerAssignment) -> bool:
+    """Tell whether a customer's replica set changes."""
+    return (old.first_replica, old.replica_count) != (new.first_replica, new.replica_count)
+
+
+def migrating_customers(old: Assignments, new: Assignments) -> list[int]:
+    """Return the customers with a ceiling whose replica set changes."""
+    return [
+        number
+        for number, assignment in new.items()
+        if number in old and assignment.has_ceiling and has_other_replicas(old[number], assignment)
+    ]
+
+
+def customers_to_reset(old: Assignments, new: Assignments) -> list[int]:
+    """Return the customers whose quotas begin anew: those that migrate, are suspended or served again."""
+    return [
+        number
+        for number, assignment in new.items()
+        if number in old
+        and (
+            has_other_replicas(old[number], assignment) or old[number].is_suspended != assignment.is_suspended
+        )
+    ]
 
 
-def _some(names: list[str] | list[int]) -> str:
-    shown = ", ".join(map(str, names[:NAMED_MOST]))
-    return f"{shown} and {len(names) - NAMED_MOST} more" if len(names) > NAMED_MOST else shown
+def _shorten(names: Sequence[str | int]) -> str:
+    shown = ", ".join(map(str, names[:MAX_NAMED_IN_REASON]))
+    more = len(names) - MAX_NAMED_IN_REASON
+    return f"{shown} and {more} more" if more > 0 else shown
--- a/orchidlane/rollout/dissemination.py
+++ b/orchidlane/rollout/dissemination.py
@@ -1,15 +1,14 @@
-"""Who has heard of the ledger, and who may still serve. Decides without I/O.
-
-Each gateway asks one other, drawn at random, every so often (pull gossip); who learns of a later ledger hints
-it to a few. So work per event and bytes a gateway are the same at any size, and news take a number of rounds
-that grows with the logarithm of the fleet.
-
-An answer says how long ago a quorum of voters confirmed that ledger to whoever leads. The asker adds all the
-time since it asked, by its own clock: whatever a datagram waited for in the network or in our own buffers is
-counted as age. A gateway serves by a version until ``lease`` after the latest moment at which a quorum
-confirmed a ledger that wants it there. So a lease after a ledger is chosen no gateway serves by what that
-took back, whether it heard of it and could not follow, or did not hear; and one that starts anew serves
-nothing before it has heard.
+"""Spread of the latest replicated state, and the leases by which gateways serve. Decides without I/O.
+
+Each gateway regularly asks another one, drawn at random, for its latest state (pull gossip); a gateway that
+learns of a later state hints it to a few others. The work and the bytes of a gateway are therefore the same
+at any size of the fleet, and a state spreads in a number of rounds that grows with the logarithm of the size.
+
+A response tells how long ago a quorum of voters confirmed that state to the leader. The receiver adds the
+time since its own request, by its own clock, so that any delay of a datagram counts as age. A gateway serves
+by a version until a lease after the latest moment at which a quorum confirmed a state that wants it there. A
+lease after a state is chosen no gateway serves by a version that the state took back, whether it could not
+follow or did not hear; and a gateway that restarts serves nothing before it has heard.
 """
 
 from __future__ import annotations
@@ -18,163 +17,192 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from orchidlane.rollout.messages import Ask, Hint, Message, Told
+from orchidlane.rollout.messages import GossipRequest, GossipResponse, Message, NewStateHint
 
-FAN = 2  # gateways that get a hint from each that learns of a later ledger
-ASKED_MOST = 16  # questions that may still be answered
-HURRY = 5  # times as often is asked by whoever may not serve yet
-HINT_PAUSE = 20_000  # microseconds between two questions that hints cause
+HINT_FANOUT = 2  # gateways that get a hint from each that learns of a later state
+MAX_OUTSTANDING_REQUESTS = 16
+UNCONFIRMED_POLL_RATE_FACTOR = 5  # while nothing was confirmed yet
+MIN_HINT_INTERVAL_US = 20_000  # between two requests that hints cause
+NONCE_BITS = 32
 
 
-class Tell(NamedTuple):
-    """A datagram to another gateway."""
+class Send(NamedTuple):
+    """Send a datagram to another gateway."""
 
     rank: int
     message: Message
 
 
-class Fetch(NamedTuple):
-    """A later ledger is to be fetched from a gateway; ``at``: when it was confirmed, None: never."""
+class FetchState(NamedTuple):
+    """Fetch a later state from a gateway; ``confirmed_at``: when a quorum confirmed it, None: never."""
 
     rank: int
-    name: str
-    number: int  # its index
-    at: int | None
+    state_hash: str
+    state_index: int
+    confirmed_at: int | None
+
 
+Action = Send | FetchState
 
-Action = Tell | Fetch
 
+class Dissemination:
+    """One gateway's view of the replicated state. Times are microseconds of its own clock.
 
-class Spread:
-    """One gateway's view of the ledger's news. Times are microseconds of its own clock."""
+    ``index`` and ``state_hash`` name the latest state that it holds (0: none). ``confirmed_at`` is the latest
+    moment at which a quorum is known to have confirmed it, ``target_confirmed_at`` the latest one at which
+    the version that runs here was known to be wanted here.
+    """
 
     def __init__(
-        self, rank: int, gateways: int, voters: Sequence[int], lease: int, every: int, rng: random.Random
+        self,
+        rank: int,
+        gateways: int,
+        voters: Sequence[int],
+        lease_us: int,
+        poll_interval_us: int,
+        rng: random.Random,
     ) -> None:
         self.rank = rank
         self.gateways = gateways
         self.voters = tuple(voters)
-        self.lease = lease
-        self.every = every
+        self.lease_us = lease_us
+        self.poll_interval_us = poll_interval_us
         self.random = rng
-        self.index = 0  # of the ledger that we know; 0: none
-        self.name = ""
-        self.fresh: int | None = None  # when a quorum confirmed it, at the latest
-        self.valid: int | None = None  # when it was confirmed that what we run is wanted here, at the latest
-        self.as_wanted = False  # what we run is what the ledger wants
-        self._unfounded: dict[int, int] = {}  # voter -> when it was asked and said that there is no ledger
-        self._asked: dict[int, int] = {}  # nonce -> when
-        self._due = 0
-        self._turn = 0
-        self._hinted = 0
+        self.index = 0
+        self.state_hash = ""
+        self.confirmed_at: int | None = None
+        self.target_confirmed_at: int | None = None
+        self.runs_target = False
+        # voter without a state -> when the request was sent that it answered so
+        self._unbootstrapped_voters: dict[int, int] = {}
+        self._outstanding: dict[int, int] = {}  # nonce -> when the request was sent
+        self._next_poll_at = 0
+        self._round = 0
+        self._hinted_at = 0
 
     # -- what is known
 
-    def learned(self, now: int, index: int, name: str, at: int | None) -> list[Action]:
-        """We hold a ledger; a later one than ours is hinted on."""
-        if index < self.index or (index == self.index and at is None):
+    def learn_state(self, index: int, state_hash: str, confirmed_at: int | None) -> list[Action]:
+        """Take note of a state that is held here; return the hints of a later one."""
+        if index < self.index or (index == self.index and confirmed_at is None):
+            return []
+        is_later = index > self.index
+        self.index = index
+        self.state_hash = state_hash
+        if is_later:
+            self.runs_target = False  # until ``set_running`` tells of this state
+        self.record_confirmation(confirmed_at)
+        if not is_later:
             return []
-        news = index > self.index
-        self.index, self.name = index, name
-        self.as_wanted = self.as_wanted and not news  # until ``runs`` says so of this one
-        self.confirmed(at)
         others = [rank for rank in range(self.gateways) if rank != self.rank]
-        some = self.random.sample(others, min(FAN, len(others))) if news else []
-        return [Tell(rank, Hint(index)) for rank in some]
-
-    def confirmed(self, at: int | None) -> None:
-        """A quorum confirmed what we know."""
-        self.fresh = _later(self.fresh, at)
-        if self.as_wanted:
-            self.valid = _later(self.valid, self.fresh)
-
-    def runs(self, as_wanted: bool, as_founded: bool = False) -> None:
-        """Whether we run what the ledger wants; ``as_founded``: by the files that it was founded with."""
-        self.as_wanted = as_wanted
-        if as_founded:
-            self.valid = _later(self.valid, self._unfounded_at())
-        if as_wanted:
-            self.valid = _later(self.valid, self.fresh)
-
-    def _unfounded_at(self) -> int | None:
-        """When a majority of the voters knew of no ledger, at the latest."""
-        told = sorted(self._unfounded.values(), reverse=True)
-        enough = len(self.voters) // 2
-        return told[enough] if len(told) > enough else None
-
-    def why_not_serve(self, now: int) -> str:
-        """Why requests are turned away; "" where they are served."""
+        receivers = self.random.sample(others, min(HINT_FANOUT, len(others)))
+        return [Send(rank, NewStateHint(index)) for rank in receivers]
+
+    def record_confirmation(self, confirmed_at: int | None) -> None:
+        """Take note that a quorum confirmed the state that is held here."""
+        self.confirmed_at = _latest(self.confirmed_at, confirmed_at)
+        if self.runs_target:
+            self.target_confirmed_at = _latest(self.target_confirmed_at, self.confirmed_at)
+
+    def set_running(self, runs_target: bool, runs_initial: bool = False) -> None:
+        """Tell whether the target version runs; ``runs_initial``: by the files that became version 0."""
+        self.runs_target = runs_target
+        if runs_initial:
+            self.target_confirmed_at = _latest(self.target_confirmed_at, self._unbootstrapped_at())
+        if runs_target:
+            self.target_confirmed_at = _latest(self.target_confirmed_at, self.confirmed_at)
+
+    def _unbootstrapped_at(self) -> int | None:
+        """Return the latest moment at which a majority of the voters is known to have had no state."""
+        sent_at = sorted(self._unbootstrapped_voters.values(), reverse=True)
+        minority = len(self.voters) // 2
+        return sent_at[minority] if len(sent_at) > minority else None
+
+    def rejection_reason(self, now: int) -> str:
+        """Return why requests are rejected; "" where they are served."""
         if not self.index:
-            at = self._unfounded_at()
-            told = at is not None and now - at <= self.lease
-            return "" if told else "no majority of the voters has told by which rules"
-        if self.valid is not None and now - self.valid <= self.lease:
+            if self._in_lease(now, self._unbootstrapped_at()):
+                return ""
+            return "no majority of the voters has told by which rules"
+        if self._in_lease(now, self.target_confirmed_at):
             return ""
-        if self.fresh is not None and now - self.fresh <= self.lease:
+        if self._in_lease(now, self.confirmed_at):
             return "other rules are wanted, which are not here yet"
-        return "the rules are not confirmed" + (" yet" if self.fresh is None else " any more")
+        return "the rules are not confirmed" + (" yet" if self.confirmed_at is None else " any more")
+
+    def _in_lease(self, now: int, since: int | None) -> bool:
+        return since is not None and now - since <= self.lease_us
 
     # -- events
 
     def tick(self, now: int) -> list[Action]:
-        """Ask the next one, when it is time."""
-        if now < self._due or self.gateways < 2:
+        """Ask the next gateway when it is time, by an interval with a random part."""
+        if now < self._next_poll_at or self.gateways < 2:
             return []
-        every = self.every if self.fresh is not None else self.every // HURRY
-        self._due = now + int(every * (0.75 + 0.5 * self.random.random()))
-        return [self._ask(now, self._next())]
-
-    def _next(self) -> int:
-        """Until there is a ledger only the voters can say that there is none."""
-        self._turn += 1
-        known = self.voters if not self.index else range(self.gateways)
-        rank = known[self._turn % len(known)] if not self.index else self.random.choice(known)
-        if rank == self.rank:
-            rank = (rank + 1) % self.gateways if self.index else known[(self._turn + 1) % len(known)]
-        return rank
-
-    def _ask(self, now: int, rank: int) -> Tell:
-        nonce = self.random.getrandbits(32)
-        self._asked[nonce] = now
-        while len(self._asked) > ASKED_MOST:
-            del self._asked[next(iter(self._asked))]
-        return Tell(rank, Ask(nonce, self.index))
-
-    def hear(self, now: int, sender: int, message: Message, is_blank: bool = False) -> list[Action]:
-        """A message about the latest ledger; ``is_blank``: we are a voter that knows of none."""
+        interval_us = self.poll_interval_us
+        if self.confirmed_at is None:
+            interval_us //= UNCONFIRMED_POLL_RATE_FACTOR
+        self._next_poll_at = now + int(interval_us * (0.75 + 0.5 * self.random.random()))
+        return [self._request(now, self._next_peer())]
+
+    def _next_peer(self) -> int:
+        """Draw any gateway, or take the voters in turn until there is a state: only they can tell of none."""
+        self._round += 1
+        if self.index:
+            rank = self.random.choice(range(self.gateways))
+            return rank if rank != self.rank else (rank + 1) % self.gateways
+        rank = self.voters[self._round % len(self.voters)]
+        return rank if rank != self.rank else self.voters[(self._round + 1) % len(self.voters)]
+
+    def _request(self, now: int, rank: int) -> Send:
+        nonce = self.random.getrandbits(NONCE_BITS)
+        self._outstanding[nonce] = now
+        while len(self._outstanding) > MAX_OUTSTANDING_REQUESTS:
+            del self._outstanding[next(iter(self._outstanding))]
+        return Send(rank, GossipRequest(nonce, self.index))
+
+    def receive(self, now: int, sender: int, message: Message, is_blank_voter: bool = False) -> list[Action]:
+        """Handle a message about the latest state; ``is_blank_voter``: we are a voter that never voted."""
         match message:
-            case Ask():
-                age = -1 if self.fresh is None else max(0, now - self.fresh)
-                told = Told(message.nonce, self.index, self.name, age, is_blank and not self.index)
-                if message.index > self.index:
-                    return [Tell(sender, told), *self._hint(now, sender)]
-                return [Tell(sender, told)]
-            case Told():
-                return self._told(now, sender, message)
-            case Hint():
-                return self._hint(now, sender) if message.index > self.index else []
+            case GossipRequest():
+                return self._on_request(now, sender, message, is_blank_voter)
+            case GossipResponse():
+                return self._on_response(sender, message)
+            case NewStateHint() if message.index > self.index:
+                return self._request_newer(now, sender)
         return []
 
-    def _hint(self, now: int, sender: int) -> list[Action]:
-        if now - self._hinted < HINT_PAUSE:
+    def _on_request(
+        self, now: int, sender: int, message: GossipRequest, is_blank_voter: bool
+    ) -> list[Action]:
+        age_us = -1 if self.confirmed_at is None else max(0, now - self.confirmed_at)
+        is_unbootstrapped = is_blank_voter and not self.index
+        response = GossipResponse(message.nonce, self.index, self.state_hash, age_us, is_unbootstrapped)
+        actions: list[Action] = [Send(sender, response)]
+        if message.index > self.index:
+            actions += self._request_newer(now, sender)
+        return actions
+
+    def _request_newer(self, now: int, sender: int) -> list[Action]:
+        if now - self._hinted_at < MIN_HINT_INTERVAL_US:
             return []
-        self._hinted = now
-        return [self._ask(now, sender)]
-
-    def _told(self, now: int, sender: int, message: Told) -> list[Action]:
-        asked = self._asked.pop(message.nonce, None)
-        if asked is None:
-            return []  # too old, or nothing that we asked
-        if message.unfounded and sender in self.voters:
-            self._unfounded[sender] = asked
-        at = asked - message.age if message.age >= 0 else None
-        if message.index == self.index and message.index and message.name == self.name:
-            self.confirmed(at)
-        elif message.index > self.index:
-            return [Fetch(sender, message.name, message.index, at)]
+        self._hinted_at = now
+        return [self._request(now, sender)]
+
+    def _on_response(self, sender: int, message: GossipResponse) -> list[Action]:
+        sent_at = self._outstanding.pop(message.nonce, None)
+        if sent_at is None:
+            return []  # too late, or an answer to no request of ours
+        if message.is_unbootstrapped and sender in self.voters:
+            self._unbootstrapped_voters[sender] = sent_at
+        confirmed_at = sent_at - message.age_us if message.age_us >= 0 else None
+        if message.index > self.index:
+            return [FetchState(sender, message.state_hash, message.index, confirmed_at)]
+        if message.index == self.index and message.index and message.state_hash == self.state_hash:
+            self.record_confirmation(confirmed_at)
         return []
 
 
-def _later(one: int | None, other: int | None) -> int | None:
-    """The later of two moments, either of which may never have been."""
+def _latest(one: int | None, other: int | None) -> int | None:
+    """Return the later of two moments, either of which may never have been."""
     return max((at for at in (one, other) if at is not None), default=None)
--- a/orchidlane/rollout/leader.py
+++ b/orchidlane/rollout/leader.py
@@ -1,334 +1,260 @@
-"""What whoever leads does next, and who leads. Decides without I/O.
+"""Election of a leader among the voters, and what the leader does next. Decides without I/O.
 
-Leading is for progress alone; what it may do is fenced by the ledger's term. A voter that hears no beat for a
-while claims the next term. Beats that a quorum answers prove, as of when they were sent, that no later ledger
-was chosen: that is the moment from which every gateway's lease counts (``spread``).
+A leader is needed for progress alone; what it may do is fenced by the term of the replicated state. A voter
+that receives no heartbeat for a while claims the next term. Heartbeats that a quorum acknowledges prove, as
+of when they were sent, that no later state was chosen: from that moment every gateway's lease counts
+(``dissemination``).
 
-A change goes on by what the ledger says and what voters and gateways tell again and again, so that whoever
-leads next goes on from there: votes to whoever leads in a term, reports until whoever leads has noted them.
+A rollout goes on by what the replicated state says and what voters and gateways send repeatedly, so that the
+next leader goes on from there: votes go to the leader of the term, reports until the leader acknowledged
+them.
 """
 
 from __future__ import annotations
 
 import random
 from collections import deque
+from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import msgspec
 
-from orchidlane.rollout import phases as stages
-from orchidlane.rollout.consensus import Register, Tell
-from orchidlane.rollout.messages import Beat, Beaten, Noted, Report, Voted, Waiting
-from orchidlane.rollout.replicated_state import (
-    Admit,
-    Approve,
-    Change,
-    Claim,
-    Finish,
-    Ledger,
-    Propose,
-    Settle,
-    Stage,
-    Step,
-    Stop,
-    Widen,
-    has_rank,
-    ranks_as_bits,
-)
-from orchidlane.rollout.version import Seat, Vote, has_quorum, is_cast, majority
-
-COMMANDS_MOST = 8  # that wait
-CLAIMS_MOST = 4  # doublings of the wait between two claims
-BEATS_MOST = 16  # whose answers may still come
-NEAR = 2_000_000  # microseconds: a voter that waits for a seat said so since
-DRIFT = 1.02  # how much faster one clock may run than another
-TOLD_MOST = 5  # gateways that are named in a reason
-
-
-class Terms(msgspec.Struct, frozen=True):
-    """Spans in microseconds."""
-
-    lease: int
-    beat: int
-    silence: int  # after which another voter claims to lead
-    decide: int  # for a quorum to vote on a change
-    stages: stages.Terms
-
-
-class Reported(msgspec.Struct):
-    """What a gateway said last."""
-
-    number: int
-    wanted: int
-    why: str
-    load: int
-    at: int
-    since: int  # when it first said this number
-
-
-class Conductor:
-    """One voter's part in leading."""
+from orchidlane.rollout.commands import ChangeMembership, ClaimLeadership, Command, SettleMembership
+from orchidlane.rollout.consensus import Voter
+from orchidlane.rollout.messages import AdmissionRequest, Heartbeat, HeartbeatAck
+from orchidlane.rollout.replicated_state import ReplicatedState
+from orchidlane.rollout.rollout_driver import RolloutDriver, RolloutSettings
+from orchidlane.rollout.version import VotingMember, has_quorum
+from orchidlane.rollout.voter_state import Send
+
+MAX_QUEUED_COMMANDS = 8
+MAX_CLAIM_BACKOFF_DOUBLINGS = 4  # of the random part of the delay between two claims
+MAX_OUTSTANDING_HEARTBEATS = 16
+ADMISSION_REQUEST_TTL_US = 2_000_000
+
+
+@dataclass(frozen=True)
+class LeadershipSettings:
+    """Intervals of leader election in microseconds, and how rollouts are driven."""
+
+    heartbeat_interval_us: int
+    election_timeout_us: int  # without a heartbeat, until another voter claims to lead
+    rollout: RolloutSettings
+
+
+class ReceivedRequest(NamedTuple):
+    """A voter's request to be admitted, and when it came."""
+
+    request: AdmissionRequest
+    received_at: int
+
+
+@dataclass
+class SentHeartbeat:
+    """A heartbeat of ours, and the members that acknowledged it."""
+
+    sent_at: int
+    acknowledged: set[VotingMember] = field(default_factory=set)
+
+
+class Leadership:
+    """One voter's part in leader election, and the leader's commands. Times are microseconds of its clock.
+
+    ``confirmed_at`` is the latest moment at which a quorum is known to have confirmed our state as leader.
+    """
 
     def __init__(
-        self, register: Register, gateways: int, secret: bytes, terms: Terms, rng: random.Random, now: int
+        self,
+        voter: Voter,
+        gateway_count: int,
+        secret: bytes,
+        settings: LeadershipSettings,
+        rng: random.Random,
+        now: int,
     ) -> None:
-        self.register = register
-        self.gateways = gateways
-        self.secret = secret
-        self.terms = terms
+        self.voter = voter
+        self.settings = settings
         self.random = rng
-        self.led = -1  # the term that we claimed
-        self.fresh: int | None = None  # when a quorum confirmed our ledger
-        self.heard = now  # the latest beat of another, or when we started
-        self._claims = 0  # of ours since anybody was heard to lead
-        self.patience = self._patience()
-        self.reports: dict[int, Reported] = {}
-        self.waiting: dict[int, tuple[Waiting, int]] = {}
-        self.votes: dict[int, Vote] = {}
-        self.commands: deque[Step] = deque()
-        self._beats: dict[int, tuple[int, set[Seat]]] = {}
-        self._beat = 0
-        self._heeded = -1  # whose beat was the latest
-        self._beaten = now
-        self._stage: tuple[object, ...] = ()
-        self._since = self._claimed = now
-        self.stager: stages.Stager | None = None
-
-    def _patience(self) -> int:
-        wide = 1 << min(self._claims, CLAIMS_MOST)  # on a slow network claims would else stop each other
-        return int(self.terms.silence * (1 + wide * self.random.random()))
+        self.driver = RolloutDriver(gateway_count, secret, settings.rollout, now)
+        self.commands: deque[Command] = deque()
+        self.admission_requests: dict[int, ReceivedRequest] = {}
+        self.confirmed_at: int | None = None
+        self._claimed_term = -1
+        self._claimed_at = now
+        self._claims = 0  # of ours since the last heartbeat of a leader
+        self._leader_seen_at = now
+        self._followed_rank = -1  # whose heartbeat was the latest
+        self._election_delay_us = self._draw_election_delay()
+        self._heartbeats: dict[int, SentHeartbeat] = {}  # by sequence
+        self._heartbeat_sequence = 0
+        self._heartbeat_sent_at = now
 
     @property
-    def ledger(self) -> Ledger | None:
-        """The latest that we know."""
-        return self.register.ledger
+    def state(self) -> ReplicatedState | None:
+        """The latest state that this voter knows."""
+        return self.voter.chosen_state
 
     @property
-    def leads(self) -> bool:
-        """Whether we lead, as far as we know."""
-        ledger = self.ledger
+    def is_leader(self) -> bool:
+        """Whether this voter leads, as far as it knows."""
+        state = self.state
         return (
-            ledger is not None
-            and self.register.votes
-            and (ledger.leader, ledger.term) == (self.register.rank, self.led)
+            state is not None
+            and self.voter.may_vote
+            and state.leader == self.voter.rank
+            and state.term == self._claimed_term
         )
 
-    def lead_first(self) -> None:
-        """We founded the ledger: nobody leads yet, so there is nobody to wait for."""
-        self.patience = -1
+    def claim_immediately(self) -> None:
+        """Claim without a delay: we created the first state, so that nobody leads yet."""
+        self._election_delay_us = -1
+
+    def _draw_election_delay(self) -> int:
+        """Return a random delay, longer after each claim: on a slow network claims could stop each other."""
+        factor = 1 << min(self._claims, MAX_CLAIM_BACKOFF_DOUBLINGS)
+        return int(self.settings.election_timeout_us * (1 + factor * self.random.random()))
 
-    # -- beats
+    def _us_without_quorum(self, now: int) -> int:
+        """Return for how long we have led without a quorum's acknowledgement."""
+        return now - max(self.confirmed_at or 0, self._claimed_at)
 
-    def beat(self, now: int) -> list[Tell]:
-        """Say that we lead, when it is time."""
-        ledger = self.ledger
-        if not self.leads or ledger is None or now - self._beaten < self.terms.beat:
+    # -- heartbeats
+
+    def heartbeats(self, now: int) -> list[Send]:
+        """Return the heartbeats to the other members, when they are due.
+
+        A leader that is not acknowledged sends none: else one that is heard and hears nobody would keep the
+        others from claiming.
+        """
+        state = self.state
+        if not self.is_leader or state is None:
+            return []
+        if now - self._heartbeat_sent_at < self.settings.heartbeat_interval_us:
             return []
-        if now - max(self.fresh or 0, self._claimed) > self.terms.silence:
-            return []  # guards against a leader that is heard and hears nobody: another has to claim
-        self._beaten = now
-        self._beat += 1
-        own = self.register.kept.promised == self.register.ballot
-        self._beats[self._beat] = now, {self.register.seat} if own else set()
-        while len(self._beats) > BEATS_MOST:
-            del self._beats[next(iter(self._beats))]
-        kept = self.register.kept
-        message = Beat(ledger.term, self.register.ballot, self._beat, ledger.index, kept.name)
-        ranks = {seat.rank for seat in (*ledger.seats, *ledger.before)} - {self.register.rank}
-        self._confirm(self._beat)
-        return [Tell(rank, message) for rank in sorted(ranks)]
-
-    def hear_beat(self, now: int, sender: int, beat: Beat) -> list[Tell]:
-        """Somebody leads; it is answered where no later ballot was promised."""
-        ledger, register = self.ledger, self.register
-        if ledger is not None and beat.term < ledger.term:
+        if self._us_without_quorum(now) > self.settings.election_timeout_us:
+            return []
+        self._heartbeat_sent_at = now
+        self._heartbeat_sequence += 1
+        heartbeat = Heartbeat(
+            state.term,
+            self.voter.chosen_ballot,
+            self._heartbeat_sequence,
+            state.index,
+            self.voter.voter_state.accepted_hash,
+        )
+        self._track_heartbeat(now)
+        ranks = {member.rank for member in (*state.members, *state.previous_members)} - {self.voter.rank}
+        return [Send(rank, heartbeat) for rank in sorted(ranks)]
+
+    def _track_heartbeat(self, now: int) -> None:
+        heartbeat = SentHeartbeat(now)
+        if self.voter.voter_state.promised == self.voter.chosen_ballot:
+            heartbeat.acknowledged.add(self.voter.member)
+        self._heartbeats[self._heartbeat_sequence] = heartbeat
+        while len(self._heartbeats) > MAX_OUTSTANDING_HEARTBEATS:
+            del self._heartbeats[next(iter(self._heartbeats))]
+        self._confirm_if_acknowledged(heartbeat)
+
+    def _confirm_if_acknowledged(self, heartbeat: SentHeartbeat) -> None:
+        state = self.state
+        if state is None or not self.is_leader:
+            return
+        configurations = [members for members in (state.members, state.previous_members) if members]
+        if all(has_quorum(members, heartbeat.acknowledged) for members in configurations):
+            self.confirmed_at = max(heartbeat.sent_at, self.confirmed_at or heartbeat.sent_at)
+
+    def receive_heartbeat(self, now: int, sender: int, heartbeat: Heartbeat) -> list[Send]:
+        """Follow the sender; acknowledge where no later ballot was promised."""
+        state = self.state
+        if state is not None and heartbeat.term < state.term:
             return []
         self._claims = 0
-        self.heard, self.patience, self._heeded = now, self._patience(), sender
-        if not register.votes or beat.ballot < register.kept.promised:
+        self._leader_seen_at = now
+        self._election_delay_us = self._draw_election_delay()
+        self._followed_rank = sender
+        if not self.voter.may_vote or heartbeat.ballot < self.voter.voter_state.promised:
             return []
-        return [Tell(sender, Beaten(beat.number, register.kept.store))]
+        return [Send(sender, HeartbeatAck(heartbeat.sequence, self.voter.voter_state.store_id))]
 
-    def heeds(self, now: int, sender: int) -> bool:
-        """Whether a ballot of a voter is looked at: not while another leads, and is heard to.
+    def receive_heartbeat_ack(self, sender: int, message: HeartbeatAck) -> None:
+        """Count the acknowledgement of a heartbeat of ours."""
+        heartbeat = self._heartbeats.get(message.sequence)
+        if heartbeat is not None:
+            heartbeat.acknowledged.add(VotingMember(sender, message.store_id))
+            self._confirm_if_acknowledged(heartbeat)
 
-        Guards against one that hears nobody and claims again and again: each of its ballots would stop the
-        one that leads. To ignore a ballot is as if it were lost.
-        """
-        if self.leads:
-            return self.fresh is None or now - self.fresh > self.terms.silence
-        return sender == self._heeded or now - self.heard > self.terms.silence
-
-    def hear_beaten(self, sender: int, message: Beaten) -> None:
-        """An answer to a beat of ours."""
-        if message.number in self._beats:
-            self._beats[message.number][1].add(Seat(sender, message.store))
-            self._confirm(message.number)
-
-    def _confirm(self, number: int) -> None:
-        ledger, (at, seats) = self.ledger, self._beats[number]
-        if ledger is None or not self.leads:
-            return
-        if all(has_quorum(each, seats) for each in (ledger.seats, ledger.before) if each):
-            self.fresh = at if self.fresh is None else max(self.fresh, at)
-
-    # -- what is told
-
-    def hear_report(self, now: int, sender: int, report: Report) -> list[Tell]:
-        """What a gateway runs."""
-        known = self.reports.get(sender)
-        since = known.since if known is not None and known.number == report.number else now
-        self.reports[sender] = Reported(report.number, report.wanted, report.why, report.load, now, since)
-        return [Tell(sender, Noted(report.number, report.wanted))]
-
-    def hear_vote(self, sender: int, voted: Voted) -> None:
-        """A vote on what is asked about, in this term."""
-        change = self._change(Stage.ASKED)
-        if change is None or (voted.term, voted.number) != (change.term, change.version.number):
-            return
-        vote = Vote(sender, voted.store, voted.yes, voted.why, voted.seal)
-        if is_cast(self.secret, vote, change.version, change.term):
-            self.votes[sender] = vote
-
-    def hear_waiting(self, now: int, sender: int, waiting: Waiting) -> None:
-        """A voter whose store has no seat."""
-        self.waiting[sender] = waiting, now
+    def accepts_ballot_of(self, now: int, sender: int) -> bool:
+        """Tell whether a voter's Prepare is looked at: not while another voter leads and is heard.
 
-    def command(self, step: Step) -> bool:
-        """Take a step that is asked for, whose term is filled in; False where too many wait."""
-        if len(self.commands) >= COMMANDS_MOST:
+        A voter that hears nobody claims again and again, and each of its ballots would stop the leader. To
+        ignore a ballot has the effect of a lost datagram.
+        """
+        timeout_us = self.settings.election_timeout_us
+        if self.is_leader:
+            return self.confirmed_at is None or now - self.confirmed_at > timeout_us
+        return sender == self._followed_rank or now - self._leader_seen_at > timeout_us
+
+    # -- commands
+
+    def receive_admission_request(self, now: int, sender: int, request: AdmissionRequest) -> None:
+        """Take note of a voter whose store is no member."""
+        self.admission_requests[sender] = ReceivedRequest(request, now)
+
+    def recent_admission_requests(self, now: int) -> dict[int, AdmissionRequest]:
+        """Return the requests that are not too old, by rank."""
+        return {
+            rank: received.request
+            for rank, received in self.admission_requests.items()
+            if now - received.received_at < ADMISSION_REQUEST_TTL_US
+        }
+
+    def enqueue(self, command: Command) -> bool:
+        """Queue a command, whose term is filled in later; False where too many wait."""
+        if len(self.commands) >= MAX_QUEUED_COMMANDS:
             return False
-        self.commands.append(step)
+        self.commands.append(command)
         return True
 
-    def _change(self, stage: Stage) -> Change | None:
-        change = self.ledger.change if self.ledger is not None else None
-        return change if change is not None and change.stage is stage else None
-
-    # -- the next step
-
-    def next_step(self, now: int) -> Step | None:
-        """What is to be tried now."""
-        if not self.register.votes or self.register.attempt is not None:
+    def next_command(self, now: int) -> Command | None:
+        """Return the command to attempt now, if any."""
+        if not self.voter.may_vote or self.voter.attempt is not None:
             return None
-        ledger = self.ledger
-        assert ledger is not None
-        if not self.leads:
-            if now - self.heard <= self.patience:
+        state = self.state
+        assert state is not None
+        if not self.is_leader:
+            if now - self._leader_seen_at <= self._election_delay_us:
                 return None
-            return self._claim(now, ledger)
-        if now - max(self.fresh or 0, self._claimed) > 3 * self.terms.silence + self.patience:
-            return self._claim(now, ledger)  # our beats are not answered: a later ballot was promised
-        self._note_stage(now, ledger)
-        return self._by_rules(now, ledger) or self._by_command()
+            return self._claim(now, state)
+        max_us_without_quorum = 3 * self.settings.election_timeout_us + self._election_delay_us
+        if self._us_without_quorum(now) > max_us_without_quorum:
+            return self._claim(now, state)  # a later ballot was promised: the heartbeats are not acknowledged
+        self.driver.track_progress(now, state)
+        return (
+            self._membership_command(now, state)
+            or self.driver.next_command(now, state)
+            or self._queued_command()
+        )
 
-    def _claim(self, now: int, ledger: Ledger) -> Step:
+    def _claim(self, now: int, state: ReplicatedState) -> Command:
         self._claims += 1
-        self.heard, self.patience, self._claimed = now, self._patience(), now
-        self.led = ledger.term + 1
-        self.fresh = None
-        self.votes.clear()
-        return Claim(self.register.rank, self.led)
-
-    def _note_stage(self, now: int, ledger: Ledger) -> None:
-        """When the change came to where it stands, by our own clock."""
-        change = ledger.change
-        stage = (ledger.term, change.version.number, change.stage, change.reach) if change else ()
-        if stage != self._stage:
-            if stage[:3] != self._stage[:3]:
-                self.votes.clear()
-            if change is None or self.stager is None or self.stager.number != change.version.number:
-                self.stager = stages.Stager(self.terms.stages, change.version.number, now) if change else None
-            self._stage, self._since = stage, now
-
-    def _by_rules(self, now: int, ledger: Ledger) -> Step | None:
-        if ledger.before:
-            return Settle(ledger.term, ledger.index)
-        for rank, (waiting, at) in sorted(self.waiting.items()):
-            seat = next((seat for seat in ledger.seats if seat.rank == rank), None)
-            if seat is not None and seat.store != waiting.store and now - at < NEAR:
-                return Admit(ledger.term, rank, waiting.store)
-        change = ledger.change
-        if change is None:
-            return None
-        if change.stage is Stage.ASKED:
-            return self._decide(now, ledger, change)
-        return self._adopt(now, ledger, change)
-
-    def _decide(self, now: int, ledger: Ledger, change: Change) -> Step | None:
-        """By the votes that came, or the silence of those who did not vote."""
-        number, seats = change.version.number, set(ledger.seats)
-        votes = [vote for vote in self.votes.values() if Seat(vote.rank, vote.store) in seats]
-        yes = tuple(vote for vote in votes if vote.yes)
-        if len(yes) >= majority(ledger.seats):
-            first = stages.first_batch(self.terms.stages, self.loads())
-            reach = first if self._is_staged(ledger, change) else range(self.gateways)
-            return Approve(ledger.term, number, yes, ranks_as_bits(reach, self.gateways))
-        no = [vote for vote in votes if not vote.yes]
-        reasons = "; ".join(f"gateway {vote.rank}: {vote.why}" for vote in no)
-        if len(no) > len(seats) - majority(ledger.seats):
-            return Stop(ledger.term, number, reasons)
-        if now - self._since > self.terms.decide:
-            silent = sorted({seat.rank for seat in seats} - {vote.rank for vote in votes})
-            return Stop(ledger.term, number, f"no quorum said yes; silent: {silent}; {reasons}")
+        self._leader_seen_at = now
+        self._election_delay_us = self._draw_election_delay()
+        self._claimed_at = now
+        self._claimed_term = state.term + 1
+        self.confirmed_at = None
+        self.driver.votes.clear()
+        return ClaimLeadership(self.voter.rank, self._claimed_term)
+
+    def _membership_command(self, now: int, state: ReplicatedState) -> Command | None:
+        if state.previous_members:
+            return SettleMembership(state.term, state.index)
+        for rank, request in sorted(self.recent_admission_requests(now).items(), key=lambda item: item[0]):
+            member = next((member for member in state.members if member.rank == rank), None)
+            if member is not None and member.store_id != request.store_id:
+                return ChangeMembership(state.term, rank, request.store_id)
         return None
 
-    def _is_staged(self, ledger: Ledger, change: Change) -> bool:
-        """Whether it goes by stages: not what takes harm back, nor a move of sets, which goes by shares."""
-        same = change.version.parts.customers == ledger.current.version.parts.customers
-        return bool(self.terms.stages.soak) and not change.version.undoes and same
-
-    def loads(self) -> list[float]:
-        """Answers a second of each gateway, as it said last."""
-        found = (self.reports.get(rank) for rank in range(self.gateways))
-        return [float(known.load) if known is not None else 0.0 for known in found]
-
-    def _adopt(self, now: int, ledger: Ledger, change: Change) -> Step | None:
-        """All of the stage have confirmed, or can't serve by anything else any more."""
-        number, missing = change.version.number, self.missing(change)
-        reached = [rank for rank in range(self.gateways) if has_rank(change.reach, rank)]
-        late = now - self._since > self.terms.lease * DRIFT
-        if len(reached) == self.gateways:
-            if missing and not late:
-                return None
-            names = ", ".join(map(str, missing[:TOLD_MOST])) + (" ..." if len(missing) > TOLD_MOST else "")
-            why = f"not confirmed, and not serving: {len(missing)}: {names}" if missing else ""
-            return Finish(self.led, number, why)
-        assert self.stager is not None
-        self.stager.at(now, change.reach, () if late else missing)
-        verdict = self.stager.verdict(now)
-        if verdict:
-            return self._take_back(ledger, change, verdict)
-        if verdict is None or change.paused:
-            return None
-        more = stages.next_batch(self.terms.stages, self.loads(), reached)
-        return Widen(self.led, number, ranks_as_bits(more, self.gateways))
-
-    def _take_back(self, ledger: Ledger, change: Change, why: str) -> Step:
-        """A stage that does harm is undone by itself."""
-        number, parts = change.version.number, ledger.current.version.parts
-        return Propose(
-            self.led, f"harm-{number}", parts, number, "the fleet", f"stopped at harm: {why}", number
-        )
-
-    def sides(self, change: Change, turn: int) -> tuple[list[int], list[int]]:
-        """Gateways that run a change's version and such that run the one before: a sample of each."""
-        number = change.version.number
-        runs = {rank: known.number for rank, known in self.reports.items()}
-        new = [rank for rank in sorted(runs) if runs[rank] == number]
-        old = [rank for rank in sorted(runs) if runs[rank] != number and not change.reaches(rank)]
-        return stages.sample(new, turn), stages.sample(old, turn)
-
-    def missing(self, change: Change) -> list[int]:
-        """The gateways that are to run a version and did not say that they do."""
-        number = change.version.number
-        return [
-            rank
-            for rank in range(self.gateways)
-            if has_rank(change.reach, rank)
-            and ((known := self.reports.get(rank)) is None or known.number != number)
-        ]
-
-    def _by_command(self) -> Step | None:
+    def _queued_command(self) -> Command | None:
         if not self.commands:
             return None
-        return msgspec.structs.replace(self.commands.popleft(), term=self.led)
+        return msgspec.structs.replace(self.commands.popleft(), term=self._claimed_term)
--- a/orchidlane/rollout/messages.py
+++ b/orchidlane/rollout/messages.py
@@ -1,167 +1,203 @@
-"""What gateways tell each other of the ledger: bodies of sealed datagrams of a kind of their own.
+"""Messages between gateways about the replicated state: bodies of sealed datagrams of a kind of their own.
 
-Each fits into one datagram, however large the fleet or a content is: ledgers and contents are told by name
-and fetched over HTTP.
+Each fits into one datagram, whatever the size of the fleet or of a content: states and contents are named by
+their hash and fetched over HTTP.
 """
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
-Ballot = tuple[int, int, int]  # round, rank, store: no two attempts have the same one
-ZERO: Ballot = (0, -1, 0)
+MAX_REASON_CHARACTERS = 80  # of a reason in a datagram
+MAX_REASON_BYTES = 2 * MAX_REASON_CHARACTERS
+
+
+class Ballot(NamedTuple):
+    """A proposal number. Rank and store make it unique; ballots are compared in the order of the fields."""
+
+    round: int
+    rank: int
+    store_id: int
+
+
+ZERO_BALLOT = Ballot(0, -1, 0)
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=0):
-    """What is the latest ledger? The nonce comes back, so that the asker knows how old the answer may be."""
+class GossipRequest(msgspec.Struct, frozen=True, array_like=True, tag=0):
+    """Ask for the latest state; the nonce comes back, so that the sender can bound its age."""
 
     nonce: int
     index: int
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """The latest ledger that the teller knows; a quorum confirmed it ``age`` microseconds ago, -1: never."""
+class GossipResponse(msgspec.Struct, frozen=True, array_like=True, tag=1):
+    """The latest state that the sender knows.
+
+    A quorum confirmed it ``age_us`` microseconds ago (-1: never). ``is_unbootstrapped``: the sender is a
+    voter and there is no state yet.
+    """
 
     nonce: int
     index: int  # 0: none
-    name: str
-    age: int
-    unfounded: bool = False  # the teller is a voter, and no ledger is founded
+    state_hash: str
+    age_us: int
+    is_unbootstrapped: bool = False
 
 
-class Hint(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """There is a later ledger: ask."""
+class NewStateHint(msgspec.Struct, frozen=True, array_like=True, tag=2):
+    """A state with this index exists: the receiver should ask for it."""
 
     index: int
 
 
-class Report(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """To whoever leads: the version that a gateway runs, and what keeps it from the one that it is to run."""
+class AdoptionReport(msgspec.Struct, frozen=True, array_like=True, tag=3):
+    """To the leader: the version that a gateway runs, and what keeps it from the one that it should run."""
 
-    number: int
-    wanted: int
-    load: int = 0  # answers a second
-    why: str = ""
+    running_number: int
+    target_number: int
+    answers_per_second: int = 0
+    reason: str = ""
 
 
-class Noted(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The report of this version was heard."""
+class AdoptionReportAck(msgspec.Struct, frozen=True, array_like=True, tag=4):
+    """The leader received the report with these numbers."""
 
-    number: int
-    wanted: int
+    running_number: int
+    target_number: int
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Promise to take no earlier ballot, and say what was accepted. The sender's own promise is its mark."""
+    """Phase 1 request: promise to accept no earlier ballot, and tell what was accepted.
+
+    ``vote_count`` includes the promise that the sender gave itself.
+    """
 
     ballot: Ballot
-    mark: int
+    vote_count: int
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """The promise; ``name`` of the accepted ledger, "" where there is none."""
+    """Phase 1 response, with the hash of the accepted state ("" where there is none)."""
 
     ballot: Ballot
     accepted: Ballot
-    name: str
-    store: int
-    mark: int
+    state_hash: str
+    store_id: int
+    vote_count: int
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """A later ballot was promised."""
+    """Rejection: a later ballot was promised."""
 
     ballot: Ballot
     promised: Ballot
 
 
 class Accept(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Accept the ledger of this name; the sender did."""
+    """Phase 2 request: accept the state with this hash, as the sender did."""
 
     ballot: Ballot
-    name: str
-    mark: int
+    state_hash: str
+    vote_count: int
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """It is accepted and on disk."""
+    """Phase 2 response: the state is accepted and on disk."""
 
     ballot: Ballot
-    store: int
-    mark: int
+    store_id: int
+    vote_count: int
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """Whoever leads says so; the ballot is of the latest ledger that it knows to be chosen."""
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=10):
+    """The sender leads; ``ballot`` is the one under which the latest state that it knows was chosen."""
 
     term: int
     ballot: Ballot
-    number: int  # of this beat
+    sequence: int
     index: int
-    name: str
+    state_hash: str
 
 
-class Beaten(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """No later ballot was promised as this beat came."""
+class HeartbeatAck(msgspec.Struct, frozen=True, array_like=True, tag=11):
+    """No later ballot was promised when the heartbeat came."""
 
-    number: int
-    store: int
+    sequence: int
+    store_id: int
 
 
-class Voted(msgspec.Struct, frozen=True, array_like=True, tag=12):
-    """A voter's vote on a version, in a term."""
+class VersionVote(msgspec.Struct, frozen=True, array_like=True, tag=12):
+    """A member's vote on a version in a term."""
 
     term: int
     number: int
-    store: int
-    yes: bool
+    store_id: int
+    approves: bool
     seal: bytes
-    why: str
+    reason: str
+
 
+class AdmissionRequest(msgspec.Struct, frozen=True, array_like=True, tag=13):
+    """A voter whose store is no member asks to be admitted.
 
-class Waiting(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """A voter whose store has no seat; its files' content, and its vote for that as the first version."""
+    It carries a prefix of the combined hash of its files, and the seal of its vote for them as version 0.
+    """
 
-    store: int
-    content: str
+    store_id: int
+    contents_prefix: str
     seal: bytes
 
 
-class MarkAsk(msgspec.Struct, frozen=True, array_like=True, tag=14):
-    """A voter that started anew: which was the latest vote of this store that you saw?"""
+class VoteCountRequest(msgspec.Struct, frozen=True, array_like=True, tag=14):
+    """A voter that started asks for the latest vote of this store that the receiver has seen."""
 
-    store: int
+    store_id: int
 
 
-class MarkTold(msgspec.Struct, frozen=True, array_like=True, tag=15):
-    """The latest one; whether the teller votes itself."""
+class VoteCountResponse(msgspec.Struct, frozen=True, array_like=True, tag=15):
+    """The highest vote count seen; ``may_vote``: whether the sender votes itself."""
 
-    store: int
-    mark: int
-    votes: bool
+    store_id: int
+    vote_count: int
+    may_vote: bool
 
 
 Message = (
-    Ask | Told | Hint | Report | Noted | Prepare | Promise | Nack | Accept | Accepted | Beat | Beaten | Voted
-    | Waiting | MarkAsk | MarkTold
-)  # fmt: skip
-WHY_MOST = 80  # characters of a reason in a datagram, at most 160 bytes
+    GossipRequest
+    | GossipResponse
+    | NewStateHint
+    | AdoptionReport
+    | AdoptionReportAck
+    | Prepare
+    | Promise
+    | Nack
+    | Accept
+    | Accepted
+    | Heartbeat
+    | HeartbeatAck
+    | VersionVote
+    | AdmissionRequest
+    | VoteCountRequest
+    | VoteCountResponse
+)
 _decoder = msgspec.msgpack.Decoder(Message)
 
 
 def encode(message: Message) -> bytes:
-    """A message as a datagram's body."""
+    """Encode a message as the body of a datagram."""
     return msgspec.msgpack.encode(message)
 
 
 def decode(body: bytes) -> Message | None:
-    """The message of a body; None where it is none."""
+    """Decode the body of a datagram; None where it is not a message."""
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return None
 
 
-def short(text: str) -> str:
-    """A reason that fits into a datagram."""
-    return text.encode()[: 2 * WHY_MOST].decode(errors="ignore")[:WHY_MOST]
+def truncate_reason(text: str) -> str:
+    """Shorten a reason so that it fits into a datagram."""
+    return text.encode()[:MAX_REASON_BYTES].decode(errors="ignore")[:MAX_REASON_CHARACTERS]
--- a/orchidlane/rollout/rollback.py
+++ b/orchidlane/rollout/rollback.py
@@ -1,9 +1,9 @@
-"""Taking an edit back, also where later ones touched other things. Decides without I/O.
+"""Reverting an edit, also where later edits touched other things. Decides without I/O.
 
-A content is looked at as units that are edited by themselves: the operations of a description, its classes
-and components; the customers of a customers' file. The edit from one version to the next is the units that
-differ. It is taken back out of a later version by giving each of these units its prior value, if the later
-version still has the value of the edit; a unit that was edited again since is a conflict, named by its place.
+A content is compared as units that are edited by themselves: the operations of a description, its classes and
+components; the customers of a customers' file. The edit from one version to the next is the units that
+differ. It is reverted in a later version by giving each of these units its prior value, if the later version
+still has the edit's value. A unit that was edited again since is a conflict, and named by its path.
 """
 
 from __future__ import annotations
@@ -11,110 +11,130 @@
 import copy
 import json
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 import yaml
 
+from orchidlane.rollout.errors import RollbackConflictError
 from orchidlane.routes import load_description
 
-Place = tuple[str, ...]
+UnitPath = tuple[str, ...]
 Tree = dict[str, Any]
-NESTED = {"paths": 3, "components": 3, "x-orchidlane": 3}  # places that a unit's name has, below a top key
+Units = dict[UnitPath, Any]
+UNIT_DEPTHS = {"paths": 3, "components": 3, "x-orchidlane": 3}  # path length of units below a top-level key
 MISSING = object()
 
 
-class Conflict(Exception):
-    """The edit can't be taken back alone; says which units were edited again."""
+@dataclass(frozen=True)
+class ContentFormat:
+    """How a kind of content is read, compared and written."""
 
-    def __init__(self, places: list[Place]) -> None:
-        self.places = places
-        names = "; ".join(" ".join(place) for place in places)
-        super().__init__(f"edited again since: {names}")
+    parse: Callable[[bytes], Tree]
+    units: Callable[[Tree], Units]
+    write: Callable[[Tree], bytes]
 
 
-def rules_without(before: bytes, after: bytes, now: bytes) -> bytes:
-    """A description without the edit from ``before`` to ``after``. Raises Conflict, DescriptionError."""
+def revert_description_edit(before: bytes, after: bytes, latest: bytes) -> bytes:
+    """Return the latest description without the edit from ``before`` to ``after``.
 
-    def parse(data: bytes) -> Tree:
-        return load_description(data, "description")
+    Raises RollbackConflictError and DescriptionError.
+    """
+    return _revert_edit(before, after, latest, DESCRIPTION)
 
-    def write(tree: Tree) -> bytes:
-        return yaml.safe_dump(tree, sort_keys=False, allow_unicode=True).encode()
 
-    return _without(before, after, now, parse, _rules_units, write)
+def revert_customers_edit(before: bytes, after: bytes, latest: bytes) -> bytes:
+    """Return the latest customers' file without the edit. Raises RollbackConflictError and ValueError."""
+    return _revert_edit(before, after, latest, CUSTOMERS)
 
 
-def customers_without(before: bytes, after: bytes, now: bytes) -> bytes:
-    """A customers' file without the edit. Raises Conflict, ValueError."""
-
-    def parse(data: bytes) -> Tree:
-        return {str(one["id"]): one for one in json.loads(data)["customers"]}
+def _revert_edit(before: bytes, after: bytes, latest: bytes, content: ContentFormat) -> bytes:
+    if before == after:
+        return latest
+    if latest == after:
+        return before
+    prior_tree, edited_tree, latest_tree = (content.parse(data) for data in (before, after, latest))
+    prior = content.units(prior_tree)
+    edited = content.units(edited_tree)
+    current = content.units(latest_tree)
+    touched = _touched_units(prior, edited)
+    _check_conflicts(touched, prior, edited, current)
+    tree = copy.deepcopy(latest_tree)
+    for path in sorted(touched):
+        _set_unit(tree, path, prior.get(path, MISSING))
+    return before if tree == prior_tree else content.write(tree)
 
-    def write(tree: Tree) -> bytes:
-        return json.dumps({"customers": list(tree.values())}, indent=1).encode()
 
-    return _without(before, after, now, parse, _flat_units, write)
+def _touched_units(prior: Units, edited: Units) -> list[UnitPath]:
+    paths = prior.keys() | edited.keys()
+    return [path for path in paths if prior.get(path, MISSING) != edited.get(path, MISSING)]
 
 
-def _without(
-    before: bytes,
-    after: bytes,
-    now: bytes,
-    parse: Callable[[bytes], Tree],
-    units: Callable[[Tree], dict[Place, Any]],
-    write: Callable[[Tree], bytes],
-) -> bytes:
-    if before == after:
-        return now
-    if now == after:
-        return before
-    prior, edited, latest = (parse(data) for data in (before, after, now))
-    was, came, stands = units(prior), units(edited), units(latest)
-    touched = [
-        place for place in was.keys() | came.keys() if was.get(place, MISSING) != came.get(place, MISSING)
-    ]
+def _check_conflicts(touched: list[UnitPath], prior: Units, edited: Units, current: Units) -> None:
     conflicts = [
-        place
-        for place in touched
-        if stands.get(place, MISSING) not in (came.get(place, MISSING), was.get(place, MISSING))
+        path
+        for path in touched
+        if current.get(path, MISSING) not in (edited.get(path, MISSING), prior.get(path, MISSING))
     ]
     if conflicts:
-        raise Conflict(sorted(conflicts))
-    tree = copy.deepcopy(latest)
-    for place in sorted(touched):
-        _put(tree, place, was.get(place, MISSING))
-    return before if tree == prior else write(tree)
+        raise RollbackConflictError(sorted(conflicts))
 
 
-def _put(tree: Tree, place: Place, value: Any) -> None:
-    """Give a unit a value, or take it away; what is empty then goes, too."""
-    *path, last = place
+def _set_unit(tree: Tree, path: UnitPath, value: Any) -> None:
+    """Give a unit a value, or remove it with the parents that are empty then."""
+    *parents, last = path
     inner = [tree]
-    for key in path:
+    for key in parents:
         inner.append(inner[-1].setdefault(key, {}))
-    if value is MISSING:
-        inner[-1].pop(last, None)
-        for outer, key, found in reversed(list(zip(inner, path, inner[1:], strict=False))):
-            if not found:
-                outer.pop(key, None)
-    else:
+    if value is not MISSING:
         inner[-1][last] = value
+        return
+    inner[-1].pop(last, None)
+    for outer, key, child in reversed(list(zip(inner, parents, inner[1:], strict=False))):
+        if not child:
+            outer.pop(key, None)
 
 
-def _flat_units(tree: Tree) -> dict[Place, Any]:
-    return {(key,): value for key, value in tree.items()}
+# Descriptions
+
+
+def _parse_description(data: bytes) -> Tree:
+    return load_description(data, "description")
 
 
-def _rules_units(tree: Tree) -> dict[Place, Any]:
-    found: dict[Place, Any] = {}
+def _description_units(tree: Tree) -> Units:
+    units: Units = {}
 
-    def walk(place: Place, value: Any, depth: int) -> None:
+    def walk(path: UnitPath, value: Any, depth: int) -> None:
         if depth > 1 and isinstance(value, dict) and value:
             for key, inner in value.items():
-                walk((*place, str(key)), inner, depth - 1)
+                walk((*path, str(key)), inner, depth - 1)
         else:
-            found[place] = value
+            units[path] = value
 
     for key, value in tree.items():
-        walk((str(key),), value, NESTED.get(str(key), 1))
-    return found
+        walk((str(key),), value, UNIT_DEPTHS.get(str(key), 1))
+    return units
+
+
+def _write_description(tree: Tree) -> bytes:
+    return yaml.safe_dump(tree, sort_keys=False, allow_unicode=True).encode()
+
+
+# Customers' files
+
+
+def _parse_customers(data: bytes) -> Tree:
+    return {str(entry["id"]): entry for entry in json.loads(data)["customers"]}
+
+
+def _customer_units(tree: Tree) -> Units:
+    return {(key,): value for key, value in tree.items()}
+
+
+def _write_customers(tree: Tree) -> bytes:
+    return json.dumps({"customers": list(tree.values())}, indent=1).encode()
+
+
+DESCRIPTION = ContentFormat(_parse_description, _description_units, _write_description)
+CUSTOMERS = ContentFormat(_parse_customers, _customer_units, _write_customers)
--- a/orchidlane/rollout/shard_migration.py
+++ b/orchidlane/rollout/shard_migration.py
@@ -1,67 +1,66 @@
-"""A new map of customers to gateways' sets, as versions that follow each other. Decides without I/O.
+"""Migration of customers to other replica sets, as versions that follow each other. Decides without I/O.
 
-Each gateway of a set alone fills its part of a ceiling's store. With two maps side by side, both sets have
-all parts, so that a subscriber could spend a ceiling's burst twice. So rights shrink before they grow:
+Each gateway of a replica set fills its part of a ceiling's token store by itself. With two maps side by side
+both sets would have all parts, and a subscriber could spend a ceiling's burst twice. So quotas shrink before
+they grow:
 
-1. hold: the customers that move have their new set and are served nowhere. A gateway that adopts it gives up
-   its part for good and tells the new keeper what was spent.
-2. grow: once all gateways run that, or serve nothing (a lease), they are served again. The new parts begin
-   from nothing, at the ceiling's rate.
+1. hold: the customers that migrate have their new set and are served nowhere. A gateway that adopts this
+   version gives up its part for good and tells the new token owner what was spent.
+2. grow: once all gateways run that version, or serve nothing (a lease), they are served again. The new parts
+   begin empty and fill at the ceiling's rate.
 
-So at every moment the parts of all gateways are at most what the ceiling's store would hold: a part that is
-given up, or lost with a gateway that died, comes back by the rate alone. The price: a customer that moves is
-refused between the two, and then has to wait for its store to fill. It is paid by a share of the customers
-that move at a time.
+So the parts of all gateways never exceed what the ceiling's store would hold: a part that is given up, or
+lost with a gateway that died, comes back by the rate alone. The price: a customer that migrates is rejected
+between the two versions, and then waits for its store to fill. A share of these customers migrates at a time.
 """
 
 from __future__ import annotations
 
 import json
-from collections.abc import Mapping
 from math import ceil
 from typing import Any
 
-from orchidlane.rollout.compatibility import Account, is_moved
+from orchidlane.rollout.compatibility import Assignments, migrating_customers
 
-STAGES_MOST = 7  # of one move
+MAX_MIGRATION_STAGES = 7
 
 
-def versions_between(
-    old: Mapping[int, Account], new: Mapping[int, Account], customers: bytes, share: float
-) -> list[bytes]:
-    """The customers' files of all versions from the old map to the new one, the last being ``customers``.
+def migration_files(old: Assignments, new: Assignments, customers: bytes, share: float) -> list[bytes]:
+    """Return the customers' files of all versions from the old map to the new one.
 
-    ``customers`` is the new file, ``share`` the part of those with a ceiling that moves at once.
+    ``customers`` is the new file and the last one returned, ``share`` the part of the customers with a
+    ceiling that migrates at once.
     """
-    moved = sorted(n for n, one in new.items() if n in old and one.ceiling and is_moved(old[n], one))
-    if not moved:
+    migrating = sorted(migrating_customers(old, new))
+    if not migrating:
         return [customers]
-    stages = min(STAGES_MOST, len(moved), ceil(1 / share))
-    size = ceil(len(moved) / stages)
-    groups = [moved[start : start + size] for start in range(0, len(moved), size)]
+    stages = min(MAX_MIGRATION_STAGES, len(migrating), ceil(1 / share))
+    size = ceil(len(migrating) / stages)
+    groups = [migrating[start : start + size] for start in range(0, len(migrating), size)]
     entries = json.loads(customers)["customers"]
-    found = []
-    for number, group in enumerate(groups):
-        waiting = {n for later in groups[number + 1 :] for n in later}
-        found.append(_file(entries, old, new, waiting, set(group)))
-        found.append(_file(entries, old, new, waiting, set()) if waiting else customers)
-    return found
+    files = []
+    for position, group in enumerate(groups):
+        waiting = {number for later in groups[position + 1 :] for number in later}
+        files.append(_intermediate_file(entries, old, new, waiting, set(group)))
+        files.append(_intermediate_file(entries, old, new, waiting, set()) if waiting else customers)
+    return files
 
 
-def _file(
+def _intermediate_file(
     entries: list[dict[str, Any]],
-    old: Mapping[int, Account],
-    new: Mapping[int, Account],
+    old: Assignments,
+    new: Assignments,
     waiting: set[int],
-    held: set[int],
+    suspended: set[int],
 ) -> bytes:
-    """A map in between: those that wait have their old sets, those that are held their new ones."""
-    made = []
+    """Return a file in which customers that wait have their old set, and suspended ones their new one."""
+    customers = []
     for entry in entries:
         number = entry["id"]
         if number in waiting:
-            entry = {**entry, "first": old[number].first}
-        elif number in held:
-            entry = {**entry, "first": new[number].first, "held": True}
-        made.append(entry)
-    return json.dumps({"customers": made}, indent=1).encode()
+            customers.append({**entry, "first": old[number].first_replica})
+        elif number in suspended:
+            customers.append({**entry, "first": new[number].first_replica, "held": True})
+        else:
+            customers.append(entry)
+    return json.dumps({"customers": customers}, indent=1).encode()
--- a/orchidlane/rollout/version.py
+++ b/orchidlane/rollout/version.py
@@ -1,7 +1,8 @@
-"""Contents named by their hash, versions of them, and the quorum's certificate.
+"""Contents named by their hash, versions of them, and the certificate of a quorum.
 
-A version's number comes from the ledger; its contents never change, so a version with the prior contents is a
-new version that names the same hashes. Numbers only grow. All seals are made under the fleet's key.
+A version's number comes from the replicated state and its contents never change. A return to earlier contents
+is therefore a new version that names the same hashes, and numbers only grow. All seals are made with the key
+that the fleet shares.
 """
 
 from __future__ import annotations
@@ -13,131 +14,154 @@
 import msgspec
 from blake3 import blake3
 
-NAME = 64  # hexadecimal digits of a content's name
-TEXT_MOST = 200  # characters of a reason or a name
-SEAL = 16  # bytes
+CONTENT_HASH_CHARACTERS = 64
+MAX_TEXT_CHARACTERS = 200  # of a reason or a name
+SEAL_BYTES = 16
+MAX_KEY_BYTES = 64  # that BLAKE2b takes
+HEXADECIMAL_DIGITS = frozenset("0123456789abcdef")
 
 
-def name_of(data: bytes) -> str:
-    """The name of a content: its BLAKE3 hash in hexadecimal."""
+def content_hash(data: bytes) -> str:
+    """Return the BLAKE3 hash of a content in hexadecimal; it names the content."""
     return blake3(data).hexdigest()
 
 
-def is_name(text: str) -> bool:
-    """Whether a text from outside can be a content's name."""
-    return len(text) == NAME and not set(text) - set("0123456789abcdef")
+def is_content_hash(text: str) -> bool:
+    """Tell whether a text from outside has the form of a content hash."""
+    return len(text) == CONTENT_HASH_CHARACTERS and not set(text) - HEXADECIMAL_DIGITS
 
 
-class Parts(msgspec.Struct, frozen=True):
-    """The names of all contents that a version has; "" where the fleet has none of the kind."""
+class ContentHashes(msgspec.Struct, frozen=True):
+    """The hashes of all contents of a version; "" where the fleet has none of the kind."""
 
-    rules: str  # the description
-    customers: str  # customers and the map of their sets
+    rules: str  # the OpenAPI description
+    customers: str  # customers and their replica sets
     plans: str = ""
     program: str = ""
 
     @property
-    def content(self) -> str:
-        """One name for all of it."""
-        return name_of(msgspec.msgpack.encode(self))
+    def combined_hash(self) -> str:
+        """One hash for all contents together."""
+        return content_hash(msgspec.msgpack.encode(self))
 
-    def names(self) -> list[str]:
-        """Those that have a content."""
-        return [name for name in msgspec.structs.astuple(self) if name]
+    def hashes(self) -> list[str]:
+        """Return the hashes of the kinds that have a content."""
+        return [value for value in msgspec.structs.astuple(self) if value]
 
 
 class Version(msgspec.Struct, frozen=True):
-    """One version of what the fleet goes by."""
+    """One version of the fleet's configuration.
+
+    ``base`` is the number of the version that it was made from, ``reverts`` the number of the version whose
+    edit it takes back (0: none). A command that is sent again has the same ``proposal_id``. ``followed_by``
+    lists contents that become versions of their own, each once every gateway runs the one before.
+    """
 
     number: int
-    parts: Parts
-    base: int  # the number of the version that it was made from
+    contents: ContentHashes = msgspec.field(name="parts")
+    base: int
     author: str = ""
     reason: str = ""
-    undoes: int = 0  # the number of the version whose edit it takes back
-    proposal: str = ""  # told again, a proposal is the same
-    then: tuple[Parts, ...] = ()  # versions that follow it by themselves, each once all run the one before
+    reverts: int = msgspec.field(default=0, name="undoes")
+    proposal_id: str = msgspec.field(default="", name="proposal")
+    followed_by: tuple[ContentHashes, ...] = msgspec.field(default=(), name="then")
 
     @property
-    def content(self) -> str:
-        """One name for all its contents."""
-        return self.parts.content
+    def combined_hash(self) -> str:
+        """One hash for all its contents."""
+        return self.contents.combined_hash
 
-    def show(self) -> str:
-        """As logs and answers name it."""
-        return f"{self.number}:{self.content[:12]}"
+    def label(self) -> str:
+        """Return the number and a prefix of the hash, as logs and answers name a version."""
+        return f"{self.number}:{self.combined_hash[:12]}"
 
 
-class Seat(msgspec.Struct, frozen=True, array_like=True):
-    """A voter: its rank, and the store that it may vote with."""
+class VotingMember(msgspec.Struct, frozen=True, array_like=True):
+    """A gateway that votes: its rank, and the identity of the store that it votes with."""
 
     rank: int
-    store: int
+    store_id: int
 
 
 class Vote(msgspec.Struct, frozen=True):
-    """What one voter said of one version; bound to it, its base and the term by the seal."""
+    """One member's vote on a version; the seal binds it to the version, its base and the term."""
 
     rank: int
-    store: int
-    yes: bool
-    why: str
+    store_id: int = msgspec.field(name="store")
+    approves: bool = msgspec.field(name="yes")
+    reason: str = msgspec.field(name="why")
     seal: bytes
 
+    @property
+    def member(self) -> VotingMember:
+        """The member that voted."""
+        return VotingMember(self.rank, self.store_id)
+
 
 class Certificate(msgspec.Struct, frozen=True):
-    """What proves that a quorum approved a version."""
+    """Proof that a quorum approved a version."""
 
     version: Version
     term: int
-    seats: tuple[Seat, ...]
+    members: tuple[VotingMember, ...] = msgspec.field(name="seats")
     votes: tuple[Vote, ...]
 
 
-def seal_of(secret: bytes, purpose: str, *words: object) -> bytes:
-    """A seal under the fleet's key (BLAKE2b, keyed; RFC 7693), bound to its purpose."""
-    data = msgspec.msgpack.encode((purpose, words))
-    return hashlib.blake2b(data, key=secret[:64], digest_size=SEAL).digest()
+def compute_seal(secret: bytes, purpose: str, *values: object) -> bytes:
+    """Return a keyed BLAKE2b digest (RFC 7693) of the values, bound to its purpose."""
+    data = msgspec.msgpack.encode((purpose, values))
+    return hashlib.blake2b(data, key=secret[:MAX_KEY_BYTES], digest_size=SEAL_BYTES).digest()
 
 
-def is_sealed(secret: bytes, seal: bytes, purpose: str, *words: object) -> bool:
-    """Whether a seal is the fleet's."""
-    return hmac.compare_digest(seal, seal_of(secret, purpose, *words))
+def verify_seal(secret: bytes, seal: bytes, purpose: str, *values: object) -> bool:
+    """Tell whether a seal was made with the fleet's key for these values."""
+    return hmac.compare_digest(seal, compute_seal(secret, purpose, *values))
 
 
-def cast(secret: bytes, seat: Seat, version: Version, term: int, yes: bool, why: str) -> Vote:
-    """A voter's vote."""
-    seal = seal_of(secret, "vote", *_bound(seat, version, term, yes))
-    return Vote(seat.rank, seat.store, yes, why[:TEXT_MOST], seal)
+def cast_vote(
+    secret: bytes, member: VotingMember, version: Version, term: int, approves: bool, reason: str
+) -> Vote:
+    """Make a sealed vote."""
+    seal = compute_seal(secret, "vote", *_sealed_values(member, version, term, approves))
+    return Vote(member.rank, member.store_id, approves, reason[:MAX_TEXT_CHARACTERS], seal)
 
 
-def is_cast(secret: bytes, vote: Vote, version: Version, term: int) -> bool:
-    """Whether a vote is of a gateway of ours, for this very version and term."""
-    bound = _bound(Seat(vote.rank, vote.store), version, term, vote.yes)
-    return is_sealed(secret, vote.seal, "vote", *bound)
+def is_valid_vote(secret: bytes, vote: Vote, version: Version, term: int) -> bool:
+    """Tell whether a member of the fleet cast this vote on this very version in this term."""
+    values = _sealed_values(vote.member, version, term, vote.approves)
+    return verify_seal(secret, vote.seal, "vote", *values)
 
 
-def _bound(seat: Seat, version: Version, term: int, yes: bool) -> tuple[object, ...]:
-    return seat.rank, seat.store, yes, term, version.number, version.content, version.base
+def _sealed_values(member: VotingMember, version: Version, term: int, approves: bool) -> tuple[object, ...]:
+    return (
+        member.rank,
+        member.store_id,
+        approves,
+        term,
+        version.number,
+        version.combined_hash,
+        version.base,
+    )
 
 
-def majority(seats: Sequence[Seat]) -> int:
-    """How many of so many seats are a quorum."""
-    return len(seats) // 2 + 1
+def quorum_size(members: Sequence[VotingMember]) -> int:
+    """Return how many of the members are a majority."""
+    return len(members) // 2 + 1
 
 
-def has_quorum(seats: Sequence[Seat], those: Iterable[Seat]) -> bool:
-    """Whether these seats hold a majority of those that there are."""
-    return len(set(seats) & set(those)) >= majority(seats)
+def has_quorum(members: Sequence[VotingMember], voters: Iterable[VotingMember]) -> bool:
+    """Tell whether the voters include a majority of the members."""
+    return len(set(members) & set(voters)) >= quorum_size(members)
 
 
-def why_not_certified(secret: bytes, certificate: Certificate) -> str:
-    """Why a certificate proves nothing; "" where it proves that its version was approved."""
-    version, votes = certificate.version, [vote for vote in certificate.votes if vote.yes]
-    if not certificate.seats:
+def certificate_error(secret: bytes, certificate: Certificate) -> str:
+    """Return why a certificate does not prove that its version was approved; "" where it does."""
+    version = certificate.version
+    votes = [vote for vote in certificate.votes if vote.approves]
+    if not certificate.members:
         return "it names no voters"
-    if not all(is_cast(secret, vote, version, certificate.term) for vote in votes):
+    if not all(is_valid_vote(secret, vote, version, certificate.term) for vote in votes):
         return "a vote is not sealed for this version"
-    if not has_quorum(certificate.seats, {Seat(vote.rank, vote.store) for vote in votes}):
-        return f"{len(votes)} of {len(certificate.seats)} voters are no quorum"
+    if not has_quorum(certificate.members, {vote.member for vote in votes}):
+        return f"{len(votes)} of {len(certificate.members)} voters are no quorum"
     return ""
--- /dev/null
+++ b/orchidlane/rollout/voter_state.py
@@ -0,0 +1,145 @@
+"""What a voter keeps on disk, what it asks to have done, and its attempt to have a command carried out."""
+
+from __future__ import annotations
+
+from enum import Enum
+from typing import NamedTuple
+
+import msgspec
+
+from orchidlane.rollout.commands import Command
+from orchidlane.rollout.messages import ZERO_BALLOT, Ballot, Message
+from orchidlane.rollout.replicated_state import ReplicatedState
+from orchidlane.rollout.version import Vote, VotingMember
+
+STORE_ID_BITS = 53
+
+
+class SeenVoteCount(NamedTuple):
+    """The highest vote count of a store that another voter has seen."""
+
+    store_id: int
+    vote_count: int
+
+
+class CastVote(NamedTuple):
+    """A vote on a version, with the term and the version's number."""
+
+    term: int
+    number: int
+    vote: Vote
+
+
+class VoterState(msgspec.Struct, frozen=True):
+    """What a voter has on disk.
+
+    ``vote_count`` grows with every promise, acceptance and vote. The counts of other voters' stores that were
+    seen tell whether such a store was later replaced by an older copy.
+    """
+
+    store_id: int = msgspec.field(name="store")
+    promised: Ballot = ZERO_BALLOT
+    accepted: Ballot = ZERO_BALLOT
+    accepted_hash: str = msgspec.field(default="", name="name")
+    vote_count: int = msgspec.field(default=0, name="mark")
+    # by rank
+    seen_vote_counts: dict[int, SeenVoteCount] = msgspec.field(default_factory=dict, name="marks")
+    latest_vote: CastVote | None = msgspec.field(default=None, name="said")
+
+
+# Actions
+
+
+class Persist(NamedTuple):
+    """Write to disk before any later action is carried out; ``Voter.persist_failed`` where that fails."""
+
+    voter_state: VoterState
+
+
+class StoreBlob(NamedTuple):
+    """Have a state ready, to be fetched by its hash from here on."""
+
+    content_hash: str
+    data: bytes
+
+
+class Send(NamedTuple):
+    """Send a datagram to another voter."""
+
+    rank: int
+    message: Message
+
+
+class StateChosen(NamedTuple):
+    """A state is chosen, by the command that led to it unless that was rejected."""
+
+    state: ReplicatedState
+    state_hash: str
+    ballot: Ballot
+    command: Command | None
+    rejection: str
+
+
+class CommandDropped(NamedTuple):
+    """The command was not carried out here. Unless ``is_final``, another attempt may still succeed."""
+
+    command: Command
+    reason: str
+    is_final: bool = False
+
+
+class LogWarning(NamedTuple):
+    """Write a line to the log."""
+
+    text: str
+
+
+Action = Persist | StoreBlob | Send | StateChosen | CommandDropped | LogWarning
+
+
+# A proposer's attempt
+
+
+class ProposerPhase(Enum):
+    """How far an attempt has come."""
+
+    PREPARING = 0
+    ACCEPTING = 1
+    BACKING_OFF = 2
+
+
+class AcceptedValue(NamedTuple):
+    """What a voter had accepted when it gave its promise; no state: nothing, or it is the first one."""
+
+    ballot: Ballot
+    state_hash: str
+    state: ReplicatedState | None
+
+
+class ProposalAttempt:
+    """The attempt to have one command carried out."""
+
+    def __init__(self, command: Command, now: int) -> None:
+        self.command = command
+        self.started_at = now
+        self.sent_at = now  # while backing off: when to start again
+        self.phase = ProposerPhase.PREPARING
+        self.ballot = ZERO_BALLOT
+        self.promises: dict[VotingMember, AcceptedValue] = {}
+        self.acceptances: set[VotingMember] = set()
+        self.state: ReplicatedState | None = None
+        self.state_hash = ""
+        self.rejection = ""
+        self.is_final = False  # rejected for good
+        self.backoffs = 0
+
+    def restart(self, ballot: Ballot, now: int) -> None:
+        """Begin anew with a higher ballot."""
+        self.ballot = ballot
+        self.phase = ProposerPhase.PREPARING
+        self.sent_at = now
+        self.promises = {}
+        self.acceptances = set()
+        self.state = None
+        self.state_hash = ""
+        self.rejection = ""
--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -23,69 +23,71 @@
 from orchidlane.config import Duration
 from orchidlane.gateway.control.settings import Fleet, address
 from orchidlane.gateway.lifecycle.process import Program
-from orchidlane.gateway.rollout_agent.admin_api import Order, Status
-from orchidlane.gateway.rollout_agent.admin_client import PREFIX, FetchError, call
-from orchidlane.gateway.rollout_agent.agent import Outcome
-from orchidlane.rollout.replicated_state import Ledger, Stage
-from orchidlane.rollout.version import Parts, name_of, why_not_certified
+from orchidlane.gateway.rollout_agent.admin_api import CommandRequest, RolloutStatus
+from orchidlane.gateway.rollout_agent.admin_client import PATH_PREFIX, AdminCallError, call_admin_api
+from orchidlane.gateway.rollout_agent.agent import CommandOutcome
+from orchidlane.rollout.replicated_state import ReplicatedState, RolloutPhase
+from orchidlane.rollout.version import ContentHashes, certificate_error, content_hash
 from orchidlane.runtime import Faults, Loop, Process, SimWorld
 
 SECRET = b"a secret for stand-ins only"
 SECOND = 1_000_000
-LOOK = 10_000  # microseconds between two looks
-SLACK = 5 * LOOK
-SETTLE = 40 * SECOND  # for all to come to one version
-FOUND_WITHIN = 20 * SECOND
-CALL = 3 * SECOND
+CHECK_INTERVAL_US = 10_000  # microseconds between two looks
+LEASE_TOLERANCE_US = 5 * CHECK_INTERVAL_US
+CONVERGENCE_TIMEOUT_US = 40 * SECOND  # for all to come to one version
+BOOTSTRAP_TIMEOUT_US = 20 * SECOND
+CALL_TIMEOUT_US = 3 * SECOND
 
 
-class Wrong(AssertionError):
+class InvariantViolation(AssertionError):
     """What must never be, or never came."""
 
 
 @dataclass
-class Story:
+class RolloutScenario:
     """One seed's fleet, faults and length."""
 
     seed: int
     gateways: int
     voters: int
-    span: int = 12 * SECOND
-    soak: int = 0  # stages, where it is not
+    duration_us: int = 12 * SECOND
+    soak_us: int = 0  # stages, where it is not
     faults: frozenset[str] = frozenset()
-    told: Counter[str] = field(default_factory=Counter)
+    event_counts: Counter[str] = field(default_factory=Counter)
 
 
-KINDS = ("kill", "still", "cut", "loss", "old", "empty", "broken", "full")
+FAULT_KINDS = ("kill", "still", "cut", "loss", "old", "empty", "broken", "full")
 
 
-def draw(seed: int, most: int = 12) -> Story:
+def random_scenario(seed: int, max_gateways: int = 12) -> RolloutScenario:
     """A story of its own subset of faults (swarm)."""
     rng = random.Random(seed)
     voters = rng.choice((3, 3, 3, 5))
-    gateways = rng.randint(voters, max(voters, most))
-    faults = frozenset(kind for kind in KINDS if rng.random() < 0.5)
-    return Story(seed, gateways, voters, faults=faults, soak=rng.choice((0, 0, SECOND // 4)))
+    gateways = rng.randint(voters, max(voters, max_gateways))
+    faults = frozenset(kind for kind in FAULT_KINDS if rng.random() < 0.5)
+    return RolloutScenario(seed, gateways, voters, faults=faults, soak_us=rng.choice((0, 0, SECOND // 4)))
 
 
-class VersionFleet:
+class SimulatedRolloutFleet:
     """The gateways of a story; ``rules`` makes the description of an edit."""
 
-    def __init__(self, story: Story, fleet: Fleet, rules: Callable[[int], bytes], customers: bytes) -> None:
-        self.story = story
-        self.random = random.Random(story.seed ^ 0x5EED)
+    def __init__(
+        self, scenario: RolloutScenario, fleet: Fleet, describe_edit: Callable[[int], bytes], customers: bytes
+    ) -> None:
+        self.scenario = scenario
+        self.random = random.Random(scenario.seed ^ 0x5EED)
         calm = Faults(delay=(100, 900), slow_chance=0.0, datagram_loss=0.0)
-        self.world = SimWorld(story.seed, calm)
+        self.world = SimWorld(scenario.seed, calm)
         self.loop = Loop(self.world)
-        self.rules = rules
+        self.describe_edit = describe_edit
         self.customers = customers
         self.fleet = self._settings(fleet)
         self.processes: dict[int, Process] = {}
         self.programs: dict[int, Program] = {}
         self.old_files: dict[int, dict[str, bytes]] = {}
-        self.names: dict[int, str] = {}  # index -> the ledger's name
-        self.ledgers: dict[int, Ledger] = {}
-        self.since: dict[int, int] = {}  # index -> when it was first seen
+        self.state_hashes: dict[int, str] = {}  # index -> the ledger's name
+        self.states: dict[int, ReplicatedState] = {}
+        self.first_seen_at: dict[int, int] = {}  # index -> when it was first seen
         self.approved: set[tuple[int, str]] = set()
         self.edits = 0
 
@@ -100,17 +102,17 @@
                 admin=f"127.0.0.1:{30_000 + rank}",
                 resp="",
             )
-            for rank in range(self.story.gateways)
+            for rank in range(self.scenario.gateways)
         )
         terms = msgspec.structs.replace(
             fleet.change,
-            voters=tuple(f"gw-{rank}" for rank in range(self.story.voters)),
+            voters=tuple(f"gw-{rank}" for rank in range(self.scenario.voters)),
             lease=Duration(2 * SECOND),
             every=Duration(SECOND // 10),
             beat=Duration(SECOND // 20),
             silence=Duration(SECOND * 3 // 10),
             decide=Duration(3 * SECOND),
-            soak=Duration(self.story.soak),
+            soak=Duration(self.scenario.soak_us),
         )
         return msgspec.structs.replace(
             fleet, gateways=entries, change=terms, description="openapi", customers="customers", state="state"
@@ -132,7 +134,7 @@
         if not self.processes[rank].dead:
             self.world.kill(self.processes[rank])
 
-    def alive(self) -> list[int]:
+    def running_ranks(self) -> list[int]:
         """The gateways that run, standing still or not."""
         return [rank for rank, process in self.processes.items() if not process.dead]
 
@@ -142,36 +144,37 @@
 
     # -- the story
 
-    def run(self) -> Story:
+    def run(self) -> RolloutScenario:
         """From the first start to the verdict. Raises Wrong."""
         self.loop.run(self._run)
-        return self.story
+        return self.scenario
 
     def _run(self) -> None:
-        story, loop = self.story, self.loop
-        self.world.files["openapi"] = self.rules(0)
+        story, loop = self.scenario, self.loop
+        self.world.files["openapi"] = self.describe_edit(0)
         self.world.files["customers"] = self.customers
         for rank in range(story.gateways):
             self.start(rank)
-        self._until(self._settled, FOUND_WITHIN, "the ledger was never founded")
-        watcher = loop.spawn(self._watch, process=loop.home, name="watcher")
-        author = loop.spawn(self._author, process=loop.home, name="author")
+        self._wait_until(self._has_converged, BOOTSTRAP_TIMEOUT_US, "the ledger was never founded")
+        watcher = loop.spawn(self._run_checker, process=loop.home, name="watcher")
+        author = loop.spawn(self._run_author, process=loop.home, name="author")
         tasks = [
-            loop.spawn(self._troubles, kind, process=loop.home, name=kind) for kind in sorted(story.faults)
+            loop.spawn(self._inject_faults, kind, process=loop.home, name=kind)
+            for kind in sorted(story.faults)
         ]
-        loop.sleep(story.span)
+        loop.sleep(story.duration_us)
         for task in (author, *tasks):
             loop.cancel(task)
-        self._heal()
-        self._until(self._settled, SETTLE, "the gateways came to no one version")
+        self._clear_faults()
+        self._wait_until(self._has_converged, CONVERGENCE_TIMEOUT_US, "the gateways came to no one version")
         if watcher.done:
-            raise Wrong(str(watcher.error))
-        self._look()
+            raise InvariantViolation(str(watcher.error))
+        self._check_invariants()
         loop.cancel(watcher)
-        for rank in self.alive():
+        for rank in self.running_ranks():
             self.kill(rank)
 
-    def _heal(self) -> None:
+    def _clear_faults(self) -> None:
         world = self.world
         world.cuts.clear()
         world.full.clear()
@@ -183,99 +186,116 @@
             elif process.frozen:
                 self.loop.thaw(process)
 
-    def _until(self, holds: Callable[[], bool], within: int, why: str) -> None:
-        by = self.loop.now() + within
-        while not holds():
+    def _wait_until(self, condition: Callable[[], bool], timeout_us: int, message: str) -> None:
+        by = self.loop.now() + timeout_us
+        while not condition():
             if self.loop.now() > by:
-                raise Wrong(f"{why}: {self.show()}")
-            self.loop.sleep(LOOK)
+                raise InvariantViolation(f"{message}: {self.describe()}")
+            self.loop.sleep(CHECK_INTERVAL_US)
 
-    def show(self) -> list[Any]:
+    def describe(self) -> list[Any]:
         """How each gateway stands, for whoever reads of a failure."""
         found = []
         for rank, program in self.programs.items():
             versions = program.versions
             assert versions is not None
-            conductor = versions.conductor
+            conductor = versions.leadership
             seat = ""
             if conductor is not None:
-                register = conductor.register
-                seat = f"votes {register.votes} seated {register.seated} checking {register.checking}"
-            latest = versions.ledger
-            about = (latest.index, latest.term, latest.leader, latest.change) if latest else ()
-            why = versions.why_not_serve()
-            found.append((rank, versions.number, about, why, versions.why_behind, seat))
+                register = conductor.voter
+                seat = f"votes {register.may_vote} seated {register.is_member} checking {register.verifying_store}"
+            latest = versions.state
+            about = (latest.index, latest.term, latest.leader, latest.rollout) if latest else ()
+            why = versions.rejection_reason()
+            found.append((rank, versions.running_number, about, why, versions.adoption_error, seat))
         return found
 
-    def _settled(self) -> bool:
+    def _has_converged(self) -> bool:
         """All serve by one version, and no change is on its way."""
-        if len(self.programs) < self.story.gateways:
+        if len(self.programs) < self.scenario.gateways:
             return False
         seen = set()
         for program in self.programs.values():
             versions = program.versions
             assert versions is not None
-            if versions.ledger is None or versions.ledger.change is not None or versions.why_not_serve():
+            if versions.state is None or versions.state.rollout is not None or versions.rejection_reason():
                 return False
             if versions.running is None:
                 return False
-            seen.add((versions.ledger.index, versions.running.version))
+            seen.add((versions.state.index, versions.running.version))
         return len(seen) == 1
 
     # -- who changes things
 
-    def _author(self) -> None:
+    def _run_author(self) -> None:
         while True:
             self.loop.sleep(self.random.randint(SECOND // 5, 2 * SECOND))
             rank = self.random.choice(list(self.processes))
             try:
-                self._change(rank)
-            except (FetchError, msgspec.DecodeError):
-                self.story.told["unheard"] += 1
+                self._send_random_command(rank)
+            except (AdminCallError, msgspec.DecodeError):
+                self.scenario.event_counts["unheard"] += 1
 
-    def _ask(self, rank: int, method: str, what: str, body: bytes = b"") -> bytes:
+    def _call(self, rank: int, method: str, what: str, body: bytes = b"") -> bytes:
         at = address(self.fleet.gateways[rank].admin)
-        by = self.loop.now() + CALL
-        return call(self.loop, at, SECRET, method, PREFIX + what.encode(), body, by=by, most=1 << 20)[1]
-
-    def _change(self, rank: int) -> None:
-        status = msgspec.msgpack.decode(self._ask(rank, "GET", "status"), type=Status)
-        latest = status.change or status.current
+        by = self.loop.now() + CALL_TIMEOUT_US
+        return call_admin_api(
+            self.loop,
+            at,
+            SECRET,
+            method,
+            PATH_PREFIX + what.encode(),
+            body,
+            deadline_us=by,
+            max_response_bytes=1 << 20,
+        )[1]
+
+    def _send_random_command(self, rank: int) -> None:
+        status = msgspec.msgpack.decode(self._call(rank, "GET", "status"), type=RolloutStatus)
+        latest = status.rollout_version or status.current_version
         if latest is None:
             return
-        if status.change is not None and self.random.random() < 0.5 and status.current is not None:
-            order = self._order("propose", latest.number, status.current.parts, latest.number)
+        if (
+            status.rollout_version is not None
+            and self.random.random() < 0.5
+            and status.current_version is not None
+        ):
+            order = self._command_request(
+                "propose", latest.number, status.current_version.contents, latest.number
+            )
         elif self.random.random() < 0.3 and latest.number:
             known = {entry.version.number: entry.version for entry in status.history}
             base = known.get(latest.base)
             if base is None:
                 return
-            order = self._order("propose", latest.number, base.parts, latest.number)
+            order = self._command_request("propose", latest.number, base.contents, latest.number)
         elif self.random.random() < 0.1:
-            order = self._order(self.random.choice(("stop", "resume")), latest.number)
+            order = self._command_request(self.random.choice(("stop", "resume")), latest.number)
         else:
             self.edits += 1
-            data = self.rules(self.edits if self.random.random() < 0.9 else -1)
-            self._ask(rank, "PUT", f"content/{name_of(data)}", data)
-            parts = Parts(name_of(data), name_of(self.customers))
-            order = self._order("propose", latest.number, parts)
-        answer = self._ask(rank, "POST", "command", msgspec.msgpack.encode(order))
-        outcome = msgspec.msgpack.decode(answer, type=Outcome)
-        self.story.told[f"{order.do} {'taken' if outcome.taken else 'not taken'}"] += 1
-
-    def _order(self, do: str, base: int, parts: Parts | None = None, undoes: int = 0) -> Order:
+            data = self.describe_edit(self.edits if self.random.random() < 0.9 else -1)
+            self._call(rank, "PUT", f"content/{content_hash(data)}", data)
+            parts = ContentHashes(content_hash(data), content_hash(self.customers))
+            order = self._command_request("propose", latest.number, parts)
+        answer = self._call(rank, "POST", "command", msgspec.msgpack.encode(order))
+        outcome = msgspec.msgpack.decode(answer, type=CommandOutcome)
+        self.scenario.event_counts[f"{order.action} {'taken' if outcome.is_accepted else 'not taken'}"] += 1
+
+    def _command_request(
+        self, do: str, base: int, parts: ContentHashes | None = None, undoes: int = 0
+    ) -> CommandRequest:
         name = f"{self.random.getrandbits(64):016x}"
-        return Order(name, do, base, "a story", "because", parts, undoes)
+        return CommandRequest(name, do, base, "a story", "because", parts, undoes)
 
     # -- what befalls
 
-    def _troubles(self, kind: str) -> None:
+    def _inject_faults(self, kind: str) -> None:
         rng = self.random
         trouble: Callable[[int], Iterator[None]] = getattr(self, f"_{kind}")
         while True:
             self.loop.sleep(rng.randint(SECOND // 5, 3 * SECOND))
-            self.story.told[kind] += 1
-            for _ in trouble(rng.randrange(self.story.gateways)):
+            self.scenario.event_counts[kind] += 1
+            for _ in trouble(rng.randrange(self.scenario.gateways)):
                 self.loop.sleep(rng.randint(SECOND // 50, 3 * SECOND))
 
     def _kill(self, rank: int) -> Iterator[None]:
@@ -295,7 +315,7 @@
 
     def _cut(self, rank: int) -> Iterator[None]:
         """Some gateways are cut off from the rest."""
-        ranks = range(self.story.gateways)
+        ranks = range(self.scenario.gateways)
         ones = {rank, *(one for one in ranks if self.random.random() < 0.3)}
         pairs = [(f"gw-{one}", f"gw-{other}") for one in ones for other in ranks if other not in ones]
         for one, other in pairs:
@@ -316,24 +336,28 @@
         yield
         self.world.full.discard(f"gw-{rank}")
 
-    def _may_lose(self, rank: int) -> bool:
+    def _can_lose_disk(self, rank: int) -> bool:
         """More voters without their disks than a quorum can spare would end the ledger, as is documented."""
-        known = [program.versions.ledger for program in self.programs.values() if program.versions]
-        if any(latest.before for latest in known if latest is not None):
-            return rank >= self.story.voters  # a change of seats is not settled: both sides are needed
-        others = [one for one in self.alive() if one < self.story.voters and one != rank and self._votes(one)]
-        return rank >= self.story.voters or len(others) > self.story.voters // 2
+        known = [program.versions.state for program in self.programs.values() if program.versions]
+        if any(latest.previous_members for latest in known if latest is not None):
+            return rank >= self.scenario.voters  # a change of seats is not settled: both sides are needed
+        others = [
+            one
+            for one in self.running_ranks()
+            if one < self.scenario.voters and one != rank and self._may_vote(one)
+        ]
+        return rank >= self.scenario.voters or len(others) > self.scenario.voters // 2
 
-    def _votes(self, rank: int) -> bool:
+    def _may_vote(self, rank: int) -> bool:
         versions = self.programs[rank].versions
-        return versions is not None and versions.conductor is not None and versions.conductor.register.votes
+        return versions is not None and versions.leadership is not None and versions.leadership.voter.may_vote
 
-    def _back_with(self, rank: int, files: dict[str, bytes]) -> Iterator[None]:
-        if self.processes[rank].dead or not self._may_lose(rank):
+    def _restart_with(self, rank: int, files: dict[str, bytes]) -> Iterator[None]:
+        if self.processes[rank].dead or not self._can_lose_disk(rank):
             return
         self.kill(rank)
         yield
-        if not self.processes[rank].dead or not self._may_lose(rank):
+        if not self.processes[rank].dead or not self._can_lose_disk(rank):
             return
         for path in self.files_of(rank):
             del self.world.files[path]
@@ -344,71 +368,77 @@
         """It comes back with what it had some time ago."""
         files = self.files_of(rank)
         yield
-        yield from self._back_with(rank, files)
+        yield from self._restart_with(rank, files)
 
     def _empty(self, rank: int) -> Iterator[None]:
-        yield from self._back_with(rank, {})
+        yield from self._restart_with(rank, {})
 
     def _broken(self, rank: int) -> Iterator[None]:
         """Its files are cut somewhere."""
         files = {
             path: data[: self.random.randint(0, len(data))] for path, data in self.files_of(rank).items()
         }
-        yield from self._back_with(rank, files)
+        yield from self._restart_with(rank, files)
 
     # -- what has to hold
 
-    def _watch(self) -> None:
+    def _run_checker(self) -> None:
         while True:
-            self._look()
-            self.loop.sleep(LOOK)
+            self._check_invariants()
+            self.loop.sleep(CHECK_INTERVAL_US)
 
-    def _look(self) -> None:
+    def _check_invariants(self) -> None:
         now = self.loop.now()
-        for rank in self.alive():
+        for rank in self.running_ranks():
             program = self.programs.get(rank)
             versions = program.versions if program is not None else None
-            if versions is None or versions.ledger is None or program is None:
+            if versions is None or versions.state is None or program is None:
                 continue
-            self._note(versions.ledger, versions.spread.name, now)
-            if versions.conductor is not None and versions.conductor.register.ledger is not None:
-                known = versions.conductor.register.ledger
-                self._note(known, name_of(msgspec.msgpack.encode(known)), now)
+            self._record_state(versions.state, versions.dissemination.state_hash, now)
+            if versions.leadership is not None and versions.leadership.voter.chosen_state is not None:
+                known = versions.leadership.voter.chosen_state
+                self._record_state(known, content_hash(msgspec.msgpack.encode(known)), now)
             if versions.running is not None:
                 self._check_running(rank, versions.running)
-            if not self.processes[rank].frozen and not versions.why_not_serve():
-                self._check_serving(rank, versions.number, now)
+            if not self.processes[rank].frozen and not versions.rejection_reason():
+                self._check_serving(rank, versions.running_number, now)
 
-    def _note(self, latest: Ledger, name: str, now: int) -> None:
+    def _record_state(self, latest: ReplicatedState, name: str, now: int) -> None:
         index = latest.index
-        if self.names.setdefault(index, name) != name:
-            raise Wrong(f"two ledgers of index {index}: {latest}; {self.ledgers[index]}")
-        if index in self.since:
+        if self.state_hashes.setdefault(index, name) != name:
+            raise InvariantViolation(f"two ledgers of index {index}: {latest}; {self.states[index]}")
+        if index in self.first_seen_at:
             return
-        self.since[index], self.ledgers[index] = now, latest
-        change = latest.change
+        self.first_seen_at[index], self.states[index] = now, latest
+        change = latest.rollout
         certificates = [latest.current]
-        if change is not None and change.stage is Stage.ADOPTING and change.certificate is not None:
+        if change is not None and change.phase is RolloutPhase.ADOPTING and change.certificate is not None:
             certificates.append(change.certificate)
         for certificate in certificates:
-            why = why_not_certified(SECRET, certificate)
+            why = certificate_error(SECRET, certificate)
             if why:
-                raise Wrong(f"ledger {index}: {why}")
-            self.approved.add((certificate.version.number, certificate.version.content))
+                raise InvariantViolation(f"ledger {index}: {why}")
+            self.approved.add((certificate.version.number, certificate.version.combined_hash))
 
     def _check_running(self, rank: int, running: Any) -> None:
         version = running.version
-        if (version.number, version.content) not in self.approved:
-            raise Wrong(f"gw-{rank} runs {version.show()}, which nobody approved")
+        if (version.number, version.combined_hash) not in self.approved:
+            raise InvariantViolation(f"gw-{rank} runs {version.label()}, which nobody approved")
 
     def _check_serving(self, rank: int, number: int, now: int) -> None:
-        before = now - int(self.fleet.change.lease) - SLACK
-        oldest = max((index for index, at in self.since.items() if at <= before), default=0)
-        wanted = {one.target(rank).version.number for index, one in self.ledgers.items() if index >= oldest}
+        before = now - int(self.fleet.change.lease) - LEASE_TOLERANCE_US
+        oldest = max((index for index, at in self.first_seen_at.items() if at <= before), default=0)
+        wanted = {
+            one.target_certificate(rank).version.number
+            for index, one in self.states.items()
+            if index >= oldest
+        }
         if number not in wanted:
-            raise Wrong(f"gw-{rank} serves by version {number}, wanted of late: {wanted}")
+            raise InvariantViolation(f"gw-{rank} serves by version {number}, wanted of late: {wanted}")
 
 
-def play_story(story: Story, fleet: Fleet, rules: Callable[[int], bytes], customers: bytes) -> Counter[str]:
+def run_scenario(
+    scenario: RolloutScenario, fleet: Fleet, describe_edit: Callable[[int], bytes], customers: bytes
+) -> Counter[str]:
     """What was done in a story. Raises Wrong."""
-    return VersionFleet(story, fleet, rules, customers).run().told
+    return SimulatedRolloutFleet(scenario, fleet, describe_edit, customers).run().event_counts
--- a/tests/processes/test_change_processes.py
+++ b/tests/processes/test_change_processes.py
@@ -290,7 +290,7 @@
 
         def strike(_sender, _receiver, message):
             """It stands still from the first vote on the hold on."""
-            if isinstance(message, messages.Voted) and "still" not in told:
+            if isinstance(message, messages.VersionVote) and "still" not in told:
                 told["still"] = True
                 fleet.still(asleep)
 
