--- a/tests/test_change_model.py
+++ b/tests/test_change_model.py
@@ -15,17 +15,19 @@
 import msgspec
 import pytest
 
-from orchidlane.rollout import replicated_state as steps
-from orchidlane.rollout.consensus import Chosen, Hold, Keep, Kept, Register, Stand, Tell
-from orchidlane.rollout.messages import Accept, Accepted, MarkTold, Nack, Promise
-from orchidlane.rollout.replicated_state import Admit, Claim, Ledger, Stop
-from orchidlane.rollout.version import Certificate, Parts, Seat, Version, name_of
+from orchidlane.rollout import commands, replicated_state
+from orchidlane.rollout.commands import ChangeMembership, ClaimLeadership, StopRollout
+from orchidlane.rollout.consensus import Voter
+from orchidlane.rollout.messages import Accept, Accepted, Nack, Promise, VoteCountResponse
+from orchidlane.rollout.replicated_state import ReplicatedState
+from orchidlane.rollout.version import Certificate, ContentHashes, Version, VotingMember, content_hash
+from orchidlane.rollout.voter_state import Persist, ProposerPhase, Send, StateChosen, StoreBlob, VoterState
 
 VOTERS = range(3)
-FIRST = Ledger(
+FIRST = ReplicatedState(
     1,
-    tuple(Seat(rank, 100 + rank) for rank in VOTERS),
-    Certificate(Version(0, Parts("r", "c"), 0), 0, (), ()),
+    tuple(VotingMember(rank, 100 + rank) for rank in VOTERS),
+    Certificate(Version(0, ContentHashes("r", "c"), 0), 0, (), ()),
     term=1,
     leader=0,
 )
@@ -45,10 +47,12 @@
 class World:
     """One state: the voters, their disks, what is on its way, what was chosen."""
 
-    def __init__(self, kind: type[Register]) -> None:
+    def __init__(self, kind: type[Voter]) -> None:
         self.kind = kind
-        self.ledgers = {name_of(steps.encode(FIRST)): FIRST}  # shared by all states: names say it all
-        self.disks = {rank: Kept(100 + rank) for rank in VOTERS}
+        self.ledgers = {
+            content_hash(replicated_state.encode(FIRST)): FIRST
+        }  # shared by all states: names say it all
+        self.disks = {rank: VoterState(100 + rank) for rank in VOTERS}
         self.old = dict(self.disks)
         self.voters = {rank: kind(rank, self.disks[rank], None, FIRST, Fixed(), 0) for rank in VOTERS}
         self.mail: frozenset[Mail] = frozenset()
@@ -75,32 +79,32 @@
         voter = self.voters[rank]
         for action in actions:
             match action:
-                case Hold():
-                    self.ledgers[action.name] = steps.decode(action.data)
-                case Keep():
+                case StoreBlob():
+                    self.ledgers[action.content_hash] = replicated_state.decode(action.data)
+                case Persist():
                     if write_fails:
                         before = self.disks[rank]
-                        voter.failed(before, self.ledgers.get(before.name))
+                        voter.persist_failed(before, self.ledgers.get(before.accepted_hash))
                         return
-                    self.disks[rank] = action.kept
-                case Tell():
+                    self.disks[rank] = action.voter_state
+                case Send():
                     self.mail |= {Mail(rank, action.rank, action.message)}
-                case Chosen():
+                case StateChosen():
                     self._choose(action)
 
-    def _choose(self, chosen: Chosen) -> None:
-        index = chosen.ledger.index
-        if self.chosen.setdefault(index, chosen.name) != chosen.name:
+    def _choose(self, chosen: StateChosen) -> None:
+        index = chosen.state.index
+        if self.chosen.setdefault(index, chosen.state_hash) != chosen.state_hash:
             raise Broken(f"Q1: two ledgers of index {index}")
-        step = chosen.step
-        if step is not None and not isinstance(step, Claim) and step.term != chosen.ledger.term:
-            raise Broken(f"fencing: a step of term {step.term} in term {chosen.ledger.term}")
+        step = chosen.command
+        if step is not None and not isinstance(step, ClaimLeadership) and step.term != chosen.state.term:
+            raise Broken(f"fencing: a step of term {step.term} in term {chosen.state.term}")
 
     def deliver(self, mail: Mail, write_fails: bool = False) -> None:
         message = mail.message
-        named = self.ledgers.get(message.name) if isinstance(message, Promise | Accept) else None
+        named = self.ledgers.get(message.state_hash) if isinstance(message, Promise | Accept) else None
         voter = self.voters[mail.receiver]
-        self.carry(mail.receiver, voter.hear(TIMELESS, mail.sender, message, named), write_fails)
+        self.carry(mail.receiver, voter.receive(TIMELESS, mail.sender, message, named), write_fails)
 
     def drop_idle_mail(self) -> None:
         """Mail that changes nothing now and never will: answers to an attempt that is over."""
@@ -108,15 +112,17 @@
             attempt = self.voters[mail.receiver].attempt
             answer = isinstance(mail.message, Promise | Accepted | Nack)
             over = attempt is None or attempt.ballot != mail.message.ballot
-            late = isinstance(mail.message, Promise) and (over or attempt.stand is not Stand.PREPARING)
+            late = isinstance(mail.message, Promise) and (
+                over or attempt.phase is not ProposerPhase.PREPARING
+            )
             if answer and (over or late):
                 self.mail -= {mail}
 
-    def restart(self, rank: int, kept: Kept) -> None:
+    def restart(self, rank: int, kept: VoterState) -> None:
         self.disks[rank] = kept
         chosen = FIRST  # what it knows to be chosen may be as old as that
         self.voters[rank] = self.kind(
-            rank, kept, self.ledgers.get(kept.name), chosen, Fixed(), 0, checking=True
+            rank, kept, self.ledgers.get(kept.accepted_hash), chosen, Fixed(), 0, verifying_store=True
         )
 
     def check_marks(self, rank: int) -> None:
@@ -127,10 +133,13 @@
         voter = self.voters[rank]
         self.mail = frozenset(mail for mail in self.mail if mail.sender != rank)
         for other, theirs in self.voters.items():
-            if other != rank and voter.checking:
-                store, mark = theirs.kept.marks.get(rank, (0, 0))
-                mark = mark if store == voter.kept.store else 0
-                self.carry(rank, voter.hear(TIMELESS, other, MarkTold(voter.kept.store, mark, True)))
+            if other != rank and voter.verifying_store:
+                store, mark = theirs.voter_state.seen_vote_counts.get(rank, (0, 0))
+                mark = mark if store == voter.voter_state.store_id else 0
+                self.carry(
+                    rank,
+                    voter.receive(TIMELESS, other, VoteCountResponse(voter.voter_state.store_id, mark, True)),
+                )
         self.carry(rank, voter.tick(TIMELESS))
 
 
@@ -144,37 +153,39 @@
         return 900
 
 
-def _copy(voter: Register) -> Register:
+def _copy(voter: Voter) -> Voter:
     other = copy.copy(voter)
-    other._checked = dict(voter._checked)
+    other._check_responses = dict(voter._check_responses)
     if voter.attempt is not None:
         attempt = other.attempt = copy.copy(voter.attempt)
-        attempt.promises, attempt.accepts = dict(voter.attempt.promises), set(voter.attempt.accepts)
-    other.kept = msgspec.structs.replace(voter.kept, marks=dict(voter.kept.marks))
+        attempt.promises, attempt.acceptances = dict(voter.attempt.promises), set(voter.attempt.acceptances)
+    other.voter_state = msgspec.structs.replace(
+        voter.voter_state, seen_vote_counts=dict(voter.voter_state.seen_vote_counts)
+    )
     return other
 
 
-def _key(voter: Register) -> Any:
-    kept, attempt = voter.kept, voter.attempt
+def _key(voter: Voter) -> Any:
+    kept, attempt = voter.voter_state, voter.attempt
     told = None
     if attempt is not None:
         told = (
-            attempt.stand,
+            attempt.phase,
             attempt.ballot,
             frozenset((seat, promise[0], promise[1]) for seat, promise in attempt.promises.items()),
-            frozenset(attempt.accepts),
-            attempt.name,
+            frozenset(attempt.acceptances),
+            attempt.state_hash,
         )
-    index = voter.ledger.index if voter.ledger is not None else 0
-    marks = tuple(sorted(kept.marks.items()))
+    index = voter.chosen_state.index if voter.chosen_state is not None else 0
+    marks = tuple(sorted(kept.seen_vote_counts.items()))
     return (
-        kept.store,
+        kept.store_id,
         kept.promised,
         kept.accepted,
-        kept.name,
-        kept.mark,
+        kept.accepted_hash,
+        kept.vote_count,
         marks,
-        voter.checking,
+        voter.verifying_store,
         index,
         told,
     )
@@ -183,7 +194,7 @@
 def moves(world: World, plan: dict[int, Any], most: int, faults: tuple[str, ...]):
     """Every next state."""
     for rank, step in plan.items():
-        if rank not in world.started and world.voters[rank].votes:
+        if rank not in world.started and world.voters[rank].may_vote:
             after = world.copy()
             after.started |= {rank}
             after.carry(rank, after.voters[rank].propose(TIMELESS, step))
@@ -196,7 +207,7 @@
             after.drop_idle_mail()
         yield after
     for rank, voter in world.voters.items():
-        if voter.checking:
+        if voter.verifying_store:
             after = world.copy()
             after.check_marks(rank)
             yield after
@@ -207,7 +218,7 @@
 def failures(world: World, faults: tuple[str, ...]):
     """Every next state that a fault leads to."""
     for rank in VOTERS:
-        kept = {"dies": world.disks[rank], "old disk": world.old[rank], "no disk": Kept(500 + rank)}
+        kept = {"dies": world.disks[rank], "old disk": world.old[rank], "no disk": VoterState(500 + rank)}
         for name in faults:
             if name in kept:
                 after = world.copy()
@@ -231,7 +242,7 @@
     plan: dict[int, Any],
     faults: tuple[str, ...],
     most: int,
-    kind: type[Register] = Register,
+    kind: type[Voter] = Voter,
     bound: int = 60_000,
 ) -> tuple[int, set[int]]:
     """How many states there are, and which indexes were ever chosen. Raises Broken."""
@@ -248,7 +259,7 @@
     return len(seen), indexes
 
 
-TWO_CLAIMS = {0: Claim(0, 2), 1: Claim(1, 2)}
+TWO_CLAIMS = {0: ClaimLeadership(0, 2), 1: ClaimLeadership(1, 2)}
 
 
 def test_two_that_want_to_lead_without_a_fault():
@@ -265,43 +276,46 @@
 
 
 def test_a_voter_is_admitted_while_another_claims():
-    plan = {0: Admit(1, 2, 502), 1: Claim(1, 2)}
+    plan = {0: ChangeMembership(1, 2, 502), 1: ClaimLeadership(1, 2)}
     states, chosen = search(plan, ("no disk", "dies"), 2)
     assert states > 5_000
     assert 2 in chosen
 
 
-class Forgets(Register):
+class Forgets(Voter):
     """Accepts and keeps nothing of it: the next promise tells of nothing."""
 
-    def _accept(self, sender, message, ledger):
-        super()._accept(sender, message, ledger)
-        self.kept = Kept(self.kept.store, self.kept.promised, mark=self.kept.mark)
-        self.voted = None
+    def _on_accept(self, sender, message, state):
+        super()._on_accept(sender, message, state)
+        own = self.voter_state
+        self.voter_state = VoterState(own.store_id, own.promised, vote_count=own.vote_count)
+        self.accepted_state = None
 
 
-class OverrulesItself(Register):
+class OverrulesItself(Voter):
     """Its proposer goes on whatever its acceptor promised since; the search found this once."""
 
-    def _go_on(self, now, attempt):
-        self.kept = msgspec.structs.replace(self.kept, promised=min(self.kept.promised, attempt.ballot))
-        super()._go_on(now, attempt)
+    def _start_accept(self, now, attempt):
+        promised = min(self.voter_state.promised, attempt.ballot)
+        self.voter_state = msgspec.structs.replace(self.voter_state, promised=promised)
+        super()._start_accept(now, attempt)
 
 
-class TrustsItsDisk(Register):
+class TrustsItsDisk(Voter):
     """Goes on with whatever disk it finds."""
 
-    def _mark_told(self, sender, message):
-        self._checked[sender] = True
+    def _on_vote_count(self, sender, message):
+        self._check_responses[sender] = True
 
 
-class TakesAnyBallot(Register):
+class TakesAnyBallot(Voter):
     """Accepts what it promised not to."""
 
-    def _accept(self, sender, message, ledger):
-        kept = self.kept
-        self.kept = Kept(kept.store, min(kept.promised, message.ballot), kept.accepted, kept.name, kept.mark)
-        super()._accept(sender, message, ledger)
+    def _on_accept(self, sender, message, state):
+        own = self.voter_state
+        promised = min(own.promised, message.ballot)
+        self.voter_state = VoterState(own.store_id, promised, own.accepted, own.accepted_hash, own.vote_count)
+        super()._on_accept(sender, message, state)
 
 
 @pytest.mark.parametrize(
@@ -314,9 +328,13 @@
 
 
 def test_a_leader_without_fencing_is_found(monkeypatch):
-    plan = {0: Stop(1, 7, "a step of the first term"), 1: Claim(1, 2)}
+    plan = {0: StopRollout(1, 7, "a step of the first term"), 1: ClaimLeadership(1, 2)}
     search(plan, ("dies",), 1)
-    monkeypatch.setattr(steps, "_fence", lambda ledger, term: None)
-    monkeypatch.setattr(Stop, "apply", lambda self, ledger: steps._next(ledger, latest=ledger.latest + 1))
+    monkeypatch.setattr(commands, "_require_term", lambda state, term: None)
+    monkeypatch.setattr(
+        StopRollout,
+        "apply",
+        lambda self, state: commands._next_state(state, latest_number=state.latest_number + 1),
+    )
     with pytest.raises(Broken, match="fencing"):
         search(plan, ("dies",), 1)
--- a/tests/test_change_stories.py
+++ b/tests/test_change_stories.py
@@ -10,7 +10,13 @@
 from harness.gateway_house import MATERIALS, fleet
 from test_day import quiet  # noqa: F401
 
-from orchidlane.simulation.rollout_scenarios import KINDS, Story, Wrong, draw, play_story
+from orchidlane.simulation.rollout_scenarios import (
+    FAULT_KINDS,
+    InvariantViolation,
+    RolloutScenario,
+    random_scenario,
+    run_scenario,
+)
 
 FOUND = (130, 180, 242, 253, 258, 283, 317, 440, 516, 530)  # stood still once: see docs/change.md
 SEEDS = sorted({*range(1, int(os.environ.get("CHANGE_SEEDS", "48")) + 1), *FOUND})
@@ -25,8 +31,8 @@
     return RULES.replace(b"{class: sheet-read, cost: 2}", b"{class: sheet-read, cost: %d}" % (2 + edit))
 
 
-def play(story: Story) -> Counter[str]:
-    return play_story(story, fleet(), rules, CUSTOMERS)
+def play(story: RolloutScenario) -> Counter[str]:
+    return run_scenario(story, fleet(), rules, CUSTOMERS)
 
 
 def play_seed(seed: int) -> tuple[int, str, Counter[str]]:
@@ -35,11 +41,11 @@
     import structlog
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
-    story = draw(seed)
+    story = random_scenario(seed)
     try:
         return seed, "", play(story)
     except BaseException as wrong:
-        return seed, f"{type(wrong).__name__}: {wrong}; {story}"[:2_000], story.told
+        return seed, f"{type(wrong).__name__}: {wrong}; {story}"[:2_000], story.event_counts
 
 
 def test_random_stories_break_no_rule_of_versions():
@@ -47,20 +53,20 @@
         found = list(pool.map(play_seed, SEEDS))
     assert [(seed, wrong) for seed, wrong, _ in found if wrong] == []
     told = sum((told for _, _, told in found), Counter())
-    assert all(told[kind] > 0 for kind in KINDS), told
+    assert all(told[kind] > 0 for kind in FAULT_KINDS), told
     assert told["propose taken"] > len(SEEDS), told
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", FAULT_KINDS)
 def test_each_kind_of_fault_by_itself(kind):
-    play(Story(7, 4, 3, faults=frozenset([kind])))
+    play(RolloutScenario(7, 4, 3, faults=frozenset([kind])))
 
 
 def test_the_stories_find_gateways_that_serve_by_an_undone_version(monkeypatch):
     """A lease that nobody minds is found."""
-    from orchidlane.rollout.dissemination import Spread
+    from orchidlane.rollout.dissemination import Dissemination
 
-    monkeypatch.setattr(Spread, "why_not_serve", lambda self, now: "")
-    with pytest.raises(Wrong, match="serves by version"):
+    monkeypatch.setattr(Dissemination, "rejection_reason", lambda self, now: "")
+    with pytest.raises(InvariantViolation, match="serves by version"):
         for seed in range(20):
-            play(Story(seed, 5, 3, faults=frozenset(["cut", "still"])))
+            play(RolloutScenario(seed, 5, 3, faults=frozenset(["cut", "still"])))
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -43,8 +43,8 @@
 from orchidlane.rollout import messages as version_messages
 from orchidlane.rollout import replicated_state as fleet_ledger
 from orchidlane.rollout import version
-from orchidlane.rollout.canary_analysis import Tally
-from orchidlane.rollout.consensus import Kept as VoterKept
+from orchidlane.rollout.canary_analysis import AnswerCounts
+from orchidlane.rollout.voter_state import VoterState as VoterKept
 
 GOLDEN = Path(__file__).parent / "corpus" / "golden"
 SECRET = b"the golden fleet's key"
@@ -322,60 +322,62 @@
     return module_messages.CustomerRow(7, 2, 1, 3, 2, 15.25, 9.25, 1.5, ((1, 15_900, 3.25), (2, 15_950, 4.5)))
 
 
-def golden_parts(letter: str) -> version.Parts:
+def golden_parts(letter: str) -> version.ContentHashes:
     """The names of a version's contents."""
-    return version.Parts(*(digit + 63 * letter for digit in "0123"))
+    return version.ContentHashes(*(digit + 63 * letter for digit in "0123"))
 
 
 def golden_version(number: int) -> version.Version:
     """A version with all its fields."""
     return version.Version(
         number=number,
-        parts=golden_parts("a"),
+        contents=golden_parts("a"),
         base=number - 1,
         author="an author",
         reason="a reason",
-        undoes=number - 2,
-        proposal=f"proposal-{number}",
-        then=(golden_parts("b"), golden_parts("c")),
+        reverts=number - 2,
+        proposal_id=f"proposal-{number}",
+        followed_by=(golden_parts("b"), golden_parts("c")),
     )
 
 
-def golden_seats() -> tuple[version.Seat, ...]:
+def golden_seats() -> tuple[version.VotingMember, ...]:
     """Three voters."""
-    return tuple(version.Seat(rank, 9_000_000_000 + rank) for rank in range(3))
+    return tuple(version.VotingMember(rank, 9_000_000_000 + rank) for rank in range(3))
 
 
 def golden_certificate(number: int) -> version.Certificate:
     """What proves that all three voters approved a version."""
     approved, seats = golden_version(number), golden_seats()
-    votes = tuple(version.cast(SECRET, seat, approved, 5, True, "it fits") for seat in seats)
+    votes = tuple(version.cast_vote(SECRET, seat, approved, 5, True, "it fits") for seat in seats)
     return version.Certificate(approved, 5, seats, votes)
 
 
-def golden_ledger() -> fleet_ledger.Ledger:
+def golden_ledger() -> fleet_ledger.ReplicatedState:
     """A ledger with a change that is asked about, one that it takes back, and a history."""
-    asked = fleet_ledger.Change(golden_version(23), 6, fleet_ledger.Stage.ASKED, None, b"", "a pause")
-    halted = fleet_ledger.Change(
+    asked = fleet_ledger.Rollout(
+        golden_version(23), 6, fleet_ledger.RolloutPhase.VOTING, None, b"", "a pause"
+    )
+    halted = fleet_ledger.Rollout(
         golden_version(22),
         5,
-        fleet_ledger.Stage.ADOPTING,
+        fleet_ledger.RolloutPhase.ADOPTING,
         golden_certificate(22),
-        fleet_ledger.ranks_as_bits([0, 2, 9], 12),
+        fleet_ledger.encode_ranks([0, 2, 9], 12),
         "stopped by hand",
     )
-    return fleet_ledger.Ledger(
+    return fleet_ledger.ReplicatedState(
         index=40,
-        seats=golden_seats(),
+        members=golden_seats(),
         current=golden_certificate(21),
         term=6,
         leader=2,
-        before=golden_seats()[:2],
-        change=asked,
-        halted=halted,
-        latest=23,
+        previous_members=golden_seats()[:2],
+        rollout=asked,
+        halted_rollout=halted,
+        latest_number=23,
         history=tuple(
-            fleet_ledger.Entry(golden_version(number), state, "why it ended so")
+            fleet_ledger.HistoryEntry(golden_version(number), state, "why it ended so")
             for number, state in ((18, "done"), (19, "refused"), (20, "undone"))
         ),
     )
@@ -384,16 +386,16 @@
 def golden_voter_file() -> storage.VoterFile:
     """A voter's disk."""
     kept = VoterKept(
-        store=9_000_000_001,
+        store_id=9_000_000_001,
         promised=(8, 2, 9_000_000_002),
         accepted=(7, 1, 9_000_000_001),
-        name=version.name_of(fleet_ledger.encode(golden_ledger())),
-        mark=33,
-        marks={0: (9_000_000_000, 31), 2: (9_000_000_002, 32)},
-        said=(
+        accepted_hash=version.content_hash(fleet_ledger.encode(golden_ledger())),
+        vote_count=33,
+        seen_vote_counts={0: (9_000_000_000, 31), 2: (9_000_000_002, 32)},
+        latest_vote=(
             6,
             23,
-            version.cast(SECRET, golden_seats()[1], golden_version(23), 6, False, "a rule is broken"),
+            version.cast_vote(SECRET, golden_seats()[1], golden_version(23), 6, False, "a rule is broken"),
         ),
     )
     ledger = fleet_ledger.encode(golden_ledger())
@@ -402,77 +404,77 @@
 
 def golden_running_file() -> storage.RunningFile:
     """The version that a gateway runs, with its latest ledger."""
-    contents = tuple(golden_parts("a").names())
+    contents = tuple(golden_parts("a").hashes())
     return storage.RunningFile(fleet_ledger.encode(golden_ledger()), golden_certificate(21), contents)
 
 
 def golden_version_messages() -> dict[str, Any]:
     """One of each message between gateways on the fleet's versions; every field is other than its default."""
-    told, name, ballot = version_messages, version.name_of(b"a ledger"), (8, 2, 9_000_000_002)
+    told, name, ballot = version_messages, version.content_hash(b"a ledger"), (8, 2, 9_000_000_002)
     return {
-        "ask": told.Ask(555, 40),
-        "told": told.Told(555, 40, name, 1_200, True),
-        "hint": told.Hint(41),
-        "report": told.Report(21, 22, 900, "its contents did not come"),
-        "noted": told.Noted(21, 22),
+        "ask": told.GossipRequest(555, 40),
+        "told": told.GossipResponse(555, 40, name, 1_200, True),
+        "hint": told.NewStateHint(41),
+        "report": told.AdoptionReport(21, 22, 900, "its contents did not come"),
+        "noted": told.AdoptionReportAck(21, 22),
         "prepare": told.Prepare(ballot, 33),
         "promise": told.Promise(ballot, (7, 1, 9_000_000_001), name, 9_000_000_000, 31),
         "nack": told.Nack(ballot, (9, 0, 9_000_000_000)),
         "accept": told.Accept(ballot, name, 34),
         "accepted": told.Accepted(ballot, 9_000_000_001, 35),
-        "beat": told.Beat(6, ballot, 77, 40, name),
-        "beaten": told.Beaten(77, 9_000_000_001),
-        "voted": told.Voted(6, 23, 9_000_000_001, True, bytes(range(16)), "it fits"),
-        "waiting": told.Waiting(9_000_000_001, name, bytes(range(16, 32))),
-        "mark ask": told.MarkAsk(9_000_000_001),
-        "mark told": told.MarkTold(9_000_000_001, 33, True),
+        "beat": told.Heartbeat(6, ballot, 77, 40, name),
+        "beaten": told.HeartbeatAck(77, 9_000_000_001),
+        "voted": told.VersionVote(6, 23, 9_000_000_001, True, bytes(range(16)), "it fits"),
+        "waiting": told.AdmissionRequest(9_000_000_001, name, bytes(range(16, 32))),
+        "mark ask": told.VoteCountRequest(9_000_000_001),
+        "mark told": told.VoteCountResponse(9_000_000_001, 33, True),
     }
 
 
-def golden_order() -> admin_api.Order:
+def golden_order() -> admin_api.CommandRequest:
     """A command at the admin address."""
     then = (golden_parts("b"),)
-    return admin_api.Order(
-        "order-1", "propose", 21, "an author", "a reason", golden_parts("a"), 20, then, passed_on=True
+    return admin_api.CommandRequest(
+        "order-1", "propose", 21, "an author", "a reason", golden_parts("a"), 20, then, is_forwarded=True
     )
 
 
-def golden_status() -> admin_api.Status:
+def golden_status() -> admin_api.RolloutStatus:
     """How the fleet's versions stand, as the gateway that leads tells it."""
     ledger = golden_ledger()
-    assert ledger.change is not None and ledger.halted is not None
-    return admin_api.Status(
+    assert ledger.rollout is not None and ledger.halted_rollout is not None
+    return admin_api.RolloutStatus(
         gateway=2,
-        leads=True,
+        is_leader=True,
         term=6,
         leader=2,
-        confirmed=1_200,
-        serves="no quorum for a lease",
-        running="21:0123456789ab",
+        confirmed_us_ago=1_200,
+        rejection_reason="no quorum for a lease",
+        running_version="21:0123456789ab",
         index=40,
-        current=ledger.current.version,
-        change=ledger.change.version,
-        stage="asked",
-        paused="a pause",
-        halted=ledger.halted.version,
+        current_version=ledger.current.version,
+        rollout_version=ledger.rollout.version,
+        phase="asked",
+        pause_reason="a pause",
+        halted_version=ledger.halted_rollout.version,
         history=ledger.history,
-        seats=(0, 1, 2),
+        member_ranks=(0, 1, 2),
         votes={0: "yes", 1: "a rule is broken"},
         gateways=(
-            admin_api.GatewayState(0),
-            admin_api.GatewayState(1, 21, 22, "its contents did not come", 700, 9_000),
+            admin_api.GatewayStatus(0),
+            admin_api.GatewayStatus(1, 21, 22, "its contents did not come", 700, 9_000),
         ),
     )
 
 
-def golden_tallies() -> dict[str, Tally]:
+def golden_tallies() -> dict[str, AnswerCounts]:
     """What a gateway answered, by class and plan."""
-    return {"safe plain": Tally(900, 30, 4, 5, 6, 7), "unsafe capped": Tally(80, 3, 2, 1, 9, 8)}
+    return {"safe plain": AnswerCounts(900, 30, 4, 5, 6, 7), "unsafe capped": AnswerCounts(80, 3, 2, 1, 9, 8)}
 
 
-def golden_outcome() -> agent.Outcome:
+def golden_outcome() -> agent.CommandOutcome:
     """What became of a command."""
-    return agent.Outcome(True, "known already as version 21", True)
+    return agent.CommandOutcome(True, "known already as version 21", True)
 
 
 # How the program writes them
@@ -556,7 +558,7 @@
 def write_version_file(kind: str) -> bytes:
     """As a gateway writes its voter's file or the one of the version that runs."""
     disk = Disk()
-    kept = storage.Files(disk, "gateway-1")  # type: ignore[arg-type]
+    kept = storage.RolloutStorage(disk, "gateway-1")  # type: ignore[arg-type]
     if kind == "voter":
         kept.write_voter(golden_voter_file())
     else:
@@ -597,8 +599,8 @@
     "module-message.bin": write_module_message,
     "datagrams.json": lambda: as_hex(write_datagrams()),
     "ledger.msgpack": lambda: fleet_ledger.encode(golden_ledger()),
-    "ledger-name.txt": lambda: version.name_of(fleet_ledger.encode(golden_ledger())).encode(),
-    "content-name.txt": lambda: golden_parts("a").content.encode(),
+    "ledger-name.txt": lambda: version.content_hash(fleet_ledger.encode(golden_ledger())).encode(),
+    "content-name.txt": lambda: golden_parts("a").combined_hash.encode(),
     "voter-file.bin": lambda: write_version_file("voter"),
     "running-file.bin": lambda: write_version_file("running"),
     "version-messages.json": lambda: write_messages(golden_version_messages(), version_messages.encode),
@@ -926,16 +928,16 @@
 def test_the_golden_ledger_is_read_as_its_values_under_its_name():
     data = golden("ledger.msgpack")
     assert fleet_ledger.decode(data) == golden_ledger()
-    assert version.name_of(data).encode() == golden("ledger-name.txt")
+    assert version.content_hash(data).encode() == golden("ledger-name.txt")
 
 
 def test_the_golden_ledger_has_changes_in_every_stage_and_fills_every_field():
     ledger = golden_ledger()
-    assert ledger.change is not None and ledger.halted is not None
-    assert {ledger.change.stage, ledger.halted.stage} == set(fleet_ledger.Stage)
+    assert ledger.rollout is not None and ledger.halted_rollout is not None
+    assert {ledger.rollout.phase, ledger.halted_rollout.phase} == set(fleet_ledger.RolloutPhase)
     filled = (
         ledger,
-        ledger.halted,
+        ledger.halted_rollout,
         ledger.current,
         *ledger.history,
         ledger.current.version,
@@ -946,32 +948,34 @@
 
 def test_golden_certificates_are_sealed_for_their_versions():
     ledger = fleet_ledger.decode(golden("ledger.msgpack"))
-    assert ledger.halted is not None and ledger.halted.certificate is not None
-    for certificate in (ledger.current, ledger.halted.certificate):
-        assert version.why_not_certified(SECRET, certificate) == ""
+    assert ledger.halted_rollout is not None and ledger.halted_rollout.certificate is not None
+    for certificate in (ledger.current, ledger.halted_rollout.certificate):
+        assert version.certificate_error(SECRET, certificate) == ""
 
 
 def test_golden_files_of_the_voter_and_of_what_runs_are_read_as_their_values():
     voter, running = golden("voter-file.bin"), golden("running-file.bin")
-    kept = storage.Files(Disk(**{"gateway-1.voter": voter, "gateway-1.running": running}), "gateway-1")  # type: ignore[arg-type]
+    kept = storage.RolloutStorage(
+        Disk(**{"gateway-1.voter": voter, "gateway-1.running": running}), "gateway-1"
+    )  # type: ignore[arg-type]
     assert kept.read_voter() == golden_voter_file()
     assert kept.read_running() == golden_running_file()
-    assert list(kept.contents) == golden_parts("a").names()
-    for file in (golden_voter_file(), golden_voter_file().kept, golden_running_file()):
+    assert list(kept.contents) == golden_parts("a").hashes()
+    for file in (golden_voter_file(), golden_voter_file().voter_state, golden_running_file()):
         assert has_default(file) == []
 
 
 def test_golden_bodies_of_the_admin_address_are_read_as_their_values():
     read = msgspec.msgpack.decode
-    assert read(golden("admin-order.msgpack"), type=admin_api.Order) == golden_order()
-    assert read(golden("admin-outcome.msgpack"), type=agent.Outcome) == golden_outcome()
-    assert read(golden("admin-status.msgpack"), type=admin_api.Status) == golden_status()
-    assert read(golden("admin-counts.msgpack"), type=dict[str, Tally]) == golden_tallies()
+    assert read(golden("admin-order.msgpack"), type=admin_api.CommandRequest) == golden_order()
+    assert read(golden("admin-outcome.msgpack"), type=agent.CommandOutcome) == golden_outcome()
+    assert read(golden("admin-status.msgpack"), type=admin_api.RolloutStatus) == golden_status()
+    assert read(golden("admin-counts.msgpack"), type=dict[str, AnswerCounts]) == golden_tallies()
     for body in (golden_order(), golden_outcome(), golden_status().gateways[1]):
         assert has_default(body) == []
 
 
 def test_what_tools_print_of_fleet_versions_names_every_field_as_before():
-    assert msgspec.json.decode(golden("admin-status.json"), type=admin_api.Status) == golden_status()
-    history = msgspec.json.decode(golden("admin-history.json"), type=tuple[fleet_ledger.Entry, ...])
+    assert msgspec.json.decode(golden("admin-status.json"), type=admin_api.RolloutStatus) == golden_status()
+    history = msgspec.json.decode(golden("admin-history.json"), type=tuple[fleet_ledger.HistoryEntry, ...])
     assert history == golden_status().history
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -14,7 +14,7 @@
 import sys
 from enum import Enum
 from pathlib import Path
-from typing import Any, get_args
+from typing import Any, get_args, get_type_hints
 
 import click
 import msgspec
@@ -34,7 +34,7 @@
 from orchidlane.hot_restart import messages as upgrade_messages
 from orchidlane.platform import configuration as platform_config
 from orchidlane.policy import gossip_codec
-from orchidlane.rollout import canary_analysis, replicated_state, version
+from orchidlane.rollout import canary_analysis, commands, replicated_state, version
 from orchidlane.rollout import messages as change_messages
 from orchidlane.simulation import scenario as lab_day
 from orchidlane.simulator_protocol import codec
@@ -303,6 +303,9 @@
         return next(iter(kind))
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return sample_struct(kind)
+    if isinstance(kind, type) and issubclass(kind, tuple) and kind is not tuple:  # a named one
+        types = get_type_hints(kind).values()
+        return kind(*(sample(part, number + place) for place, part in enumerate(types)))
     parts = get_args(kind)
     if type(None) in parts:
         return sample(parts[0], number)
@@ -359,30 +362,32 @@
 def test_ledgers_commands_and_states_of_versions_have_the_golden_names_and_values():
     """What gateways and tools send each other over the admin address, and what names contents and seals."""
     kinds = {
-        "command": admin_api.Order,
-        "how things stand": admin_api.Status,
-        "a gateway's state": admin_api.GatewayState,
-        "what became of a command": versions_shell.Outcome,
-        "answers counted": canary_analysis.Tally,
-        "ledger": replicated_state.Ledger,
+        "command": admin_api.CommandRequest,
+        "how things stand": admin_api.RolloutStatus,
+        "a gateway's state": admin_api.GatewayStatus,
+        "what became of a command": versions_shell.CommandOutcome,
+        "answers counted": canary_analysis.AnswerCounts,
+        "ledger": replicated_state.ReplicatedState,
         "certificate": version.Certificate,
-        "change": replicated_state.Change,
+        "change": replicated_state.Rollout,
     }
     found: dict[str, Any] = {}
     for what, kind in kinds.items():
         body = msgspec.msgpack.encode(sample_struct(kind))
         assert msgspec.msgpack.decode(body, type=kind) == sample_struct(kind)
         found[what] = [body.hex(), without_build(msgspec.msgpack.decode(body))]
-    found["name of a content"] = version.name_of(b"a content")
-    found["name of a version's contents"] = sample_struct(version.Version).content
-    found["seal"] = version.seal_of(SECRET, "admin", "GET", b"/change/status", b"").hex()
-    vote = version.cast(SECRET, version.Seat(1, 77), sample_struct(version.Version), 5, True, "why")
+    found["name of a content"] = version.content_hash(b"a content")
+    found["name of a version's contents"] = sample_struct(version.Version).combined_hash
+    found["seal"] = version.compute_seal(SECRET, "admin", "GET", b"/change/status", b"").hex()
+    vote = version.cast_vote(
+        SECRET, version.VotingMember(1, 77), sample_struct(version.Version), 5, True, "why"
+    )
     found["vote"] = without_build(msgspec.to_builtins(vote, builtin_types=(bytes,)))
     check_golden("versions", found)
 
 
 def test_steps_of_the_ledger_have_the_golden_bytes():
-    steps = [sample_struct(kind) for kind in get_args(replicated_state.Step)]
+    steps = [sample_struct(kind) for kind in get_args(commands.Command)]
     check_golden("ledger-steps", [msgspec.msgpack.encode(one).hex() for one in steps])
 
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -5,26 +5,26 @@
 import random
 
 from orchidlane.rollout.canary_analysis import (
-    FALSE_STOPS,
-    KINDS,
-    LEAST,
-    MARGIN,
-    Judge,
-    Tally,
-    answers_until_found,
-    between,
-    sum_of,
+    FALSE_POSITIVE_RATE,
+    HARMLESS_RATIO,
+    MIN_ANSWERS,
+    OUTCOME_KINDS,
+    AnswerCounts,
+    CanaryAnalysis,
+    counts_since,
+    expected_answers_to_detect,
+    merge_counts,
 )
 
 STRATA = ("sheet-read basico", "sheet-read amplio", "report-issue amplio")
 
 
-def draw(rng: random.Random, answers: int, bad: dict[str, float]) -> Tally:
+def draw(rng: random.Random, answers: int, bad: dict[str, float]) -> AnswerCounts:
     """So many answers of which each kind of badness has its chance."""
-    kinds = [kind for kind in KINDS if kind != "served"]
+    kinds = [kind for kind in OUTCOME_KINDS if kind != "served"]
     counts = {kind: sum(rng.random() < bad.get(kind, 0.0) for _ in range(answers)) for kind in kinds}
     counts["failed"] = min(counts["failed"], answers - counts["refused"])
-    return Tally(answers, **counts)
+    return AnswerCounts(answers, **counts)
 
 
 def stage(seed: int, harm: dict[str, float], looks: int = 40) -> str:
@@ -32,7 +32,7 @@
 
     ``harm`` multiplies a kind's share on the new side.
     """
-    rng, judge = random.Random(seed), Judge()
+    rng, judge = random.Random(seed), CanaryAnalysis()
     usual = {"refused": 0.15, "failed": 0.01, "late": 0.02, "slow": 0.1, "attempts": 0.05}
     for _ in range(looks):
         usual["refused"] = min(0.6, max(0.02, usual["refused"] + rng.uniform(-0.05, 0.05)))
@@ -42,7 +42,7 @@
             worse = {kind: min(1.0, share * harm.get(kind, 1.0)) for kind, share in usual.items()}
             new[stratum] = draw(rng, rng.randint(0, load), worse)
             old[stratum] = draw(rng, 2 * load, usual)
-        found = judge.look(new, old).harm
+        found = judge.observe(new, old).harm
         if found:
             return found
     return ""
@@ -50,11 +50,11 @@
 
 def test_harmless_stages_are_not_stopped_however_often_they_are_looked_at():
     stopped = [seed for seed in range(1_000) if stage(seed, {})]
-    assert len(stopped) <= 1_000 * FALSE_STOPS + 2, stopped
+    assert len(stopped) <= 1_000 * FALSE_POSITIVE_RATE + 2, stopped
 
 
 def test_a_difference_within_the_margin_is_no_harm():
-    assert not [seed for seed in range(100) if stage(seed, dict.fromkeys(KINDS, MARGIN))]
+    assert not [seed for seed in range(100) if stage(seed, dict.fromkeys(OUTCOME_KINDS, HARMLESS_RATIO))]
 
 
 def test_harmful_stages_are_found_and_named():
@@ -65,9 +65,9 @@
 
 
 def test_fewer_served_is_found_where_most_are_refused_on_both_sides():
-    judge, words = Judge(), ""
+    judge, words = CanaryAnalysis(), ""
     for _ in range(30):
-        words = judge.look({"a": Tally(10, refused=10)}, {"a": Tally(40, refused=26)}).harm
+        words = judge.observe({"a": AnswerCounts(10, refused=10)}, {"a": AnswerCounts(40, refused=26)}).harm
         if words:
             break
     assert words == "fewer served in a than where the old version runs"
@@ -75,53 +75,60 @@
 
 def test_what_roll_let_pass_is_found():
     """4,900 failures in 10,000 answers where none failed before."""
-    judge = Judge()
-    verdict = judge.look({"a": Tally(10_000, failed=4_900)}, {"a": Tally(10_000, failed=0)})
+    judge = CanaryAnalysis()
+    verdict = judge.observe({"a": AnswerCounts(10_000, failed=4_900)}, {"a": AnswerCounts(10_000, failed=0)})
     assert verdict.harm.endswith(" in a than where the old version runs")
 
 
 def test_a_jam_on_both_sides_is_nobodys_harm():
-    judge = Judge()
+    judge = CanaryAnalysis()
     for _ in range(50):
-        verdict = judge.look({"a": Tally(100, failed=60)}, {"a": Tally(300, failed=180)})
-    assert verdict.harm == "" and verdict.enough
+        verdict = judge.observe({"a": AnswerCounts(100, failed=60)}, {"a": AnswerCounts(300, failed=180)})
+    assert verdict.harm == "" and verdict.has_enough_answers
 
 
 def test_few_answers_say_nothing_and_pass_nothing():
-    judge = Judge()
-    assert judge.look({"a": Tally(3, failed=3)}, {"a": Tally(5)}) == ("", False)
-    assert judge.look({"a": Tally(LEAST)}, {}) == ("", False), "an old side that is silent is no progress"
-    assert judge.look({}, {"a": Tally(LEAST)}).enough
+    judge = CanaryAnalysis()
+    assert judge.observe({"a": AnswerCounts(3, failed=3)}, {"a": AnswerCounts(5)}) == ("", False)
+    assert judge.observe({"a": AnswerCounts(MIN_ANSWERS)}, {}) == ("", False), (
+        "an old side that is silent is no progress"
+    )
+    assert judge.observe({}, {"a": AnswerCounts(MIN_ANSWERS)}).has_enough_answers
 
 
 def test_one_stratum_is_enough_to_be_found_among_many():
-    rng, judge = random.Random(1), Judge()
+    rng, judge = random.Random(1), CanaryAnalysis()
     words = ""
     for _ in range(60):
         new = {f"s{n}": draw(rng, 20, {"failed": 0.5 if n == 7 else 0.01}) for n in range(30)}
         old = {f"s{n}": draw(rng, 20, {"failed": 0.01}) for n in range(30)}
-        words = judge.look(new, old).harm
+        words = judge.observe(new, old).harm
         if words:
             break
     assert words == "more failed in s7 than where the old version runs"
 
 
 def test_the_stated_number_of_answers_finds_a_harm():
-    wanted = answers_until_found(0.20, 0.02)
+    wanted = expected_answers_to_detect(0.20, 0.02)
     assert 50 < wanted < 400
     rng, spans = random.Random(3), []
     for _ in range(50):
-        judge, answers = Judge(), 0
-        while not judge.look(
+        judge, answers = CanaryAnalysis(), 0
+        while not judge.observe(
             {"a": draw(rng, 10, {"failed": 0.20})}, {"a": draw(rng, 10, {"failed": 0.02})}
         ).harm:
             answers += 10
         spans.append(answers)
     assert sorted(spans)[25] < 2 * wanted
-    assert answers_until_found(0.02, 0.02) == float("inf")
+    assert expected_answers_to_detect(0.02, 0.02) == float("inf")
 
 
 def test_counts_of_another_life_are_taken_as_they_are():
-    assert between({"a": Tally(10, failed=2)}, {"a": Tally(4, failed=1)}) == {"a": Tally(6, failed=1)}
-    assert between({"a": Tally(3)}, {"a": Tally(400)}) == {"a": Tally(3)}
-    assert sum_of([{"a": Tally(1)}, {"a": Tally(2), "b": Tally(5)}]) == {"a": Tally(3), "b": Tally(5)}
+    assert counts_since({"a": AnswerCounts(10, failed=2)}, {"a": AnswerCounts(4, failed=1)}) == {
+        "a": AnswerCounts(6, failed=1)
+    }
+    assert counts_since({"a": AnswerCounts(3)}, {"a": AnswerCounts(400)}) == {"a": AnswerCounts(3)}
+    assert merge_counts([{"a": AnswerCounts(1)}, {"a": AnswerCounts(2), "b": AnswerCounts(5)}]) == {
+        "a": AnswerCounts(3),
+        "b": AnswerCounts(5),
+    }
--- a/tests/test_sets.py
+++ b/tests/test_sets.py
@@ -12,8 +12,8 @@
 
 from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
-from orchidlane.rollout.compatibility import Account
-from orchidlane.rollout.shard_migration import versions_between
+from orchidlane.rollout.compatibility import CustomerAssignment
+from orchidlane.rollout.shard_migration import migration_files
 
 GATEWAYS, SIZE, CUSTOMER = 6, 3, 7
 OLD, HOLD, GROW = range(3)  # where a gateway stands
@@ -132,20 +132,20 @@
     assert fleet.plan.ceiling_burst - 1.5 <= taken <= fleet.plan.ceiling_burst
 
 
-def account(first: int, ceiling: bool = True) -> Account:
-    return Account("amplio", first, 3, ceiling)
+def account(first: int, ceiling: bool = True) -> CustomerAssignment:
+    return CustomerAssignment("amplio", first, 3, ceiling)
 
 
 @pytest.mark.parametrize(("share", "stages"), [(1.0, 1), (0.5, 2), (0.25, 4), (0.01, 6)])
 def test_a_move_goes_by_shares_and_each_is_held_before_it_is_served(share, stages):
     old = {n: account(0) for n in range(16)} | {99: account(0, ceiling=False)}
     new = {n: account(3) for n in range(16)} | {99: account(3, ceiling=False), 50: account(1)}
-    entries = [{"id": n, "plan": "amplio", "keys": [], "first": one.first} for n, one in new.items()]
+    entries = [{"id": n, "plan": "amplio", "keys": [], "first": one.first_replica} for n, one in new.items()]
     data = json.dumps({"customers": entries}).encode()
-    files = [json.loads(one)["customers"] for one in versions_between(old, new, data, share)]
+    files = [json.loads(one)["customers"] for one in migration_files(old, new, data, share)]
     assert len(files) == 2 * stages
     assert files[-1] == entries
-    before = {n: one.first for n, one in old.items()}
+    before = {n: one.first_replica for n, one in old.items()}
     held: set[int] = set()
     for number, file in enumerate(files):
         by_id = {one["id"]: one for one in file}
@@ -160,4 +160,4 @@
 
 def test_customers_without_a_ceiling_move_at_once():
     old, new = {1: account(0, ceiling=False)}, {1: account(3, ceiling=False)}
-    assert versions_between(old, new, b"x", 0.25) == [b"x"]
+    assert migration_files(old, new, b"x", 0.25) == [b"x"]
