--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -24,7 +24,7 @@
 
 from orchidlane.config import Duration
 from orchidlane.gateway.control.settings import parse_fleet
-from orchidlane.gateway.rollout_agent.admin_api import CommandRequest
+from orchidlane.gateway.rollout_agent.admin_messages import CommandRequest
 from orchidlane.rollout.canary_analysis import OUTCOME_KINDS, AnswerCounts, CanaryAnalysis
 from orchidlane.rollout.version import ContentHashes, content_hash
 from orchidlane.simulation.process_fleet import ProcessFleet, play_fleet
@@ -162,7 +162,7 @@
 
 def _number(story: SimulatedRolloutFleet) -> int:
     versions = story.programs[0].versions
-    return versions.running_number if versions is not None else -1
+    return versions.known.running_number if versions is not None else -1
 
 
 def judged(seed: int, harm: dict[str, float]) -> bool:
--- a/orchidlane/cli/change.py
+++ b/orchidlane/cli/change.py
@@ -15,9 +15,9 @@
 from orchidlane.cli.errors import clear_errors
 from orchidlane.gateway.control.configuration import make_knowledge, read_sources
 from orchidlane.gateway.control.settings import Fleet, address, load_fleet, read_secret
-from orchidlane.gateway.rollout_agent.admin_api import CommandRequest, RolloutStatus
 from orchidlane.gateway.rollout_agent.admin_client import PATH_PREFIX, AdminCallError, call_admin_api
-from orchidlane.gateway.rollout_agent.agent import CommandOutcome, customer_assignments
+from orchidlane.gateway.rollout_agent.admin_messages import CommandOutcome, CommandRequest, RolloutStatus
+from orchidlane.gateway.rollout_agent.configuration_reader import customer_assignments
 from orchidlane.gateway.rollout_agent.settings import check_rollout_settings
 from orchidlane.rollout.errors import RollbackConflictError
 from orchidlane.rollout.rollback import revert_customers_edit, revert_description_edit
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -287,7 +287,7 @@
             "open": len(self.host.exchanges),
             "draining": self.stopping,
             "client_margin": int(self.fleet.times.client_margin),
-            **({"version": self.versions.running_label()} if self.versions is not None else {}),
+            **({"version": self.versions.known.running_label} if self.versions is not None else {}),
         }
 
     def _record(self, scope: Scope, folder: str) -> None:
--- a/orchidlane/gateway/rollout_agent/__init__.py
+++ b/orchidlane/gateway/rollout_agent/__init__.py
@@ -1,1 +1,1 @@
-"""The shell of fleet versions: datagrams, files, contents by hash; ``orchidlane.rollout`` decides."""
+"""One gateway's part in fleet versions: datagrams, files, adoption; ``orchidlane.rollout`` decides."""
--- a/orchidlane/gateway/rollout_agent/admin_client.py
+++ b/orchidlane/gateway/rollout_agent/admin_client.py
@@ -1,21 +1,62 @@
-"""Calls to a gateway's admin address for what versions need, sealed under the fleet's key."""
+"""Calls to the rollout API at gateways' admin addresses, sealed under the fleet's key."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from orchidlane import http1
+from orchidlane.gateway.control.settings import Fleet, address
 from orchidlane.http1 import Data, End, Malformed, Response
 from orchidlane.rollout.version import compute_seal
-from orchidlane.runtime import Closed, Expired, Loop, NotConnected
+from orchidlane.runtime import Closed, Expired, Loop, NotConnected, Stream
 from orchidlane.runtime.backend import Address
 
 SEAL_HEADER = b"orchidlane-seal"
 PATH_PREFIX = b"/change/"
 SEAL_PURPOSE = "admin"
-MAX_RESPONSE_BYTES = 1 << 16  # bytes of an answer that is no content
+MAX_RESPONSE_BYTES = 1 << 16  # of a response that is no content
 
 
 class AdminCallError(Exception):
-    """No answer, or one that can't be used; says why."""
+    """A call has no usable response; the message tells why."""
+
+
+class AdminResponse(NamedTuple):
+    """Status and body."""
+
+    status: int
+    body: bytes
+
+
+class AdminClient:
+    """Calls to the gateways of a fleet, by rank."""
+
+    def __init__(self, loop: Loop, fleet: Fleet, secret: bytes) -> None:
+        self.loop = loop
+        self.fleet = fleet
+        self.secret = secret
+
+    def call(
+        self,
+        rank: int,
+        method: str,
+        path: str,
+        body: bytes = b"",
+        *,
+        timeout_us: int,
+        max_response_bytes: int = MAX_RESPONSE_BYTES,
+    ) -> AdminResponse:
+        """Call a path below the prefix. Raises AdminCallError."""
+        return call_admin_api(
+            self.loop,
+            address(self.fleet.gateways[rank].admin),
+            self.secret,
+            method,
+            PATH_PREFIX + path.encode(),
+            body,
+            deadline_us=self.loop.now() + timeout_us,
+            max_response_bytes=max_response_bytes,
+        )
 
 
 def call_admin_api(
@@ -28,8 +69,8 @@
     *,
     deadline_us: int,
     max_response_bytes: int = MAX_RESPONSE_BYTES,
-) -> tuple[int, bytes]:
-    """Status and body of one call. Raises FetchError."""
+) -> AdminResponse:
+    """Make one call over a connection of its own. Raises AdminCallError."""
     fields = [
         (b"host", b"admin"),
         (SEAL_HEADER, compute_seal(secret, SEAL_PURPOSE, method, target, body).hex().encode()),
@@ -38,26 +79,33 @@
     ]
     try:
         stream = loop.world.connect(admin_address, deadline_us)
-    except (NotConnected, Expired) as wrong:
-        raise AdminCallError(f"no connection: {wrong or 'in time'}") from None
+    except (NotConnected, Expired) as error:
+        raise AdminCallError(f"no connection: {error or 'in time'}") from None
     try:
         stream.send(http1.request_head(method, target, fields) + body, deadline_us)
-        parser = http1.ResponseParser(http1.Limits(body=max_response_bytes))
-        parser.expect(method)
-        status, found = 0, bytearray()
-        while True:
-            event = parser.next_event()
-            if event is None:
+        return _receive_response(stream, method, deadline_us, max_response_bytes)
+    except (Closed, Expired, Malformed) as error:
+        raise AdminCallError(f"no whole answer: {error or 'in time'}") from None
+    finally:
+        stream.close()
+
+
+def _receive_response(
+    stream: Stream, method: str, deadline_us: int, max_response_bytes: int
+) -> AdminResponse:
+    parser = http1.ResponseParser(http1.Limits(body=max_response_bytes))
+    parser.expect(method)
+    status = 0
+    body = bytearray()
+    while True:
+        match parser.next_event():
+            case None:
                 if parser.ended:
                     raise AdminCallError("the answer ended early")
                 parser.receive(stream.recv(deadline=deadline_us))
-            elif isinstance(event, Response):
-                status = event.status
-            elif isinstance(event, Data):
-                found += event.data
-            elif isinstance(event, End):
-                return status, bytes(found)
-    except (Closed, Expired, Malformed) as wrong:
-        raise AdminCallError(f"no whole answer: {wrong or 'in time'}") from None
-    finally:
-        stream.close()
+            case Response() as response:
+                status = response.status
+            case Data() as part:
+                body += part.data
+            case End():
+                return AdminResponse(status, bytes(body))
--- a/orchidlane/gateway/rollout_agent/answer_tally.py
+++ b/orchidlane/gateway/rollout_agent/answer_tally.py
@@ -1,4 +1,4 @@
-"""What a gateway answered, by class and plan, for whoever compares it with others."""
+"""Counts of a gateway's answers by class and plan, for the canary analysis."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
 from orchidlane.rollout.canary_analysis import MAX_STRATA, AnswerCounts
 
-LOAD_WINDOW_US = 2_000_000  # microseconds over which the load is measured
-LOAD_SAMPLES = 8  # in it
+LOAD_WINDOW_US = 2_000_000
+LOAD_SAMPLES = 8  # in the window
+MICROSECONDS = 1_000_000  # in a second
 
 
 class AnswerTally:
-    """Counts since the start."""
+    """Counts since the process started."""
 
     def __init__(self) -> None:
-        self._counts: dict[str, list[int]] = {}
+        self._counts: dict[str, list[int]] = {}  # by stratum, in the order of AnswerCounts
         self.answers = 0
-        self._load_samples: deque[tuple[int, int]] = deque(maxlen=LOAD_SAMPLES)
+        self._load_samples: deque[tuple[int, int]] = deque(maxlen=LOAD_SAMPLES)  # time, answers
 
     def record(self, exchange: Exchange, answer: Answer, duration_us: int, now: int) -> None:
-        """One final answer, so many microseconds after the request's first byte."""
+        """Count a final answer, so many microseconds after the request's first byte."""
         call = call_of(exchange)
-        name = f"{call.match.operation.class_name} {call.by.plan_name}"
-        counts = self._counts.get(name)
+        stratum = f"{call.match.operation.class_name} {call.by.plan_name}"
+        counts = self._counts.get(stratum)
         if counts is None:
             if len(self._counts) >= MAX_STRATA:
                 return
-            counts = self._counts[name] = [0] * len(AnswerCounts.__struct_fields__)
+            counts = self._counts[stratum] = [0] * len(AnswerCounts.__struct_fields__)
         self.answers += 1
-        found = (
+        added = (
             1,
             answer.kind == "refused",
             answer.kind == "failed" or (answer.kind == "served" and answer.status >= 500),
@@ -38,16 +39,16 @@
             duration_us > call.cls.latency_objective_us,
             max(0, exchange.sends - 1),
         )
-        for place, one in enumerate(found):
-            counts[place] += one
+        for place, value in enumerate(added):
+            counts[place] += value
 
     def counts(self) -> dict[str, AnswerCounts]:
-        """By class and plan."""
-        return {name: AnswerCounts(*counts) for name, counts in self._counts.items()}
+        """Return the counts by class and plan."""
+        return {stratum: AnswerCounts(*counts) for stratum, counts in self._counts.items()}
 
     def answers_per_second(self, now: int) -> int:
-        """Answers a second of late, for the batches; asked for every so often."""
+        """Return the rate since the oldest sample, and take a sample when one is due."""
         if not self._load_samples or now - self._load_samples[-1][0] >= LOAD_WINDOW_US // LOAD_SAMPLES:
             self._load_samples.append((now, self.answers))
-        began, answers = self._load_samples[0]
-        return int((self.answers - answers) * 1_000_000 / (now - began)) if now > began else 0
+        since, answers = self._load_samples[0]
+        return int((self.answers - answers) * MICROSECONDS / (now - since)) if now > since else 0
--- /dev/null
+++ b/orchidlane/gateway/rollout_agent/configuration_reader.py
@@ -0,0 +1,73 @@
+"""Reading a version's contents as the configuration that requests are handled by."""
+
+from __future__ import annotations
+
+import dataclasses
+from typing import Any
+
+from orchidlane.gateway.control.configuration import Knowledge, UnfitContent, make_knowledge
+from orchidlane.gateway.control.customers import CustomersError
+from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.rollout_agent.storage import RolloutStorage
+from orchidlane.rollout.compatibility import CustomerAssignment, VersionConfiguration
+from orchidlane.rollout.version import ContentHashes, Version
+from orchidlane.routes import DescriptionError
+
+
+class ConfigurationReader:
+    """Reads contents that are on this gateway's disk."""
+
+    def __init__(self, fleet: Fleet, storage: RolloutStorage, log: Any) -> None:
+        self.fleet = fleet
+        self.storage = storage
+        self.log = log
+
+    def read(self, contents: ContentHashes, number: int) -> Knowledge:
+        """Return the configuration, made beside the loop. Raises UnfitContent."""
+        description, customers = self._blobs(contents)
+        knowledge: Knowledge = self.storage.world.aside(lambda: self._make(description, customers, number))
+        return knowledge
+
+    def read_version(self, version: Version, generation: int) -> Knowledge:
+        """Return the configuration of a version, which carries its label. Raises UnfitContent."""
+        return dataclasses.replace(self.read(version.contents, generation), version=version.label())
+
+    def restore_version(self, version: Version, generation: int) -> Knowledge:
+        """Do the same at a start, in the calling task. Raises UnfitContent."""
+        description, customers = self._blobs(version.contents)
+        knowledge = self._make(description, customers, generation)
+        return dataclasses.replace(knowledge, version=version.label())
+
+    def _blobs(self, contents: ContentHashes) -> tuple[bytes, bytes]:
+        """Return description and customers."""
+        description = self.storage.read_blob(contents.rules)
+        customers = self.storage.read_blob(contents.customers)
+        if description is None or customers is None:
+            raise UnfitContent("its contents are not on this disk")
+        return description, customers
+
+    def _make(self, description: bytes, customers: bytes, number: int) -> Knowledge:
+        try:
+            return make_knowledge(description, customers, self.fleet, number, self.log)
+        except (DescriptionError, CustomersError, ValueError) as error:
+            raise UnfitContent(str(error)) from None
+
+
+def customer_assignments(knowledge: Knowledge, fleet: Fleet) -> dict[int, CustomerAssignment]:
+    """Return plan and replica set of each customer."""
+    has_ceiling = {name: plan.ceiling is not None for name, plan in fleet.plans.items()}
+    return {
+        customer.number: CustomerAssignment(
+            customer.plan_name,
+            customer.set_first,
+            customer.set_size,
+            has_ceiling[customer.plan_name],
+            customer.held,
+        )
+        for customer in knowledge.customers.all()
+    }
+
+
+def version_configuration(knowledge: Knowledge, fleet: Fleet) -> VersionConfiguration:
+    """Return what decides whether a version may serve beside another."""
+    return VersionConfiguration(knowledge.generation, customer_assignments(knowledge, fleet))
--- /dev/null
+++ b/orchidlane/gateway/rollout_agent/process_interface.py
@@ -0,0 +1,57 @@
+"""What the rollout agent needs of the gateway process that it is a part of."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.settings import Fleet
+from orchidlane.policy import ReplicaSetChanged
+from orchidlane.runtime import Loop
+
+
+class PolicyFeed(Protocol):
+    """Takes events for the policy."""
+
+    def feed(self, event: ReplicaSetChanged) -> None:
+        """Handle one event and carry out the resulting actions."""
+
+
+class GatewayProcess(Protocol):
+    """The gateway process.
+
+    ``sources`` are the contents of its own description and customers' file, ``knowledge`` the configuration
+    that requests are handled by. ``when_ready`` is called once, when requests are served.
+    """
+
+    sources: tuple[bytes, bytes] | None
+    knowledge: Knowledge
+    when_ready: Callable[[], None]
+
+    @property
+    def loop(self) -> Loop:
+        """The scheduler of all tasks."""
+
+    @property
+    def fleet(self) -> Fleet:
+        """The fleet's settings."""
+
+    @property
+    def rank(self) -> int:
+        """The gateway's place in the fleet."""
+
+    @property
+    def secret(self) -> bytes:
+        """The fleet's key."""
+
+    @property
+    def log(self) -> Any:
+        """The process's logger."""
+
+    @property
+    def host(self) -> PolicyFeed:
+        """The driver of the policy."""
+
+    def tell_change(self, rank: int, body: bytes) -> None:
+        """Send a datagram about fleet versions."""
--- a/orchidlane/gateway/rollout_agent/settings.py
+++ b/orchidlane/gateway/rollout_agent/settings.py
@@ -1,22 +1,61 @@
-"""What the settings have to say where a fleet has versions."""
+"""What the fleet's settings say about its versions."""
 
 from __future__ import annotations
 
 from orchidlane.gateway.control.settings import Fleet
+from orchidlane.hot_restart.rolling_batches import Limits
+from orchidlane.rollout.leader import LeadershipSettings
+from orchidlane.rollout.phases import StagingSettings
+from orchidlane.rollout.rollout_driver import RolloutSettings
+
+VOTER_COUNTS = (3, 5, 7)
 
 
 def check_rollout_settings(fleet: Fleet) -> None:
-    """Raises ValueError where the settings name voters and lack what voting needs."""
-    voters, names = fleet.change.voters, [entry.name for entry in fleet.gateways]
+    """Raise ValueError where the settings name voters and lack what voting needs."""
+    voters = fleet.change.voters
+    names = [entry.name for entry in fleet.gateways]
     if not voters:
         return
-    if len(voters) not in (3, 5, 7) or len(set(voters)) != len(voters):
+    if len(voters) not in VOTER_COUNTS or len(set(voters)) != len(voters):
         raise ValueError(f"change.voters: found {len(voters)}, allowed: 3, 5 or 7, each once")
     unknown = [name for name in voters if name not in names]
     if unknown:
         raise ValueError(f"change.voters: {', '.join(unknown)}: no such gateway")
-    without = [entry.name for entry in fleet.gateways if not entry.admin]
-    if without:
-        raise ValueError(f"change.voters: gateways without an admin address: {', '.join(without)}")
+    without_admin = [entry.name for entry in fleet.gateways if not entry.admin]
+    if without_admin:
+        raise ValueError(f"change.voters: gateways without an admin address: {', '.join(without_admin)}")
     if not fleet.state:
         raise ValueError("state: a folder is wanted, where votes and versions are kept")
+
+
+def voter_ranks(fleet: Fleet) -> list[int]:
+    """Return the ranks of the voters that the settings name."""
+    names = [entry.name for entry in fleet.gateways]
+    return [names.index(name) for name in fleet.change.voters]
+
+
+def leadership_settings(fleet: Fleet) -> LeadershipSettings:
+    """Return the intervals of leader election and rollouts."""
+    return LeadershipSettings(
+        heartbeat_interval_us=fleet.change.beat,
+        election_timeout_us=fleet.change.silence,
+        rollout=RolloutSettings(
+            lease_us=fleet.change.lease,
+            vote_timeout_us=fleet.change.decide,
+            staging=staging_settings(fleet),
+        ),
+    )
+
+
+def staging_settings(fleet: Fleet) -> StagingSettings:
+    """Return the stages of a rollout, whose batches are limited as those of a rolling upgrade."""
+    upgrade = fleet.roll
+    count = len(fleet.gateways)
+    return StagingSettings(
+        soak_us=int(fleet.change.soak),
+        growth_factor=upgrade.growth,
+        limits=Limits(upgrade.share, upgrade.set_share, upgrade.halls, upgrade.load),
+        zones=tuple(entry.zone for entry in fleet.gateways),
+        replica_set_sizes=tuple(sorted({min(plan.spread or count, count) for plan in fleet.plans.values()})),
+    )
--- a/orchidlane/gateway/rollout_agent/storage.py
+++ b/orchidlane/gateway/rollout_agent/storage.py
@@ -1,12 +1,12 @@
-"""What a gateway has on disk for fleet versions: contents by name, the voter's votes, the latest ledger.
+"""A gateway's files for fleet versions: contents by hash, the voter's state, the version that runs.
 
-Each file is replaced as a whole, with fsync; those that are no contents end with a digest, so that a cut or
-flipped one is told from a good one. The writes run beside the loop.
+Each file is replaced as a whole, with fsync. Those that are no contents end with a digest, by which a cut or
+damaged file is recognized. Files are written beside the loop.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TypeVar
 
 import msgspec
 
@@ -15,12 +15,12 @@
 from orchidlane.runtime.backend import World
 
 DIGEST_BYTES = 64
-MAX_UPLOADS = 32  # contents that wait for their proposal
-MAX_CACHED_STATES = 32  # held in memory, for others to fetch
+MAX_UPLOADS = 32  # contents that no version names yet
+MAX_CACHED_STATES = 32  # in memory, for others to fetch
 
 
 class VoterFile(msgspec.Struct, frozen=True):
-    """A voter's disk: its votes, the ledger that it accepted, the latest that it knows to be chosen."""
+    """A voter's disk: its state, the accepted replicated state and the latest chosen one, encoded."""
 
     voter_state: VoterState = msgspec.field(name="kept")
     accepted_state: bytes = msgspec.field(default=b"", name="voted")
@@ -28,7 +28,7 @@
 
 
 class RunningFile(msgspec.Struct, frozen=True):
-    """The latest ledger and the version that runs; the contents that are on disk."""
+    """The latest replicated state, the version that runs and the hashes of the contents on disk."""
 
     state: bytes = msgspec.field(name="ledger")
     running: Certificate
@@ -36,43 +36,47 @@
 
 
 class CorruptFileError(Exception):
-    """A file that is there and can't be used; says which and why."""
+    """A file that exists and can't be used; the message tells which and why."""
+
+
+AnyFile = TypeVar("AnyFile", VoterFile, RunningFile)
 
 
 class RolloutStorage:
-    """One gateway's files; ``prefix`` is their folder and the gateway's name."""
+    """The files of one gateway; ``prefix`` is their folder and the gateway's name."""
 
     def __init__(self, world: World, prefix: str) -> None:
         self.world = world
         self.prefix = prefix
-        self.cached_states: dict[str, bytes] = {}  # by name, the latest last
-        self.contents: dict[str, None] = {}  # names of those on disk
-        self.uploads: dict[str, None] = {}  # those of proposals to come, the latest last
+        # Insertion order is age.
+        self.cached_states: dict[str, bytes] = {}
+        self.contents: dict[str, None] = {}  # on disk
+        self.uploads: dict[str, None] = {}
 
-    # -- contents
+    # -- blobs by hash
 
     def cache_state(self, state_hash: str, data: bytes) -> None:
-        """Keep a ledger at hand."""
+        """Have a replicated state ready in memory."""
         self.cached_states.pop(state_hash, None)
         self.cached_states[state_hash] = data
         while len(self.cached_states) > MAX_CACHED_STATES:
             del self.cached_states[next(iter(self.cached_states))]
 
     def read_blob(self, blob_hash: str) -> bytes | None:
-        """A ledger or a content by its name; None where we have none, or the disk's is not what it was."""
+        """Return a state or a content; None where it is not here, or damaged on disk."""
         if blob_hash in self.cached_states:
             return self.cached_states[blob_hash]
         data = self.world.read_file(self._content_path(blob_hash))
         return data if data is not None and content_hash(data) == blob_hash else None
 
     def write_content(self, blob_hash: str, data: bytes) -> None:
-        """Write a content down. Raises OSError."""
+        """Write a content to disk. Raises OSError."""
         path = self._content_path(blob_hash)
         self.world.aside(lambda: self.world.write_file(path, data))
         self.contents[blob_hash] = None
 
     def write_upload(self, blob_hash: str, data: bytes) -> None:
-        """Keep a content that no version names yet; the latest few stay. Raises OSError."""
+        """Write a content that no version names yet; only the latest uploads are kept. Raises OSError."""
         self.write_content(blob_hash, data)
         self.uploads.pop(blob_hash, None)
         self.uploads[blob_hash] = None
@@ -80,49 +84,52 @@
             del self.uploads[next(iter(self.uploads))]
 
     def remove_unreferenced_contents(self, referenced: set[str]) -> None:
-        """Contents that no version names any more go."""
-        for name in [one for one in self.contents if one not in referenced and one not in self.uploads]:
-            self.world.remove_file(self._content_path(name))
-            del self.contents[name]
+        """Remove contents that are neither referenced nor recent uploads."""
+        kept = referenced | self.uploads.keys()
+        for blob_hash in [each for each in self.contents if each not in kept]:
+            self.world.remove_file(self._content_path(blob_hash))
+            del self.contents[blob_hash]
 
-    def _content_path(self, name: str) -> str:
-        return f"{self.prefix}.content.{name}"
+    def _content_path(self, blob_hash: str) -> str:
+        return f"{self.prefix}.content.{blob_hash}"
 
-    # -- the voter, and the latest
+    # -- the voter, and the version that runs
 
     def read_voter(self) -> VoterFile | None:
-        """None where there is none. Raises Damaged, OSError."""
+        """Return the voter's file; None where there is none. Raises CorruptFileError, OSError."""
         return self._read("voter", VoterFile)
 
     def write_voter(self, file: VoterFile) -> None:
-        """Raises OSError."""
+        """Replace the voter's file. Raises OSError."""
         self._write("voter", file)
 
     def read_running(self) -> RunningFile | None:
-        """None where there is none. Raises Damaged, OSError."""
-        found: RunningFile | None = self._read("running", RunningFile)
-        if found is not None:
-            self.contents = dict.fromkeys(found.contents)
-        return found
+        """Return the file of what runs; None where there is none. Raises CorruptFileError, OSError."""
+        file = self._read("running", RunningFile)
+        if file is not None:
+            self.contents = dict.fromkeys(file.contents)
+        return file
 
     def write_running(self, file: RunningFile) -> None:
-        """Raises OSError."""
+        """Replace the file of what runs. Raises OSError."""
         self._write("running", file)
 
-    def _read(self, kind: str, file_type: type[Any]) -> Any:
-        path = f"{self.prefix}.{kind}"
+    def _read(self, suffix: str, file_type: type[AnyFile]) -> AnyFile | None:
+        path = f"{self.prefix}.{suffix}"
         data = self.world.read_file(path)
         if data is None:
             return None
-        body, digest = data[:-DIGEST_BYTES], data[-DIGEST_BYTES:]
+        body = data[:-DIGEST_BYTES]
+        digest = data[-DIGEST_BYTES:]
         if content_hash(body).encode() != digest:
             raise CorruptFileError(f"{path}: {len(data)} bytes, cut or changed")
         try:
             return msgspec.msgpack.decode(body, type=file_type)
-        except msgspec.DecodeError as wrong:
-            raise CorruptFileError(f"{path}: {wrong}") from None
+        except msgspec.DecodeError as error:
+            raise CorruptFileError(f"{path}: {error}") from None
 
-    def _write(self, kind: str, file: msgspec.Struct) -> None:
+    def _write(self, suffix: str, file: VoterFile | RunningFile) -> None:
         body = msgspec.msgpack.encode(file)
-        path, data = f"{self.prefix}.{kind}", body + content_hash(body).encode()
+        data = body + content_hash(body).encode()
+        path = f"{self.prefix}.{suffix}"
         self.world.aside(lambda: self.world.write_file(path, data))
--- /dev/null
+++ b/orchidlane/gateway/rollout_agent/version_review.py
@@ -0,0 +1,110 @@
+"""Review of a version that is voted on, and this voter's vote."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from orchidlane.gateway.control.configuration import UnfitContent
+from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.rollout_agent.background_tasks import BackgroundTasks
+from orchidlane.gateway.rollout_agent.blob_fetcher import BlobFetcher, ContentUnavailableError
+from orchidlane.gateway.rollout_agent.configuration_reader import ConfigurationReader, version_configuration
+from orchidlane.rollout import messages
+from orchidlane.rollout.compatibility import incompatibility
+from orchidlane.rollout.consensus import Voter
+from orchidlane.rollout.replicated_state import ReplicatedState, RolloutPhase
+from orchidlane.rollout.version import Version, cast_vote
+from orchidlane.rollout.voter_state import Action
+
+EventQueue = Callable[[Callable[[], list[Action]]], None]
+SendMessage = Callable[[int, messages.Message], None]
+
+
+class VersionReview:
+    """Reviews each version once in a term; the vote is sent to the leader repeatedly."""
+
+    def __init__(
+        self,
+        secret: bytes,
+        fetcher: BlobFetcher,
+        reader: ConfigurationReader,
+        background: BackgroundTasks,
+        enqueue: EventQueue,
+        send: SendMessage,
+        log: Any,
+    ) -> None:
+        self.secret = secret
+        self.fetcher = fetcher
+        self.reader = reader
+        self.background = background
+        self.enqueue = enqueue
+        self.send = send
+        self.log = log
+
+    @property
+    def _fleet(self) -> Fleet:
+        return self.reader.fleet
+
+    def tick(self, state: ReplicatedState, voter: Voter) -> None:
+        """Send our vote on the version that is voted on, or begin its review."""
+        rollout = state.rollout
+        if rollout is None or rollout.phase is not RolloutPhase.VOTING:
+            return
+        latest = voter.voter_state.latest_vote
+        if latest is not None and latest[:2] == (rollout.term, rollout.version.number):
+            if self.background.is_due(_vote_kind(latest.term, latest.number)):
+                vote = latest.vote
+                message = messages.VersionVote(
+                    latest.term, latest.number, vote.store_id, vote.approves, vote.seal, vote.reason
+                )
+                self.send(state.leader, message)
+        elif not self.background.is_running("review") and self.background.is_due("review"):
+            self.background.start("review", lambda: self._review(state, voter))
+
+    def _review(self, state: ReplicatedState, voter: Voter) -> None:
+        rollout = state.rollout
+        assert rollout is not None
+        version = rollout.version
+        term = rollout.term
+        try:
+            objection = self._objection(state, version)
+        except (ContentUnavailableError, OSError) as error:
+            # It is tried again: the contents may still come, and the disk may have space again.
+            self.log.info("not voted yet", version=version.label(), reason=str(error))
+            return
+        reason = messages.truncate_reason(objection)
+        vote = cast_vote(self.secret, voter.member, version, term, not objection, reason)
+        self.log.info("voted", version=version.label(), term=term, approves=not objection, reason=objection)
+        self.background.make_due(_vote_kind(term, version.number))
+        self.enqueue(lambda: voter.vote(term, version, lambda: vote))
+
+    def _objection(self, state: ReplicatedState, version: Version) -> str:
+        """Return why a version may not be approved; "" where it may.
+
+        Raises:
+            ContentUnavailableError: its contents are not here yet.
+            OSError: they could not be written.
+        """
+        self.fetcher.ensure_contents(version.contents)
+        try:
+            new = self.reader.read(version.contents, version.number)
+        except UnfitContent as error:
+            return str(error)
+        current = state.current.version
+        if version.reverts and version.contents == current.contents:
+            return ""  # a part of the fleet still runs it
+        try:
+            old = self.reader.read(current.contents, current.number)
+        except UnfitContent as error:
+            return f"the version that runs: {error}"
+        reason: str = self.reader.storage.world.aside(
+            lambda: incompatibility(
+                version_configuration(old, self._fleet), version_configuration(new, self._fleet)
+            )
+        )
+        return reason
+
+
+def _vote_kind(term: int, number: int) -> str:
+    return f"vote {term} {number}"
--- /dev/null
+++ b/orchidlane/gateway/rollout_agent/voter_runner.py
@@ -0,0 +1,302 @@
+"""Carries out what a voter decides: writes, datagrams, commands. Only voters have leadership.
+
+One task works on the voter's events in turn, so that what they ask to persist is on disk before anything
+after it is sent.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from random import Random
+from typing import Any
+
+import msgspec
+
+from orchidlane.gateway.rollout_agent.admin_messages import CommandOutcome
+from orchidlane.gateway.rollout_agent.blob_fetcher import BlobFetcher
+from orchidlane.gateway.rollout_agent.storage import CorruptFileError, RolloutStorage, VoterFile
+from orchidlane.rollout import messages, replicated_state
+from orchidlane.rollout.commands import Command, ProposeVersion, ResumeRollout, StopRollout
+from orchidlane.rollout.consensus import Voter
+from orchidlane.rollout.leader import Leadership, LeadershipSettings
+from orchidlane.rollout.replicated_state import ReplicatedState
+from orchidlane.rollout.version import content_hash
+from orchidlane.rollout.voter_state import (
+    STORE_ID_BITS,
+    Action,
+    CommandDropped,
+    LogWarning,
+    Persist,
+    Send,
+    StateChosen,
+    StoreBlob,
+    VoterState,
+)
+from orchidlane.runtime import CONTROL, Expired, Loop, Scope, Task
+
+MAX_QUEUED_EVENTS = 1_000  # more are lost, as datagrams may be
+COMMAND_TIMEOUT_US = 5_000_000
+
+Event = Callable[[], list[Action]]
+SendMessage = Callable[[int, messages.Message], None]
+LearnState = Callable[[ReplicatedState, str, bytes], None]
+
+
+@dataclass
+class WaitingCommand:
+    """A task that waits for what becomes of a command."""
+
+    task: Task
+    outcomes: list[CommandOutcome] = field(default_factory=list)
+
+
+class VoterRunner:
+    """The voter of one gateway, with its disk; ``leadership`` is None where the gateway has no vote."""
+
+    def __init__(
+        self,
+        rank: int,
+        loop: Loop,
+        storage: RolloutStorage,
+        fetcher: BlobFetcher,
+        send: SendMessage,
+        learn: LearnState,
+        log: Any,
+    ) -> None:
+        self.rank = rank
+        self.loop = loop
+        self.storage = storage
+        self.fetcher = fetcher
+        self.send = send
+        self.learn = learn
+        self.log = log
+        self.leadership: Leadership | None = None
+        self._queue: deque[Event] = deque()
+        self._worker: Task | None = None
+        self._waiting: dict[str, WaitingCommand] = {}  # by command id
+        self._disk_failed = False
+
+    # -- start and stop
+
+    def load_voter(
+        self, gateway_count: int, secret: bytes, settings: LeadershipSettings, known: ReplicatedState | None
+    ) -> None:
+        """Become a voter with what is on disk, or with a new store where that is lost."""
+        now = self.loop.now()
+        rng: Random = self.storage.world.random
+        file = accepted_state = chosen_state = None
+        try:
+            file = self.storage.read_voter()
+            if file is not None:
+                accepted_state = self._decode_state(file.accepted_state)
+                chosen_state = self._decode_state(file.chosen_state)
+        except (CorruptFileError, msgspec.DecodeError, OSError) as error:
+            self.log.error("the voter's disk is lost: it waits to be admitted", reason=str(error))
+            file = accepted_state = chosen_state = None
+        if chosen_state is not None and (known is None or chosen_state.index > known.index):
+            data = replicated_state.encode(chosen_state)
+            self.learn(chosen_state, content_hash(data), data)
+            known = chosen_state
+        voter_state = file.voter_state if file else VoterState(rng.getrandbits(STORE_ID_BITS) + 1)
+        verifying = file is not None
+        voter = Voter(self.rank, voter_state, accepted_state, known, rng, now, verifying)
+        self.leadership = Leadership(voter, gateway_count, secret, settings, rng, now)
+
+    def _decode_state(self, data: bytes) -> ReplicatedState | None:
+        if not data:
+            return None
+        self.storage.cache_state(content_hash(data), data)
+        return replicated_state.decode(data)
+
+    def start(self, scope: Scope) -> None:
+        """Work on events from here on."""
+        self._worker = scope.spawn(self._work, kind=CONTROL, name="voter")
+
+    def stop(self) -> None:
+        """Give up the vote, and drop all events."""
+        if self._worker is not None:
+            self.loop.cancel(self._worker)
+        self._worker = None
+        self.leadership = None
+        self._queue.clear()
+
+    # -- events
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether no event waits."""
+        return not self._queue
+
+    def enqueue(self, event: Event) -> None:
+        """Queue an event of the voter."""
+        if len(self._queue) < MAX_QUEUED_EVENTS and self._worker is not None:
+            self._queue.append(event)
+            self.loop.wake(self._worker)
+
+    def learn_chosen(self, state: ReplicatedState) -> None:
+        """Tell the voter of a chosen state."""
+        self.enqueue(lambda: self._voter().learn_chosen(state))
+
+    def receive(self, sender: int, message: messages.Message, leadership: Leadership) -> None:
+        """Handle a message to a voter or leader."""
+        now = self.loop.now()
+        match message:
+            case messages.AdoptionReport():
+                self._send_all(leadership.driver.receive_report(now, sender, message))
+            case messages.VersionVote():
+                leadership.driver.receive_vote(sender, message, leadership.state)
+            case messages.AdmissionRequest():
+                leadership.receive_admission_request(now, sender, message)
+            case messages.Heartbeat():
+                self._send_all(leadership.receive_heartbeat(now, sender, message))
+            case messages.HeartbeatAck():
+                leadership.receive_heartbeat_ack(sender, message)
+            case messages.Prepare() if not leadership.accepts_ballot_of(now, sender):
+                pass
+            case messages.Promise() | messages.Accept() if message.state_hash:
+                self.fetcher.with_state(
+                    sender, message.state_hash, lambda state: self._enqueue_message(sender, message, state)
+                )
+            case _:
+                self._enqueue_message(sender, message, None)
+
+    def _enqueue_message(
+        self, sender: int, message: messages.Message, named_state: ReplicatedState | None
+    ) -> None:
+        self.enqueue(lambda: self._voter().receive(self.loop.now(), sender, message, named_state))
+
+    def tick(self, now: int, leadership: Leadership) -> None:
+        """Resend or give up attempts, and send heartbeats, whatever is due."""
+        voter = leadership.voter
+        if voter.attempt is not None or voter.verifying_store:
+            self.enqueue(lambda: voter.tick(self.loop.now()))
+        self._send_all(leadership.heartbeats(now))
+
+    def propose_next(self, now: int, leadership: Leadership) -> None:
+        """Attempt the next command, if one is due and no event waits."""
+        if not self.is_idle:
+            return
+        command = leadership.next_command(now)
+        if command is not None:
+            self.enqueue(lambda: leadership.voter.propose(self.loop.now(), command))
+
+    def _voter(self) -> Voter:
+        assert self.leadership is not None
+        return self.leadership.voter
+
+    def _send_all(self, sends: list[Send]) -> None:
+        for send in sends:
+            self.send(send.rank, send.message)
+
+    # -- actions
+
+    def _work(self) -> None:
+        while True:
+            while not self._queue:
+                self.loop.park()
+            event = self._queue.popleft()
+            if self.leadership is not None:
+                voter = self._voter()
+                previous = voter.voter_state
+                accepted_state = voter.accepted_state
+                self._carry_out(event(), previous, accepted_state)
+
+    def _carry_out(
+        self, actions: list[Action], previous: VoterState, accepted_state: ReplicatedState | None
+    ) -> None:
+        for action in actions:
+            match action:
+                case StoreBlob():
+                    self.storage.cache_state(action.content_hash, action.data)
+                case Persist():
+                    if not self._write_voter(action.voter_state):
+                        undone = self._voter().persist_failed(previous, accepted_state)
+                        self._carry_out(undone, previous, accepted_state)
+                        return
+                case Send():
+                    self.send(action.rank, action.message)
+                case StateChosen():
+                    self._on_chosen(action)
+                case CommandDropped():
+                    outcome = CommandOutcome(False, action.reason, not action.is_final)
+                    self._report_outcome(action.command, outcome)
+                case LogWarning():
+                    self.log.warning(action.text, store=self._voter().voter_state.store_id)
+
+    def _write_voter(self, voter_state: VoterState) -> bool:
+        voter = self._voter()
+        file = VoterFile(voter_state, _encode(voter.accepted_state), _encode(voter.chosen_state))
+        try:
+            self.storage.write_voter(file)
+        except OSError as error:
+            if not self._disk_failed:
+                self.log.error("the voter's disk failed: it does not vote", reason=str(error))
+            self._disk_failed = True
+            return False
+        self._disk_failed = False
+        return True
+
+    def _on_chosen(self, chosen: StateChosen) -> None:
+        self.learn(chosen.state, chosen.state_hash, replicated_state.encode(chosen.state))
+        if chosen.command is not None:
+            self._report_outcome(chosen.command, CommandOutcome(True))
+
+    def bootstrap(self, state: ReplicatedState) -> None:
+        """Take the first state, which all voters have agreed on by their admission requests."""
+        assert self.leadership is not None
+        voter = self.leadership.voter
+        voter.chosen_state = state
+        if not self._write_voter(voter.voter_state):
+            voter.chosen_state = None
+            return
+        self.leadership.claim_immediately()
+        data = replicated_state.encode(state)
+        self.learn(state, content_hash(data), data)
+
+    # -- commands
+
+    def run_command(self, command: Command, command_id: str) -> CommandOutcome | None:
+        """Have a command carried out and wait for its outcome; None where this gateway does not lead."""
+        leadership = self.leadership
+        if leadership is None or not leadership.is_leader:
+            return None
+        if not leadership.enqueue(command):
+            return CommandOutcome(False, "too many commands wait", is_retryable=True)
+        task = self.loop.current
+        assert task is not None
+        waiting = WaitingCommand(task)
+        self._waiting[command_id] = waiting
+        deadline = self.loop.now() + COMMAND_TIMEOUT_US
+        try:
+            while not waiting.outcomes:
+                self.loop.park(deadline)
+        except Expired:
+            reason = "no quorum of voters answers; whether it is taken later is not known"
+            return CommandOutcome(False, reason, is_retryable=True)
+        finally:
+            self._waiting.pop(command_id, None)
+        return waiting.outcomes[0]
+
+    def _report_outcome(self, command: Command, outcome: CommandOutcome) -> None:
+        waiting = self._waiting.get(_command_id(command))
+        if waiting is not None:
+            waiting.outcomes.append(outcome)
+            self.loop.wake(waiting.task)
+        if not outcome.is_accepted:
+            self.log.info("command not carried out", command=type(command).__name__, reason=outcome.reason)
+
+
+def _command_id(command: Command) -> str:
+    """Return the id that a client gave to a command, "" for the leader's own."""
+    match command:
+        case ProposeVersion():
+            return command.proposal_id
+        case StopRollout() | ResumeRollout():
+            return command.command_id
+    return ""
+
+
+def _encode(state: ReplicatedState | None) -> bytes:
+    return replicated_state.encode(state) if state is not None else b""
--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -23,9 +23,8 @@
 from orchidlane.config import Duration
 from orchidlane.gateway.control.settings import Fleet, address
 from orchidlane.gateway.lifecycle.process import Program
-from orchidlane.gateway.rollout_agent.admin_api import CommandRequest, RolloutStatus
 from orchidlane.gateway.rollout_agent.admin_client import PATH_PREFIX, AdminCallError, call_admin_api
-from orchidlane.gateway.rollout_agent.agent import CommandOutcome
+from orchidlane.gateway.rollout_agent.admin_messages import CommandOutcome, CommandRequest, RolloutStatus
 from orchidlane.rollout.replicated_state import ReplicatedState, RolloutPhase
 from orchidlane.rollout.version import ContentHashes, certificate_error, content_hash
 from orchidlane.runtime import Faults, Loop, Process, SimWorld
@@ -207,7 +206,7 @@
             latest = versions.state
             about = (latest.index, latest.term, latest.leader, latest.rollout) if latest else ()
             why = versions.rejection_reason()
-            found.append((rank, versions.running_number, about, why, versions.adoption_error, seat))
+            found.append((rank, versions.known.running_number, about, why, versions.adoption.error, seat))
         return found
 
     def _has_converged(self) -> bool:
@@ -220,9 +219,9 @@
             assert versions is not None
             if versions.state is None or versions.state.rollout is not None or versions.rejection_reason():
                 return False
-            if versions.running is None:
+            if versions.known.running is None:
                 return False
-            seen.add((versions.state.index, versions.running.version))
+            seen.add((versions.state.index, versions.known.running.version))
         return len(seen) == 1
 
     # -- who changes things
@@ -398,10 +397,10 @@
             if versions.leadership is not None and versions.leadership.voter.chosen_state is not None:
                 known = versions.leadership.voter.chosen_state
                 self._record_state(known, content_hash(msgspec.msgpack.encode(known)), now)
-            if versions.running is not None:
-                self._check_running(rank, versions.running)
+            if versions.known.running is not None:
+                self._check_running(rank, versions.known.running)
             if not self.processes[rank].frozen and not versions.rejection_reason():
-                self._check_serving(rank, versions.running_number, now)
+                self._check_serving(rank, versions.known.running_number, now)
 
     def _record_state(self, latest: ReplicatedState, name: str, now: int) -> None:
         index = latest.index
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -27,7 +27,7 @@
 from orchidlane.gateway.lifecycle.account_store import Memory
 from orchidlane.gateway.lifecycle.rolling_upgrade import Kept, Rolling
 from orchidlane.gateway.peers import datagrams, token_requests
-from orchidlane.gateway.rollout_agent import admin_api, agent, storage
+from orchidlane.gateway.rollout_agent import admin_messages, storage
 from orchidlane.gateway.telemetry import policy_views
 from orchidlane.hot_restart import messages as restart_messages
 from orchidlane.hot_restart import rolling_upgrade
@@ -431,19 +431,19 @@
     }
 
 
-def golden_order() -> admin_api.CommandRequest:
+def golden_order() -> admin_messages.CommandRequest:
     """A command at the admin address."""
     then = (golden_parts("b"),)
-    return admin_api.CommandRequest(
+    return admin_messages.CommandRequest(
         "order-1", "propose", 21, "an author", "a reason", golden_parts("a"), 20, then, is_forwarded=True
     )
 
 
-def golden_status() -> admin_api.RolloutStatus:
+def golden_status() -> admin_messages.RolloutStatus:
     """How the fleet's versions stand, as the gateway that leads tells it."""
     ledger = golden_ledger()
     assert ledger.rollout is not None and ledger.halted_rollout is not None
-    return admin_api.RolloutStatus(
+    return admin_messages.RolloutStatus(
         gateway=2,
         is_leader=True,
         term=6,
@@ -461,8 +461,8 @@
         member_ranks=(0, 1, 2),
         votes={0: "yes", 1: "a rule is broken"},
         gateways=(
-            admin_api.GatewayStatus(0),
-            admin_api.GatewayStatus(1, 21, 22, "its contents did not come", 700, 9_000),
+            admin_messages.GatewayStatus(0),
+            admin_messages.GatewayStatus(1, 21, 22, "its contents did not come", 700, 9_000),
         ),
     )
 
@@ -472,9 +472,9 @@
     return {"safe plain": AnswerCounts(900, 30, 4, 5, 6, 7), "unsafe capped": AnswerCounts(80, 3, 2, 1, 9, 8)}
 
 
-def golden_outcome() -> agent.CommandOutcome:
+def golden_outcome() -> admin_messages.CommandOutcome:
     """What became of a command."""
-    return agent.CommandOutcome(True, "known already as version 21", True)
+    return admin_messages.CommandOutcome(True, "known already as version 21", True)
 
 
 # How the program writes them
@@ -969,15 +969,17 @@
 
 def test_golden_bodies_of_the_admin_address_are_read_as_their_values():
     read = msgspec.msgpack.decode
-    assert read(golden("admin-order.msgpack"), type=admin_api.CommandRequest) == golden_order()
-    assert read(golden("admin-outcome.msgpack"), type=agent.CommandOutcome) == golden_outcome()
-    assert read(golden("admin-status.msgpack"), type=admin_api.RolloutStatus) == golden_status()
+    assert read(golden("admin-order.msgpack"), type=admin_messages.CommandRequest) == golden_order()
+    assert read(golden("admin-outcome.msgpack"), type=admin_messages.CommandOutcome) == golden_outcome()
+    assert read(golden("admin-status.msgpack"), type=admin_messages.RolloutStatus) == golden_status()
     assert read(golden("admin-counts.msgpack"), type=dict[str, AnswerCounts]) == golden_tallies()
     for body in (golden_order(), golden_outcome(), golden_status().gateways[1]):
         assert has_default(body) == []
 
 
 def test_what_tools_print_of_fleet_versions_names_every_field_as_before():
-    assert msgspec.json.decode(golden("admin-status.json"), type=admin_api.RolloutStatus) == golden_status()
+    assert (
+        msgspec.json.decode(golden("admin-status.json"), type=admin_messages.RolloutStatus) == golden_status()
+    )
     history = msgspec.json.decode(golden("admin-history.json"), type=tuple[fleet_ledger.HistoryEntry, ...])
     assert history == golden_status().history
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -39,8 +39,7 @@
 from orchidlane.cli.main import main
 from orchidlane.gateway.control import settings as fleet_settings
 from orchidlane.gateway.peers import datagrams, token_requests
-from orchidlane.gateway.rollout_agent import admin_api
-from orchidlane.gateway.rollout_agent import agent as versions_shell
+from orchidlane.gateway.rollout_agent import admin_messages
 from orchidlane.hot_restart import messages as upgrade_messages
 from orchidlane.platform import configuration as platform_config
 from orchidlane.policy import gossip_codec
@@ -376,10 +375,10 @@
 def test_ledgers_commands_and_states_of_versions_have_the_golden_names_and_values():
     """What gateways and tools send each other over the admin address, and what names contents and seals."""
     kinds = {
-        "command": admin_api.CommandRequest,
-        "how things stand": admin_api.RolloutStatus,
-        "a gateway's state": admin_api.GatewayStatus,
-        "what became of a command": versions_shell.CommandOutcome,
+        "command": admin_messages.CommandRequest,
+        "how things stand": admin_messages.RolloutStatus,
+        "a gateway's state": admin_messages.GatewayStatus,
+        "what became of a command": admin_messages.CommandOutcome,
         "answers counted": canary_analysis.AnswerCounts,
         "ledger": replicated_state.ReplicatedState,
         "certificate": version.Certificate,
