--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -136,13 +136,13 @@
 
     def change(number: int, data: bytes, undoes: int) -> None:
         name = content_hash(data)
-        story._call(0, "PUT", f"content/{name}", data)
+        story.call(0, "PUT", f"content/{name}", data)
         parts = ContentHashes(name, content_hash(customers))
         order = CommandRequest(f"order-{number}", "propose", number - 1, "bench", "measured", parts, undoes)
         began = story.loop.now()
-        story._call(0, "POST", "command", msgspec.msgpack.encode(order))
-        story._wait_until(
-            lambda: story._has_converged() and _number(story) == number, 120 * SECOND, "not adopted"
+        story.call(0, "POST", "command", msgspec.msgpack.encode(order))
+        story.wait_until(
+            lambda: story.has_converged() and _number(story) == number, 120 * SECOND, "not adopted"
         )
         spans.append((story.loop.now() - began) // 1_000)
 
@@ -150,7 +150,7 @@
         story.world.files["openapi"], story.world.files["customers"] = rules(0), customers
         for rank in range(gateways):
             story.start(rank)
-        story._wait_until(story._has_converged, 120 * SECOND, "not founded")
+        story.wait_until(story.has_converged, 120 * SECOND, "not founded")
         change(1, rules(1), 0)
         change(2, rules(0), 1)
         for rank in story.running_ranks():
--- /dev/null
+++ b/orchidlane/simulation/rollout_checker.py
@@ -0,0 +1,75 @@
+"""What must hold in a rollout scenario at every moment: see ``rollout_scenarios``."""
+
+from __future__ import annotations
+
+import msgspec
+
+from orchidlane.gateway.rollout_agent.agent import RolloutAgent
+from orchidlane.rollout.replicated_state import ReplicatedState, RolloutPhase
+from orchidlane.rollout.version import Certificate, certificate_error, content_hash
+
+SECRET = b"a secret for stand-ins only"  # the simulated fleet's key
+CHECK_INTERVAL_US = 10_000
+LEASE_TOLERANCE_US = 5 * CHECK_INTERVAL_US
+
+
+class InvariantViolationError(AssertionError):
+    """What must never be, or what never came."""
+
+
+class RolloutChecker:
+    """Collects the replicated states that were ever seen, and checks gateways against them."""
+
+    def __init__(self, lease_us: int) -> None:
+        self.lease_us = lease_us
+        self.state_hashes: dict[int, str] = {}  # by index
+        self.states: dict[int, ReplicatedState] = {}
+        self.first_seen_at: dict[int, int] = {}
+        self.approved: set[tuple[int, str]] = set()  # number and combined hash of versions
+
+    def check(self, rank: int, agent: RolloutAgent, is_frozen: bool, now: int) -> None:
+        """Check one gateway that runs; ``is_frozen``: it stands still. Raises InvariantViolationError."""
+        if agent.state is None:
+            return
+        self._record_state(agent.state, agent.dissemination.state_hash, now)
+        if agent.leadership is not None and agent.leadership.state is not None:
+            chosen = agent.leadership.state
+            self._record_state(chosen, content_hash(msgspec.msgpack.encode(chosen)), now)
+        if agent.known.running is not None:
+            self._check_running(rank, agent.known.running)
+        if not is_frozen and not agent.rejection_reason():
+            self._check_serving(rank, agent.known.running_number, now)
+
+    def _record_state(self, state: ReplicatedState, state_hash: str, now: int) -> None:
+        index = state.index
+        if self.state_hashes.setdefault(index, state_hash) != state_hash:
+            raise InvariantViolationError(f"two states of index {index}: {state}; {self.states[index]}")
+        if index in self.first_seen_at:
+            return
+        self.first_seen_at[index] = now
+        self.states[index] = state
+        certificates = [state.current]
+        rollout = state.rollout
+        if rollout is not None and rollout.phase is RolloutPhase.ADOPTING and rollout.certificate is not None:
+            certificates.append(rollout.certificate)
+        for certificate in certificates:
+            error = certificate_error(SECRET, certificate)
+            if error:
+                raise InvariantViolationError(f"state {index}: {error}")
+            self.approved.add((certificate.version.number, certificate.version.combined_hash))
+
+    def _check_running(self, rank: int, running: Certificate) -> None:
+        version = running.version
+        if (version.number, version.combined_hash) not in self.approved:
+            raise InvariantViolationError(f"gw-{rank} runs {version.label()}, which nobody approved")
+
+    def _check_serving(self, rank: int, number: int, now: int) -> None:
+        lease_began = now - self.lease_us - LEASE_TOLERANCE_US
+        oldest = max((index for index, at in self.first_seen_at.items() if at <= lease_began), default=0)
+        targets = {
+            state.target_certificate(rank).version.number
+            for index, state in self.states.items()
+            if index >= oldest
+        }
+        if number not in targets:
+            raise InvariantViolationError(f"gw-{rank} serves by version {number}, wanted of late: {targets}")
--- /dev/null
+++ b/orchidlane/simulation/rollout_faults.py
@@ -0,0 +1,186 @@
+"""Faults of a rollout scenario: see ``rollout_scenarios``."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Iterator
+from typing import Protocol
+
+from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.gateway.rollout_agent.agent import RolloutAgent
+from orchidlane.runtime import Loop, Process, SimWorld
+
+SECOND = 1_000_000
+USUAL_DELAY_US = (100, 900)
+LONG_DELAY_US = (100, 50_000)
+
+FAULT_KINDS = ("kill", "still", "cut", "loss", "old", "empty", "broken", "full")
+
+
+class Scenario(Protocol):
+    """What the faults need to know of a scenario."""
+
+    gateways: int
+    voters: int
+
+    @property
+    def event_counts(self) -> dict[str, int]:
+        """What was done, by kind."""
+
+
+class Fleet(Protocol):
+    """The simulated fleet that faults befall."""
+
+    random: random.Random
+    loop: Loop
+    world: SimWorld
+    processes: dict[int, Process]
+    programs: dict[int, Program]
+
+    @property
+    def scenario(self) -> Scenario:
+        """The scenario that is played."""
+
+    def start(self, rank: int) -> None:
+        """Start a gateway with the files that there are."""
+
+    def kill(self, rank: int) -> None:
+        """End a gateway as SIGKILL does."""
+
+    def running_ranks(self) -> list[int]:
+        """Return the gateways that run, standing still or not."""
+
+    def agent(self, rank: int) -> RolloutAgent:
+        """Return a gateway's rollout agent."""
+
+    def files_of(self, rank: int) -> dict[str, bytes]:
+        """Return all that a gateway has on disk."""
+
+
+class FaultInjector:
+    """Injects faults of each kind into a fleet, and ends them."""
+
+    def __init__(self, fleet: Fleet) -> None:
+        self.fleet = fleet
+
+    def clear(self) -> None:
+        """End all faults."""
+        self.fleet.world.cuts.clear()
+        self.fleet.world.full.clear()
+        self._restore_network()
+        for rank, process in self.fleet.processes.items():
+            if process.dead:
+                self.fleet.start(rank)
+            elif process.frozen:
+                self.fleet.loop.thaw(process)
+
+    def _restore_network(self) -> None:
+        faults = self.fleet.world.faults
+        faults.datagram_loss = 0.0
+        faults.datagram_double = 0.0
+        faults.delay = USUAL_DELAY_US
+
+    def inject(self, kind: str) -> None:
+        """Begin a fault again and again; each generator's steps are some time apart."""
+        faults: dict[str, Callable[[int], Iterator[None]]] = {
+            "kill": self._kill,
+            "still": self._freeze,
+            "cut": self._partition,
+            "loss": self._lose_datagrams,
+            "old": self._restore_old_files,
+            "empty": self._lose_files,
+            "broken": self._cut_files,
+            "full": self._fill_disk,
+        }
+        fault = faults[kind]
+        while True:
+            self.fleet.loop.sleep(self.fleet.random.randint(SECOND // 5, 3 * SECOND))
+            self.fleet.scenario.event_counts[kind] += 1
+            for _ in fault(self.fleet.random.randrange(self.fleet.scenario.gateways)):
+                self.fleet.loop.sleep(self.fleet.random.randint(SECOND // 50, 3 * SECOND))
+
+    def _kill(self, rank: int) -> Iterator[None]:
+        if self.fleet.processes[rank].dead:
+            return
+        self.fleet.kill(rank)
+        yield
+        if self.fleet.processes[rank].dead:
+            self.fleet.start(rank)
+
+    def _freeze(self, rank: int) -> Iterator[None]:
+        process = self.fleet.processes[rank]
+        if process.dead or process.frozen:
+            return
+        self.fleet.loop.freeze(process)
+        yield
+        if not process.dead and process.frozen:
+            self.fleet.loop.thaw(process)
+
+    def _partition(self, rank: int) -> Iterator[None]:
+        ranks = range(self.fleet.scenario.gateways)
+        isolated = {rank, *(other for other in ranks if self.fleet.random.random() < 0.3)}
+        pairs = [(f"gw-{a}", f"gw-{b}") for a in isolated for b in ranks if b not in isolated]
+        for pair in pairs:
+            self.fleet.world.cut(*pair)
+        yield
+        for pair in pairs:
+            self.fleet.world.heal(*pair)
+
+    def _lose_datagrams(self, _rank: int) -> Iterator[None]:
+        faults = self.fleet.world.faults
+        faults.datagram_loss = self.fleet.random.random() * 0.6
+        faults.datagram_double = 0.2
+        faults.delay = self.fleet.random.choice((USUAL_DELAY_US, LONG_DELAY_US))
+        yield
+        self._restore_network()
+
+    def _fill_disk(self, rank: int) -> Iterator[None]:
+        self.fleet.world.full.add(f"gw-{rank}")
+        yield
+        self.fleet.world.full.discard(f"gw-{rank}")
+
+    def _restore_old_files(self, rank: int) -> Iterator[None]:
+        """Restart with the files of some time ago."""
+        files = self.fleet.files_of(rank)
+        yield
+        yield from self._restart_with(rank, files)
+
+    def _lose_files(self, rank: int) -> Iterator[None]:
+        yield from self._restart_with(rank, {})
+
+    def _cut_files(self, rank: int) -> Iterator[None]:
+        files = {
+            path: data[: self.fleet.random.randint(0, len(data))]
+            for path, data in self.fleet.files_of(rank).items()
+        }
+        yield from self._restart_with(rank, files)
+
+    def _restart_with(self, rank: int, files: dict[str, bytes]) -> Iterator[None]:
+        if self.fleet.processes[rank].dead or not self._can_lose_disk(rank):
+            return
+        self.fleet.kill(rank)
+        yield
+        if not self.fleet.processes[rank].dead or not self._can_lose_disk(rank):
+            return
+        for path in self.fleet.files_of(rank):
+            del self.fleet.world.files[path]
+        self.fleet.world.files.update(files)
+        self.fleet.start(rank)
+
+    def _can_lose_disk(self, rank: int) -> bool:
+        """Tell whether a quorum of voters keeps its disks; without one the state is lost, as documented."""
+        if rank >= self.fleet.scenario.voters:
+            return True
+        states = [program.versions.state for program in self.fleet.programs.values() if program.versions]
+        if any(state.previous_members for state in states if state is not None):
+            return False  # a membership change is not settled: both sides are needed
+        voting = [
+            other
+            for other in self.fleet.running_ranks()
+            if other < self.fleet.scenario.voters and other != rank and self._may_vote(other)
+        ]
+        return len(voting) > self.fleet.scenario.voters // 2
+
+    def _may_vote(self, rank: int) -> bool:
+        leadership = self.fleet.agent(rank).leadership
+        return leadership is not None and leadership.voter.may_vote
--- a/tests/test_change_stories.py
+++ b/tests/test_change_stories.py
@@ -12,7 +12,7 @@
 
 from orchidlane.simulation.rollout_scenarios import (
     FAULT_KINDS,
-    InvariantViolation,
+    InvariantViolationError,
     RolloutScenario,
     random_scenario,
     run_scenario,
@@ -67,6 +67,6 @@
     from orchidlane.rollout.dissemination import Dissemination
 
     monkeypatch.setattr(Dissemination, "rejection_reason", lambda self, now: "")
-    with pytest.raises(InvariantViolation, match="serves by version"):
+    with pytest.raises(InvariantViolationError, match="serves by version"):
         for seed in range(20):
             play(RolloutScenario(seed, 5, 3, faults=frozenset(["cut", "still"])))
