--- a/orchidlane/cli/change.py
+++ b/orchidlane/cli/change.py
@@ -16,7 +16,7 @@
 from orchidlane.cli.errors import clear_errors
 from orchidlane.cli.rollout_client import RolloutClient
 from orchidlane.cli.rollout_text import MICROSECONDS, history_line, proposal_progress, status_lines
-from orchidlane.gateway.control.configuration import make_knowledge, read_sources
+from orchidlane.gateway.control.configuration import build_snapshot, read_source_files
 from orchidlane.gateway.rollout_agent.admin_messages import CommandOutcome, CommandRequest, RolloutStatus
 from orchidlane.gateway.rollout_agent.configuration_reader import customer_assignments
 from orchidlane.rollout.errors import RollbackConflictError
@@ -93,8 +93,8 @@
     Exit 0: every gateway goes by it, or does not serve; 1: it was refused, or taken back; 3: not known yet.
     """
     client = RolloutClient(settings)
-    description, customers = read_sources(RealWorld(), client.fleet)
-    make_knowledge(description, customers, client.fleet, 0, structlog.get_logger())
+    description, customers = read_source_files(RealWorld(), client.fleet)
+    build_snapshot(description, customers, client.fleet, 0, structlog.get_logger())
     base = _latest(client.status())
     contents = _migration_contents(client, base, client.upload(description), customers)
     request = CommandRequest(
@@ -194,9 +194,9 @@
     log = structlog.get_logger()
     description = client.content(base.contents.rules)
     old_customers = client.content(base.contents.customers)
-    old = customer_assignments(make_knowledge(description, old_customers, fleet, 0, log), fleet)
-    new = customer_assignments(make_knowledge(description, customers, fleet, 0, log), fleet)
-    files = migration_files(old, new, customers, fleet.change.move)
+    old = customer_assignments(build_snapshot(description, old_customers, fleet, 0, log), fleet)
+    new = customer_assignments(build_snapshot(description, customers, fleet, 0, log), fleet)
+    files = migration_files(old, new, customers, fleet.rollout.max_migrating_share)
     first, *following = (ContentHashes(rules, client.upload(data)) for data in files)
     return Contents(first, tuple(following))
 
@@ -256,8 +256,8 @@
     if not wait:
         click.echo("taken")
         sys.exit(EXIT_DONE)
-    terms = client.fleet.change
-    longest_us = int(terms.decide) + 3 * int(terms.lease)
+    terms = client.fleet.rollout
+    longest_us = int(terms.decision_timeout_us) + 3 * int(terms.lease_us)
     deadline = time.monotonic() + longest_us / MICROSECONDS + EXTRA_WAIT_S
     shown = ""
     while time.monotonic() < deadline:
@@ -287,7 +287,7 @@
     """
     client = RolloutClient(settings)
     status = client.status()
-    is_fresh = 0 <= status.confirmed_us_ago <= int(client.fleet.change.lease)
+    is_fresh = 0 <= status.confirmed_us_ago <= int(client.fleet.rollout.lease_us)
     if as_json:
         click.echo(msgspec.json.encode(status).decode())
     else:
--- a/orchidlane/cli/rollout_client.py
+++ b/orchidlane/cli/rollout_client.py
@@ -6,7 +6,8 @@
 
 import msgspec
 
-from orchidlane.gateway.control.settings import Fleet, load_fleet, read_secret
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import load_settings, read_secret
 from orchidlane.gateway.rollout_agent.admin_client import AdminCallError, AdminClient, AdminResponse
 from orchidlane.gateway.rollout_agent.admin_messages import CommandOutcome, CommandRequest, RolloutStatus
 from orchidlane.gateway.rollout_agent.settings import check_rollout_settings, voter_ranks
@@ -22,13 +23,13 @@
 
     def __init__(self, settings: str) -> None:
         """Read the settings. Raises ValueError where the fleet has no versions."""
-        self.fleet: Fleet = load_fleet(settings)
+        self.fleet: FleetSettings = load_settings(settings)
         check_rollout_settings(self.fleet)
-        if not self.fleet.change.voters:
+        if not self.fleet.rollout.voting_members:
             raise ValueError(f"{settings}: change.voters: none are named, so the fleet has no versions")
         self.secret = read_secret(self.fleet.peers.secret_file)
         self.voters = voter_ranks(self.fleet)
-        self.max_content_bytes = int(self.fleet.change.content)
+        self.max_content_bytes = int(self.fleet.rollout.max_content_bytes)
 
     def gateway_name(self, rank: int) -> str:
         """Return a gateway's name in the settings."""
@@ -71,7 +72,7 @@
             if response.status != 200:
                 raise ValueError(_unexpected(response))
             status = msgspec.msgpack.decode(response.body, type=RolloutStatus)
-            if status.is_leader and 0 <= status.confirmed_us_ago <= self.fleet.change.silence:
+            if status.is_leader and 0 <= status.confirmed_us_ago <= self.fleet.rollout.election_timeout_us:
                 return status
             statuses.append(status)
         if not statuses:
--- a/orchidlane/cli/run.py
+++ b/orchidlane/cli/run.py
@@ -8,8 +8,9 @@
 
 import msgspec
 
-from orchidlane.gateway.control.settings import Fleet, read_secret
-from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import read_secret
+from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.rollout_agent.settings import check_rollout_settings
 from orchidlane.runtime import Loop, RealWorld
 from orchidlane.runtime.signals import serve
@@ -17,7 +18,7 @@
 
 
 def run_gateway(
-    fleet: Fleet, rank: int, folder: str | None = None, take_over: bool = False, ready_fd: int = -1
+    fleet: FleetSettings, rank: int, folder: str | None = None, take_over: bool = False, ready_fd: int = -1
 ) -> str:
     """Run one gateway: SIGTERM and SIGINT drain it, SIGHUP reloads description and customers.
 
@@ -30,11 +31,11 @@
     world = RealWorld()
     loop = Loop(world)
     check_rollout_settings(fleet)
-    program = Program(loop, fleet, rank, secret, record_to=folder, take_over=take_over)
+    program = GatewayProcess(loop, fleet, rank, secret, record_to=folder, take_over=take_over)
     if ready_fd >= 0:
         program.when_ready = lambda: _say_ready(ready_fd)
     serve(loop, world, program.run, program.stop, program.reload)
-    return program.failed
+    return program.failure
 
 
 def _say_ready(number: int) -> None:
--- a/orchidlane/gateway/lifecycle/rolling_upgrade.py
+++ b/orchidlane/gateway/lifecycle/rolling_upgrade.py
@@ -1,8 +1,8 @@
-"""Carries the roll of a fleet out; ``upgrade.roll`` decides.
+"""Carries out the roll of a fleet; ``orchidlane.hot_restart.rolling_upgrade`` decides.
 
-The state is written down before anything follows from it. A successor is prepared first and let run only
-once its number is kept, so that a roll that is killed anywhere can be resumed: whatever runs is known. The
-gateways are looked at over their Unix sockets, a few at a time.
+The state is stored before anything follows from it. A successor is prepared first and released only once its
+process id is stored, so that a roll that is killed anywhere can be resumed: whatever runs is known. The
+gateways' status is requested over their Unix sockets, a few at a time.
 """
 
 from __future__ import annotations
@@ -12,207 +12,241 @@
 
 import msgspec
 
-from orchidlane.gateway.control.settings import Fleet, upgrade_address
-from orchidlane.gateway.lifecycle.status_query import ask_status
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import hot_restart_address
+from orchidlane.gateway.lifecycle.status_query import request_status
 from orchidlane.hot_restart import messages, rolling_upgrade
-from orchidlane.hot_restart.probation import Answers
+from orchidlane.hot_restart.probation import AnswerCounts
 from orchidlane.hot_restart.rolling_batches import Fleet as Layout
-from orchidlane.hot_restart.rolling_batches import Limits, Member
+from orchidlane.hot_restart.rolling_batches import Member, RiskLimits
 from orchidlane.runtime import CONTROL, Loop, Scope
 
-LOOK_EVERY = 200_000  # microseconds
-LOOKS = 16  # gateways looked at each time, beside none but those under way
-MEASURE = 2_000_000  # over which the load is taken
-SERVING = "serving"  # the phase of a gateway in which no other process has a part
+STATUS_INTERVAL_US = 200_000
+MAX_CONCURRENT_STATUS_REQUESTS = 16
+LOAD_SAMPLE_US = 2_000_000
+SERVING = "serving"  # phase in a status in which no other process takes part
 
 
-class Starter(Protocol):
-    """Starts the successors."""
+class SuccessorStarter(Protocol):
+    """Starts the successors' processes."""
 
-    def prepare(self, rank: int, new: bool) -> int:
-        """A process that will be the successor once it is let run, and never if we end before; its number."""
+    def prepare(self, rank: int, new_build: bool) -> int:
+        """Create a process that becomes the successor once released, and return its process id.
+
+        It must never run if we exit before.
+        """
 
     def release(self, pid: int) -> None:
-        """Let it run."""
+        """Let a prepared process run."""
 
     def alive(self, pid: int) -> bool:
-        """Whether it has not ended."""
+        """Return whether a process has not exited."""
 
     def kill(self, pid: int) -> None:
-        """End it where it stands."""
+        """Kill a process."""
 
 
-class Kept(msgspec.Struct):
-    """What a roll writes down: a resumed one needs nothing else but the settings."""
+class StoredRoll(msgspec.Struct):
+    """What a roll stores: a resumed one needs nothing else but the settings."""
 
     names: list[str]
-    programs: tuple[str, str]  # the commands of the old and the new build
-    loads: list[float]
-    state: rolling_upgrade.State
+    commands: tuple[str, str] = msgspec.field(name="programs")  # of the old and of the new build
+    loads: list[float]  # answers per second of each gateway
+    state: rolling_upgrade.RollState
 
 
-class UnfinishedRoll(ValueError):
+class UnfinishedRollError(ValueError):
     """A roll was begun and is not over."""
 
 
-class Rolling:
+class RollDriver:
     """One roll of a fleet, from its start or from where it was left."""
 
-    def __init__(self, loop: Loop, fleet: Fleet, starter: Starter, tell: Callable[[str], None]) -> None:
+    def __init__(
+        self, loop: Loop, fleet: FleetSettings, starter: SuccessorStarter, report: Callable[[str], None]
+    ) -> None:
         self.loop = loop
         self.fleet = fleet
         self.starter = starter
-        self.tell = tell
-        self.path = f"{fleet.state}/roll.json"
-        self.kept: Kept
-        self.roller: rolling_upgrade.Roller
-        self._written = b""
-        self._next = 0  # the gateway to be looked at next
+        self.report = report
+        self.path = f"{fleet.state_directory}/roll.json"
+        self.stored: StoredRoll
+        self.upgrade: rolling_upgrade.RollingUpgrade
+        self._last_written = b""
+        self._next_rank = 0  # whose status is requested next
 
-    # -- beginnings
+    # -- start and resumption
 
-    def left(self) -> Kept | None:
-        """What an earlier roll wrote down. Raises ValueError where it is unreadable or is another fleet's."""
+    def load_stored(self) -> StoredRoll | None:
+        """Return what an earlier roll stored. Raises ValueError if it is unreadable or another fleet's."""
         data = self.loop.world.read_file(self.path)
         if data is None:
             return None
         try:
-            kept = msgspec.json.decode(data, type=Kept)
-        except msgspec.DecodeError as wrong:
-            raise ValueError(f"{self.path}: {wrong}") from None
-        if kept.names != self._names() or len(kept.state.ones) != len(kept.names):
+            stored = msgspec.json.decode(data, type=StoredRoll)
+        except msgspec.DecodeError as error:
+            raise ValueError(f"{self.path}: {error}") from None
+        if stored.names != self._names() or len(stored.state.gateways) != len(stored.names):
             raise ValueError(f"{self.path}: it is of other gateways than the settings'")
-        return kept
+        return stored
 
     def _names(self) -> list[str]:
         return [entry.name for entry in self.fleet.gateways]
 
-    def begin(self, programs: tuple[str, str]) -> None:
-        """Look at all gateways, twice, and decide on the first batch.
+    def begin(self, commands: tuple[str, str]) -> None:
+        """Request the status of all gateways twice, for their loads, and store the new roll.
 
-        Raises UnfinishedRoll, and ValueError where a gateway is not there to be upgraded.
+        Raises UnfinishedRollError, and ValueError if a gateway can't be upgraded now.
         """
-        left = self.left()
-        if left is not None and left.state.phase not in rolling_upgrade.ENDS:
-            raise UnfinishedRoll(
-                f"{self.path}: a roll is {left.state.phase.value}; resume or recall it first"
-            )
-        before = self._look_at_all()
-        self.loop.sleep(MEASURE)
-        first = self._look_at_all()
-        served = zip(first, before, strict=True)
-        loads = [max(0, one.answers.all - earlier.answers.all) * 1e6 / MEASURE for one, earlier in served]
-        self.roller = rolling_upgrade.begin(self._layout(loads), self._terms(), first)
-        self.kept = Kept(self._names(), programs, loads, self.roller.state)
-        self._save()
+        unfinished = self.load_stored()
+        if unfinished is not None and unfinished.state.phase not in rolling_upgrade.FINAL_PHASES:
+            phase = unfinished.state.phase.value
+            raise UnfinishedRollError(f"{self.path}: a roll is {phase}; resume or recall it first")
+        earlier = self._request_all()
+        self.loop.sleep(LOAD_SAMPLE_US)
+        statuses = self._request_all()
+        loads = [
+            max(0, status.answers.total - before.answers.total) * 1e6 / LOAD_SAMPLE_US
+            for status, before in zip(statuses, earlier, strict=True)
+        ]
+        self.upgrade = rolling_upgrade.start_roll(self._layout(loads), self._settings(), statuses)
+        self.stored = StoredRoll(self._names(), commands, loads, self.upgrade.state)
+        self._store()
 
     def resume(self) -> list[rolling_upgrade.Action]:
-        """Go on from where an earlier roll was left. Raises ValueError where there is none."""
-        left = self.left()
-        if left is None or left.state.phase in rolling_upgrade.ENDS:
+        """Go on from where an earlier roll was left. Raises ValueError if there is none."""
+        unfinished = self.load_stored()
+        if unfinished is None or unfinished.state.phase in rolling_upgrade.FINAL_PHASES:
             raise ValueError(f"{self.path}: no unfinished roll")
-        self.kept = left
-        self.roller = rolling_upgrade.Roller(self._layout(left.loads), self._terms(), left.state)
-        actions = self.roller.resume(self.loop.now())
-        self._save()
+        self.stored = unfinished
+        self.upgrade = rolling_upgrade.RollingUpgrade(
+            self._layout(unfinished.loads), self._settings(), unfinished.state
+        )
+        actions = self.upgrade.resume(self.loop.now())
+        self._store()
         return actions
 
     def _layout(self, loads: list[float]) -> Layout:
-        halls = [entry.zone for entry in self.fleet.gateways]
-        members = tuple(Member(rank, halls[rank], load) for rank, load in enumerate(loads))
-        return Layout(members, tuple(sorted({plan.spread for plan in self.fleet.plans.values()})))
-
-    def _terms(self) -> rolling_upgrade.Terms:
-        terms = self.fleet.roll
-        limits = Limits(terms.share, terms.set_share, terms.halls, terms.load)
-        return rolling_upgrade.Terms(limits, int(terms.soak), self.fleet.upgrade.most, terms.growth)
-
-    # -- looks
-
-    def _look_at_all(self) -> list[rolling_upgrade.Seen]:
-        found = []
+        zones = [entry.zone for entry in self.fleet.gateways]
+        members = tuple(Member(rank, zones[rank], load) for rank, load in enumerate(loads))
+        set_sizes = {plan.replica_set_size for plan in self.fleet.plans.values()}
+        return Layout(members, tuple(sorted(set_sizes)))
+
+    def _settings(self) -> rolling_upgrade.RollSettings:
+        terms = self.fleet.rolling_upgrade
+        return rolling_upgrade.RollSettings(
+            limits=RiskLimits(
+                terms.max_share, terms.max_replica_set_share, terms.max_zones, terms.max_load_share
+            ),
+            soak_us=int(terms.soak_us),
+            upgrade_timeout_us=self.fleet.hot_restart.total_timeout_us,
+            batch_growth=terms.max_batch_growth,
+        )
+
+    # -- status
+
+    def _request_all(self) -> list[rolling_upgrade.StatusReceived]:
+        received = []
         for rank, entry in enumerate(self.fleet.gateways):
-            status = self._ask(rank)
+            status = self._request_status(rank)
             if status is None:
                 raise ValueError(f"{entry.name} does not answer: all gateways have to before a roll")
             if status.phase != SERVING:
                 raise ValueError(f"{entry.name} is {status.phase}: an upgrade of it is under way")
-            found.append(self._seen(rank, status, False))
-        return found
-
-    def _ask(self, rank: int) -> messages.Status | None:
-        at = upgrade_address(self.fleet, self.fleet.gateways[rank])
-        assert at is not None
-        return ask_status(self.loop, at)
-
-    @staticmethod
-    def _seen(rank: int, status: messages.Status, alive: bool) -> rolling_upgrade.Seen:
-        answers = Answers(status.served, status.refused, status.failed)
-        return rolling_upgrade.Seen(rank, status.pid, status.phase == SERVING, status.latest, answers, alive)
-
-    def _look(self, rank: int) -> None:
-        """Ask a gateway; whether its successor lives is looked up first, so that its end is never early."""
-        pid = self.roller.state.ones[rank].pid
+            received.append(_status_event(rank, status, successor_alive=False))
+        return received
+
+    def _request_status(self, rank: int) -> messages.Status | None:
+        address = hot_restart_address(self.fleet, self.fleet.gateways[rank])
+        assert address is not None
+        return request_status(self.loop, address)
+
+    def _poll(self, rank: int) -> None:
+        """Request a status; whether the successor lives is looked up first: its end is never seen early."""
+        gateways = self.upgrade.state.gateways
+        pid = gateways[rank].successor_pid
         alive = bool(pid) and self.starter.alive(pid)
-        status = self._ask(rank)
-        if self.roller.state.ones[rank].pid != pid:
+        status = self._request_status(rank)
+        if gateways[rank].successor_pid != pid:
             return  # decided meanwhile
-        self._feed(rolling_upgrade.Silent(rank, alive) if status is None else self._seen(rank, status, alive))
-
-    def _some(self) -> list[int]:
-        """Those under way, and as many of the others in turn as there is room for."""
-        found = self.roller.under_way()[:LOOKS]
+        if status is None:
+            self._feed(rolling_upgrade.GatewayUnreachable(rank, alive))
+        else:
+            self._feed(_status_event(rank, status, alive))
+
+    def _ranks_to_poll(self) -> list[int]:
+        """Return the ranks in progress, and as many of the others in turn as may be requested at once."""
+        ranks = self.upgrade.in_progress()[:MAX_CONCURRENT_STATUS_REQUESTS]
         size = len(self.fleet.gateways)
-        for _ in range(min(size, LOOKS - len(found))):
-            if self._next not in found:
-                found.append(self._next)
-            self._next = (self._next + 1) % size
-        return found
+        for _ in range(min(size, MAX_CONCURRENT_STATUS_REQUESTS - len(ranks))):
+            if self._next_rank not in ranks:
+                ranks.append(self._next_rank)
+            self._next_rank = (self._next_rank + 1) % size
+        return ranks
 
     # -- the run
 
     def run(
-        self, actions: list[rolling_upgrade.Action] | None = None, recall: str = ""
-    ) -> rolling_upgrade.State:
-        """Until the end."""
+        self, actions: list[rolling_upgrade.Action] | None = None, rollback_reason: str = ""
+    ) -> rolling_upgrade.RollState:
+        """Run until the roll is over; with a reason, roll back at once."""
         self._carry_out(actions or [])
-        if recall:
-            self._feed(rolling_upgrade.Recalled(recall))
-        while self.roller.state.phase not in rolling_upgrade.ENDS:
+        if rollback_reason:
+            self._feed(rolling_upgrade.RollbackRequested(rollback_reason))
+        while self.upgrade.state.phase not in rolling_upgrade.FINAL_PHASES:
             with Scope(self.loop) as scope:
-                for rank in self._some():
-                    scope.spawn(self._look, rank, kind=CONTROL, name="look")
-            self._feed(rolling_upgrade.Ticked())
-            self.loop.sleep(LOOK_EVERY)
-        return self.roller.state
+                for rank in self._ranks_to_poll():
+                    scope.spawn(self._poll, rank, kind=CONTROL, name="look")
+            self._feed(rolling_upgrade.TimerFired())
+            self.loop.sleep(STATUS_INTERVAL_US)
+        return self.upgrade.state
 
     def _feed(self, event: rolling_upgrade.Event) -> None:
-        state = self.roller.state
-        before = state.phase, [one.place for one in state.ones]
-        actions = self.roller.handle(self.loop.now(), event)
-        self._save()
-        self._say(*before)
+        state = self.upgrade.state
+        phase = state.phase
+        gateway_phases = [gateway.phase for gateway in state.gateways]
+        actions = self.upgrade.handle(self.loop.now(), event)
+        self._store()
+        self._report_changes(phase, gateway_phases)
         self._carry_out(actions)
 
-    def _save(self) -> None:
-        data = msgspec.json.encode(self.kept)
-        if data != self._written:
+    def _store(self) -> None:
+        data = msgspec.json.encode(self.stored)
+        if data != self._last_written:
             self.loop.world.write_file(self.path, data)
-            self._written = data
-
-    def _say(self, phase: rolling_upgrade.Phase, places: list[rolling_upgrade.Place]) -> None:
-        state = self.roller.state
-        for rank, (was, one) in enumerate(zip(places, state.ones, strict=True)):
-            if one.place is not was:
-                self.tell(f"{self.fleet.gateways[rank].name}: {was.value} -> {one.place.value}")
+            self._last_written = data
+
+    def _report_changes(
+        self, phase: rolling_upgrade.Phase, gateway_phases: list[rolling_upgrade.GatewayPhase]
+    ) -> None:
+        state = self.upgrade.state
+        for rank, (previous, gateway) in enumerate(zip(gateway_phases, state.gateways, strict=True)):
+            if gateway.phase is not previous:
+                name = self.fleet.gateways[rank].name
+                self.report(f"{name}: {previous.value} -> {gateway.phase.value}")
         if state.phase is not phase:
-            self.tell(f"{phase.value} -> {state.phase.value}" + (f": {state.why}" if state.why else ""))
+            reason = f": {state.reason}" if state.reason else ""
+            self.report(f"{phase.value} -> {state.phase.value}{reason}")
 
     def _carry_out(self, actions: list[rolling_upgrade.Action]) -> None:
         for action in actions:
-            if isinstance(action, rolling_upgrade.Start):
-                pid = self.starter.prepare(action.rank, action.new)
-                self._feed(rolling_upgrade.Prepared(action.rank, pid))
-                self.starter.release(pid)
-            elif isinstance(action, rolling_upgrade.Kill):
-                self.starter.kill(action.pid)
+            match action:
+                case rolling_upgrade.StartSuccessor():
+                    pid = self.starter.prepare(action.rank, action.new_build)
+                    self._feed(rolling_upgrade.SuccessorPrepared(action.rank, pid))
+                    self.starter.release(pid)
+                case rolling_upgrade.KillSuccessor():
+                    self.starter.kill(action.pid)
+
+
+def _status_event(
+    rank: int, status: messages.Status, successor_alive: bool
+) -> rolling_upgrade.StatusReceived:
+    return rolling_upgrade.StatusReceived(
+        rank=rank,
+        pid=status.pid,
+        serving=status.phase == SERVING,
+        last_outcome=status.last_outcome,
+        answers=AnswerCounts(status.served, status.rejected, status.failed),
+        successor_alive=successor_alive,
+    )
--- a/orchidlane/gateway/rollout_agent/admin_client.py
+++ b/orchidlane/gateway/rollout_agent/admin_client.py
@@ -5,7 +5,8 @@
 from typing import NamedTuple
 
 from orchidlane import http1
-from orchidlane.gateway.control.settings import Fleet, address
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.http1 import Data, End, Malformed, Response
 from orchidlane.rollout.version import compute_seal
 from orchidlane.runtime import Closed, Expired, Loop, NotConnected, Stream
@@ -31,7 +32,7 @@
 class AdminClient:
     """Calls to the gateways of a fleet, by rank."""
 
-    def __init__(self, loop: Loop, fleet: Fleet, secret: bytes) -> None:
+    def __init__(self, loop: Loop, fleet: FleetSettings, secret: bytes) -> None:
         self.loop = loop
         self.fleet = fleet
         self.secret = secret
@@ -49,7 +50,7 @@
         """Call a path below the prefix. Raises AdminCallError."""
         return call_admin_api(
             self.loop,
-            address(self.fleet.gateways[rank].admin),
+            parse_host_port(self.fleet.gateways[rank].admin),
             self.secret,
             method,
             PATH_PREFIX + path.encode(),
--- a/orchidlane/gateway/rollout_agent/adoption.py
+++ b/orchidlane/gateway/rollout_agent/adoption.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from orchidlane.gateway.control.configuration import Knowledge, UnfitContent
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot, ContentError
 from orchidlane.gateway.rollout_agent.agent_state import AgentState
 from orchidlane.gateway.rollout_agent.background_tasks import BackgroundTasks
 from orchidlane.gateway.rollout_agent.blob_fetcher import BlobFetcher, ContentUnavailableError
@@ -31,7 +31,7 @@
 class RestoredVersion(NamedTuple):
     """What an earlier process of this gateway ran."""
 
-    knowledge: Knowledge
+    knowledge: ConfigurationSnapshot
     state: ReplicatedState
     encoded_state: bytes
 
@@ -70,7 +70,7 @@
             state = replicated_state.decode(file.state)
             self._check_certificate(file)
             knowledge = self.reader.restore_version(file.running.version, generation)
-        except (CorruptFileError, msgspec.DecodeError, OSError, UnfitContent, ValueError) as error:
+        except (CorruptFileError, msgspec.DecodeError, OSError, ContentError, ValueError) as error:
             self.process.log.error("version not restored", reason=str(error))
             return None
         self.known.running = file.running
@@ -97,7 +97,7 @@
         log = self.process.log
         try:
             knowledge = self._read_target(target)
-        except (ContentUnavailableError, UnfitContent, OSError) as error:
+        except (ContentUnavailableError, ContentError, OSError) as error:
             if str(error) != self.error:
                 log.error("version not adopted", version=version.label(), reason=str(error))
             self.error = str(error)
@@ -114,19 +114,19 @@
         log.info("adopted", version=version.label(), base=version.base, author=version.author)
         self.on_adopted()
 
-    def _read_target(self, target: Certificate) -> Knowledge:
-        """Return the target's configuration. Raises ContentUnavailableError, UnfitContent, OSError."""
+    def _read_target(self, target: Certificate) -> ConfigurationSnapshot:
+        """Return the target's configuration. Raises ContentUnavailableError, ContentError, OSError."""
         error = certificate_error(self.process.secret, target)
         if error:
-            raise UnfitContent(f"no certificate: {error}")
+            raise ContentError(f"no certificate: {error}")
         self.fetcher.ensure_contents(target.version.contents)
         generation = self.process.knowledge.generation.number + 1
         knowledge = self.reader.read_version(target.version, generation)
         if knowledge.generation.classes != self.process.knowledge.generation.classes:
-            raise UnfitContent("other classes need a restart of the gateway")
+            raise ContentError("other classes need a restart of the gateway")
         return knowledge
 
-    def _customers_to_reset(self, old: Knowledge, new: Knowledge) -> CustomersToReset:
+    def _customers_to_reset(self, old: ConfigurationSnapshot, new: ConfigurationSnapshot) -> CustomersToReset:
         """Compare all customers, beside the loop."""
 
         def compare() -> CustomersToReset:
@@ -141,11 +141,13 @@
         reset: CustomersToReset = self.storage.world.aside(compare)
         return reset
 
-    def _reset_quotas(self, numbers: list[int], knowledge: Knowledge) -> None:
+    def _reset_quotas(self, numbers: list[int], knowledge: ConfigurationSnapshot) -> None:
         for number in numbers:
-            customer = knowledge.customers.numbered(b"%d" % number)
+            customer = knowledge.customers.by_number(b"%d" % number)
             assert customer is not None
-            event = ReplicaSetChanged(number, customer.plan, customer.set_first, customer.set_size)
+            event = ReplicaSetChanged(
+                number, customer.plan, customer.replica_set_start, customer.replica_set_size
+            )
             self.process.host.feed(event)
 
     # -- disk
--- a/orchidlane/gateway/rollout_agent/agent.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot
 from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
 from orchidlane.gateway.rollout_agent.admin_client import AdminClient
 from orchidlane.gateway.rollout_agent.admin_messages import CommandOutcome
@@ -52,13 +52,13 @@
         self.client = AdminClient(self.loop, self.fleet, self.secret)
         world = self.loop.world
         name = self.fleet.gateways[self.rank].name
-        self.storage = RolloutStorage(world, f"{self.fleet.state}/{name}")
+        self.storage = RolloutStorage(world, f"{self.fleet.state_directory}/{name}")
         self.dissemination = Dissemination(
             self.rank,
             len(self.fleet.gateways),
             self.voters,
-            self.fleet.change.lease,
-            self.fleet.change.every,
+            self.fleet.rollout.lease_us,
+            self.fleet.rollout.poll_interval_us,
             world.random,
         )
         self._background = BackgroundTasks(self.loop)
@@ -110,7 +110,7 @@
 
     # -- start and stop
 
-    def restore(self, generation: int) -> Knowledge | None:
+    def restore(self, generation: int) -> ConfigurationSnapshot | None:
         """Return the configuration that an earlier process ran; None where it can't be restored."""
         restored = self.adoption.restore(generation)
         if restored is None:
@@ -207,7 +207,7 @@
         if rank == self.rank:
             self.receive(rank, messages.encode(message))
         else:
-            self.process.tell_change(rank, messages.encode(message))
+            self.process.send_rollout_datagram(rank, messages.encode(message))
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
--- a/orchidlane/gateway/rollout_agent/blob_fetcher.py
+++ b/orchidlane/gateway/rollout_agent/blob_fetcher.py
@@ -107,7 +107,7 @@
 
     def _fetch(self, blob_hash: str, ranks: Iterable[int]) -> bytes | None:
         """Return a blob from the first gateway that has it."""
-        max_bytes = int(self.client.fleet.change.content)
+        max_bytes = int(self.client.fleet.rollout.max_content_bytes)
         for rank in ranks:
             try:
                 response = self.client.call(
--- a/orchidlane/gateway/rollout_agent/configuration_reader.py
+++ b/orchidlane/gateway/rollout_agent/configuration_reader.py
@@ -5,9 +5,9 @@
 import dataclasses
 from typing import Any
 
-from orchidlane.gateway.control.configuration import Knowledge, UnfitContent, make_knowledge
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot, ContentError, build_snapshot
 from orchidlane.gateway.control.customers import CustomersError
-from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.rollout_agent.storage import RolloutStorage
 from orchidlane.rollout.compatibility import CustomerAssignment, VersionConfiguration
 from orchidlane.rollout.version import ContentHashes, Version
@@ -17,23 +17,25 @@
 class ConfigurationReader:
     """Reads contents that are on this gateway's disk."""
 
-    def __init__(self, fleet: Fleet, storage: RolloutStorage, log: Any) -> None:
+    def __init__(self, fleet: FleetSettings, storage: RolloutStorage, log: Any) -> None:
         self.fleet = fleet
         self.storage = storage
         self.log = log
 
-    def read(self, contents: ContentHashes, number: int) -> Knowledge:
-        """Return the configuration, made beside the loop. Raises UnfitContent."""
+    def read(self, contents: ContentHashes, number: int) -> ConfigurationSnapshot:
+        """Return the configuration, made beside the loop. Raises ContentError."""
         description, customers = self._blobs(contents)
-        knowledge: Knowledge = self.storage.world.aside(lambda: self._make(description, customers, number))
+        knowledge: ConfigurationSnapshot = self.storage.world.aside(
+            lambda: self._make(description, customers, number)
+        )
         return knowledge
 
-    def read_version(self, version: Version, generation: int) -> Knowledge:
-        """Return the configuration of a version, which carries its label. Raises UnfitContent."""
+    def read_version(self, version: Version, generation: int) -> ConfigurationSnapshot:
+        """Return the configuration of a version, which carries its label. Raises ContentError."""
         return dataclasses.replace(self.read(version.contents, generation), version=version.label())
 
-    def restore_version(self, version: Version, generation: int) -> Knowledge:
-        """Do the same at a start, in the calling task. Raises UnfitContent."""
+    def restore_version(self, version: Version, generation: int) -> ConfigurationSnapshot:
+        """Do the same at a start, in the calling task. Raises ContentError."""
         description, customers = self._blobs(version.contents)
         knowledge = self._make(description, customers, generation)
         return dataclasses.replace(knowledge, version=version.label())
@@ -43,31 +45,33 @@
         description = self.storage.read_blob(contents.rules)
         customers = self.storage.read_blob(contents.customers)
         if description is None or customers is None:
-            raise UnfitContent("its contents are not on this disk")
+            raise ContentError("its contents are not on this disk")
         return description, customers
 
-    def _make(self, description: bytes, customers: bytes, number: int) -> Knowledge:
+    def _make(self, description: bytes, customers: bytes, number: int) -> ConfigurationSnapshot:
         try:
-            return make_knowledge(description, customers, self.fleet, number, self.log)
+            return build_snapshot(description, customers, self.fleet, number, self.log)
         except (DescriptionError, CustomersError, ValueError) as error:
-            raise UnfitContent(str(error)) from None
+            raise ContentError(str(error)) from None
 
 
-def customer_assignments(knowledge: Knowledge, fleet: Fleet) -> dict[int, CustomerAssignment]:
+def customer_assignments(
+    knowledge: ConfigurationSnapshot, fleet: FleetSettings
+) -> dict[int, CustomerAssignment]:
     """Return plan and replica set of each customer."""
     has_ceiling = {name: plan.ceiling is not None for name, plan in fleet.plans.items()}
     return {
         customer.number: CustomerAssignment(
             customer.plan_name,
-            customer.set_first,
-            customer.set_size,
+            customer.replica_set_start,
+            customer.replica_set_size,
             has_ceiling[customer.plan_name],
-            customer.held,
+            customer.migrating,
         )
         for customer in knowledge.customers.all()
     }
 
 
-def version_configuration(knowledge: Knowledge, fleet: Fleet) -> VersionConfiguration:
+def version_configuration(knowledge: ConfigurationSnapshot, fleet: FleetSettings) -> VersionConfiguration:
     """Return what decides whether a version may serve beside another."""
     return VersionConfiguration(knowledge.generation, customer_assignments(knowledge, fleet))
--- a/orchidlane/gateway/rollout_agent/process_interface.py
+++ b/orchidlane/gateway/rollout_agent/process_interface.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from orchidlane.gateway.control.configuration import Knowledge
-from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot
+from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.policy import ReplicaSetChanged
 from orchidlane.runtime import Loop
 
@@ -26,7 +26,7 @@
     """
 
     sources: tuple[bytes, bytes] | None
-    knowledge: Knowledge
+    knowledge: ConfigurationSnapshot
     when_ready: Callable[[], None]
 
     @property
@@ -34,7 +34,7 @@
         """The scheduler of all tasks."""
 
     @property
-    def fleet(self) -> Fleet:
+    def fleet(self) -> FleetSettings:
         """The fleet's settings."""
 
     @property
@@ -53,5 +53,5 @@
     def host(self) -> PolicyFeed:
         """The driver of the policy."""
 
-    def tell_change(self, rank: int, body: bytes) -> None:
+    def send_rollout_datagram(self, rank: int, body: bytes) -> None:
         """Send a datagram about fleet versions."""
--- a/orchidlane/gateway/rollout_agent/version_review.py
+++ b/orchidlane/gateway/rollout_agent/version_review.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from orchidlane.gateway.control.configuration import UnfitContent
-from orchidlane.gateway.control.settings import Fleet
+from orchidlane.gateway.control.configuration import ContentError
+from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.rollout_agent.background_tasks import BackgroundTasks
 from orchidlane.gateway.rollout_agent.blob_fetcher import BlobFetcher, ContentUnavailableError
 from orchidlane.gateway.rollout_agent.configuration_reader import ConfigurationReader, version_configuration
@@ -43,7 +43,7 @@
         self.log = log
 
     @property
-    def _fleet(self) -> Fleet:
+    def _fleet(self) -> FleetSettings:
         return self.reader.fleet
 
     def tick(self, state: ReplicatedState, voter: Voter) -> None:
@@ -89,14 +89,14 @@
         self.fetcher.ensure_contents(version.contents)
         try:
             new = self.reader.read(version.contents, version.number)
-        except UnfitContent as error:
+        except ContentError as error:
             return str(error)
         current = state.current.version
         if version.reverts and version.contents == current.contents:
             return ""  # a part of the fleet still runs it
         try:
             old = self.reader.read(current.contents, current.number)
-        except UnfitContent as error:
+        except ContentError as error:
             return f"the version that runs: {error}"
         reason: str = self.reader.storage.world.aside(
             lambda: incompatibility(
--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -11,7 +11,7 @@
 
 from orchidlane import http1
 from orchidlane.gateway.forwarding.pending_request import Answer
-from orchidlane.gateway.forwarding.protocol_adapter import Clients, Terms
+from orchidlane.gateway.forwarding.protocol_adapter import Clients, GatewayLimits
 from orchidlane.gateway.server.accept_loop import NO_DESCRIPTOR_WAIT, accept_clients
 from orchidlane.gateway.server.client_connection import Connection, Watcher
 from orchidlane.gateway.server.request_handler import Driver, RequestHandler
@@ -32,25 +32,29 @@
 class Front:
     """Accepts clients and serves them."""
 
-    def __init__(self, loop: Loop, terms: Terms, host: Driver, clients: Clients, scope: Scope) -> None:
+    def __init__(
+        self, loop: Loop, terms: GatewayLimits, host: Driver, clients: Clients, scope: Scope
+    ) -> None:
         self.loop = loop
-        self.bounds = terms.bounds
-        self.times = terms.times
+        self.bounds = terms.resource_limits
+        self.times = terms.timeouts
         self.host = host
         self.clients = clients
         self.scope = scope
         self.metrics = host.metrics
         self.draining = False
         self.limits = http1.Limits(
-            line=terms.bounds.request_line,
-            head=terms.bounds.request_head,
-            headers=terms.bounds.request_headers,
-            body=terms.bounds.request_body,
+            line=terms.resource_limits.max_request_line_bytes,
+            head=terms.resource_limits.max_request_head_bytes,
+            headers=terms.resource_limits.max_request_headers,
+            body=terms.resource_limits.max_request_body_bytes,
         )
         self.connections: dict[Connection, None] = {}
         self.newcomers: dict[Connection, None] = {}  # those that asked nothing yet, the oldest first
         self.idle: dict[Connection, None] = {}  # those between two requests, the longest idle first
-        self.lingering = Lingering(loop, scope, terms.times.linger, terms.bounds.lingering)
+        self.lingering = Lingering(
+            loop, scope, terms.timeouts.linger_us, terms.resource_limits.max_lingering_connections
+        )
         self.listener: Listener
         self.pass_on: Callable[[Connection], None] | None = None  # gets each connection between two requests
         self.contain: Callable[[str, Exception], None] | None = None  # is told of failures, which end there
@@ -126,19 +130,19 @@
         self._begin(connection)
 
     def _begin(self, connection: Connection) -> None:
-        connection.known = not self.times.newcomer
+        connection.known = not self.times.first_request_us
         self.connections[connection] = None
         connection.task = self.scope.spawn(self._client, connection, kind=REQUESTS, name="client")
 
     def _make_room(self) -> None:
         """At the bound the client that is idle for longest goes; while all are busy, no more are taken."""
-        while len(self.connections) >= self.bounds.connections:
+        while len(self.connections) >= self.bounds.max_connections:
             if not self._evict():
                 self.loop.sleep(NO_DESCRIPTOR_WAIT)
 
     def _evict(self) -> bool:
         """End a client that has no request under way: silent newcomers first, then the longest idle one."""
-        least = self.loop.now() - self.times.idle_least
+        least = self.loop.now() - self.times.min_client_idle_us
         for resting in (self.newcomers, self.idle):
             connection = next(iter(resting), None)
             # Guards against a close that crosses a request: what has come already is served.
@@ -184,7 +188,7 @@
         self.draining = True
         self.loop.cancel(self._accepting)
         with suppress(Closed, NotConnected):
-            while len(self.connections) < self.bounds.connections:
+            while len(self.connections) < self.bounds.max_connections:
                 if (stream := self._next_waiting()) is None:
                     break
                 self._take(stream)
--- a/orchidlane/rollout/phases.py
+++ b/orchidlane/rollout/phases.py
@@ -29,7 +29,7 @@
 
     soak_us: int
     growth_factor: int
-    limits: rolling_batches.Limits
+    limits: rolling_batches.RiskLimits
     zones: tuple[str, ...]  # of each gateway
     replica_set_sizes: tuple[int, ...]
 
@@ -109,7 +109,7 @@
     )
     fleet = rolling_batches.Fleet(members, settings.replica_set_sizes)
     max_size = max(1, len(reached) * settings.growth_factor)
-    return rolling_batches.largest(fleet, settings.limits, rest, [], max_size) or rest[:1]
+    return rolling_batches.largest_batch(fleet, settings.limits, rest, [], max_size) or rest[:1]
 
 
 def sample(ranks: Sequence[int], round_number: int) -> list[int]:
--- a/orchidlane/simulation/mutants.py
+++ b/orchidlane/simulation/mutants.py
@@ -1,4 +1,4 @@
-"""Builds of the program that are broken on purpose: copies of it with one thing changed."""
+"""Broken builds for tests of the hot restart: copies of this program with one text replaced."""
 
 from __future__ import annotations
 
@@ -10,37 +10,36 @@
 import orchidlane
 
 
-class Change(NamedTuple):
-    """One text of a file for another."""
+class SourceChange(NamedTuple):
+    """Replaces one text of a source file."""
 
     file: str
     old: str
     new: str
 
 
+_NEW_SIDE = "gateway/lifecycle/new_side.py"
 _CRASH = '__import__("os")._exit(9)'
 _STARTED = "        self.channel.send(messages.Started())\n"
 
 
-def _soon(does: str) -> Change:
-    """Does something 150 ms after it began to serve."""
-    timer = f"        self.loop.call_at(self.loop.now() + 150_000, lambda _: {does})\n"
-    return Change("gateway/lifecycle/hot_restart.py", _STARTED, _STARTED + timer)
+def _soon_after_start(expression: str) -> SourceChange:
+    """Return a change that runs an expression 150 ms after the new process began to serve."""
+    timer = f"        self.loop.call_at(self.loop.now() + 150_000, lambda _: {expression})\n"
+    return SourceChange(_NEW_SIDE, _STARTED, _STARTED + timer)
 
 
-BROKEN = {
-    "does not start": Change(
-        "gateway/lifecycle/hot_restart.py", "class TakingSide:", "raise SystemExit(3)\n\n\nclass TakingSide:"
+BROKEN_BUILDS = {
+    "does not start": SourceChange(_NEW_SIDE, "class NewSide:", "raise SystemExit(3)\n\n\nclass NewSide:"),
+    "crashes with the listeners": SourceChange(
+        _NEW_SIDE,
+        "            case new_process.RunSelfCheck():\n",
+        f"            case new_process.RunSelfCheck():\n                {_CRASH}\n",
     ),
-    "crashes with the listeners": Change(
-        "gateway/lifecycle/hot_restart.py",
-        "            case taker.Check():\n",
-        f"            case taker.Check():\n                {_CRASH}\n",
-    ),
-    "crashes as it serves": _soon(_CRASH),
-    "fails as it serves": _soon("1 // 0"),  # not a crash: all that it has is ended in order
-    "hangs as it serves": _soon('__import__("time").sleep(60)'),
-    "refuses everything": Change(
+    "crashes as it serves": _soon_after_start(_CRASH),
+    "fails as it serves": _soon_after_start("1 // 0"),  # not a crash: its tasks are cancelled in order
+    "hangs as it serves": _soon_after_start('__import__("time").sleep(60)'),
+    "refuses everything": SourceChange(
         "policy/admission.py",
         "    quota.refill(state, account)\n    if plan.ceiling_rate",
         "    quota.refill(state, account)\n    return False\n    if plan.ceiling_rate",
@@ -48,11 +47,15 @@
 }
 
 
-def make_build(folder: Path, change: Change) -> str:
-    """A command that runs a copy of the program with the change. Raises ValueError where it does not fit."""
+def make_build(folder: Path, change: SourceChange) -> str:
+    """Copy this program with a change, and return the command that runs the copy.
+
+    Raises ValueError if the text to be replaced is not there.
+    """
     source = Path(orchidlane.__file__).parent
-    shutil.copytree(source, folder / "orchidlane", ignore=shutil.ignore_patterns("__pycache__"))
-    changed = folder / "orchidlane" / change.file
+    copy = folder / "orchidlane"
+    shutil.copytree(source, copy, ignore=shutil.ignore_patterns("__pycache__"))
+    changed = copy / change.file
     text = changed.read_text()
     if change.old not in text:
         raise ValueError(f"{change.file}: the text to be changed is not there")
--- a/orchidlane/simulation/rollout_faults.py
+++ b/orchidlane/simulation/rollout_faults.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator
 from typing import Protocol
 
-from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.rollout_agent.agent import RolloutAgent
 from orchidlane.runtime import Loop, Process, SimWorld
 
@@ -35,7 +35,7 @@
     loop: Loop
     world: SimWorld
     processes: dict[int, Process]
-    programs: dict[int, Program]
+    programs: dict[int, GatewayProcess]
 
     @property
     def scenario(self) -> Scenario:
--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -20,8 +20,8 @@
 import msgspec
 
 from orchidlane.config import Duration
-from orchidlane.gateway.control.settings import Fleet
-from orchidlane.gateway.lifecycle.process import Program
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.rollout_agent.admin_client import AdminCallError, AdminClient
 from orchidlane.gateway.rollout_agent.admin_messages import CommandOutcome, CommandRequest, RolloutStatus
 from orchidlane.gateway.rollout_agent.agent import RolloutAgent
@@ -67,7 +67,7 @@
 
 
 def run_scenario(
-    scenario: RolloutScenario, fleet: Fleet, describe_edit: Callable[[int], bytes], customers: bytes
+    scenario: RolloutScenario, fleet: FleetSettings, describe_edit: Callable[[int], bytes], customers: bytes
 ) -> Counter[str]:
     """Return what was done in a scenario. Raises InvariantViolationError."""
     return SimulatedRolloutFleet(scenario, fleet, describe_edit, customers).run().event_counts
@@ -79,7 +79,7 @@
     def __init__(
         self,
         scenario: RolloutScenario,
-        fleet: Fleet,
+        fleet: FleetSettings,
         describe_edit: Callable[[int], bytes],
         customers: bytes,
     ) -> None:
@@ -93,8 +93,8 @@
         self.fleet = _fleet_settings(scenario, fleet)
         self.client = AdminClient(self.loop, self.fleet, SECRET)
         self.processes: dict[int, Process] = {}
-        self.programs: dict[int, Program] = {}
-        self.checker = RolloutChecker(int(self.fleet.change.lease))
+        self.programs: dict[int, GatewayProcess] = {}
+        self.checker = RolloutChecker(int(self.fleet.rollout.lease_us))
         self.faults = FaultInjector(self)
         self.edits = 0
 
@@ -105,7 +105,7 @@
         self.processes[rank] = self.world.start(f"gw-{rank}", self._run_gateway, rank)
 
     def _run_gateway(self, rank: int) -> None:
-        program = Program(self.loop, self.fleet, rank, SECRET)
+        program = GatewayProcess(self.loop, self.fleet, rank, SECRET)
         self.programs[rank] = program
         program.run()
 
@@ -274,7 +274,7 @@
                 self.checker.check(rank, self.agent(rank), is_frozen, self.loop.now())
 
 
-def _fleet_settings(scenario: RolloutScenario, fleet: Fleet) -> Fleet:
+def _fleet_settings(scenario: RolloutScenario, fleet: FleetSettings) -> FleetSettings:
     """Return the settings of a scenario's fleet, with short leases and timeouts."""
     entry = fleet.gateways[0]
     entries = tuple(
@@ -289,7 +289,7 @@
         for rank in range(scenario.gateways)
     )
     terms = msgspec.structs.replace(
-        fleet.change,
+        fleet.rollout,
         voters=tuple(f"gw-{rank}" for rank in range(scenario.voters)),
         lease=Duration(2 * SECOND),
         every=Duration(SECOND // 10),
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -22,9 +22,9 @@
 )
 
 from orchidlane import http1
-from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.gateway.control.settings_loader import parse_settings
 
-TIGHT = parse_fleet(SETTINGS, "fleet.cue").plans
+TIGHT = parse_settings(SETTINGS, "fleet.cue").plans
 
 
 def header(headers, name: bytes) -> bytes | None:
@@ -511,7 +511,7 @@
         house.loop.sleep(100 * MS)
         assert house.process.tasks
         assert stream.recv(deadline=house.loop.now() + SECOND) == b""  # an end, no reset
-        house.loop.sleep(int(house.program.fleet.times.linger))  # which it keeps open
+        house.loop.sleep(int(house.program.fleet.timeouts.linger_us))  # which it keeps open
         assert not house.process.tasks
 
     run(good, test=test)
@@ -526,6 +526,6 @@
         house.loop.sleep(SECOND)
         assert house.ask(GET)[0] == 200
         assert house.program.metrics.heard == 0
-        assert sum(house.program.inbox.refused.values()) > 200
+        assert sum(house.program.inbox.rejected.values()) > 200
 
     run(good, test=test)
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -20,28 +20,27 @@
 
 import msgspec
 import pytest
-from conftest import SETTINGS, T0
+from harness.policy_harness import SETTINGS, START_US
 
 from orchidlane import policy, recording
 from orchidlane.gateway.control import endpoint_list
-from orchidlane.gateway.lifecycle.account_store import Memory
-from orchidlane.gateway.lifecycle.rolling_upgrade import Kept, Rolling
+from orchidlane.gateway.lifecycle.account_store import AccountStore
+from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver, StoredRoll
 from orchidlane.gateway.peers import datagrams, query_exchange, token_messages, token_requests
 from orchidlane.gateway.rollout_agent import admin_messages, storage
 from orchidlane.gateway.telemetry import policy_views
 from orchidlane.hot_restart import messages as restart_messages
 from orchidlane.hot_restart import rolling_upgrade
-from orchidlane.hot_restart.probation import Answers
+from orchidlane.hot_restart.probation import AnswerCounts
 from orchidlane.limits import GrantOutcome, GrantStore, TokenOwner
 from orchidlane.policy import gossip_codec as module_messages
 from orchidlane.policy.accounts import Account, AccountKey, ReplicaCount
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording import segments
 from orchidlane.recording.state_dump import account_to_row
+from orchidlane.rollout import canary_analysis, version
 from orchidlane.rollout import messages as version_messages
 from orchidlane.rollout import replicated_state as fleet_ledger
-from orchidlane.rollout import version
-from orchidlane.rollout.canary_analysis import AnswerCounts
 from orchidlane.rollout.voter_state import VoterState as VoterKept
 
 GOLDEN = Path(__file__).parent / "corpus" / "golden"
@@ -59,7 +58,7 @@
         self.world = self
 
     def now(self) -> int:
-        return T0
+        return START_US
 
     def call_at(self, *_: Any) -> None:
         """No file grows too old here."""
@@ -83,20 +82,23 @@
         customer=7,
         key=AccountKey(2, 1, 3),
         limit=24.5,
-        refilled_at_us=T0 - 40,
+        refilled_at_us=START_US - 40,
         replica_counts={0: ReplicaCount(15_900, 3.25), 2: ReplicaCount(15_950, 4.5)},
         counted_total=7.75,
         spent_total=9.25,
         recently_changed=(2, 0),
         unconfirmed=False,
         in_flight=2,
-        peer_admissions_at_us=(T0 - 9, T0 - 5),
-        announced_at_us=T0 - 3,
+        peer_admissions_at_us=(START_US - 9, START_US - 5),
+        announced_at_us=START_US - 3,
         ceiling_tokens=5.5,
         requested_tokens=1.5,
         exhausted=True,
     )
-    return [first, Account(customer=4_000_000_000, key=AccountKey(0, 0, 1), limit=10.0, refilled_at_us=T0)]
+    return [
+        first,
+        Account(customer=4_000_000_000, key=AccountKey(0, 0, 1), limit=10.0, refilled_at_us=START_US),
+    ]
 
 
 def golden_state() -> recording.StateDump:
@@ -120,7 +122,7 @@
 def golden_events() -> list[policy.Event]:
     """Each type of event at least once, with each value of the enumerations that an event holds."""
     entries = tuple(
-        policy.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, T0 - 90, 1.5)
+        policy.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, START_US - 90, 1.5)
         for phase in policy.EndpointState
     )
     return [
@@ -145,7 +147,7 @@
 def golden_actions() -> list[policy.Action]:
     """Each type of action once."""
     return [
-        policy.SendAttempt(1, b"10.0.0.1:80", T0 + 5_000),
+        policy.SendAttempt(1, b"10.0.0.1:80", START_US + 5_000),
         policy.CancelAttempt(1, 4),
         policy.GrantQuota(2),
         policy.RejectRequest(1, 250_000, True),
@@ -164,13 +166,18 @@
         format=2,
         build=BUILD,
         gateway="gateway-1",
-        started_at_us=T0 - 1_000_000,
+        started_at_us=START_US - 1_000_000,
         number=3,
         settings=golden_settings(),
         state=msgspec.structs.replace(golden_state(), accounts=[]),
         class_names=CLASS_NAMES,
         plan_names=PLAN_NAMES,
-        context={"now": T0, "incarnation": T0 - 1_000_000, "list": ["epoch-1", 12, 2], "draining": True},
+        context={
+            "now": START_US,
+            "incarnation": START_US - 1_000_000,
+            "list": ["epoch-1", 12, 2],
+            "draining": True,
+        },
     )
 
 
@@ -180,7 +187,7 @@
         format=1,
         build=BUILD,
         gateway="gateway-1",
-        now=T0,
+        now=START_US,
         settings=golden_settings(),
         state=golden_state(),
         class_names=CLASS_NAMES,
@@ -206,33 +213,45 @@
     return json.dumps(line).encode()
 
 
-def golden_tracker() -> endpoint_list.ListTracker:
+def golden_tracker() -> endpoint_list.EndpointListTracker:
     """The list of nodes as one gateway knows it."""
-    tracker = endpoint_list.ListTracker("z1", 100)
-    tracker.take(golden_node_list())
+    tracker = endpoint_list.EndpointListTracker("z1", 100)
+    tracker.apply_line(golden_node_list())
     return tracker
 
 
-def golden_roll(phase: rolling_upgrade.Phase) -> Kept:
+def golden_roll(phase: rolling_upgrade.Phase) -> StoredRoll:
     """A roll's state in some phase, with one gateway in each place."""
     ones = [
-        rolling_upgrade.One(
-            place, 4_000 + number, T0 + number, 2, Answers(900, 30, 4), 3_000 + number, True, "done", True
+        rolling_upgrade.GatewayState(
+            place,
+            4_000 + number,
+            START_US + number,
+            2,
+            AnswerCounts(900, 30, 4),
+            3_000 + number,
+            True,
+            "done",
+            True,
         )
-        for number, place in enumerate(rolling_upgrade.Place)
+        for number, place in enumerate(rolling_upgrade.GatewayPhase)
     ]
-    state = rolling_upgrade.State(ones, phase, T0 + 99, True, 4, [3, 1, 2], "gateway-2: it serves less")
+    state = rolling_upgrade.RollState(
+        ones, phase, START_US + 99, True, 4, [3, 1, 2], "gateway-2: it serves less"
+    )
     names = [f"gateway-{number}" for number in range(len(ones))]
-    return Kept(names, ("orchidlane-old serve", "orchidlane-new serve"), [1.5, 2.5, 3.5, 0.5, 9.0], state)
+    return StoredRoll(
+        names, ("orchidlane-old serve", "orchidlane-new serve"), [1.5, 2.5, 3.5, 0.5, 9.0], state
+    )
 
 
 def golden_limits_carried() -> dict[str, Any]:
     """What a successor is told of takes, tokens and reservations, beside the tables' rows."""
     return {
-        "life": T0 - 1_000_000,
-        "numbers": T0 - 999_000,
-        "sure_from": T0 - 500_000,
-        "credits": [[7, 2.5, T0 + 60_000_000]],
+        "life": START_US - 1_000_000,
+        "numbers": START_US - 999_000,
+        "sure_from": START_US - 500_000,
+        "credits": [[7, 2.5, START_US + 60_000_000]],
         "answered": [[1, 55, b"an answer told before"]],
     }
 
@@ -243,13 +262,22 @@
     return {
         "accounts": [
             [
-                *(7, [2, 1, 3], 24.5, T0 - 40, [[0, 15_900, 3.25], [2, 15_950, 4.5]], 7.75, 9.25, [2, 0]),
-                *(False, 2, [T0 - 9, T0 - 5], T0 - 3, 5.5, 1.5, True),
+                *(
+                    7,
+                    [2, 1, 3],
+                    24.5,
+                    START_US - 40,
+                    [[0, 15_900, 3.25], [2, 15_950, 4.5]],
+                    7.75,
+                    9.25,
+                    [2, 0],
+                ),
+                *(False, 2, [START_US - 9, START_US - 5], START_US - 3, 5.5, 1.5, True),
             ]
         ],
-        "tokens": [[b"token-1", 1, 55, T0 + 5_000_000, True, 2.5]],
+        "tokens": [[b"token-1", 1, 55, START_US + 5_000_000, True, 2.5]],
         "grants": [
-            [b"grant-%d" % number, 7, 2.5, T0 + 6_000_000, True, end]
+            [b"grant-%d" % number, 7, 2.5, START_US + 6_000_000, True, end]
             for number, end in enumerate(["", *ends])
         ],
     }
@@ -257,7 +285,7 @@
 
 def golden_peers() -> list[Any]:
     """What came of each peer: rank, incarnation, latest number, which of those before it came."""
-    return [[1, T0 - 70, 900, bytes(range(128))], [2, T0 - 60, 800, bytes(range(127, -1, -1))]]
+    return [[1, START_US - 70, 900, bytes(range(128))], [2, START_US - 60, 800, bytes(range(127, -1, -1))]]
 
 
 def golden_restart_messages() -> dict[str, Any]:
@@ -265,44 +293,46 @@
     told = restart_messages
     return {
         "hello": told.Hello(1, BUILD, "gateway-1", 1, 3, PLAN_NAMES),
-        "warm": told.Warm(),
+        "warm": told.Ready(),
         "started": told.Started(),
-        "pulse": told.Pulse(900, 30, 4, 5_000, 6_000),
-        "unfit": told.Unfit("its settings are another fleet's"),
-        "taken": told.Taken(55, True),
-        "heard": told.Heard(2, b"\x01an answer"),
-        "count": told.Count(7, 2, 1, 3, 15_900, 3.25),
-        "reading": told.Reading(81),
-        "began": told.Began(82),
-        "answering": told.Answering(83),
-        "idle": told.Idle(84, True, b"GET / HT", (3, b"client", False)),
-        "opened": told.Opened(85, "resp"),
-        "ended": told.Ended(86),
-        "took": told.Took(87, True),
-        "returned": told.Returned(),
-        "offer": told.Offer(BUILD, T0, T0 - 1_000_000, 4, ("http", "resp", "peers")),
-        "place": told.Place("http"),
-        "rows of accounts": told.Rows("accounts", golden_rows()["accounts"], [8, 9]),
-        "rows of tokens": told.Rows("tokens", golden_rows()["tokens"], [b"token-2"]),
-        "rows of grants": told.Rows("grants", golden_rows()["grants"], [b"grant-9"]),
-        "whole": told.Whole(),
-        "final": told.Final(
+        "pulse": told.Heartbeat(900, 30, 4, 5_000, 6_000),
+        "unfit": told.Failure("its settings are another fleet's"),
+        "taken": told.UnitsReply(55, True),
+        "heard": told.PeerReply(2, b"\x01an answer"),
+        "count": told.CustomerCount(7, 2, 1, 3, 15_900, 3.25),
+        "reading": told.ReadStarted(81),
+        "began": told.RequestStarted(82),
+        "answering": told.ResponseStarted(83),
+        "idle": told.ConnectionIdle(84, True, b"GET / HT", (3, b"client", False)),
+        "opened": told.ConnectionOpened(85, "resp"),
+        "ended": told.ConnectionClosed(86),
+        "took": told.ConnectionAdopted(87, True),
+        "returned": told.ServingStopped(),
+        "offer": told.Offer(BUILD, START_US, START_US - 1_000_000, 4, ("http", "resp", "peers")),
+        "place": told.InheritedSocket("http"),
+        "rows of accounts": told.TableRows("accounts", golden_rows()["accounts"], [8, 9]),
+        "rows of tokens": told.TableRows("tokens", golden_rows()["tokens"], [b"token-2"]),
+        "rows of grants": told.TableRows("grants", golden_rows()["grants"], [b"grant-9"]),
+        "whole": told.CopyComplete(),
+        "final": told.FinalState(
             msgspec.structs.replace(golden_state(), accounts=[]),
             golden_limits_carried(),
-            msgspec.to_builtins(golden_tracker().carried()),
+            msgspec.to_builtins(golden_tracker().export_state()),
             golden_peers(),
             5_000,
             6_000,
             CLASS_NAMES,
         ),
-        "connection": told.Connection(88, "resp", b"*1\r\n", T0 - 30, T0 - 20, (3, b"client", False)),
-        "take": told.Take(56, 7, 2, 1, 2.5, 1, 3),
-        "tell": told.Tell(2, b"\x02a datagram's body"),
-        "granted": told.Granted(b"grant-1", 7, 2.5, 60_000_000),
+        "connection": told.ConnectionHandover(
+            88, "resp", b"*1\r\n", START_US - 30, START_US - 20, (3, b"client", False)
+        ),
+        "take": told.UnitsRequest(56, 7, 2, 1, 2.5, 1, 3),
+        "tell": told.SendDatagram(2, b"\x02a datagram's body"),
+        "granted": told.GrantRecorded(b"grant-1", 7, 2.5, 60_000_000),
         "abort": told.Abort("it does not read"),
-        "recall": told.Recall("it serves less"),
+        "recall": told.Reclaim("it serves less"),
         "release": told.Release(),
-        "ask": told.Ask(),
+        "ask": told.StatusRequest(),
         "status": told.Status("trial", BUILD, 4_001, "done", 900, 30, 4),
     }
 
@@ -465,9 +495,10 @@
     )
 
 
-def golden_tallies() -> dict[str, AnswerCounts]:
+def golden_tallies() -> dict[str, canary_analysis.AnswerCounts]:
     """What a gateway answered, by class and plan."""
-    return {"safe plain": AnswerCounts(900, 30, 4, 5, 6, 7), "unsafe capped": AnswerCounts(80, 3, 2, 1, 9, 8)}
+    counts = canary_analysis.AnswerCounts
+    return {"safe plain": counts(900, 30, 4, 5, 6, 7), "unsafe capped": counts(80, 3, 2, 1, 9, 8)}
 
 
 def golden_outcome() -> admin_messages.CommandOutcome:
@@ -493,12 +524,12 @@
     rows = [account_to_row(account) for account in golden_accounts()]
     parts = [
         recording.pack_header(golden_header()),
-        recording.pack_account_page(T0 + 1, rows[:1], last=False),
+        recording.pack_account_page(START_US + 1, rows[:1], last=False),
     ]
     for number, event in enumerate(golden_events()):
-        parts.append(recording.pack_entry(T0 + 2 + number, event, [] if number else golden_actions()))
-    parts.append(recording.pack_account_page(T0 + 90, rows[1:], last=True))
-    parts.append(segments.pack_response(T0 + 91, 1, 429, "refused", 6_000))
+        parts.append(recording.pack_entry(START_US + 2 + number, event, [] if number else golden_actions()))
+    parts.append(recording.pack_account_page(START_US + 90, rows[1:], last=True))
+    parts.append(segments.pack_response(START_US + 91, 1, 429, "refused", 6_000))
     return b"".join(parts)
 
 
@@ -517,54 +548,62 @@
 }
 
 
-def account_store(disk: Disk) -> Memory:
+def account_store(disk: Disk) -> AccountStore:
     """The account store of a gateway whose module holds the golden accounts, or none where they are read."""
     gateway = recording.restore_gateway(
         SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS)
     )
     recording.track_accounts(gateway)
-    about = {"now": T0, "incarnation": T0 - 1_000_000, "sequence": 5_000, "generation": 4, "open": 2}
+    about = {
+        "now": START_US,
+        "incarnation": START_US - 1_000_000,
+        "sequence": 5_000,
+        "generation": 4,
+        "open": 2,
+    }
     program = SimpleNamespace(
         loop=disk,
         host=SimpleNamespace(loop=disk, rules=gateway, settings=SETTINGS),
         fleet=SimpleNamespace(
-            restart=SimpleNamespace(every=2_000_000), plans=dict.fromkeys(PLAN_NAMES), gateways=[]
+            account_store=SimpleNamespace(write_interval_us=2_000_000),
+            plans=dict.fromkeys(PLAN_NAMES),
+            gateways=[],
         ),
         entry=SimpleNamespace(name="gateway-1"),
-        incarnation=T0 - 1_000_000,
-        names=lambda: (CLASS_NAMES, PLAN_NAMES),
-        about=lambda: about,
-        quiet=False,
+        incarnation=START_US - 1_000_000,
+        state_names=lambda: (CLASS_NAMES, PLAN_NAMES),
+        describe_state=lambda: about,
+        superseded=False,
         stopping=False,
         log=SimpleNamespace(error=lambda what, **why: pytest.fail(f"{what}: {why}")),
     )
-    return Memory(program, "accounts")  # type: ignore[arg-type]
+    return AccountStore(program, "accounts")  # type: ignore[arg-type]
 
 
 def write_account_store() -> bytes:
     """As the program writes its accounts down at its end."""
     disk = Disk()
     store = account_store(disk)
-    store.program.host.rules.accounts.update({one.customer: one for one in golden_accounts()})
+    store.gateway.host.rules.accounts.update({one.customer: one for one in golden_accounts()})
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(recording, "build_name", lambda: BUILD)
-        store.finish()
+        store.save_final()
     return disk.files["accounts"]
 
 
-def rolling_of(disk: Disk) -> Rolling:
+def rolling_of(disk: Disk) -> RollDriver:
     """What carries out a roll of the golden gateways."""
     gateways = [SimpleNamespace(name=name) for name in golden_roll(rolling_upgrade.Phase.ROLLING).names]
-    fleet = SimpleNamespace(state="state", gateways=gateways)
-    return Rolling(disk, fleet, None, print)  # type: ignore[arg-type]
+    fleet = SimpleNamespace(state_directory="state", gateways=gateways)
+    return RollDriver(disk, fleet, None, print)  # type: ignore[arg-type]
 
 
 def write_roll(phase: rolling_upgrade.Phase) -> bytes:
     """As a roll writes its state down."""
     disk = Disk()
     written = rolling_of(disk)
-    written.kept = golden_roll(phase)
-    written._save()
+    written.stored = golden_roll(phase)
+    written._store()
     return disk.files["state/roll.json"]
 
 
@@ -581,7 +620,7 @@
 
 def write_module_message() -> bytes:
     """As the module tells its peers."""
-    sent = T0 // 1000
+    sent = START_US // 1000
     return module_messages.encode_message(
         sent, True, True, [module_messages.encode_row(golden_module_row(), sent, 3)]
     )
@@ -595,7 +634,7 @@
         "versions": datagrams.DatagramKind.ROLLOUT,
     }
     return {
-        name: datagrams.encode_datagram(SECRET, 1, 2, T0 - 5, 900 + kind, b"a body", kind)
+        name: datagrams.encode_datagram(SECRET, 1, 2, START_US - 5, 900 + kind, b"a body", kind)
         for name, kind in kinds.items()
     }
 
@@ -611,7 +650,7 @@
     "traffic-record.olr": write_record,
     "account-store.olr": write_account_store,
     "view.msgpack": lambda: PACK(golden_view()),
-    "node-list-cache.json": lambda: golden_tracker().cached(),
+    "node-list-cache.json": lambda: golden_tracker().encode_cache(),
     "roll-states.json": lambda: as_hex({phase.value: write_roll(phase) for phase in rolling_upgrade.Phase}),
     "hot-restart-messages.json": lambda: write_messages(golden_restart_messages(), restart_messages.encode),
     "limit-messages.json": lambda: write_messages(golden_limit_messages(), PACK),
@@ -719,7 +758,7 @@
     assert [module.now, module.allowance_refilled_at_us, module.started_at_us] == [
         1_000_549_025,
         1_000_470_794,
-        T0,
+        START_US,
     ]
     assert [module.last_attempt_at_us, module.retry_budget] == [1_000_412_080, 2.4499999999999984]
     assert [module.unreachable_share, module.message_allowance] == [0.14782969, 39.0]
@@ -806,9 +845,9 @@
     *entries, answer = reader.entries()
     assert reader.damage is None
     assert [entry.event for entry in entries] == golden_events()
-    assert [entry.at_us for entry in entries] == [T0 + 2 + number for number in range(len(entries))]
+    assert [entry.at_us for entry in entries] == [START_US + 2 + number for number in range(len(entries))]
     assert entries[0].actions == golden_actions()
-    assert (answer.at_us, answer.event, answer.response) == (T0 + 91, None, (1, 429, "refused", 6_000))
+    assert (answer.at_us, answer.event, answer.response) == (START_US + 91, None, (1, 429, "refused", 6_000))
 
 
 def test_a_golden_account_store_brings_back_its_accounts():
@@ -817,7 +856,7 @@
     assert [recording.account_from_row(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
     store = account_store(Disk(accounts=golden("account-store.olr")))
     assert store.load() == len(golden_accounts())
-    accounts = store.program.host.rules.accounts
+    accounts = store.gateway.host.rules.accounts
     for one in golden_accounts():
         found = accounts[one.customer]
         assert (found.key, found.spent_total, found.counted_total) == (
@@ -825,7 +864,7 @@
             one.spent_total,
             one.counted_total,
         )
-        assert (found.limit, found.refilled_at_us) == (max(one.limit, one.spent_total), T0)
+        assert (found.limit, found.refilled_at_us) == (max(one.limit, one.spent_total), START_US)
 
 
 def test_a_golden_view_is_read_as_its_values():
@@ -838,8 +877,8 @@
 
 
 def test_a_golden_cache_of_the_node_list_is_read_as_its_nodes():
-    tracker = endpoint_list.ListTracker("z1", 100)
-    assert tracker.restore(golden("node-list-cache.json")) == policy.EndpointListReceived(
+    tracker = endpoint_list.EndpointListTracker("z1", 100)
+    assert tracker.load_cache(golden("node-list-cache.json")) == policy.EndpointListReceived(
         policy.EndpointListKind.CACHED,
         0,
         (
@@ -847,16 +886,16 @@
             policy.EndpointEntry(b"10.0.0.2:80", policy.EndpointState.DRAINING, 2, 3, 66, 2.0),
         ),
     )
-    assert tracker.nodes == golden_tracker().nodes
+    assert tracker.endpoints == golden_tracker().endpoints
 
 
 def test_a_golden_roll_is_read_in_every_phase():
     examples = golden_examples("roll-states.json")
     assert set(examples) == {phase.value for phase in rolling_upgrade.Phase}
     for name, data in examples.items():
-        kept = rolling_of(Disk(**{"state/roll.json": data})).left()
+        kept = rolling_of(Disk(**{"state/roll.json": data})).load_stored()
         assert kept == golden_roll(rolling_upgrade.Phase(name))
-        assert {one.place for one in kept.state.ones} == set(rolling_upgrade.Place)
+        assert {one.phase for one in kept.state.gateways} == set(rolling_upgrade.GatewayPhase)
 
 
 # Hot restart
@@ -878,7 +917,7 @@
     accounts = read_restart_message("rows of accounts").rows
     assert [recording.account_from_row(row) for row in accounts] == golden_accounts()[:1]
     assert PACK([account_to_row(recording.account_from_row(row)) for row in accounts]) == PACK(accounts)
-    holder, grants = TokenOwner(1, 10, T0), GrantStore(100, 1, 1)
+    holder, grants = TokenOwner(1, 10, START_US), GrantStore(100, 1, 1)
     for kept, name in ((holder, "rows of tokens"), (grants, "rows of grants")):
         rows = read_restart_message(name).rows
         for row in rows:
@@ -888,20 +927,22 @@
 
 def test_what_the_last_message_before_a_successor_serves_carries_is_taken_and_told_again():
     final = read_restart_message("final")
-    terms = SimpleNamespace(token_life=1, tokens=10, grants=10, grant_life=1, credit_life=1)
-    fleet = SimpleNamespace(limits=terms, gateways=[None] * 3)
+    quotas = SimpleNamespace(
+        token_lifetime_us=1, max_tokens=10, max_grants=10, grant_lifetime_us=1, credit_lifetime_us=1
+    )
+    fleet = SimpleNamespace(quotas=quotas, gateways=[None] * 3)
     service = token_requests.LimitService(Disk(), fleet, 0, None, print)  # type: ignore[arg-type]
     service.load_state(final.limits)
     again = {**final.limits, "numbers": final.limits["numbers"] + query_exchange.QUERY_IDS_PER_PROCESS}
     assert PACK(service.dump_state()) == PACK(again)
-    inbox = datagrams.Inbox(SECRET, 0, 3, T0, 9.0)
+    inbox = datagrams.Inbox(SECRET, 0, 3, START_US, 9.0)
     inbox.load_peer_rows(final.peers)
     assert PACK(inbox.peer_rows()) == PACK(final.peers)
-    tracker = endpoint_list.ListTracker("z1", 100)
-    tracker.carry_on(final.nodes)
-    assert PACK(tracker.carried()) == PACK(final.nodes) == PACK(golden_tracker().carried())
+    tracker = endpoint_list.EndpointListTracker("z1", 100)
+    tracker.import_state(final.endpoints)
+    assert PACK(tracker.export_state()) == PACK(final.endpoints) == PACK(golden_tracker().export_state())
     head = msgspec.structs.replace(golden_state(), accounts=[])
-    assert final.module == head
+    assert final.policy_state == head
 
 
 # Between gateways
@@ -925,14 +966,14 @@
 
 
 def test_a_golden_message_of_the_module_is_read_as_its_values():
-    found = module_messages.decode_message(golden("module-message.bin"), T0 // 1000, 3, len(PLAN_NAMES))
-    assert found == module_messages.GossipMessage(T0 // 1000, True, True, (golden_module_row(),))
+    found = module_messages.decode_message(golden("module-message.bin"), START_US // 1000, 3, len(PLAN_NAMES))
+    assert found == module_messages.GossipMessage(START_US // 1000, True, True, (golden_module_row(),))
 
 
 def test_golden_datagrams_of_every_kind_are_taken():
     for number, data in enumerate(golden_examples("datagrams.json").values()):
-        inbox = datagrams.Inbox(SECRET, 2, 3, T0, 9.0, 9.0, 9.0)
-        assert inbox.accept(T0, data) == (number, 1, b"a body")
+        inbox = datagrams.Inbox(SECRET, 2, 3, START_US, 9.0, 9.0, 9.0)
+        assert inbox.accept(START_US, data) == (number, 1, b"a body")
 
 
 # Fleet versions
@@ -996,7 +1037,9 @@
     assert read(golden("admin-order.msgpack"), type=admin_messages.CommandRequest) == golden_order()
     assert read(golden("admin-outcome.msgpack"), type=admin_messages.CommandOutcome) == golden_outcome()
     assert read(golden("admin-status.msgpack"), type=admin_messages.RolloutStatus) == golden_status()
-    assert read(golden("admin-counts.msgpack"), type=dict[str, AnswerCounts]) == golden_tallies()
+    assert (
+        read(golden("admin-counts.msgpack"), type=dict[str, canary_analysis.AnswerCounts]) == golden_tallies()
+    )
     for body in (golden_order(), golden_outcome(), golden_status().gateways[1]):
         assert has_default(body) == []
 
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -37,7 +37,7 @@
 
 from orchidlane import config, policy, resp
 from orchidlane.cli.main import main
-from orchidlane.gateway.control import settings as fleet_settings
+from orchidlane.gateway.control import settings_loader
 from orchidlane.gateway.peers import datagrams, token_messages
 from orchidlane.gateway.rollout_agent import admin_messages
 from orchidlane.hot_restart import messages as upgrade_messages
@@ -46,7 +46,7 @@
 from orchidlane.rollout import canary_analysis, commands, replicated_state, version
 from orchidlane.rollout import messages as change_messages
 from orchidlane.simulation import scenario as lab_day
-from orchidlane.simulator_protocol import codec
+from orchidlane.simulator_protocol import codec, settings_json
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 SECOND = 1_000_000
@@ -107,7 +107,7 @@
     return [event.kind.value, event.version, entries]
 
 
-def start_values(event: codec.Start) -> list:
+def start_values(event: codec.StartGateway) -> list:
     """A gateway's start as plain values."""
     return [event.seed, settings_values(event.settings)]
 
@@ -132,8 +132,8 @@
         event.duration_us,
         list(event.load_report),
     ],
-    codec.Start: start_values,
-    codec.Stop: lambda event: [],
+    codec.StartGateway: start_values,
+    codec.StopGateway: lambda event: [],
 }
 
 ACTIONS: dict[int, list[policy.Action]] = {  # by the code of its record
@@ -316,9 +316,9 @@
         return next(iter(kind))
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return sample_struct(kind)
-    if isinstance(kind, type) and issubclass(kind, tuple) and kind is not tuple:  # a named one
-        types = get_type_hints(kind).values()
-        return kind(*(sample(part, number + place) for place, part in enumerate(types)))
+    if isinstance(kind, type) and issubclass(kind, tuple) and hasattr(kind, "_fields"):
+        parts = get_type_hints(kind).values()
+        return kind(*(sample(part, number + place) for place, part in enumerate(parts)))
     parts = get_args(kind)
     if type(None) in parts:
         return sample(parts[0], number)
@@ -415,7 +415,7 @@
 
 def record(code: int, layout: str, *values) -> bytes:
     """A record of an event, by the protocol's layout."""
-    return struct.pack("<B" + layout, code, *values).ljust(codec.EVENT_SIZE, b"\0")
+    return struct.pack("<B" + layout, code, *values).ljust(codec.EVENT_BYTES, b"\0")
 
 
 def frames_of_the_wire() -> dict[str, list[tuple[list[bytes], bytes]]]:
@@ -460,7 +460,7 @@
             body = b"".join(records) + tail
             events = [
                 [gateway, EVENT_VALUES[type(event)](event)]
-                for gateway, event in codec.Decoder().frame(len(records), body)
+                for gateway, event in codec.Decoder().decode_frame(len(records), body)
             ]
             found.setdefault(code, []).append({"records": len(records), "body": body.hex(), "events": events})
     assert {int(code) for code in found} == set(codec._READERS)
@@ -469,7 +469,7 @@
 
 def test_each_event_that_the_wire_has_is_covered():
     of_code = {policy.QuotaRequested, policy.CountRecovered, policy.ReplicaSetChanged}  # not of the wire
-    covered = {kind for kind in EVENT_VALUES if kind not in (codec.Start, codec.Stop)}
+    covered = {kind for kind in EVENT_VALUES if kind not in (codec.StartGateway, codec.StopGateway)}
     assert set(get_args(policy.Event)) - covered == of_code
 
 
@@ -478,12 +478,12 @@
     for code, actions in ACTIONS.items():
         encoder = codec.Encoder()
         for action in actions:
-            encoder.add(3, action)
-        found[str(code)] = encoder.reply().hex()
-        assert encoder.reply()[8] == code
+            encoder.add_action(3, action)
+        found[str(code)] = encoder.encode_reply().hex()
+        assert encoder.encode_reply()[8] == code
     encoder = codec.Encoder()
-    encoder.bug(3, "ValueError: what happened")
-    found["74"] = encoder.reply().hex()
+    encoder.add_failure(3, "ValueError: what happened")
+    found["74"] = encoder.encode_reply().hex()
     covered = {type(action) for actions in ACTIONS.values() for action in actions}
     assert covered | NOT_OF_THE_WIRE == set(get_args(policy.Action))
     check_golden("wire-actions", found)
@@ -501,7 +501,8 @@
         "by probes": settings(loadReport={"how": "on_probe", "names": ["util"]}, rank=2, balancers=5),
     }
     found = {
-        what: settings_values(codec.parse_settings(json.dumps(text).encode())) for what, text in texts.items()
+        what: settings_values(settings_json.parse_settings(json.dumps(text).encode()))
+        for what, text in texts.items()
     }
     check_golden("wire-settings", {"texts": texts, "values": found})
 
@@ -747,7 +748,7 @@
     def test_broken(house):
         found["may have run"] = http_answer(house, REPORT)
 
-    GatewayHarness(good, good, seed=5, plans=fleet_settings.parse_fleet(SETTINGS, "fleet.cue").plans).run(
+    GatewayHarness(good, good, seed=5, plans=settings_loader.parse_settings(SETTINGS, "fleet.cue").plans).run(
         test
     )
     GatewayHarness(resets_after, seed=5).run(test_broken)
@@ -788,7 +789,7 @@
             # Of an error its first word counts, the rest is prose.
             found.append([words, reply.split()[0] if reply.startswith("-") else reply])
 
-    fleet = fleet_settings.parse_fleet(SETTINGS, "fleet.cue")
+    fleet = settings_loader.parse_settings(SETTINGS, "fleet.cue")
     GatewayHarness(good, gateways=fleet.gateways[:1], seed=5).run(test)
     check_golden("resp-replies", found)
 
@@ -856,9 +857,9 @@
 
 
 def test_settings_have_the_golden_names_and_defaults():
-    schema = fleet_settings.schema()
+    schema = settings_loader.schema_text()
     found = config.plain_values(SMALLEST, "smallest.cue", schema, "#Fleet")
-    fleet_settings.parse_fleet(SMALLEST, "smallest.cue")
+    settings_loader.parse_settings(SMALLEST, "smallest.cue")
     check_golden("settings", {"defaults": found, "schema": schema_without_comments(schema)})
 
 
