--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -290,14 +290,19 @@
     )
     terms = msgspec.structs.replace(
         fleet.rollout,
-        voters=tuple(f"gw-{rank}" for rank in range(scenario.voters)),
-        lease=Duration(2 * SECOND),
-        every=Duration(SECOND // 10),
-        beat=Duration(SECOND // 20),
-        silence=Duration(SECOND * 3 // 10),
-        decide=Duration(3 * SECOND),
-        soak=Duration(scenario.soak_us),
+        voting_members=tuple(f"gw-{rank}" for rank in range(scenario.voters)),
+        lease_us=Duration(2 * SECOND),
+        poll_interval_us=Duration(SECOND // 10),
+        heartbeat_interval_us=Duration(SECOND // 20),
+        election_timeout_us=Duration(SECOND * 3 // 10),
+        decision_timeout_us=Duration(3 * SECOND),
+        soak_us=Duration(scenario.soak_us),
     )
     return msgspec.structs.replace(
-        fleet, gateways=entries, change=terms, description="openapi", customers="customers", state="state"
+        fleet,
+        gateways=entries,
+        rollout=terms,
+        description="openapi",
+        customers="customers",
+        state_directory="state",
     )
--- a/tests/test_change_stories.py
+++ b/tests/test_change_stories.py
@@ -1,4 +1,4 @@
-"""FleetSettings versions under random faults, one seed a story; see ``simulation/rollout_scenarios.py``."""
+"""Fleet versions under random faults, one seed a story; see ``simulation/rollout_scenarios.py``."""
 
 from __future__ import annotations
 
