--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -25,8 +25,8 @@
 from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
 from orchidlane.gateway.peers.datagrams import MAX_DATAGRAM_BYTES, DatagramKind, Inbox, encode_datagram
 from orchidlane.gateway.peers.token_requests import LimitService
-from orchidlane.gateway.rollout_agent.admin_api import Desk
-from orchidlane.gateway.rollout_agent.agent import Versions
+from orchidlane.gateway.rollout_agent.admin_api import RolloutAdminApi
+from orchidlane.gateway.rollout_agent.agent import RolloutAgent
 from orchidlane.gateway.server.http_server import Connection, Front
 from orchidlane.gateway.server.resp_server import RespFront, Session
 from orchidlane.gateway.telemetry.admin_api import Admin, Names
@@ -70,7 +70,7 @@
         self.log = structlog.get_logger().bind(gateway=self.entry.name)
         self.configuration_given = knowledge is not None
         self.sources: tuple[bytes, bytes] | None = None  # contents of the description and customers files
-        self.versions = Versions(self) if fleet.rollout.voting_members else None
+        self.versions = RolloutAgent(self) if fleet.rollout.voting_members else None
         self.knowledge = knowledge or self._initial_configuration(1)
         self.metrics = Metrics()
         self.stopping = False
@@ -150,7 +150,7 @@
 
     def _initial_configuration(self, number: int) -> ConfigurationSnapshot:
         """Return what an earlier incarnation ran with, or what the files say. Raises as the reading does."""
-        restored = self.versions.restored(number) if self.versions is not None else None
+        restored = self.versions.restore(number) if self.versions is not None else None
         return restored or self._read_configuration(number)
 
     def _read_configuration(self, number: int) -> ConfigurationSnapshot:
@@ -168,7 +168,7 @@
     def reload(self) -> None:
         """Read description and customers anew while serving; what is invalid changes nothing."""
         number = self.knowledge.generation.number + 1
-        if self.versions is not None and self.versions.ledger is not None:
+        if self.versions is not None and self.versions.state is not None:
             self._refuse_reload("the fleet goes by its ledger: propose the change")
             return
         try:
@@ -219,7 +219,7 @@
 
     def _build_forwarding(self, settings: policy.Settings, scope: Scope) -> None:
         nodes = OpenApiNodes(self.fleet, self.entry.name, self.incarnation, self.tracker)
-        note = self.versions.note if self.versions is not None else None
+        note = self.versions.record_answer if self.versions is not None else None
         clients = OpenApiClients(
             self.fleet,
             lambda: self.knowledge,
@@ -247,12 +247,12 @@
             self.describe_state,
             lambda: self.ready and not self.stopping and not self._unready_reason(),
             self.state_names,
-            Desk(self.versions) if self.versions is not None else None,
+            RolloutAdminApi(self.versions) if self.versions is not None else None,
         )
 
     def _unready_reason(self) -> str:
         """Return why requests must not be served yet; empty if they may."""
-        return self.versions.why_not_serve() if self.versions is not None else ""
+        return self.versions.rejection_reason() if self.versions is not None else ""
 
     # -- serving
 
@@ -319,7 +319,7 @@
             "client_margin": int(self.fleet.timeouts.response_margin_us),
         }
         if self.versions is not None:
-            description["version"] = self.versions.show()
+            description["version"] = self.versions.known.running_label
         return description
 
     # -- hot restart
@@ -398,6 +398,6 @@
             if kind == DatagramKind.POLICY:
                 self.host.feed(policy.PeerMessageReceived(sender, body))
             elif kind == DatagramKind.ROLLOUT and self.versions is not None:
-                self.versions.hear(sender, body)
+                self.versions.receive(sender, body)
             else:
                 self.limits.receive(sender, body)
