--- a/orchidlane/gateway/telemetry/traffic_recorder.py
+++ b/orchidlane/gateway/telemetry/traffic_recorder.py
@@ -124,4 +124,4 @@
             self.failed = True
             self._state.close()
             self._buffer.clear()
-            self.log.error("recording ended", why=str(error))  # noqa: TRY400  a full disk needs no traceback
+            self.log.error("recording ended", why=str(error))
--- a/tests/harness/golden_writers.py
+++ b/tests/harness/golden_writers.py
@@ -172,7 +172,7 @@
 def write_version_file(kind: str) -> bytes:
     """As a gateway writes its voter's file or the one of the version that runs."""
     disk = Disk()
-    kept = storage.Files(disk, "gateway-1")  # type: ignore[arg-type]
+    kept = storage.RolloutStorage(disk, "gateway-1")  # type: ignore[arg-type]
     if kind == "voter":
         kept.write_voter(golden_voter_file())
     else:
@@ -218,8 +218,8 @@
     "module-message.bin": write_module_message,
     "datagrams.json": lambda: as_hex(write_datagrams()),
     "ledger.msgpack": lambda: fleet_ledger.encode(golden_ledger()),
-    "ledger-name.txt": lambda: version.name_of(fleet_ledger.encode(golden_ledger())).encode(),
-    "content-name.txt": lambda: golden_parts("a").content.encode(),
+    "ledger-name.txt": lambda: version.content_hash(fleet_ledger.encode(golden_ledger())).encode(),
+    "content-name.txt": lambda: golden_parts("a").combined_hash.encode(),
     "voter-file.bin": lambda: write_version_file("voter"),
     "running-file.bin": lambda: write_version_file("running"),
     "version-messages.json": lambda: write_messages(golden_version_messages(), version_messages.encode),
