--- a/orchidlane/gateway/lifecycle/client_transfer.py
+++ b/orchidlane/gateway/lifecycle/client_transfer.py
@@ -77,7 +77,7 @@
 
     def hand_over_resp(self, channel: Channel, session: Session) -> None:
         """Hand an idle RESP connection over; one that is out of step is closed."""
-        unread = session.decoder.unread()
+        unread = session.decoder.unread_bytes()
         if unread is None:
             session.stream.close()
             return
@@ -290,7 +290,7 @@
     def return_resp(self, session: Session) -> None:
         """Return an idle RESP connection; one that is out of step is closed."""
         identifier = connection_id(RESP, session.number)
-        unread = session.decoder.unread()
+        unread = session.decoder.unread_bytes()
         if unread is None:
             self.channel.send(messages.ConnectionClosed(identifier))
             session.stream.close()
--- a/orchidlane/gateway/server/resp_server.py
+++ b/orchidlane/gateway/server/resp_server.py
@@ -19,7 +19,7 @@
 from orchidlane.gateway.server.accept_loop import accept_clients
 from orchidlane.gateway.server.client_connection import Watcher, recv_watched, send_all
 from orchidlane.limits import GrantOutcome, GrantStoreFullError
-from orchidlane.resp import ErrorReply, Simple
+from orchidlane.resp import ErrorReply, SimpleString
 from orchidlane.routes import Generation
 from orchidlane.runtime import REQUESTS, Closed, Expired, Lingering, Listener, Loop, Scope, Stream, Task
 
@@ -27,7 +27,7 @@
 TOKEN_MOST = 256  # bytes
 UNREAD_MOST = 65_536  # bytes of commands that another process is told of
 LOST = ErrorReply("ERR the process that took this command ended; whether it took effect is not known")
-OK = Simple("OK")
+OK = SimpleString("OK")
 
 
 class CommandError(Exception):
@@ -76,10 +76,10 @@
         self.knowledge = knowledge
         self.scope = scope
         self.limits = resp.Limits(
-            bulk=self.terms.max_bulk_bytes,
-            count=self.terms.max_command_words,
-            total=self.terms.max_command_words,
-            depth=4,
+            max_bulk_bytes=self.terms.max_bulk_bytes,
+            max_items=self.terms.max_command_words,
+            max_total_items=self.terms.max_command_words,
+            max_depth=4,
         )
         self.sessions: dict[Session, None] = {}
         self.lingering = Lingering(
@@ -205,7 +205,7 @@
         self.draining = True
         self.listener.close()
         for session in list(self.sessions):
-            if not (session.decoder.pending or session.busy or session.stream.waiting()):
+            if not (session.decoder.pending_bytes or session.busy or session.stream.waiting()):
                 self._forget(session)
 
     def _forget(self, session: Session) -> None:
@@ -245,7 +245,7 @@
     def _more(self, session: Session) -> bool:
         """Read once: long for a new command, shorter for the rest of one."""
         times = self.fleet.timeouts
-        span = times.body_progress_us if session.decoder.pending else times.client_idle_us
+        span = times.body_progress_us if session.decoder.pending_bytes else times.client_idle_us
         by = self.loop.now() + span
         if self.watcher is None:
             data = session.stream.recv(deadline=by)
@@ -258,7 +258,7 @@
     def _tell_idle(self, session: Session) -> None:
         """Nothing is under way; not told where nobody else could go on with it."""
         if self.watcher is not None:
-            unread = session.decoder.unread()
+            unread = session.decoder.unread_bytes()
             if unread is not None and len(unread) <= UNREAD_MOST:
                 self.watcher.idle(session.number, unread, session.facts)
 
@@ -277,7 +277,7 @@
                 if quits:
                     raise Closed("the client quit")
                 self.loop.breathe()
-        except resp.Broken as wrong:
+        except resp.ProtocolError as wrong:
             out += resp.encode(ErrorReply(f"ERR Protocol error: {wrong}"))
             self._write(session, out)
             raise Closed("out of step") from None
@@ -316,7 +316,7 @@
             return ErrorReply(f"BUSY {wrong}")
 
     def _ping(self, _session: Session, words: list[bytes]) -> Any:
-        return words[0] if words else Simple("PONG")
+        return words[0] if words else SimpleString("PONG")
 
     def _auth(self, session: Session, words: list[bytes]) -> Any:
         if not self.terms.passwords:
@@ -354,7 +354,7 @@
     def _reset(self, session: Session, _words: list[bytes]) -> Any:
         session.version, session.name = 2, b""
         session.authorized = not self.terms.passwords
-        return Simple("RESET")
+        return SimpleString("RESET")
 
     def _select(self, _session: Session, words: list[bytes]) -> Any:
         if words[0] != b"0":
@@ -394,7 +394,7 @@
         _, least, most = self.commands[name]
         arity = least + 1 if least == most else -(least + 1)
         keyed = name.startswith((b"CL.", b"LIMIT.")) and name != b"LIMIT.INFO"
-        return [name.decode().lower(), arity, [Simple("fast")], int(keyed), int(keyed), int(keyed)]
+        return [name.decode().lower(), arity, [SimpleString("fast")], int(keyed), int(keyed), int(keyed)]
 
     # -- limits
 
--- a/orchidlane/resp/__init__.py
+++ b/orchidlane/resp/__init__.py
@@ -1,19 +1,29 @@
 """RESP2 and RESP3 without I/O: bytes in, values out, and back (specification of the Redis protocol)."""
 
-from orchidlane.resp.codec import Broken, Decoder, Limits, encode
-from orchidlane.resp.values import Attributed, Bulk, ErrorReply, Push, SetReply, Simple, Value, Verbatim
+from orchidlane.resp.decoder import Decoder
+from orchidlane.resp.encoder import encode
+from orchidlane.resp.errors import ProtocolError
+from orchidlane.resp.limits import Limits
+from orchidlane.resp.values import (
+    AttributedValue,
+    ErrorReply,
+    Push,
+    SetReply,
+    SimpleString,
+    Value,
+    VerbatimString,
+)
 
 __all__ = [
-    "Attributed",
-    "Broken",
-    "Bulk",
+    "AttributedValue",
     "Decoder",
     "ErrorReply",
     "Limits",
+    "ProtocolError",
     "Push",
     "SetReply",
-    "Simple",
+    "SimpleString",
     "Value",
-    "Verbatim",
+    "VerbatimString",
     "encode",
 ]
--- a/orchidlane/resp/values.py
+++ b/orchidlane/resp/values.py
@@ -1,17 +1,19 @@
-"""The values of the protocol that Python has no type of its own for."""
+"""The values of RESP that Python has no type of its own for."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Any
 
-Bulk = bytes
-# None, bool, int, float, bytes (bulk), list (array), dict (map), and those below
+# None, bool, int, float, bytes (bulk string), list (array), dict (map), and the types below.
 Value = Any
 
+MIN_INTEGER = -(1 << 63)
+MAX_INTEGER = (1 << 63) - 1
+
 
 @dataclass(frozen=True, slots=True)
-class Simple:
+class SimpleString:
     """A simple string: one line."""
 
     text: str
@@ -25,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verbatim:
+class VerbatimString:
     """Text with a format of three letters."""
 
     kind: str
@@ -47,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attributed:
+class AttributedValue:
     """A value with attributes that stood before it."""
 
     attributes: list[tuple[Value, Value]]
--- a/orchidlane/simulation/quota_clients.py
+++ b/orchidlane/simulation/quota_clients.py
@@ -89,10 +89,10 @@
                 if not data:
                     raise Closed("the end before a reply")
                 decoder.receive(data)
-        except (Closed, Expired, resp.Broken) as wrong:
+        except (Closed, Expired, resp.ProtocolError) as wrong:
             stream.close()
             return ("silence" if isinstance(wrong, Expired) else "reset"), 0
-        extra = decoder.pending
+        extra = decoder.pending_bytes
         self.idle.setdefault(rank, []).append((stream, decoder))
         if isinstance(found[0], ErrorReply):
             return "error", extra
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""RESP: the codec's strictness and bounds, ordinary clients against a real gateway."""
+"""RESP: the codec's strictness and limits, ordinary clients against a real gateway."""
 
 from __future__ import annotations
 
@@ -16,27 +16,37 @@
 from test_cli import Process, folder  # noqa: F401  (the fixture of a gateway's files)
 
 from orchidlane import resp
-from orchidlane.resp import Attributed, Decoder, ErrorReply, Push, SetReply, Simple, Verbatim, encode
+from orchidlane.resp import (
+    AttributedValue,
+    Decoder,
+    ErrorReply,
+    Push,
+    SetReply,
+    SimpleString,
+    VerbatimString,
+    encode,
+)
 
 CORPUS = Path(__file__).parent / "corpus" / "resp"
-SMALL = resp.Limits(line=100, bulk=50, count=20, total=40, depth=4)
+SMALL = resp.Limits(max_line_bytes=100, max_bulk_bytes=50, max_items=20, max_total_items=40, max_depth=4)
 
 
-def values(data: bytes, step: int | None = None, limits: resp.Limits = SMALL) -> list:
-    """All values of some bytes, fed in steps; a breach ends them as its class."""
-    decoder, found = Decoder(limits), []
+def decode_all(data: bytes, step: int | None = None, limits: resp.Limits = SMALL) -> list:
+    """Return all values of some bytes, fed in steps; a protocol error ends them as its class."""
+    decoder = Decoder(limits)
+    decoded: list = []
     for piece in [data] if step is None else [data[i : i + step] for i in range(0, len(data), step)]:
         decoder.receive(piece)
         try:
             while (value := decoder.next_value()) is not None:
-                found.append(value[0])
-        except resp.Broken:
-            return [*found, resp.Broken]
-    return found
+                decoded.append(value[0])
+        except resp.ProtocolError:
+            return [*decoded, resp.ProtocolError]
+    return decoded
 
 
-CASES = [
-    (b"+OK\r\n", Simple("OK")),
+VALID_VALUES = [
+    (b"+OK\r\n", SimpleString("OK")),
     (b"-ERR no\r\n", ErrorReply("ERR no")),
     (b":-5\r\n", -5),
     (b"$3\r\nabc\r\n", b"abc"),
@@ -50,14 +60,14 @@
     (b",1.5\r\n", 1.5),
     (b",-inf\r\n", float("-inf")),
     (b"(" + b"9" * 30 + b"\r\n", int("9" * 30)),
-    (b"=7\r\ntxt:abc\r\n", Verbatim("txt", b"abc")),
+    (b"=7\r\ntxt:abc\r\n", VerbatimString("txt", b"abc")),
     (b"!5\r\nERR x\r\n", ErrorReply("ERR x")),
-    (b"%1\r\n+a\r\n:1\r\n", {Simple("a"): 1}),
+    (b"%1\r\n+a\r\n:1\r\n", {SimpleString("a"): 1}),
     (b"~2\r\n:1\r\n:2\r\n", SetReply([1, 2])),
-    (b">1\r\n+m\r\n", Push([Simple("m")])),
-    (b"|1\r\n+k\r\n:1\r\n:7\r\n", Attributed([(Simple("k"), 1)], 7)),
+    (b">1\r\n+m\r\n", Push([SimpleString("m")])),
+    (b"|1\r\n+k\r\n:1\r\n:7\r\n", AttributedValue([(SimpleString("k"), 1)], 7)),
 ]
-BAD = [
+INVALID_VALUES = [
     b"$2147483648\r\n",
     b"$-2\r\n",
     b"$3\r\nabcd\r\n",
@@ -81,84 +91,91 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "value"), CASES)
+@pytest.mark.parametrize(("data", "value"), VALID_VALUES)
 @pytest.mark.parametrize("step", [None, 1])
-def test_each_kind_of_value_is_read(data, value, step):
-    assert values(data, step) == [value]
+def test_each_kind_of_value_is_decoded(data, value, step):
+    assert decode_all(data, step) == [value]
 
 
-@pytest.mark.parametrize("data", BAD)
+@pytest.mark.parametrize("data", INVALID_VALUES)
 @pytest.mark.parametrize("step", [None, 1])
-def test_breaches_and_bounds_end_the_connection(data, step):
-    assert values(data, step)[-1] is resp.Broken
+def test_invalid_and_oversized_values_are_protocol_errors(data, step):
+    assert decode_all(data, step)[-1] is resp.ProtocolError
 
 
-def test_a_thousand_nested_arrays_are_refused_without_recursion():
-    assert values(b"*1\r\n" * 1_000, limits=resp.Limits())[-1] is resp.Broken
+def test_a_thousand_nested_arrays_are_rejected_without_recursion():
+    assert decode_all(b"*1\r\n" * 1_000, limits=resp.Limits())[-1] is resp.ProtocolError
 
 
-def test_commands_come_as_arrays_or_inline():
+def test_commands_are_arrays_or_inline():
     decoder = Decoder()
     decoder.receive(b'*2\r\n$4\r\nECHO\r\n$1\r\na\r\nPING "a b" c\r\n\r\n*-1\r\n*0\r\nQUIT\n')
-    found = [decoder.next_command() for _ in range(6)]
-    assert found == [[b"ECHO", b"a"], [b"PING", b"a b", b"c"], [], [], [], [b"QUIT"]]
+    commands = [decoder.next_command() for _ in range(6)]
+    assert commands == [[b"ECHO", b"a"], [b"PING", b"a b", b"c"], [], [], [], [b"QUIT"]]
     assert decoder.next_command() is None
 
 
 @pytest.mark.parametrize("data", [b"*1\r\n:1\r\n", b"*1\r\n*0\r\n", b"*1\r\n$-1\r\n"])
-def test_a_command_of_other_than_strings_is_refused(data):
+def test_a_command_of_other_than_bulk_strings_is_rejected(data):
     decoder = Decoder()
     decoder.receive(data)
-    with pytest.raises(resp.Broken):
+    with pytest.raises(resp.ProtocolError):
         decoder.next_command()
 
 
-plain = st.recursive(
+plain_values = st.recursive(
     st.none() | st.integers(-(2**63), 2**63 - 1) | st.binary(max_size=20) | st.booleans(),
     lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.binary(max_size=4), inner, max_size=3),
     max_leaves=12,
 )
 
 
-@given(plain, st.integers(1, 7))
-def test_what_is_written_as_resp3_is_read_again(value, step):
-    assert values(encode(value, 3), step, resp.Limits()) == [value]
+@given(plain_values, st.integers(1, 7))
+def test_values_encoded_as_resp3_are_decoded_to_themselves(value, step):
+    assert decode_all(encode(value, 3), step, resp.Limits()) == [value]
 
 
 @settings(max_examples=500)
-@given(st.lists(st.sampled_from([*(data for data, _ in CASES), *BAD]), max_size=4), st.binary(max_size=8))
-def test_any_bytes_give_values_or_a_breach(parts, noise):
+@given(
+    st.lists(st.sampled_from([*(data for data, _ in VALID_VALUES), *INVALID_VALUES]), max_size=4),
+    st.binary(max_size=8),
+)
+def test_any_bytes_give_values_or_a_protocol_error(parts, noise):
     data = b"".join(parts) + noise
-    whole = values(data)
-    assert values(data, 1) == whole or resp.Broken in whole or resp.Broken in values(data, 1)
+    decoded = decode_all(data)
+    assert (
+        decode_all(data, 1) == decoded
+        or resp.ProtocolError in decoded
+        or resp.ProtocolError in decode_all(data, 1)
+    )
     decoder = Decoder(SMALL)
     decoder.receive(data)
     try:
         while (command := decoder.next_command()) is not None:
             assert all(isinstance(word, bytes) for word in command)
-    except resp.Broken:
+    except resp.ProtocolError:
         pass
 
 
 @pytest.mark.parametrize("file", sorted(CORPUS.iterdir()), ids=lambda file: file.name)
-def test_the_corpus_is_judged_as_its_names_say(file):
+def test_files_of_the_corpus_are_valid_or_invalid_as_their_names_say(file):
     for step in (None, 1, 3):
-        found = values(file.read_bytes(), step)
-        assert (resp.Broken in found) == file.name.startswith("bad")
+        decoded = decode_all(file.read_bytes(), step)
+        assert (resp.ProtocolError in decoded) == file.name.startswith("bad")
 
 
 # Ordinary clients against a gateway
 
 
 @pytest.fixture
-def front(folder):  # noqa: F811
-    """A single gateway with a RESP front; its only customer is acero on basico (4 a second, 12 at once)."""
+def resp_port(folder):  # noqa: F811
+    """A single gateway with a RESP server; its only customer is acero on basico (4 a second, 12 at once)."""
     file = folder / "fleet.cue"
     lines = file.read_text().splitlines()
-    kept = [line for line in lines if 'name: "gw-1"' not in line and 'name: "gw-2"' not in line]
+    remaining = [line for line in lines if 'name: "gw-1"' not in line and 'name: "gw-2"' not in line]
     password = hashlib.sha256(b"secret").hexdigest()
     limits = f'limits: {{passwords: ["{password}"], token_life: "300ms"}}'
-    file.write_text("\n".join(kept).replace('limits: token_life: "3s"', limits))
+    file.write_text("\n".join(remaining).replace('limits: token_life: "3s"', limits))
     customers = {"customers": [{"id": 1, "name": "acero", "plan": "basico", "keys": ["8d" * 32]}]}
     (folder / "customers.json").write_text(json.dumps(customers))
     process = Process(folder)
@@ -174,24 +191,24 @@
 
 @pytest.mark.parametrize("protocol", [2, 3])
 @pytest.mark.parametrize("pure", [True, False])
-def test_ordinary_clients_connect_and_take(front, protocol, pure):
+def test_ordinary_clients_connect_and_take_units(resp_port, protocol, pure):
     from redis._parsers import _HiredisParser, _RESP2Parser, _RESP3Parser
 
     parser = (_RESP2Parser if protocol == 2 else _RESP3Parser) if pure else _HiredisParser
     pool = redis.ConnectionPool(
-        host="127.0.0.1", port=front, password="secret", protocol=protocol, parser_class=parser
+        host="127.0.0.1", port=resp_port, password="secret", protocol=protocol, parser_class=parser
     )
-    with redis.Redis(connection_pool=pool) as found:
-        assert found.ping() is True
-        assert found.echo("a") == b"a"
-        assert found.client_setname("x")
-        assert found.execute_command("CL.THROTTLE", "acero", 11, 4, 1) == [0, 12, 11, -1, 0]
-        assert found.execute_command("LIMIT.TAKE", "acero", 5)[0] == 1
+    with redis.Redis(connection_pool=pool) as connection:
+        assert connection.ping() is True
+        assert connection.echo("a") == b"a"
+        assert connection.client_setname("x")
+        assert connection.execute_command("CL.THROTTLE", "acero", 11, 4, 1) == [0, 12, 11, -1, 0]
+        assert connection.execute_command("LIMIT.TAKE", "acero", 5)[0] == 1
         with pytest.raises(redis.ResponseError, match="basico decides: max_burst 11, count/period 4"):
-            found.execute_command("CL.THROTTLE", "acero", 10, 4, 1)
+            connection.execute_command("CL.THROTTLE", "acero", 10, 4, 1)
         with pytest.raises(redis.ResponseError, match="no customer"):
-            found.execute_command("LIMIT.PEEK", "nobody")
-        with found.pipeline(transaction=False) as pipe:
+            connection.execute_command("LIMIT.PEEK", "nobody")
+        with connection.pipeline(transaction=False) as pipe:
             for _ in range(20):
                 pipe.execute_command("LIMIT.TAKE", "acero", 1)
             answers = pipe.execute()
@@ -200,60 +217,71 @@
     assert refused[2] >= 1
 
 
-def test_the_asyncio_client_with_its_pool(front):
+def test_the_asyncio_client_takes_units_through_its_pool(resp_port):
     async def use() -> list:
-        found = redis.asyncio.Redis(host="127.0.0.1", port=front, password="secret", protocol=3)
-        async with found:
-            return await asyncio.gather(*(found.execute_command("LIMIT.TAKE", "acero", 1) for _ in range(30)))
+        connection = redis.asyncio.Redis(host="127.0.0.1", port=resp_port, password="secret", protocol=3)
+        async with connection:
+            return await asyncio.gather(
+                *(connection.execute_command("LIMIT.TAKE", "acero", 1) for _ in range(30))
+            )
 
     answers = asyncio.run(use())
     assert 9 <= sum(granted for granted, _, _ in answers) <= 13
 
 
-def test_tokens_reservations_and_give_backs(front):
-    with client(front, 3) as found:
+def test_tokens_reservations_and_refunds(resp_port):
+    with client(resp_port, 3) as connection:
         unsure = 0
-        while True:  # a holder that started lately is not sure of any token
+        while True:  # an owner that started lately is not sure of any token
             try:
-                found.execute_command("LIMIT.TAKE", "acero", 1, "IDEMPOTENT", "t")
+                connection.execute_command("LIMIT.TAKE", "acero", 1, "IDEMPOTENT", "t")
                 break
             except redis.exceptions.TryAgainError:
                 unsure += 1
                 assert unsure < 100_000
-        info = found.execute_command("LIMIT.INFO")
-        again = found.execute_command("LIMIT.TAKE", "acero", 1, "IDEMPOTENT", "t")
+        info = connection.execute_command("LIMIT.INFO")
+        again = connection.execute_command("LIMIT.TAKE", "acero", 1, "IDEMPOTENT", "t")
         assert again[0] == 1
-        assert found.execute_command("LIMIT.INFO")[b"granted"] == info[b"granted"]
-        assert found.execute_command("LIMIT.GIVEBACK", "acero", "t") == 1
-        assert found.execute_command("LIMIT.GIVEBACK", "acero", "t") == 0
-        name = found.execute_command("LIMIT.RESERVE", "acero", 2, "FOR", 5_000)
-        assert found.execute_command("LIMIT.COMMIT", "acero", name) == 1
-        assert found.execute_command("LIMIT.RELEASE", "acero", name) == 0
-        brief = found.execute_command("LIMIT.RESERVE", "acero", 2, "FOR", 1)
+        assert connection.execute_command("LIMIT.INFO")[b"granted"] == info[b"granted"]
+        assert connection.execute_command("LIMIT.GIVEBACK", "acero", "t") == 1
+        assert connection.execute_command("LIMIT.GIVEBACK", "acero", "t") == 0
+        name = connection.execute_command("LIMIT.RESERVE", "acero", 2, "FOR", 5_000)
+        assert connection.execute_command("LIMIT.COMMIT", "acero", name) == 1
+        assert connection.execute_command("LIMIT.RELEASE", "acero", name) == 0
+        brief = connection.execute_command("LIMIT.RESERVE", "acero", 2, "FOR", 1)
         with pytest.raises(redis.ResponseError, match="EXPIRED"):
             for _ in range(1_000):
-                found.execute_command("LIMIT.PEEK", "acero")
-            found.execute_command("LIMIT.COMMIT", "acero", brief)
+                connection.execute_command("LIMIT.PEEK", "acero")
+            connection.execute_command("LIMIT.COMMIT", "acero", brief)
         with pytest.raises(redis.ResponseError, match="NOGRANT"):
-            found.execute_command("LIMIT.COMMIT", "acero", "0-0-0")
+            connection.execute_command("LIMIT.COMMIT", "acero", "0-0-0")
 
 
-def raw(port: int, data: bytes) -> bytes:
+def exchange_bytes(port: int, data: bytes) -> bytes:
     with socket.create_connection(("127.0.0.1", port), 5) as sock:
         sock.sendall(data)
         sock.shutdown(socket.SHUT_WR)
-        got = b""
+        received = b""
         while piece := sock.recv(65536):
-            got += piece
-        return got
-
-
-def test_no_password_no_command_and_clear_protocol_errors(front):
-    assert raw(front, b"PING\r\n") == b"-NOAUTH Authentication required.\r\n"
-    assert raw(front, b"AUTH wrong\r\n").startswith(b"-WRONGPASS")
-    assert raw(front, b"HELLO 4\r\n").startswith(b"-NOPROTO")
-    assert raw(front, b"AUTH secret\r\nFLUSHALL now\r\n") == b"+OK\r\n-ERR unknown command 'FLUSHALL'\r\n"
-    assert raw(front, b"AUTH secret\r\nLIMIT.TAKE acero\r\n").endswith(b"'limit.take' command\r\n")
-    assert raw(front, b"*1\r\n$2147483648\r\n").startswith(b"-ERR Protocol error: a length beyond")
-    assert raw(front, b"*1\r\n" * 1_000).startswith(b"-ERR Protocol error: nested deeper")
-    assert raw(front, b"AUTH secret\r\nLIMIT.TAKE acero 0\r\n").endswith(b"allowed: 1 to 1000000\r\n")
+            received += piece
+        return received
+
+
+def test_commands_need_a_password_and_errors_name_their_cause(resp_port):
+    assert exchange_bytes(resp_port, b"PING\r\n") == b"-NOAUTH Authentication required.\r\n"
+    assert exchange_bytes(resp_port, b"AUTH wrong\r\n").startswith(b"-WRONGPASS")
+    assert exchange_bytes(resp_port, b"HELLO 4\r\n").startswith(b"-NOPROTO")
+    assert (
+        exchange_bytes(resp_port, b"AUTH secret\r\nFLUSHALL now\r\n")
+        == b"+OK\r\n-ERR unknown command 'FLUSHALL'\r\n"
+    )
+    assert exchange_bytes(resp_port, b"AUTH secret\r\nLIMIT.TAKE acero\r\n").endswith(
+        b"'limit.take' command\r\n"
+    )
+    assert exchange_bytes(resp_port, b"*1\r\n$2147483648\r\n").startswith(
+        b"-ERR Protocol error: a length beyond"
+    )
+    assert exchange_bytes(resp_port, b"*1\r\n" * 1_000).startswith(b"-ERR Protocol error: nested deeper")
+    assert exchange_bytes(resp_port, b"AUTH secret\r\nLIMIT.TAKE acero 0\r\n").endswith(
+        b"allowed: 1 to 1000000\r\n"
+    )
