--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -20,11 +20,11 @@
 
 def test_requests_are_admitted_until_a_quarter_of_the_burst_remains_and_again_after_refill():
     harness = confirmed()
-    assert send_requests(harness, 20) == 8  # of ten: from a quarter of the burst on it is refused
+    assert send_requests(harness, 20) == 8  # of ten: from a quarter of the burst on it is rejected
     harness.now += SECOND
     assert send_requests(harness, 20, first_request=100) == 0
     harness.now += SECOND
-    assert send_requests(harness, 20, first_request=200) == 4  # six are back, a quarter stays
+    assert send_requests(harness, 20, first_request=200) == 4  # six have refilled, a quarter stays
 
 
 def test_units_spent_at_peers_reduce_the_remaining_quota():
@@ -92,7 +92,7 @@
 
 
 def test_a_standalone_gateways_share_refills_at_its_part_of_the_rate():
-    """Nobody is waited for: its part of the rate is let in for as long as the customer asks."""
+    """It admits its part of the rate for as long as requests arrive."""
     harness = PolicyHarness(may_gossip=False)
     sent = 0
     for second in range(30):
@@ -112,9 +112,7 @@
 
 
 def test_rounding_errors_do_not_prevent_eviction_of_a_full_account():
-    """What was spent and may be spent, added and taken off again, is a little less than the burst at
-    times.
-    """
+    """Limit and total are sums, so the remaining quota may be a little less than the burst."""
     plans = (dataclasses.replace(PLAIN_PLAN, burst=4.1 + 0.37 * number) for number in range(20))
     for plan in plans:
         harness = PolicyHarness(plans=(plan,))
@@ -126,7 +124,7 @@
 
 
 def test_a_held_request_is_admitted_after_its_account_was_evicted():
-    """Its entry was dropped while it waited for a server; spending then left a change of nobody (fault)."""
+    """Spending must not leave a pending change of an account that does not exist."""
     harness = confirmed(endpoints=0)
     harness.request(1, time_left_us=9 * SECOND)
     for i in range(50, 60):
@@ -151,7 +149,7 @@
 
 
 def test_a_replica_set_of_one_standalone_gateway_has_the_whole_quota():
-    """Guards against a fleet of one that grants each customer its burst once and then nothing."""
+    """It waits for no peer before the quota refills."""
     harness = PolicyHarness(replica_count=1, may_gossip=False)
     granted = 0
     for number in range(60):
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -18,7 +18,7 @@
 
 
 def is_granted(harness: PolicyHarness, units: float) -> bool:
-    """Whether a take of a customer with a ceiling, in a set of all three gateways, is granted."""
+    """Whether quota of a customer with a ceiling, in a set of all three gateways, is granted."""
     event = policy.QuotaRequested(harness.now, 7, 2, 0, units, 0, 3)
     return bool(actions_of(harness.feed(event), policy.GrantQuota))
 
@@ -26,7 +26,7 @@
 def test_tokens_are_granted_only_if_the_reply_can_be_sent():
     harness = PolicyHarness(peer_messages_per_second=10.0)
     harness.now += 20 * SECOND
-    row = customer_row(plan=2, customer=3, replica_set_size=2, tokens=2.0)  # we are its token owner
+    row = customer_row(plan=2, customer=3, replica_set_size=2, tokens=2.0)  # this gateway is its token owner
     harness.gateway.message_allowance, harness.gateway.allowance_refilled_at_us = 0.0, harness.now
     account = quota.update_account_key(harness.gateway, 3, 2, 0, 2)
     token_owner = replica_set.token_owner(harness.gateway, account)
@@ -40,7 +40,7 @@
 def test_a_gateways_share_of_a_ceiling_starts_empty_and_fills_at_its_part_of_the_rate():
     harness = PolicyHarness(endpoints=4)
     sent = 0
-    for request in range(1, 601):  # 6 s, far more than the ceiling lets pass
+    for request in range(1, 601):  # 6 s, far more than the ceiling permits
         for send in actions_of(harness.request(request, customer=1, plan=2), policy.SendAttempt):
             sent += 1
             harness.end_attempt(request, send.endpoint, Outcome.SERVED, duration_us=1_000)
@@ -49,7 +49,7 @@
 
 
 def test_a_token_owner_grants_no_more_tokens_than_its_share_holds():
-    """What it gives is off its own part first; together no more than the ceiling's store goes out."""
+    """Tokens are deducted from its own share before they are sent."""
     account = Account(1, AccountKey(2, 0, 3), 8.0, START_US)
     token_owner = next(
         r for r in range(3) if replica_set.token_owner(PolicyHarness(replica=r).gateway, account) == r
@@ -57,20 +57,20 @@
     harness = PolicyHarness(replica=token_owner)
     other = (token_owner + 1) % 3
     receive(harness, other, ceiling_row(0.0), wants_reply=True, to_token_owner=True)
-    harness.now += 30 * SECOND  # its store of 16 x 2/3 is full
-    given = 0.0
+    harness.now += 30 * SECOND  # its bucket of 16 x 2/3 is full
+    granted = 0.0
     for _ in range(5):
-        for tell in actions_of(
+        for send in actions_of(
             receive(harness, other, ceiling_row(5.0), wants_reply=True, to_token_owner=True),
             policy.SendPeerMessage,
         ):
-            message = gossip_codec.decode_message(tell.body, harness.now // 1_000, 3, 4)
-            given += message.rows[0].tokens if not message.to_token_owner else 0.0
-    assert 10.0 < given <= 16 * 2 / 3
+            message = gossip_codec.decode_message(send.body, harness.now // 1_000, 3, 4)
+            granted += message.rows[0].tokens if not message.to_token_owner else 0.0
+    assert 10.0 < granted <= 16 * 2 / 3
 
 
 def test_tokens_that_were_not_requested_are_ignored():
-    """A repeated or made-up gift must not lift a ceiling."""
+    """A repeated or forged grant must not raise a ceiling."""
     harness = PolicyHarness(replica=1)
     receive(harness, 0, ceiling_row(16.0))
     assert not actions_of(harness.request(1, customer=1, plan=2), policy.SendAttempt)
@@ -81,7 +81,7 @@
         for r in range(2, 30)
         for s in actions_of(harness.request(r, customer=1, plan=2), policy.SendAttempt)
     ]
-    assert 1 <= len(sends) <= 2  # once what was asked for
+    assert 1 <= len(sends) <= 2  # what was requested, once
 
 
 def test_a_restart_empties_the_share_of_a_ceiling():
@@ -89,15 +89,17 @@
     assert not actions_of(harness.request(1, plan=2), policy.SendAttempt)
     harness.now += SECOND
     sends = [s for r in range(2, 9) for s in actions_of(harness.request(r, plan=2), policy.SendAttempt)]
-    assert len(sends) <= 5  # its part of eight a second
+    assert len(sends) <= 5  # its share of eight a second
 
 
 def test_a_new_accounts_share_of_a_ceiling_has_filled_since_the_gateway_started():
-    """A customer that is met late finds what the whole life has earned; met at once, nothing."""
+    """The account of a customer that comes at once has no tokens."""
     late, soon = PolicyHarness(), PolicyHarness()
     assert not is_granted(soon, 1.0)
     late.now += 60 * SECOND
-    assert is_granted(late, 2.0)  # its part of the ceiling's store is 16 / 6, as another is the token owner
+    assert is_granted(
+        late, 2.0
+    )  # its share of the ceiling's bucket is 16 / 6, as another gateway is the token owner
 
 
 def test_eviction_neither_loses_nor_creates_tokens_of_a_ceiling():
@@ -114,7 +116,7 @@
             admission.evict_idle_accounts(harness.gateway)
             if harness.gateway.accounts:
                 assert account.ceiling_tokens < most
-        assert not harness.gateway.accounts  # forgotten as soon as its part is full, and no later
+        assert not harness.gateway.accounts  # evicted as soon as its share is full
         again = quota.update_account_key(harness.gateway, customer << 16, 2, 0, 3)
         quota.refill(harness.gateway, again)
         assert again.ceiling_tokens == pytest.approx(most)
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -10,7 +10,7 @@
 
 
 def final_answers(harness: PolicyHarness, request: int) -> list:
-    """Our final answers to one request."""
+    """The gateway's final answers to one request."""
     return [
         a
         for a in harness.actions
@@ -67,13 +67,13 @@
     harness.feed(endpoint_list(endpoint_entry(1, started_at_us=START_US), kind=policy.EndpointListKind.DELTA))
     sends = [s for r in range(2, 402) for s in actions_of(harness.request(r, customer=r), policy.SendAttempt)]
     assert 0 < len(sends) <= 0.25 * 400
-    for _ in range(50):  # what is held does not try its luck again and again
+    for _ in range(50):  # a held request keeps its sampled value
         harness.advance(20_000)
     assert len(actions_of(harness.actions, policy.SendAttempt)) <= 0.4 * 400
 
 
 def test_slow_start_holds_in_the_sum_of_many_gateways():
-    """A gateway of a large fleet sends to one server less than once in its warm-up: chance has to sum up."""
+    """A gateway of a large fleet sends less than one request to an endpoint during its slow start."""
     cold, sent = endpoint_entry(9, started_at_us=START_US), {True: 0, False: 0}
     for seed in range(200):
         harness = PolicyHarness(endpoints=0, seed=seed, replica_count=200, now=START_US + 2 * SECOND)
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -9,7 +9,7 @@
 
 
 def serve_request(harness: PolicyHarness, request: int, took) -> policy.SendAttempt | None:
-    """Ask, and answer at once with a time by server; the send, if there was one."""
+    """Feed a request, served after a duration by endpoint; return the attempt, if there was one."""
     sends = actions_of(
         harness.request(request, customer=request, time_left_us=2 * SECOND), policy.SendAttempt
     )
@@ -21,7 +21,7 @@
 
 
 def test_requests_are_admitted_again_after_an_overload():
-    """An answer time learnt in a jam must not refuse everything for good (lockout of an incident)."""
+    """A latency measured under overload must not cause all later requests to be shed."""
     harness = PolicyHarness(endpoints=3)
     for request in range(1, 200):
         serve_request(harness, request, lambda _: 3 * SECOND)
@@ -30,7 +30,7 @@
 
 
 def test_an_overload_of_a_large_fleet_is_detected_from_few_attempts_per_endpoint():
-    """Each of many gateways met each server once in many seconds, learnt nothing, let all in (incident)."""
+    """In a large fleet a gateway sends to each endpoint once in many seconds."""
     harness = PolicyHarness(endpoints=200)
     for request in range(1, 40):
         serve_request(harness, request, lambda _: 60_000)
@@ -42,12 +42,12 @@
 
 
 def test_during_an_overload_one_request_passes_every_few_seconds():
-    """Refusing all, it learnt nothing: a third of a fleet sent nothing for 4 to 8 s (roll+mass)."""
+    """A gateway that sheds all requests learns nothing of the recovery."""
     harness = PolicyHarness(endpoints=200)
     for request in range(1, 80):
         serve_request(harness, request, lambda _: 6 * SECOND)
     sent = [harness.now]
-    for request in range(100, 220):  # ten a second, and the jam goes on
+    for request in range(100, 220):  # ten a second, and the overload goes on
         sent += [harness.now] * (serve_request(harness, request, lambda _: 6 * SECOND) is not None)
         harness.advance(90_000)
     apart = [later - earlier for earlier, later in zip(sent, [*sent[1:], harness.now], strict=True)]
@@ -70,32 +70,32 @@
 
 def test_an_endpoint_that_refuses_connections_is_avoided():
     harness = PolicyHarness(endpoints=4)
-    dead, tried = endpoint_entry(0).endpoint, 0
+    refusing, attempts_there = endpoint_entry(0).endpoint, 0
     for request in range(1, 101):
         send = actions_of(harness.request(request, customer=request), policy.SendAttempt)[0]
         attempt = 0
-        while send.endpoint == dead:
-            tried += 1
+        while send.endpoint == refusing:
+            attempts_there += 1
             send = actions_of(
-                harness.end_attempt(request, dead, Outcome.CONNECT_FAILED, attempt=attempt),
+                harness.end_attempt(request, refusing, Outcome.CONNECT_FAILED, attempt=attempt),
                 policy.SendAttempt,
             )[0]
             attempt += 1
         harness.advance(5_000)
         harness.end_attempt(request, send.endpoint, Outcome.SERVED, attempt=attempt, duration_us=30_000)
-    assert tried <= 5
+    assert attempts_there <= 5
 
 
 def test_an_unreachable_zone_is_avoided_before_each_of_its_endpoints_failed():
-    """In a cut each server of the other zone was tried in turn (ctva-kathmandu-later big-1)."""
-    harness, tried = PolicyHarness(endpoints=0), 0
+    """Failures count for the zone, so that its endpoints are not attempts_there one by one."""
+    harness, attempts_there = PolicyHarness(endpoints=0), 0
     far = {endpoint_entry(i).endpoint for i in range(50)}
     harness.feed(endpoint_list(*(endpoint_entry(i, zone=int(i >= 50)) for i in range(100))))
     for request in range(1, 101):
         out, attempt = actions_of(harness.request(request, customer=request), policy.SendAttempt), 0
         while out:
             lost = out[0].endpoint in far
-            tried += lost
+            attempts_there += lost
             outcome = Outcome.CONNECT_FAILED if lost else Outcome.SERVED
             out = actions_of(
                 harness.end_attempt(request, out[0].endpoint, outcome, attempt=attempt, duration_us=30_000),
@@ -103,11 +103,11 @@
             )
             attempt += 1
         harness.advance(20_000)
-    assert tried < 20
+    assert attempts_there < 20
 
 
 def test_timeouts_of_silent_endpoints_do_not_raise_the_latency_expected_of_others():
-    """A lost zone: time-outs there refused nine in ten requests in all zones (zone+mass, seed 3)."""
+    """As when a zone is lost: its timeouts say nothing of other zones."""
     harness = PolicyHarness(endpoints=200)
     for request in range(1, 40):
         serve_request(harness, request, lambda _: 60_000)
@@ -161,7 +161,7 @@
 
 
 def test_a_warm_endpoint_is_found_among_many_in_slow_start():
-    """A sample of a mostly cold fleet held requests though a warm server was free (incident)."""
+    """The sample of endpoints to compare is drawn from the warm ones."""
     harness = PolicyHarness(endpoints=0)
     harness.feed(
         endpoint_list(
@@ -174,8 +174,7 @@
 
 
 def test_failures_influence_the_choice_of_endpoint_but_reject_no_request():
-    """Resets by the network say nothing of how long an answer takes: with all servers met by them, a
-    request still goes to one."""
+    """Connections that break say nothing of latency, so no request is shed for them."""
     harness = PolicyHarness()
     for number in range(1, 9):
         (send,) = actions_of(harness.request(number, request_class=2, customer=number), policy.SendAttempt)
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -10,7 +10,7 @@
 
 
 def exhaust(harness: PolicyHarness, customer: int, size: int) -> None:
-    """Let a peer tell that a customer has spent nearly all."""
+    """Receive a peer's report that a customer is exhausted."""
     receive(
         harness,
         1,
@@ -25,23 +25,23 @@
 
 
 def test_an_exhausted_customer_is_announced_to_each_member_of_its_set_once():
-    """Every gateway of a large set is reached by handing on, each exactly once, by a bounded fan."""
-    rest, told_ranks = 60, []
+    """In a large set members forward the announcement, with a bounded fanout."""
+    set_size, notified = 60, []
     harness = PolicyHarness(replica_count=80, peer_messages_per_second=1_000.0)
     receive(
         harness,
         1,
-        customer_row([(1, NOW_TICKS - 9, 9.0)], remaining=1.0, spent_total=9.0, replica_set_size=rest),
+        customer_row([(1, NOW_TICKS - 9, 9.0)], remaining=1.0, spent_total=9.0, replica_set_size=set_size),
         to_token_owner=True,
     )
     waiting = peer_messages(harness.actions)
     assert 0 < len(waiting) <= 13
     while waiting:
         rank, message = waiting.pop()
-        told_ranks.append(rank)
+        notified.append(rank)
         other = PolicyHarness(replica_count=80, replica=rank, peer_messages_per_second=1_000.0)
         waiting += peer_messages(receive(other, 0, *message.rows))
-    assert sorted(told_ranks) == list(range(1, rest))
+    assert sorted(notified) == list(range(1, set_size))
 
 
 def test_a_customer_with_quota_remaining_is_not_announced():
@@ -86,7 +86,7 @@
     other = PolicyHarness(replica=peer, replica_count=200)
     other.feed(policy.PeerMessageReceived(0, actions_of(harness.actions, policy.SendPeerMessage)[0].body))
     assert send_requests(other, 5, first_request=50, customer=119, replica_set_size=200) == 0
-    assert 119 not in other.gateway.pending_changes  # it is not told as if it had been approved there
+    assert 119 not in other.gateway.pending_changes  # it is not gossiped as if it had been admitted there
 
 
 def test_an_attached_row_is_neither_answered_nor_forwarded():
@@ -101,12 +101,12 @@
         to_token_owner=True,
     )
     sent = peer_messages(harness.actions)
-    assert len(sent) == 1  # the answer alone: a customer that closed by it is nobody's to push here
+    assert len(sent) == 1  # the reply alone: the attached customer is not announced
     assert [r.customer for r in sent[0][1].rows if r.replica_counts] == [7]
 
 
 def test_customers_of_small_sets_are_not_attached():
-    """Told besides, customers of four gateways were closed too often: 0.28 refused with room, not 0.16."""
+    """Attached besides, they would be rejected too often."""
     harness = PolicyHarness(replica_count=12)
     exhaust(harness, 100, 12)
     send_requests(harness, 1, customer=7, replica_set_size=12)
@@ -114,10 +114,10 @@
 
 
 def test_an_exhausted_customer_is_attached_as_often_as_the_logarithm_of_its_set_size():
-    """Bytes have a price: in each message it cost 0.05 of G on roster-kl-later, big-1 (simulated)."""
+    """Bytes of messages have a price; once exhausted anew, a customer is attached again."""
     harness = PolicyHarness(replica_count=200, peer_messages_per_second=200.0)
 
-    def told_besides(first: int) -> int:
+    def times_attached(first: int) -> int:
         mark = len(harness.actions)
         for customer in range(first, first + 40):
             send_requests(harness, 1, first_request=customer, customer=customer, replica_set_size=200)
@@ -126,8 +126,8 @@
         return sum(row.customer == 100 for _, message in messages for row in message.rows)
 
     exhaust(harness, 100, 200)
-    assert told_besides(1_000) == 6  # the logarithm of 200 is 5.3
-    assert told_besides(2_000) == 0
+    assert times_attached(1_000) == 6  # the logarithm of 200 is 5.3
+    assert times_attached(2_000) == 0
     harness.now += 8 * SECOND
     receive(
         harness,
@@ -136,7 +136,7 @@
             [(1, NOW_TICKS - 9, 40.0)], remaining=1.0, spent_total=40.0, customer=100, replica_set_size=200
         ),
     )
-    assert told_besides(3_000) == 6
+    assert times_attached(3_000) == 6
 
 
 def test_readmitted_customers_are_not_attached():
@@ -149,7 +149,7 @@
 
 
 def test_announcements_leave_messages_for_token_owners():
-    """Guards against the many closing at once in a large fleet: keepers were told nothing then."""
+    """Many customers may become exhausted at once in a large fleet."""
     harness = PolicyHarness(replica_count=200, peer_messages_per_second=40.0)
     for customer in range(100, 200):
         row = customer_row(
--- a/tests/test_token_owner.py
+++ b/tests/test_token_owner.py
@@ -32,9 +32,9 @@
 
 def test_no_stand_in_is_notified_if_the_token_owner_replies():
     harness = PolicyHarness(replica_count=60)
-    keeper = next(p for p, m in peer_messages(harness.request(1, replica_set_size=50)) if m.to_token_owner)
+    owner = next(p for p, m in peer_messages(harness.request(1, replica_set_size=50)) if m.to_token_owner)
     harness.now += 20_000
-    receive(harness, keeper, customer_row(replica_set_size=50))
+    receive(harness, owner, customer_row(replica_set_size=50))
     assert not [p for p, m in peer_messages(harness.advance(270_000)) if m.to_token_owner]
 
 
@@ -42,13 +42,13 @@
     harness = PolicyHarness(replica_count=60)
     for i in range(1, 20):
         harness.request(i, customer=i, replica_set_size=50)
-    harness.now += 2 * SECOND  # no event in between: its own timers are late
+    harness.now += 2 * SECOND  # no event in between: its timers are late
     harness.advance(1)
     assert harness.gateway.unreachable_share == 0.0
 
 
 def test_a_customer_is_confirmed_if_no_token_owner_replies():
-    """In a cut a new customer got its share once and nothing more, for nobody answered."""
+    """As in a partition: the customer must not stay limited to its first share."""
     harness = PolicyHarness(replica_count=60)
     send_requests(harness, 3, replica_set_size=50)
     harness.advance(3 * SECOND)
@@ -56,15 +56,15 @@
 
 
 def test_pending_deltas_are_sent_together_if_messages_are_scarce():
-    """The intake holds a few messages a second; none of the customers is left out for that."""
+    """With a few messages a second each customer is reported all the same."""
     harness = PolicyHarness(peer_messages_per_second=10.0)
     for i in range(1, 60):
         assert send_requests(harness, 1, first_request=i, customer=i) == 1
         harness.advance(2_000)
     harness.advance(8 * SECOND)
-    told_of = {row.customer for _, m in peer_messages(harness.actions) if m.to_token_owner for row in m.rows}
-    ours = {
+    reported = {row.customer for _, m in peer_messages(harness.actions) if m.to_token_owner for row in m.rows}
+    owned_here = {
         i for i in range(1, 60) if replica_set.token_owner(harness.gateway, harness.gateway.accounts[i]) == 0
     }
-    assert told_of | ours == set(range(1, 60))
+    assert reported | owned_here == set(range(1, 60))
     assert not harness.gateway.pending_deltas
