--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,7 @@
 	$(VENV)/bin/orchidlane seeds examples/materials/random.cue --count 2000
 
 faults: $(VENV)/.installed
-	CHANGE_SEEDS=2000 $(VENV)/bin/python -m pytest tests/processes tests/test_change_stories.py tests/test_change_model.py
+	CHANGE_SEEDS=2000 $(VENV)/bin/python -m pytest tests/processes tests/test_rollout_scenarios.py tests/test_consensus_model.py
 
 bench: $(VENV)/.installed
 	$(VENV)/bin/python -m benchmarks.gateway
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,10 +25,10 @@
 )  # real sockets, all cores
 
 
-EACH_BY_ITSELF = ("change_model", "fleet_totals")  # long, and they share nothing
+EACH_BY_ITSELF = ("consensus_model", "fleet_totals")  # long, and they share nothing
 # Each starts up to ten processes: two at a time take each other's cores, and a leader that is held up is
 # replaced
-PROCESSES = ("change_processes", "platform_processes")
+PROCESSES = ("rollout_processes", "platform_processes")
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
