--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -23,7 +23,7 @@
 import structlog
 
 from orchidlane.config import Duration
-from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.gateway.rollout_agent.admin_messages import CommandRequest
 from orchidlane.rollout.canary_analysis import OUTCOME_KINDS, AnswerCounts, CanaryAnalysis
 from orchidlane.rollout.version import ContentHashes, content_hash
@@ -95,7 +95,7 @@
         "doubled": found["doubled"],
         "late": found["late"],
         "ceiling_beyond": max(0.0, round(verdict.ceiling_worst - 1, 3)),
-        "unapproved": len(fleet.seen().keys() - known),
+        "unapproved": len(fleet.served_versions().keys() - known),
         "adopted_ms": [round(statistics.median(adopted)), round(max(adopted))],
         "undone_ms": [round(statistics.median(undone)), round(max(undone))],
         "idle_datagrams_s": told["idle_datagrams_s"],
@@ -129,7 +129,7 @@
 
 def simulated(gateways: int) -> list[int]:
     """Milliseconds, virtual, from the command to all gateways, and from the undo on."""
-    fleet = parse_fleet((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
+    fleet = parse_settings((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
     customers = (MATERIALS / "customers.json").read_bytes()
     story = SimulatedRolloutFleet(RolloutScenario(1, gateways, 5), fleet, rules, customers)
     spans: list[int] = []
--- a/orchidlane/simulation/network_links.py
+++ b/orchidlane/simulation/network_links.py
@@ -1,6 +1,6 @@
-"""Relays for the connections between gateways: cut, one way, late, reset, or a trickle of bytes.
+"""Relays for the connections between gateways: cut, cut one way, delayed, reset, or slowed to a trickle.
 
-Each pair of gateways has an address of its own, so that a fault holds for one way between two of them.
+Each pair of gateways has an address of its own, so that a fault affects one direction between two of them.
 """
 
 from __future__ import annotations
@@ -11,62 +11,72 @@
 from orchidlane.runtime import PEERS, Closed, Expired, Listener, Loop, NotConnected, Scope, Stream
 from orchidlane.runtime.backend import Address
 
-LOOK = 10_000  # microseconds between two looks at a cut
-Pair = tuple[int, int]  # who calls, and who is called
+POLL_INTERVAL_US = 10_000
+CONNECT_TIMEOUT_US = 2_000_000
+SEND_TIMEOUT_US = 10_000_000
+Pair = tuple[int, int]  # ranks of the client and of the server of a connection
 
 
 @dataclass
-class Links:
-    """The relays; what they do to a pair may change at any time."""
+class NetworkLinks:
+    """The relays; what they do to a pair may be changed at any time.
+
+    ``routes`` has the address to listen on and the address to connect to. On a pair in ``cuts`` nothing
+    passes; on one in ``response_cuts`` requests arrive and responses do not.
+    """
 
     loop: Loop
-    ways: Mapping[Pair, tuple[Address, Address]]  # where to listen, and where to bring it
-    cuts: set[Pair] = field(default_factory=set)  # bytes of the caller get no further, nor answers to them
-    deaf: set[Pair] = field(default_factory=set)  # the call arrives, the answer does not
-    delay: dict[Pair, int] = field(default_factory=dict)  # microseconds for each piece
-    trickle: dict[Pair, int] = field(default_factory=dict)  # bytes in each ``LOOK``
-    reset: dict[Pair, float] = field(default_factory=dict)  # chance, for each piece
-    calls: dict[Pair, int] = field(default_factory=dict)
+    routes: Mapping[Pair, tuple[Address, Address]]
+    cuts: set[Pair] = field(default_factory=set)
+    response_cuts: set[Pair] = field(default_factory=set)
+    delays_us: dict[Pair, int] = field(default_factory=dict)  # of each piece
+    max_bytes_per_interval: dict[Pair, int] = field(default_factory=dict)
+    reset_probability: dict[Pair, float] = field(default_factory=dict)  # for each piece
+    connection_counts: dict[Pair, int] = field(default_factory=dict)
 
     def serve(self) -> None:
-        """Bring connections for ever."""
+        """Relay connections until cancelled."""
         with Scope(self.loop) as scope:
-            for pair, (at, to) in self.ways.items():
-                scope.spawn(self._accept, pair, self.loop.world.listen(at), to, kind=PEERS, name="links")
+            for pair, (own, target) in self.routes.items():
+                listener = self.loop.world.listen(own)
+                scope.spawn(self._accept, pair, listener, target, kind=PEERS, name="links")
 
-    def _accept(self, pair: Pair, listener: Listener, to: Address) -> None:
+    def _accept(self, pair: Pair, listener: Listener, target: Address) -> None:
         with Scope(self.loop) as scope:
             while True:
                 try:
                     stream = listener.accept()
                 except (Closed, NotConnected):
                     return
-                scope.spawn(self._bring, pair, stream, to, kind=PEERS, name="link")
+                scope.spawn(self._relay, pair, stream, target, kind=PEERS, name="link")
 
-    def _bring(self, pair: Pair, near: Stream, to: Address) -> None:
-        self.calls[pair] = self.calls.get(pair, 0) + 1
+    def _relay(self, pair: Pair, client: Stream, target: Address) -> None:
+        self.connection_counts[pair] = self.connection_counts.get(pair, 0) + 1
         try:
-            self._wait(pair, self.cuts)
-            far = self.loop.world.connect(to, self.loop.now() + 2_000_000)
+            self._wait_while_cut(pair, self.cuts)
+            server = self.loop.world.connect(target, self.loop.now() + CONNECT_TIMEOUT_US)
         except (NotConnected, Expired):
-            return near.abort()
+            client.abort()
+            return
         with Scope(self.loop) as scope:
-            scope.spawn(self._pump, pair, near, far, self.cuts, kind=PEERS, name="there")
-            scope.spawn(self._pump, pair, far, near, self.deaf, kind=PEERS, name="back")
+            scope.spawn(self._forward, pair, client, server, self.cuts, kind=PEERS, name="requests")
+            scope.spawn(self._forward, pair, server, client, self.response_cuts, kind=PEERS, name="responses")
 
-    def _wait(self, pair: Pair, holds: set[Pair]) -> None:
-        while pair in holds or pair in self.cuts:
-            self.loop.sleep(LOOK)
+    def _wait_while_cut(self, pair: Pair, cuts: set[Pair]) -> None:
+        while pair in cuts or pair in self.cuts:
+            self.loop.sleep(POLL_INTERVAL_US)
 
-    def _pump(self, pair: Pair, source: Stream, sink: Stream, holds: set[Pair]) -> None:
+    def _forward(self, pair: Pair, source: Stream, sink: Stream, cuts: set[Pair]) -> None:
+        """Forward one direction to its end."""
         try:
             while data := source.recv():
-                self._wait(pair, holds)
-                if self.loop.world.random.random() < self.reset.get(pair, 0.0):
+                self._wait_while_cut(pair, cuts)
+                if self.loop.world.random.random() < self.reset_probability.get(pair, 0.0):
                     source.abort()
-                    return sink.abort()
-                if self.delay.get(pair):
-                    self.loop.sleep(self.delay[pair])
+                    sink.abort()
+                    return
+                if self.delays_us.get(pair):
+                    self.loop.sleep(self.delays_us[pair])
                 self._write(pair, sink, data)
             sink.half_close()
         except (Closed, Expired):
@@ -74,8 +84,8 @@
 
     def _write(self, pair: Pair, sink: Stream, data: bytes) -> None:
         while data:
-            size = self.trickle.get(pair, 0) or len(data)
-            sink.send(data[:size], self.loop.now() + 10_000_000)
+            size = self.max_bytes_per_interval.get(pair, 0) or len(data)
+            sink.send(data[:size], self.loop.now() + SEND_TIMEOUT_US)
             data = data[size:]
             if data:
-                self.loop.sleep(LOOK)
+                self.loop.sleep(POLL_INTERVAL_US)
--- a/orchidlane/simulation/process_fleet.py
+++ b/orchidlane/simulation/process_fleet.py
@@ -27,22 +27,22 @@
 from orchidlane.runtime.backend import Address
 from orchidlane.simulation.audit import Verdict
 from orchidlane.simulation.backends import END_WITHIN, RealBacking, play_while
-from orchidlane.simulation.network_links import Links, Pair
+from orchidlane.simulation.network_links import NetworkLinks, Pair
 from orchidlane.simulation.observations import Away, Try
 from orchidlane.simulation.scenario import Day, Plan, Runner, make_plan, own_settings
 
-READY_WITHIN = 20.0  # seconds
-COMMAND_WITHIN = 90.0
+READY_TIMEOUT_S = 20.0  # seconds
+COMMAND_TIMEOUT_S = 90.0
 
 
-class FleetBacking(RealBacking):
+class FleetProcesses(RealBacking):
     """Real processes with their own settings, where the others are reached through relays."""
 
     def __init__(self, folder: str, edit: Callable[[dict[str, Any]], None]) -> None:
         super().__init__(folder)
         self.edit = edit
-        self.ways: dict[Pair, tuple[Address, Address]] = {}
-        self.ready: dict[int, int] = {}  # rank -> a pipe on which its process says that it serves
+        self.routes: dict[Pair, tuple[Address, Address]] = {}
+        self.ready_pipes: dict[int, int] = {}  # rank -> a pipe on which its process says that it serves
 
     def prepare(self, plan: Plan) -> None:
         """The files of each gateway, and those of the whole fleet for commands."""
@@ -51,7 +51,7 @@
         pairs = [(one, other) for one in range(count) for other in range(count) if one != other]
         admins = [parse_host_port(entry.admin) for entry in plan.fleet.gateways]
         places = zip(pairs, self.free_addresses(len(pairs)), strict=True)
-        self.ways = {pair: (at, admins[pair[1]]) for pair, at in places}
+        self.routes = {pair: (at, admins[pair[1]]) for pair, at in places}
         description = Path(plan.fleet.description).read_bytes()
         (self.folder / "openapi.yaml").write_bytes(description)
         self._write("fleet.cue", plan.text, -1)
@@ -62,7 +62,7 @@
         value = config.plain_values(text, name, schema_text(), "#Fleet")
         value["description"] = str(self.folder / "openapi.yaml")
         self.edit(value)
-        for (one, other), (at, _) in self.ways.items():
+        for (one, other), (at, _) in self.routes.items():
             if one == rank:
                 value["gateways"][other]["admin"] = f"{at[0]}:{at[1]}"
         (self.folder / name).write_text(config.render(value)[1:-1])
@@ -70,9 +70,9 @@
     def start_gateway(self, rank: int) -> None:
         """A process that is handed the writing end of a pipe."""
         mine, theirs = os.pipe()
-        if rank in self.ready:
-            os.close(self.ready[rank])
-        self.ready[rank] = mine
+        if rank in self.ready_pipes:
+            os.close(self.ready_pipes[rank])
+        self.ready_pipes[rank] = mine
         arguments = [*self._gateway(rank), "--ready-fd", str(theirs)]
         with open(self.folder / f"gw-{rank}.log", "ab") as log:
             self.processes[f"gw-{rank}"] = subprocess.Popen(
@@ -86,20 +86,20 @@
 
     def end(self) -> None:
         super().end()
-        for number in self.ready.values():
+        for number in self.ready_pipes.values():
             os.close(number)
-        self.ready.clear()
+        self.ready_pipes.clear()
 
 
 class ProcessFleet:
     """What a test does to a fleet that runs."""
 
-    def __init__(self, runner: Runner, backing: FleetBacking, links: Links) -> None:
+    def __init__(self, runner: Runner, backing: FleetProcesses, links: NetworkLinks) -> None:
         self.runner = runner
         self.backing = backing
         self.links = links
         self.folder = backing.folder
-        self._away: dict[int, tuple[int, str]] = {}
+        self._away_since: dict[int, tuple[int, str]] = {}
 
     @property
     def count(self) -> int:
@@ -110,22 +110,22 @@
 
     def await_ready(self, *ranks: int) -> None:
         """Wait for the line of each process. Raises TimeoutError."""
-        by = time.monotonic() + READY_WITHIN
+        by = time.monotonic() + READY_TIMEOUT_S
         for rank in ranks or range(self.count):
-            number = self.backing.ready[rank]
+            number = self.backing.ready_pipes[rank]
             if not select.select([number], [], [], max(0.0, by - time.monotonic()))[0]:
-                raise TimeoutError(f"gw-{rank} did not say that it serves: {self.words(rank)}")
+                raise TimeoutError(f"gw-{rank} did not say that it serves: {self.log_tail(rank)}")
             if os.read(number, 16) != b"ready\n":
-                raise TimeoutError(f"gw-{rank} ended before it served: {self.words(rank)}")
+                raise TimeoutError(f"gw-{rank} ended before it served: {self.log_tail(rank)}")
 
-    def words(self, rank: int) -> str:
+    def log_tail(self, rank: int) -> str:
         """The last lines of a gateway's log."""
         return "\n".join((self.folder / f"gw-{rank}.log").read_text().splitlines()[-5:])
 
     def kill(self, *ranks: int) -> None:
         """SIGKILL, and wait for the end."""
         for rank in ranks:
-            self._away.setdefault(rank, (self.now(), "killed"))
+            self._away_since.setdefault(rank, (self.now(), "killed"))
             self.backing.processes[f"gw-{rank}"].kill()
         for rank in ranks:
             self.backing.processes[f"gw-{rank}"].wait(END_WITHIN)
@@ -136,7 +136,7 @@
         found = [path for kind in kinds for path in self.folder.glob(f"gw-{rank}.{kind}")]
         return {path: path.read_bytes() for path in found if path.suffix != ".new"}
 
-    def put_back(self, rank: int, files: dict[Path, bytes]) -> None:
+    def replace_files(self, rank: int, files: dict[Path, bytes]) -> None:
         """Give a gateway that does not run other files."""
         for path in self.files(rank):
             path.unlink()
@@ -149,33 +149,33 @@
             self.backing.start_gateway(rank)
         self.await_ready(*ranks)
         for rank in ranks:
-            self.back(rank)
+            self.record_return(rank)
 
-    def still(self, *ranks: int) -> None:
+    def freeze(self, *ranks: int) -> None:
         """SIGSTOP."""
         for rank in ranks:
-            self._away.setdefault(rank, (self.now(), "still"))
+            self._away_since.setdefault(rank, (self.now(), "still"))
             self.backing.processes[f"gw-{rank}"].send_signal(signal.SIGSTOP)
 
-    def wake(self, *ranks: int) -> None:
+    def thaw(self, *ranks: int) -> None:
         """SIGCONT."""
         for rank in ranks:
             self.backing.processes[f"gw-{rank}"].send_signal(signal.SIGCONT)
-            self.back(rank)
+            self.record_return(rank)
 
-    def back(self, rank: int) -> None:
+    def record_return(self, rank: int) -> None:
         """Note for the audit until when a gateway owed nothing."""
-        began, why = self._away.pop(rank)
+        began, why = self._away_since.pop(rank)
         self.runner.records.append(Away(f"gw-{rank}", began, self.now(), why))  # type: ignore[arg-type]
 
     def now(self) -> int:
         """The clients' clock."""
         return self.runner.loop.now()
 
-    def all_back(self) -> None:
+    def record_all_returns(self) -> None:
         """At the end: those that stay away owe nothing until then."""
-        for rank in list(self._away):
-            self.back(rank)
+        for rank in list(self._away_since):
+            self.record_return(rank)
 
     # -- between processes
 
@@ -186,25 +186,25 @@
         back = {(other, one) for one, other in pairs}
         self.runner.relay.one_way |= pairs | (back if both else set())
         self.links.cuts |= pairs | (back if both else set())
-        self.links.deaf |= back
+        self.links.response_cuts |= back
 
-    def slow(self, ones: set[int], span: int, bytes_a_look: int) -> None:
+    def slow_down(self, ones: set[int], span: int, bytes_a_look: int) -> None:
         """What these say to others comes late, and a connection to them trickles."""
         assert self.runner.relay is not None
         pairs = [(one, other) for one in ones for other in range(self.count) if one != other]
         self.runner.relay.late.update(dict.fromkeys(pairs, span))
-        self.links.trickle.update({(other, one): bytes_a_look for one, other in pairs})
+        self.links.max_bytes_per_interval.update({(other, one): bytes_a_look for one, other in pairs})
 
     def heal(self) -> None:
         """All passes again."""
         assert self.runner.relay is not None
         self.runner.relay.one_way.clear()
         self.runner.relay.late.clear()
-        self.links.delay.clear()
-        self.links.trickle.clear()
-        self.links.reset.clear()
+        self.links.delays_us.clear()
+        self.links.max_bytes_per_interval.clear()
+        self.links.reset_probability.clear()
         self.links.cuts.clear()
-        self.links.deaf.clear()
+        self.links.response_cuts.clear()
 
     def on_message(self, hook: Callable[[int, int, messages.Message], None]) -> None:
         """Call ``hook(sender, receiver, message)`` for each datagram on versions, before it is brought."""
@@ -224,7 +224,7 @@
         """Exit code and words of ``orchidlane change ...`` with the fleet's settings."""
         do, *rest = arguments
         words = [sys.executable, "-m", "orchidlane", "change", do, str(self.folder / "fleet.cue"), *rest]
-        done = subprocess.run(words, capture_output=True, text=True, timeout=COMMAND_WITHIN)
+        done = subprocess.run(words, capture_output=True, text=True, timeout=COMMAND_TIMEOUT_S)
         return done.returncode, done.stdout + done.stderr
 
     def upgrade(self, rank: int) -> tuple[int, str]:
@@ -232,10 +232,10 @@
         log = str(self.folder / f"gw-{rank}.log")
         words = ["upgrade", str(self.folder / f"gw-{rank}.cue"), "--rank", str(rank), "--log", log]
         command = [sys.executable, "-m", "orchidlane", *words]
-        done = subprocess.run(command, capture_output=True, text=True, timeout=COMMAND_WITHIN)
+        done = subprocess.run(command, capture_output=True, text=True, timeout=COMMAND_TIMEOUT_S)
         return done.returncode, done.stdout + done.stderr
 
-    def begin(self, *arguments: str) -> tuple[threading.Thread, list[tuple[int, str]]]:
+    def start_command(self, *arguments: str) -> tuple[threading.Thread, list[tuple[int, str]]]:
         """The same in a thread of its own."""
         found: list[tuple[int, str]] = []
         thread = threading.Thread(target=lambda: found.append(self.command(*arguments)), daemon=True)
@@ -251,9 +251,11 @@
 
     def leader(self) -> int:
         """The rank of whoever leads, once somebody does."""
-        return int(self.until(lambda one: one["leads"])["leader"])
+        return int(self.wait_for_status(lambda one: one["leads"])["leader"])
 
-    def until(self, holds: Callable[[dict[str, Any]], bool], within: float = 30.0) -> dict[str, Any]:
+    def wait_for_status(
+        self, holds: Callable[[dict[str, Any]], bool], within: float = 30.0
+    ) -> dict[str, Any]:
         """Wait until a status holds something. Raises TimeoutError."""
         by, status = time.monotonic() + within, {}
         while time.monotonic() < by:
@@ -272,7 +274,7 @@
         assert old in text, old
         path.write_text(text.replace(old, new))
 
-    def seen(self, after: int = 0, before: int | None = None) -> dict[int, set[str]]:
+    def served_versions(self, after: int = 0, before: int | None = None) -> dict[int, set[str]]:
         """Versions in the answers to requests that began in a span: number -> gateways."""
         found: dict[int, set[str]] = {}
         for record in list(self.runner.records):
@@ -286,26 +288,26 @@
 def play_fleet(
     day: Day,
     folder: str,
-    work: Callable[[ProcessFleet], None],
-    edit: Callable[[dict[str, Any]], None],
+    script: Callable[[ProcessFleet], None],
+    edit_settings: Callable[[dict[str, Any]], None],
     seed: int = 1,
     warm_up: int = 20,
 ) -> tuple[Verdict, ProcessFleet]:
     """Do the work beside the clients' requests; the verdict over what passed on the sockets."""
-    backing = FleetBacking(folder, edit)
+    backing = FleetProcesses(folder, edit_settings)
     plan = make_plan(day, folder, backing.free_addresses)
     backing.prepare(plan)
     loop = Loop(RealWorld(seed))
     runner = Runner(loop, plan, backing)
-    links = Links(loop, backing.ways)
+    links = NetworkLinks(loop, backing.routes)
     runner.beside.append(links.serve)
     fleet = ProcessFleet(runner, backing, links)
 
     def all_of_it() -> None:
         fleet.await_ready()
         try:
-            work(fleet)
+            script(fleet)
         finally:
-            fleet.all_back()
+            fleet.record_all_returns()
 
     return play_while(runner, all_of_it, warm_up), fleet
--- a/tests/processes/test_rollout_processes.py
+++ b/tests/processes/test_rollout_processes.py
@@ -27,11 +27,13 @@
         code, words = fleet.command("propose", "--reason", "curves cost more")
         assert code == 0, words
         told["done"] = fleet.now()
-        fleet.until(lambda one: one["leads"] and [it["runs"] for it in one["gateways"]] == [1, 1, 1])
+        fleet.wait_for_status(
+            lambda one: one["leads"] and [it["runs"] for it in one["gateways"]] == [1, 1, 1]
+        )
         code, words = fleet.command("undo", "--reason", "too dear")
         assert code == 0, words
         told["undone"] = fleet.now()
-        status = fleet.until(lambda one: one["leads"] and one["change"] is None)
+        status = fleet.wait_for_status(lambda one: one["leads"] and one["change"] is None)
         assert status["current"]["parts"] == status["history"][0]["version"]["parts"]
         assert [entry["state"] for entry in status["history"]] == ["done", "done", "done"]
         told["again"] = fleet.command("undo", "1")
@@ -40,9 +42,9 @@
     verdict, fleet = fleet_of(tmp_path, work)
     rules_hold(verdict)
     assert "has these contents already" in told["again"][1], told
-    assert fleet.seen().keys() <= {0, 1, 2}
-    assert fleet.seen(told["done"], told["undone"]).keys() <= {1, 2}
-    assert fleet.seen(told["undone"]).keys() <= {2}
+    assert fleet.served_versions().keys() <= {0, 1, 2}
+    assert fleet.served_versions(told["done"], told["undone"]).keys() <= {1, 2}
+    assert fleet.served_versions(told["undone"]).keys() <= {2}
 
 
 # The leader's own datagrams on the way of one edit: prepare and accept for each of propose, approve, finish.
@@ -72,10 +74,12 @@
         assert "killed" in told, "the leader never came so far"
         leader = told["killed"]
         rest = [rank for rank in range(3) if rank != leader]
-        status = fleet.until(lambda one: one["leads"] and one["leader"] in rest and one["change"] is None)
+        status = fleet.wait_for_status(
+            lambda one: one["leads"] and one["leader"] in rest and one["change"] is None
+        )
         told["number"] = number = status["current"]["number"]
         fleet.start(leader)
-        fleet.until(
+        fleet.wait_for_status(
             lambda one: one["leads"] and all(gateway["runs"] == number for gateway in one["gateways"])
         )
         told["all"] = fleet.now()
@@ -86,7 +90,7 @@
     code, words = told["end"]
     assert code in (0, 1), words
     assert told["number"] == (1 if code == 0 else 0), (told, words)
-    assert fleet.seen(told["all"]).keys() <= {told["number"]}
+    assert fleet.served_versions(told["all"]).keys() <= {told["number"]}
 
 
 def nine(tmp_path, work, **change):
@@ -106,7 +110,9 @@
         told["over"] = fleet.now()
         told["healed"] = fleet.now()
         fleet.heal()
-        fleet.until(lambda one: one["leads"] and all(gateway["runs"] == 1 for gateway in one["gateways"]))
+        fleet.wait_for_status(
+            lambda one: one["leads"] and all(gateway["runs"] == 1 for gateway in one["gateways"])
+        )
         told["all"] = fleet.now()
         told["minority"] = {f"gw-{rank}" for rank in minority}
 
@@ -114,9 +120,9 @@
     verdict, fleet = nine(tmp_path, work)
     rules_hold(verdict)
     assert "not confirmed, and not serving" in told["end"][1]
-    late = fleet.seen(told["cut"] + LEASE + SECOND // 2, told["healed"])
+    late = fleet.served_versions(told["cut"] + LEASE + SECOND // 2, told["healed"])
     assert not told["minority"] & set().union(*late.values()), "who was cut off serves on after its lease"
-    assert fleet.seen(told["all"]).keys() <= {1}
+    assert fleet.served_versions(told["all"]).keys() <= {1}
 
 
 @pytest.mark.parametrize("deaf", [True, False], ids=["leader hears nobody", "nobody hears the leader"])
@@ -129,24 +135,28 @@
         told["end"] = fleet.command("propose", "--reason", "one way")
         assert told["end"][0] == 0, told["end"]
         fleet.heal()
-        fleet.until(lambda one: one["leads"] and all(gateway["runs"] == 1 for gateway in one["gateways"]))
+        fleet.wait_for_status(
+            lambda one: one["leads"] and all(gateway["runs"] == 1 for gateway in one["gateways"])
+        )
         told["all"] = fleet.now()
 
     told: dict = {}
     verdict, fleet = nine(tmp_path, work)
     rules_hold(verdict)
-    assert fleet.seen(told["all"]).keys() <= {1}
+    assert fleet.served_versions(told["all"]).keys() <= {1}
 
 
 def test_a_slow_voter_and_connections_that_trickle_hold_nothing_up_for_good(tmp_path):
     def work(fleet):
         leader = fleet.leader()
-        fleet.slow({(leader + 1) % 5, 8}, 150_000, 64)
-        fleet.links.reset.update({(rank, leader): 0.3 for rank in range(9) if rank != leader})
+        fleet.slow_down({(leader + 1) % 5, 8}, 150_000, 64)
+        fleet.links.reset_probability.update({(rank, leader): 0.3 for rank in range(9) if rank != leader})
         fleet.edit_rules(COST, EDITED)
         told["end"] = fleet.command("propose", "--reason", "slowly")
         fleet.heal()
-        fleet.until(lambda one: one["leads"] and all(gateway["runs"] == 1 for gateway in one["gateways"]))
+        fleet.wait_for_status(
+            lambda one: one["leads"] and all(gateway["runs"] == 1 for gateway in one["gateways"])
+        )
 
     told: dict = {}
     verdict, _ = nine(tmp_path, work)
@@ -162,24 +172,26 @@
         assert fleet.command("propose", "--reason", "to be undone")[0] == 0
         asleep, voter = (6, 3)
         kept = {rank: fleet.files(rank) for rank in (voter, 7)}
-        fleet.still(asleep)
+        fleet.freeze(asleep)
         told["asleep"] = fleet.now()
         code, told["words"] = fleet.command("undo")
         assert code == 0, told
         told["undone"] = fleet.now()
-        fleet.wake(asleep)
+        fleet.thaw(asleep)
         fleet.kill(voter, 7)
         for rank, files in kept.items():
-            fleet.put_back(rank, files)
+            fleet.replace_files(rank, files)
         fleet.start(voter, 7)
-        fleet.until(lambda one: one["leads"] and all(gateway["runs"] == 2 for gateway in one["gateways"]))
-        told["old disk"] = fleet.words(voter), (fleet.folder / f"gw-{voter}.log").read_text()
+        fleet.wait_for_status(
+            lambda one: one["leads"] and all(gateway["runs"] == 2 for gateway in one["gateways"])
+        )
+        told["old disk"] = fleet.log_tail(voter), (fleet.folder / f"gw-{voter}.log").read_text()
 
     told: dict = {}
     verdict, fleet = nine(tmp_path, work)
     rules_hold(verdict)
-    assert "gw-6" not in fleet.seen(told["asleep"]).get(1, set()), "requests in its buffers"
-    assert fleet.seen(told["undone"]).keys() <= {2}
+    assert "gw-6" not in fleet.served_versions(told["asleep"]).get(1, set()), "requests in its buffers"
+    assert fleet.served_versions(told["undone"]).keys() <= {2}
     assert "the disk is an old one" in told["old disk"][1], told["old disk"][0]
 
 
@@ -192,9 +204,9 @@
         for rank in (empty, cut):
             fleet.kill(rank)
             files = fleet.files(rank) if rank == cut else {}
-            fleet.put_back(rank, {path: data[: len(data) // 2] for path, data in files.items()})
+            fleet.replace_files(rank, {path: data[: len(data) // 2] for path, data in files.items()})
             fleet.start(rank)
-        fleet.until(lambda one: len(one["seats"]) == 5 and one["leads"])
+        fleet.wait_for_status(lambda one: len(one["seats"]) == 5 and one["leads"])
         # Two others die: the quorum is the leader and the two that were admitted.
         rest = [rank for rank in range(5) if rank not in (leader, empty, cut)]
         told["log"] = (fleet.folder / f"gw-{cut}.log").read_text()
@@ -213,8 +225,8 @@
     def work(fleet):
         fleet.kill(8)
         fleet.edit_rules(COST, EDITED)
-        thread, found = fleet.begin("propose", "--reason", "half of it dies")
-        fleet.until(lambda one: one["stage"] == "adopting")
+        thread, found = fleet.start_command("propose", "--reason", "half of it dies")
+        fleet.wait_for_status(lambda one: one["stage"] == "adopting")
         leader = fleet.leader()
         dead = [(leader + 1) % 5, (leader + 2) % 5, 5, 6]
         fleet.kill(*dead)
@@ -222,21 +234,24 @@
         thread.join(60)
         told["end"] = found
         fleet.start(*dead)
-        fleet.until(lambda one: one["leads"] and all(gateway["runs"] == 1 for gateway in one["gateways"]))
+        fleet.wait_for_status(
+            lambda one: one["leads"] and all(gateway["runs"] == 1 for gateway in one["gateways"])
+        )
         told["all"] = fleet.now()
 
     told: dict = {}
     verdict, fleet = nine(tmp_path, work)
     rules_hold(verdict)
     assert told["end"][0][0] == 0, told
-    assert fleet.seen(told["all"]).keys() <= {1}
+    assert fleet.served_versions(told["all"]).keys() <= {1}
 
 
 def test_of_two_proposers_one_wins_and_bad_content_reaches_no_voter(tmp_path):
     def work(fleet):
         fleet.edit_rules(COST, EDITED)
         threads = [
-            fleet.begin("propose", "--author", name, "--reason", f"of {name}") for name in ("ann", "bob")
+            fleet.start_command("propose", "--author", name, "--reason", f"of {name}")
+            for name in ("ann", "bob")
         ]
         for thread, found in threads:
             thread.join(60)
@@ -292,14 +307,16 @@
             """It stands still from the first vote on the hold on."""
             if isinstance(message, messages.VersionVote) and "still" not in told:
                 told["still"] = True
-                fleet.still(asleep)
+                fleet.freeze(asleep)
 
         fleet.on_message(strike)
-        thread, found = fleet.begin("propose", "--reason", "the map of sets")
+        thread, found = fleet.start_command("propose", "--reason", "the map of sets")
         thread.join(60)
         told["end"] = found
-        fleet.wake(asleep)
-        fleet.until(lambda one: one["leads"] and all(gateway["runs"] == 2 for gateway in one["gateways"]))
+        fleet.thaw(asleep)
+        fleet.wait_for_status(
+            lambda one: one["leads"] and all(gateway["runs"] == 2 for gateway in one["gateways"])
+        )
         told["status"] = fleet.status()
 
     told: dict = {}
@@ -329,27 +346,27 @@
         int(line.split("adopting, ")[1].split(" of")[0]) for line in words.splitlines() if "adopting" in line
     ]
     assert done == sorted(done) and len(set(done)) >= 4, words
-    assert fleet.seen().keys() == {0, 1}
+    assert fleet.served_versions().keys() == {0, 1}
 
 
 @pytest.mark.parametrize("dies", [False, True], ids=["", "and the leader dies"])
 def test_a_bad_stage_is_found_and_taken_back_under_load(tmp_path, dies):
     def work(fleet):
         fleet.edit_rules(GOOD_UPLOAD, BAD_UPLOAD)
-        thread, found = fleet.begin("propose", "--reason", "uploads cost too much")
+        thread, found = fleet.start_command("propose", "--reason", "uploads cost too much")
         if dies:
-            adopted = fleet.until(lambda one: one["stage"] == "adopting" or found)
+            adopted = fleet.wait_for_status(lambda one: one["stage"] == "adopting" or found)
             if not adopted["stage"]:  # on a busy machine another one led meanwhile: the command said so
                 assert found[0][0], found
-                thread, found = fleet.begin("propose", "--reason", "uploads cost too much")
-                fleet.until(lambda one: one["stage"] == "adopting")
+                thread, found = fleet.start_command("propose", "--reason", "uploads cost too much")
+                fleet.wait_for_status(lambda one: one["stage"] == "adopting")
             leader = fleet.leader()
             fleet.kill(leader)
         thread.join(80)
         told["end"] = found
         if dies:
             fleet.start(leader)
-        told["status"] = fleet.until(
+        told["status"] = fleet.wait_for_status(
             lambda one: one["leads"] and all(gateway["runs"] == 2 for gateway in one["gateways"])
         )
         told["undone"] = fleet.now()
@@ -363,8 +380,8 @@
     reason = history[-1]["version"]["reason"]
     assert "stopped at harm: " in reason and "test-upload" in reason, reason
     assert history[-1]["version"]["parts"] == history[0]["version"]["parts"]
-    assert len(fleet.seen().get(1, set())) <= 5, "more than two stages went by it"
-    assert fleet.seen(told["undone"]).keys() <= {2}
+    assert len(fleet.served_versions().get(1, set())) <= 5, "more than two stages went by it"
+    assert fleet.served_versions(told["undone"]).keys() <= {2}
 
 
 def test_a_voter_that_is_upgraded_goes_on_with_the_version_and_its_votes(tmp_path):
@@ -377,7 +394,9 @@
         other = (leader + 1) % 3
         told["upgrades"] = [fleet.upgrade(rank) for rank in (other, leader)]
         told["end"] = fleet.command("undo")
-        fleet.until(lambda one: one["leads"] and all(gateway["runs"] == 2 for gateway in one["gateways"]))
+        fleet.wait_for_status(
+            lambda one: one["leads"] and all(gateway["runs"] == 2 for gateway in one["gateways"])
+        )
         told["all"] = fleet.now()
         told["logs"] = [(fleet.folder / f"gw-{rank}.log").read_text() for rank in (other, leader)]
 
@@ -386,5 +405,5 @@
     rules_hold(verdict)
     assert [code for code, _ in told["upgrades"]] == [0, 0], told["upgrades"]
     assert told["end"][0] == 0, told["end"]
-    assert fleet.seen(told["all"]).keys() <= {2}
+    assert fleet.served_versions(told["all"]).keys() <= {2}
     assert not any("the disk is an old one" in log or "Traceback" in log for log in told["logs"])
--- a/tests/test_hot_restart_model.py
+++ b/tests/test_hot_restart_model.py
@@ -64,12 +64,12 @@
             self.faults,
         )
 
-    def wrong(self) -> str | None:
+    def broken_invariant(self) -> str | None:
         if all(self.serves):
             return "both serve"
         return None
 
-    def good(self) -> bool:
+    def is_good(self) -> bool:
         """One serves and has nothing more to do with the other; or both were ended."""
         alone = self.giver.phase is old_process.Phase.SERVING and self.serves[0]
         free = self.taker.phase is new_process.Phase.INDEPENDENT and self.serves[1]
@@ -258,9 +258,9 @@
 
 def test_never_both_serve_and_one_always_can():
     found = explore(model())
-    assert found.wrong == []
-    assert found.stuck == []
-    assert found.states > 3_000
+    assert found.violations == []
+    assert found.stuck_paths == []
+    assert found.state_count > 3_000
 
 
 @pytest.mark.parametrize(
@@ -282,12 +282,12 @@
 )
 def test_a_giver_that_does_not_fence_is_found(monkeypatch, phase, event, instead):
     monkeypatch.setitem(old_process.TRANSITIONS, (phase, event), instead)
-    assert explore(model()).wrong[0][0] == "both serve"
+    assert explore(model()).violations[0][0] == "both serve"
 
 
 def test_a_giver_that_forgets_a_dead_successor_is_found(monkeypatch):
     monkeypatch.delitem(old_process.TRANSITIONS, (old_process.Phase.FENCING, old_process.ChannelClosed))
-    assert explore(model()).stuck
+    assert explore(model()).stuck_paths
 
 
 def test_a_taker_that_goes_on_after_a_recall_is_found(monkeypatch):
@@ -297,6 +297,6 @@
         lambda t, now, e: t.actions.append(new_process.SendHeartbeat()),
     )
     found = explore(model())
-    assert (found.stuck, found.wrong) == ([], [])  # it is killed after a while
+    assert (found.stuck_paths, found.violations) == ([], [])  # it is killed after a while
     monkeypatch.delitem(old_process.TRANSITIONS, (old_process.Phase.RECLAIMING, old_process.TimerFired))
-    assert explore(model()).stuck
+    assert explore(model()).stuck_paths
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -126,7 +126,7 @@
     def _feed(self, now: int, event: rolling_upgrade.Event) -> None:
         self.todo += tuple(self.roller.handle(now, event))
 
-    def wrong(self) -> str | None:
+    def broken_invariant(self) -> str | None:
         state = self.roller.state
         lost = {rank for rank, gate in enumerate(self.gates) if gate.gone}
         risk = {rank for rank, gate in enumerate(self.gates) if gate.successor and gate.runs}
@@ -139,7 +139,7 @@
             return "returned, and the new build runs"
         return None
 
-    def good(self) -> bool:
+    def is_good(self) -> bool:
         return self.roller.state.phase in rolling_upgrade.FINAL_PHASES
 
     def moves(self) -> Iterable[tuple[str, Fleetwide]]:
@@ -233,10 +233,10 @@
 
 
 def test_every_state_of_a_roll_leads_to_one_build_and_never_risks_too_much():
-    found = explore(Fleetwide(2), most=400_000)
-    assert found.wrong == []
-    assert found.stuck == []
-    assert found.states > 2_000
+    found = explore(Fleetwide(2), max_states=400_000)
+    assert found.violations == []
+    assert found.stuck_paths == []
+    assert found.state_count > 2_000
 
 
 class Forgetful(rolling_upgrade.RollingUpgrade):
@@ -266,7 +266,7 @@
 def test_the_search_finds_a_machine_that_is_broken(broken, monkeypatch):
     monkeypatch.setattr(Fleetwide, "machine", broken)
     found = explore(Fleetwide(1))
-    assert found.wrong or found.stuck
+    assert found.violations or found.stuck_paths
 
 
 # Whole rolls under load, simulated
