--- a/orchidlane/simulation/process_fleet.py
+++ b/orchidlane/simulation/process_fleet.py
@@ -1,8 +1,8 @@
-"""Whole gateway processes with faults between them: each tells that it is ready by a line on a pipe.
+"""Gateway processes of this machine with faults between them, for tests that drive a fleet under load.
 
-Datagrams pass the relay of ``standins``, connections between gateways those of ``links``; both know who
-speaks to whom. What is done to the processes is done by signals. Used by tests that drive a fleet from a
-thread of their own while clients ask (``backing.play_while``).
+Each process tells on a pipe that it is ready. Datagrams pass the relay of the fake servers, connections
+between gateways those of ``network_links``; both know sender and receiver. Faults of processes are signals. A
+test's script runs in a thread of its own while clients send requests (``backends.play_while``).
 """
 
 from __future__ import annotations
@@ -33,25 +33,28 @@
 
 READY_TIMEOUT_S = 20.0  # seconds
 COMMAND_TIMEOUT_S = 90.0
+UNUSABLE_INPUT = 2  # exit code
 
 
 class FleetProcesses(RealBacking):
-    """Real processes with their own settings, where the others are reached through relays."""
+    """Gateway processes, each with settings by which it reaches the others through relays."""
 
-    def __init__(self, folder: str, edit: Callable[[dict[str, Any]], None]) -> None:
+    def __init__(self, folder: str, edit_settings: Callable[[dict[str, Any]], None]) -> None:
         super().__init__(folder)
-        self.edit = edit
+        self.edit_settings = edit_settings
         self.routes: dict[Pair, tuple[Address, Address]] = {}
-        self.ready_pipes: dict[int, int] = {}  # rank -> a pipe on which its process says that it serves
+        self.ready_pipes: dict[int, int] = {}  # read ends, by rank
 
     def prepare(self, plan: Plan) -> None:
-        """The files of each gateway, and those of the whole fleet for commands."""
+        """Write the settings of each gateway, and those of the fleet for commands."""
         super().prepare(plan)
         count = plan.day.gateways
-        pairs = [(one, other) for one in range(count) for other in range(count) if one != other]
+        pairs = [(client, server) for client in range(count) for server in range(count) if client != server]
         admins = [parse_host_port(entry.admin) for entry in plan.fleet.gateways]
-        places = zip(pairs, self.free_addresses(len(pairs)), strict=True)
-        self.routes = {pair: (at, admins[pair[1]]) for pair, at in places}
+        addresses = self.free_addresses(len(pairs))
+        self.routes = {
+            pair: (address, admins[pair[1]]) for pair, address in zip(pairs, addresses, strict=True)
+        }
         description = Path(plan.fleet.description).read_bytes()
         (self.folder / "openapi.yaml").write_bytes(description)
         self._write("fleet.cue", plan.text, -1)
@@ -61,38 +64,39 @@
     def _write(self, name: str, text: str, rank: int) -> None:
         value = config.plain_values(text, name, schema_text(), "#Fleet")
         value["description"] = str(self.folder / "openapi.yaml")
-        self.edit(value)
-        for (one, other), (at, _) in self.routes.items():
-            if one == rank:
-                value["gateways"][other]["admin"] = f"{at[0]}:{at[1]}"
+        self.edit_settings(value)
+        for (client, server), ((host, port), _) in self.routes.items():
+            if client == rank:
+                value["gateways"][server]["admin"] = f"{host}:{port}"
         (self.folder / name).write_text(config.render(value)[1:-1])
 
     def start_gateway(self, rank: int) -> None:
-        """A process that is handed the writing end of a pipe."""
-        mine, theirs = os.pipe()
+        """Start a process that inherits the write end of its ready pipe."""
+        read_end, write_end = os.pipe()
         if rank in self.ready_pipes:
             os.close(self.ready_pipes[rank])
-        self.ready_pipes[rank] = mine
-        arguments = [*self._gateway(rank), "--ready-fd", str(theirs)]
+        self.ready_pipes[rank] = read_end
+        arguments = [*self._gateway(rank), "--ready-fd", str(write_end)]
         with open(self.folder / f"gw-{rank}.log", "ab") as log:
             self.processes[f"gw-{rank}"] = subprocess.Popen(
                 [sys.executable, "-m", "orchidlane", *arguments],
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                pass_fds=(theirs,),
+                pass_fds=(write_end,),
             )
-        os.close(theirs)
+        os.close(write_end)
 
     def end(self) -> None:
+        """End all processes and close their pipes."""
         super().end()
-        for number in self.ready_pipes.values():
-            os.close(number)
+        for read_end in self.ready_pipes.values():
+            os.close(read_end)
         self.ready_pipes.clear()
 
 
 class ProcessFleet:
-    """What a test does to a fleet that runs."""
+    """Faults and commands of a test's script on a fleet that runs."""
 
     def __init__(self, runner: Runner, backing: FleetProcesses, links: NetworkLinks) -> None:
         self.runner = runner
@@ -103,27 +107,27 @@
 
     @property
     def count(self) -> int:
-        """How many gateways there are."""
+        """The number of gateways."""
         return len(self.runner.plan.gateways)
 
     # -- processes
 
     def await_ready(self, *ranks: int) -> None:
-        """Wait for the line of each process. Raises TimeoutError."""
-        by = time.monotonic() + READY_TIMEOUT_S
+        """Wait until each process has told that it serves. Raises TimeoutError."""
+        deadline = time.monotonic() + READY_TIMEOUT_S
         for rank in ranks or range(self.count):
-            number = self.backing.ready_pipes[rank]
-            if not select.select([number], [], [], max(0.0, by - time.monotonic()))[0]:
+            pipe = self.backing.ready_pipes[rank]
+            if not select.select([pipe], [], [], max(0.0, deadline - time.monotonic()))[0]:
                 raise TimeoutError(f"gw-{rank} did not say that it serves: {self.log_tail(rank)}")
-            if os.read(number, 16) != b"ready\n":
+            if os.read(pipe, 16) != b"ready\n":
                 raise TimeoutError(f"gw-{rank} ended before it served: {self.log_tail(rank)}")
 
     def log_tail(self, rank: int) -> str:
-        """The last lines of a gateway's log."""
+        """Return the last lines of a gateway's log."""
         return "\n".join((self.folder / f"gw-{rank}.log").read_text().splitlines()[-5:])
 
     def kill(self, *ranks: int) -> None:
-        """SIGKILL, and wait for the end."""
+        """Send SIGKILL and wait for the end."""
         for rank in ranks:
             self._away_since.setdefault(rank, (self.now(), "killed"))
             self.backing.processes[f"gw-{rank}"].kill()
@@ -131,10 +135,10 @@
             self.backing.processes[f"gw-{rank}"].wait(END_WITHIN)
 
     def files(self, rank: int) -> dict[Path, bytes]:
-        """What a gateway has on disk of fleet versions."""
+        """Return a gateway's files of fleet versions."""
         kinds = ("voter", "running", "content.*")
-        found = [path for kind in kinds for path in self.folder.glob(f"gw-{rank}.{kind}")]
-        return {path: path.read_bytes() for path in found if path.suffix != ".new"}
+        paths = [path for kind in kinds for path in self.folder.glob(f"gw-{rank}.{kind}")]
+        return {path: path.read_bytes() for path in paths if path.suffix != ".new"}
 
     def replace_files(self, rank: int, files: dict[Path, bytes]) -> None:
         """Give a gateway that does not run other files."""
@@ -152,51 +156,53 @@
             self.record_return(rank)
 
     def freeze(self, *ranks: int) -> None:
-        """SIGSTOP."""
+        """Send SIGSTOP."""
         for rank in ranks:
             self._away_since.setdefault(rank, (self.now(), "still"))
             self.backing.processes[f"gw-{rank}"].send_signal(signal.SIGSTOP)
 
     def thaw(self, *ranks: int) -> None:
-        """SIGCONT."""
+        """Send SIGCONT."""
         for rank in ranks:
             self.backing.processes[f"gw-{rank}"].send_signal(signal.SIGCONT)
             self.record_return(rank)
 
     def record_return(self, rank: int) -> None:
-        """Note for the audit until when a gateway owed nothing."""
+        """Record for the audit from when to when a gateway did not serve."""
         began, why = self._away_since.pop(rank)
         self.runner.records.append(Away(f"gw-{rank}", began, self.now(), why))  # type: ignore[arg-type]
 
     def now(self) -> int:
-        """The clients' clock."""
+        """Return the time of the clients' clock."""
         return self.runner.loop.now()
 
     def record_all_returns(self) -> None:
-        """At the end: those that stay away owe nothing until then."""
+        """Record at the end those gateways that still do not serve."""
         for rank in list(self._away_since):
             self.record_return(rank)
 
     # -- between processes
 
-    def cut(self, ones: set[int], others: set[int], both: bool = True) -> None:
-        """Nothing passes from ones to others, nor back where both ways are cut."""
+    def cut(self, senders: set[int], receivers: set[int], both: bool = True) -> None:
+        """Let nothing pass from senders to receivers, nor back where both directions are cut."""
         assert self.runner.relay is not None
-        pairs = {(one, other) for one in ones for other in others if one != other}
-        back = {(other, one) for one, other in pairs}
-        self.runner.relay.one_way |= pairs | (back if both else set())
-        self.links.cuts |= pairs | (back if both else set())
-        self.links.response_cuts |= back
-
-    def slow_down(self, ones: set[int], span: int, bytes_a_look: int) -> None:
-        """What these say to others comes late, and a connection to them trickles."""
+        pairs = {(sender, receiver) for sender in senders for receiver in receivers if sender != receiver}
+        reverse = {(receiver, sender) for sender, receiver in pairs}
+        cut = pairs | reverse if both else pairs
+        self.runner.relay.one_way |= cut
+        self.links.cuts |= cut
+        self.links.response_cuts |= reverse
+
+    def slow_down(self, ranks: set[int], delay_us: int, max_bytes_per_interval: int) -> None:
+        """Delay what these gateways send, and slow connections to them to a trickle."""
         assert self.runner.relay is not None
-        pairs = [(one, other) for one in ones for other in range(self.count) if one != other]
-        self.runner.relay.late.update(dict.fromkeys(pairs, span))
-        self.links.max_bytes_per_interval.update({(other, one): bytes_a_look for one, other in pairs})
+        pairs = [(rank, other) for rank in ranks for other in range(self.count) if rank != other]
+        self.runner.relay.late.update(dict.fromkeys(pairs, delay_us))
+        reverse = {(other, rank): max_bytes_per_interval for rank, other in pairs}
+        self.links.max_bytes_per_interval.update(reverse)
 
     def heal(self) -> None:
-        """All passes again."""
+        """End all faults between processes."""
         assert self.runner.relay is not None
         self.runner.relay.one_way.clear()
         self.runner.relay.late.clear()
@@ -207,7 +213,7 @@
         self.links.response_cuts.clear()
 
     def on_message(self, hook: Callable[[int, int, messages.Message], None]) -> None:
-        """Call ``hook(sender, receiver, message)`` for each datagram on versions, before it is brought."""
+        """Call ``hook(sender, receiver, message)`` for each rollout message before it is delivered."""
         assert self.runner.relay is not None
 
         def seen(sender: int, receiver: int, data: bytes) -> None:
@@ -221,49 +227,46 @@
     # -- commands
 
     def command(self, *arguments: str) -> tuple[int, str]:
-        """Exit code and words of ``orchidlane change ...`` with the fleet's settings."""
-        do, *rest = arguments
-        words = [sys.executable, "-m", "orchidlane", "change", do, str(self.folder / "fleet.cue"), *rest]
-        done = subprocess.run(words, capture_output=True, text=True, timeout=COMMAND_TIMEOUT_S)
-        return done.returncode, done.stdout + done.stderr
+        """Return exit code and output of ``orchidlane change ...`` with the fleet's settings."""
+        verb, *rest = arguments
+        return _run_program("change", verb, str(self.folder / "fleet.cue"), *rest)
 
     def upgrade(self, rank: int) -> tuple[int, str]:
-        """Hand a gateway over to a new process of the same program."""
+        """Hand a gateway over to a new process; return exit code and output of the command."""
         log = str(self.folder / f"gw-{rank}.log")
-        words = ["upgrade", str(self.folder / f"gw-{rank}.cue"), "--rank", str(rank), "--log", log]
-        command = [sys.executable, "-m", "orchidlane", *words]
-        done = subprocess.run(command, capture_output=True, text=True, timeout=COMMAND_TIMEOUT_S)
-        return done.returncode, done.stdout + done.stderr
+        return _run_program("upgrade", str(self.folder / f"gw-{rank}.cue"), "--rank", str(rank), "--log", log)
 
     def start_command(self, *arguments: str) -> tuple[threading.Thread, list[tuple[int, str]]]:
-        """The same in a thread of its own."""
-        found: list[tuple[int, str]] = []
-        thread = threading.Thread(target=lambda: found.append(self.command(*arguments)), daemon=True)
+        """Run a command in a thread of its own, which adds exit code and output to the list."""
+        results: list[tuple[int, str]] = []
+        thread = threading.Thread(target=lambda: results.append(self.command(*arguments)), daemon=True)
         thread.start()
-        return thread, found
+        return thread, results
 
     def status(self) -> dict[str, Any]:
-        """As whoever leads tells it."""
-        code, words = self.command("status", "--json")
-        if code == 2:
-            raise ValueError(words)
-        return json.loads(words)
+        """Return the status as the command prints it. Raises ValueError where no voter answers."""
+        code, output = self.command("status", "--json")
+        if code == UNUSABLE_INPUT:
+            raise ValueError(output)
+        status: dict[str, Any] = json.loads(output)
+        return status
 
     def leader(self) -> int:
-        """The rank of whoever leads, once somebody does."""
-        return int(self.wait_for_status(lambda one: one["leads"])["leader"])
+        """Return the leader's rank, once there is one."""
+        return int(self.wait_for_status(lambda status: status["leads"])["leader"])
 
     def wait_for_status(
-        self, holds: Callable[[dict[str, Any]], bool], within: float = 30.0
+        self, condition: Callable[[dict[str, Any]], bool], timeout_s: float = 30.0
     ) -> dict[str, Any]:
-        """Wait until a status holds something. Raises TimeoutError."""
-        by, status = time.monotonic() + within, {}
-        while time.monotonic() < by:
+        """Return the first status that meets a condition. Raises TimeoutError."""
+        deadline = time.monotonic() + timeout_s
+        status: dict[str, Any] = {}
+        while time.monotonic() < deadline:
             try:
                 status = self.status()
             except ValueError:
                 continue
-            if holds(status):
+            if condition(status):
                 return status
         raise TimeoutError(f"never so: {status}")
 
@@ -275,14 +278,22 @@
         path.write_text(text.replace(old, new))
 
     def served_versions(self, after: int = 0, before: int | None = None) -> dict[int, set[str]]:
-        """Versions in the answers to requests that began in a span: number -> gateways."""
-        found: dict[int, set[str]] = {}
+        """Return version numbers and gateways of the answers to requests that began in this time."""
+        gateways: dict[int, set[str]] = {}
         for record in list(self.runner.records):
             if not isinstance(record, Try) or not record.version:
                 continue
             if record.at >= after and (before is None or record.at < before):
-                found.setdefault(int(record.version.partition(":")[0]), set()).add(record.gateway)
-        return found
+                number = int(record.version.partition(":")[0])
+                gateways.setdefault(number, set()).add(record.gateway)
+        return gateways
+
+
+def _run_program(*arguments: str) -> tuple[int, str]:
+    """Return exit code and output of a command of the program."""
+    command = [sys.executable, "-m", "orchidlane", *arguments]
+    done = subprocess.run(command, capture_output=True, text=True, timeout=COMMAND_TIMEOUT_S)
+    return done.returncode, done.stdout + done.stderr
 
 
 def play_fleet(
@@ -293,7 +304,7 @@
     seed: int = 1,
     warm_up: int = 20,
 ) -> tuple[Verdict, ProcessFleet]:
-    """Do the work beside the clients' requests; the verdict over what passed on the sockets."""
+    """Run a script beside the clients' requests; return the audit's verdict over the sockets' traffic."""
     backing = FleetProcesses(folder, edit_settings)
     plan = make_plan(day, folder, backing.free_addresses)
     backing.prepare(plan)
@@ -303,11 +314,11 @@
     runner.beside.append(links.serve)
     fleet = ProcessFleet(runner, backing, links)
 
-    def all_of_it() -> None:
+    def run_script() -> None:
         fleet.await_ready()
         try:
             script(fleet)
         finally:
             fleet.record_all_returns()
 
-    return play_while(runner, all_of_it, warm_up), fleet
+    return play_while(runner, run_script, warm_up), fleet
--- a/tests/harness/process_fleets.py
+++ b/tests/harness/process_fleets.py
@@ -1,4 +1,4 @@
-"""Shorthands for tests on whole processes: a fleet with voters under a steady load."""
+"""Shorthands for tests on gateway processes: a fleet with voters under a steady load."""
 
 from __future__ import annotations
 
@@ -12,28 +12,32 @@
 
 MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
 SECOND = 1_000_000
-COST, EDITED = "{class: sheet-read, cost: 2}", "{class: sheet-read, cost: 3}"
+COST = "{class: sheet-read, cost: 2}"
+EDITED = "{class: sheet-read, cost: 3}"
+MIN_SERVED = 20  # of a run that says anything
 
 
-def fleet_of(tmp_path, work, gateways=3, voters=3, rate=60.0, seed=1, customers=60, plans=None, **change):
-    """Verdict and fleet of ``work(fleet)`` beside clients' requests."""
+def run_fleet(tmp_path, script, gateways=3, voters=3, rate=60.0, seed=1, customers=60, plans=None, **change):
+    """Return verdict and fleet of ``script(fleet)`` beside clients' requests.
+
+    ``change`` are settings of versions, ``plans`` settings by plan.
+    """
     terms = {
         "voters": [f"gw-{rank}" for rank in range(voters)],
         "lease": "2s",
         "every": "100ms",
         "soak": "0s",
+        "silence": "1500ms",  # a leader that a busy machine holds up is not replaced
     }
-    terms["silence"] = "1500ms"  # a busy machine holds processes up: that is no dead leader
     terms |= change
 
-    def edit(value):
+    def edit_settings(value):
         value["change"] |= terms
-        for name, wanted in (plans or {}).items():
-            value["plans"][name] |= wanted
+        for name, settings in (plans or {}).items():
+            value["plans"][name] |= settings
 
-    found = load_day(str(MATERIALS / "random.cue"))
     day = msgspec.structs.replace(
-        found,
+        load_day(str(MATERIALS / "random.cue")),
         span=Duration(300 * SECOND),
         steps=(),
         gateways=gateways,
@@ -41,11 +45,20 @@
         takes=0.0,
         customers=customers,
     )
-    return play_fleet(day, str(tmp_path), work, edit, seed)
+    return play_fleet(day, str(tmp_path), script, edit_settings, seed)
+
+
+def assert_rules_hold(verdict) -> None:
+    """All five rules hold, over enough answers."""
+    report = verdict.as_json()
+    assert verdict.rules == dict.fromkeys("12345", True), report
+    assert verdict.answers.get("200", 0) > MIN_SERVED, report
+
+
+def all_run(number: int):
+    """Return a condition: the leader's status says that every gateway runs this version."""
 
+    def condition(status) -> bool:
+        return status["leads"] and all(gateway["runs"] == number for gateway in status["gateways"])
 
-def rules_hold(verdict) -> None:
-    """All five, and there was something to hold them over."""
-    told = verdict.as_json()
-    assert verdict.rules == dict.fromkeys("12345", True), told
-    assert verdict.answers.get("200", 0) > 20, told
+    return condition
--- a/tests/processes/test_rollout_processes.py
+++ b/tests/processes/test_rollout_processes.py
@@ -10,7 +10,7 @@
 
 import msgspec
 import pytest
-from harness.process_fleets import COST, EDITED, SECOND, fleet_of, rules_hold
+from harness.process_fleets import COST, EDITED, SECOND, all_run, assert_rules_hold, run_fleet
 
 from orchidlane.gateway.control.customers import CustomerRecord, make_customer
 from orchidlane.gateway.control.settings_loader import parse_host_port
@@ -19,32 +19,34 @@
 LEASE = 2 * SECOND
 
 
-def test_an_edit_is_approved_adopted_and_undone_on_every_gateway(tmp_path):
+def test_an_edit_is_approved_adopted_and_rolled_back_on_every_gateway(tmp_path):
     """Three voters. An answer carries the version that it was made by; after the undo the prior one alone."""
 
-    def work(fleet):
+    def script(fleet):
         fleet.edit_rules(COST, EDITED)
-        code, words = fleet.command("propose", "--reason", "curves cost more")
-        assert code == 0, words
-        told["done"] = fleet.now()
+        code, output = fleet.command("propose", "--reason", "curves cost more")
+        assert code == 0, output
+        observed["done"] = fleet.now()
         fleet.wait_for_status(
-            lambda one: one["leads"] and [it["runs"] for it in one["gateways"]] == [1, 1, 1]
+            lambda status: (
+                status["leads"] and [gateway["runs"] for gateway in status["gateways"]] == [1, 1, 1]
+            )
         )
-        code, words = fleet.command("undo", "--reason", "too dear")
-        assert code == 0, words
-        told["undone"] = fleet.now()
-        status = fleet.wait_for_status(lambda one: one["leads"] and one["change"] is None)
+        code, output = fleet.command("undo", "--reason", "too dear")
+        assert code == 0, output
+        observed["undone"] = fleet.now()
+        status = fleet.wait_for_status(lambda status: status["leads"] and status["change"] is None)
         assert status["current"]["parts"] == status["history"][0]["version"]["parts"]
         assert [entry["state"] for entry in status["history"]] == ["done", "done", "done"]
-        told["again"] = fleet.command("undo", "1")
+        observed["again"] = fleet.command("undo", "1")
 
-    told: dict = {}
-    verdict, fleet = fleet_of(tmp_path, work)
-    rules_hold(verdict)
-    assert "has these contents already" in told["again"][1], told
+    observed: dict = {}
+    verdict, fleet = run_fleet(tmp_path, script)
+    assert_rules_hold(verdict)
+    assert "has these contents already" in observed["again"][1], observed
     assert fleet.served_versions().keys() <= {0, 1, 2}
-    assert fleet.served_versions(told["done"], told["undone"]).keys() <= {1, 2}
-    assert fleet.served_versions(told["undone"]).keys() <= {2}
+    assert fleet.served_versions(observed["done"], observed["undone"]).keys() <= {1, 2}
+    assert fleet.served_versions(observed["undone"]).keys() <= {2}
 
 
 # The leader's own datagrams on the way of one edit: prepare and accept for each of propose, approve, finish.
@@ -53,7 +55,7 @@
 
 @pytest.mark.parametrize(("kind", "nth"), STEPS, ids=[f"{kind.__name__}-{nth}" for kind, nth in STEPS])
 def test_the_leader_is_killed_at_each_step_and_the_change_goes_on_or_back(tmp_path, kind, nth):
-    def work(fleet):
+    def script(fleet):
         fleet.leader()
         ballots: dict[int, set] = {}
 
@@ -64,139 +66,131 @@
             """
             if isinstance(message, kind):
                 ballots.setdefault(sender, set()).add(message.ballot)
-                if len(ballots[sender]) == nth and "killed" not in told:
-                    told["killed"] = sender
+                if len(ballots[sender]) == nth and "killed" not in observed:
+                    observed["killed"] = sender
                     fleet.kill(sender)
 
         fleet.on_message(strike)
         fleet.edit_rules(COST, EDITED)
-        told["end"] = fleet.command("propose", "--reason", "curves cost more")
-        assert "killed" in told, "the leader never came so far"
-        leader = told["killed"]
+        observed["end"] = fleet.command("propose", "--reason", "curves cost more")
+        assert "killed" in observed, "the leader never came so far"
+        leader = observed["killed"]
         rest = [rank for rank in range(3) if rank != leader]
         status = fleet.wait_for_status(
-            lambda one: one["leads"] and one["leader"] in rest and one["change"] is None
+            lambda status: status["leads"] and status["leader"] in rest and status["change"] is None
         )
-        told["number"] = number = status["current"]["number"]
+        observed["number"] = number = status["current"]["number"]
         fleet.start(leader)
-        fleet.wait_for_status(
-            lambda one: one["leads"] and all(gateway["runs"] == number for gateway in one["gateways"])
-        )
-        told["all"] = fleet.now()
+        fleet.wait_for_status(all_run(number))
+        observed["all"] = fleet.now()
 
-    told: dict = {}
-    verdict, fleet = fleet_of(tmp_path, work, lease="1500ms")
-    rules_hold(verdict)
-    code, words = told["end"]
-    assert code in (0, 1), words
-    assert told["number"] == (1 if code == 0 else 0), (told, words)
-    assert fleet.served_versions(told["all"]).keys() <= {told["number"]}
+    observed: dict = {}
+    verdict, fleet = run_fleet(tmp_path, script, lease="1500ms")
+    assert_rules_hold(verdict)
+    code, output = observed["end"]
+    assert code in (0, 1), output
+    assert observed["number"] == (1 if code == 0 else 0), (observed, output)
+    assert fleet.served_versions(observed["all"]).keys() <= {observed["number"]}
 
 
-def nine(tmp_path, work, **change):
-    return fleet_of(tmp_path, work, gateways=9, voters=5, **change)
+def run_nine(tmp_path, script, **change):
+    return run_fleet(tmp_path, script, gateways=9, voters=5, **change)
 
 
-def test_a_leader_in_the_minority_changes_nothing_and_the_majority_goes_on(tmp_path):
-    def work(fleet):
+def test_a_leader_in_a_minority_partition_commits_nothing_and_the_majority_proceeds(tmp_path):
+    def script(fleet):
         leader = fleet.leader()
         other = (leader + 1) % 5
         minority, majority = {leader, other, 7}, {*range(9)} - {leader, other, 7}
         fleet.cut(minority, majority)
-        told["cut"] = fleet.now()
+        observed["cut"] = fleet.now()
         fleet.edit_rules(COST, EDITED)
-        told["end"] = fleet.command("propose", "--reason", "in a split")
-        assert told["end"][0] == 0, told["end"]
-        told["over"] = fleet.now()
-        told["healed"] = fleet.now()
+        observed["end"] = fleet.command("propose", "--reason", "in a split")
+        assert observed["end"][0] == 0, observed["end"]
+        observed["over"] = fleet.now()
+        observed["healed"] = fleet.now()
         fleet.heal()
-        fleet.wait_for_status(
-            lambda one: one["leads"] and all(gateway["runs"] == 1 for gateway in one["gateways"])
-        )
-        told["all"] = fleet.now()
-        told["minority"] = {f"gw-{rank}" for rank in minority}
+        fleet.wait_for_status(all_run(1))
+        observed["all"] = fleet.now()
+        observed["minority"] = {f"gw-{rank}" for rank in minority}
 
-    told: dict = {}
-    verdict, fleet = nine(tmp_path, work)
-    rules_hold(verdict)
-    assert "not confirmed, and not serving" in told["end"][1]
-    late = fleet.served_versions(told["cut"] + LEASE + SECOND // 2, told["healed"])
-    assert not told["minority"] & set().union(*late.values()), "who was cut off serves on after its lease"
-    assert fleet.served_versions(told["all"]).keys() <= {1}
+    observed: dict = {}
+    verdict, fleet = run_nine(tmp_path, script)
+    assert_rules_hold(verdict)
+    assert "not confirmed, and not serving" in observed["end"][1]
+    late = fleet.served_versions(observed["cut"] + LEASE + SECOND // 2, observed["healed"])
+    assert not observed["minority"] & set().union(*late.values()), "who was cut off serves on after its lease"
+    assert fleet.served_versions(observed["all"]).keys() <= {1}
 
 
 @pytest.mark.parametrize("deaf", [True, False], ids=["leader hears nobody", "nobody hears the leader"])
-def test_a_leader_that_is_cut_off_one_way_is_followed_by_another(tmp_path, deaf):
-    def work(fleet):
+def test_a_leader_cut_off_in_one_direction_is_replaced(tmp_path, deaf):
+    def script(fleet):
         leader = fleet.leader()
         rest = {*range(9)} - {leader}
         fleet.cut(*((rest, {leader}) if deaf else ({leader}, rest)), both=False)
         fleet.edit_rules(COST, EDITED)
-        told["end"] = fleet.command("propose", "--reason", "one way")
-        assert told["end"][0] == 0, told["end"]
+        observed["end"] = fleet.command("propose", "--reason", "one way")
+        assert observed["end"][0] == 0, observed["end"]
         fleet.heal()
-        fleet.wait_for_status(
-            lambda one: one["leads"] and all(gateway["runs"] == 1 for gateway in one["gateways"])
-        )
-        told["all"] = fleet.now()
+        fleet.wait_for_status(all_run(1))
+        observed["all"] = fleet.now()
 
-    told: dict = {}
-    verdict, fleet = nine(tmp_path, work)
-    rules_hold(verdict)
-    assert fleet.served_versions(told["all"]).keys() <= {1}
+    observed: dict = {}
+    verdict, fleet = run_nine(tmp_path, script)
+    assert_rules_hold(verdict)
+    assert fleet.served_versions(observed["all"]).keys() <= {1}
 
 
-def test_a_slow_voter_and_connections_that_trickle_hold_nothing_up_for_good(tmp_path):
-    def work(fleet):
+def test_a_slow_voter_and_slow_connections_do_not_block_a_rollout(tmp_path):
+    def script(fleet):
         leader = fleet.leader()
         fleet.slow_down({(leader + 1) % 5, 8}, 150_000, 64)
         fleet.links.reset_probability.update({(rank, leader): 0.3 for rank in range(9) if rank != leader})
         fleet.edit_rules(COST, EDITED)
-        told["end"] = fleet.command("propose", "--reason", "slowly")
+        observed["end"] = fleet.command("propose", "--reason", "slowly")
         fleet.heal()
-        fleet.wait_for_status(
-            lambda one: one["leads"] and all(gateway["runs"] == 1 for gateway in one["gateways"])
-        )
+        fleet.wait_for_status(all_run(1))
 
-    told: dict = {}
-    verdict, _ = nine(tmp_path, work)
-    rules_hold(verdict)
-    assert told["end"][0] == 0, told
+    observed: dict = {}
+    verdict, _ = run_nine(tmp_path, script)
+    assert_rules_hold(verdict)
+    assert observed["end"][0] == 0, observed
 
 
-def test_who_stood_still_during_an_undo_or_comes_back_with_old_files_serves_nothing_undone(tmp_path):
+def test_a_gateway_frozen_during_a_rollback_or_restarted_with_old_files_does_not_serve_the_reverted_version(
+    tmp_path,
+):
     """With requests in its buffers, and with the files of the undone version. One of them is a voter."""
 
-    def work(fleet):
+    def script(fleet):
         fleet.edit_rules(COST, EDITED)
         assert fleet.command("propose", "--reason", "to be undone")[0] == 0
         asleep, voter = (6, 3)
         kept = {rank: fleet.files(rank) for rank in (voter, 7)}
         fleet.freeze(asleep)
-        told["asleep"] = fleet.now()
-        code, told["words"] = fleet.command("undo")
-        assert code == 0, told
-        told["undone"] = fleet.now()
+        observed["asleep"] = fleet.now()
+        code, observed["output"] = fleet.command("undo")
+        assert code == 0, observed
+        observed["undone"] = fleet.now()
         fleet.thaw(asleep)
         fleet.kill(voter, 7)
         for rank, files in kept.items():
             fleet.replace_files(rank, files)
         fleet.start(voter, 7)
-        fleet.wait_for_status(
-            lambda one: one["leads"] and all(gateway["runs"] == 2 for gateway in one["gateways"])
-        )
-        told["old disk"] = fleet.log_tail(voter), (fleet.folder / f"gw-{voter}.log").read_text()
+        fleet.wait_for_status(all_run(2))
+        observed["old disk"] = fleet.log_tail(voter), (fleet.folder / f"gw-{voter}.log").read_text()
 
-    told: dict = {}
-    verdict, fleet = nine(tmp_path, work)
-    rules_hold(verdict)
-    assert "gw-6" not in fleet.served_versions(told["asleep"]).get(1, set()), "requests in its buffers"
-    assert fleet.served_versions(told["undone"]).keys() <= {2}
-    assert "the disk is an old one" in told["old disk"][1], told["old disk"][0]
+    observed: dict = {}
+    verdict, fleet = run_nine(tmp_path, script)
+    assert_rules_hold(verdict)
+    assert "gw-6" not in fleet.served_versions(observed["asleep"]).get(1, set()), "requests in its buffers"
+    assert fleet.served_versions(observed["undone"]).keys() <= {2}
+    assert "the disk is an old one" in observed["old disk"][1], observed["old disk"][0]
 
 
-def test_a_voter_with_an_empty_or_cut_disk_waits_until_it_is_admitted(tmp_path):
-    def work(fleet):
+def test_a_voter_with_an_empty_or_truncated_disk_waits_until_it_is_admitted(tmp_path):
+    def script(fleet):
         fleet.edit_rules(COST, EDITED)
         assert fleet.command("propose", "--reason", "first")[0] == 0
         leader = fleet.leader()
@@ -206,48 +200,46 @@
             files = fleet.files(rank) if rank == cut else {}
             fleet.replace_files(rank, {path: data[: len(data) // 2] for path, data in files.items()})
             fleet.start(rank)
-        fleet.wait_for_status(lambda one: len(one["seats"]) == 5 and one["leads"])
+        fleet.wait_for_status(lambda status: len(status["seats"]) == 5 and status["leads"])
         # Two others die: the quorum is the leader and the two that were admitted.
         rest = [rank for rank in range(5) if rank not in (leader, empty, cut)]
-        told["log"] = (fleet.folder / f"gw-{cut}.log").read_text()
+        observed["log"] = (fleet.folder / f"gw-{cut}.log").read_text()
         fleet.kill(*rest)
-        told["end"] = fleet.command("undo")
+        observed["end"] = fleet.command("undo")
         fleet.start(*rest)
 
-    told: dict = {}
-    verdict, _ = nine(tmp_path, work)
-    rules_hold(verdict)
-    assert told["end"][0] == 0, told["end"]
-    assert "the voter's disk is lost: it waits to be admitted" in told["log"]
+    observed: dict = {}
+    verdict, _ = run_nine(tmp_path, script)
+    assert_rules_hold(verdict)
+    assert observed["end"][0] == 0, observed["end"]
+    assert "the voter's disk is lost: it waits to be admitted" in observed["log"]
 
 
-def test_half_of_the_fleet_dies_during_a_change_and_one_joins_in_its_midst(tmp_path):
-    def work(fleet):
+def test_a_rollout_completes_while_half_of_the_fleet_dies_and_a_gateway_joins(tmp_path):
+    def script(fleet):
         fleet.kill(8)
         fleet.edit_rules(COST, EDITED)
         thread, found = fleet.start_command("propose", "--reason", "half of it dies")
-        fleet.wait_for_status(lambda one: one["stage"] == "adopting")
+        fleet.wait_for_status(lambda status: status["stage"] == "adopting")
         leader = fleet.leader()
         dead = [(leader + 1) % 5, (leader + 2) % 5, 5, 6]
         fleet.kill(*dead)
         fleet.start(8)
         thread.join(60)
-        told["end"] = found
+        observed["end"] = found
         fleet.start(*dead)
-        fleet.wait_for_status(
-            lambda one: one["leads"] and all(gateway["runs"] == 1 for gateway in one["gateways"])
-        )
-        told["all"] = fleet.now()
+        fleet.wait_for_status(all_run(1))
+        observed["all"] = fleet.now()
 
-    told: dict = {}
-    verdict, fleet = nine(tmp_path, work)
-    rules_hold(verdict)
-    assert told["end"][0][0] == 0, told
-    assert fleet.served_versions(told["all"]).keys() <= {1}
+    observed: dict = {}
+    verdict, fleet = run_nine(tmp_path, script)
+    assert_rules_hold(verdict)
+    assert observed["end"][0][0] == 0, observed
+    assert fleet.served_versions(observed["all"]).keys() <= {1}
 
 
-def test_of_two_proposers_one_wins_and_bad_content_reaches_no_voter(tmp_path):
-    def work(fleet):
+def test_one_of_two_concurrent_proposals_wins_and_invalid_content_reaches_no_voter(tmp_path):
+    def script(fleet):
         fleet.edit_rules(COST, EDITED)
         threads = [
             fleet.start_command("propose", "--author", name, "--reason", f"of {name}")
@@ -255,21 +247,25 @@
         ]
         for thread, found in threads:
             thread.join(60)
-            told.setdefault("ends", []).append(found[0])
+            observed.setdefault("ends", []).append(found[0])
         fleet.edit_rules(EDITED, "{class: nobody, cost: minus}")
-        told["bad"] = fleet.command("propose")
-        told["forged"] = forged(fleet)
-        told["status"] = fleet.status()
-
-    told: dict = {}
-    verdict, _ = fleet_of(tmp_path, work)
-    rules_hold(verdict)
-    assert sorted(code for code, _ in told["ends"]) == [0, 1], told
-    lost = next(words for code, words in told["ends"] if code)
+        observed["bad"] = fleet.command("propose")
+        observed["forged"] = forged(fleet)
+        observed["status"] = fleet.status()
+
+    observed: dict = {}
+    verdict, _ = run_fleet(tmp_path, script)
+    assert_rules_hold(verdict)
+    assert sorted(code for code, _ in observed["ends"]) == [0, 1], observed
+    lost = next(output for code, output in observed["ends"] if code)
     assert "not taken: " in lost and ("of ann" in lost or "of bob" in lost or "already" in lost), lost
-    assert told["bad"][0] == 2 and "paths//sheets" in told["bad"][1] and "Traceback" not in told["bad"][1]
-    assert told["forged"] == {403}
-    assert told["status"]["current"]["number"] == 1
+    assert (
+        observed["bad"][0] == 2
+        and "paths//sheets" in observed["bad"][1]
+        and "Traceback" not in observed["bad"][1]
+    )
+    assert observed["forged"] == {403}
+    assert observed["status"]["current"]["number"] == 1
 
 
 def forged(fleet) -> set[int]:
@@ -288,13 +284,13 @@
     return found
 
 
-def test_a_set_moves_while_its_subscriber_bursts_over_all_gateways_and_a_keeper_stands_still(tmp_path):
+def test_a_ceiling_holds_while_a_replica_set_migrates_and_a_token_owner_is_frozen(tmp_path):
     """Six gateways, sets of three. The audit holds the ceiling over all that nodes saw."""
 
-    def work(fleet):
+    def script(fleet):
         path = fleet.folder / "customers.json"
         customers = json.loads(path.read_text())["customers"]
-        moving = next(one for one in customers if one["plan"] == "amplio")
+        moving = next(one for one in customers if status["plan"] == "amplio")
         known = make_customer(
             msgspec.convert(moving, CustomerRecord), fleet.runner.plan.fleet, ["basico", "amplio"]
         )
@@ -305,105 +301,101 @@
 
         def strike(_sender, _receiver, message):
             """It stands still from the first vote on the hold on."""
-            if isinstance(message, messages.VersionVote) and "still" not in told:
-                told["still"] = True
+            if isinstance(message, messages.VersionVote) and "still" not in observed:
+                observed["still"] = True
                 fleet.freeze(asleep)
 
         fleet.on_message(strike)
         thread, found = fleet.start_command("propose", "--reason", "the map of sets")
         thread.join(60)
-        told["end"] = found
+        observed["end"] = found
         fleet.thaw(asleep)
-        fleet.wait_for_status(
-            lambda one: one["leads"] and all(gateway["runs"] == 2 for gateway in one["gateways"])
-        )
-        told["status"] = fleet.status()
+        fleet.wait_for_status(all_run(2))
+        observed["status"] = fleet.status()
 
-    told: dict = {}
-    verdict, _ = fleet_of(
-        tmp_path, work, gateways=6, rate=250.0, customers=2, plans={"amplio": {"spread": 3}}
+    observed: dict = {}
+    verdict, _ = run_fleet(
+        tmp_path, script, gateways=6, rate=250.0, customers=2, plans={"amplio": {"spread": 3}}
     )
-    rules_hold(verdict)
-    assert told["end"][0][0] == 0, told
-    assert told["status"]["current"]["number"] == 2
+    assert_rules_hold(verdict)
+    assert observed["end"][0][0] == 0, observed
+    assert observed["status"]["current"]["number"] == 2
     assert verdict.ceiling_worst <= 1
 
 
 GOOD_UPLOAD, BAD_UPLOAD = "worth: 2, cost: 2}", "worth: 2, cost: 40}"  # beyond any plan's burst
 
 
-def test_a_good_version_passes_all_stages_old_beside_new(tmp_path):
-    def work(fleet):
+def test_a_harmless_version_passes_all_stages(tmp_path):
+    def script(fleet):
         fleet.edit_rules(COST, EDITED)
-        told["end"] = fleet.command("propose", "--reason", "by stages")
+        observed["end"] = fleet.command("propose", "--reason", "by stages")
 
-    told: dict = {}
-    verdict, fleet = nine(tmp_path, work, soak="700ms", rate=250.0)
-    rules_hold(verdict)
-    code, words = told["end"]
-    assert code == 0, words
+    observed: dict = {}
+    verdict, fleet = run_nine(tmp_path, script, soak="700ms", rate=250.0)
+    assert_rules_hold(verdict)
+    code, output = observed["end"]
+    assert code == 0, output
     done = [
-        int(line.split("adopting, ")[1].split(" of")[0]) for line in words.splitlines() if "adopting" in line
+        int(line.split("adopting, ")[1].split(" of")[0]) for line in output.splitlines() if "adopting" in line
     ]
-    assert done == sorted(done) and len(set(done)) >= 4, words
+    assert done == sorted(done) and len(set(done)) >= 4, output
     assert fleet.served_versions().keys() == {0, 1}
 
 
 @pytest.mark.parametrize("dies", [False, True], ids=["", "and the leader dies"])
-def test_a_bad_stage_is_found_and_taken_back_under_load(tmp_path, dies):
-    def work(fleet):
+def test_a_harmful_stage_is_detected_and_rolled_back_under_load(tmp_path, dies):
+    def script(fleet):
         fleet.edit_rules(GOOD_UPLOAD, BAD_UPLOAD)
         thread, found = fleet.start_command("propose", "--reason", "uploads cost too much")
         if dies:
-            adopted = fleet.wait_for_status(lambda one: one["stage"] == "adopting" or found)
+            adopted = fleet.wait_for_status(lambda status: status["stage"] == "adopting" or found)
             if not adopted["stage"]:  # on a busy machine another one led meanwhile: the command said so
                 assert found[0][0], found
                 thread, found = fleet.start_command("propose", "--reason", "uploads cost too much")
-                fleet.wait_for_status(lambda one: one["stage"] == "adopting")
+                fleet.wait_for_status(lambda status: status["stage"] == "adopting")
             leader = fleet.leader()
             fleet.kill(leader)
         thread.join(80)
-        told["end"] = found
+        observed["end"] = found
         if dies:
             fleet.start(leader)
-        told["status"] = fleet.wait_for_status(
-            lambda one: one["leads"] and all(gateway["runs"] == 2 for gateway in one["gateways"])
-        )
-        told["undone"] = fleet.now()
-
-    told: dict = {}
-    verdict, fleet = nine(tmp_path, work, soak="8s", rate=150.0)  # answers enough on a busy machine, too
-    rules_hold(verdict)
-    assert told["end"] and told["end"][0][0] == 1, told
-    history = told["status"]["history"]
+        observed["status"] = fleet.wait_for_status(all_run(2))
+        observed["undone"] = fleet.now()
+
+    observed: dict = {}
+    verdict, fleet = run_nine(
+        tmp_path, script, soak="8s", rate=150.0
+    )  # answers enough on a busy machine, too
+    assert_rules_hold(verdict)
+    assert observed["end"] and observed["end"][0][0] == 1, observed
+    history = observed["status"]["history"]
     assert "undone" in [entry["state"] for entry in history]
     reason = history[-1]["version"]["reason"]
     assert "stopped at harm: " in reason and "test-upload" in reason, reason
     assert history[-1]["version"]["parts"] == history[0]["version"]["parts"]
     assert len(fleet.served_versions().get(1, set())) <= 5, "more than two stages went by it"
-    assert fleet.served_versions(told["undone"]).keys() <= {2}
+    assert fleet.served_versions(observed["undone"]).keys() <= {2}
 
 
-def test_a_voter_that_is_upgraded_goes_on_with_the_version_and_its_votes(tmp_path):
+def test_a_voter_keeps_its_version_and_votes_through_a_hot_restart(tmp_path):
     """Never two processes that vote with one disk: the old one stops before the new one reads it."""
 
-    def work(fleet):
+    def script(fleet):
         fleet.edit_rules(COST, EDITED)
         assert fleet.command("propose", "--reason", "before the upgrade")[0] == 0
         leader = fleet.leader()
         other = (leader + 1) % 3
-        told["upgrades"] = [fleet.upgrade(rank) for rank in (other, leader)]
-        told["end"] = fleet.command("undo")
-        fleet.wait_for_status(
-            lambda one: one["leads"] and all(gateway["runs"] == 2 for gateway in one["gateways"])
-        )
-        told["all"] = fleet.now()
-        told["logs"] = [(fleet.folder / f"gw-{rank}.log").read_text() for rank in (other, leader)]
-
-    told: dict = {}
-    verdict, fleet = fleet_of(tmp_path, work)
-    rules_hold(verdict)
-    assert [code for code, _ in told["upgrades"]] == [0, 0], told["upgrades"]
-    assert told["end"][0] == 0, told["end"]
-    assert fleet.served_versions(told["all"]).keys() <= {2}
-    assert not any("the disk is an old one" in log or "Traceback" in log for log in told["logs"])
+        observed["upgrades"] = [fleet.upgrade(rank) for rank in (other, leader)]
+        observed["end"] = fleet.command("undo")
+        fleet.wait_for_status(all_run(2))
+        observed["all"] = fleet.now()
+        observed["logs"] = [(fleet.folder / f"gw-{rank}.log").read_text() for rank in (other, leader)]
+
+    observed: dict = {}
+    verdict, fleet = run_fleet(tmp_path, script)
+    assert_rules_hold(verdict)
+    assert [code for code, _ in observed["upgrades"]] == [0, 0], observed["upgrades"]
+    assert observed["end"][0] == 0, observed["end"]
+    assert fleet.served_versions(observed["all"]).keys() <= {2}
+    assert not any("the disk is an old one" in log or "Traceback" in log for log in observed["logs"])
