--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -10,6 +10,7 @@
 
 from orchidlane import policy
 from orchidlane.gateway.control.configuration import ConfigurationSnapshot, build_snapshot, read_source_files
+from orchidlane.gateway.control.customers import Customer
 from orchidlane.gateway.control.endpoint_list import EndpointListTracker
 from orchidlane.gateway.control.endpoint_watch import EndpointWatch
 from orchidlane.gateway.control.policy_settings import policy_settings
@@ -29,9 +30,11 @@
 from orchidlane.gateway.rollout_agent.agent import RolloutAgent
 from orchidlane.gateway.server.http_server import Connection, Front
 from orchidlane.gateway.server.resp_server import RespFront, Session
-from orchidlane.gateway.telemetry.admin_api import Admin, Names
-from orchidlane.gateway.telemetry.metrics import Metrics
-from orchidlane.gateway.telemetry.traffic_recorder import Recorder
+from orchidlane.gateway.telemetry.admin_api import AdminApi, AdminSources
+from orchidlane.gateway.telemetry.counters import Gauge
+from orchidlane.gateway.telemetry.metrics import MetricsPage
+from orchidlane.gateway.telemetry.policy_host import PolicyNames
+from orchidlane.gateway.telemetry.traffic_recorder import TrafficRecorder
 from orchidlane.hot_restart import new_process, old_process
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording import track_accounts
@@ -72,7 +75,7 @@
         self.sources: tuple[bytes, bytes] | None = None  # contents of the description and customers files
         self.versions = RolloutAgent(self) if fleet.rollout.voting_members else None
         self.knowledge = knowledge or self._initial_configuration(1)
-        self.metrics = Metrics()
+        self.metrics = MetricsPage()
         self.stopping = False
         self.ready = False
         self.superseded = False  # another process serves in our place
@@ -200,10 +203,10 @@
         self.inbox = Inbox(self.secret, self.rank, len(self.peers), self.loop.now(), *intakes)
         self._build_forwarding(settings, scope)
         self.metrics.gauges = {
-            "connections": ("Clients' connections", lambda: len(self.front.connections)),
-            "open_requests": ("Requests under way", lambda: len(self.host.exchanges)),
-            "nodes": ("Nodes on the list", lambda: len(self.tracker.endpoints)),
-            "longest_turn_seconds": ("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
+            "connections": Gauge("Clients' connections", lambda: len(self.front.connections)),
+            "open_requests": Gauge("Requests under way", lambda: len(self.host.exchanges)),
+            "nodes": Gauge("Nodes on the list", lambda: len(self.tracker.endpoints)),
+            "longest_turn_seconds": Gauge("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
         }
         send = self.send_limits_datagram
         self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, send)
@@ -238,17 +241,22 @@
         self.front = Front(self.loop, self.fleet, self.host, clients, scope)
 
     def _build_admin(self) -> None:
-        self.admin = Admin(
-            self.loop,
-            self.entry.name,
-            self.host,
-            self.metrics,
-            lambda: self.knowledge,
-            self.describe_state,
-            lambda: self.ready and not self.stopping and not self._unready_reason(),
-            self.state_names,
-            RolloutAdminApi(self.versions) if self.versions is not None else None,
+        sources = AdminSources(
+            gateway_name=self.entry.name,
+            host=self.host,
+            metrics=self.metrics,
+            find_customer=self._find_customer,
+            describe_moment=self.describe_state,
+            is_healthy=lambda: self.ready and not self.stopping and not self._unready_reason(),
+            names=self.state_names,
         )
+        rollout = RolloutAdminApi(self.versions) if self.versions is not None else None
+        self.admin = AdminApi(self.loop, sources, rollout)
+
+    def _find_customer(self, word: bytes) -> Customer | None:
+        """Return the customer of a name, a number or a key."""
+        customers = self.knowledge.customers
+        return customers.by_name_or_key(word) or customers.by_number(word)
 
     def _unready_reason(self) -> str:
         """Return why requests must not be served yet; empty if they may."""
@@ -292,9 +300,9 @@
     def _start_recorder(self, scope: Scope, folder: str) -> None:
         names = self.state_names()
         name, describe = self.entry.name, self.describe_state
-        recorder = Recorder(self.loop, folder, name, self.host, names, self.log, describe)
+        recorder = TrafficRecorder(self.loop, folder, name, self.host, names, self.log, describe)
         self.host.recorder = recorder
-        scope.spawn(recorder.work, kind=BACKGROUND, name="recorder")
+        scope.spawn(recorder.run, kind=BACKGROUND, name="recorder")
 
     def _receive_from_others(self) -> None:
         """Receive datagrams of peers, and requests of the admin API."""
@@ -302,9 +310,9 @@
         if "admin" in self.sockets:
             self.admin.listen(self.sockets["admin"], self.scope)
 
-    def state_names(self) -> Names:
+    def state_names(self) -> PolicyNames:
         """Return the names that a state's numbers stand for: classes, plans."""
-        return self.knowledge.generation.class_names, tuple(self.fleet.plans)
+        return PolicyNames(self.knowledge.generation.class_names, tuple(self.fleet.plans))
 
     def describe_state(self) -> dict[str, Any]:
         """Return the moment, incarnation and generations that a stored state belongs to."""
@@ -343,7 +351,7 @@
         self.loop.cancel(self._receiving)
         if self.versions is not None:
             self.versions.stop()
-        self.admin.hold()
+        self.admin.stop_accepting()
         self.front.hold(pass_http)
         if "resp" in self.sockets:
             self.resp.hold(pass_resp)
@@ -382,7 +390,7 @@
         if self.superseded:
             return
         self.sequence += 1
-        self.metrics.told += 1
+        self.metrics.datagrams_sent += 1
         sealed = encode_datagram(self.secret, self.rank, rank, self.incarnation, self.sequence, body, kind)
         self.sockets[PEER].send(sealed, self.peers[rank])
 
@@ -393,7 +401,7 @@
             taken = self.inbox.accept(self.loop.now(), data[: MAX_DATAGRAM_BYTES + 1])
             if taken is None:
                 continue
-            self.metrics.heard += 1
+            self.metrics.datagrams_received += 1
             kind, sender, body = taken
             if kind == DatagramKind.POLICY:
                 self.host.feed(policy.PeerMessageReceived(sender, body))
--- a/orchidlane/gateway/server/request_handler.py
+++ b/orchidlane/gateway/server/request_handler.py
@@ -13,7 +13,7 @@
 from orchidlane.gateway.server.client_connection import Connection
 from orchidlane.gateway.server.request_reader import ReaderState, RequestReader
 from orchidlane.gateway.server.response_writer import CONTINUE, ResponseWriter
-from orchidlane.gateway.telemetry.counters import Counts
+from orchidlane.gateway.telemetry.counters import GatewayCounters
 from orchidlane.http1 import Malformed, Request
 from orchidlane.runtime import Closed, Expired
 
@@ -25,7 +25,7 @@
     """Who is notified of requests and answers them by the policy's decisions."""
 
     exchanges: dict[int, Exchange]
-    metrics: Counts
+    metrics: GatewayCounters
 
     def next_number(self) -> int:
         """Return the number of a new request."""
@@ -46,7 +46,7 @@
     bounds: ResourceLimits
     host: Driver
     clients: Clients
-    metrics: Counts
+    metrics: GatewayCounters
 
 
 class RequestHandler:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,7 +17,7 @@
     "cli",
     "day",
     "loop",
-    "record",
+    "live_tools",
     "resp",
     "tools",
     "hot_restart_real",
