--- a/orchidlane/hot_restart/tables.py
+++ b/orchidlane/hot_restart/tables.py
@@ -134,8 +134,8 @@
     changed = scalars["changed"]
     exhausted = scalars.get("closed", ())
     gateway = restore_gateway(settings, state)
-    initial = Gateway(settings, 0, gateway.now).usual_duration_us
-    gateway.usual_duration_us = [
+    initial = Gateway(settings, 0, gateway.now).baseline_latency_us
+    gateway.baseline_latency_us = [
         initial[new] if old is None else usual[old] for new, old in enumerate(old_classes)
     ]
     gateway.accounts = ObservableAccounts(accounts)
--- a/orchidlane/policy/admission.py
+++ b/orchidlane/policy/admission.py
@@ -47,9 +47,9 @@
 
 
 def _in_flight(state: PolicyState, event: RequestArrived | QuotaRequested, account: Account) -> int:
-    """Count requests in flight here, and at peers those admitted within the usual latency."""
-    usual_us = state.usual_duration_us[event.request_class]
-    at_peers = sum(state.now - at_us < usual_us for at_us in account.peer_admissions_at_us)
+    """Count requests in flight here, and at peers those admitted within the baseline latency."""
+    baseline_us = state.baseline_latency_us[event.request_class]
+    at_peers = sum(state.now - at_us < baseline_us for at_us in account.peer_admissions_at_us)
     return account.in_flight + at_peers
 
 
@@ -64,11 +64,11 @@
 
 def spend(state: PolicyState, account: Account, units: float) -> None:
     """Count units as spent by this gateway, and report them."""
-    known = account.replica_counts.get(state.replica)
-    if known is None:
+    previous = account.replica_counts.get(state.replica)
+    if previous is None:
         count = ReplicaCount(state.now // US_PER_MS // gossip_codec.TICK_MS, 0.0 + units)
     else:
-        count = ReplicaCount(known.start, known.value + units)
+        count = ReplicaCount(previous.start, previous.value + units)
     account.spent_total += quota.record_count(account, state.replica, count)
     if state.settings.plans[account.plan].ceiling_rate:
         account.ceiling_tokens -= units
--- a/orchidlane/policy/endpoint_registry.py
+++ b/orchidlane/policy/endpoint_registry.py
@@ -24,9 +24,9 @@
         _remove_unlisted(state, {entry.endpoint for entry in event.entries})
     started = [endpoint for entry in event.entries if (endpoint := _apply_entry(state, entry))]
     for endpoint in started:
-        pool = state.warm_pool if is_warm(state, endpoint) else state.cold_pool
+        pool = state.warm_pool if is_warm(state, endpoint) else state.slow_start_pool
         pool.add(endpoint)
-        state.warming_queue.append(endpoint)
+        state.slow_start_queue.append(endpoint)
 
 
 def is_warm(state: PolicyState, endpoint: Endpoint) -> bool:
@@ -37,11 +37,11 @@
 
 def promote_warmed_up(state: PolicyState) -> None:
     """Move the endpoints whose slow start is over to the warm pool, if they are still ready."""
-    while state.warming_queue and is_warm(state, state.warming_queue[0]):
-        endpoint = state.warming_queue.popleft()
+    while state.slow_start_queue and is_warm(state, state.slow_start_queue[0]):
+        endpoint = state.slow_start_queue.popleft()
         endpoint_id = endpoint.entry.endpoint
         if state.endpoints.get(endpoint_id) is endpoint and endpoint.entry.state is EndpointState.READY:
-            state.cold_pool.remove(endpoint_id)
+            state.slow_start_pool.remove(endpoint_id)
             state.warm_pool.add(endpoint)
 
 
@@ -92,7 +92,7 @@
 def _remove_from_pools(state: PolicyState, endpoint: Endpoint) -> None:
     entry = endpoint.entry
     state.warm_pool.remove(entry.endpoint)
-    state.cold_pool.remove(entry.endpoint)
+    state.slow_start_pool.remove(entry.endpoint)
     _remove_from_group(state.cell_pools, entry.cell, entry.endpoint)
     _remove_from_group(state.zone_pools, entry.zone, entry.endpoint)
 
--- a/orchidlane/policy/endpoint_selection.py
+++ b/orchidlane/policy/endpoint_selection.py
@@ -18,8 +18,8 @@
 
 def choose_endpoint(state: PolicyState, request: PendingRequest) -> Endpoint | None:
     """Return the endpoint that should answer soonest of those that may get the request, or None."""
-    if cold := _sample_cold_endpoint(state, request):
-        return cold
+    if endpoint := _sample_slow_start_endpoint(state, request):
+        return endpoint
     executed = request.executed_attempts
     if executed:
         scope = request.request_class.deduplication_scope
@@ -62,18 +62,18 @@
     return endpoint.deduplication_key(scope) == first.endpoint.deduplication_key(scope)
 
 
-def _sample_cold_endpoint(state: PolicyState, request: PendingRequest) -> Endpoint | None:
-    """Slow start: the attempt's sampled value picks one of all endpoints, a cold one by its ramp's chance."""
+def _sample_slow_start_endpoint(state: PolicyState, request: PendingRequest) -> Endpoint | None:
+    """Slow start: the attempt's sampled value picks one of all endpoints, one in slow start by chance."""
     endpoint_registry.promote_warmed_up(state)
-    cold = state.cold_pool.endpoints
-    endpoint_count = len(cold) + len(state.warm_pool.endpoints)
-    index, chance = divmod(request.sampled_value * endpoint_count, 1)
-    if index >= len(cold):
+    warming_up = state.slow_start_pool.endpoints
+    endpoint_count = len(warming_up) + len(state.warm_pool.endpoints)
+    index, draw = divmod(request.sampled_value * endpoint_count, 1)
+    if index >= len(warming_up):
         return None
-    endpoint = cold[int(index)]
+    endpoint = warming_up[int(index)]
     settings = state.settings
     progress = max(0, state.now - endpoint.entry.started_at_us) / settings.slow_start_duration_us
-    ramp = settings.slow_start_initial_share + (1 - settings.slow_start_initial_share) * progress
-    if chance < SLOW_START_MARGIN * ramp and _may_send(state, request, endpoint):
+    allowed_share = settings.slow_start_initial_share + (1 - settings.slow_start_initial_share) * progress
+    if draw < SLOW_START_MARGIN * allowed_share and _may_send(state, request, endpoint):
         return endpoint
     return None
--- a/orchidlane/policy/endpoints.py
+++ b/orchidlane/policy/endpoints.py
@@ -17,7 +17,7 @@
 class HealthEstimate:
     """Latency and failures of recent attempts at one endpoint, in one zone or in the whole fleet.
 
-    ``slowness`` is a multiple of the class's usual latency. Both values decay towards their priors from
+    ``slowness`` is a multiple of the class's baseline latency. Both values decay towards their priors from
     ``updated_at_us`` on, so that traffic returns gently to what has recovered.
     """
 
--- a/orchidlane/policy/health.py
+++ b/orchidlane/policy/health.py
@@ -7,7 +7,7 @@
 from orchidlane.policy.state import INITIAL_LATENCY_SHARE, Attempt, PolicyState
 
 SMOOTHING = 0.15  # weight of the newest latency in a moving average
-MAX_SLOWNESS = 8.0  # multiple of the usual latency that one answer may count for
+MAX_SLOWNESS = 8.0  # multiple of the baseline latency that one answer may count for
 MAX_FAILURE_SCORE = 1 / SMOOTHING  # low enough to be forgiven soon
 
 ANSWERED_OUTCOMES = (Outcome.SERVED, Outcome.ERROR, Outcome.ENDPOINT_FULL)
@@ -20,7 +20,7 @@
     fleet_slowness = state.fleet_health.decayed_slowness(state.now)
     slowness = endpoint.decayed_slowness(state.now, fleet_slowness)
     load = endpoint.in_flight + INITIAL_LOAD
-    latency_us = state.usual_duration_us[request_class] * slowness * load / endpoint.baseline_load
+    latency_us = state.baseline_latency_us[request_class] * slowness * load / endpoint.baseline_load
     if endpoint.in_flight:  # a stalled endpoint answers nobody, so no latency is measured there
         latency_us = max(latency_us, state.now - endpoint.last_active_at_us)
     return latency_us
@@ -46,8 +46,8 @@
 
 def _record_latency(state: PolicyState, attempt: Attempt, request_class: int, event: AttemptEnded) -> None:
     endpoint = attempt.endpoint
-    usual_us = state.usual_duration_us[request_class]
-    slowness = min(MAX_SLOWNESS, event.duration_us / usual_us)
+    baseline_us = state.baseline_latency_us[request_class]
+    slowness = min(MAX_SLOWNESS, event.duration_us / baseline_us)
     endpoint.slowness += SMOOTHING * (slowness - endpoint.slowness)
     # In a large fleet under overload a gateway meets each endpoint too seldom to learn, so the fleet counts
     # too; but an endpoint that answered nobody meanwhile may be down, and says nothing of the others.
@@ -57,6 +57,6 @@
     endpoint.baseline_load += SMOOTHING * (attempt.load - endpoint.baseline_load)
     # Capped, so that under overload an idle endpoint still seems worth an attempt and recovery is noticed.
     cap_us = INITIAL_LATENCY_SHARE * state.settings.classes[request_class].latency_objective_us
-    state.usual_duration_us[request_class] = min(
-        cap_us, usual_us + SMOOTHING / 5 * (event.duration_us - usual_us)
+    state.baseline_latency_us[request_class] = min(
+        cap_us, baseline_us + SMOOTHING / 5 * (event.duration_us - baseline_us)
     )
--- a/orchidlane/policy/quota.py
+++ b/orchidlane/policy/quota.py
@@ -98,12 +98,12 @@
 
     Where the start is new, the whole value is growth: what an earlier incarnation spent stays spent.
     """
-    known = account.replica_counts.get(replica, NO_COUNT)
-    if count <= known:
+    previous = account.replica_counts.get(replica, NO_COUNT)
+    if count <= previous:
         return 0.0
     account.replica_counts[replica] = count
     others = (other for other in account.recently_changed if other != replica)
     account.recently_changed = (*others, replica)[-MAX_COUNTS_PER_ROW:]
-    growth = count.value - known.value if count.start == known.start else count.value
+    growth = count.value - previous.value if count.start == previous.start else count.value
     account.counted_total += growth
     return growth
--- a/orchidlane/policy/retries.py
+++ b/orchidlane/policy/retries.py
@@ -16,7 +16,7 @@
 
 HELD_REQUEST_INTERVAL_US = 20 * US_PER_MS  # between two looks at a request that has no endpoint
 RETRY_BUDGET_PER_REQUEST = 0.05
-LATENCY_SLACK_SHARE = 0.15  # of what is left of the latency objective beyond the usual latency
+LATENCY_SLACK_SHARE = 0.15  # of what is left of the latency objective beyond the baseline latency
 
 NOT_EXECUTED_OUTCOMES = (Outcome.ENDPOINT_FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
@@ -106,9 +106,9 @@
 
 def _admission_latency_bound_us(state: PolicyState, request: PendingRequest) -> float:
     """Return the longest latency to expect at which a request is sent: it must still be in time."""
-    usual_us = state.usual_duration_us[request.event.request_class]
+    baseline_us = state.baseline_latency_us[request.event.request_class]
     time_left_us = min(request.request_class.latency_objective_us, request.event.time_left_us)
-    return usual_us + LATENCY_SLACK_SHARE * max(0.0, time_left_us - usual_us)
+    return baseline_us + LATENCY_SLACK_SHARE * max(0.0, time_left_us - baseline_us)
 
 
 def _send_attempt(state: PolicyState, request: PendingRequest, endpoint: Endpoint) -> None:
--- a/orchidlane/policy/state.py
+++ b/orchidlane/policy/state.py
@@ -15,7 +15,7 @@
 
 PEER_INTAKE_SHARE = 0.8  # of the messages that a peer takes in: the rest is for jitter
 MAX_RETRY_BUDGET = 5.0
-INITIAL_LATENCY_SHARE = 0.25  # of the latency objective: the usual latency before any is measured
+INITIAL_LATENCY_SHARE = 0.25  # of the latency objective: the baseline latency before any is measured
 
 
 @dataclass(slots=True)
@@ -85,15 +85,15 @@
         self.last_seen_at_us: dict[int, int] = {}  # by peer
         self.unreachable_share = 0.0
         # Endpoints
-        self.usual_duration_us = [INITIAL_LATENCY_SHARE * c.latency_objective_us for c in settings.classes]
+        self.baseline_latency_us = [INITIAL_LATENCY_SHARE * c.latency_objective_us for c in settings.classes]
         self.endpoints: dict[EndpointId, Endpoint] = {}
         self.fleet_health = HealthEstimate(0)
         self.zone_health: dict[int, HealthEstimate] = {}
         self.warm_pool = EndpointPool()
-        self.cold_pool = EndpointPool()
+        self.slow_start_pool = EndpointPool()
         self.cell_pools: dict[int, EndpointPool] = {}
         self.zone_pools: dict[int, EndpointPool] = {}
-        self.warming_queue: deque[Endpoint] = deque()  # in the order of their listing, until warmed up
+        self.slow_start_queue: deque[Endpoint] = deque()  # in the order of their listing, until warmed up
         # Requests
         self.requests: dict[int, PendingRequest] = {}
         self.attempts: dict[tuple[int, int], tuple[Attempt, PendingRequest]] = {}  # by request and number
--- a/orchidlane/recording/state_dump.py
+++ b/orchidlane/recording/state_dump.py
@@ -27,7 +27,7 @@
     "filled": "allowance_refilled_at_us",
     "born": "started_at_us",
     "last_sent": "last_attempt_at_us",
-    "usual": "usual_duration_us",
+    "usual": "baseline_latency_us",
     "budget": "retry_budget",
     "unheard": "unreachable_share",
     "allowance": "message_allowance",
@@ -54,7 +54,7 @@
     pools: list[list[int]]  # warm, cold
     cell_pools: list[tuple[int, list[int]]]
     zone_pools: list[tuple[int, list[int]]]
-    warming_queue: list[int]
+    slow_start_queue: list[int]
     requests: list[list[Any]]
     detached_attempts: list[list[Any]]  # whose request has ended
     pending_deltas: list[
@@ -95,7 +95,7 @@
         pools=[pools.warm, pools.cold],
         cell_pools=pools.cells,
         zone_pools=pools.zones,
-        warming_queue=pools.warming_queue,
+        slow_start_queue=pools.slow_start_queue,
         requests=requests,
         detached_attempts=detached_attempts,
         pending_deltas=_dump_pending_deltas(gateway) if complete else [],
@@ -155,16 +155,16 @@
     cold: list[int]
     cells: list[tuple[int, list[int]]]
     zones: list[tuple[int, list[int]]]
-    warming_queue: list[int]
+    slow_start_queue: list[int]
 
 
 def _dump_pools(gateway: Gateway, endpoints: _EndpointTable) -> _Pools:
     return _Pools(
         warm=endpoints.positions(gateway.warm_pool.endpoints),
-        cold=endpoints.positions(gateway.cold_pool.endpoints),
+        cold=endpoints.positions(gateway.slow_start_pool.endpoints),
         cells=[(cell, endpoints.positions(pool.endpoints)) for cell, pool in gateway.cell_pools.items()],
         zones=[(zone, endpoints.positions(pool.endpoints)) for zone, pool in gateway.zone_pools.items()],
-        warming_queue=endpoints.positions(gateway.warming_queue),
+        slow_start_queue=endpoints.positions(gateway.slow_start_queue),
     )
 
 
--- a/orchidlane/recording/state_restore.py
+++ b/orchidlane/recording/state_restore.py
@@ -99,10 +99,10 @@
         gateway.zone_health = {zone: _health_from_row(row) for zone, row in state.zone_health}
         warm, cold = state.pools
         gateway.warm_pool = self._pool(warm)
-        gateway.cold_pool = self._pool(cold)
+        gateway.slow_start_pool = self._pool(cold)
         gateway.cell_pools = {cell: self._pool(positions) for cell, positions in state.cell_pools}
         gateway.zone_pools = {zone: self._pool(positions) for zone, positions in state.zone_pools}
-        gateway.warming_queue = deque(self._endpoints[position] for position in state.warming_queue)
+        gateway.slow_start_queue = deque(self._endpoints[position] for position in state.slow_start_queue)
 
     def _pool(self, positions: list[int]) -> EndpointPool:
         pool = EndpointPool()
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -762,7 +762,7 @@
     ]
     assert [module.last_attempt_at_us, module.retry_budget] == [1_000_412_080, 2.4499999999999984]
     assert [module.unreachable_share, module.message_allowance] == [0.14782969, 39.0]
-    assert module.usual_duration_us == [125_000.0, 125_000.0, 125_000.0, 125_000.0, 122_750.0]
+    assert module.baseline_latency_us == [125_000.0, 125_000.0, 125_000.0, 125_000.0, 122_750.0]
     server, other = (b"\n\x00\x00%c\x00P" % number for number in (2, 4))
     host = module.endpoints[server]
     assert host.entry == policy.EndpointEntry(server, policy.EndpointState.READY, 0, 0, 0, 1.0)
@@ -771,14 +771,16 @@
     host = module.endpoints[other]
     assert [host.updated_at_us, host.slowness, host.failure_score] == [1_000_378_452, 0.91, 1.942900986755272]
     assert module.zone_health[0].failure_score == 4.747282621307491
-    assert [[one.in_flight for one in pool.endpoints] for pool in (module.warm_pool, module.cold_pool)] == [
+    assert [
+        [one.in_flight for one in pool.endpoints] for pool in (module.warm_pool, module.slow_start_pool)
+    ] == [
         [0, 1, 3],
         [0],
     ]
     assert [
         len(pool.endpoints) for pool in (module.cell_pools[0], module.zone_pools[0], module.warm_pool)
     ] == [4, 4, 3]
-    assert [host.entry.started_at_us for host in module.warming_queue] == [1_000_518_714]
+    assert [host.entry.started_at_us for host in module.slow_start_queue] == [1_000_518_714]
     request = module.requests[1]
     assert request.event == policy.RequestArrived(1, 5, 0, 2, 1.0, 2_000_000, 0, 3, False)
     assert [request.deadline_at_us, request.sampled_value] == [1_002_009_909, 0.1723255663561437]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -361,7 +361,7 @@
         held = [
             rules.endpoints,
             rules.cell_pools,
-            rules.warming_queue,
+            rules.slow_start_queue,
             rules.attempts,
             rules.requests,
             life.clients.in_flight,
