--- /dev/null
+++ b/tests/harness/descriptions.py
@@ -0,0 +1,22 @@
+"""Descriptions with other costs of operations."""
+
+from __future__ import annotations
+
+from harness.gateway_harness import MATERIALS
+from orchidlane.routes import build, load_description
+
+RULES = (MATERIALS / "openapi.yaml").read_bytes()
+
+
+def with_cost(data: bytes, operation: bytes, cost: int) -> bytes:
+    """Return a description in which an operation has another cost."""
+    start = data.index(b"x-orchidlane: {", data.index(b"operationId: " + operation))
+    end = data.index(b"}", start)
+    without_cost = data[start:end].split(b", cost")[0]
+    return data[:start] + without_cost + b", cost: %d" % cost + data[end:]
+
+
+def costs(data: bytes) -> dict[str, float]:
+    """Return the costs by operation."""
+    generation = build(load_description(data, "o"), "o")
+    return {operation.name: operation.cost for operation in generation.operations}
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""The judge of a stage: its rate of false stops, the harm it finds, and what is not its to say."""
+"""The analysis of a stage: its rate of false stops, the harm it finds, and what is not its to say."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
     return AnswerCounts(answers, **counts)
 
 
-def stage(seed: int, harm: dict[str, float], looks: int = 40) -> str:
+def stage(seed: int, harm: dict[str, float], observations: int = 40) -> str:
     """A stage with a load and a share of refusals that wander; the harm that was found, if any.
 
     ``harm`` multiplies a kind's share on the new side.
     """
-    rng, judge = random.Random(seed), CanaryAnalysis()
+    rng, analysis = random.Random(seed), CanaryAnalysis()
     usual = {"refused": 0.15, "failed": 0.01, "late": 0.02, "slow": 0.1, "attempts": 0.05}
-    for _ in range(looks):
+    for _ in range(observations):
         usual["refused"] = min(0.6, max(0.02, usual["refused"] + rng.uniform(-0.05, 0.05)))
         load = rng.randint(2, 30)
         new, old = {}, {}
@@ -42,79 +42,83 @@
             worse = {kind: min(1.0, share * harm.get(kind, 1.0)) for kind, share in usual.items()}
             new[stratum] = draw(rng, rng.randint(0, load), worse)
             old[stratum] = draw(rng, 2 * load, usual)
-        found = judge.observe(new, old).harm
+        found = analysis.observe(new, old).harm
         if found:
             return found
     return ""
 
 
-def test_harmless_stages_are_not_stopped_however_often_they_are_looked_at():
+def test_harmless_stages_are_rarely_stopped_under_continuous_observation():
     stopped = [seed for seed in range(1_000) if stage(seed, {})]
     assert len(stopped) <= 1_000 * FALSE_POSITIVE_RATE + 2, stopped
 
 
-def test_a_difference_within_the_margin_is_no_harm():
+def test_a_difference_within_the_harmless_ratio_is_no_harm():
     assert not [seed for seed in range(100) if stage(seed, dict.fromkeys(OUTCOME_KINDS, HARMLESS_RATIO))]
 
 
-def test_harmful_stages_are_found_and_named():
+def test_harmful_stages_are_detected_by_kind():
     for kind, times in (("failed", 16.0), ("refused", 4.0), ("late", 8.0), ("slow", 4.0), ("attempts", 6.0)):
         found = [stage(seed, {kind: times}) for seed in range(40)]
         named = (f"more {kind} in ", "fewer served in ")  # what is refused or fails is not served, too
-        assert all(words.startswith(named) for words in found), (kind, found)
+        assert all(harm_text.startswith(named) for harm_text in found), (kind, found)
 
 
-def test_fewer_served_is_found_where_most_are_refused_on_both_sides():
-    judge, words = CanaryAnalysis(), ""
+def test_fewer_served_is_detected_where_most_are_refused_on_both_sides():
+    analysis, harm_text = CanaryAnalysis(), ""
     for _ in range(30):
-        words = judge.observe({"a": AnswerCounts(10, refused=10)}, {"a": AnswerCounts(40, refused=26)}).harm
-        if words:
+        harm_text = analysis.observe(
+            {"a": AnswerCounts(10, refused=10)}, {"a": AnswerCounts(40, refused=26)}
+        ).harm
+        if harm_text:
             break
-    assert words == "fewer served in a than where the old version runs"
+    assert harm_text == "fewer served in a than where the old version runs"
 
 
-def test_what_roll_let_pass_is_found():
+def test_many_failures_in_one_observation_are_detected():
     """4,900 failures in 10,000 answers where none failed before."""
-    judge = CanaryAnalysis()
-    verdict = judge.observe({"a": AnswerCounts(10_000, failed=4_900)}, {"a": AnswerCounts(10_000, failed=0)})
+    analysis = CanaryAnalysis()
+    verdict = analysis.observe(
+        {"a": AnswerCounts(10_000, failed=4_900)}, {"a": AnswerCounts(10_000, failed=0)}
+    )
     assert verdict.harm.endswith(" in a than where the old version runs")
 
 
-def test_a_jam_on_both_sides_is_nobodys_harm():
-    judge = CanaryAnalysis()
+def test_equal_failures_on_both_sides_are_no_harm():
+    analysis = CanaryAnalysis()
     for _ in range(50):
-        verdict = judge.observe({"a": AnswerCounts(100, failed=60)}, {"a": AnswerCounts(300, failed=180)})
+        verdict = analysis.observe({"a": AnswerCounts(100, failed=60)}, {"a": AnswerCounts(300, failed=180)})
     assert verdict.harm == "" and verdict.has_enough_answers
 
 
-def test_few_answers_say_nothing_and_pass_nothing():
-    judge = CanaryAnalysis()
-    assert judge.observe({"a": AnswerCounts(3, failed=3)}, {"a": AnswerCounts(5)}) == ("", False)
-    assert judge.observe({"a": AnswerCounts(MIN_ANSWERS)}, {}) == ("", False), (
+def test_few_answers_neither_show_harm_nor_pass_a_stage():
+    analysis = CanaryAnalysis()
+    assert analysis.observe({"a": AnswerCounts(3, failed=3)}, {"a": AnswerCounts(5)}) == ("", False)
+    assert analysis.observe({"a": AnswerCounts(MIN_ANSWERS)}, {}) == ("", False), (
         "an old side that is silent is no progress"
     )
-    assert judge.observe({}, {"a": AnswerCounts(MIN_ANSWERS)}).has_enough_answers
+    assert analysis.observe({}, {"a": AnswerCounts(MIN_ANSWERS)}).has_enough_answers
 
 
-def test_one_stratum_is_enough_to_be_found_among_many():
-    rng, judge = random.Random(1), CanaryAnalysis()
-    words = ""
+def test_harm_in_one_stratum_of_many_is_detected():
+    rng, analysis = random.Random(1), CanaryAnalysis()
+    harm_text = ""
     for _ in range(60):
         new = {f"s{n}": draw(rng, 20, {"failed": 0.5 if n == 7 else 0.01}) for n in range(30)}
         old = {f"s{n}": draw(rng, 20, {"failed": 0.01}) for n in range(30)}
-        words = judge.observe(new, old).harm
-        if words:
+        harm_text = analysis.observe(new, old).harm
+        if harm_text:
             break
-    assert words == "more failed in s7 than where the old version runs"
+    assert harm_text == "more failed in s7 than where the old version runs"
 
 
-def test_the_stated_number_of_answers_finds_a_harm():
+def test_harm_is_detected_within_the_expected_number_of_answers():
     wanted = expected_answers_to_detect(0.20, 0.02)
     assert 50 < wanted < 400
     rng, spans = random.Random(3), []
     for _ in range(50):
-        judge, answers = CanaryAnalysis(), 0
-        while not judge.observe(
+        analysis, answers = CanaryAnalysis(), 0
+        while not analysis.observe(
             {"a": draw(rng, 10, {"failed": 0.20})}, {"a": draw(rng, 10, {"failed": 0.02})}
         ).harm:
             answers += 10
@@ -123,7 +127,7 @@
     assert expected_answers_to_detect(0.02, 0.02) == float("inf")
 
 
-def test_counts_of_another_life_are_taken_as_they_are():
+def test_counts_of_another_incarnation_are_taken_as_they_are():
     assert counts_since({"a": AnswerCounts(10, failed=2)}, {"a": AnswerCounts(4, failed=1)}) == {
         "a": AnswerCounts(6, failed=1)
     }
--- a/tests/test_consensus_model.py
+++ b/tests/test_consensus_model.py
@@ -1,8 +1,8 @@
-"""The register of three voters, searched: two steps at once, two faults anywhere, messages in any order.
+"""Model checking of three voters: two commands at once, up to two faults, datagrams in any order.
 
-Faults: a voter dies and comes back with its disk, an old one or an empty one; a write that fails; a message
-twice. A message that is lost is one that never comes. What has to hold in every state: two ledgers of one
-index are never both chosen, and a step is taken in its own term alone.
+Faults: a voter dies and restarts with its disk, an old copy or an empty one; a write fails; a datagram is
+duplicated. A lost datagram is one that is never delivered. Invariants: two states of one index are never both
+chosen, and a command is carried out in its own term alone.
 """
 
 from __future__ import annotations
@@ -31,36 +31,38 @@
     term=1,
     leader=0,
 )
-TIMELESS = 1_000_000
+NOW = 1_000_000
 
 
-class Broken(AssertionError):
+class InvariantViolationError(AssertionError):
     """What must never be."""
 
 
-class Mail(NamedTuple):
+class Datagram(NamedTuple):
     sender: int
     receiver: int
     message: Any
 
 
-class World:
+class ModelState:
     """One state: the voters, their disks, what is on its way, what was chosen."""
 
-    def __init__(self, kind: type[Voter]) -> None:
-        self.kind = kind
-        self.ledgers = {
+    def __init__(self, voter_type: type[Voter]) -> None:
+        self.voter_type = voter_type
+        self.states_by_hash = {
             content_hash(replicated_state.encode(FIRST)): FIRST
         }  # shared by all states: names say it all
         self.disks = {rank: VoterState(100 + rank) for rank in VOTERS}
         self.old = dict(self.disks)
-        self.voters = {rank: kind(rank, self.disks[rank], None, FIRST, Fixed(), 0) for rank in VOTERS}
-        self.mail: frozenset[Mail] = frozenset()
+        self.voters = {
+            rank: voter_type(rank, self.disks[rank], None, FIRST, FixedRandom(), 0) for rank in VOTERS
+        }
+        self.datagrams: frozenset[Datagram] = frozenset()
         self.chosen: dict[int, str] = {}
         self.faults = 0
         self.started: frozenset[int] = frozenset()
 
-    def copy(self) -> World:
+    def copy(self) -> ModelState:
         other = copy.copy(self)
         other.disks, other.old, other.chosen = dict(self.disks), dict(self.old), dict(self.chosen)
         other.voters = {rank: _copy(voter) for rank, voter in self.voters.items()}
@@ -69,81 +71,89 @@
     def key(self) -> Any:
         return (
             tuple(_key(voter) for voter in self.voters.values()),
-            self.mail,
+            self.datagrams,
             tuple(sorted(self.chosen.items())),
             self.faults,
             self.started,
         )
 
-    def carry(self, rank: int, actions: list[Any], write_fails: bool = False) -> None:
+    def carry_out(self, rank: int, actions: list[Any], write_fails: bool = False) -> None:
         voter = self.voters[rank]
         for action in actions:
             match action:
                 case StoreBlob():
-                    self.ledgers[action.content_hash] = replicated_state.decode(action.data)
+                    self.states_by_hash[action.content_hash] = replicated_state.decode(action.data)
                 case Persist():
                     if write_fails:
                         before = self.disks[rank]
-                        voter.persist_failed(before, self.ledgers.get(before.accepted_hash))
+                        voter.persist_failed(before, self.states_by_hash.get(before.accepted_hash))
                         return
                     self.disks[rank] = action.voter_state
                 case Send():
-                    self.mail |= {Mail(rank, action.rank, action.message)}
+                    self.datagrams |= {Datagram(rank, action.rank, action.message)}
                 case StateChosen():
                     self._choose(action)
 
     def _choose(self, chosen: StateChosen) -> None:
         index = chosen.state.index
         if self.chosen.setdefault(index, chosen.state_hash) != chosen.state_hash:
-            raise Broken(f"Q1: two ledgers of index {index}")
+            raise InvariantViolationError(f"Q1: two states_by_hash of index {index}")
         step = chosen.command
         if step is not None and not isinstance(step, ClaimLeadership) and step.term != chosen.state.term:
-            raise Broken(f"fencing: a step of term {step.term} in term {chosen.state.term}")
+            raise InvariantViolationError(
+                f"fencing: a command of term {step.term} in term {chosen.state.term}"
+            )
 
-    def deliver(self, mail: Mail, write_fails: bool = False) -> None:
-        message = mail.message
-        named = self.ledgers.get(message.state_hash) if isinstance(message, Promise | Accept) else None
-        voter = self.voters[mail.receiver]
-        self.carry(mail.receiver, voter.receive(TIMELESS, mail.sender, message, named), write_fails)
+    def deliver(self, datagram: Datagram, write_fails: bool = False) -> None:
+        message = datagram.message
+        named = self.states_by_hash.get(message.state_hash) if isinstance(message, Promise | Accept) else None
+        voter = self.voters[datagram.receiver]
+        self.carry_out(datagram.receiver, voter.receive(NOW, datagram.sender, message, named), write_fails)
 
-    def drop_idle_mail(self) -> None:
+    def drop_idle_datagrams(self) -> None:
         """Mail that changes nothing now and never will: answers to an attempt that is over."""
-        for mail in list(self.mail):
-            attempt = self.voters[mail.receiver].attempt
-            answer = isinstance(mail.message, Promise | Accepted | Nack)
-            over = attempt is None or attempt.ballot != mail.message.ballot
-            late = isinstance(mail.message, Promise) and (
+        for datagram in list(self.datagrams):
+            attempt = self.voters[datagram.receiver].attempt
+            answer = isinstance(datagram.message, Promise | Accepted | Nack)
+            over = attempt is None or attempt.ballot != datagram.message.ballot
+            late = isinstance(datagram.message, Promise) and (
                 over or attempt.phase is not ProposerPhase.PREPARING
             )
             if answer and (over or late):
-                self.mail -= {mail}
+                self.datagrams -= {datagram}
 
-    def restart(self, rank: int, kept: VoterState) -> None:
-        self.disks[rank] = kept
+    def restart(self, rank: int, voter_state: VoterState) -> None:
+        self.disks[rank] = voter_state
         chosen = FIRST  # what it knows to be chosen may be as old as that
-        self.voters[rank] = self.kind(
-            rank, kept, self.ledgers.get(kept.accepted_hash), chosen, Fixed(), 0, verifying_store=True
+        self.voters[rank] = self.voter_type(
+            rank,
+            voter_state,
+            self.states_by_hash.get(voter_state.accepted_hash),
+            chosen,
+            FixedRandom(),
+            0,
+            verifying_store=True,
         )
 
-    def check_marks(self, rank: int) -> None:
+    def verify_store(self, rank: int) -> None:
         """It asks both others, and hears both; from its question on they take nothing of its earlier life.
 
         The datagrams' incarnation sees to that (``gateway/peers/datagrams.py``).
         """
         voter = self.voters[rank]
-        self.mail = frozenset(mail for mail in self.mail if mail.sender != rank)
+        self.datagrams = frozenset(datagram for datagram in self.datagrams if datagram.sender != rank)
         for other, theirs in self.voters.items():
             if other != rank and voter.verifying_store:
                 store, mark = theirs.voter_state.seen_vote_counts.get(rank, (0, 0))
                 mark = mark if store == voter.voter_state.store_id else 0
-                self.carry(
+                self.carry_out(
                     rank,
-                    voter.receive(TIMELESS, other, VoteCountResponse(voter.voter_state.store_id, mark, True)),
+                    voter.receive(NOW, other, VoteCountResponse(voter.voter_state.store_id, mark, True)),
                 )
-        self.carry(rank, voter.tick(TIMELESS))
+        self.carry_out(rank, voter.tick(NOW))
 
 
-class Fixed(random.Random):
+class FixedRandom(random.Random):
     """The same numbers in each state."""
 
     def random(self) -> float:
@@ -166,7 +176,7 @@
 
 
 def _key(voter: Voter) -> Any:
-    kept, attempt = voter.voter_state, voter.attempt
+    voter_state, attempt = voter.voter_state, voter.attempt
     told = None
     if attempt is not None:
         told = (
@@ -177,13 +187,13 @@
             attempt.state_hash,
         )
     index = voter.chosen_state.index if voter.chosen_state is not None else 0
-    marks = tuple(sorted(kept.seen_vote_counts.items()))
+    marks = tuple(sorted(voter_state.seen_vote_counts.items()))
     return (
-        kept.store_id,
-        kept.promised,
-        kept.accepted,
-        kept.accepted_hash,
-        kept.vote_count,
+        voter_state.store_id,
+        voter_state.promised,
+        voter_state.accepted,
+        voter_state.accepted_hash,
+        voter_state.vote_count,
         marks,
         voter.verifying_store,
         index,
@@ -191,66 +201,70 @@
     )
 
 
-def moves(world: World, plan: dict[int, Any], most: int, faults: tuple[str, ...]):
+def moves(state: ModelState, plan: dict[int, Any], max_faults: int, faults: tuple[str, ...]):
     """Every next state."""
     for rank, step in plan.items():
-        if rank not in world.started and world.voters[rank].may_vote:
-            after = world.copy()
+        if rank not in state.started and state.voters[rank].may_vote:
+            after = state.copy()
             after.started |= {rank}
-            after.carry(rank, after.voters[rank].propose(TIMELESS, step))
+            after.carry_out(rank, after.voters[rank].propose(NOW, step))
             yield after
-    for mail in world.mail:
-        after = world.copy()
-        after.mail -= {mail}
-        after.deliver(mail)
+    for datagram in state.datagrams:
+        after = state.copy()
+        after.datagrams -= {datagram}
+        after.deliver(datagram)
         if "old disk" not in faults:
-            after.drop_idle_mail()
+            after.drop_idle_datagrams()
         yield after
-    for rank, voter in world.voters.items():
+    for rank, voter in state.voters.items():
         if voter.verifying_store:
-            after = world.copy()
-            after.check_marks(rank)
+            after = state.copy()
+            after.verify_store(rank)
             yield after
-    if world.faults < most:
-        yield from failures(world, faults)
+    if state.faults < max_faults:
+        yield from failures(state, faults)
 
 
-def failures(world: World, faults: tuple[str, ...]):
+def failures(state: ModelState, faults: tuple[str, ...]):
     """Every next state that a fault leads to."""
     for rank in VOTERS:
-        kept = {"dies": world.disks[rank], "old disk": world.old[rank], "no disk": VoterState(500 + rank)}
+        restored = {
+            "dies": state.disks[rank],
+            "old disk": state.old[rank],
+            "no disk": VoterState(500 + rank),
+        }
         for name in faults:
-            if name in kept:
-                after = world.copy()
+            if name in restored:
+                after = state.copy()
                 after.faults += 1
-                after.restart(rank, kept[name])
+                after.restart(rank, restored[name])
                 yield after
-    for mail in world.mail if "write" in faults else ():
-        after = world.copy()
+    for datagram in state.datagrams if "write" in faults else ():
+        after = state.copy()
         after.faults += 1
-        after.mail -= {mail}
-        after.deliver(mail, write_fails=True)
+        after.datagrams -= {datagram}
+        after.deliver(datagram, write_fails=True)
         yield after
-    for mail in world.mail if "twice" in faults else ():
-        after = world.copy()
+    for datagram in state.datagrams if "twice" in faults else ():
+        after = state.copy()
         after.faults += 1
-        after.deliver(mail)
+        after.deliver(datagram)
         yield after
 
 
 def search(
     plan: dict[int, Any],
     faults: tuple[str, ...],
-    most: int,
-    kind: type[Voter] = Voter,
+    max_faults: int,
+    voter_type: type[Voter] = Voter,
     bound: int = 60_000,
 ) -> tuple[int, set[int]]:
-    """How many states there are, and which indexes were ever chosen. Raises Broken."""
-    first = World(kind)
+    """How many states there are, and which indexes were ever chosen. Raises InvariantViolationError."""
+    first = ModelState(voter_type)
     seen, queue, indexes = {first.key()}, deque([first]), set()
     while queue and len(seen) < bound:
-        world = queue.popleft()
-        for after in moves(world, plan, most, faults):
+        state = queue.popleft()
+        for after in moves(state, plan, max_faults, faults):
             key = after.key()
             if key not in seen:
                 seen.add(key)
@@ -262,27 +276,27 @@
 TWO_CLAIMS = {0: ClaimLeadership(0, 2), 1: ClaimLeadership(1, 2)}
 
 
-def test_two_that_want_to_lead_without_a_fault():
+def test_two_concurrent_claims_choose_one_state_without_faults():
     states, chosen = search(TWO_CLAIMS, (), 0)
     assert states > 500
     assert 2 in chosen
 
 
 @pytest.mark.parametrize("fault", ["dies", "old disk", "no disk", "write", "twice"])
-def test_two_faults_of_a_kind_anywhere(fault):
+def test_two_concurrent_claims_choose_one_state_with_two_faults_of_a_kind(fault):
     states, chosen = search(TWO_CLAIMS, (fault,), 2)
     assert states > 5_000
     assert 2 in chosen
 
 
-def test_a_voter_is_admitted_while_another_claims():
+def test_a_membership_change_and_a_concurrent_claim_choose_one_state():
     plan = {0: ChangeMembership(1, 2, 502), 1: ClaimLeadership(1, 2)}
     states, chosen = search(plan, ("no disk", "dies"), 2)
     assert states > 5_000
     assert 2 in chosen
 
 
-class Forgets(Voter):
+class ForgetfulVoter(Voter):
     """Accepts and keeps nothing of it: the next promise tells of nothing."""
 
     def _on_accept(self, sender, message, state):
@@ -292,7 +306,7 @@
         self.accepted_state = None
 
 
-class OverrulesItself(Voter):
+class SelfOverrulingVoter(Voter):
     """Its proposer goes on whatever its acceptor promised since; the search found this once."""
 
     def _start_accept(self, now, attempt):
@@ -301,14 +315,14 @@
         super()._start_accept(now, attempt)
 
 
-class TrustsItsDisk(Voter):
+class TrustingVoter(Voter):
     """Goes on with whatever disk it finds."""
 
     def _on_vote_count(self, sender, message):
         self._check_responses[sender] = True
 
 
-class TakesAnyBallot(Voter):
+class PromiscuousVoter(Voter):
     """Accepts what it promised not to."""
 
     def _on_accept(self, sender, message, state):
@@ -319,15 +333,20 @@
 
 
 @pytest.mark.parametrize(
-    ("broken", "faults", "most"),
-    [(Forgets, (), 0), (TakesAnyBallot, (), 0), (OverrulesItself, (), 0), (TrustsItsDisk, ("old disk",), 1)],
+    ("broken", "faults", "max_faults"),
+    [
+        (ForgetfulVoter, (), 0),
+        (PromiscuousVoter, (), 0),
+        (SelfOverrulingVoter, (), 0),
+        (TrustingVoter, ("old disk",), 1),
+    ],
 )
-def test_a_voter_that_forgets_its_vote_is_found(broken, faults, most):
-    with pytest.raises(Broken, match="Q1"):
-        search(TWO_CLAIMS, faults, most, broken, bound=400_000)
+def test_a_broken_voter_violates_agreement(broken, faults, max_faults):
+    with pytest.raises(InvariantViolationError, match="Q1"):
+        search(TWO_CLAIMS, faults, max_faults, broken, bound=400_000)
 
 
-def test_a_leader_without_fencing_is_found(monkeypatch):
+def test_a_leader_without_fencing_violates_it(monkeypatch):
     plan = {0: StopRollout(1, 7, "a step of the first term"), 1: ClaimLeadership(1, 2)}
     search(plan, ("dies",), 1)
     monkeypatch.setattr(commands, "_require_term", lambda state, term: None)
@@ -336,5 +355,5 @@
         "apply",
         lambda self, state: commands._next_state(state, latest_number=state.latest_number + 1),
     )
-    with pytest.raises(Broken, match="fencing"):
+    with pytest.raises(InvariantViolationError, match="fencing"):
         search(plan, ("dies",), 1)
--- /dev/null
+++ b/tests/test_dissemination.py
@@ -0,0 +1,109 @@
+"""Dissemination of the replicated state, leases, and the messages of rollouts."""
+
+from __future__ import annotations
+
+import random
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from orchidlane.rollout import messages
+from orchidlane.rollout.dissemination import Dissemination, FetchState
+from orchidlane.rollout.messages import Ballot
+
+SECOND = 1_000_000
+
+
+def dissemination() -> Dissemination:
+    return Dissemination(4, 5, (0, 1, 2), 2 * SECOND, SECOND // 2, random.Random(1))
+
+
+def poll(gateway: Dissemination, now: int) -> tuple[int, messages.GossipRequest]:
+    send = gateway.tick(now)[0]
+    assert isinstance(send.message, messages.GossipRequest)
+    return send.rank, send.message
+
+
+def test_a_gateway_without_a_state_serves_once_a_majority_of_voters_has_none():
+    gateway = dissemination()
+    assert gateway.rejection_reason(0)
+    now = 0
+    for _ in range(2):
+        now += SECOND
+        rank, request = poll(gateway, now)
+        assert rank in (0, 1, 2)
+        gateway.receive(now, rank, messages.GossipResponse(request.nonce, 0, "", -1, is_unbootstrapped=True))
+    assert gateway.rejection_reason(now) == ""
+    assert gateway.rejection_reason(now + 3 * SECOND)
+
+
+def test_the_lease_counts_from_the_request_however_late_the_response():
+    gateway = dissemination()
+    gateway.learn_state(3, "name", 0)
+    gateway.set_running(True)
+    assert gateway.rejection_reason(2 * SECOND) == ""
+    assert gateway.rejection_reason(2 * SECOND + 1) == "the rules are not confirmed any more"
+    _, request = poll(gateway, 10 * SECOND)
+    response = messages.GossipResponse(request.nonce, 3, "name", SECOND)
+    gateway.receive(20 * SECOND, 0, response)  # it lay in a buffer meanwhile
+    assert gateway.rejection_reason(20 * SECOND)
+    assert gateway.rejection_reason(11 * SECOND) == ""
+    _, request = poll(gateway, 20 * SECOND)
+    gateway.receive(20 * SECOND, 0, messages.GossipResponse(request.nonce ^ 1, 3, "name", 0))
+    assert gateway.rejection_reason(20 * SECOND), "a response to no request of ours does not count"
+
+
+def test_a_gateway_behind_its_target_serves_until_its_own_lease_ends():
+    gateway = dissemination()
+    gateway.learn_state(3, "name", 0)
+    gateway.set_running(True)
+    gateway.learn_state(4, "later", SECOND)
+    gateway.set_running(False)
+    gateway.record_confirmation(3 * SECOND)
+    assert gateway.rejection_reason(2 * SECOND) == ""
+    assert gateway.rejection_reason(3 * SECOND) == "other rules are wanted, which are not here yet"
+    gateway.set_running(True)
+    assert gateway.rejection_reason(4 * SECOND) == ""
+
+
+def test_a_restarted_gateway_serves_by_its_target_alone():
+    gateway = dissemination()
+    gateway.learn_state(3, "name", SECOND)
+    gateway.set_running(False)
+    assert gateway.rejection_reason(SECOND) == "other rules are wanted, which are not here yet"
+
+
+def test_a_later_state_is_fetched_and_hinted_to_two_gateways_at_any_fleet_size():
+    gateway = Dissemination(4, 340, (0, 1, 2), 2 * SECOND, SECOND // 2, random.Random(1))
+    gateway.learn_state(3, "name", 0)
+    _, request = poll(gateway, SECOND)
+    assert gateway.receive(SECOND, 7, messages.GossipResponse(request.nonce, 5, "new", 100)) == [
+        FetchState(7, "new", 5, SECOND - 100)
+    ]
+    hints = gateway.learn_state(5, "new", SECOND - 100)
+    assert len(hints) == 2 and all(isinstance(send.message, messages.NewStateHint) for send in hints)
+    assert gateway.learn_state(5, "new", None) == []
+
+
+def test_every_message_fits_into_a_datagram():
+    ballot = Ballot(1 << 40, 399, 1 << 53)
+    name = "f" * 64
+    long = messages.truncate_reason("é" * 300)
+    for message in (
+        messages.GossipRequest(1 << 32, 1 << 40),
+        messages.GossipResponse(1 << 32, 1 << 40, name, 1 << 50, True),
+        messages.AdoptionReport(1 << 40, 1 << 40, 1 << 40, long),
+        messages.Promise(ballot, ballot, name, 1 << 53, 1 << 40),
+        messages.Accept(ballot, name, 1 << 40),
+        messages.Heartbeat(1 << 40, ballot, 1 << 40, 1 << 40, name),
+        messages.VersionVote(1 << 40, 1 << 40, 1 << 53, False, b"s" * 16, long),
+        messages.AdmissionRequest(1 << 53, "f" * 16, b"s" * 16),
+    ):
+        data = messages.encode(message)
+        assert len(data) <= 256, message
+        assert messages.decode(data) == message
+
+
+@given(st.binary(max_size=256))
+def test_arbitrary_datagrams_are_decoded_without_an_error(data):
+    messages.decode(data)
--- /dev/null
+++ b/tests/test_rollback.py
@@ -0,0 +1,62 @@
+"""Reverting edits of descriptions and customers' files, also below later edits."""
+
+from __future__ import annotations
+
+import msgspec
+import pytest
+from harness.descriptions import RULES, costs, with_cost
+
+from orchidlane.rollout.errors import RollbackConflictError
+from orchidlane.rollout.rollback import revert_customers_edit, revert_description_edit
+
+
+def test_reverting_the_latest_edit_returns_the_same_bytes():
+    edited = with_cost(RULES, b"readCurve", 7)
+    assert costs(edited)["readCurve"] == 7
+    assert revert_description_edit(RULES, edited, edited) is RULES
+
+
+def test_reverting_an_older_edit_keeps_later_edits_of_other_operations():
+    first = with_cost(RULES, b"readCurve", 7)
+    second = with_cost(first, b"readSheet", 5)
+    third = with_cost(second, b"issueReport", 9)
+    reverted = costs(revert_description_edit(first, second, third))
+    assert (reverted["readCurve"], reverted["readSheet"], reverted["issueReport"]) == (
+        7,
+        costs(RULES)["readSheet"],
+        9,
+    )
+
+
+def test_reverting_an_edit_that_was_edited_again_is_a_conflict():
+    first = with_cost(RULES, b"readCurve", 7)
+    second = with_cost(first, b"readCurve", 8)
+    with pytest.raises(
+        RollbackConflictError, match=r"edited again since: paths /sheets/\{material\}/curves.* get"
+    ):
+        revert_description_edit(RULES, first, second)
+
+
+def test_reverting_removes_added_operations_and_restores_removed_ones():
+    start = RULES.index(b"  /sheets/latest:")
+    without = RULES[:start] + RULES[RULES.index(b"  /tests/{test}:") :]
+    later = with_cost(without, b"readSheet", 5)
+    again = costs(revert_description_edit(RULES, without, later))
+    assert again["readLatest"] == costs(RULES)["readLatest"] and again["readSheet"] == 5
+    later = with_cost(RULES, b"readSheet", 5)
+    assert "readLatest" not in costs(revert_description_edit(without, RULES, later))
+
+
+def customers(**plans: str) -> bytes:
+    entries = [{"id": int(key[1:]), "plan": plan, "keys": []} for key, plan in plans.items()]
+    return msgspec.json.encode({"customers": entries})
+
+
+def test_customers_are_reverted_one_by_one():
+    before, after = customers(c1="basico"), customers(c1="basico", c2="basico")
+    now = customers(c1="amplio", c2="basico")
+    assert msgspec.json.decode(revert_customers_edit(before, after, now)) == msgspec.json.decode(
+        customers(c1="amplio")
+    )
+    with pytest.raises(RollbackConflictError, match="edited again since: 2"):
+        revert_customers_edit(before, after, customers(c1="basico", c2="amplio"))
