--- a/tests/harness/fleet_harness.py
+++ b/tests/harness/fleet_harness.py
@@ -68,7 +68,7 @@
         self.hosts = [FakeHost(number, 0) for number in range(terms.hosts)]
         self.generation = 1
         self.changes: list[tuple[int, int, dict]] = []  # generation, time, entry
-        self.lives: list[Life] = []
+        self.programs: list[Life] = []
         self.requests: list[tuple[int, int]] = []  # time and customer
         self.first_attempts: list[tuple[int, int]] = []  # the same, when it first reached a host
         self.statuses: dict[int, int] = {}
@@ -97,25 +97,25 @@
             "warmWithin": terms.slow_start_us,
         }
         rules |= {"fallMultiple": terms.overload_multiple, "overloadFor": terms.overload_window_us}
-        told = settings(rank=rank, balancers=terms.gateways, packages=self.plans, rules=rules)
-        told["permissions"] |= {"peers": True}
+        gateway_settings = settings(rank=rank, balancers=terms.gateways, packages=self.plans, rules=rules)
+        gateway_settings["permissions"] |= {"peers": True}
         peers = [f"{self.address(1, number)}:7946" for number in range(terms.gateways)]
-        known = {
+        initial_list = {
             "generation": 1,
             "reset": True,
             "instances": [self._discovery_entry(host) for host in self.hosts[: terms.hosts]],
         }
-        whole = file(
+        config = file(
             name=f"n{rank}",
             listen=f"{self.address(1, rank)}:8080",
             discovery=f"{self.address(2, rank)}:8500",
             peer_listen=peers[rank],
             peers=peers,
             seed=f"{rank:x}",
-            settings=told,
-            known=known,
+            settings=gateway_settings,
+            known=initial_list,
         )
-        return parse(json.dumps(whole).encode(), "config.json")
+        return parse(json.dumps(config).encode(), "config.json")
 
     def _run_agent(self, rank: int) -> None:
         """Serve the watches of one gateway."""
@@ -128,11 +128,11 @@
 
     def _serve_watch(self, stream, lag: int) -> None:
         try:
-            asked = stream.recv().split(b" ")[1]
-            begun = int(asked.partition(b"from=")[2] or b"1")
+            target = stream.recv().split(b" ")[1]
+            generation = int(target.partition(b"from=")[2] or b"1")
             stream.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            line = {"generation": begun, "reset": False, "instances": []}
-            if b"from=" not in asked:
+            line = {"generation": generation, "reset": False, "instances": []}
+            if b"from=" not in target:
                 line = {
                     "generation": 1,
                     "reset": True,
@@ -145,13 +145,13 @@
                     stream.send(b"%x\r\n%s\r\n" % (len(data), data))
                     beat = self.loop.now()
                 self.loop.sleep(50 * MS)
-                known = [c for c in self.changes if c[0] > begun and c[1] + lag <= self.loop.now()]
+                due = [c for c in self.changes if c[0] > generation and c[1] + lag <= self.loop.now()]
                 line = (
-                    {"generation": known[-1][0], "reset": False, "instances": [c[2] for c in known]}
-                    if known
+                    {"generation": due[-1][0], "reset": False, "instances": [c[2] for c in due]}
+                    if due
                     else None
                 )
-                begun = known[-1][0] if known else begun
+                generation = due[-1][0] if due else generation
         except Closed:
             pass
 
@@ -173,7 +173,7 @@
         self.generation += 1
         self.changes.append((self.generation, self.loop.now(), self._discovery_entry(host)))
 
-    def ramp(self, host: FakeHost, now: int) -> float:
+    def capacity_share(self, host: FakeHost, now: int) -> float:
         """Return the part of its capacity that a host has."""
         if not host.started_at_us:
             return 1.0
@@ -222,7 +222,7 @@
         host.waiting -= 1
         host.busy += 1
         self.loop.sleep(
-            int(self.random.expovariate(1 / self.terms.work_us) / self.ramp(host, self.loop.now()))
+            int(self.random.expovariate(1 / self.terms.work_us) / self.capacity_share(host, self.loop.now()))
         )
         host.busy -= 1
         return OK
@@ -265,8 +265,8 @@
         """Start a gateway, for the first time or again."""
 
         def work() -> None:
-            self.lives[rank] = Life(self.loop, self._gateway_config(rank), "config.json")
-            self.lives[rank].run()
+            self.programs[rank] = Life(self.loop, self._gateway_config(rank), "config.json")
+            self.programs[rank].run()
 
         self.processes[rank] = self.world.start(f"n{rank}", work)
 
@@ -278,7 +278,7 @@
     def _run(self, during) -> None:
         terms = self.terms
         self.first = list(self.hosts)
-        self.lives, self.processes = [None] * terms.gateways, [None] * terms.gateways
+        self.programs, self.processes = [None] * terms.gateways, [None] * terms.gateways
         with Scope(self.loop) as scope:
             self.scope = scope
             for host in self.hosts:
@@ -310,7 +310,7 @@
             count = sum(1 for when in times[first:] if when < begin + terms.overload_window_us)
             budget = (
                 terms.overload_multiple
-                * self.ramp(host, begin)
+                * self.capacity_share(host, begin)
                 * terms.requests_per_second
                 * terms.overload_window_us
                 / SECOND
