--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -1,4 +1,4 @@
-"""Fleet changes measured: real processes, simulated fleets, the judge. The last line is one JSON object.
+"""Fleet versions measured: real processes, simulated fleets, canary analysis; the last line is a JSON object.
 
     python -m benchmarks.change [--quick]
 
@@ -35,13 +35,13 @@
 RULES = (MATERIALS / "openapi.yaml").read_bytes()
 COST = "{class: sheet-read, cost: 2}"
 SECOND = 1_000_000
-ASKS = 400  # requests for the ratio
-USUAL = {"refused": 0.15, "failed": 0.01, "late": 0.02, "slow": 0.1, "attempts": 0.05}
-HARMS = ({"failed": 16.0}, {"refused": 4.0}, {"late": 8.0}, {"slow": 4.0})
+REQUESTS = 400  # requests for the ratio
+BASELINE_SHARES = {"refused": 0.15, "failed": 0.01, "late": 0.02, "slow": 0.1, "attempts": 0.05}
+HARM_FACTORS = ({"failed": 16.0}, {"refused": 4.0}, {"late": 8.0}, {"slow": 4.0})
 
 
-def real(work: Any, gateways: int, **change: Any) -> tuple[Any, ProcessFleet]:
-    """Verdict and fleet of some work beside a steady load."""
+def run_real_fleet(script: Any, gateways: int, **change: Any) -> tuple[Any, ProcessFleet]:
+    """Verdict and fleet of some script beside a steady load."""
     day = msgspec.structs.replace(
         load_day(str(MATERIALS / "random.cue")),
         span=Duration(600 * SECOND),
@@ -52,10 +52,10 @@
     )
     terms = {"lease": "2s", "every": "100ms", "soak": "0s", **change}
     with tempfile.TemporaryDirectory(prefix="orchidlane-") as folder:
-        return play_fleet(day, folder, work, lambda value: value["change"].update(terms))
+        return play_fleet(day, folder, script, lambda value: value["change"].update(terms))
 
 
-def all_run(fleet: ProcessFleet, number: int) -> int:
+def wait_until_all_run(fleet: ProcessFleet, number: int) -> int:
     """Wait until whoever leads says that all run a version. The moment."""
     while True:
         status = fleet.status()
@@ -63,19 +63,19 @@
             return fleet.now()
 
 
-def times_of_real_processes(rounds: int) -> dict[str, Any]:
+def measure_real_processes(rounds: int) -> dict[str, Any]:
     """Nine gateways, five voters: from the command to all gateways, there and back."""
     adopted: list[float] = []
-    undone: list[float] = []
-    told: dict[str, Any] = {}
+    reverted: list[float] = []
+    observed: dict[str, Any] = {}
 
-    def work(fleet: ProcessFleet) -> None:
+    def script(fleet: ProcessFleet) -> None:
         fleet.leader()
         sizes: list[int] = []
         fleet.on_message(lambda *_: sizes.append(1))
         began = time.monotonic()
         time.sleep(3.0)
-        told["idle_datagrams_s"] = round(len(sizes) / (time.monotonic() - began) / fleet.count, 2)
+        observed["idle_datagrams_s"] = round(len(sizes) / (time.monotonic() - began) / fleet.count, 2)
         for turn in range(rounds):
             fleet.edit_rules(COST, COST.replace("2", "3"))
             at = fleet.now()
@@ -83,104 +83,106 @@
             adopted.append((fleet.now() - at) / 1_000)
             at = fleet.now()
             assert fleet.command("undo")[0] == 0
-            undone.append((fleet.now() - at) / 1_000)
+            reverted.append((fleet.now() - at) / 1_000)
             fleet.edit_rules(COST.replace("2", "3"), COST)
-            told["versions"] = 2 * (turn + 1)
+            observed["versions"] = 2 * (turn + 1)
 
-    verdict, fleet = real(work, 9, voters=[f"gw-{rank}" for rank in range(5)])
-    found = verdict.as_json()
-    known = set(range(told["versions"] + 1))
+    verdict, fleet = run_real_fleet(script, 9, voters=[f"gw-{rank}" for rank in range(5)])
+    results = verdict.as_json()
+    known = set(range(observed["versions"] + 1))
     return {
-        "lost": found["missing"],
-        "doubled": found["doubled"],
-        "late": found["late"],
+        "lost": results["missing"],
+        "doubled": results["doubled"],
+        "late": results["late"],
         "ceiling_beyond": max(0.0, round(verdict.ceiling_worst - 1, 3)),
         "unapproved": len(fleet.served_versions().keys() - known),
         "adopted_ms": [round(statistics.median(adopted)), round(max(adopted))],
-        "undone_ms": [round(statistics.median(undone)), round(max(undone))],
-        "idle_datagrams_s": told["idle_datagrams_s"],
+        "undone_ms": [round(statistics.median(reverted)), round(max(reverted))],
+        "idle_datagrams_s": observed["idle_datagrams_s"],
     }
 
 
-def cost_ratio() -> float:
+def measure_cost_ratio() -> float:
     """A request over one kept connection, with versions over without."""
     spent = {}
     for voters in ([], ["gw-0", "gw-1", "gw-2"]):
         times: list[float] = []
 
-        def work(fleet: ProcessFleet, times: list[float] = times) -> None:
+        def script(fleet: ProcessFleet, times: list[float] = times) -> None:
             host, port = fleet.runner.plan.gateways[0]
             client = http.client.HTTPConnection(host, port)
-            for _ in range(ASKS):
+            for _ in range(REQUESTS):
                 began = time.perf_counter()
                 client.request("GET", "/v1/nowhere", headers={"X-Api-Key": "key-of-1"})
                 client.getresponse().read()
                 times.append(time.perf_counter() - began)
 
-        real(work, 3, voters=voters)
+        run_real_fleet(script, 3, voters=voters)
         spent[len(voters)] = statistics.median(times)
     return round(spent[3] / spent[0], 3)
 
 
-def rules(edit: int) -> bytes:
+def describe_edit(edit: int) -> bytes:
     """A description with a cost of its own for each edit."""
     return RULES.replace(COST.encode(), b"{class: sheet-read, cost: %d}" % (2 + edit))
 
 
-def simulated(gateways: int) -> list[int]:
+def measure_simulated_fleet(gateways: int) -> list[int]:
     """Milliseconds, virtual, from the command to all gateways, and from the undo on."""
     fleet = parse_settings((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
     customers = (MATERIALS / "customers.json").read_bytes()
-    story = SimulatedRolloutFleet(RolloutScenario(1, gateways, 5), fleet, rules, customers)
+    simulation = SimulatedRolloutFleet(RolloutScenario(1, gateways, 5), fleet, describe_edit, customers)
     spans: list[int] = []
 
-    def change(number: int, data: bytes, undoes: int) -> None:
+    def change(number: int, data: bytes, reverts: int) -> None:
         name = content_hash(data)
-        story.call(0, "PUT", f"content/{name}", data)
+        simulation.call(0, "PUT", f"content/{name}", data)
         parts = ContentHashes(name, content_hash(customers))
-        order = CommandRequest(f"order-{number}", "propose", number - 1, "bench", "measured", parts, undoes)
-        began = story.loop.now()
-        story.call(0, "POST", "command", msgspec.msgpack.encode(order))
-        story.wait_until(
-            lambda: story.has_converged() and _number(story) == number, 120 * SECOND, "not adopted"
+        request = CommandRequest(
+            f"order-{number}", "propose", number - 1, "bench", "measured", parts, reverts
         )
-        spans.append((story.loop.now() - began) // 1_000)
+        began = simulation.loop.now()
+        simulation.call(0, "POST", "command", msgspec.msgpack.encode(request))
+        simulation.wait_until(
+            lambda: simulation.has_converged() and _number(simulation) == number, 120 * SECOND, "not adopted"
+        )
+        spans.append((simulation.loop.now() - began) // 1_000)
 
     def run() -> None:
-        story.world.files["openapi"], story.world.files["customers"] = rules(0), customers
+        simulation.world.files["openapi"], simulation.world.files["customers"] = describe_edit(0), customers
         for rank in range(gateways):
-            story.start(rank)
-        story.wait_until(story.has_converged, 120 * SECOND, "not founded")
-        change(1, rules(1), 0)
-        change(2, rules(0), 1)
-        for rank in story.running_ranks():
-            story.kill(rank)
-
-    story.loop.run(run)
+            simulation.start(rank)
+        simulation.wait_until(simulation.has_converged, 120 * SECOND, "not founded")
+        change(1, describe_edit(1), 0)
+        change(2, describe_edit(0), 1)
+        for rank in simulation.running_ranks():
+            simulation.kill(rank)
+
+    simulation.loop.run(run)
     return spans
 
 
-def _number(story: SimulatedRolloutFleet) -> int:
-    versions = story.programs[0].versions
+def _number(simulation: SimulatedRolloutFleet) -> int:
+    versions = simulation.programs[0].versions
     return versions.known.running_number if versions is not None else -1
 
 
-def judged(seed: int, harm: dict[str, float]) -> bool:
+def is_stopped(seed: int, harm: dict[str, float]) -> bool:
     """Whether a stage of 40 looks is stopped, with shares and a load that wander."""
-    rng, judge, usual = random.Random(seed), CanaryAnalysis(), dict(USUAL)
+    rng, analysis, baseline = random.Random(seed), CanaryAnalysis(), dict(BASELINE_SHARES)
     for _ in range(40):
-        usual["refused"] = min(0.6, max(0.02, usual["refused"] + rng.uniform(-0.05, 0.05)))
+        baseline["refused"] = min(0.6, max(0.02, baseline["refused"] + rng.uniform(-0.05, 0.05)))
         load = rng.randint(2, 30)
         sides = []
         for times in (harm, {}):
             size = rng.randint(0, load) if times is harm else 2 * load
-            shares = {kind: min(1.0, share * times.get(kind, 1.0)) for kind, share in usual.items()}
+            shares = {kind: min(1.0, share * times.get(kind, 1.0)) for kind, share in baseline.items()}
             bad = {
                 k: sum(rng.random() < shares[k] for _ in range(size)) for k in OUTCOME_KINDS if k != "served"
             }
             bad["failed"] = min(bad["failed"], size - bad["refused"])
             sides.append({"one": AnswerCounts(size, **bad)})
-        if judge.observe(*sides).harm:
+        if analysis.observe(*sides).harm:
             return True
     return False
 
@@ -189,15 +191,17 @@
     """Print what is measured as it comes, and all of it in the last line."""
     quick = "--quick" in sys.argv
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
-    found = times_of_real_processes(2 if quick else 8)
-    print("nine real processes", found, flush=True)
+    results = measure_real_processes(2 if quick else 8)
+    print("nine real processes", results, flush=True)
     for size in (9, 40) if quick else (9, 40, 340):
-        found[f"simulated_{size}_ms"] = simulated(size)
-        print(size, "simulated", found[f"simulated_{size}_ms"], flush=True)
-    found["false_stops"] = sum(judged(seed, {}) for seed in range(1_000))
-    found["missed_harm"] = sum(not judged(seed, HARMS[seed % len(HARMS)]) for seed in range(200))
-    found["cost_ratio"] = cost_ratio()
-    print(json.dumps(found))
+        results[f"simulated_{size}_ms"] = measure_simulated_fleet(size)
+        print(size, "simulated", results[f"simulated_{size}_ms"], flush=True)
+    results["false_stops"] = sum(is_stopped(seed, {}) for seed in range(1_000))
+    results["missed_harm"] = sum(
+        not is_stopped(seed, HARM_FACTORS[seed % len(HARM_FACTORS)]) for seed in range(200)
+    )
+    results["cost_ratio"] = measure_cost_ratio()
+    print(json.dumps(results))
 
 
 if __name__ == "__main__":
