--- a/orchidlane/gateway/forwarding/connection_pool.py
+++ b/orchidlane/gateway/forwarding/connection_pool.py
@@ -19,8 +19,8 @@
 from orchidlane import http1, policy
 from orchidlane.gateway.forwarding.connection_reuse import Reuse
 from orchidlane.gateway.forwarding.last_check import CLIENT_LEFT, Leaving, why_not
-from orchidlane.gateway.forwarding.pending_request import Answer, Exchange, Pieces
-from orchidlane.gateway.forwarding.protocol_adapter import GatewayLimits, Nodes
+from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest, ResponseStream
+from orchidlane.gateway.forwarding.protocol_adapter import EndpointAdapter, GatewayLimits
 from orchidlane.http1 import Data, End, Response
 from orchidlane.policy import Idempotency, Outcome
 from orchidlane.runtime import (
@@ -38,14 +38,14 @@
 )
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.forwarding.policy_driver import Host
+    from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 
 SLICE = 50_000  # microseconds that a write may wait before an early answer is looked for
 SWEEP = 1_000_000  # microseconds between two looks for idle connections
 HINTS_MOST = 64  # interim answers before a final one: a node that sends more is broken
 
 
-class NoRoom(Exception):
+class PoolExhaustedError(Exception):
     """All connections that the gateway may have to nodes are in use: nothing is known of the node."""
 
 
@@ -63,7 +63,7 @@
         self.rested: int | None = None  # how long before the request under way; None: it is new
 
 
-class Pool:
+class ConnectionPool:
     """Connections by node: idle ones are taken up again, the latest first; all are bounded."""
 
     def __init__(self, loop: Loop, terms: GatewayLimits, scope: Scope) -> None:
@@ -101,7 +101,7 @@
         if self._count.get(server, 0) >= self.most:
             raise NotConnected("as many connections as the settings allow")
         if self.open >= self.most_in_all and not self._drop_one():
-            raise NoRoom
+            raise PoolExhaustedError
         self._count[server] = self._count.get(server, 0) + 1
         self.open += 1
         try:
@@ -190,38 +190,38 @@
     return connection.idle_since
 
 
-class Upstream:
+class AttemptStarter:
     """Begins attempts and follows each to its outcome."""
 
-    def __init__(self, loop: Loop, terms: GatewayLimits, scope: Scope, nodes: Nodes) -> None:
+    def __init__(self, loop: Loop, terms: GatewayLimits, scope: Scope, nodes: EndpointAdapter) -> None:
         self.loop = loop
         self.scope = scope
         self.nodes = nodes
         self.times = terms.timeouts
         self.held_answer = terms.resource_limits.max_buffered_response_bytes
-        self.host: Host
-        self.pool = Pool(loop, terms, scope)
+        self.host: PolicyDriver
+        self.pool = ConnectionPool(loop, terms, scope)
         scope.spawn(self.pool.sweep, kind=BACKGROUND, name="sweep")
 
-    def begin(self, exchange: Exchange, number: int, action: policy.SendAttempt) -> None:
+    def begin(self, exchange: PendingRequest, number: int, action: policy.SendAttempt) -> None:
         """Start an attempt, in a task of its own."""
-        run = AttemptRun(self, exchange, number, action)
-        self.host.runs[exchange.number, number] = run
+        run = Attempt(self, exchange, number, action)
+        self.host.attempts[exchange.number, number] = run
         run.task = self.scope.spawn(run.work, kind=exchange.task.kind, name="attempt")
 
 
-class AttemptRun:
+class Attempt:
     """One attempt from its decision to its outcome."""
 
     def __init__(
-        self, upstream: Upstream, exchange: Exchange, number: int, action: policy.SendAttempt
+        self, upstream: AttemptStarter, exchange: PendingRequest, number: int, action: policy.SendAttempt
     ) -> None:
         self.up = upstream
         self.loop = upstream.loop
         self.exchange = exchange
         self.number = number
         self.server = action.endpoint
-        self.give_up_at = action.timeout_at_us or exchange.until
+        self.give_up_at = action.timeout_at_us or exchange.deadline
         self.began = self.loop.now()
         self.left = False  # whether a byte may have reached the node
         self.marked = False  # whether it is the first attempt that may have run
@@ -244,7 +244,7 @@
                 self._end(Outcome.CANCELLED if self.left else Outcome.NOT_SENT, None)
             raise
         except Exception as wrong:
-            contain = self.up.host.contain
+            contain = self.up.host.on_failure
             if contain is None:
                 raise
             contain("attempt", wrong)
@@ -252,14 +252,16 @@
         if not self.told:
             self._end(outcome, answer)
 
-    def _end(self, outcome: Outcome, answer: Answer | None) -> None:
+    def _end(self, outcome: Outcome, answer: ClientResponse | None) -> None:
         self.told = True
         if outcome is Outcome.ENDPOINT_FULL and self.marked:
-            self.exchange.first_left = None  # it never ran: the next attempt may leave as a first one
+            self.exchange.first_sent_at = None  # it never ran: the next attempt may leave as a first one
         took = self.loop.now() - self.began
-        self.up.host.ended(self.exchange, self.number, self.server, outcome, took, self.report, answer)
+        self.up.host.attempt_ended(
+            self.exchange, self.number, self.server, outcome, took, self.report, answer
+        )
 
-    def _carry(self) -> tuple[Outcome, Answer | None]:
+    def _carry(self) -> tuple[Outcome, ClientResponse | None]:
         body = self.exchange.body
         if not self._is_paid():
             return Outcome.NOT_SENT, None
@@ -272,17 +274,17 @@
         address = self.up.nodes.address(self.server)
         if address is None:
             return Outcome.NOT_SENT, None
-        unsafe = self.exchange.cls.idempotency is Idempotency.NOT_IDEMPOTENT
+        unsafe = self.exchange.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
         try:
             connection = self.up.pool.take(self.server, address, unsafe, self.give_up_at)
         except (NotConnected, Expired):
             return Outcome.CONNECT_FAILED, None
-        except NoRoom:
+        except PoolExhaustedError:
             return Outcome.NOT_SENT, None
         if (why := why_not(self.loop.now(), self._leaving())) is not None:
             self.up.pool.put_back(self.server, connection)
             if why == CLIENT_LEFT:  # its front may not have run since: it waits as we did
-                self.up.host.client_gone(self.exchange)
+                self.up.host.client_disconnected(self.exchange)
             return Outcome.NOT_SENT, None
         keep = False
         try:
@@ -296,24 +298,24 @@
 
     def _is_paid(self) -> bool:
         """A request that was held when our successor took over is counted there before it first leaves."""
-        exchange, lent = self.exchange, self.up.host.lent
-        if lent is not None and exchange.held_at_moment and not exchange.paid:
-            exchange.paid = lent.take(exchange.call, exchange.call.units, exchange.call.kind)
-            return exchange.paid
+        exchange, lent = self.exchange, self.up.host.remote_quota
+        if lent is not None and exchange.was_unsent_at_hand_over and not exchange.is_charged:
+            exchange.is_charged = lent.take(exchange.call, exchange.call.units, exchange.call.class_index)
+            return exchange.is_charged
         return True
 
     def _leaving(self) -> Leaving:
-        cls = self.exchange.cls
-        phase = self.up.nodes.phase(self.server)
+        cls = self.exchange.request_class
+        phase = self.up.nodes.state(self.server)
         exchange = self.exchange
-        left = exchange.client_left()
+        left = exchange.has_client_left()
         return Leaving(
-            phase, self.give_up_at, cls.idempotency, cls.deduplication_window_us, exchange.first_left, left
+            phase, self.give_up_at, cls.idempotency, cls.deduplication_window_us, exchange.first_sent_at, left
         )
 
     # -- over one connection
 
-    def _exchange(self, connection: Connection) -> tuple[Outcome, Answer | None, bool]:
+    def _exchange(self, connection: Connection) -> tuple[Outcome, ClientResponse | None, bool]:
         stream, mark = connection.stream, connection.stream.sent
         self.began = self.loop.now()
         connection.parser.expect(self.exchange.head.method)
@@ -326,7 +328,7 @@
             return self._unfinished(Outcome.TIMED_OUT)
         except Closed:
             self.left = stream.sent > mark
-            cut_short = self.up.nodes.cut_short
+            cut_short = self.up.nodes.incomplete_request_outcome
             if not self.left or cut_short is not Outcome.CONNECTION_BROKEN:
                 self.left = False
                 return Outcome.NOT_SENT if cut_short is Outcome.CONNECTION_BROKEN else cut_short, None, False
@@ -346,15 +348,15 @@
         self.up.pool.reuse.told(connection.rested, not connection.heard, self.loop.now())
         return outcome, answer, keep and not early
 
-    def _unfinished(self, outcome: Outcome) -> tuple[Outcome, Answer | None, bool]:
+    def _unfinished(self, outcome: Outcome) -> tuple[Outcome, ClientResponse | None, bool]:
         if not self.left:
             return Outcome.NOT_SENT, None, False
         self._mark_left()
         return outcome, None, False
 
     def _mark_left(self) -> None:
-        if self.left and self.exchange.first_left is None:
-            self.exchange.first_left, self.marked = self.began, True
+        if self.left and self.exchange.first_sent_at is None:
+            self.exchange.first_sent_at, self.marked = self.began, True
 
     def _send_request(self, connection: Connection) -> bool:
         """Write head and body; True where the node answered before it had all."""
@@ -409,23 +411,23 @@
 
     def _head(self) -> bytes:
         left = max(1, self.give_up_at - self.loop.now())
-        return self.up.nodes.head(self.exchange, self.number, self.server, left)
+        return self.up.nodes.request_head(self.exchange, self.number, self.server, left)
 
-    def _receive(self, connection: Connection) -> tuple[Outcome, Answer | None, bool]:
+    def _receive(self, connection: Connection) -> tuple[Outcome, ClientResponse | None, bool]:
         nodes = self.up.nodes
         head = self._final_head(connection)
-        self.report = nodes.report(head)
+        self.report = nodes.load_report(head)
         outcome = nodes.outcome(head)
         if outcome is not Outcome.SERVED:
             return outcome, None, self._drain(connection, head)
-        answer = nodes.answer(self.exchange, head)
+        answer = nodes.client_response(self.exchange, head)
         held, size = [], 0
         while not isinstance(event := self._next(connection), End):
             assert isinstance(event, Data)
             held.append(event.data)
             size += len(event.data)
             if size > self.up.held_answer:
-                if not nodes.passes_streams:
+                if not nodes.forwards_streams:
                     return Outcome.CONNECTION_BROKEN, None, False
                 return self._stream(connection, head, answer, held)
         answer.body, answer.trailers = b"".join(held), event.trailers
@@ -438,8 +440,8 @@
             if event.status >= 200:
                 return event
             # 100 is ours to say; others are the client's (RFC 9110 section 15.2)
-            if event.status > 100 and self.up.nodes.passes_hints:
-                self.exchange.hint(event)
+            if event.status > 100 and self.up.nodes.forwards_interim_responses:
+                self.exchange.add_interim_response(event)
         raise http1.Malformed(502, "interim answers without end")
 
     def _next(self, connection: Connection) -> http1.Event:
@@ -471,12 +473,12 @@
     # -- an answer too large to hold
 
     def _stream(
-        self, connection: Connection, head: Response, answer: Answer, held: list[bytes]
-    ) -> tuple[Outcome, Answer | None, bool]:
+        self, connection: Connection, head: Response, answer: ClientResponse, held: list[bytes]
+    ) -> tuple[Outcome, ClientResponse | None, bool]:
         """The answer is the client's from here on: the module hears of it as served, the rest flows."""
-        pieces = answer.stream = Pieces(self.loop, held)
+        pieces = answer.stream = ResponseStream(self.loop, held)
         self._end(Outcome.SERVED, answer)
-        if self.exchange.answer is not answer:
+        if self.exchange.response is not answer:
             return Outcome.SERVED, None, False
         try:
             while not isinstance(event := self._next_flowing(connection), End):
--- a/orchidlane/gateway/server/error_responses.py
+++ b/orchidlane/gateway/forwarding/error_responses.py
@@ -6,21 +6,21 @@
 from http import HTTPStatus
 
 from orchidlane import policy
-from orchidlane.gateway.forwarding.pending_request import Answer
+from orchidlane.gateway.forwarding.pending_request import ClientResponse
 
 TYPE = (b"content-type", b"application/problem+json")
 HARMLESS = "Not served; nothing was done, so trying again is harmless."
 UNKNOWN = "Not served; whether it had an effect is not known."
 
 
-def problem(status: int, detail: str, headers: tuple[tuple[bytes, bytes], ...] = ()) -> Answer:
+def problem(status: int, detail: str, headers: tuple[tuple[bytes, bytes], ...] = ()) -> ClientResponse:
     """An answer that says what is wrong with the request."""
     title = HTTPStatus(status).phrase
     body = json.dumps({"type": "about:blank", "title": title, "status": status, "detail": detail}).encode()
-    return Answer(status, [TYPE, *headers], body, kind="refused")
+    return ClientResponse(status, [TYPE, *headers], body, kind="refused")
 
 
-def refused(action: policy.RejectRequest) -> Answer:
+def refused(action: policy.RejectRequest) -> ClientResponse:
     """Not served, and a repeat is harmless: 429 beyond a quota, else 503 (RFC 6585, RFC 9110)."""
     wait = max(1, -(-action.retry_after_us // 1_000_000))
     headers = ((b"retry-after", b"%d" % wait),)
@@ -29,7 +29,7 @@
     return problem(503, "No capacity for this request in its time. " + HARMLESS, headers)
 
 
-def failed() -> Answer:
+def failed() -> ClientResponse:
     """Not served, nothing promised."""
     answer = problem(502, UNKNOWN)
     answer.kind = "failed"
--- a/orchidlane/gateway/forwarding/openapi_adapter.py
+++ b/orchidlane/gateway/forwarding/openapi_adapter.py
@@ -13,9 +13,9 @@
 from orchidlane.gateway.control.endpoint_list import EndpointListTracker
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import parse_host_port
-from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
-from orchidlane.gateway.forwarding.protocol_adapter import Call
-from orchidlane.gateway.server.error_responses import HARMLESS, failed, problem, refused
+from orchidlane.gateway.forwarding.call import Call
+from orchidlane.gateway.forwarding.error_responses import HARMLESS, failed, problem, refused
+from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
 from orchidlane.http1 import Request, Response
 from orchidlane.policy import Outcome
 from orchidlane.routes import Match, Miss, Operation
@@ -23,7 +23,7 @@
 from orchidlane.runtime import Address
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.forwarding.policy_driver import Host
+    from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
     from orchidlane.gateway.telemetry.metrics import Metrics
 
 DROPPED_MOST = 10_000  # operations whose dropped headers are remembered
@@ -35,29 +35,29 @@
     """A call of one operation by one customer."""
 
     match: Match
-    by: Customer
+    owner: Customer
     version: str = ""  # that it came under
 
 
-def call_of(exchange: Exchange) -> OperationCall:
+def operation_call(exchange: PendingRequest) -> OperationCall:
     """The call of an exchange of this side."""
     assert isinstance(exchange.call, OperationCall)
     return exchange.call
 
 
-class OpenApiClients:
+class OpenApiClientAdapter:
     """Heads by a description and its customers."""
 
-    whole_first = False
+    needs_complete_request = False
 
     def __init__(
         self,
         fleet: FleetSettings,
         knowledge: Callable[[], ConfigurationSnapshot],
-        host: Callable[[], Host],
+        host: Callable[[], PolicyDriver],
         metrics: Metrics,
         why_not: Callable[[], str] = str,
-        note: Callable[[Exchange, Answer, int], None] | None = None,
+        note: Callable[[PendingRequest, ClientResponse, int], None] | None = None,
     ) -> None:
         self.fleet = fleet
         self.knowledge = knowledge
@@ -66,7 +66,7 @@
         self.note = note  # is told of each final answer
         self.why_not = why_not  # requests may be served; "" where they may
 
-    def understand(self, head: Request, in_flight: int) -> Call | Answer:
+    def parse_request(self, head: Request, in_flight: int) -> Call | ClientResponse:
         """Operation, customer and patience of a request, or why there are none."""
         knowledge = self.knowledge()
         if why := self.why_not():
@@ -92,36 +92,36 @@
         if in_flight >= self.fleet.resource_limits.max_requests_in_flight:
             return problem(503, "Too many requests under way.", ((b"retry-after", b"1"),))
         return OperationCall(
-            kind=operation.class_index,
-            cls=cls,
+            class_index=operation.class_index,
+            request_class=cls,
             customer=customer.number,
             plan=customer.plan,
             units=operation.cost,
             replica_set_start=customer.replica_set_start,
             replica_set_size=customer.replica_set_size,
-            patience=patience,
+            timeout_us=patience,
             target=_upstream_target(head.target, match),
             match=match,
-            by=customer,
+            owner=customer,
             version=knowledge.version,
         )
 
-    def wrong(self, status: int, detail: str) -> Answer:
+    def invalid_request(self, status: int, detail: str) -> ClientResponse:
         """A problem."""
         return problem(status, detail)
 
-    def refused(self, action: policy.RejectRequest) -> Answer:
+    def rejected(self, action: policy.RejectRequest) -> ClientResponse:
         """429 beyond a quota, else 503."""
         return refused(action)
 
-    def failed(self) -> Answer:
+    def failed(self) -> ClientResponse:
         """502: an effect can't be ruled out."""
         return failed()
 
-    def answering(self, exchange: Exchange, answer: Answer, span: int) -> None:
+    def before_response(self, exchange: PendingRequest, answer: ClientResponse, span: int) -> None:
         """Counts, the record, what is left of the quota, the log."""
         recorder = self.host().recorder
-        self.metrics.answer(answer.kind, call_of(exchange).match.operation.class_name, span)
+        self.metrics.answer(answer.kind, operation_call(exchange).match.operation.class_name, span)
         if recorder is not None:
             recorder.answer(exchange.number, answer.status, answer.kind, span)
         self._add_figures(exchange, answer)
@@ -129,16 +129,16 @@
             self.note(exchange, answer, span)
         _log_response(self.knowledge(), exchange, answer, span)
 
-    def over(self, exchange: Exchange) -> None:
+    def request_ended(self, exchange: PendingRequest) -> None:
         """Nothing is held for a request."""
 
-    def _add_figures(self, exchange: Exchange, answer: Answer) -> None:
+    def _add_figures(self, exchange: PendingRequest, answer: ClientResponse) -> None:
         """What is left of the quota (draft-ietf-httpapi-ratelimit-headers), where known; the version."""
-        host, call = self.host(), call_of(exchange)
-        customer = call.by
+        host, call = self.host(), operation_call(exchange)
+        customer = call.owner
         if call.version:
             answer.headers.append((b"orchidlane-version", call.version.encode()))
-        account = host.rules.accounts.get(customer.number)
+        account = host.gateway.accounts.get(customer.number)
         plan = host.settings.plans[customer.plan]
         if account is None or not plan.rate:
             return
@@ -149,11 +149,13 @@
         answer.headers.append((b"ratelimit", b'"%s";r=%d' % (name, room)))
 
 
-def _log_response(snapshot: ConfigurationSnapshot, exchange: Exchange, answer: Answer, span: int) -> None:
+def _log_response(
+    snapshot: ConfigurationSnapshot, exchange: PendingRequest, answer: ClientResponse, span: int
+) -> None:
     """Log one line for a request if the settings ask for it; never a key, target or body."""
     if not snapshot.log_requests:
         return
-    call = call_of(exchange)
+    call = operation_call(exchange)
     snapshot.log.info(
         "answered",
         request=exchange.number,
@@ -162,17 +164,17 @@
         **({"version": call.version} if call.version else {}),
         kind=answer.kind,
         status=answer.status,
-        attempts=exchange.sends,
+        attempts=exchange.attempts,
         ms=span / 1_000,
     )
 
 
-class OpenApiNodes:
+class OpenApiEndpointAdapter:
     """Attempts as a description's operations want them, outcomes by the settings' header names."""
 
-    passes_hints = True
-    passes_streams = True
-    cut_short = Outcome.CONNECTION_BROKEN
+    forwards_interim_responses = True
+    forwards_streams = True
+    incomplete_request_outcome = Outcome.CONNECTION_BROKEN
 
     def __init__(
         self, fleet: FleetSettings, name: str, incarnation: int, tracker: EndpointListTracker
@@ -189,7 +191,7 @@
         """A node is named by its address."""
         return parse_host_port(server.decode())
 
-    def phase(self, server: bytes) -> str:
+    def state(self, server: bytes) -> str:
         """By the list."""
         return self.tracker.state(server)
 
@@ -210,9 +212,9 @@
                 self._dropped.clear()
         return found
 
-    def head(self, exchange: Exchange, attempt: int, server: bytes, left: int) -> bytes:
+    def request_head(self, exchange: PendingRequest, attempt: int, server: bytes, left: int) -> bytes:
         """The client's headers but for what is the hop's own, and ours."""
-        call = call_of(exchange)
+        call = operation_call(exchange)
         operation = call.match.operation
         drop = self.dropped(operation)
         headers = [
@@ -233,7 +235,7 @@
             headers.append((b"content-length", b"%d" % exchange.body.length))
         return http1.request_head(exchange.head.method, call.target, headers)
 
-    def answer(self, exchange: Exchange, head: Response) -> Answer:
+    def client_response(self, exchange: PendingRequest, head: Response) -> ClientResponse:
         """The node's end-to-end headers."""
         drop = (b"content-length", self.report_header, self.full_header)
         headers = [field for field in http1.end_to_end(head.headers) if field[0] not in drop]
@@ -241,9 +243,9 @@
             length = http1.header(head.headers, b"content-length")
             headers += [(b"content-length", length)] if length is not None else []
         headers.append((b"via", self.via))
-        return Answer(head.status, headers)
+        return ClientResponse(head.status, headers)
 
-    def report(self, head: Response) -> tuple[float, ...]:
+    def load_report(self, head: Response) -> tuple[float, ...]:
         """``name=value`` by comma; none where a value is missing or no number."""
         text = http1.header(head.headers, self.report_header) if self.reports else None
         if text is None:
@@ -260,10 +262,10 @@
     return name is None or bool(http1.header(head.headers, name))
 
 
-def _missed(miss: Miss) -> Answer:
+def _missed(miss: Miss) -> ClientResponse:
     allow = ((b"allow", ", ".join(miss.allow).encode()),) if miss.allow else ()
     if miss.status == 204:
-        return Answer(204, list(allow), kind="served")
+        return ClientResponse(204, list(allow), kind="served")
     return problem(miss.status, miss.detail, allow)
 
 
--- a/orchidlane/gateway/forwarding/pending_request.py
+++ b/orchidlane/gateway/forwarding/pending_request.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 
 from orchidlane import http1, policy
-from orchidlane.gateway.forwarding.protocol_adapter import Call
+from orchidlane.gateway.forwarding.call import Call
 from orchidlane.runtime import Loop, Task
 
-HINTS_MOST = 8  # interim answers that wait for a client at a time
+MAX_INTERIM_RESPONSES = 8  # interim answers that wait for a client at a time
 
 
-class Body:
+class RequestBody:
     """A request's body as it comes: kept up to a bound for further attempts, beyond it passed on once.
 
     One task fills it, one attempt at a time drinks it. ``replayable`` ends when a piece is let go.
@@ -100,18 +100,18 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class ClientResponse:
     """A final answer for the client: whole, or the beginning of a stream of pieces."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
     body: bytes = b""
     trailers: http1.Headers = ()
-    stream: Pieces | None = None
+    stream: ResponseStream | None = None
     kind: str = "served"  # or refused, failed
 
 
-class Pieces:
+class ResponseStream:
     """The rest of an answer that is too large to hold: a bounded queue between an attempt and the client."""
 
     MOST = 8  # pieces under way
@@ -160,33 +160,33 @@
 
 
 @dataclass(eq=False, slots=True)
-class Exchange:
+class PendingRequest:
     """A request that the module knows; ``answer`` is set once, and then nothing more is owed."""
 
     number: int
     head: http1.Request
     call: Call
-    body: Body
+    body: RequestBody
     task: Task
-    until: int  # clock time by which the final answer must have left
+    deadline: int  # clock time by which the final answer must have left
     arrived: int
-    client_left: Callable[[], bool]  # whether the client's connection has ended, by the socket's state
-    answer: Answer | None = None
-    gone: bool = False
-    sends: int = 0
-    held_at_moment: bool = False  # nothing of it was sent when our successor took over
-    paid: bool = False  # our successor counted its units since
-    first_left: int | None = None  # when the first attempt that may have run left us
+    has_client_left: Callable[[], bool]  # whether the client's connection has ended, by the socket's state
+    response: ClientResponse | None = None
+    client_disconnected: bool = False
+    attempts: int = 0
+    was_unsent_at_hand_over: bool = False  # nothing of it was sent when our successor took over
+    is_charged: bool = False  # our successor counted its units since
+    first_sent_at: int | None = None  # when the first attempt that may have run left us
     awaits_continue: bool = False  # the client holds its body back until 100 Continue
-    hints: list[http1.Response] = field(default_factory=list)  # interim answers not passed on yet
+    interim_responses: list[http1.Response] = field(default_factory=list)  # interim answers not passed on yet
 
-    def hint(self, interim: http1.Response) -> None:
+    def add_interim_response(self, interim: http1.Response) -> None:
         """An interim answer for the client; those beyond a few are left out."""
-        if self.answer is None and len(self.hints) < HINTS_MOST:
-            self.hints.append(interim)
+        if self.response is None and len(self.interim_responses) < MAX_INTERIM_RESPONSES:
+            self.interim_responses.append(interim)
             self.body.loop.wake(self.task)
 
     @property
-    def cls(self) -> policy.RequestClass:
+    def request_class(self) -> policy.RequestClass:
         """Its class."""
-        return self.call.cls
+        return self.call.request_class
--- a/orchidlane/gateway/forwarding/policy_driver.py
+++ b/orchidlane/gateway/forwarding/policy_driver.py
@@ -6,25 +6,26 @@
 from typing import TYPE_CHECKING, Protocol
 
 from orchidlane import policy
-from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
-from orchidlane.gateway.forwarding.protocol_adapter import Clients, QuotaOwner
+from orchidlane.gateway.forwarding.call import QuotaOwner
+from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
+from orchidlane.gateway.forwarding.protocol_adapter import ClientAdapter
 from orchidlane.gateway.telemetry.counters import Counts
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import Loop
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.forwarding.connection_pool import AttemptRun
+    from orchidlane.gateway.forwarding.connection_pool import Attempt
     from orchidlane.gateway.telemetry.traffic_recorder import Recorder
 
 
-class Lent(Protocol):
+class RemoteQuota(Protocol):
     """Asks the process that decides on units in our place."""
 
     def take(self, customer: QuotaOwner, units: float, kind: int) -> bool:
         """Ask for units; waits for the answer. No answer is a no."""
 
 
-class Host:
+class PolicyDriver:
     """One decision module and the exchanges that it knows.
 
     ``begin`` starts an attempt, ``tell`` sends bytes to a peer, ``ask_list`` follows the node list. They must
@@ -37,8 +38,8 @@
         settings: policy.Settings,
         rules: Gateway,
         metrics: Counts,
-        clients: Clients,
-        begin: Callable[[Exchange, int, policy.SendAttempt], None],
+        clients: ClientAdapter,
+        begin: Callable[[PendingRequest, int, policy.SendAttempt], None],
         tell: Callable[[int, bytes], None],
     ) -> None:
         self.loop = loop
@@ -47,25 +48,31 @@
         self.clients = clients
         self.begin = begin
         self.tell = tell
-        self.exchanges: dict[int, Exchange] = {}
-        self.runs: dict[tuple[int, int], AttemptRun] = {}  # attempts that are out
-        self.rules = rules
+        self.requests: dict[int, PendingRequest] = {}
+        self.attempts: dict[tuple[int, int], Attempt] = {}  # attempts that are out
+        self.gateway = rules
         self.recorder: Recorder | None = None
-        self.numbers = 0  # of the latest request
-        self.lent: Lent | None = None  # our successor decides on units from the moment that it serves
-        self.spent: Callable[[int], None] | None = None  # told of each customer whose count has just grown
-        self.contain: Callable[[str, Exception], None] | None = None  # is told of failures, which end there
+        self.last_request_number = 0  # of the latest request
+        self.remote_quota: RemoteQuota | None = (
+            None  # our successor decides on units from the moment that it serves
+        )
+        self.on_units_spent: Callable[[int], None] | None = (
+            None  # told of each customer whose count has just grown
+        )
+        self.on_failure: Callable[[str, Exception], None] | None = (
+            None  # is told of failures, which end there
+        )
         self._feeding = False
         self._granted: bool | None = None  # the answer to the take that is being fed
         self._taking = -1  # its customer
 
     def start(self) -> None:
         """The module's first actions."""
-        self._carry_out(self.rules.start())
+        self._carry_out(self.gateway.start())
 
-    def go_on_with(self, rules: Gateway, number: int) -> None:
+    def resume(self, rules: Gateway, number: int) -> None:
         """Host a module that another process of this gateway hosted, and number requests on from there."""
-        self.rules, self.numbers = rules, number
+        self.gateway, self.last_request_number = rules, number
 
     def feed(self, event: policy.Event) -> None:
         """Tell the module one event and carry out its answer."""
@@ -73,14 +80,14 @@
         self._feeding = True
         try:
             now = self.loop.now()
-            actions = self.rules.handle(now, event)
+            actions = self.gateway.handle(now, event)
             if self.recorder is not None:
                 self.recorder.event(now, event, actions)
             self._carry_out(actions)
         except Exception as wrong:
-            if self.contain is None:
+            if self.on_failure is None:
                 raise
-            self.contain("module", wrong)
+            self.on_failure("module", wrong)
             if isinstance(event, policy.RequestArrived):
                 self._answer(event.request, self.clients.failed())
         finally:
@@ -88,13 +95,13 @@
 
     def next_number(self) -> int:
         """A request id that was not used in this life."""
-        self.numbers += 1
-        return self.numbers
+        self.last_request_number += 1
+        return self.last_request_number
 
-    def take(self, customer: QuotaOwner, units: float, kind: int) -> bool:
+    def request_quota(self, customer: QuotaOwner, units: float, kind: int) -> bool:
         """Ask for units without a node; the module answers at once, our successor's after a while."""
-        if self.lent is not None:
-            return self.lent.take(customer, units, kind)
+        if self.remote_quota is not None:
+            return self.remote_quota.take(customer, units, kind)
         number = self.next_number()
         taken = policy.QuotaRequested(
             number,
@@ -112,67 +119,67 @@
 
     # -- a request's events
 
-    def arrived(self, exchange: Exchange, time_left: int) -> None:
+    def request_arrived(self, exchange: PendingRequest, time_left: int) -> None:
         """A request was read as far as its head."""
         call = exchange.call
-        self.exchanges[exchange.number] = exchange
+        self.requests[exchange.number] = exchange
         self.feed(
             policy.RequestArrived(
                 request=exchange.number,
                 customer=call.customer,
                 plan=call.plan,
-                request_class=call.kind,
+                request_class=call.class_index,
                 units=call.units,
                 time_left_us=time_left,
                 replica_set_start=call.replica_set_start,
                 replica_set_size=call.replica_set_size,
-                is_retry=call.is_repeat,
+                is_retry=call.is_retry,
             )
         )
 
-    def ended(
+    def attempt_ended(
         self,
-        exchange: Exchange,
+        exchange: PendingRequest,
         attempt: int,
         server: bytes,
         outcome: policy.Outcome,
         took: int,
         report: tuple[float, ...] = (),
-        answer: Answer | None = None,
+        answer: ClientResponse | None = None,
     ) -> None:
         """An attempt has its outcome; a served one brings the answer, which ends the request."""
-        self.runs.pop((exchange.number, attempt), None)
+        self.attempts.pop((exchange.number, attempt), None)
         self.metrics.outcome(outcome)
         if answer is not None:
             self._finish(exchange, answer)
-        answered = exchange.answer is not None or exchange.gone
+        answered = exchange.response is not None or exchange.client_disconnected
         self.feed(
             policy.AttemptEnded(exchange.number, attempt, server, outcome, took, answered, 0, 0.0, report)
         )
 
-    def client_gone(self, exchange: Exchange) -> None:
+    def client_disconnected(self, exchange: PendingRequest) -> None:
         """The client left before its answer."""
-        if exchange.answer is None and not exchange.gone:
-            exchange.gone = True
+        if exchange.response is None and not exchange.client_disconnected:
+            exchange.client_disconnected = True
             self._over(exchange)
             self.feed(policy.ClientDisconnected(exchange.number))
 
-    def overdue(self, exchange: Exchange) -> None:
+    def fail_overdue(self, exchange: PendingRequest) -> None:
         """A request's time is up and no answer came: guards against anything that held it up."""
-        if exchange.answer is None and not exchange.gone:
+        if exchange.response is None and not exchange.client_disconnected:
             self._finish(exchange, self.clients.failed())
             self.feed(policy.ClientDisconnected(exchange.number))
 
-    def _finish(self, exchange: Exchange, answer: Answer) -> None:
+    def _finish(self, exchange: PendingRequest, answer: ClientResponse) -> None:
         """The one place where a request gets its final answer."""
-        if exchange.answer is None and not exchange.gone:
-            exchange.answer = answer
+        if exchange.response is None and not exchange.client_disconnected:
+            exchange.response = answer
             self._over(exchange)
             self.loop.wake(exchange.task)
 
-    def _over(self, exchange: Exchange) -> None:
-        self.exchanges.pop(exchange.number, None)
-        self.clients.over(exchange)
+    def _over(self, exchange: PendingRequest) -> None:
+        self.requests.pop(exchange.number, None)
+        self.clients.request_ended(exchange)
 
     # -- actions
 
@@ -184,15 +191,15 @@
                 case policy.SetTimer():
                     self.loop.call_at(self.loop.now() + action.delay_us, self._fired, action.token)
                 case policy.SendPeerMessage():
-                    if self.lent is None:  # peers see one gateway
+                    if self.remote_quota is None:  # peers see one gateway
                         self.tell(action.peer, action.body)
                 case policy.GrantQuota():
                     self._granted = True
-                    if self.spent is not None:
-                        self.spent(self._taking)
+                    if self.on_units_spent is not None:
+                        self.on_units_spent(self._taking)
                 case policy.RejectRequest():
                     self._granted = False
-                    self._answer(action.request, self.clients.refused(action))
+                    self._answer(action.request, self.clients.rejected(action))
                 case policy.FailRequest():
                     self._answer(action.request, self.clients.failed())
                 case policy.CancelAttempt():
@@ -203,24 +210,24 @@
                     raise AssertionError("the module was told that it may not probe")
 
     def _send(self, action: policy.SendAttempt) -> None:
-        exchange = self.exchanges[action.request]
-        if self.spent is not None and not exchange.sends:
-            self.spent(exchange.call.customer)
-        number = exchange.sends
-        exchange.sends += 1
+        exchange = self.requests[action.request]
+        if self.on_units_spent is not None and not exchange.attempts:
+            self.on_units_spent(exchange.call.customer)
+        number = exchange.attempts
+        exchange.attempts += 1
         self.begin(exchange, number, action)
         self.loop.wake(exchange.task)  # a client that waits for 100 Continue may go on
 
     def _fired(self, token: int) -> None:
         self.feed(policy.TimerFired(token))
 
-    def _answer(self, request: int, answer: Answer) -> None:
-        exchange = self.exchanges.get(request)
+    def _answer(self, request: int, answer: ClientResponse) -> None:
+        exchange = self.requests.get(request)
         if exchange is not None:
             self._finish(exchange, answer)
 
     def _cancel(self, action: policy.CancelAttempt) -> None:
         """The request has ended, and its exchange with it, but its attempts are still known by their runs."""
-        run = self.runs.get((action.request, action.attempt))
+        run = self.attempts.get((action.request, action.attempt))
         if run is not None:
             run.cancel()
--- a/orchidlane/gateway/forwarding/protocol_adapter.py
+++ b/orchidlane/gateway/forwarding/protocol_adapter.py
@@ -1,77 +1,34 @@
-"""The seam between the gateway and a protocol of clients and nodes.
+"""What differs between the protocols that a gateway serves.
 
-A request's way is one: the front reads, the host of the module is told, an attempt is carried, one answer
-leaves. What a head means and how things are put differs by protocol. Each question is one method here; the
-OpenAPI gateway (``openapi.py``) and the operators' platform (``orchidlane/platform``) are the two sides.
+Forwarding is the same for each protocol: the server reads a request, the policy decides, attempts are made,
+and one response leaves. The adapters say what a head means and how responses are put. The OpenAPI gateway
+(``openapi_adapter.py``) and the operators' platform (``orchidlane.platform``) implement them.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from orchidlane import http1, policy
+from orchidlane.gateway.forwarding.call import Call
+from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
 from orchidlane.runtime import Address
 
-if TYPE_CHECKING:
-    from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
-
-
-@dataclass(frozen=True, slots=True)
-class Call:
-    """What a request's head means, in the module's numbers; ``patience`` in microseconds from its begin."""
-
-    kind: int
-    cls: policy.RequestClass
-    customer: int
-    plan: int
-    units: float
-    replica_set_start: int
-    replica_set_size: int
-    patience: int
-    target: bytes  # what nodes are asked for
-    is_repeat: bool = False
-
-    @property
-    def number(self) -> int:
-        """The customer's number, as ``Payer`` has it."""
-        return self.customer
-
-
-class QuotaOwner(Protocol):
-    """Whose units a request takes."""
-
-    @property
-    def number(self) -> int:
-        """The customer's number."""
-
-    @property
-    def plan(self) -> int:
-        """Its plan's number."""
-
-    @property
-    def replica_set_start(self) -> int:
-        """The first gateway of its set."""
-
-    @property
-    def replica_set_size(self) -> int:
-        """How many gateways its set has."""
-
 
 class ResourceLimits(Protocol):
-    """What the front and the attempts hold at most; sizes in bytes."""
+    """What the server and the attempts hold at most; sizes in bytes."""
 
     @property
     def max_connections(self) -> int:
-        """Clients' connections."""
+        """Connections of clients."""
 
     @property
     def max_connections_per_endpoint(self) -> int:
-        """Connections to one node."""
+        """Connections to one endpoint."""
 
     @property
     def max_endpoint_connections(self) -> int:
-        """Connections to all nodes together."""
+        """Connections to all endpoints together."""
 
     @property
     def max_request_line_bytes(self) -> int:
@@ -79,7 +36,7 @@
 
     @property
     def max_request_head_bytes(self) -> int:
-        """A request's head; an answer's may be twice as long."""
+        """A request's head; a response's may be twice as long."""
 
     @property
     def max_request_headers(self) -> int:
@@ -91,19 +48,19 @@
 
     @property
     def max_replay_bytes(self) -> int:
-        """What is held of a body for further attempts."""
+        """What is kept of a body for further attempts."""
 
     @property
     def max_buffered_response_bytes(self) -> int:
-        """What is held of an answer."""
+        """What is buffered of a response."""
 
     @property
     def max_pipelined_bytes(self) -> int:
-        """What is read of a client's further requests while one is under way."""
+        """What is read of a client's further requests while one is in flight."""
 
     @property
     def max_lingering_connections(self) -> int:
-        """Connections of clients that are ending, and as many of nodes; beyond it they close at once."""
+        """Closing connections of clients, and as many of endpoints; beyond it they close at once."""
 
 
 class Timeouts(Protocol):
@@ -111,11 +68,11 @@
 
     @property
     def first_request_us(self) -> int:
-        """A new connection until its first whole request; 0: as any other."""
+        """From a new connection to its first complete request; 0: as any other request."""
 
     @property
     def request_head_us(self) -> int:
-        """A head from its first byte on."""
+        """From the first byte of a head to its last."""
 
     @property
     def body_progress_us(self) -> int:
@@ -123,7 +80,7 @@
 
     @property
     def error_delay_us(self) -> int:
-        """Until a request that can't be used gets its error; 0: at once."""
+        """Until the response to a request that is not valid; 0: at once."""
 
     @property
     def client_idle_us(self) -> int:
@@ -135,90 +92,94 @@
 
     @property
     def client_write_us(self) -> int:
-        """An answer's write."""
+        """A write of a response."""
 
     @property
     def endpoint_connect_us(self) -> int:
-        """A connection to a node until it is made."""
+        """Until a connection to an endpoint is made."""
 
     @property
     def endpoint_idle_us(self) -> int:
-        """A node's connection between two requests."""
+        """Between two requests over a connection to an endpoint."""
 
     @property
     def endpoint_reuse_delay_us(self) -> int:
-        """A node's connection carries no request sooner after an answer."""
+        """A connection to an endpoint carries no request sooner after a response."""
 
     @property
     def non_idempotent_idle_us(self) -> int:
-        """The same before an unsafe request."""
+        """As ``endpoint_idle_us``, before a request that is not idempotent."""
 
     @property
     def response_margin_us(self) -> int:
-        """Taken off the client's time for the way back."""
+        """Taken off the client's timeout for the response's way back."""
 
     @property
     def linger_us(self) -> int:
-        """From our end of a connection until it is closed, if the other side does not end."""
+        """From our end of a connection to its close, unless the other side ends first."""
 
 
 class GatewayLimits(Protocol):
-    """Bounds and times of one gateway."""
+    """Limits and timeouts of one gateway."""
 
     @property
     def resource_limits(self) -> ResourceLimits:
-        """How much."""
+        """What is held at most."""
 
     @property
     def timeouts(self) -> Timeouts:
-        """How long."""
+        """How long things may take."""
 
 
-class Clients(Protocol):
-    """How clients are understood and answered."""
+class ClientAdapter(Protocol):
+    """How clients' requests are parsed and answered."""
 
-    whole_first: bool  # a request begins with its last byte, not with its head
+    needs_complete_request: bool  # a request begins with its last byte instead of its head
 
-    def understand(self, head: http1.Request, in_flight: int) -> Call | Answer:
-        """What a head means, or the answer that ends it; ``in_flight``: requests not answered yet."""
+    def parse_request(self, head: http1.Request, in_flight: int, /) -> Call | ClientResponse:
+        """Return the call of a head, or the response that ends it; ``in_flight`` counts open requests."""
 
-    def wrong(self, status: int, detail: str) -> Answer:
-        """What came in can't be used."""
+    def invalid_request(self, status: int, detail: str, /) -> ClientResponse:
+        """Return the response to what is not a valid request."""
 
-    def refused(self, action: policy.RejectRequest) -> Answer:
-        """The module refuses: trying again is harmless."""
+    def rejected(self, action: policy.RejectRequest, /) -> ClientResponse:
+        """Return the response to a request that the policy rejects: a retry is harmless."""
 
-    def failed(self) -> Answer:
-        """Not served, nothing promised."""
+    def failed(self) -> ClientResponse:
+        """Return the response to a request that was possibly executed."""
 
-    def answering(self, exchange: Exchange, answer: Answer, span: int) -> None:
-        """An answer is about to leave, so many microseconds after the request came; headers may be added."""
+    def before_response(self, request: PendingRequest, response: ClientResponse, took_us: int, /) -> None:
+        """Note a response that is about to leave, so long after the request came; may add headers."""
 
-    def over(self, exchange: Exchange) -> None:
-        """The request is over, whether answered or not."""
+    def request_ended(self, request: PendingRequest, /) -> None:
+        """Note the end of a request, whether it was answered or not."""
 
 
-class Nodes(Protocol):
-    """How nodes are asked and understood."""
+class EndpointAdapter(Protocol):
+    """How endpoints are asked, and their responses understood."""
 
-    passes_hints: bool  # interim answers go to the client
-    passes_streams: bool  # an answer too large to hold, or without a length, is passed on piece by piece
-    cut_short: policy.Outcome  # when the connection breaks before a request's last byte is written
+    forwards_interim_responses: bool
+    forwards_streams: bool  # a response that is too large to buffer, or has no length, is passed on in pieces
+    incomplete_request_outcome: (
+        policy.Outcome
+    )  # the connection broke before a request's last byte was written
 
-    def address(self, server: bytes) -> Address | None:
-        """Where a node listens by the list's latest word; None where it has none."""
+    def address(self, endpoint: bytes, /) -> Address | None:
+        """Return the endpoint's latest address, None where it has none."""
 
-    def phase(self, server: bytes) -> str:
-        """What the list last said of a node: ready, draining or gone."""
+    def state(self, endpoint: bytes, /) -> str:
+        """Return the endpoint's latest known state: ready, draining or gone."""
 
-    def head(self, exchange: Exchange, attempt: int, server: bytes, left: int) -> bytes:
-        """An attempt's head; ``left`` microseconds until it is given up."""
+    def request_head(
+        self, request: PendingRequest, attempt: int, endpoint: bytes, time_left_us: int, /
+    ) -> bytes:
+        """Return the head of an attempt that is given up after ``time_left_us``."""
 
-    def outcome(self, head: http1.Response) -> policy.Outcome:
-        """What a final answer's head says."""
+    def outcome(self, head: http1.Response, /) -> policy.Outcome:
+        """Return the outcome of a final response."""
 
-    def report(self, head: http1.Response) -> tuple[float, ...]:
-        """The node's load report; none where it has none that can be read."""
+    def load_report(self, head: http1.Response, /) -> tuple[float, ...]:
+        """Return the endpoint's load report; empty where there is none that is valid."""
 
-    def answer(self, exchange: Exchange, head: http1.Response) -> Answer:
-        """The client's answer from a node's head; the body follows."""
+    def client_response(self, request: PendingRequest, head: http1.Response, /) -> ClientResponse:
+        """Return the client's response, without the body, which follows."""
--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -47,7 +47,7 @@
         except BAD as wrong:
             self.program.log.error("accounts not read", file=self.path, why=str(wrong))
             return 0
-        rules = self.program.host.rules
+        rules = self.program.host.gateway
         rules.accounts.update(accounts)
         rules.idle_queue.extend(accounts)
         return len(accounts)
--- a/orchidlane/gateway/lifecycle/hot_restart.py
+++ b/orchidlane/gateway/lifecycle/hot_restart.py
@@ -24,8 +24,8 @@
 from orchidlane import policy, recording
 from orchidlane.gateway.control.customers import Customer
 from orchidlane.gateway.control.settings_loader import hot_restart_address
-from orchidlane.gateway.forwarding.protocol_adapter import QuotaOwner
-from orchidlane.gateway.server.error_responses import failed
+from orchidlane.gateway.forwarding.call import QuotaOwner
+from orchidlane.gateway.forwarding.error_responses import failed
 from orchidlane.gateway.server.http_server import Connection
 from orchidlane.gateway.server.resp_server import Session
 from orchidlane.hot_restart import messages, new_process, old_process
@@ -469,7 +469,7 @@
         self._copying = channel.number
         self._copy = copy = PreCopy(
             [
-                AccountsTable(program.host.rules),
+                AccountsTable(program.host.gateway),
                 NamedTable("tokens", limits.holder),
                 NamedTable("grants", limits.ledger),
             ]
@@ -505,18 +505,18 @@
         self._before = now.since(self._samples[0]) if self._samples else now
         if not self._before.all:
             self._before = now
-        self.used = program.sequence, program.host.numbers
+        self.used = program.sequence, program.host.last_request_number
         for page in copy.rest():
             channel.send(messages.Rows(*page))
         self._copy = None
         channel.send(
             messages.Final(
-                module=module_at_moment(program.host.rules),
+                module=module_at_moment(program.host.gateway),
                 limits=program.limits.carried(),
                 nodes=msgspec.to_builtins(program.tracker.export_state()),
                 peers=[list(row) for row in program.inbox.carried()],
                 sequence=program.sequence,
-                number=program.host.numbers,
+                number=program.host.last_request_number,
                 class_names=program.knowledge.generation.class_names,
             )
         )
@@ -559,9 +559,9 @@
 
     def _take_back(self) -> None:
         program = self.program
-        hold_back(program.host.rules)
+        hold_back(program.host.gateway)
         program.sequence = self.used[0] + JUMP
-        program.host.numbers = max(program.host.numbers, self.used[1]) + JUMP
+        program.host.last_request_number = max(program.host.last_request_number, self.used[1]) + JUMP
         program.take_back()
         self.lent = None
         for number, kept in list(self.reserve.items()):
@@ -744,7 +744,9 @@
             case new_process.SayPulse():
                 program = self.program
                 answers = answers_of(program)
-                self.channel.send(messages.Pulse(*answers, program.sequence, program.host.numbers))
+                self.channel.send(
+                    messages.Pulse(*answers, program.sequence, program.host.last_request_number)
+                )
             case new_process.StandAlone():
                 self._stand_alone(action.cold)
             case new_process.StopServing():
@@ -851,7 +853,7 @@
         kinds = [old.get(name) for name in names]
         rules = module_of(program.host.settings, final.module, self.carried.accounts, kinds)
         recording.track(rules)
-        program.host.go_on_with(rules, final.number)
+        program.host.resume(rules, final.number)
         program.limits.carry_on(final.limits)
         program.tracker.import_state(final.nodes)
         program.inbox.carry_on([tuple(row) for row in final.peers])
@@ -862,7 +864,7 @@
         program = self.program
         program.front.watcher = Mirror(self.channel, HTTP)
         program.resp.watcher = Mirror(self.channel, RESP)
-        program.host.spent = self._spent
+        program.host.on_units_spent = self._spent
         program.limits.others = self._pass_reply
         program.adopt_places(self.places)
         program.start_serving(self.scope)
@@ -870,7 +872,7 @@
 
     def _spent(self, customer: int) -> None:
         """Said before what it counts is sent on: the old one would know of it after our death."""
-        rules = self.program.host.rules
+        rules = self.program.host.gateway
         account = rules.accounts[customer]
         start, value = account.replica_counts[rules.replica]
         self.channel.send(messages.Count(customer, *account.key, start, value))
@@ -894,7 +896,11 @@
         names = tuple(self.program.fleet.plans)
         customer = Customer(take.customer, take.plan, names[take.plan], take.first, take.size)
         kind = self.kinds.get(take.kind)
-        granted = kind is not None and not self._quiet and self.program.host.take(customer, take.units, kind)
+        granted = (
+            kind is not None
+            and not self._quiet
+            and self.program.host.request_quota(customer, take.units, kind)
+        )
         self.channel.send(messages.Taken(take.id, granted))
 
     def _tell(self, tell: messages.Tell) -> None:
@@ -918,7 +924,7 @@
     def _stop_mirroring(self) -> None:
         program = self.program
         program.front.watcher = program.resp.watcher = None
-        program.host.spent = None
+        program.host.on_units_spent = None
 
     def _stand_alone(self, cold: bool) -> None:
         """The old one is dead, or is made so; we take requests."""
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -15,9 +15,9 @@
 from orchidlane.gateway.control.policy_settings import policy_settings
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import hot_restart_address, parse_host_port
-from orchidlane.gateway.forwarding.connection_pool import Upstream
-from orchidlane.gateway.forwarding.openapi_adapter import OpenApiClients, OpenApiNodes
-from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.forwarding.connection_pool import AttemptStarter
+from orchidlane.gateway.forwarding.openapi_adapter import OpenApiClientAdapter, OpenApiEndpointAdapter
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.lifecycle.account_store import Memory
 from orchidlane.gateway.lifecycle.hot_restart import GivingSide, Lent, TakingSide
 from orchidlane.gateway.peers.datagrams import CHANGE, LIMITS, MODULE, SIZE_MOST, Inbox, seal
@@ -25,8 +25,8 @@
 from orchidlane.gateway.rollout_agent.admin_api import Desk
 from orchidlane.gateway.rollout_agent.agent import Versions
 from orchidlane.gateway.server import http_server as http_front
-from orchidlane.gateway.server.http_server import Front
-from orchidlane.gateway.server.resp_server import RespFront, Session
+from orchidlane.gateway.server.http_server import HttpServer
+from orchidlane.gateway.server.resp_server import RespServer, Session
 from orchidlane.gateway.telemetry.admin_api import Admin, Names
 from orchidlane.gateway.telemetry.metrics import Metrics
 from orchidlane.gateway.telemetry.traffic_recorder import Recorder
@@ -80,8 +80,8 @@
         self.sequence = 0
         self.peers = [parse_host_port(entry.peer) for entry in fleet.gateways]
         self.places: dict[str, Any] = {}
-        self.front: Front
-        self.host: Host
+        self.front: HttpServer
+        self.host: PolicyDriver
         self.inbox: Inbox
         self.memory: Memory | None = None
         self.tracker = EndpointListTracker(self.entry.zone, fleet.resource_limits.max_endpoints)
@@ -167,27 +167,27 @@
         if self.versions is not None:
             intakes.append(self.fleet.rollout.messages_per_second)
         self.inbox = Inbox(self.secret, self.rank, len(self.peers), self.loop.now(), *intakes)
-        nodes = OpenApiNodes(self.fleet, self.entry.name, self.incarnation, self.tracker)
+        nodes = OpenApiEndpointAdapter(self.fleet, self.entry.name, self.incarnation, self.tracker)
         why_not = self.versions.why_not_serve if self.versions is not None else str
         note = self.versions.note if self.versions is not None else None
-        clients = OpenApiClients(
+        clients = OpenApiClientAdapter(
             self.fleet, lambda: self.knowledge, lambda: self.host, self.metrics, why_not, note
         )
         rules = Gateway(settings, self.loop.world.random.getrandbits(64), self.loop.now())
         track(rules)
-        upstream = Upstream(self.loop, self.fleet, scope, nodes)
+        upstream = AttemptStarter(self.loop, self.fleet, scope, nodes)
         begin = upstream.begin
-        self.host = Host(self.loop, settings, rules, self.metrics, clients, begin, self._tell)
+        self.host = PolicyDriver(self.loop, settings, rules, self.metrics, clients, begin, self._tell)
         upstream.host = self.host
-        self.front = Front(self.loop, self.fleet, self.host, clients, scope)
+        self.front = HttpServer(self.loop, self.fleet, self.host, clients, scope)
         self.metrics.gauges = {
             "connections": ("Clients' connections", lambda: len(self.front.connections)),
-            "open_requests": ("Requests under way", lambda: len(self.host.exchanges)),
+            "open_requests": ("Requests under way", lambda: len(self.host.requests)),
             "nodes": ("Nodes on the list", lambda: len(self.tracker.endpoints)),
             "longest_turn_seconds": ("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
         }
         self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, self.tell_limits, scope)
-        self.resp = RespFront(self.loop, self.fleet, self.limits, lambda: self.knowledge, scope, why_not)
+        self.resp = RespServer(self.loop, self.fleet, self.limits, lambda: self.knowledge, scope, why_not)
         self.admin = Admin(
             self.loop,
             self.entry.name,
@@ -247,10 +247,10 @@
     def lend(self, lent: Lent) -> None:
         """Units are another process's to decide on from here on; what is held here asks it."""
         self.quiet = True
-        self.host.lent = lent
+        self.host.remote_quota = lent
         self.limits.lent = lent
-        for exchange in self.host.exchanges.values():
-            exchange.held_at_moment = not exchange.sends
+        for exchange in self.host.requests.values():
+            exchange.was_unsent_at_hand_over = not exchange.attempts
 
     def hold(
         self, pass_http: Callable[[http_front.Connection], None], pass_resp: Callable[[Session], None]
@@ -267,7 +267,7 @@
     def take_back(self) -> None:
         """Serve again: nobody else does."""
         self.quiet = False
-        self.host.lent = None
+        self.host.remote_quota = None
         self.limits.hold_back()
         self._listen()
         if self.versions is not None:
@@ -288,7 +288,7 @@
             "sequence": self.sequence,
             "generation": self.knowledge.generation.number,
             "list": [self.tracker.epoch, self.tracker.version, len(self.tracker.endpoints)],
-            "open": len(self.host.exchanges),
+            "open": len(self.host.requests),
             "draining": self.stopping,
             "client_margin": int(self.fleet.timeouts.response_margin_us),
             **({"version": self.versions.show()} if self.versions is not None else {}),
--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -15,7 +15,7 @@
 
 from orchidlane.gateway.control.customers import Customer
 from orchidlane.gateway.control.settings import FleetSettings
-from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.limits import (
     Claim,
     Holder,
@@ -85,7 +85,7 @@
         loop: Loop,
         fleet: FleetSettings,
         rank: int,
-        host: Host,
+        host: PolicyDriver,
         tell: Callable[[int, bytes], None],
         scope: Scope,
     ) -> None:
@@ -142,7 +142,7 @@
     def room(self, customer: Customer) -> float:
         """Units that the customer has left, as far as this gateway knows; nothing is changed."""
         plan = self.host.settings.plans[customer.plan]
-        account = self.host.rules.accounts.get(customer.number)
+        account = self.host.gateway.accounts.get(customer.number)
         if account is None:
             return plan.burst
         gained = plan.rate * (self.loop.now() - account.refilled_at_us) / 1_000_000
@@ -165,7 +165,7 @@
         ):
             self.granted += 1
             return True
-        admitted = self.host.take(customer, units, kind)
+        admitted = self.host.request_quota(customer, units, kind)
         self.granted += admitted
         self.refused += not admitted
         return admitted
--- a/orchidlane/gateway/rollout_agent/agent.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -18,7 +18,7 @@
 from orchidlane.gateway.control.customers import CustomersError
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import parse_host_port
-from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
 from orchidlane.gateway.rollout_agent.admin_client import PREFIX, FetchError, call
 from orchidlane.gateway.rollout_agent.answer_tally import Book
 from orchidlane.gateway.rollout_agent.storage import Damaged, Files, RunningFile, VoterFile
@@ -496,7 +496,7 @@
 
     # -- old beside new
 
-    def note(self, exchange: Exchange, answer: Answer, span: int) -> None:
+    def note(self, exchange: PendingRequest, answer: ClientResponse, span: int) -> None:
         """One final answer of ours."""
         self.book.note(exchange, answer, span, self.loop.now())
 
--- a/orchidlane/gateway/rollout_agent/answer_tally.py
+++ b/orchidlane/gateway/rollout_agent/answer_tally.py
@@ -4,8 +4,8 @@
 
 from collections import deque
 
-from orchidlane.gateway.forwarding.openapi_adapter import call_of
-from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.gateway.forwarding.openapi_adapter import operation_call
+from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
 from orchidlane.rollout.canary_analysis import STRATA_MOST, Tally
 
 SPAN = 2_000_000  # microseconds over which the load is measured
@@ -20,10 +20,10 @@
         self.answers = 0
         self._marks: deque[tuple[int, int]] = deque(maxlen=MARKS)
 
-    def note(self, exchange: Exchange, answer: Answer, span: int, now: int) -> None:
+    def note(self, exchange: PendingRequest, answer: ClientResponse, span: int, now: int) -> None:
         """One final answer, so many microseconds after the request's first byte."""
-        call = call_of(exchange)
-        name = f"{call.match.operation.class_name} {call.by.plan_name}"
+        call = operation_call(exchange)
+        name = f"{call.match.operation.class_name} {call.owner.plan_name}"
         counts = self._counts.get(name)
         if counts is None:
             if len(self._counts) >= STRATA_MOST:
@@ -34,9 +34,9 @@
             1,
             answer.kind == "refused",
             answer.kind == "failed" or (answer.kind == "served" and answer.status >= 500),
-            now > exchange.until,
-            span > call.cls.latency_objective_us,
-            max(0, exchange.sends - 1),
+            now > exchange.deadline,
+            span > call.request_class.latency_objective_us,
+            max(0, exchange.attempts - 1),
         )
         for place, one in enumerate(found):
             counts[place] += one
--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -12,8 +12,9 @@
 from typing import TYPE_CHECKING, Protocol
 
 from orchidlane import http1
-from orchidlane.gateway.forwarding.pending_request import Answer, Body, Exchange
-from orchidlane.gateway.forwarding.protocol_adapter import Call, Clients, GatewayLimits
+from orchidlane.gateway.forwarding.call import Call
+from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest, RequestBody
+from orchidlane.gateway.forwarding.protocol_adapter import ClientAdapter, GatewayLimits
 from orchidlane.gateway.server.accept_loop import NO_DESCRIPTOR_WAIT, accept_clients
 from orchidlane.http1 import Data, End, Malformed, Request
 from orchidlane.runtime import (
@@ -30,7 +31,7 @@
 )
 
 if TYPE_CHECKING:
-    from orchidlane.gateway.forwarding.policy_driver import Host
+    from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 
 OVERDUE = 5_000  # microseconds beyond a request's time: then the module's answer is waited for no more
 
@@ -99,10 +100,12 @@
         self.over = False  # ended, or another process's now: nothing more is read or answered here
 
 
-class Front:
+class HttpServer:
     """Accepts clients and serves them."""
 
-    def __init__(self, loop: Loop, terms: GatewayLimits, host: Host, clients: Clients, scope: Scope) -> None:
+    def __init__(
+        self, loop: Loop, terms: GatewayLimits, host: PolicyDriver, clients: ClientAdapter, scope: Scope
+    ) -> None:
         self.loop = loop
         self.bounds = terms.resource_limits
         self.times = terms.timeouts
@@ -318,23 +321,23 @@
             return False
         if self.watcher is not None:
             self.watcher.began(connection.number)
-        found = self.clients.understand(head, len(self.host.exchanges))
-        if isinstance(found, Answer):
+        found = self.clients.parse_request(head, len(self.host.requests))
+        if isinstance(found, ClientResponse):
             if 400 <= found.status < 500:  # the client's own fault; what is ours is said at once
                 self._pause(connection)
             return self._finish(connection, head, found, body_read=head.length == 0)
         exchange = self._exchange(connection, head, found)
         try:
-            if self.clients.whole_first:
+            if self.clients.needs_complete_request:
                 self._read_whole(connection, exchange)
             self._is_known(connection)
-            self.host.arrived(exchange, max(1, exchange.until - self.loop.now()))
+            self.host.request_arrived(exchange, max(1, exchange.deadline - self.loop.now()))
             self._await_answer(connection, exchange)
         except Malformed as wrong:
-            self.host.client_gone(exchange)
+            self.host.client_disconnected(exchange)
             return self._turn_away(connection, wrong)
         except BaseException:
-            self.host.client_gone(exchange)
+            self.host.client_disconnected(exchange)
             raise
         return self._answer(connection, exchange)
 
@@ -342,7 +345,7 @@
         self.metrics.malformed += 1
         if wrong.status != 408:  # that took its time
             self._pause(connection)
-        return self._write_last(connection, self.clients.wrong(wrong.status, wrong.detail))
+        return self._write_last(connection, self.clients.invalid_request(wrong.status, wrong.detail))
 
     def _pause(self, connection: Connection) -> None:
         """Guards against clients that send the same again at once: an error costs them time, us little."""
@@ -419,7 +422,7 @@
             connection.since = connection.last_recv
         connection.parser.receive(data)
 
-    def _read_whole(self, connection: Connection, exchange: Exchange) -> None:
+    def _read_whole(self, connection: Connection, exchange: PendingRequest) -> None:
         """The request begins with its last byte: nobody hears of it before."""
         by, body = self._due(connection), exchange.body
         self._pump(connection, body)
@@ -431,62 +434,62 @@
                 raise Malformed(408, "the body took too long") from None
             self._pump(connection, body)
         exchange.arrived = connection.last_recv
-        exchange.until = exchange.arrived + exchange.call.patience - self.times.response_margin_us
+        exchange.deadline = exchange.arrived + exchange.call.timeout_us - self.times.response_margin_us
         if self.last is not None:
-            exchange.until = min(exchange.until, self.last)
+            exchange.deadline = min(exchange.deadline, self.last)
 
-    def _exchange(self, connection: Connection, head: Request, call: Call) -> Exchange:
+    def _exchange(self, connection: Connection, head: Request, call: Call) -> PendingRequest:
         task = self.loop.current
         assert task is not None
-        return Exchange(
+        return PendingRequest(
             number=self.host.next_number(),
             head=head,
             call=call,
-            body=Body(self.loop, self.bounds.max_replay_bytes, head.length),
+            body=RequestBody(self.loop, self.bounds.max_replay_bytes, head.length),
             task=task,
-            until=connection.since + call.patience - self.times.response_margin_us,
+            deadline=connection.since + call.timeout_us - self.times.response_margin_us,
             arrived=connection.since,
             awaits_continue=head.expects_continue,
-            client_left=connection.stream.has_left,
+            has_client_left=connection.stream.has_left,
         )
 
     # -- until the answer is there
 
-    def _await_answer(self, connection: Connection, exchange: Exchange) -> None:
+    def _await_answer(self, connection: Connection, exchange: PendingRequest) -> None:
         self._pump(connection, exchange.body)
-        while exchange.answer is None:
-            if exchange.awaits_continue and exchange.sends:
+        while exchange.response is None:
+            if exchange.awaits_continue and exchange.attempts:
                 exchange.awaits_continue = False
                 connection.stream.send(b"HTTP/1.1 100 Continue\r\n\r\n")
                 continue
-            if exchange.hints:
+            if exchange.interim_responses:
                 self._pass_hints(connection, exchange)
             elif not self._read_on(connection, exchange):
                 self._wait(exchange)
 
-    def _pass_hints(self, connection: Connection, exchange: Exchange) -> None:
+    def _pass_hints(self, connection: Connection, exchange: PendingRequest) -> None:
         """Interim answers of a node; HTTP/1.0 knows none."""
-        hints, exchange.hints = exchange.hints, []
+        hints, exchange.interim_responses = exchange.interim_responses, []
         for hint in hints if exchange.head.minor else ():
             data = http1.response_head(hint.status, http1.end_to_end(hint.headers))
             connection.stream.send(data, self.loop.now() + self.times.client_write_us)
 
-    def _wait(self, exchange: Exchange) -> None:
+    def _wait(self, exchange: PendingRequest) -> None:
         body = exchange.body
         settled = body.ended or body.full
         try:
             self.loop.park(
-                exchange.until + OVERDUE if settled else self.loop.now() + self.times.body_progress_us
+                exchange.deadline + OVERDUE if settled else self.loop.now() + self.times.body_progress_us
             )
         except Expired:
             if settled:
-                self.host.overdue(exchange)
-                if exchange.answer is None:
+                self.host.fail_overdue(exchange)
+                if exchange.response is None:
                     raise Closed("no answer in its time") from None
-            elif exchange.answer is None:
+            elif exchange.response is None:
                 raise Malformed(408, "the body took too long") from None
 
-    def _read_on(self, connection: Connection, exchange: Exchange) -> bool:
+    def _read_on(self, connection: Connection, exchange: PendingRequest) -> bool:
         """Take what the client sent meanwhile; False where there is nothing, the task is woken then."""
         body = exchange.body
         if self._reads_no_more(connection, body):
@@ -504,7 +507,7 @@
         self._pump(connection, body)
         return True
 
-    def _reads_no_more(self, connection: Connection, body: Body) -> bool:
+    def _reads_no_more(self, connection: Connection, body: RequestBody) -> bool:
         """Whether the bounds are reached: then a client's end lies behind bytes that stay unread."""
         if body.ended:
             return connection.parser.pending >= self.bounds.max_pipelined_bytes
@@ -513,7 +516,7 @@
             body.tell_when_room(self.loop.current)
         return body.full
 
-    def _pump(self, connection: Connection, body: Body) -> None:
+    def _pump(self, connection: Connection, body: RequestBody) -> None:
         """Bring what was parsed of the body over."""
         while not body.ended or body.length == 0:
             event = connection.parser.next_event()
@@ -527,14 +530,14 @@
 
     # -- answers
 
-    def _answer(self, connection: Connection, exchange: Exchange) -> bool:
-        answer = exchange.answer
+    def _answer(self, connection: Connection, exchange: PendingRequest) -> bool:
+        answer = exchange.response
         assert answer is not None
         span = self.loop.now() - exchange.arrived
-        self.clients.answering(exchange, answer, span)
+        self.clients.before_response(exchange, answer, span)
         return self._finish(connection, exchange.head, answer, body_read=exchange.body.ended)
 
-    def _finish(self, connection: Connection, head: Request, answer: Answer, body_read: bool) -> bool:
+    def _finish(self, connection: Connection, head: Request, answer: ClientResponse, body_read: bool) -> bool:
         """Write an answer; whether the connection goes on."""
         keep = head.keep_alive and body_read and not self._is_last(connection)
         if self.watcher is not None:
@@ -559,7 +562,7 @@
         is_over = self.last is not None and self.loop.now() >= self.last
         return is_over or not self._has_more(connection)
 
-    def _write_last(self, connection: Connection, answer: Answer) -> bool:
+    def _write_last(self, connection: Connection, answer: ClientResponse) -> bool:
         """An answer after which nothing of the connection can be understood."""
         if self.watcher is not None:
             self.watcher.answering(connection.number)
@@ -567,12 +570,12 @@
         connection.stream.send(data, self.loop.now() + self.times.client_write_us)
         return False
 
-    def answer_alone(self, stream: Stream, answer: Answer) -> None:
+    def answer_alone(self, stream: Stream, answer: ClientResponse) -> None:
         """Answer a client whose request another process took and can't answer any more, and end."""
         self._write_last(Connection(stream, self.limits, self.loop.now(), -1), answer)
         self.lingering.close(stream)
 
-    def _head_of(self, answer: Answer, keep: bool, length: int | None) -> bytes:
+    def _head_of(self, answer: ClientResponse, keep: bool, length: int | None) -> bytes:
         headers = answer.headers
         if length is not None:
             headers = [*headers, (b"content-length", b"%d" % length)]
@@ -582,7 +585,7 @@
             headers = [*headers, (b"connection", b"close")]
         return http1.response_head(answer.status, headers)
 
-    def _write(self, connection: Connection, head: Request, answer: Answer, keep: bool) -> bool:
+    def _write(self, connection: Connection, head: Request, answer: ClientResponse, keep: bool) -> bool:
         by = self.loop.now() + self.times.client_write_us
         if answer.stream is not None:
             return self._write_stream(connection, head, answer, keep)
@@ -592,7 +595,9 @@
         send_all(connection.stream, data if bodiless else data + answer.body, by)
         return True
 
-    def _write_stream(self, connection: Connection, head: Request, answer: Answer, keep: bool) -> bool:
+    def _write_stream(
+        self, connection: Connection, head: Request, answer: ClientResponse, keep: bool
+    ) -> bool:
         """Pass a large answer on piece by piece; cut short where its node failed, so that it shows."""
         pieces, chunked = answer.stream, head.minor == 1
         assert pieces is not None
--- a/orchidlane/gateway/server/resp_server.py
+++ b/orchidlane/gateway/server/resp_server.py
@@ -56,7 +56,7 @@
         return self.version, self.name, self.authorized
 
 
-class RespFront:
+class RespServer:
     """Accepts clients and carries out their commands."""
 
     def __init__(
--- a/orchidlane/gateway/telemetry/admin_api.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -15,7 +15,7 @@
 from orchidlane import http1, recording
 from orchidlane.gateway.control.configuration import ConfigurationSnapshot
 from orchidlane.gateway.control.customers import Customer
-from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.server.accept_loop import accept_clients
 from orchidlane.gateway.telemetry.metrics import Metrics
 from orchidlane.gateway.telemetry.policy_views import make_view
@@ -45,10 +45,10 @@
     """
 
     def __init__(
-        self, host: Host, name: str, life: int, number: int, names: Names, about: dict[str, Any]
+        self, host: PolicyDriver, name: str, life: int, number: int, names: Names, about: dict[str, Any]
     ) -> None:
         self._loop = host.loop
-        self._snapshot = recording.Snapshot(host.rules)
+        self._snapshot = recording.Snapshot(host.gateway)
         self._pages = self._snapshot.pages()
         self._done = False
         header = recording.Header(
@@ -88,7 +88,7 @@
         self,
         loop: Loop,
         name: str,
-        host: Host,
+        host: PolicyDriver,
         metrics: Metrics,
         knowledge: Callable[[], ConfigurationSnapshot],
         about: Callable[[], dict[str, Any]],
@@ -189,7 +189,7 @@
             if found is None:
                 return 404, b"no customer has this name, number or key\n"
             customer = found.number, found.plan, found.replica_set_start, found.replica_set_size
-        made = make_view(self.host.rules, self.name, self.loop.now(), self.names(), customer)
+        made = make_view(self.host.gateway, self.name, self.loop.now(), self.names(), customer)
         return 200, made
 
     def _find(self, word: bytes) -> Customer | None:
--- a/orchidlane/gateway/telemetry/traffic_recorder.py
+++ b/orchidlane/gateway/telemetry/traffic_recorder.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from orchidlane import policy, recording
-from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.telemetry.admin_api import Names, StateFrames
 from orchidlane.recording.segments import SUFFIX, pack_answer
 from orchidlane.runtime import Loop
@@ -31,7 +31,7 @@
         loop: Loop,
         folder: str,
         name: str,
-        host: Host,
+        host: PolicyDriver,
         names: Names,
         log: Any,
         about: Callable[[], dict[str, Any]],
@@ -102,7 +102,7 @@
         self.path = f"{self.folder}/{self.name}-{self.life:x}-{self.number:06}{SUFFIX}"
         self._state = StateFrames(self.host, self.name, self.life, self.number, self.names, self.about())
         head = self._state.head
-        if not self.host.rules.accounts:
+        if not self.host.gateway.accounts:
             head += b"".join(self._state)  # whole from the start, however soon a crash comes
         self._size = 0
         self._write(head)
--- a/orchidlane/platform/__init__.py
+++ b/orchidlane/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on the operators' platform: its protocol is one more way in and out of the same program."""
+"""The gateway on the operators' platform: another protocol for the same policy and forwarding."""
--- a/orchidlane/platform/__main__.py
+++ b/orchidlane/platform/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m orchidlane.platform``: one gateway, told by its environment what it is."""
+"""``python -m orchidlane.platform``: one gateway, configured by its environment."""
 
 from __future__ import annotations
 
@@ -6,30 +6,34 @@
 import os
 import sys
 
-from orchidlane.platform.configuration import ConfigError, parse, path_of
-from orchidlane.platform.lifecycle import Life
+from orchidlane.platform.configuration import ConfigurationError, configuration_path, parse_configuration
+from orchidlane.platform.lifecycle import PlatformGateway
 from orchidlane.runtime import Loop, RealWorld
 from orchidlane.runtime.signals import hold_reload, serve
 
 
 def main() -> int:
-    """Serve until SIGTERM; 2 and one line where the configuration can't be used."""
+    """Serve until SIGTERM.
+
+    Returns the exit status: 2 after one line where the configuration is not valid, 1 where an address can't
+    be bound, else 0.
+    """
     hold_reload()
     try:
-        path = path_of(os.environ)
+        path = configuration_path(os.environ)
         with open(path, "rb") as file:
-            config = parse(file.read(), path)
-    except (ConfigError, OSError) as wrong:
-        print(f"orchidlane: {wrong}", file=sys.stderr)
+            configuration = parse_configuration(file.read(), path)
+    except (ConfigurationError, OSError) as error:
+        print(f"orchidlane: {error}", file=sys.stderr)
         return 2
     gc.freeze()
-    world = RealWorld(config.seed)
+    world = RealWorld(configuration.seed)
     loop = Loop(world)
-    life = Life(loop, config, path)
+    gateway = PlatformGateway(loop, configuration, path)
     try:
-        serve(loop, world, life.run, life.stop, life.reload)
-    except OSError as wrong:
-        print(f"orchidlane: {wrong}", file=sys.stderr)
+        serve(loop, world, gateway.run, gateway.stop, gateway.reload)
+    except OSError as error:
+        print(f"orchidlane: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/orchidlane/platform/configuration.py
+++ b/orchidlane/platform/configuration.py
@@ -1,7 +1,8 @@
-"""What a gateway of the platform is told: environment, configuration file, the module's settings.
+"""The configuration of a gateway of the platform: environment, configuration file, the policy's settings.
 
-The settings go to the module through the adapter's own parser, as they are; what else of them the platform
-needs (names, spans of connections) is read here. Nothing here decides on a request.
+The settings go to the policy through the simulator protocol's parser, as they are; what else of them the
+platform needs (names, timeouts of connections) is read here. Records have the code's names; ``name=`` gives
+the key of the file where it differs.
 """
 
 from __future__ import annotations
@@ -12,20 +13,22 @@
 import msgspec
 
 from orchidlane import policy
-from orchidlane.platform.discovery import ListLine
+from orchidlane.platform.discovery import DiscoveryEvent
 from orchidlane.runtime import Address
 from orchidlane.runtime.backend import parse_address
 from orchidlane.simulator_protocol import codec
 
-SOCKETS_LEAST = 64  # descriptors: less leaves too few beside those that are kept free (``terms.py``)
+PATH_VARIABLE = "PROXY_CONFIG"
+MIN_SOCKETS = 64  # fewer leave too few beside the reserved descriptors, see ``resource_limits``
+SOCKETS_LIMIT = 1 << 31
 
 
-class ConfigError(Exception):
-    """The configuration can't be used; says which file or variable, which field, and why."""
+class ConfigurationError(Exception):
+    """The configuration is not valid; the message names file or variable, field, and reason."""
 
 
-class Limits(msgspec.Struct, frozen=True):
-    """What the machine gives."""
+class MachineLimits(msgspec.Struct, frozen=True):
+    """The resources of the machine; ``sockets`` are file descriptors."""
 
     cores: float
     memory_mb: float
@@ -36,99 +39,107 @@
     name: str
 
 
-class _Permissions(msgspec.Struct, frozen=True, rename="camel"):
-    idle_close: float = 0
-    connect_timeout: float = 0
-    open_cap: float = 0
-    retry_after: bool = False
+class _Permissions(msgspec.Struct, frozen=True):
+    endpoint_idle_us: float = msgspec.field(name="idleClose", default=0)
+    connect_timeout_us: float = msgspec.field(name="connectTimeout", default=0)
+    max_requests_in_flight: float = msgspec.field(name="openCap", default=0)
+    may_send_retry_after: bool = msgspec.field(name="retryAfter", default=False)
 
 
-class _Family(msgspec.Struct, frozen=True, rename="camel"):
-    units_top: float = 1.0
+class _Family(msgspec.Struct, frozen=True):
+    max_units: float = msgspec.field(name="unitsTop", default=1.0)
 
 
-class Names(msgspec.Struct, frozen=True, rename="camel"):
-    """What the platform itself reads of the settings; spans in microseconds."""
+class PlatformSettings(msgspec.Struct, frozen=True):
+    """What the platform itself needs of the settings."""
 
     classes: tuple[_Named, ...]
-    packages: tuple[_Named, ...]
+    plans: tuple[_Named, ...] = msgspec.field(name="packages")
     permissions: _Permissions
     zones: tuple[str, ...] = ()
-    family_info: _Family = _Family()
+    family_info: _Family = msgspec.field(name="familyInfo", default=_Family())
 
 
-class File(msgspec.Struct, frozen=True):
+class ConfigurationFile(msgspec.Struct, frozen=True):
     """The configuration file."""
 
     name: str
     listen: str
     discovery: str
     seed: str
-    limits: Limits
+    limits: MachineLimits
     settings: msgspec.Raw
     peer_listen: str | None = None
     peers: tuple[str, ...] | None = None
-    known: ListLine | None = None
+    last_known_list: DiscoveryEvent | None = msgspec.field(name="known", default=None)
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
-    """One checked configuration."""
+class Configuration:
+    """A checked configuration."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
-    limits: Limits
+    limits: MachineLimits
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    known: ListLine | None
-    settings: policy.Settings
-    names: Names
+    last_known_list: DiscoveryEvent | None
+    policy_settings: policy.Settings
+    platform_settings: PlatformSettings
 
 
-def parse(text: bytes, file: str) -> Config:
-    """A configuration file's text, checked whole. Raises ConfigError."""
-    try:
-        found = msgspec.json.decode(text, type=File)
-        settings = bytes(found.settings)
-        names = msgspec.json.decode(settings, type=Names)
-        module = codec.parse_settings(settings)
-    except (msgspec.DecodeError, UnicodeDecodeError, codec.WireError) as wrong:
-        raise ConfigError(f"{file}: {wrong}") from None
-    if not SOCKETS_LEAST <= found.limits.sockets < 1 << 31:
-        raise ConfigError(
-            f"{file}: limits.sockets: found {found.limits.sockets}, allowed: from {SOCKETS_LEAST} on"
-        )
+def configuration_path(environment: Mapping[str, str]) -> str:
+    """Return the path of the configuration file. Raises ConfigurationError."""
+    path = environment.get(PATH_VARIABLE)
+    if not path:
+        raise ConfigurationError(f"environment: {PATH_VARIABLE} is missing, it names the configuration file")
+    return path
+
+
+def parse_configuration(text: bytes, path: str) -> Configuration:
+    """Parse and check the text of a configuration file. Raises ConfigurationError."""
     try:
-        seed = int(found.seed, 16)
-    except ValueError:
-        raise ConfigError(f"{file}: seed: found {found.seed!r}, allowed: hexadecimal digits") from None
-    peers = tuple(_address(peer, file, f"peers[{number}]") for number, peer in enumerate(found.peers or ()))
-    return Config(
-        name=found.name,
-        listen=_address(found.listen, file, "listen"),
-        discovery=_address(found.discovery, file, "discovery"),
+        file = msgspec.json.decode(text, type=ConfigurationFile)
+        settings = bytes(file.settings)
+        platform_settings = msgspec.json.decode(settings, type=PlatformSettings)
+        policy_settings = codec.parse_settings(settings)
+    except (msgspec.DecodeError, UnicodeDecodeError, codec.WireError) as error:
+        raise ConfigurationError(f"{path}: {error}") from None
+    _check_sockets(file.limits.sockets, path)
+    seed = _parse_seed(file.seed, path)
+    peers = tuple(
+        _parse_address(peer, path, f"peers[{number}]") for number, peer in enumerate(file.peers or ())
+    )
+    return Configuration(
+        name=file.name,
+        listen=_parse_address(file.listen, path, "listen"),
+        discovery=_parse_address(file.discovery, path, "discovery"),
         seed=seed,
-        limits=found.limits,
-        peer_listen=_address(found.peer_listen, file, "peer_listen") if found.peer_listen else None,
+        limits=file.limits,
+        peer_listen=_parse_address(file.peer_listen, path, "peer_listen") if file.peer_listen else None,
         peers=peers,
-        known=found.known,
-        settings=module,
-        names=names,
+        last_known_list=file.last_known_list,
+        policy_settings=policy_settings,
+        platform_settings=platform_settings,
     )
 
 
-def _address(text: str, file: str, field: str) -> Address:
+def _check_sockets(sockets: float, path: str) -> None:
+    if not MIN_SOCKETS <= sockets < SOCKETS_LIMIT:
+        raise ConfigurationError(f"{path}: limits.sockets: found {sockets}, allowed: from {MIN_SOCKETS} on")
+
+
+def _parse_seed(text: str, path: str) -> int:
     try:
-        return parse_address(text)
-    except ValueError as wrong:
-        raise ConfigError(f"{file}: {field}: {wrong}") from None
+        return int(text, 16)
+    except ValueError:
+        raise ConfigurationError(f"{path}: seed: found {text!r}, allowed: hexadecimal digits") from None
 
 
-def path_of(environment: Mapping[str, str]) -> str:
-    """Where the configuration is. Raises ConfigError."""
-    path = environment.get("PROXY_CONFIG")
-    if not path:
-        raise ConfigError("environment: PROXY_CONFIG is missing, it names the configuration file")
-    return path
+def _parse_address(text: str, path: str, field: str) -> Address:
+    try:
+        return parse_address(text)
+    except ValueError as error:
+        raise ConfigurationError(f"{path}: {field}: {error}") from None
--- a/orchidlane/platform/discovery.py
+++ b/orchidlane/platform/discovery.py
@@ -1,47 +1,42 @@
-"""Discovery: a pure tracker of the list, and the thin watch that reads it.
-
-The tracker brings lines into the order that the module relies on. A node is its ``instanceId``; where it
-listens is told with it and may change. Rule 3 makes old news dangerous: a line that is older than what is
-known of a node must not make it ready again. So changes with a generation that is not newer are passed over.
-A whole list with an older generation (a service that began anew, or an agent that is behind) takes nothing
-away, and until its generations have passed ours an entry of it makes a node ready only where we know nothing
-of that node, neither that it drains nor that it left, or where it has started again since.
+"""The endpoint list as discovery reports it. Does no I/O.
+
+The tracker puts discovery's lines into the order that the policy relies on. An endpoint is identified by its
+``instanceId``; its address comes with it and may change. A stale line must not make an endpoint ready again
+(rule 3), so changes with a generation that is not newer are ignored. A complete list with an older generation
+(from a service that was reset, or an agent that is behind) removes nothing. Until its generations have passed
+the newest one seen, an entry of it makes an endpoint ready only if the endpoint is not known to be draining
+or to have left, or if it has started again since.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from contextlib import suppress
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import msgspec
 
-from orchidlane import http1, policy
+from orchidlane import policy
 from orchidlane.gateway.control.endpoint_list import WatchEventError
-from orchidlane.gateway.control.json_stream import LineTooLongError, read_objects
-from orchidlane.http1 import Malformed
-from orchidlane.platform.polling import SILENCE, Asking
-from orchidlane.runtime import CONTROL, Address, Expired, Loop, LoopError, Scope, Task
-from orchidlane.runtime.backend import parse_address, show
+from orchidlane.runtime import Address
+from orchidlane.runtime.backend import parse_address
 
-PHASES = {
+ENDPOINT_STATES = {
     "active": policy.EndpointState.READY,
     "leaving": policy.EndpointState.DRAINING,
     "left": policy.EndpointState.GONE,
 }
-GUARD = {
+STATE_NAMES = {
     policy.EndpointState.READY: "ready",
     policy.EndpointState.DRAINING: "draining",
     policy.EndpointState.GONE: "gone",
-}  # see ``guards``
-LINE_MOST = 4 << 20  # bytes of one line
-NODES_MOST = 10_000
-NAMES_MOST = 256  # zones that the settings do not name
-LEFT_LEAST = 256  # nodes that left lately which are remembered, or twice as many as there are
+}
+MAX_ENDPOINTS = 10_000
+MAX_OTHER_ZONES = 256  # zones that the settings do not name
+MIN_DEPARTED_REMEMBERED = 256  # or twice as many as there are endpoints
 
 
 class Instance(msgspec.Struct, frozen=True, rename="camel"):
-    """One line's entry; ``started_at_ms`` 0: long ago."""
+    """One entry of a line; ``started_at_ms`` is in milliseconds of the time of day, 0 means long ago."""
 
     instance_id: str
     host_port: str
@@ -52,218 +47,166 @@
     started_at_ms: float = 0
 
 
-class ListLine(msgspec.Struct, frozen=True):
-    """One line of the watch, or the whole list."""
+class DiscoveryEvent(msgspec.Struct, frozen=True):
+    """One line of the watch: the complete list if ``reset`` is set, else changes to it."""
 
     generation: int
     reset: bool
     instances: tuple[Instance, ...]
 
 
-News = list[tuple[policy.EndpointEntry, Address | None]]  # of each instance, and where it listens
+class ResolvedEntry(NamedTuple):
+    """An entry for the policy, with its address; the address is None once the endpoint has left."""
+
+    entry: policy.EndpointEntry
+    address: Address | None
 
 
 @dataclass
-class Tracker:
-    """The list as it is known. ``zones`` are numbered as the settings have them."""
+class DiscoveryTracker:
+    """The current list; ``zones`` are numbered as in the settings.
+
+    ``newest_generation`` is the newest one seen while a list that was reset is older, else -1. ``departed``
+    has the endpoints that left, the earliest first, with their start times.
+    """
 
     zones: tuple[str, ...]
     generation: int = -1
-    nodes: dict[bytes, policy.EndpointEntry] = field(default_factory=dict)
-    places: dict[bytes, Address] = field(default_factory=dict)
-    behind: int = -1  # the newest generation known, while a list that began anew is older
-    left: dict[bytes, int] = field(default_factory=dict)  # nodes that left lately, when they had started
-    _numbers: dict[str, int] = field(default_factory=dict)
+    endpoints: dict[bytes, policy.EndpointEntry] = field(default_factory=dict)
+    addresses: dict[bytes, Address] = field(default_factory=dict)
+    newest_generation: int = -1
+    departed: dict[bytes, int] = field(default_factory=dict)
+    _zone_numbers: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self._numbers = {zone: number for number, zone in enumerate(self.zones)}
+        self._zone_numbers = {zone: number for number, zone in enumerate(self.zones)}
 
-    def take(self, text: bytes) -> policy.EndpointListReceived | None:
-        """What a line tells the module, None where it is passed over. Raises ListRefused."""
+    def apply_line(self, line: bytes) -> policy.EndpointListReceived | None:
+        """Apply a line; return the policy's event, None where it is ignored. Raises WatchEventError."""
         try:
-            line = msgspec.json.decode(text, type=ListLine)
-        except (msgspec.DecodeError, UnicodeDecodeError) as wrong:
-            raise WatchEventError(f"not a line of a list: {wrong}") from None
-        return self.apply(line, policy.EndpointListKind.COMPLETE)
-
-    def apply(self, line: ListLine, snapshot: policy.EndpointListKind) -> policy.EndpointListReceived | None:
-        """The same for a decoded line; ``snapshot`` is what a whole list counts as. Raises ListRefused."""
-        news = self._checked(line)
-        if not line.reset:
-            return self._delta(line, news)
-        if line.generation < max(self.generation, self.behind):
-            return self._older(line, news)
-        self.generation, self.behind = line.generation, -1
-        for server in self.nodes.keys() - {entry.endpoint for entry, _ in news}:
-            self._leave(server)
-        for entry, place in news:
-            self._put(entry, place)
-        return _listed(snapshot, line.generation, news)
-
-    def _delta(self, line: ListLine, news: News) -> policy.EndpointListReceived | None:
-        if line.generation <= self.generation:
+            event = msgspec.json.decode(line, type=DiscoveryEvent)
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            raise WatchEventError(f"not a line of a list: {error}") from None
+        return self.apply(event, policy.EndpointListKind.COMPLETE)
+
+    def apply(
+        self, event: DiscoveryEvent, complete_kind: policy.EndpointListKind
+    ) -> policy.EndpointListReceived | None:
+        """Apply a decoded line; a complete list is passed on as ``complete_kind``. Raises WatchEventError."""
+        entries = self._resolve_all(event)
+        if not event.reset:
+            return self._apply_changes(event, entries)
+        if event.generation < max(self.generation, self.newest_generation):
+            return self._apply_stale(event, entries)
+        self.generation = event.generation
+        self.newest_generation = -1
+        for endpoint in self.endpoints.keys() - {resolved.entry.endpoint for resolved in entries}:
+            self._remove(endpoint)
+        self._store_all(entries)
+        return _policy_event(complete_kind, event.generation, entries)
+
+    def _apply_changes(
+        self, event: DiscoveryEvent, entries: list[ResolvedEntry]
+    ) -> policy.EndpointListReceived | None:
+        if event.generation <= self.generation:
             return None
-        if line.generation <= self.behind:
-            return self._older(line, news)
-        self._check_room(news)
-        self.generation = line.generation
-        for entry, place in news:
-            self._put(entry, place)
-        return _listed(policy.EndpointListKind.DELTA, line.generation, news)
-
-    def _older(self, line: ListLine, news: News) -> policy.EndpointListReceived | None:
-        """What is known stays; changes go on from the older generation."""
-        fresh = [(entry, place) for entry, place in news if self._counts(entry)]
-        self._check_room(fresh)
-        self.behind = max(self.generation, self.behind)
-        self.generation = line.generation
-        for entry, place in fresh:
-            self._put(entry, place)
-        return _listed(policy.EndpointListKind.DELTA, self.behind, fresh) if fresh else None
-
-    def _counts(self, entry: policy.EndpointEntry) -> bool:
-        """Guards against old news that make a node ready: whether an older list's word on it counts."""
-        known = self.nodes.get(entry.endpoint)
-        if known is not None:
-            newer = entry.started_at_us > known.started_at_us
-            return newer or (
-                entry.state is not policy.EndpointState.READY and entry.started_at_us == known.started_at_us
-            )
-        return entry.state is not policy.EndpointState.GONE and entry.started_at_us > self.left.get(
-            entry.endpoint, -1
-        )
+        if event.generation <= self.newest_generation:
+            return self._apply_stale(event, entries)
+        self._check_size(entries)
+        self.generation = event.generation
+        self._store_all(entries)
+        return _policy_event(policy.EndpointListKind.DELTA, event.generation, entries)
+
+    def _apply_stale(
+        self, event: DiscoveryEvent, entries: list[ResolvedEntry]
+    ) -> policy.EndpointListReceived | None:
+        """Keep what is known and continue with changes from the older generation."""
+        newer = [resolved for resolved in entries if self._is_newer(resolved.entry)]
+        self._check_size(newer)
+        self.newest_generation = max(self.generation, self.newest_generation)
+        self.generation = event.generation
+        self._store_all(newer)
+        if not newer:
+            return None
+        return _policy_event(policy.EndpointListKind.DELTA, self.newest_generation, newer)
 
-    def _check_room(self, news: News) -> None:
-        """Refuse before anything has changed."""
-        size = len(self.nodes) + sum(entry.endpoint not in self.nodes for entry, _ in news)
-        if size > NODES_MOST:
-            raise WatchEventError(f"{size} instances, allowed: {NODES_MOST}")
-
-    def _put(self, entry: policy.EndpointEntry, place: Address | None) -> None:
-        if place is None:
-            self._leave(entry.endpoint)
-        else:
-            self.nodes[entry.endpoint], self.places[entry.endpoint] = entry, place
-            self.left.pop(entry.endpoint, None)
-
-    def _leave(self, server: bytes) -> None:
-        """Nodes always new must not cost memory: those that left longest ago are forgotten."""
-        known = self.nodes.pop(server, None)
-        self.places.pop(server, None)
+    def _is_newer(self, entry: policy.EndpointEntry) -> bool:
+        """Return whether an entry of a stale list still says something new of its endpoint."""
+        known = self.endpoints.get(entry.endpoint)
+        if known is not None:
+            if entry.started_at_us > known.started_at_us:
+                return True
+            is_ready = entry.state is policy.EndpointState.READY
+            return not is_ready and entry.started_at_us == known.started_at_us
+        is_gone = entry.state is policy.EndpointState.GONE
+        return not is_gone and entry.started_at_us > self.departed.get(entry.endpoint, -1)
+
+    def _check_size(self, entries: list[ResolvedEntry]) -> None:
+        """Reject changes that would exceed the bound, before anything has changed."""
+        added = sum(resolved.entry.endpoint not in self.endpoints for resolved in entries)
+        size = len(self.endpoints) + added
+        if size > MAX_ENDPOINTS:
+            raise WatchEventError(f"{size} instances, allowed: {MAX_ENDPOINTS}")
+
+    def _store_all(self, entries: list[ResolvedEntry]) -> None:
+        for entry, address in entries:
+            if address is None:
+                self._remove(entry.endpoint)
+                continue
+            self.endpoints[entry.endpoint] = entry
+            self.addresses[entry.endpoint] = address
+            self.departed.pop(entry.endpoint, None)
+
+    def _remove(self, endpoint: bytes) -> None:
+        """Remove an endpoint; only the latest of those that left are remembered, to bound memory."""
+        known = self.endpoints.pop(endpoint, None)
+        self.addresses.pop(endpoint, None)
         if known is not None:
-            self.left[server] = known.started_at_us
-        while len(self.left) > max(LEFT_LEAST, 2 * len(self.nodes)):
-            del self.left[next(iter(self.left))]
-
-    def phase(self, server: bytes) -> str:
-        """What the list last said of a node."""
-        known = self.nodes.get(server)
-        return GUARD[known.state if known is not None else policy.EndpointState.GONE]
-
-    def _checked(self, line: ListLine) -> News:
-        if len(line.instances) > NODES_MOST:
-            raise WatchEventError(f"{len(line.instances)} instances, allowed: {NODES_MOST}")
-        return [self._entry(instance) for instance in line.instances]
-
-    def _entry(self, instance: Instance) -> tuple[policy.EndpointEntry, Address | None]:
-        """What the module is told of an instance, and where it listens unless it has left."""
-        phase = PHASES.get(instance.lifecycle)
-        if phase is None or not instance.instance_id:
+            self.departed[endpoint] = known.started_at_us
+        while len(self.departed) > max(MIN_DEPARTED_REMEMBERED, 2 * len(self.endpoints)):
+            del self.departed[next(iter(self.departed))]
+
+    def state(self, endpoint: bytes) -> str:
+        """Return the latest known state of an endpoint: ready, draining or gone."""
+        known = self.endpoints.get(endpoint)
+        return STATE_NAMES[known.state if known is not None else policy.EndpointState.GONE]
+
+    def _resolve_all(self, event: DiscoveryEvent) -> list[ResolvedEntry]:
+        if len(event.instances) > MAX_ENDPOINTS:
+            raise WatchEventError(f"{len(event.instances)} instances, allowed: {MAX_ENDPOINTS}")
+        return [self._resolve(instance) for instance in event.instances]
+
+    def _resolve(self, instance: Instance) -> ResolvedEntry:
+        state = ENDPOINT_STATES.get(instance.lifecycle)
+        if state is None or not instance.instance_id:
             raise WatchEventError(f"an instance with the lifecycle {instance.lifecycle!r}")
         try:
-            place = parse_address(instance.host_port) if phase is not policy.EndpointState.GONE else None
-        except ValueError as wrong:
-            raise WatchEventError(f"an instance whose hostPort {wrong}") from None
+            address = parse_address(instance.host_port) if state is not policy.EndpointState.GONE else None
+        except ValueError as error:
+            raise WatchEventError(f"an instance whose hostPort {error}") from None
         entry = policy.EndpointEntry(
             endpoint=instance.instance_id.encode(),
-            state=phase,
-            zone=self._number(instance.zone or ""),
+            state=state,
+            zone=self._zone_number(instance.zone or ""),
             cell=instance.cell or 0,
             started_at_us=int(instance.started_at_ms * 1_000),
             capacity_share=instance.weight,
         )
-        return entry, place
+        return ResolvedEntry(entry, address)
 
-    def _number(self, zone: str) -> int:
-        """A zone's number; of those that the settings do not name, a bounded number is told apart."""
-        number = self._numbers.get(zone)
+    def _zone_number(self, zone: str) -> int:
+        """Return a zone's number; beyond a bound, zones that the settings do not name share one number."""
+        number = self._zone_numbers.get(zone)
         if number is None:
-            number = len(self._numbers)
-            if number < len(self.zones) + NAMES_MOST:
-                self._numbers[zone] = number
+            number = len(self._zone_numbers)
+            if number < len(self.zones) + MAX_OTHER_ZONES:
+                self._zone_numbers[zone] = number
         return number
 
 
-def _listed(kind: policy.EndpointListKind, generation: int, news: News) -> policy.EndpointListReceived:
-    return policy.EndpointListReceived(kind, max(0, generation), tuple([entry for entry, _ in news]))
-
-
-class Watch:
-    """Follows the list at an address; ``told`` is called with what it tells the module."""
-
-    def __init__(
-        self,
-        loop: Loop,
-        tracker: Tracker,
-        told: Callable[[policy.EndpointListReceived], None],
-        failed: Callable[[str], None],
-        interval: int,
-    ) -> None:
-        self.loop = loop
-        self.tracker = tracker
-        self.told = told
-        self.failed = failed
-        self.asking = Asking(interval)
-        self._calls: dict[int, Task] = {}
-        self._why = ""  # a call failed last time: told once
-        self._wake: Callable[[], None]  # the task that asks
-
-    def work(self, at: Address, followed: Callable[[], None] = lambda: None) -> None:
-        """Follow for ever, by ``asking``. ``followed`` is called once something is said there."""
-        main = self.loop.current
-        assert main is not None
-        self._wake = lambda: self.loop.wake(main)
-        with Scope(self.loop) as scope:
-            while True:
-                number, given_up = self.asking.ask(self.loop.now())
-                self._give_up(given_up)
-                if number is not None:
-                    call = scope.spawn(self._call, number, at, followed, kind=CONTROL, name="call")
-                    self._calls[number] = call
-                with suppress(Expired):
-                    self.loop.park(self.asking.next_look())
-
-    def _give_up(self, numbers: list[int]) -> None:
-        for number in numbers:
-            self.loop.cancel(self._calls[number])
-
-    def _call(self, number: int, at: Address, followed: Callable[[], None]) -> None:
-        """One call from its begin to its end, which the next one may wait for."""
-        try:
-            self._follow(number, at, followed)
-        except (LoopError, Malformed, LineTooLongError, WatchEventError) as wrong:
-            if str(wrong) != self._why:
-                self._why = str(wrong)
-                self.failed(f"discovery: {wrong}")
-        finally:
-            del self._calls[number]
-            self.asking.ended(number, self.loop.now())
-            self._wake()
-
-    def _follow(self, number: int, at: Address, followed: Callable[[], None]) -> None:
-        stream = self.loop.world.connect(at)
-        try:
-            target = "/discovery/hosts?watch=1"
-            if self.tracker.generation >= 0:
-                target += f"&from={self.tracker.generation}"
-            stream.send(http1.request_head("GET", target.encode(), [(b"host", show(at).encode())]))
-            for piece, objects in enumerate(read_objects(self.loop, stream, SILENCE, LINE_MOST)):
-                self._give_up(self.asking.spoke(number))
-                for line in objects:
-                    if (listed := self.tracker.take(line)) is not None:
-                        self.told(listed)
-                    self._why = ""
-                if piece:  # more than a head
-                    followed()
-        finally:
-            stream.close()
+def _policy_event(
+    kind: policy.EndpointListKind, generation: int, entries: list[ResolvedEntry]
+) -> policy.EndpointListReceived:
+    return policy.EndpointListReceived(
+        kind, max(0, generation), tuple([resolved.entry for resolved in entries])
+    )
--- /dev/null
+++ b/orchidlane/platform/discovery_watch.py
@@ -0,0 +1,96 @@
+"""Watches discovery: reads the lines of its long HTTP responses into a tracker."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from contextlib import suppress
+
+from orchidlane import http1, policy
+from orchidlane.gateway.control.endpoint_list import WatchEventError
+from orchidlane.gateway.control.json_stream import LineTooLongError, read_objects
+from orchidlane.http1 import Malformed
+from orchidlane.platform.discovery import DiscoveryTracker
+from orchidlane.platform.polling import SILENCE_TIMEOUT_US, PollSchedule
+from orchidlane.runtime import CONTROL, Address, Expired, Loop, LoopError, Scope, Task
+from orchidlane.runtime.backend import show
+
+MAX_LINE_BYTES = 4 << 20
+
+
+class DiscoveryWatch:
+    """Keeps a tracker up to date from one address.
+
+    ``notify`` is called with each event for the policy, ``log`` with the reason once polls begin to fail.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        tracker: DiscoveryTracker,
+        notify: Callable[[policy.EndpointListReceived], None],
+        log: Callable[[str], None],
+        retry_interval_us: int,
+    ) -> None:
+        self.loop = loop
+        self.tracker = tracker
+        self.notify = notify
+        self.log = log
+        self.schedule = PollSchedule(retry_interval_us)
+        self._polls: dict[int, Task] = {}
+        self._logged_failure = ""  # each reason is logged once
+        self._wake: Callable[[], None]
+
+    def run(self, address: Address, on_response: Callable[[], None] = lambda: None) -> None:
+        """Watch for ever; ``on_response`` is called whenever more than a head has come."""
+        task = self.loop.current
+        assert task is not None
+        self._wake = lambda: self.loop.wake(task)
+        with Scope(self.loop) as scope:
+            while True:
+                number, replaced = self.schedule.next_poll(self.loop.now())
+                self._cancel(replaced)
+                if number is not None:
+                    poll = scope.spawn(self._poll, number, address, on_response, kind=CONTROL, name="call")
+                    self._polls[number] = poll
+                with suppress(Expired):
+                    self.loop.park(self.schedule.next_deadline())
+
+    def _cancel(self, numbers: list[int]) -> None:
+        for number in numbers:
+            self.loop.cancel(self._polls[number])
+
+    def _poll(self, number: int, address: Address, on_response: Callable[[], None]) -> None:
+        """Run one poll to its end, which the next one may wait for."""
+        try:
+            self._read_events(number, address, on_response)
+        except (LoopError, Malformed, LineTooLongError, WatchEventError) as error:
+            if str(error) != self._logged_failure:
+                self._logged_failure = str(error)
+                self.log(f"discovery: {error}")
+        finally:
+            del self._polls[number]
+            self.schedule.poll_ended(number, self.loop.now())
+            self._wake()
+
+    def _read_events(self, number: int, address: Address, on_response: Callable[[], None]) -> None:
+        stream = self.loop.world.connect(address)
+        try:
+            stream.send(self._request(address))
+            pieces = read_objects(self.loop, stream, SILENCE_TIMEOUT_US, MAX_LINE_BYTES)
+            for piece, lines in enumerate(pieces):
+                self._cancel(self.schedule.response_received(number))
+                for line in lines:
+                    event = self.tracker.apply_line(line)
+                    if event is not None:
+                        self.notify(event)
+                    self._logged_failure = ""
+                if piece:  # the first one is the head alone
+                    on_response()
+        finally:
+            stream.close()
+
+    def _request(self, address: Address) -> bytes:
+        target = "/discovery/hosts?watch=1"
+        if self.tracker.generation >= 0:
+            target += f"&from={self.tracker.generation}"
+        return http1.request_head("GET", target.encode(), [(b"host", show(address).encode())])
--- a/orchidlane/platform/lifecycle.py
+++ b/orchidlane/platform/lifecycle.py
@@ -1,211 +1,222 @@
-"""The life of one gateway on the platform: its parts, start, SIGHUP, SIGTERM and end.
+"""The lifecycle of one gateway on the platform: its parts, start, SIGHUP, SIGTERM and end.
 
-After SIGTERM clients go on to connect and to use what they have for a while; all that comes then is owed an
-answer. So for a while nothing changes but ``GET /up``; then no more connections are taken, those between two
-requests are closed, each answer closes its own, and the end comes once all is answered (``shutdown.py``).
+After SIGTERM clients go on to connect and to use their connections for a while, and whatever they send then
+is owed a response. So nothing changes at first but the readiness check; then no more connections are
+accepted, idle ones are closed, each response closes its own, and the end comes once everything is answered
+(``shutdown.py``).
 
-A gateway counts as told from its first moment of what discovery has, and it starts with a list that may be
-old. So ``GET /up`` says 200 once discovery spoke. While that is silent no more can be known: then the grace
-of drains, in which an old list may be gone by, is waited for and no longer.
+By the platform's rules a gateway counts as notified, from its first moment, of what discovery has, and it
+starts with a list that may be old. So it is ready once discovery has responded. While discovery is silent it
+becomes ready after the grace of drains, in which endpoints of an old list may have gone.
 """
 
 from __future__ import annotations
 
+from collections import Counter
 from collections.abc import Callable
 from contextlib import suppress
 from typing import Any
 
 from orchidlane import policy
 from orchidlane.gateway.control.endpoint_list import WatchEventError
-from orchidlane.gateway.forwarding.connection_pool import Upstream
-from orchidlane.gateway.forwarding.policy_driver import Host
-from orchidlane.gateway.server.http_server import Front
+from orchidlane.gateway.forwarding.connection_pool import AttemptStarter
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
+from orchidlane.gateway.server.http_server import HttpServer
 from orchidlane.gateway.telemetry.counters import Counts
-from orchidlane.platform.configuration import Config, ConfigError, parse
-from orchidlane.platform.discovery import Tracker, Watch
-from orchidlane.platform.polling import retry_interval
-from orchidlane.platform.protocol_adapter import PlatformClients
-from orchidlane.platform.rate_limited_log import Log
-from orchidlane.platform.request_parsing import Reader
+from orchidlane.platform.configuration import Configuration, ConfigurationError, parse_configuration
+from orchidlane.platform.discovery import DiscoveryEvent, DiscoveryTracker
+from orchidlane.platform.discovery_watch import DiscoveryWatch
+from orchidlane.platform.polling import retry_interval_us
+from orchidlane.platform.protocol_adapter import PlatformClientAdapter
+from orchidlane.platform.rate_limited_log import RateLimitedLog
+from orchidlane.platform.request_parsing import RequestParser
 from orchidlane.platform.resource_limits import limits_for
-from orchidlane.platform.response_outcomes import PlatformNodes
-from orchidlane.platform.shutdown import Shutdown, graceful_shutdown
+from orchidlane.platform.response_outcomes import PlatformEndpointAdapter
+from orchidlane.platform.shutdown import ShutdownTimes, graceful_shutdown
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, Address, Expired, Loop, Scope, Task
 
-BIND_MOST = (
-    8_000_000  # microseconds in which an address that a process of ours held may come free: ready in 10 s
-)
-FIRST_WORD = 100_000  # microseconds that clients wait at most for discovery's first word at the start
-RETRY = 100_000  # microseconds until a task that failed begins anew
-REPORT = 10_000_000  # microseconds between two lines of the log on what passed
-WATCHES_MOST = 2  # of the list: the one before is followed until the new one speaks
-DATAGRAM_MOST = 256  # bytes
+BIND_TIMEOUT_US = 8_000_000  # for an address that an earlier process still holds; the platform allows 10 s
+FIRST_RESPONSE_TIMEOUT_US = 100_000  # clients wait for discovery at most so long at the start
+RETRY_DELAY_US = 100_000
+REPORT_INTERVAL_US = 10_000_000
+MAX_WATCHES = 2  # the previous one goes on until the new one has a response
+MAX_DATAGRAM_BYTES = 256
 
 
-class _Stopped(Exception):
-    """We were told to end before we had begun."""
+class _StoppedError(Exception):
+    """The gateway was stopped before it had started."""
 
 
-class Life:
-    """One gateway from its start to its end; ``stop`` and ``reload`` come from signals."""
+class PlatformGateway:
+    """One gateway from its start to its end; ``stop`` and ``reload`` are called for signals."""
 
-    def __init__(self, loop: Loop, config: Config, path: str) -> None:
+    def __init__(self, loop: Loop, configuration: Configuration, path: str) -> None:
         self.loop = loop
-        self.config = config
+        self.configuration = configuration
+        self.settings = configuration.policy_settings
         self.path = path
-        self.log = Log(loop.now, config.name)
-        self.tracker = Tracker(config.names.zones)
-        self.ranks = {peer: rank for rank, peer in enumerate(config.peers)}
+        self.log = RateLimitedLog(loop.now, configuration.name)
+        self.tracker = DiscoveryTracker(configuration.platform_settings.zones)
+        self.ranks = {peer: rank for rank, peer in enumerate(configuration.peers)}
         self.stopping = False
         self.scope: Scope
-        self.host: Host
-        self.front: Front
-        self.clients: PlatformClients
+        self.host: PolicyDriver
+        self.front: HttpServer
+        self.clients: PlatformClientAdapter
         self._datagrams: Any = None
-        self._watching: list[Task] = []  # the newest last
-        self._following: Address = config.discovery
+        self._watch_tasks: list[Task] = []  # the newest last
+        self._discovery_address: Address = configuration.discovery
         self._main: Task | None = None
-        self._known_until = (
-            loop.now() + config.settings.drain_grace_us
-        )  # the list may be as old as it was given
-        self._heard = False  # discovery has told something
-        self._shutdown = Shutdown(0, 0, 0)  # once it has begun
+        self._ready_without_discovery_at = loop.now() + self.settings.drain_grace_us
+        self._discovery_responded = False
+        self._shutdown = ShutdownTimes(0, 0, 0)  # once it has begun
 
     def run(self) -> None:
-        """The main task."""
+        """Run the main task, from the start to the end. Raises OSError where an address can't be bound."""
         with Scope(self.loop) as scope:
             self.scope = scope
             self._main = self.loop.current
             self._build(scope)
-            with suppress(_Stopped):
-                self._start(scope)
+            with suppress(_StoppedError):
+                self._start()
                 while not self.stopping:
                     self.loop.park()
                 self._shut_down()
             scope.cancel()
-        self.log.say("ended")
+        self.log.write("ended")
+
+    # -- start
 
     def _build(self, scope: Scope) -> None:
-        config, loop = self.config, self.loop
-        terms = limits_for(config)
-        may = config.names.permissions
-        reader = Reader(config.settings, config.names)
-        self.clients = PlatformClients(
-            reader,
-            int(may.open_cap) or terms.resource_limits.max_connections,
-            may.retry_after,
+        limits = limits_for(self.configuration)
+        permissions = self.configuration.platform_settings.permissions
+        parser = RequestParser(self.settings, self.configuration.platform_settings)
+        self.clients = PlatformClientAdapter(
+            parser,
+            int(permissions.max_requests_in_flight) or limits.resource_limits.max_connections,
+            permissions.may_send_retry_after,
             self._is_ready,
         )
-        rules = Gateway(config.settings, config.seed, loop.now())
-        upstream = Upstream(
-            loop, terms, scope, PlatformNodes(self.tracker, config.settings.load_report_names)
+        gateway = Gateway(self.settings, self.configuration.seed, self.loop.now())
+        endpoints = PlatformEndpointAdapter(self.tracker, self.settings.load_report_names)
+        attempts = AttemptStarter(self.loop, limits, scope, endpoints)
+        self.host = PolicyDriver(
+            self.loop, self.settings, gateway, Counts(), self.clients, attempts.begin, self._send_to_peer
         )
-        self.host = Host(loop, config.settings, rules, Counts(), self.clients, upstream.begin, self._tell)
-        upstream.host = self.host
-        self.pool = upstream.pool
-        self.front = Front(loop, terms, self.host, self.clients, scope)
-        self.host.contain = self.front.contain = self.log.contain
+        attempts.host = self.host
+        self.pool = attempts.pool
+        self.front = HttpServer(self.loop, limits, self.host, self.clients, scope)
+        self.host.on_failure = self.log.write_failure
+        self.front.contain = self.log.write_failure
 
     def _is_ready(self) -> bool:
-        """What ``GET /up`` says."""
-        return not self.stopping and (self._heard or self.loop.now() >= self._known_until)
-
-    def _start(self, scope: Scope) -> None:
-        """The list as last known first; then all the rest, and clients last."""
-        if self.config.known is not None:
-            self._take_known()
-        if self.config.peer_listen is not None:
-            self._datagrams = self._bind(self.loop.world.datagrams, self.config.peer_listen)
-            self._spawn(self._hear, kind=PEERS, name="peers")
+        """Return what the readiness check reports."""
+        if self.stopping:
+            return False
+        return self._discovery_responded or self.loop.now() >= self._ready_without_discovery_at
+
+    def _start(self) -> None:
+        """Apply the last known list, then start everything else, clients last."""
+        if self.configuration.last_known_list is not None:
+            self._apply_last_known_list(self.configuration.last_known_list)
+        if self.configuration.peer_listen is not None:
+            self._datagrams = self._bind(self.loop.world.datagrams, self.configuration.peer_listen)
+            self._spawn(self._receive_from_peers, kind=PEERS, name="peers")
         self.host.start()
-        self._follow(self._following)
-        self._await_list()
-        self.front.listen(self._bind(self.loop.world.listen, self.config.listen))
+        self._watch(self._discovery_address)
+        self._await_discovery()
+        self.front.listen(self._bind(self.loop.world.listen, self.configuration.listen))
         self._spawn(self._report, kind=BACKGROUND, name="report")
-        self.log.say(f"serves, {len(self.tracker.nodes)} hosts known")
-        if self.config.settings.may_gossip and len(self.config.peers) != self.config.settings.replica_count:
-            told = f"{len(self.config.peers)} addresses for {self.config.settings.replica_count} gateways"
-            self.log.say(f"peers: {told}, those without one are not told")
-
-    def _await_list(self) -> None:
-        """Discovery's agent answers at once: whoever asks for ``GET /up`` first need not ask again."""
-        by = self.loop.now() + FIRST_WORD
+        self.log.write(f"serves, {len(self.tracker.endpoints)} endpoints known")
+        self._check_peer_count()
+
+    def _apply_last_known_list(self, event: DiscoveryEvent) -> None:
+        try:
+            listed = self.tracker.apply(event, policy.EndpointListKind.CACHED)
+        except WatchEventError as error:
+            self.log.write(f"the last known list is not valid: {error}")
+            return
+        self.tracker.generation = -1  # it may be old: discovery's first list counts, whatever its generation
+        if listed is not None:
+            self.host.feed(listed)
+
+    def _await_discovery(self) -> None:
+        """Wait a moment for discovery, which responds at once, so that the first check finds us ready."""
+        deadline = self.loop.now() + FIRST_RESPONSE_TIMEOUT_US
         with suppress(Expired):
-            while not (self._heard or self.stopping):
-                self.loop.park(by)
+            while not (self._discovery_responded or self.stopping):
+                self.loop.park(deadline)
+
+    def _bind(self, bind: Callable[[Address], Any], address: Address) -> Any:
+        """Bind an address, which an earlier process may still hold.
 
-    def _bind(self, bind: Callable[[Address], Any], at: Address) -> Any:
-        """A socket at an address. The process before us may not be gone yet; raises OSError after a while,
-        and _Stopped.
+        Raises OSError after ``BIND_TIMEOUT_US``, and _StoppedError.
         """
-        by = self.loop.now() + BIND_MOST
+        deadline = self.loop.now() + BIND_TIMEOUT_US
         while True:
             if self.stopping:
-                raise _Stopped
+                raise _StoppedError
             try:
-                return bind(at)
+                return bind(address)
             except OSError:
-                if self.loop.now() >= by:
+                if self.loop.now() >= deadline:
                     raise
-            self.loop.sleep(RETRY)
+            self.loop.sleep(RETRY_DELAY_US)
 
-    def _take_known(self) -> None:
-        assert self.config.known is not None
-        try:
-            listed = self.tracker.apply(self.config.known, policy.EndpointListKind.CACHED)
-        except WatchEventError as wrong:
-            self.log.say(f"the known list can't be used: {wrong}")
-            return
-        self.tracker.generation = -1  # it may be old: what discovery says first counts, whatever its number
-        if listed is not None:
-            self.host.feed(listed)
-
-    def _report(self) -> None:
-        """What passed so far, in one line now and then."""
-        while True:
-            self.loop.sleep(REPORT)
-            self._sum_up()
-
-    def _sum_up(self) -> None:
-        answers = ", ".join(f"{kind} {count}" for kind, count in sorted(self.clients.told.items()))
-        attempts = ", ".join(f"{kind} {count}" for kind, count in sorted(self.host.metrics.outcomes.items()))
-        held = f"{len(self.front.connections)} clients', {self.pool.open} hosts'"
-        self.log.say(f"answers: {answers}; attempts: {attempts}; connections: {held}")
+    def _check_peer_count(self) -> None:
+        peers = len(self.configuration.peers)
+        count = self.settings.replica_count
+        if self.settings.may_gossip and peers != count:
+            self.log.write(
+                f"peers: {peers} addresses for {count} gateways, those without one are not notified"
+            )
 
-    # -- tasks that may not end the others
+    # -- tasks whose failures do not end the others
 
     def _spawn(self, work: Callable[..., None], *args: Any, kind: int, name: str) -> Task:
-        return self.scope.spawn(self._guard, name, work, args, kind=kind, name=name)
+        return self.scope.spawn(self._run_guarded, name, work, args, kind=kind, name=name)
 
-    def _guard(self, name: str, work: Callable[..., None], args: tuple[Any, ...]) -> None:
+    def _run_guarded(self, name: str, work: Callable[..., None], args: tuple[Any, ...]) -> None:
         while True:
             try:
                 return work(*args)
-            except Exception as wrong:
-                self.log.contain(name, wrong)
-            self.loop.sleep(RETRY)
+            except Exception as error:
+                self.log.write_failure(name, error)
+            self.loop.sleep(RETRY_DELAY_US)
+
+    def _report(self) -> None:
+        while True:
+            self.loop.sleep(REPORT_INTERVAL_US)
+            self._write_report()
+
+    def _write_report(self) -> None:
+        """Write what was served so far to the log."""
+        responses = _format_counts(self.clients.response_counts)
+        attempts = _format_counts(self.host.metrics.outcomes)
+        connections = f"{len(self.front.connections)} of clients, {self.pool.open} of endpoints"
+        self.log.write(f"responses: {responses}; attempts: {attempts}; connections: {connections}")
 
     # -- discovery
 
-    def _follow(self, at: Address) -> None:
-        """Follow the list at an address; those followed before end once news come from there."""
+    def _watch(self, address: Address) -> None:
+        """Watch discovery at an address; earlier watches end once there is a response from it."""
 
-        def followed() -> None:
-            while task in self._watching and self._watching[0] is not task:
-                self.loop.cancel(self._watching.pop(0))
+        def end_earlier_watches() -> None:
+            while task in self._watch_tasks and self._watch_tasks[0] is not task:
+                self.loop.cancel(self._watch_tasks.pop(0))
 
-        interval = retry_interval(self.config.settings.drain_grace_us)
-        watch = Watch(self.loop, self.tracker, self._listed, self.log.say, interval)
-        task = self._spawn(watch.work, at, followed, kind=CONTROL, name="list")
-        self._watching.append(task)
-        while len(self._watching) > WATCHES_MOST:
-            self.loop.cancel(self._watching.pop(0))
-        self._following = at
+        interval_us = retry_interval_us(self.settings.drain_grace_us)
+        watch = DiscoveryWatch(self.loop, self.tracker, self._list_received, self.log.write, interval_us)
+        task = self._spawn(watch.run, address, end_earlier_watches, kind=CONTROL, name="list")
+        self._watch_tasks.append(task)
+        while len(self._watch_tasks) > MAX_WATCHES:
+            self.loop.cancel(self._watch_tasks.pop(0))
+        self._discovery_address = address
 
-    def _listed(self, listed: policy.EndpointListReceived) -> None:
-        if not self._heard:
-            self._heard = True
+    def _list_received(self, listed: policy.EndpointListReceived) -> None:
+        if not self._discovery_responded:
+            self._discovery_responded = True
             if self._main is not None:
                 self.loop.wake(self._main)
         self.host.feed(listed)
@@ -213,62 +224,70 @@
             if entry.state is policy.EndpointState.GONE:
                 self.pool.forget(entry.endpoint)
 
-    # -- the others
+    # -- peers
 
-    def _tell(self, rank: int, body: bytes) -> None:
-        if self._datagrams is not None and 0 <= rank < len(self.config.peers) and len(body) <= DATAGRAM_MOST:
-            self._datagrams.send(body, self.config.peers[rank])
+    def _send_to_peer(self, rank: int, body: bytes) -> None:
+        is_known = 0 <= rank < len(self.configuration.peers)
+        if self._datagrams is not None and is_known and len(body) <= MAX_DATAGRAM_BYTES:
+            self._datagrams.send(body, self.configuration.peers[rank])
 
-    def _hear(self) -> None:
-        """Who a datagram is from, its source address says; anyone else's are dropped."""
+    def _receive_from_peers(self) -> None:
+        """Pass datagrams to the policy; those from addresses that are no peer's are dropped."""
         while True:
             body, sender = self._datagrams.recv()
             rank = self.ranks.get(sender)
-            if rank is not None and rank != self.config.settings.replica and len(body) <= DATAGRAM_MOST:
+            if rank is not None and rank != self.settings.replica and len(body) <= MAX_DATAGRAM_BYTES:
                 self.host.feed(policy.PeerMessageReceived(rank, body))
 
     # -- signals
 
     def stop(self) -> None:
-        """Begin to end, once."""
+        """Begin the shutdown; later calls change nothing."""
         if self.stopping:
             return
         self.stopping = True
-        longest = max((cls.deadline_us for cls in self.config.settings.classes), default=0)
-        self._shutdown = graceful_shutdown(self.loop.now(), longest)
+        longest_us = max((cls.deadline_us for cls in self.settings.classes), default=0)
+        self._shutdown = graceful_shutdown(self.loop.now(), longest_us)
         if self._main is not None:
             self.loop.wake(self._main)
 
     def reload(self) -> None:
-        """Another discovery's address counts at once; a file that can't be used changes nothing."""
+        """Read the file again and follow its discovery address; one that is not valid changes nothing."""
         try:
             self._reload()
-        except Exception as wrong:
-            self.log.contain("reload", wrong)
+        except Exception as error:
+            self.log.write_failure("reload", error)
 
     def _reload(self) -> None:
         try:
-            text = self.loop.world.read_file(self.path)
-            if text is None:
-                raise ConfigError(f"{self.path}: no such file")
-            fresh = parse(text, self.path)
-        except (ConfigError, OSError) as wrong:
-            self.log.say(f"not reloaded: {wrong}")
+            configuration = self._read_configuration()
+        except (ConfigurationError, OSError) as error:
+            self.log.write(f"not reloaded: {error}")
             return
-        if not self._watching:  # we still begin: what is followed first is the latest
-            self._following = fresh.discovery
-        elif fresh.discovery != self._following:
-            self._follow(fresh.discovery)
-        self.log.say("reloaded")
+        if not self._watch_tasks:  # still starting: the first watch takes the latest address
+            self._discovery_address = configuration.discovery
+        elif configuration.discovery != self._discovery_address:
+            self._watch(configuration.discovery)
+        self.log.write("reloaded")
+
+    def _read_configuration(self) -> Configuration:
+        text = self.loop.world.read_file(self.path)
+        if text is None:
+            raise ConfigurationError(f"{self.path}: no such file")
+        return parse_configuration(text, self.path)
 
     def _shut_down(self) -> None:
-        self.log.say("ends")
-        leave, last, end = self._shutdown
-        self.front.last = last
-        self.loop.sleep(leave - self.loop.now())
+        self.log.write("ends")
+        times = self._shutdown
+        self.front.last = times.stop_waiting
+        self.loop.sleep(times.stop_accepting - self.loop.now())
         self.front.drain()
-        if not self.front.wait_left(last):
-            for exchange in list(self.host.exchanges.values()):
-                self.host.overdue(exchange)
-            self.front.wait_left(end)
-        self._sum_up()
+        if not self.front.wait_left(times.stop_waiting):
+            for request in list(self.host.requests.values()):
+                self.host.fail_overdue(request)
+            self.front.wait_left(times.end)
+        self._write_report()
+
+
+def _format_counts(counts: Counter[str]) -> str:
+    return ", ".join(f"{kind} {count}" for kind, count in sorted(counts.items()))
--- a/orchidlane/platform/polling.py
+++ b/orchidlane/platform/polling.py
@@ -1,80 +1,90 @@
-"""When discovery is asked anew: events with the clock in, deadlines out. Decides without I/O.
+"""Decides when discovery is polled. Does no I/O: the caller gives the clock and gets deadlines.
 
-A watch says something at least every heartbeat. One that did not is broken: what it misses counts as told
-``TOLD`` after it fell silent, whether or not it arrived. The way to the next one, as a sum:
+A watch sends something at least every heartbeat interval. One that did not is broken; what it misses counts
+as notified ``NOTIFICATION_DEADLINE_US`` after it fell silent, whether or not it arrived. The next watch has
+to respond within the sum of:
 
-    HEARTBEAT + LATE   until it is known to be silent (``SILENCE``); then it is ended, and counts no more
-    retry interval     for each call that is not answered: the next one is made beside it
+    SILENCE_TIMEOUT_US   a heartbeat and its largest delay; then the silent watch is closed
+    retry interval       for each poll without a response: the next one is made beside it
     ------------------
-    2.5 s + 7 x 0.5 s  at most: seven calls in a row may fail within ``TOLD``
+    2.5 s + 7 x 0.5 s    at most: seven polls in a row may fail before the notification deadline
 
-While discovery is down nobody answers, and what it has to tell counts from its return on; a node that drains
-may then get nothing after the grace. So a call is made every half of the grace while none is answered,
-``CALLS`` of them wait beside one another, and the first one that is answered is followed. There is no
-polling: while a watch speaks nothing is asked. One that ends is followed by the next at once, but one that
-ends soon after its begin, time and again, is asked for less and less often.
+While discovery is down nothing responds, and what it has to report counts from its return on: an endpoint
+that drains may get no more requests after the grace of drains. So a poll is made every half of that grace
+while none has a response, up to ``MAX_PENDING_POLLS`` wait side by side, and the first one with a response
+becomes the active watch. While a watch is active there are no polls. One that ends is replaced at once, but
+watches that end soon after their start, one after the other, are replaced with backoff.
 """
 
 from __future__ import annotations
 
-HEARTBEAT = 2_000_000  # microseconds between two lines of a watch, by the protocol
-LATE = 500_000  # for a heartbeat's way, and for our own standing still
-SILENCE = HEARTBEAT + LATE
-TOLD = 6_000_000  # after its begin a silent watch counts as having told all the same, by the protocol
-RETRY_LEAST, RETRY_MOST = 100_000, 500_000  # between two calls that are not answered
-BACKOFF_MOST = 1_600_000  # between two watches that end soon after their begin
-CALLS = 4  # that wait for an answer at a time
+HEARTBEAT_INTERVAL_US = 2_000_000  # by the platform's protocol
+MAX_HEARTBEAT_DELAY_US = 500_000  # on its way, or while this process stood still
+SILENCE_TIMEOUT_US = HEARTBEAT_INTERVAL_US + MAX_HEARTBEAT_DELAY_US
+NOTIFICATION_DEADLINE_US = 6_000_000  # by the platform's protocol
+MIN_RETRY_INTERVAL_US = 100_000
+MAX_RETRY_INTERVAL_US = 500_000
+MAX_BACKOFF_US = 1_600_000
+MAX_PENDING_POLLS = 4
 
 
-def retry_interval(grace: int) -> int:
-    """Microseconds until a call without an answer is made again; ``grace`` is that of drains."""
-    return min(RETRY_MOST, max(RETRY_LEAST, grace // 2))
+def retry_interval_us(drain_grace_us: int) -> int:
+    """Return how long to wait for the response to a poll before the next one is made."""
+    return min(MAX_RETRY_INTERVAL_US, max(MIN_RETRY_INTERVAL_US, drain_grace_us // 2))
 
 
-class Asking:
-    """Which calls are open; times are the caller's clock in microseconds, calls have numbers."""
+class PollSchedule:
+    """The polls under way, by number; times are the caller's clock in microseconds.
 
-    def __init__(self, interval: int) -> None:
-        self.interval = interval
-        self.following: int | None = None  # the call that speaks
-        self.waiting: dict[int, int] = {}  # calls without an answer yet, when each was made; the oldest first
-        self.due = 0  # no call is made before
-        self._calls = 0
-        self._begun = 0  # when the one that is followed was made
-        self._short = 0  # watches in a row that ended soon
+    ``active`` is the poll that became the watch; ``pending`` has the polls without a response and when each
+    was made, the oldest first; no poll is made before ``due``.
+    """
 
-    def ask(self, now: int) -> tuple[int | None, list[int]]:
-        """The number of a call to make now, if one is due, and those to give up for it."""
-        if self.following is not None or now < self.due:
+    def __init__(self, interval_us: int) -> None:
+        self.interval_us = interval_us
+        self.active: int | None = None
+        self.pending: dict[int, int] = {}
+        self.due = 0
+        self._last_number = 0
+        self._active_since = 0  # when the active poll was made
+        self._short_watches = 0  # in a row
+
+    def next_poll(self, now: int) -> tuple[int | None, list[int]]:
+        """Return the number of a poll to make now, if one is due, and the polls to cancel for it."""
+        if self.active is not None or now < self.due:
             return None, []
-        self._calls += 1
-        self.waiting[self._calls] = now
-        self.due = now + self.interval
-        given_up = list(self.waiting)[:-CALLS]
-        for number in given_up:
-            del self.waiting[number]
-        return self._calls, given_up
+        self._last_number += 1
+        self.pending[self._last_number] = now
+        self.due = now + self.interval_us
+        replaced = list(self.pending)[:-MAX_PENDING_POLLS]
+        for number in replaced:
+            del self.pending[number]
+        return self._last_number, replaced
 
-    def spoke(self, number: int) -> list[int]:
-        """A call was answered, or says more: those to give up, as it is followed from now on."""
-        if number not in self.waiting:
+    def response_received(self, number: int) -> list[int]:
+        """Make a poll that has a response the active one; return the polls to cancel."""
+        if number not in self.pending:
             return []
-        self._begun = self.waiting.pop(number)
-        others = [*self.waiting]
-        self.waiting.clear()
-        self.following = number
+        self._active_since = self.pending.pop(number)
+        others = list(self.pending)
+        self.pending.clear()
+        self.active = number
         return others
 
-    def ended(self, number: int, now: int) -> None:
-        """A call is over: refused, reset, ended by the other side, silent, or with what can't be read."""
-        self.waiting.pop(number, None)
-        if number != self.following:
+    def poll_ended(self, number: int, now: int) -> None:
+        """Note the end of a poll: refused, reset, closed, silent, or with a response that is not valid."""
+        self.pending.pop(number, None)
+        if number != self.active:
+            return
+        self.active = None
+        if now - self._active_since >= HEARTBEAT_INTERVAL_US:
+            self._short_watches = 0
+            self.due = now
             return
-        self.following = None
-        self._short = self._short + 1 if now - self._begun < HEARTBEAT else 0
-        backoff = self.interval << max(0, self._short - 1)
-        self.due = max(self.due, self._begun + min(BACKOFF_MOST, backoff)) if self._short else now
+        self._short_watches += 1
+        backoff_us = self.interval_us << (self._short_watches - 1)
+        self.due = max(self.due, self._active_since + min(MAX_BACKOFF_US, backoff_us))
 
-    def next_look(self) -> int | None:
-        """When ``ask`` has something to say; None while a watch speaks."""
-        return None if self.following is not None else self.due
+    def next_deadline(self) -> int | None:
+        """Return when ``next_poll`` has a poll to make; None while a watch is active."""
+        return None if self.active is not None else self.due
--- a/orchidlane/platform/protocol_adapter.py
+++ b/orchidlane/platform/protocol_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's clients: the front's side of the seam. Translates; decides nothing on a request."""
+"""The clients' side of the platform's protocol: requests are parsed, decisions become responses."""
 
 from __future__ import annotations
 
@@ -6,67 +6,78 @@
 from collections.abc import Callable
 
 from orchidlane import policy
-from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
-from orchidlane.gateway.forwarding.protocol_adapter import Call
+from orchidlane.gateway.forwarding.call import Call
+from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
 from orchidlane.http1 import Request
-from orchidlane.platform.request_parsing import PlatformCall, Reader, Wrong
+from orchidlane.platform.request_parsing import InvalidRequestError, PlatformCall, RequestParser
 
-READY = b"/up"
-BEYOND, BUSY, FAILED = 429, 503, 500
+READINESS_TARGET = b"/up"
+OVER_QUOTA = 429
+UNAVAILABLE = 503
+FAILED = 500  # unlike 429 and 503 it does not say that a retry is harmless
 
 
-class PlatformClients:
-    """Heads to calls, decisions to answers; the ids of requests in flight are told apart here."""
+class PlatformClientAdapter:
+    """Parses requests and builds responses; keeps the identifiers of the requests in flight apart.
 
-    whole_first = True
+    See ``orchidlane.gateway.forwarding.protocol_adapter.ClientAdapter``.
+    """
 
-    def __init__(self, reader: Reader, open_most: int, retry_after: bool, ready: Callable[[], bool]) -> None:
-        self.reader = reader
-        self.open_most = open_most
-        self.retry_after = retry_after
-        self.ready = ready
+    needs_complete_request = True
+
+    def __init__(
+        self,
+        parser: RequestParser,
+        max_requests_in_flight: int,
+        may_send_retry_after: bool,
+        is_ready: Callable[[], bool],
+    ) -> None:
+        self.parser = parser
+        self.max_requests_in_flight = max_requests_in_flight
+        self.may_send_retry_after = may_send_retry_after
+        self.is_ready = is_ready
         self.in_flight: set[bytes] = set()
-        self.told: Counter[str] = Counter()  # final answers by kind
+        self.response_counts: Counter[str] = Counter()  # final responses by kind
 
-    def understand(self, head: Request, in_flight: int) -> Call | Answer:
-        """A call whose id is now open, or an error."""
-        if head.target == READY and head.method == "GET":
-            return Answer(200 if self.ready() else 503, [], b"")
+    def parse_request(self, head: Request, in_flight: int) -> Call | ClientResponse:
+        """Return the call of a request, whose identifier is in flight from now on, or a response."""
+        if head.target == READINESS_TARGET and head.method == "GET":
+            return ClientResponse(200 if self.is_ready() else 503, [], b"")
         try:
-            call = self.reader.read(head)
-        except Wrong as wrong:
-            return self.wrong(wrong.status, wrong.detail)
-        if call.id in self.in_flight:
-            return self.wrong(409, "a request with this id is open")
-        if in_flight >= self.open_most:
-            return Answer(BUSY, [], b"", kind="refused")
-        self.in_flight.add(call.id)
+            call = self.parser.parse(head)
+        except InvalidRequestError as error:
+            return self.invalid_request(error.status, error.detail)
+        if call.request_id in self.in_flight:
+            return self.invalid_request(409, "a request with this id is open")
+        if in_flight >= self.max_requests_in_flight:
+            return ClientResponse(UNAVAILABLE, [], b"", kind="refused")
+        self.in_flight.add(call.request_id)
         return call
 
-    def wrong(self, status: int, detail: str) -> Answer:
-        """An error in a few words."""
-        self.told["of no use"] += 1
-        return Answer(status, [], detail.encode(), kind="refused")
+    def invalid_request(self, status: int, detail: str) -> ClientResponse:
+        """Return the response to a request that is not valid."""
+        self.response_counts["invalid"] += 1
+        return ClientResponse(status, [], detail.encode(), kind="refused")
 
-    def refused(self, action: policy.RejectRequest) -> Answer:
-        """429 beyond a quota, else 503; with the module's advice when to come back."""
+    def rejected(self, action: policy.RejectRequest) -> ClientResponse:
+        """Return 429 beyond a quota, else 503, with Retry-After where the policy advises it."""
+        self.response_counts["over quota" if action.over_quota else "no capacity"] += 1
         headers = []
-        self.told["beyond quota" if action.over_quota else "no capacity"] += 1
-        if self.retry_after and action.retry_after_us > 0:
+        if self.may_send_retry_after and action.retry_after_us > 0:
             headers.append((b"Retry-After", b"%.3f" % (action.retry_after_us / 1_000_000)))
-        return Answer(BEYOND if action.over_quota else BUSY, headers, b"", kind="refused")
+        return ClientResponse(OVER_QUOTA if action.over_quota else UNAVAILABLE, headers, b"", kind="refused")
 
-    def failed(self) -> Answer:
-        """Neither 429 nor 503: those say that a retry is harmless."""
-        self.told["failed"] += 1
-        return Answer(FAILED, [], b"", kind="failed")
+    def failed(self) -> ClientResponse:
+        """Return the response to a request that was possibly executed."""
+        self.response_counts["failed"] += 1
+        return ClientResponse(FAILED, [], b"", kind="failed")
 
-    def answering(self, exchange: Exchange, answer: Answer, span: int) -> None:
-        """Counted."""
-        if answer.status == 200:
-            self.told["served"] += 1
+    def before_response(self, _request: PendingRequest, response: ClientResponse, _took_us: int) -> None:
+        """Count a response that is about to leave."""
+        if response.status == 200:
+            self.response_counts["served"] += 1
 
-    def over(self, exchange: Exchange) -> None:
-        """The id may come again."""
-        assert isinstance(exchange.call, PlatformCall)
-        self.in_flight.discard(exchange.call.id)
+    def request_ended(self, request: PendingRequest) -> None:
+        """Allow the request's identifier to be used again."""
+        assert isinstance(request.call, PlatformCall)
+        self.in_flight.discard(request.call.request_id)
--- a/orchidlane/platform/rate_limited_log.py
+++ b/orchidlane/platform/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Lines of text on standard output, so many a second at most: a flood of troubles costs a bounded time."""
+"""A log on standard output with a bound on the lines per second, so that many faults cost a bounded time."""
 
 from __future__ import annotations
 
@@ -6,40 +6,48 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-LINES_MOST = 10  # a second
-LINE_MOST = 400  # characters
+MAX_LINES_PER_SECOND = 10
+MAX_LINE_CHARACTERS = 400
 
 
-class Log:
-    """Writes lines; those over the bound are counted and told with the next one."""
+class RateLimitedLog:
+    """Writes lines with a time stamp; ``now`` gives the clock in microseconds.
+
+    Lines over the bound are omitted, and their number is written with the next line.
+    """
 
     def __init__(self, now: Callable[[], int], name: str) -> None:
         self.now = now
         self.name = name
-        self.left_out = 0
+        self.omitted_lines = 0
         self._second = 0
-        self._lines = 0
+        self._lines = 0  # in this second
 
-    def say(self, text: str) -> None:
-        """One line."""
+    def write(self, text: str) -> None:
+        """Write one line. Never raises OSError: a log that cannot be written must not end the gateway."""
         second = self.now() // 1_000_000
         if second != self._second:
-            self._second, self._lines = second, 0
-        if self._lines >= LINES_MOST:
-            self.left_out += 1
+            self._second = second
+            self._lines = 0
+        if self._lines >= MAX_LINES_PER_SECOND:
+            self.omitted_lines += 1
             return
         self._lines += 1
-        more = f" ({self.left_out} lines left out)" if self.left_out else ""
-        self.left_out = 0
-        plain = "".join(c if c.isprintable() else "?" for c in text[:LINE_MOST])
-        with suppress(OSError, ValueError):  # a log that nobody takes may not end the gateway
-            sys.stdout.write(f"{self.now() / 1e6:.3f} {self.name} {plain}{more}\n")
+        omitted = f" ({self.omitted_lines} lines left out)" if self.omitted_lines else ""
+        self.omitted_lines = 0
+        printable = "".join(
+            character if character.isprintable() else "?" for character in text[:MAX_LINE_CHARACTERS]
+        )
+        with suppress(OSError, ValueError):
+            sys.stdout.write(f"{self.now() / 1e6:.3f} {self.name} {printable}{omitted}\n")
             sys.stdout.flush()
 
-    def contain(self, where: str, wrong: Exception) -> None:
-        """A failure that ended where it was."""
-        place = wrong.__traceback__
-        while place is not None and place.tb_next is not None:
-            place = place.tb_next
-        at = f"{place.tb_frame.f_code.co_filename.rpartition('/')[2]}:{place.tb_lineno}" if place else "?"
-        self.say(f"contained in {where}: {type(wrong).__name__} at {at}: {wrong}")
+    def write_failure(self, where: str, error: Exception) -> None:
+        """Write one line on an exception that was contained, with the place that raised it."""
+        frame = error.__traceback__
+        while frame is not None and frame.tb_next is not None:
+            frame = frame.tb_next
+        place = "?"
+        if frame is not None:
+            place = f"{frame.tb_frame.f_code.co_filename.rpartition('/')[2]}:{frame.tb_lineno}"
+        self.write(f"contained in {where}: {type(error).__name__} at {place}: {error}")
--- a/orchidlane/platform/response_outcomes.py
+++ b/orchidlane/platform/response_outcomes.py
@@ -1,80 +1,88 @@
-"""The platform's nodes: what an attempt's head looks like and what an answer means. No I/O, no decision."""
+"""The endpoints' side of the platform's protocol: requests of attempts, outcomes of responses."""
 
 from __future__ import annotations
 
 from orchidlane import http1
-from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
 from orchidlane.http1 import Response
-from orchidlane.platform.discovery import Tracker
+from orchidlane.platform.discovery import DiscoveryTracker
 from orchidlane.platform.request_parsing import PlatformCall
 from orchidlane.policy import Outcome
 from orchidlane.runtime import Address
 from orchidlane.runtime.backend import show
 
-NOT_PROCESSED = b"x-not-processed"
-REPORT = b"x-server-load"
-REPORT_FORM = "TEXT "
+NOT_PROCESSED_HEADER = b"x-not-processed"
+LOAD_REPORT_HEADER = b"x-server-load"
+LOAD_REPORT_PREFIX = "TEXT "
+LOAD_REPORT_LIMIT = 1e12  # values lie below it
 
 
-class PlatformNodes:
-    """Method, path, query, body and ids pass unchanged; the outcome table of the protocol."""
+class PlatformEndpointAdapter:
+    """Forwards method, path, query, body and identifiers unchanged.
 
-    passes_hints = False
-    passes_streams = False
-    cut_short = Outcome.CONNECT_FAILED  # half a request never runs
+    See ``orchidlane.gateway.forwarding.protocol_adapter.EndpointAdapter``.
+    """
 
-    def __init__(self, tracker: Tracker, report_names: tuple[str, ...]) -> None:
+    forwards_interim_responses = False
+    forwards_streams = False
+    incomplete_request_outcome = Outcome.CONNECT_FAILED  # endpoints don't run half a request
+
+    def __init__(self, tracker: DiscoveryTracker, load_report_names: tuple[str, ...]) -> None:
         self.tracker = tracker
-        self.names = report_names
+        self.load_report_names = load_report_names
 
-    def address(self, server: bytes) -> Address | None:
-        """By the list's latest word."""
-        return self.tracker.places.get(server)
+    def address(self, endpoint: bytes) -> Address | None:
+        """Return the endpoint's latest address, None where it has none."""
+        return self.tracker.addresses.get(endpoint)
 
-    def phase(self, server: bytes) -> str:
-        """By the list."""
-        return self.tracker.phase(server)
+    def state(self, endpoint: bytes) -> str:
+        """Return the endpoint's latest known state: ready, draining or gone."""
+        return self.tracker.state(endpoint)
 
-    def head(self, exchange: Exchange, attempt: int, server: bytes, left: int) -> bytes:
-        """An attempt's head; ``left`` microseconds."""
-        call = exchange.call
+    def request_head(
+        self, request: PendingRequest, _attempt: int, endpoint: bytes, time_left_us: int
+    ) -> bytes:
+        """Return the head of an attempt's request."""
+        call = request.call
         assert isinstance(call, PlatformCall)
         headers = [
-            (b"Host", show(self.tracker.places[server]).encode()),
-            (b"X-Request-ID", call.id),
-            (b"X-Timeout", b"%.3f" % (left / 1_000_000)),
+            (b"Host", show(self.tracker.addresses[endpoint]).encode()),
+            (b"X-Request-ID", call.request_id),
+            (b"X-Timeout", b"%.3f" % (time_left_us / 1_000_000)),
         ]
-        if call.key:
-            headers.append((b"Idempotency-Key", call.key))
-        if exchange.body.length is None:
+        if call.idempotency_key:
+            headers.append((b"Idempotency-Key", call.idempotency_key))
+        if request.body.length is None:
             headers.append((b"Transfer-Encoding", b"chunked"))
-        elif exchange.head.method == "POST":
-            headers.append((b"Content-Length", b"%d" % exchange.body.length))
-        return http1.request_head(exchange.head.method, call.target, headers)
+        elif request.head.method == "POST":
+            headers.append((b"Content-Length", b"%d" % request.body.length))
+        return http1.request_head(request.head.method, call.target, headers)
 
     def outcome(self, head: Response) -> Outcome:
-        """200: served; 503 or 504 with the mark: turned away, it never ran; all else may have run."""
+        """Return the outcome of a response.
+
+        200 is served; 503 or 504 with the header ``X-Not-Processed: 1`` was rejected and did not run;
+        anything else was possibly executed.
+        """
         if head.status == 200:
             return Outcome.SERVED
-        if head.status in (503, 504) and http1.header(head.headers, NOT_PROCESSED) == b"1":
+        if head.status in (503, 504) and http1.header(head.headers, NOT_PROCESSED_HEADER) == b"1":
             return Outcome.ENDPOINT_FULL
         return Outcome.ERROR
 
-    def report(self, head: Response) -> tuple[float, ...]:
-        """``TEXT name=value, ...``; none where a value is missing or no number."""
-        text = http1.header(head.headers, REPORT) if self.names else None
+    def load_report(self, head: Response) -> tuple[float, ...]:
+        """Return the values of ``TEXT name=value, ...``; none where one is missing or not a valid number."""
+        text = http1.header(head.headers, LOAD_REPORT_HEADER) if self.load_report_names else None
         if text is None:
             return ()
-        found = dict(
-            part.strip().partition("=")[::2]
-            for part in text.decode("latin-1").removeprefix(REPORT_FORM).split(",")
-        )
+        items = text.decode("latin-1").removeprefix(LOAD_REPORT_PREFIX).split(",")
+        reported = dict(item.strip().partition("=")[::2] for item in items)
         try:
-            values = tuple(float(found[name]) for name in self.names)
+            values = tuple(float(reported[name]) for name in self.load_report_names)
         except (KeyError, ValueError):
             return ()
-        return values if all(0 <= value < 1e12 for value in values) else ()
+        return values if all(0 <= value < LOAD_REPORT_LIMIT for value in values) else ()
 
-    def answer(self, exchange: Exchange, head: Response) -> Answer:
-        """The body alone is the host's."""
-        return Answer(head.status, [])
+    def client_response(self, _request: PendingRequest, head: Response) -> ClientResponse:
+        """Return the client's response: the status is the endpoint's, and so is the body that follows."""
+        return ClientResponse(head.status, [])
--- a/orchidlane/platform/shutdown.py
+++ b/orchidlane/platform/shutdown.py
@@ -1,38 +1,47 @@
-"""Graceful shutdown: what is owed between SIGTERM and SIGKILL, as times. Decides without I/O.
+"""The times of a graceful shutdown, between SIGTERM and SIGKILL. Does no I/O.
 
-By the protocol new connections keep coming for 0.4 s, clients use those that stay open, and SIGKILL comes
-``KILLED`` after the longest deadline, of which 3 s are counted at most. So:
+By the platform's protocol new connections keep coming for 0.4 s after SIGTERM, clients use those that stay
+open, and SIGKILL comes ``KILL_DELAY_US`` after the longest deadline, of which 3 s are counted at most. So:
 
-    ``STAY``              all goes on as before; at its end the listener and the connections at rest close
+    ACCEPT_PERIOD_US      everything goes on as before; at its end the listener and idle connections close
     + longest deadline    until the last request that came meanwhile has had its time
-    + ``SPARE``           for the last answers to leave
-    -------------------
-    = longest + KILLED    whatever the deadlines are, each request that came in time has all of its own
+    + RESPONSE_MARGIN_US  for the last responses to leave
+    --------------------
+    = longest deadline + KILL_DELAY_US: whatever the deadlines are, each request that came in time has all of
+    its own
 
-Only a request whose own time is longer than what is counted of it ends earlier, ``SPARE`` before we are
-killed.
+Only a request whose own time is longer than what is counted of it ends earlier, ``RESPONSE_MARGIN_US`` before
+SIGKILL.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-NEW_MOST = 400_000  # microseconds after SIGTERM in which new connections keep coming
-KILLED = 700_000  # microseconds: SIGKILL comes no sooner than this after the longest deadline
-COUNTED = 3_000_000  # microseconds that the longest deadline counts as at most
-STAY = NEW_MOST + 100_000  # the rest: for those on their way
-SPARE = KILLED - STAY
+NEW_CONNECTIONS_PERIOD_US = 400_000  # by the platform's protocol
+KILL_DELAY_US = 700_000  # by the platform's protocol
+MAX_COUNTED_DEADLINE_US = 3_000_000  # by the platform's protocol
+ACCEPT_PERIOD_US = NEW_CONNECTIONS_PERIOD_US + 100_000  # for connections on their way
+RESPONSE_MARGIN_US = KILL_DELAY_US - ACCEPT_PERIOD_US
 
 
-class Shutdown(NamedTuple):
-    """Clock times in microseconds."""
+class ShutdownTimes(NamedTuple):
+    """Clock times in microseconds.
 
-    leave: int  # no more clients are taken from then on
-    last: int  # nothing is waited for any more
-    end: int  # the last answers have been taken, or never will be
+    No connection is accepted from ``stop_accepting`` on; open requests are waited for until ``stop_waiting``;
+    by ``end`` the last responses have been read, or never will be.
+    """
 
+    stop_accepting: int
+    stop_waiting: int
+    end: int
 
-def graceful_shutdown(now: int, longest: int) -> Shutdown:
-    """The times of a shutdown that begins now; ``longest`` is the longest deadline of any class."""
-    killed = now + min(longest, COUNTED) + KILLED
-    return Shutdown(now + STAY, killed - SPARE, killed - SPARE // 2)
+
+def graceful_shutdown(now: int, longest_deadline_us: int) -> ShutdownTimes:
+    """Return the times of a shutdown that begins now; the deadline is the longest of any request class."""
+    killed_at = now + min(longest_deadline_us, MAX_COUNTED_DEADLINE_US) + KILL_DELAY_US
+    return ShutdownTimes(
+        stop_accepting=now + ACCEPT_PERIOD_US,
+        stop_waiting=killed_at - RESPONSE_MARGIN_US,
+        end=killed_at - RESPONSE_MARGIN_US // 2,
+    )
--- a/orchidlane/simulation/backends.py
+++ b/orchidlane/simulation/backends.py
@@ -128,8 +128,13 @@
         """Nothing may be left behind once all is answered: what leaks makes a gateway refuse for ever."""
         for rank, program in self.programs.items():
             host = program.host
-            left = len(host.exchanges), len(host.runs), len(host.rules.requests), len(host.rules.attempts)
-            out = sum(known.in_flight for known in host.rules.endpoints.values())
+            left = (
+                len(host.requests),
+                len(host.attempts),
+                len(host.gateway.requests),
+                len(host.gateway.attempts),
+            )
+            out = sum(known.in_flight for known in host.gateway.endpoints.values())
             if any((*left, out)) and not self.processes[f"gw-{rank}"].dead:
                 raise AssertionError(f"gw-{rank} left behind: {left}, {out} out")
 
--- a/tests/harness/fleet_house.py
+++ b/tests/harness/fleet_house.py
@@ -12,8 +12,8 @@
 
 from harness.platform_house import HALLS, MS, SECOND, call, file, settings
 from orchidlane import http1
-from orchidlane.platform.configuration import parse
-from orchidlane.platform.lifecycle import Life
+from orchidlane.platform.configuration import parse_configuration
+from orchidlane.platform.lifecycle import PlatformGateway
 from orchidlane.runtime import CONTROL, Closed, Expired, Faults, Loop, NotConnected, Scope, SimWorld
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -68,7 +68,7 @@
         self.hosts = [Host(number, 0) for number in range(terms.hosts)]
         self.generation = 1
         self.changes: list[tuple[int, int, dict]] = []  # generation, when, entry
-        self.lives: list[Life] = []
+        self.lives: list[PlatformGateway] = []
         self.asked: list[tuple[int, int]] = []  # when and whose: every try
         self.sent: list[tuple[int, int]] = []  # the same: its first attempt reached a host
         self.statuses: dict[int, int] = {}
@@ -111,7 +111,7 @@
             settings=told,
             known=known,
         )
-        return parse(json.dumps(whole).encode(), "config.json")
+        return parse_configuration(json.dumps(whole).encode(), "config.json")
 
     def _agent(self, rank: int) -> None:
         """Tells what it has heard of so far to each watch, and goes on."""
@@ -252,7 +252,7 @@
         """Start a gateway, or start it again."""
 
         def work() -> None:
-            self.lives[rank] = Life(self.loop, self._config(rank), "config.json")
+            self.lives[rank] = PlatformGateway(self.loop, self._config(rank), "config.json")
             self.lives[rank].run()
 
         self.processes[rank] = self.world.start(f"n{rank}", work)
--- a/tests/harness/platform_house.py
+++ b/tests/harness/platform_house.py
@@ -7,8 +7,8 @@
 from contextlib import suppress
 
 from harness.gateway_house import House
-from orchidlane.platform.configuration import Config, parse
-from orchidlane.platform.lifecycle import Life
+from orchidlane.platform.configuration import Configuration, parse_configuration
+from orchidlane.platform.lifecycle import PlatformGateway
 from orchidlane.runtime import CONTROL, Closed, Faults, Loop, RealWorld, Scope, SimWorld
 
 MS, SECOND = 1_000, 1_000_000
@@ -86,9 +86,9 @@
     return {**found, **changes}
 
 
-def configuration(**changes) -> Config:
+def configuration(**changes) -> Configuration:
     """The same, checked."""
-    return parse(json.dumps(file(**changes)).encode(), "config.json")
+    return parse_configuration(json.dumps(file(**changes)).encode(), "config.json")
 
 
 def instance(index: int, lifecycle: str = "active", port: int | None = None, **changes) -> dict:
@@ -167,7 +167,7 @@
         self.seen: list[tuple[int, bytes]] = []
         self.heads: list = []  # of the requests that ``good`` served
         self.ended = False
-        self.life: Life
+        self.life: PlatformGateway
 
     def _world(self, seed: int):
         return SimWorld(seed, Faults(delay=(100, 200), slow_chance=0.0, datagram_loss=0.0))
@@ -198,7 +198,7 @@
         self.world.kill(self.process)
 
     def _gateway(self) -> None:
-        self.life = Life(self.loop, configuration(**self.changes), "config.json")
+        self.life = PlatformGateway(self.loop, configuration(**self.changes), "config.json")
         self.life.run()
         self.ended = True
 
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -9,10 +9,10 @@
 from harness.platform_house import SECOND, PlatformHouse
 
 from orchidlane.gateway.control.json_stream import JsonObjectSplitter
-from orchidlane.gateway.forwarding.connection_pool import Pool
-from orchidlane.gateway.server.http_server import Front
-from orchidlane.platform import discovery, lifecycle, shutdown
-from orchidlane.platform.discovery import Tracker
+from orchidlane.gateway.forwarding.connection_pool import ConnectionPool
+from orchidlane.gateway.server.http_server import HttpServer
+from orchidlane.platform import discovery_watch, lifecycle, shutdown
+from orchidlane.platform.discovery import DiscoveryTracker
 from orchidlane.runtime import Lingering, Loop, RealWorld
 from orchidlane.runtime.real_backend import RealStream
 
@@ -43,7 +43,7 @@
 
 def old_shutdown(now, longest):
     last = now + min(longest, 3 * SECOND) + 470_000
-    return shutdown.Shutdown(now + 720_000, last, last + 125_000)
+    return shutdown.ShutdownTimes(now + 720_000, last, last + 125_000)
 
 
 def linger_for_ever(self, stream):
@@ -87,44 +87,44 @@
         (),
     ),
     "idle time without a look": (
-        Front,
+        HttpServer,
         "_first_bytes",
         first_bytes_or_none,
         moments.test_a_request_that_came_as_its_idle_time_ended_is_served,
         (),
     ),
     "drains without a look": (
-        Front,
+        HttpServer,
         "_is_at_rest",
         yes,
         moments.test_what_has_come_when_a_gateway_leaves_is_served_and_what_comes_later_is_not,
         (),
     ),
     "drains without the waiting": (
-        Front,
+        HttpServer,
         "_next_waiting",
         no_more,
         moments.test_what_has_come_when_a_gateway_leaves_is_served_and_what_comes_later_is_not,
         (),
     ),
     "drains with the first answer": (
-        Front,
+        HttpServer,
         "_is_last",
         lambda self, connection: self.draining,
         moments.test_requests_behind_another_one_when_a_gateway_leaves_are_served_like_it,
         (True,),
     ),
     "drains for ever": (
-        Front,
+        HttpServer,
         "_is_last",
         lambda self, connection: self.draining and not connection.stream.waiting(),
         moments.test_a_client_that_sends_ever_more_finds_an_end_when_a_shutdown_is_over,
         (),
     ),
     "young because it was taken": (
-        Pool,
+        ConnectionPool,
         "put_back",
-        Pool.give_back,
+        ConnectionPool.give_back,
         moments.test_a_connection_that_was_taken_and_not_used_is_no_younger_for_it,
         (),
     ),
@@ -140,8 +140,8 @@
         (120_000,),
     ),
     "silent for long": (
-        discovery,
-        "SILENCE",
+        discovery_watch,
+        "SILENCE_TIMEOUT_US",
         6_500_000,
         watches.test_what_a_broken_watch_misses_is_known_when_it_counts_as_told,
         (PlatformHouse, "silent"),
@@ -162,27 +162,27 @@
     ),
     "seldom asked": (
         lifecycle,
-        "retry_interval",
+        "retry_interval_us",
         lambda grace: 3 * grace,
         watches.test_what_discovery_has_at_its_return_is_known_within_the_grace,
         (PlatformHouse, "refuses"),
     ),
     "old news count": (
-        Tracker,
-        "_counts",
+        DiscoveryTracker,
+        "_is_newer",
         yes,
         watches.test_a_host_that_left_does_not_come_back_by_an_older_list,
         (),
     ),
     "old news of drains count": (
-        Tracker,
-        "_counts",
+        DiscoveryTracker,
+        "_is_newer",
         yes,
         watches.test_a_host_that_drains_is_not_made_ready_by_changes_after_an_older_list,
         (),
     ),
     "ready before it is told": (
-        lifecycle.Life,
+        lifecycle.PlatformGateway,
         "_is_ready",
         yes,
         watches.test_ready_is_said_once_discovery_spoke,
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -14,9 +14,9 @@
 from orchidlane.config import Duration
 from orchidlane.gateway.control import endpoint_list
 from orchidlane.gateway.forwarding import connection_pool
-from orchidlane.gateway.forwarding.pending_request import Answer
-from orchidlane.gateway.forwarding.policy_driver import Host
-from orchidlane.gateway.server.http_server import Front
+from orchidlane.gateway.forwarding.pending_request import ClientResponse
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
+from orchidlane.gateway.server.http_server import HttpServer
 from orchidlane.policy.gateway import Gateway
 from orchidlane.simulation.backends import play, simulate
 from orchidlane.simulation.random_faults import broken, play_seeds
@@ -99,53 +99,53 @@
 
 
 def test_the_audit_objects_to_a_lost_answer(monkeypatch):
-    finish = Host._finish
+    finish = PolicyDriver._finish
 
     def loses(self, exchange, answer):
         if exchange.number % 20:
             finish(self, exchange, answer)
 
-    monkeypatch.setattr(Host, "_finish", loses)
+    monkeypatch.setattr(PolicyDriver, "_finish", loses)
     verdict = simulate(day(span=3), 1)
     assert verdict.missing
     assert not verdict.rules["1"]
 
 
 def test_the_audit_objects_to_a_doubled_answer(monkeypatch):
-    write = Front._write
+    write = HttpServer._write
 
     def twice(self, connection, head, answer, keep):
         write(self, connection, head, answer, keep)
         return write(self, connection, head, answer, keep)
 
-    monkeypatch.setattr(Front, "_write", twice)
+    monkeypatch.setattr(HttpServer, "_write", twice)
     verdict = simulate(day(span=3), 1)
     assert verdict.doubled
     assert not verdict.rules["1"]
 
 
 def test_the_audit_objects_to_a_late_answer(monkeypatch):
-    write = Front._write
+    write = HttpServer._write
 
     def late(self, connection, head, answer, keep):
         self.loop.sleep(300_000 if answer.status == 503 else 0)
         return write(self, connection, head, answer, keep)
 
-    monkeypatch.setattr(Front, "_write", late)
+    monkeypatch.setattr(HttpServer, "_write", late)
     verdict = simulate(day(step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, silent=0.3), span=4), 1)
     assert verdict.late
     assert not verdict.rules["1"]
 
 
 def test_the_audit_objects_to_an_effect_that_comes_twice(monkeypatch):
-    ended = Host.ended
+    ended = PolicyDriver.attempt_ended
 
     def lies(self, exchange, attempt, server, outcome, took, report=(), answer=None):
         if outcome is policy.Outcome.CONNECTION_BROKEN:
             outcome = policy.Outcome.NOT_SENT
         ended(self, exchange, attempt, server, outcome, took, report, answer)
 
-    monkeypatch.setattr(Host, "ended", lies)
+    monkeypatch.setattr(PolicyDriver, "attempt_ended", lies)
     monkeypatch.setattr(connection_pool, "why_not", lambda *_: None)
     steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
     verdict = simulate(day(steps, span=4), 1)
@@ -156,7 +156,7 @@
 def test_the_audit_objects_to_a_refusal_after_a_run(monkeypatch):
     monkeypatch.setattr(
         "orchidlane.gateway.forwarding.openapi_adapter.failed",
-        lambda: Answer(503, [(b"retry-after", b"1")], b"", kind="refused"),
+        lambda: ClientResponse(503, [(b"retry-after", b"1")], b"", kind="refused"),
     )
     steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
     assert not rules(day(steps, span=4))["2"]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -265,8 +265,8 @@
         stream.close()
         house.loop.sleep(200 * MS)
         assert ended == [b""]
-        assert not house.program.host.exchanges
-        assert not house.program.host.runs
+        assert not house.program.host.requests
+        assert not house.program.host.attempts
 
     run(slow, test=test)
 
@@ -284,8 +284,8 @@
             house.loop.sleep(wait * MS)
             stream.close()
         house.loop.sleep(SECOND)
-        assert not house.program.host.exchanges
-        assert not house.program.host.runs
+        assert not house.program.host.requests
+        assert not house.program.host.attempts
         assert house.ask(GET)[0] in (200, 503)  # cancelled attempts may make the node look slow
 
     run(timed, test=test)
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -511,7 +511,7 @@
     about = {"now": T0, "incarnation": T0 - 1_000_000, "sequence": 5_000, "generation": 4, "open": 2}
     program = SimpleNamespace(
         loop=disk,
-        host=SimpleNamespace(loop=disk, rules=gateway, settings=SETTINGS),
+        host=SimpleNamespace(loop=disk, gateway=gateway, settings=SETTINGS),
         fleet=SimpleNamespace(
             account_store=SimpleNamespace(write_interval_us=2_000_000),
             plans=dict.fromkeys(PLAN_NAMES),
@@ -532,7 +532,7 @@
     """As the program writes its accounts down at its end."""
     disk = Disk()
     store = account_store(disk)
-    store.program.host.rules.accounts.update({one.customer: one for one in golden_accounts()})
+    store.program.host.gateway.accounts.update({one.customer: one for one in golden_accounts()})
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(recording, "build_name", lambda: BUILD)
         store.finish()
@@ -794,7 +794,7 @@
     assert [recording.load_account(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
     store = account_store(Disk(accounts=golden("account-store.olr")))
     assert store.load() == len(golden_accounts())
-    accounts = store.program.host.rules.accounts
+    accounts = store.program.host.gateway.accounts
     for one in golden_accounts():
         found = accounts[one.customer]
         assert (found.key, found.spent_total, found.counted_total) == (
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -807,8 +807,8 @@
 def is_accepted(value: dict) -> bool:
     """Whether the platform's configuration file may be so."""
     try:
-        platform_config.parse(json.dumps(value).encode(), "config.json")
-    except platform_config.ConfigError:
+        platform_config.parse_configuration(json.dumps(value).encode(), "config.json")
+    except platform_config.ConfigurationError:
         return False
     return True
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from test_day import SECOND, day, quiet, step  # noqa: F401
 
-from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.peers.token_requests import LimitService
 from orchidlane.limits import (
     Claim,
@@ -206,7 +206,7 @@
 
 def test_over_the_fleet_no_token_is_counted_twice(monkeypatch):
     counted: Counter[bytes] = Counter()
-    take_once, take = LimitService.take_once, Host.take
+    take_once, take = LimitService.take_once, PolicyDriver.request_quota
     tokens: dict[int, bytes] = {}
 
     def noting(self, customer, units, kind, span, token):
@@ -224,7 +224,7 @@
         return granted
 
     monkeypatch.setattr(LimitService, "take_once", noting)
-    monkeypatch.setattr(Host, "take", counting)
+    monkeypatch.setattr(PolicyDriver, "request_quota", counting)
     troubles = (
         step(0.2, "peer_faults", span=6, loss=0.3, double=0.3, delay=150_000),
         step(3.5, "kill_gateway", 0, back=0.1),
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -14,7 +14,7 @@
 import pytest
 from harness.platform_house import MS, OK, SECOND, PlatformHouse, RealPlatformHouse, call, settings
 
-from orchidlane.platform.shutdown import STAY, graceful_shutdown
+from orchidlane.platform.shutdown import ACCEPT_PERIOD_US, graceful_shutdown
 from orchidlane.runtime import Closed
 
 CLOSE = "Connection: close"
@@ -247,7 +247,7 @@
         client = house.connect()
         for _ in range(3):
             client.send(call())
-        house.until(lambda: house.seen and client.sent and house.life.host.exchanges)
+        house.until(lambda: house.seen and client.sent and house.life.host.requests)
         house.life.stopping = True
         front.drain()
         house.answer_now = True
@@ -275,7 +275,7 @@
                 unsent = unsent[client.try_send(unsent) :]
 
         send_more()
-        house.until(lambda: house.life.host.numbers)
+        house.until(lambda: house.life.host.last_request_number)
         house.life.stopping = True
         front.last = house.loop.now() + 200 * MS
         front.drain()
@@ -322,7 +322,7 @@
         streams["after"].send(call("put", body=body, left="1.500"))
         streams["half read"].send(raw[-20:])
         house.until(lambda: len(house.seen) == 3)
-        house.loop.sleep(STAY)
+        house.loop.sleep(ACCEPT_PERIOD_US)
         house.answer_now = True
         for name, stream in streams.items():
             answer = to_the_end(house, stream)
@@ -384,9 +384,9 @@
         client = house.connect()
         client.send(call("bill", body=b"1"))
         getattr(client, leave)()
-        house.until(lambda: house.life.host.numbers or leave == "abort")
+        house.until(lambda: house.life.host.last_request_number or leave == "abort")
         house.until(lambda: not house.life.front.connections)
-        assert not house.life.host.exchanges and not house.life.host.rules.attempts
+        assert not house.life.host.requests and not house.life.host.gateway.attempts
 
     assert not run(good, test=test).seen
 
@@ -405,8 +405,8 @@
         house.until(lambda: gate.waiting)
         getattr(client, leave)()
         gate.open()  # the attempt goes on before its front hears of the end
-        house.until(lambda: not house.life.host.exchanges)
-        house.until(lambda: not house.life.host.rules.attempts)
+        house.until(lambda: not house.life.host.requests)
+        house.until(lambda: not house.life.host.gateway.attempts)
         assert not house.life.clients.in_flight
 
     assert len(run(full, full, test=test).seen) == attempt - 1
@@ -421,9 +421,9 @@
         house.until(lambda: house.seen)
         turns = house.loop.turns
         house.loop.sleep(20 * MS)
-        assert house.life.host.exchanges and house.loop.turns - turns < 50  # unread bytes don't make it spin
+        assert house.life.host.requests and house.loop.turns - turns < 50  # unread bytes don't make it spin
         getattr(client, leave)()
-        house.until(lambda: not house.life.host.exchanges, 1_500 * MS)  # before its time is over
+        house.until(lambda: not house.life.host.requests, 1_500 * MS)  # before its time is over
         house.until(lambda: house.host_saw_end)
 
     run(silent, test=test)
@@ -437,7 +437,7 @@
         house.until(lambda: gate.waiting)
         client.abort()
         gate.open()
-        house.until(lambda: not house.life.host.exchanges and not house.life.host.rules.attempts)
+        house.until(lambda: not house.life.host.requests and not house.life.host.gateway.attempts)
 
     assert not run(good, test=test).seen
 
@@ -497,8 +497,8 @@
         client = house.connect()
         client.send(call())
         client.half_close()  # the attempt has its connection when that is seen
-        house.until(lambda: house.life.host.numbers == 2 and not house.life.host.exchanges)
-        house.until(lambda: not house.life.host.rules.attempts)
+        house.until(lambda: house.life.host.last_request_number == 2 and not house.life.host.requests)
+        house.until(lambda: not house.life.host.gateway.attempts)
         assert house.life.pool._idle[b"s-0"][0].idle_since == before
         house.loop.sleep(200 * MS)
         assert house.ask(call())[0] == 200
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -25,11 +25,11 @@
 
 from orchidlane.gateway.control.endpoint_list import WatchEventError
 from orchidlane.http1 import header
-from orchidlane.platform.configuration import ConfigError, parse
-from orchidlane.platform.discovery import Tracker
-from orchidlane.platform.rate_limited_log import Log
+from orchidlane.platform.configuration import ConfigurationError, parse_configuration
+from orchidlane.platform.discovery import DiscoveryTracker
+from orchidlane.platform.rate_limited_log import RateLimitedLog
 from orchidlane.platform.resource_limits import limits_for
-from orchidlane.platform.shutdown import STAY
+from orchidlane.platform.shutdown import ACCEPT_PERIOD_US
 from orchidlane.runtime import CONTROL, Closed
 
 
@@ -82,7 +82,7 @@
         raw, stream = call("bill", body=b"12345678", left="0.300"), house.connect()
         stream.send(raw[:-4])
         house.loop.sleep(600 * MS)
-        assert not house.life.host.rules.accounts
+        assert not house.life.host.gateway.accounts
         stream.send(raw[-4:])
         assert house.answer(stream, "POST")[0] == 200
 
@@ -126,7 +126,7 @@
         status, _, _ = house.ask(raw)
         assert 400 <= status < 500 or status == 501
         assert house.loop.now() - began < 2 * SECOND
-        assert not house.life.host.rules.accounts
+        assert not house.life.host.gateway.accounts
         assert not house.life.clients.in_flight
         assert house.ask(call())[0] == 200
 
@@ -141,7 +141,7 @@
         stream.send(raw) if raw else None
         assert house.answer(stream, wait=2_900 * MS)[0] in (0, 408)
         house.until(lambda: not house.life.front.connections, 400 * MS)
-        assert not house.life.host.rules.accounts
+        assert not house.life.host.gateway.accounts
 
     assert not run(good, test=test).seen
 
@@ -291,7 +291,7 @@
         for client in clients:
             client.send(call())
         assert sorted(house.answer(client)[0] for client in clients) == [200, 200, 503]
-        assert all(host.failure_score == 0 for host in house.life.host.rules.endpoints.values())
+        assert all(host.failure_score == 0 for host in house.life.host.gateway.endpoints.values())
 
     run(slow, slow, test=test)
 
@@ -299,23 +299,23 @@
 # -- discovery
 
 
-def listed(tracker: Tracker, generation: int, *instances, reset: bool = False):
-    return tracker.take(
+def listed(tracker: DiscoveryTracker, generation: int, *instances, reset: bool = False):
+    return tracker.apply_line(
         json.dumps({"generation": generation, "reset": reset, "instances": list(instances)}).encode()
     )
 
 
 def test_old_news_never_make_a_host_ready_again():
-    tracker = Tracker(("hall-1",))
+    tracker = DiscoveryTracker(("hall-1",))
     listed(tracker, 40, instance(1), instance(2), reset=True)
     assert listed(tracker, 41, instance(1, "leaving")) is not None
     assert listed(tracker, 41, instance(1)) is None
     assert listed(tracker, 39, instance(1)) is None
     news = listed(tracker, 12, instance(1), instance(3), reset=True)  # a service that is behind
     assert [entry.endpoint for entry in news.entries] == [b"s-3"]
-    assert tracker.phase(b"s-1") == "draining"
+    assert tracker.state(b"s-1") == "draining"
     assert listed(tracker, 13, instance(2, "left")) is not None
-    assert tracker.phase(b"s-2") == "gone"
+    assert tracker.state(b"s-2") == "gone"
 
 
 @pytest.mark.parametrize(
@@ -330,7 +330,7 @@
 )
 def test_a_line_that_is_none_is_refused(line):
     with pytest.raises(WatchEventError):
-        Tracker(()).take(line)
+        DiscoveryTracker(()).apply_line(line)
 
 
 def test_a_watch_that_falls_silent_or_breaks_is_begun_anew_from_its_generation():
@@ -342,7 +342,7 @@
         house.until(lambda: len(house.discovery.asked) == 2)
         house.until(lambda: len(house.discovery.asked) == 3)  # nothing came, not even an empty line
         assert [b"from=5" in head for head in house.discovery.asked] == [False, True, True]
-        assert house.life.tracker.phase(b"s-0") == "draining"
+        assert house.life.tracker.state(b"s-0") == "draining"
 
     run(good, test=test)
 
@@ -356,8 +356,8 @@
             client = f"{generation:016x}"
             assert house.ask(call(client=client))[0] == 200
         house.loop.sleep(3 * SECOND)
-        life, rules = house.life, house.life.host.rules
-        assert (len(life.tracker.nodes), len(life.tracker.places), life.pool.open) == (1, 1, 1)
+        life, rules = house.life, house.life.host.gateway
+        assert (len(life.tracker.endpoints), len(life.tracker.addresses), life.pool.open) == (1, 1, 1)
         held = [
             rules.endpoints,
             rules.cell_pools,
@@ -380,7 +380,7 @@
         old.send(call())
         assert house.answer(old)[0] == 200
         house.life.stop()
-        house.loop.sleep(STAY - 50 * MS)
+        house.loop.sleep(ACCEPT_PERIOD_US - 50 * MS)
         old.send(call())
         assert house.answer(old)[0] == 200
         assert house.ask(call())[0] == 200
@@ -448,11 +448,11 @@
         def write(self, text):
             raise BlockingIOError(11, "no room")
 
-    log = Log(lambda: 0, "n0")
+    log = RateLimitedLog(lambda: 0, "n0")
     monkeypatch.setattr(sys, "stdout", Full())
-    log.say("one")
+    log.write("one")
     monkeypatch.undo()
-    assert log.left_out == 0
+    assert log.omitted_lines == 0
 
 
 def test_another_discovery_counts_at_once_and_a_bad_file_changes_nothing():
@@ -466,7 +466,7 @@
         house.world.write_file("config.json", json.dumps(file(discovery="127.0.0.1:8501")).encode())
         house.life.reload()
         house.until(lambda: other.asked, 50 * MS)
-        house.until(lambda: house.life.tracker.phase(b"s-0") == "draining", 50 * MS)
+        house.until(lambda: house.life.tracker.state(b"s-0") == "draining", 50 * MS)
         assert house.ask(call())[0] == 200
 
     assert run(good, good, test=test).seen[-1][0] == 1
@@ -474,19 +474,19 @@
 
 def test_a_failure_of_a_task_ends_nothing_else():
     def test(house):
-        rules = house.life.host.rules
+        rules = house.life.host.gateway
         before, rules.handle = rules.handle, lambda *_: 1 / 0
         assert house.ask(call())[0] == 500
         rules.handle = before
-        house.life.clients.answering = lambda *_: 1 / 0
+        house.life.clients.before_response = lambda *_: 1 / 0
         assert house.ask(call())[0] == 500
-        del house.life.clients.answering
+        del house.life.clients.before_response
         nodes = house.life.host.begin.__self__.nodes
-        nodes.head = lambda *_: 1 / 0
+        nodes.request_head = lambda *_: 1 / 0
         assert house.ask(call(left="0.300"))[0] in (500, 503)
-        del nodes.head
+        del nodes.request_head
         assert house.ask(call())[0] == 200
-        assert not house.life.host.exchanges
+        assert not house.life.host.requests
         assert not house.life.clients.in_flight
 
     run(good, test=test)
@@ -504,8 +504,8 @@
     ],
 )
 def test_a_configuration_that_cannot_be_used_is_named(text, names):
-    with pytest.raises(ConfigError, match=names):
-        parse(text, "config.json")
+    with pytest.raises(ConfigurationError, match=names):
+        parse_configuration(text, "config.json")
 
 
 def test_the_start_ends_with_one_line_where_it_is_told_nothing():
@@ -545,7 +545,7 @@
 
 def test_a_known_list_is_believed_until_discovery_speaks_even_with_a_lower_number():
     known = {"generation": 90, "reset": True, "instances": []}
-    assert configuration(known=known).known.generation == 90
+    assert configuration(known=known).last_known_list.generation == 90
     house = run(good, test=lambda house: None, known=known)
     assert house.life.tracker.generation == 1
 
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -299,7 +299,7 @@
 def refuses(program) -> None:
     while not program.ready:
         program.loop.sleep(MS)
-    program.host.rules._admits = lambda request: False
+    program.host.gateway._admits = lambda request: False
 
 
 def does_not_call(program) -> None:
