--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -168,7 +168,7 @@
     monkeypatch.setattr("orchidlane.runtime.simulated_backend.WINDOW", 4096)
 
     def test(house: House) -> None:
-        rules = house.program.host.rules
+        rules = house.program.host.gateway
         for customer in range(2_000):
             rules._account(customer + 10, 0, 0, 3, trusted=True)
         hung = house.world.connect(("127.0.0.1", 8280))
@@ -394,11 +394,11 @@
 
 
 def test_the_audit_over_records_objects_to_a_request_that_no_one_decided_on(tmp_path, monkeypatch):
-    from orchidlane.gateway.forwarding.connection_pool import AttemptRun
+    from orchidlane.gateway.forwarding.connection_pool import Attempt
 
-    head = AttemptRun._head
+    head = Attempt._head
     monkeypatch.setattr(
-        AttemptRun,
+        Attempt,
         "_head",
         lambda self: head(self).replace(b"-0\r\norchidlane-customer", b"-7\r\norchidlane-customer"),
     )
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -161,7 +161,7 @@
 
 
 def counted(program: Program) -> float:
-    account = program.host.rules.accounts[1]
+    account = program.host.gateway.accounts[1]
     return account.replica_counts[0][1]
 
 
@@ -578,7 +578,7 @@
     go_on = hot_restart.TakingSide._begin_trial
 
     def spoilt(self) -> None:
-        broken.append(self.program.host.rules)
+        broken.append(self.program.host.gateway)
         go_on(self)
 
     monkeypatch.setattr(hot_restart.TakingSide, "_begin_trial", spoilt)
@@ -677,7 +677,7 @@
 
 def test_a_hundred_thousand_customers_pass_while_traffic_flows():
     def test(house: Upgraded) -> None:
-        rules = house.program.host.rules
+        rules = house.program.host.gateway
         for customer in range(100_000):
             account = rules._account(customer + 10, 0, 0, 3, trusted=True)
             account.spent_total, account.unconfirmed = 1.0, True  # unheard: none is forgotten on the way
@@ -686,7 +686,7 @@
         program = settle(house)
         assert program is house.programs[1]
         assert set(house.statuses) == {200}
-        assert len(program.host.rules.accounts) == 100_001
+        assert len(program.host.gateway.accounts) == 100_001
         assert counted(program) == sent_on(house)
 
     Upgraded(slow, slow, slow, slow, upgrade_alone=True).run(test)
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -22,8 +22,8 @@
 from orchidlane.gateway.control.endpoint_list import WatchEventError
 from orchidlane.gateway.control.json_stream import JsonObjectSplitter, LineTooLongError
 from orchidlane.platform import polling
-from orchidlane.platform.discovery import LEFT_LEAST, NODES_MOST, Tracker
-from orchidlane.platform.polling import Asking, retry_interval
+from orchidlane.platform.discovery import MAX_ENDPOINTS, MIN_DEPARTED_REMEMBERED, DiscoveryTracker
+from orchidlane.platform.polling import PollSchedule, retry_interval_us
 from orchidlane.runtime import CONTROL, Closed, NotConnected
 
 WORLDS = pytest.mark.parametrize("world", [PlatformHouse, RealPlatformHouse])
@@ -34,12 +34,16 @@
 
 
 def test_the_times_of_a_silent_watch_add_up_to_what_it_counts_as_told():
-    assert polling.SILENCE >= polling.HEARTBEAT + 100 * MS  # else a healthy one is broken
+    assert (
+        polling.SILENCE_TIMEOUT_US >= polling.HEARTBEAT_INTERVAL_US + 100 * MS
+    )  # else a healthy one is broken
     for grace in (1, 300 * MS, 500 * MS, SECOND, 5 * SECOND):
-        again = retry_interval(grace)
-        assert polling.SILENCE + 7 * again <= polling.TOLD
-        assert again <= max(polling.RETRY_LEAST, grace // 2)  # after an outage two calls fit into the grace
-    assert polling.SILENCE + 2 * polling.BACKOFF_MOST < polling.TOLD
+        again = retry_interval_us(grace)
+        assert polling.SILENCE_TIMEOUT_US + 7 * again <= polling.NOTIFICATION_DEADLINE_US
+        assert again <= max(
+            polling.MIN_RETRY_INTERVAL_US, grace // 2
+        )  # after an outage two calls fit into the grace
+    assert polling.SILENCE_TIMEOUT_US + 2 * polling.MAX_BACKOFF_US < polling.NOTIFICATION_DEADLINE_US
 
 
 EVENTS = st.lists(
@@ -51,44 +55,44 @@
 
 @given(EVENTS)
 def test_calls_are_bounded_and_one_is_always_followed_or_due_soon(events):
-    clock, now, open_calls = Asking(500 * MS), 0, []
+    clock, now, open_calls = PollSchedule(500 * MS), 0, []
     for what, place, span in events:
         now += span if what == "wait" else 0
         if what != "wait" and open_calls:
             number = open_calls[place % len(open_calls)]
             if what == "spoke":
-                replaced = clock.spoke(number)
+                replaced = clock.response_received(number)
                 open_calls = [one for one in open_calls if one not in replaced]
             else:
                 open_calls.remove(number)
-                clock.ended(number, now)
-        number, given_up = clock.ask(now)
+                clock.poll_ended(number, now)
+        number, given_up = clock.next_poll(now)
         open_calls = [one for one in open_calls if one not in given_up]
         open_calls += [number] if number is not None else []
-        assert len(open_calls) <= polling.CALLS
-        assert set(open_calls) == {*clock.waiting, *([clock.following] if clock.following else [])}
-        if clock.following is None:
-            assert clock.next_look() <= now + polling.BACKOFF_MOST
+        assert len(open_calls) <= polling.MAX_PENDING_POLLS
+        assert set(open_calls) == {*clock.pending, *([clock.active] if clock.active else [])}
+        if clock.active is None:
+            assert clock.next_deadline() <= now + polling.MAX_BACKOFF_US
         else:
-            assert clock.next_look() is None and number is None and not clock.waiting
+            assert clock.next_deadline() is None and number is None and not clock.pending
 
 
 def test_a_watch_that_spoke_for_long_is_followed_by_the_next_at_once():
-    clock = Asking(500 * MS)
-    number, _ = clock.ask(0)
-    clock.spoke(number)
-    clock.ended(number, 10 * SECOND)
-    assert clock.ask(10 * SECOND)[0] is not None
+    clock = PollSchedule(500 * MS)
+    number, _ = clock.next_poll(0)
+    clock.response_received(number)
+    clock.poll_ended(number, 10 * SECOND)
+    assert clock.next_poll(10 * SECOND)[0] is not None
 
 
 def test_watches_that_end_soon_are_asked_for_less_and_less_often():
-    clock, now, apart = Asking(250 * MS), 0, []
+    clock, now, apart = PollSchedule(250 * MS), 0, []
     for _ in range(7):
         began = now
-        number, _ = clock.ask(now)
-        clock.spoke(number)
-        clock.ended(number, now)
-        now = clock.next_look()
+        number, _ = clock.next_poll(now)
+        clock.response_received(number)
+        clock.poll_ended(number, now)
+        now = clock.next_deadline()
         apart.append((now - began) // MS)
     assert apart == [250, 500, 1_000, 1_600, 1_600, 1_600, 1_600]
 
@@ -138,53 +142,53 @@
 
 def told(tracker, generation, *instances, reset=False):
     line = {"generation": generation, "reset": reset, "instances": list(instances)}
-    return tracker.take(json.dumps(line).encode())
+    return tracker.apply_line(json.dumps(line).encode())
 
 
 def test_a_host_that_left_does_not_come_back_by_an_older_list():
-    tracker = Tracker(("hall-1",))
+    tracker = DiscoveryTracker(("hall-1",))
     told(tracker, 40, instance(1), instance(2), reset=True)
     told(tracker, 41, instance(1, "left"))
     assert told(tracker, 39, instance(1), instance(2), reset=True) is None
     assert told(tracker, 40, instance(1)) is None  # changes that go on from there are old, too
-    assert tracker.phase(b"s-1") == "gone"
+    assert tracker.state(b"s-1") == "gone"
     told(tracker, 42, instance(1))
-    assert tracker.phase(b"s-1") == "ready"
+    assert tracker.state(b"s-1") == "ready"
 
 
 def test_a_host_that_drains_is_not_made_ready_by_changes_after_an_older_list():
-    tracker = Tracker(("hall-1",))
+    tracker = DiscoveryTracker(("hall-1",))
     told(tracker, 40, instance(1), instance(2), reset=True)
     told(tracker, 45, instance(1, "leaving"))
     told(tracker, 30, instance(1), instance(2), reset=True)
     assert told(tracker, 31, instance(1), instance(2, "leaving")).entries[0].endpoint == b"s-2"
-    assert (tracker.phase(b"s-1"), tracker.phase(b"s-2")) == ("draining", "draining")
+    assert (tracker.state(b"s-1"), tracker.state(b"s-2")) == ("draining", "draining")
     told(tracker, 32, instance(1, startedAtMs=5))  # it was started anew since
-    assert tracker.phase(b"s-1") == "ready"
+    assert tracker.state(b"s-1") == "ready"
 
 
 def test_a_whole_list_takes_away_those_that_it_does_not_name():
-    tracker = Tracker(("hall-1",))
+    tracker = DiscoveryTracker(("hall-1",))
     told(tracker, 40, instance(1), instance(2), reset=True)
     told(tracker, 41, instance(2), reset=True)
     told(tracker, 30, instance(1), reset=True)
-    assert tracker.phase(b"s-1") == "gone"
+    assert tracker.state(b"s-1") == "gone"
 
 
 def test_hosts_that_left_are_remembered_up_to_a_bound():
-    tracker = Tracker(("hall-1",))
-    for number in range(3 * LEFT_LEAST):
+    tracker = DiscoveryTracker(("hall-1",))
+    for number in range(3 * MIN_DEPARTED_REMEMBERED):
         told(tracker, 2 * number, instance(number))
         told(tracker, 2 * number + 1, instance(number, "left"))
-    assert len(tracker.left) == LEFT_LEAST and not tracker.nodes
+    assert len(tracker.departed) == MIN_DEPARTED_REMEMBERED and not tracker.endpoints
 
 
 def test_changes_beyond_the_bound_change_nothing():
-    tracker = Tracker(("hall-1",))
-    told(tracker, 1, *(instance(number) for number in range(NODES_MOST)), reset=True)
+    tracker = DiscoveryTracker(("hall-1",))
+    told(tracker, 1, *(instance(number) for number in range(MAX_ENDPOINTS)), reset=True)
     with pytest.raises(WatchEventError):
-        told(tracker, 2, instance(0, "leaving"), instance(NODES_MOST))
-    assert (tracker.generation, tracker.phase(b"s-0"), len(tracker.nodes)) == (1, "ready", NODES_MOST)
+        told(tracker, 2, instance(0, "leaving"), instance(MAX_ENDPOINTS))
+    assert (tracker.generation, tracker.state(b"s-0"), len(tracker.endpoints)) == (1, "ready", MAX_ENDPOINTS)
 
 
 # -- watches that go wrong
@@ -209,7 +213,7 @@
 
 
 def is_known(house) -> bool:
-    return house.life.tracker.phase(b"s-0") == "draining"
+    return house.life.tracker.state(b"s-0") == "draining"
 
 
 def within(house, span: int) -> int:
@@ -240,9 +244,9 @@
             ]
             house.scope.spawn(trickle, house, piece)
         drains(house)
-        house.until(lambda: is_known(house), within(house, polling.TOLD))
+        house.until(lambda: is_known(house), within(house, polling.NOTIFICATION_DEADLINE_US))
         assert len(house.discovery.asked) == 2
-        assert house.loop.now() - began < within(house, polling.TOLD)
+        assert house.loop.now() - began < within(house, polling.NOTIFICATION_DEADLINE_US)
 
     run(world, test)
 
@@ -250,7 +254,7 @@
 @WORLDS
 def test_a_watch_that_is_reset_is_opened_anew_at_once(world):
     def test(house):
-        house.loop.sleep(polling.HEARTBEAT)  # it spoke for a while
+        house.loop.sleep(polling.HEARTBEAT_INTERVAL_US)  # it spoke for a while
         drains(house)
         house.discovery.streams[0].abort()
         house.until(lambda: is_known(house), within(house, GRACE // 2))
@@ -261,7 +265,7 @@
 @WORLDS
 def test_a_healthy_watch_that_only_beats_is_left_alone(world):
     def test(house):
-        house.loop.sleep(3 * polling.HEARTBEAT)
+        house.loop.sleep(3 * polling.HEARTBEAT_INTERVAL_US)
         assert len(house.discovery.asked) == 1 and len(house.life.front.connections) == 0
 
     run(world, test)
@@ -293,7 +297,7 @@
         house.loop.sleep(4 * SECOND)
         assert (
             isinstance(house, RealPlatformHouse)
-            or len(discovery.unheard) <= 4 * SECOND // retry_interval(GRACE) + 1
+            or len(discovery.unheard) <= 4 * SECOND // retry_interval_us(GRACE) + 1
         )
         drains(house)
         discovery.answers = True
@@ -328,7 +332,7 @@
                 continue
         house.loop.sleep(50 * MS)
         assert is_known(house)
-        house.until(lambda: len(house.life._watching) == 1)
+        house.until(lambda: len(house.life._watch_tasks) == 1)
 
     run(world, test)
 
@@ -339,13 +343,13 @@
 )
 def test_a_list_that_cannot_be_read_changes_nothing_and_the_next_good_one_counts(world, bad, capsys):
     def test(house):
-        before = house.life.tracker.nodes.copy()
+        before = house.life.tracker.endpoints.copy()
         house.discovery.hello = []
         for _ in range(3):
             house.discovery.send(house.discovery.streams[-1], bad)
             count = len(house.discovery.streams)
             house.until(lambda count=count: len(house.discovery.streams) > count)
-        assert house.life.tracker.nodes == before and house.life.tracker.generation == 1
+        assert house.life.tracker.endpoints == before and house.life.tracker.generation == 1
         good_one = {"generation": 2, "reset": False, "instances": [house.instance(0, "leaving")]}
         house.discovery.send(house.discovery.streams[-1], good_one)
         house.until(lambda: is_known(house))
@@ -363,7 +367,10 @@
 
     def test(house):
         assert house.ask(up)[0] == 200
-        house.life._heard, house.life._known_until = False, house.loop.now() + 60 * SECOND
+        house.life._discovery_responded, house.life._ready_without_discovery_at = (
+            False,
+            house.loop.now() + 60 * SECOND,
+        )
         assert house.ask(up)[0] == 503
         house.discovery.tell(2, house.instance(0))
         house.until(lambda: house.ask(up)[0] == 200, within(house, GRACE // 2))
