--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -14,7 +14,7 @@
 from orchidlane import recording
 from orchidlane.gateway.telemetry.admin_api import StateFrames
 from orchidlane.hot_restart.account_recovery import Life, survivors
-from orchidlane.policy.state import Account
+from orchidlane.policy.accounts import Account
 
 if TYPE_CHECKING:
     from orchidlane.gateway.lifecycle.process import Program
@@ -56,7 +56,7 @@
         header, program = reader.header, self.program
         if header.gateway != program.entry.name:
             raise recording.FormatError(f"it is {header.gateway}'s")
-        about = header.about
+        about = header.context
         life = Life(
             int(header.settings["rank"]),
             header.plan_names,
@@ -64,7 +64,7 @@
             int(about["until"]),
             bool(about["clean"]),
         )
-        return survivors(reader.accounts(), life, tuple(program.fleet.plans), self.loop.now())
+        return survivors(reader.account_rows(), life, tuple(program.fleet.plans), self.loop.now())
 
     # -- while it runs
 
--- a/orchidlane/hot_restart/account_recovery.py
+++ b/orchidlane/hot_restart/account_recovery.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Any, NamedTuple
 
-from orchidlane.policy.state import Account
-from orchidlane.recording import load_account
+from orchidlane.policy.accounts import Account
+from orchidlane.recording import account_from_row
 
 
 class Life(NamedTuple):
@@ -35,11 +35,11 @@
     back = now < life.taken  # the clock went back: how long it has been is not known
     risen = now if back else min(now, life.until)
     for row in rows:
-        account = load_account(row)
+        account = account_from_row(row)
         plan = numbers.get(life.plans[account.plan])
         if plan is None:
             continue
-        account.key = (plan, *account.key[1:])
+        account.key = account.key._replace(plan=plan)
         room = account.remaining if life.clean and not back else 0.0
         account.limit, account.refilled_at_us = account.spent_total + max(0.0, room), risen
         account.replica_counts.pop(life.rank, None)
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 from conftest import SECOND
-from harness.gateway_house import GET, MS, House, good
+from harness.gateway_harness import GET, MS, GatewayHarness, good
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_day import day, quiet, step  # noqa: F401
@@ -23,7 +23,7 @@
 import orchidlane
 from orchidlane import policy, recording
 from orchidlane.gateway.telemetry.policy_views import plan_counts
-from orchidlane.policy.gateway import Gateway
+from orchidlane.policy import endpoint_selection, quota, retries
 from orchidlane.runtime import Loop, SimWorld
 from orchidlane.simulation.backends import SimulatedBacking
 from orchidlane.simulation.scenario import Runner, make_plan
@@ -34,26 +34,26 @@
 def save(story: Story, path: Path, touch: int = 0, build: str = "") -> None:
     """A whole state as a gateway tells it; so many more events happen between its pages."""
     gateway = story.bench.gateway
-    recording.track(gateway)
+    recording.track_accounts(gateway)
     snapshot = recording.Snapshot(gateway)
     header = recording.Header(
-        format=recording.FORMAT,
+        format=recording.FORMAT_VERSION,
         build=build or recording.build_name(),
         gateway="gw",
-        life=story.bench.now,
+        started_at_us=story.bench.now,
         number=0,
         settings=recording.settings_to_stored(story.bench.settings),
-        state=snapshot.head,
+        state=snapshot.state,
         class_names=NAMES[0],
         plan_names=NAMES[1],
-        about={"now": story.bench.now},
+        context={"now": story.bench.now},
     )
     data = recording.pack_header(header)
     for rows in snapshot.pages():
-        data += recording.pack_accounts(0, rows, last=False)
+        data += recording.pack_account_page(0, rows, last=False)
         for _ in range(touch):
             story.step()
-    path.write_bytes(data + recording.pack_accounts(0, [], last=True))
+    path.write_bytes(data + recording.pack_account_page(0, [], last=True))
 
 
 # Snapshots
@@ -66,10 +66,10 @@
     for _ in range(before):
         story.step()
     gateway = story.bench.gateway
-    recording.track(gateway)
+    recording.track_accounts(gateway)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("orchidlane.recording.snapshot.PAGE", page)
-        wanted = msgspec.msgpack.encode(recording.dump(gateway))
+        patch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", page)
+        wanted = msgspec.msgpack.encode(recording.dump_state(gateway))
         snapshots = recording.Snapshot(gateway), recording.Snapshot(gateway)  # two at once
         for snapshot in snapshots:
             rows = []
@@ -78,13 +78,13 @@
                 rows += msgspec.msgpack.decode(msgspec.msgpack.encode(some))
                 for _ in range(4):
                     story.step()
-            gateways.append((snapshot.head, rows))
-    kept = msgspec.msgpack.decode(wanted, type=recording.Dump)
+            gateways.append((snapshot.state, rows))
+    kept = msgspec.msgpack.decode(wanted, type=recording.StateDump)
     for head, rows in gateways:
-        head = msgspec.msgpack.decode(msgspec.msgpack.encode(head), type=recording.Dump)
+        head = msgspec.msgpack.decode(msgspec.msgpack.encode(head), type=recording.StateDump)
         assert sorted(rows) == sorted(kept.accounts)
         assert msgspec.structs.replace(head, accounts=[]) == msgspec.structs.replace(kept, accounts=[])
-    assert type(gateway.accounts) is recording.Accounts  # nothing is paid any more
+    assert type(gateway.accounts) is recording.ObservableAccounts  # nothing is paid any more
 
 
 def test_a_snapshot_that_is_given_up_costs_nothing_more():
@@ -92,11 +92,11 @@
     for _ in range(50):
         story.step()
     gateway = story.bench.gateway
-    recording.track(gateway)
+    recording.track_accounts(gateway)
     snapshot = recording.Snapshot(gateway)
-    assert type(gateway.accounts) is not recording.Accounts
+    assert type(gateway.accounts) is not recording.ObservableAccounts
     snapshot.close()
-    assert type(gateway.accounts) is recording.Accounts
+    assert type(gateway.accounts) is recording.ObservableAccounts
     assert list(snapshot.pages()) == []
 
 
@@ -110,7 +110,7 @@
     assert plan_counts(recording.SegmentReader(str(whole)), 3)["p"].customers > 0
     for size in range(len(data)):
         cut.write_bytes(data[:size])
-        with pytest.raises(recording.CutHead):
+        with pytest.raises(recording.TruncatedHeaderError):
             plan_counts(recording.SegmentReader(str(cut)), 3)
     assert run("counts", str(cut), "--plan", "p")[0] == 2
 
@@ -127,7 +127,7 @@
     for plan, name in enumerate(NAMES[1]):
         accounts = [one for one in gateway.accounts.values() if one.plan == plan]
         for account in accounts:
-            gateway._lift(account)
+            quota.refill(gateway, account)
         if accounts:
             assert found[name].spent == pytest.approx(sum(one.spent_total for one in accounts))
             assert found[name].room == pytest.approx(sum(one.remaining for one in accounts))
@@ -139,14 +139,14 @@
 # Against a gateway
 
 
-def ask_admin(house: House, target: bytes):
+def ask_admin(house: GatewayHarness, target: bytes):
     stream = house.world.connect(("127.0.0.1", 8280))
     stream.send(b"GET %s HTTP/1.1\r\nHost: a\r\n\r\n" % target)
     return house.answer(stream)
 
 
 def test_a_state_told_by_a_gateway_under_load_is_whole_and_a_second_one_waits(tmp_path):
-    def test(house: House) -> None:
+    def test(house: GatewayHarness) -> None:
         assert house.ask(GET)[0] == 200
         status, _, body = ask_admin(house, b"/state")
         assert status == 200
@@ -154,23 +154,23 @@
         path.write_bytes(body)
         reader = recording.SegmentReader(str(path))
         assert reader.header.build == recording.build_name()
-        assert reader.header.about["generation"] == 1
-        assert [row[0] for row in reader.accounts()] == [1]
+        assert reader.header.context["generation"] == 1
+        assert [row[0] for row in reader.account_rows()] == [1]
         assert run("counts", str(path), "1")[0] == 0
         assert run("counts", str(path), "2")[0] == 2
         assert ask_admin(house, b"/view?customer=1")[0] == 200
         assert ask_admin(house, b"/view?customer=%ff%00")[0] == 404
 
-    House(good).run(test)
+    GatewayHarness(good).run(test)
 
 
 def test_a_tool_that_hangs_slows_nothing_and_is_let_go(monkeypatch):
     monkeypatch.setattr("orchidlane.runtime.simulated_backend.WINDOW", 4096)
 
-    def test(house: House) -> None:
+    def test(house: GatewayHarness) -> None:
         rules = house.program.host.gateway
         for customer in range(2_000):
-            rules._account(customer + 10, 0, 0, 3, trusted=True)
+            quota.update_account_key(rules, customer + 10, 0, 0, 3)
         hung = house.world.connect(("127.0.0.1", 8280))
         hung.send(b"GET /state HTTP/1.1\r\nHost: a\r\n\r\n")
         house.loop.sleep(100 * MS)
@@ -183,15 +183,15 @@
             assert house.loop.now() - began < 20 * MS
         house.loop.sleep(10 * SECOND)
         assert not house.program.admin.telling
-        assert type(rules.accounts) is recording.Accounts
+        assert type(rules.accounts) is recording.ObservableAccounts
 
-    House(good).run(test)
+    GatewayHarness(good).run(test)
 
 
 def test_segments_begin_with_a_state_in_pages_and_replay_from_any_of_them(tmp_path, monkeypatch):
     """Small segments under load: each can be replayed alone, and all in a row."""
     monkeypatch.setattr("orchidlane.gateway.telemetry.traffic_recorder.SEGMENT", 30_000)
-    monkeypatch.setattr("orchidlane.recording.snapshot.PAGE", 3)
+    monkeypatch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", 3)
     world = SimWorld(6)
     loop = Loop(world)
     backing = SimulatedBacking(loop, world, record_to="rec")
@@ -201,16 +201,16 @@
     for name, data in world.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
-    paths = recording.read_folder(str(tmp_path))
+    paths = recording.list_segments(str(tmp_path))
     alone = 0
     for path in paths:
         found = recording.replay([path])
         assert found.difference is None
         alone += found.events
-    lives = [recording.replay(life) for life in recording.lives_of(paths)]
+    lives = [recording.replay(life) for life in recording.group_by_incarnation(paths)]
     assert len(paths) > 3 * len(lives)
     assert sum(one.events for one in lives) == alone > 2_500
-    assert all(one.difference is None and not one.unchecked for one in lives)
+    assert all(one.difference is None and not one.unchecked_parts for one in lives)
 
 
 # Broken records
@@ -229,7 +229,7 @@
         path = tmp_path / f"gw-1-{number}.olr"
         segment(story, 100, path, number)
         paths.append(path)
-    places = [one.place for one in recording.SegmentReader(str(paths[0])) if one.event is not None]
+    places = [one.offset for one in recording.SegmentReader(str(paths[0])) if one.event is not None]
     flip(paths[0], places[60] + offset)
     code, text = run("replay", str(tmp_path), "--json")
     assert code == 3, text
@@ -272,10 +272,10 @@
     reader = recording.SegmentReader(str(path))
     index = recording.TimeIndex(reader)
     middle = arrived[len(arrived) // 2][0]
-    found = [one for one in index.between(0, middle) if recording.customer_of(one) == 3]
-    assert [(one.now, one.event) for one in found] == [one for one in arrived if one[0] < middle]
-    by_customer = recording.Index(reader, recording.customer_of).entries(3)
-    assert [(one.now, one.event) for one in by_customer] == arrived
+    found = [one for one in index.between(0, middle) if recording.customer_number(one) == 3]
+    assert [(one.at_us, one.event) for one in found] == [one for one in arrived if one[0] < middle]
+    by_customer = recording.KeyIndex(reader, recording.customer_number).entries(3)
+    assert [(one.at_us, one.event) for one in by_customer] == arrived
     code, text = run("explain", str(tmp_path), "--customer", "3", "--json")
     assert code == 0
     assert len(json.loads(text)) == len(arrived)
@@ -290,10 +290,15 @@
     folder = tmp_path_factory.mktemp("other")
     source = Path(orchidlane.__file__).parent
     shutil.copytree(source, folder / "orchidlane", ignore=shutil.ignore_patterns("__pycache__"))
-    rules = folder / "orchidlane" / "policy" / "gateway.py"
-    text = rules.read_text()
-    assert "CLOSE, REOPEN = 0.25, 0.6" in text
-    rules.write_text(text.replace("CLOSE, REOPEN = 0.25, 0.6", "CLOSE, REOPEN = 0.9, 0.95"))
+    quota_source = folder / "orchidlane" / "policy" / "quota.py"
+    text = quota_source.read_text()
+    for constant, value in {
+        "EXHAUSTED_BELOW_SHARE = 0.25": "0.9",
+        "READMITTED_FROM_SHARE = 0.6": "0.95",
+    }.items():
+        assert text.count(constant) == 1
+        text = text.replace(constant, constant.rpartition(" ")[0] + " " + value)
+    quota_source.write_text(text)
     return folder
 
 
@@ -318,7 +323,7 @@
     code, text = run("counts", str(state), "3")
     assert code == 0, text
     with pytest.raises(recording.FormatError):  # what does not fit together is no state
-        recording.restore(story.bench.settings, recording.SegmentReader(str(state)).header.state)
+        recording.restore_gateway(story.bench.settings, recording.SegmentReader(str(state)).header.state)
     code, text = run_other(other_build, "counts", str(state), "3")
     assert (code, "its decisions could differ" in text) == (2, True), text
     assert run_other(other_build, "state", str(state))[0] == 2
@@ -377,16 +382,16 @@
 
 
 def test_the_audit_over_records_objects_to_an_unsafe_request_sent_again(tmp_path, monkeypatch):
-    def again(self, event):
-        self.end_attempt(event.request, event.attempt)
-        request = self.requests.get(event.request)
+    def again(state, event):
+        state.end_attempt(event.request, event.attempt)
+        request = state.requests.get(event.request)
         if request and event.answered:
-            self._drop(request)
+            retries._forget(state, request)
         elif request:
-            self._advance(request)
+            retries._advance(state, request)
 
-    monkeypatch.setattr(Gateway, "_attempt_ended", again)
-    monkeypatch.setattr(Gateway, "_may_send", lambda *_: True)
+    monkeypatch.setattr(retries, "attempt_ended", again)
+    monkeypatch.setattr(endpoint_selection, "_may_send", lambda *_: True)
     steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
     told = recorded_day(tmp_path, steps, span=3)
     assert told["gateways"]["faults"]["sent again"] > 0
@@ -410,7 +415,7 @@
     """Entries taken out of, or changed in, a record that holds."""
     story = Story(5)
     header_now, settings_ = story.bench.now, story.bench.settings
-    recording.track(story.bench.gateway)
+    recording.track_accounts(story.bench.gateway)
     entries = []
     story.tell(policy.RequestArrived(1, 7, 0, 0, 1.0, 2 * SECOND, 0, 3, False))
     server = next(a.endpoint for a in story.log[-1][2] if isinstance(a, policy.SendAttempt))
@@ -423,16 +428,16 @@
     def faults(*some) -> dict[str, int]:
         empty = Story(5).bench.gateway
         header = recording.Header(
-            recording.FORMAT,
+            recording.FORMAT_VERSION,
             "b",
             "gw",
             header_now,
             0,
             recording.settings_to_stored(settings_),
-            recording.dump(empty),
+            recording.dump_state(empty),
             *NAMES,
         )
-        data = recording.pack_header(header) + recording.pack_accounts(header_now, [], last=True)
+        data = recording.pack_header(header) + recording.pack_account_page(header_now, [], last=True)
         for now, event, actions in some:
             data += recording.pack_entry(now, event, actions)
         path = tmp_path / "gw-1-0.olr"
@@ -463,7 +468,7 @@
 def test_top_shows_who_answers_and_who_does_not():
     from orchidlane.cli.screen import Screen, as_rows
 
-    def test(house: House) -> None:
+    def test(house: GatewayHarness) -> None:
         screen = Screen(house.loop, "t", [("gw-0", ("127.0.0.1", 8280)), ("gw-1", ("127.0.0.1", 8281))])
         screen.look()
         for _ in range(10):
@@ -475,7 +480,7 @@
         assert rows[1] == {"gateway": "gw-1", "up": False}
         assert len(screen.table(screen.look()).columns) == 10
 
-    House(good).run(test)
+    GatewayHarness(good).run(test)
 
 
 @pytest.mark.parametrize("shell", ["bash", "zsh", "fish"])
@@ -506,8 +511,8 @@
 
 
 def test_a_question_that_never_comes_is_given_up_at_its_deadline():
-    def test(house: House) -> None:
+    def test(house: GatewayHarness) -> None:
         stream = house.world.connect(("127.0.0.1", 8280))
         assert stream.recv(deadline=house.loop.now() + 6 * SECOND) == b""
 
-    House(good).run(test)
+    GatewayHarness(good).run(test)
