--- a/orchidlane/gateway/forwarding/__init__.py
+++ b/orchidlane/gateway/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a request to an endpoint: policy driver, attempts, connections, protocol adapters."""
+"""Forwarding: one pending request, its attempts over pooled connections, and the policy that decides."""
--- /dev/null
+++ b/orchidlane/gateway/forwarding/attempt.py
@@ -0,0 +1,284 @@
+"""Attempts: a request is sent to one endpoint, and the policy is notified of the outcome, truthfully.
+
+connection refused or not made in time               not connected
+nothing written                                      never sent
+a complete head of a response                        what the protocol says (``EndpointAdapter.outcome``)
+a reset or an end after a byte was sent              broken, possibly executed
+no response in time after a byte was sent            timed out
+
+A reset before the last byte of a request counts as the protocol has it: some endpoints may have executed half
+a request, others never do.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from orchidlane import http1, policy
+from orchidlane.gateway.forwarding.client_response import ClientResponse, ResponseStream
+from orchidlane.gateway.forwarding.connection_pool import (
+    ConnectionPool,
+    EndpointConnection,
+    PoolExhaustedError,
+)
+from orchidlane.gateway.forwarding.endpoint_exchange import EndpointExchange
+from orchidlane.gateway.forwarding.last_check import PendingSend, RejectionReason, rejection_reason
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
+from orchidlane.gateway.forwarding.protocol_adapter import EndpointAdapter, GatewayLimits
+from orchidlane.http1 import Data, End, Response
+from orchidlane.policy import Idempotency, Outcome
+from orchidlane.runtime import BACKGROUND, Cancelled, Closed, Expired, Loop, NotConnected, Scope, Task
+
+
+class AttemptResult(NamedTuple):
+    """How an attempt ended; ``is_reusable`` says whether its connection can be reused."""
+
+    outcome: Outcome
+    response: ClientResponse | None = None
+    is_reusable: bool = False
+
+
+NOT_SENT = AttemptResult(Outcome.NOT_SENT)
+
+
+class AttemptStarter:
+    """Starts attempts; ``host`` has to be set before the first one."""
+
+    def __init__(self, loop: Loop, limits: GatewayLimits, scope: Scope, endpoints: EndpointAdapter) -> None:
+        self.loop = loop
+        self.scope = scope
+        self.endpoints = endpoints
+        self.times = limits.timeouts
+        self.max_buffered_response_bytes = limits.resource_limits.max_buffered_response_bytes
+        self.host: PolicyDriver
+        self.pool = ConnectionPool(loop, limits, scope)
+        scope.spawn(self.pool.run_sweeper, kind=BACKGROUND, name="sweep")
+
+    def begin(self, request: PendingRequest, number: int, action: policy.SendAttempt) -> None:
+        """Start an attempt in a task of its own."""
+        attempt = Attempt(self, request, number, action)
+        self.host.attempts[request.number, number] = attempt
+        attempt.task = self.scope.spawn(attempt.run, kind=request.task.kind, name="attempt")
+
+
+class Attempt:
+    """One attempt from its decision to its outcome.
+
+    ``was_sent`` is whether a byte may have reached the endpoint, ``is_first_sent`` whether it is the
+    request's first attempt that was possibly executed, ``has_ended`` whether the policy was notified of the
+    outcome.
+    """
+
+    def __init__(
+        self, starter: AttemptStarter, request: PendingRequest, number: int, action: policy.SendAttempt
+    ) -> None:
+        self.starter = starter
+        self.loop = starter.loop
+        self.request = request
+        self.number = number
+        self.endpoint = action.endpoint
+        self.deadline = action.timeout_at_us or request.deadline
+        self.began = self.loop.now()
+        self.was_sent = False
+        self.is_first_sent = False
+        self.has_ended = False
+        self.load_report: tuple[float, ...] = ()
+        self.task: Task
+
+    def cancel(self) -> None:
+        """Stop waiting; the endpoint sees its connection closed."""
+        self.loop.cancel(self.task)
+
+    def run(self) -> None:
+        """Run the attempt to its outcome."""
+        try:
+            result = self._run()
+        except Cancelled:
+            if self.loop.process.dead:
+                raise
+            if not self.has_ended:
+                self._end(Outcome.CANCELLED if self.was_sent else Outcome.NOT_SENT, None)
+            raise
+        except Exception as error:
+            on_failure = self.starter.host.on_failure
+            if on_failure is None:
+                raise
+            on_failure("attempt", error)
+            result = AttemptResult(Outcome.CONNECTION_BROKEN) if self.was_sent else NOT_SENT
+        if not self.has_ended:
+            self._end(result.outcome, result.response)
+
+    def _end(self, outcome: Outcome, response: ClientResponse | None) -> None:
+        self.has_ended = True
+        if outcome is Outcome.ENDPOINT_FULL and self.is_first_sent:
+            self.request.first_sent_at = None  # it was not executed: the next attempt counts as the first
+        took_us = self.loop.now() - self.began
+        self.starter.host.attempt_ended(
+            self.request, self.number, self.endpoint, outcome, took_us, self.load_report, response
+        )
+
+    def _run(self) -> AttemptResult:
+        body = self.request.body
+        if not self._is_charged():
+            return NOT_SENT
+        if not body.is_replayable:
+            return NOT_SENT  # its beginning was dropped after an earlier attempt
+        try:
+            body.wait_settled(self.deadline)
+        except Expired:
+            return NOT_SENT
+        address = self.starter.endpoints.address(self.endpoint)
+        if address is None:
+            return NOT_SENT
+        is_non_idempotent = self.request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
+        pool = self.starter.pool
+        try:
+            connection = pool.acquire(self.endpoint, address, is_non_idempotent, self.deadline)
+        except (NotConnected, Expired):
+            return AttemptResult(Outcome.CONNECT_FAILED)
+        except PoolExhaustedError:
+            return NOT_SENT
+        reason = rejection_reason(self.loop.now(), self._pending_send())
+        if reason is not None:
+            pool.release_unused(self.endpoint, connection)
+            if reason is RejectionReason.CLIENT_LEFT:  # its server task may not have run since: it waits, too
+                self.starter.host.client_disconnected(self.request)
+            return NOT_SENT
+        return self._run_over(connection)
+
+    def _run_over(self, connection: EndpointConnection) -> AttemptResult:
+        is_reusable = False
+        try:
+            result = self._exchange(connection)
+            is_reusable = result.is_reusable
+        finally:
+            if is_reusable:
+                self.starter.pool.release(self.endpoint, connection)
+            else:
+                self.starter.pool.drop(self.endpoint, connection)
+        return result
+
+    def _is_charged(self) -> bool:
+        """Charge a request that was unsent at a hand-over: the new process counts its units first."""
+        request = self.request
+        remote_quota = self.starter.host.remote_quota
+        if remote_quota is not None and request.was_unsent_at_hand_over and not request.is_charged:
+            call = request.call
+            request.is_charged = remote_quota.take(call, call.units, call.class_index)
+            return request.is_charged
+        return True
+
+    def _pending_send(self) -> PendingSend:
+        request_class = self.request.request_class
+        return PendingSend(
+            self.starter.endpoints.state(self.endpoint),
+            self.deadline,
+            request_class.idempotency,
+            request_class.deduplication_window_us,
+            self.request.first_sent_at,
+            self.request.has_client_left(),
+        )
+
+    # -- over one connection
+
+    def _exchange(self, connection: EndpointConnection) -> AttemptResult:
+        stream = connection.stream
+        sent_before = stream.sent
+        self.began = self.loop.now()
+        connection.parser.expect(self.request.head.method)
+        connection.has_response_bytes = False
+        exchange = EndpointExchange(self.loop, connection, self.request, self.deadline)
+        try:
+            was_early = exchange.send(self._request_head())
+        except Expired:
+            self.was_sent = stream.sent > sent_before
+            return self._timed_out_in_send()
+        except Closed:
+            self.was_sent = stream.sent > sent_before
+            incomplete = self.starter.endpoints.incomplete_request_outcome
+            if not self.was_sent or incomplete is not Outcome.CONNECTION_BROKEN:
+                self.was_sent = False
+                return NOT_SENT if incomplete is Outcome.CONNECTION_BROKEN else AttemptResult(incomplete)
+            was_early = True  # a response may have come before the reset
+        except Cancelled:
+            self.was_sent = stream.sent > sent_before
+            self._mark_sent()
+            raise
+        self.was_sent = True
+        self._mark_sent()
+        try:
+            result = self._receive(exchange)
+        except Expired:
+            return AttemptResult(Outcome.TIMED_OUT)
+        except (Closed, http1.Malformed):
+            result = AttemptResult(Outcome.CONNECTION_BROKEN)
+        was_lost = not connection.has_response_bytes
+        self.starter.pool.reuse.record(connection.idle_us, was_lost, self.loop.now())
+        return result._replace(is_reusable=False) if was_early else result
+
+    def _request_head(self) -> bytes:
+        time_left_us = max(1, self.deadline - self.loop.now())
+        return self.starter.endpoints.request_head(self.request, self.number, self.endpoint, time_left_us)
+
+    def _timed_out_in_send(self) -> AttemptResult:
+        if not self.was_sent:
+            return NOT_SENT
+        self._mark_sent()
+        return AttemptResult(Outcome.TIMED_OUT)
+
+    def _mark_sent(self) -> None:
+        if self.was_sent and self.request.first_sent_at is None:
+            self.request.first_sent_at = self.began
+            self.is_first_sent = True
+
+    def _receive(self, exchange: EndpointExchange) -> AttemptResult:
+        endpoints = self.starter.endpoints
+        head = exchange.receive_final_head(endpoints.forwards_interim_responses)
+        self.load_report = endpoints.load_report(head)
+        outcome = endpoints.outcome(head)
+        if outcome is not Outcome.SERVED:
+            return AttemptResult(outcome, None, exchange.drain(head))
+        response = endpoints.client_response(self.request, head)
+        pieces: list[bytes] = []
+        size = 0
+        while not isinstance(event := exchange.next_event(), End):
+            assert isinstance(event, Data)
+            pieces.append(event.data)
+            size += len(event.data)
+            if size > self.starter.max_buffered_response_bytes:
+                if not endpoints.forwards_streams:
+                    return AttemptResult(Outcome.CONNECTION_BROKEN)
+                return self._stream(exchange, head, response, pieces)
+        response.body = b"".join(pieces)
+        response.trailers = event.trailers
+        return AttemptResult(Outcome.SERVED, response, exchange.finish(head))
+
+    # -- a response too large to buffer
+
+    def _stream(
+        self, exchange: EndpointExchange, head: Response, response: ClientResponse, pieces: list[bytes]
+    ) -> AttemptResult:
+        """Give the client the response now: the policy is notified that it was served, the rest follows."""
+        stream = ResponseStream(self.loop, pieces)
+        response.stream = stream
+        self._end(Outcome.SERVED, response)
+        if self.request.response is not response:
+            return AttemptResult(Outcome.SERVED)
+        try:
+            while not isinstance(event := self._next_stream_event(exchange), End):
+                assert isinstance(event, Data)
+                stream.put(event.data)
+                if stream.is_broken:  # the client left
+                    return AttemptResult(Outcome.SERVED)
+        except BaseException as error:
+            stream.end(broken=True)
+            if isinstance(error, Closed | Expired | http1.Malformed):
+                return AttemptResult(Outcome.SERVED)
+            raise
+        stream.end(broken=False, trailers=event.trailers)
+        return AttemptResult(Outcome.SERVED, None, exchange.finish(head))
+
+    def _next_stream_event(self, exchange: EndpointExchange) -> http1.Event:
+        exchange.deadline = self.loop.now() + self.starter.times.body_progress_us
+        return exchange.next_event()
--- a/orchidlane/gateway/forwarding/connection_reuse.py
+++ b/orchidlane/gateway/forwarding/connection_reuse.py
@@ -1,56 +1,57 @@
-"""Which idle connections are worth another request: judged by what became of earlier ones. No I/O.
-
-A kept connection may be closed by the other side, or by something between, without our knowing; a request
-written to it may then have run. How long connections really last differs from what is agreed, so it is
-measured: of the requests over connections idle for so long (in classes of doubling length), how many
-ended without a byte of an answer. A new connection costs a handshake, about ``WORTH`` of a request; once more
-than that is lost beyond what new connections lose, connections of that age are used no more. Counts fade, so
-that an age is tried again some time after it went wrong.
+"""Decides which idle connections are reused, by what became of earlier requests over such ones. No I/O.
+
+An idle connection may be closed by the other side, or by something between, without our knowledge; a request
+written to it was then possibly executed. How long connections really last differs from what is agreed. So the
+requests are counted by how long their connection had been idle, in classes of doubling length, and of these
+the ones that ended without a byte of a response. Once an idle class loses more than new connections do, by a
+share that is worth a handshake, connections of that class are not reused. Counts decay, so that a class is
+tried again some time later.
 """
 
 from __future__ import annotations
 
-STEP = 16_000  # microseconds: the shortest idle time that is told apart
-CLASSES = 12  # the last one is for all beyond 16 s
-WORTH = 0.02  # of a request: what a new connection costs
-UNSAFE_WORTH = 0.004  # before a request that can't be repeated: less may be lost
-PRIOR = 20.0  # requests without loss that each class is taken to have had
-HALVE = 8_000_000  # microseconds after which counts have halved
+SHORTEST_IDLE_US = 16_000  # bound of the first class
+IDLE_CLASSES = 12  # the last one is for everything beyond 16 s
+MAX_LOSS_SHARE = 0.02  # of requests: what a new connection costs
+MAX_NON_IDEMPOTENT_LOSS_SHARE = 0.004
+PRIOR_REQUESTS = 20.0  # without loss, that each class starts with
+HALF_LIFE_US = 8_000_000
+MAX_DECAY_STEPS = 64
+NEW_CONNECTION = 0  # the class of new connections
 
 
-class Reuse:
-    """Counts by idle time; place 0 is for new connections."""
+class ReuseStatistics:
+    """Counts requests and losses by idle class."""
 
     def __init__(self, now: int) -> None:
-        self._tries = [0.0] * (CLASSES + 1)
-        self._lost = [0.0] * (CLASSES + 1)
-        self._faded = now
-
-    def may(self, idle: int, unsafe: bool, now: int) -> bool:
-        """Whether a connection that was idle for so many microseconds may carry a request."""
-        self._fade(now)
-        place = _place(idle)
-        beyond = self._share(place) - self._share(0)
-        return beyond <= (UNSAFE_WORTH if unsafe else WORTH)
-
-    def told(self, idle: int | None, lost: bool, now: int) -> None:
-        """A request over a connection that was idle for so long (None: new) was answered, or lost."""
-        self._fade(now)
-        place = 0 if idle is None else _place(idle)
-        self._tries[place] += 1
-        self._lost[place] += lost
-
-    def _share(self, place: int) -> float:
-        return self._lost[place] / (PRIOR + self._tries[place])
-
-    def _fade(self, now: int) -> None:
-        while now - self._faded >= HALVE:
-            if now - self._faded > 64 * HALVE:  # we stood still, or nobody asked for long
-                self._faded = now - HALVE
-            self._faded += HALVE
-            self._tries = [count / 2 for count in self._tries]
-            self._lost = [count / 2 for count in self._lost]
-
-
-def _place(idle: int) -> int:
-    return 1 + min(CLASSES - 1, (max(0, idle) // STEP).bit_length())
+        self._requests = [0.0] * (IDLE_CLASSES + 1)
+        self._losses = [0.0] * (IDLE_CLASSES + 1)
+        self._decayed_at = now
+
+    def may_reuse(self, idle_us: int, is_non_idempotent: bool, now: int) -> bool:
+        """Return whether a connection that was idle for so long may carry a request."""
+        self._decay(now)
+        excess_loss = self._loss_share(_idle_class(idle_us)) - self._loss_share(NEW_CONNECTION)
+        return excess_loss <= (MAX_NON_IDEMPOTENT_LOSS_SHARE if is_non_idempotent else MAX_LOSS_SHARE)
+
+    def record(self, idle_us: int | None, was_lost: bool, now: int) -> None:
+        """Count a request over a connection that was idle for so long, None for a new one."""
+        self._decay(now)
+        idle_class = NEW_CONNECTION if idle_us is None else _idle_class(idle_us)
+        self._requests[idle_class] += 1
+        self._losses[idle_class] += was_lost
+
+    def _loss_share(self, idle_class: int) -> float:
+        return self._losses[idle_class] / (PRIOR_REQUESTS + self._requests[idle_class])
+
+    def _decay(self, now: int) -> None:
+        while now - self._decayed_at >= HALF_LIFE_US:
+            if now - self._decayed_at > MAX_DECAY_STEPS * HALF_LIFE_US:
+                self._decayed_at = now - HALF_LIFE_US  # after a standstill, or a long time without requests
+            self._decayed_at += HALF_LIFE_US
+            self._requests = [count / 2 for count in self._requests]
+            self._losses = [count / 2 for count in self._losses]
+
+
+def _idle_class(idle_us: int) -> int:
+    return 1 + min(IDLE_CLASSES - 1, (max(0, idle_us) // SHORTEST_IDLE_US).bit_length())
--- /dev/null
+++ b/orchidlane/gateway/forwarding/endpoint_exchange.py
@@ -0,0 +1,132 @@
+"""One request to an endpoint and its response, over one connection."""
+
+from __future__ import annotations
+
+from orchidlane import http1
+from orchidlane.gateway.forwarding.connection_pool import EndpointConnection
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
+from orchidlane.http1 import End, Response
+from orchidlane.runtime import Closed, Expired, Loop
+
+WRITE_SLICE_US = 50_000  # a write waits so long before an early response is looked for
+MAX_INTERIM_RESPONSES = 64  # before a final one: an endpoint that sends more is broken
+MAX_DRAINED_BYTES = 16_384  # of a body that nobody wants
+FIRST_FINAL_STATUS = 200
+CONTINUE = 100
+
+
+class EndpointExchange:
+    """Sends a request and reads its response; everything ends at ``deadline``, a clock time."""
+
+    def __init__(
+        self, loop: Loop, connection: EndpointConnection, request: PendingRequest, deadline: int
+    ) -> None:
+        self.loop = loop
+        self.connection = connection
+        self.request = request
+        self.deadline = deadline
+
+    # -- the request
+
+    def send(self, head: bytes) -> bool:
+        """Send head and body; return True where the endpoint responded before it had all.
+
+        Raises Expired, Closed.
+        """
+        body = self.request.body
+        if body.length == 0:
+            return self._write(head)
+        if body.is_complete:
+            return self._write(self._complete_request(head))
+        if self._write(head):
+            return True
+        number = 0
+        while (piece := body.piece(number, self.deadline)) is not None:
+            if self._has_early_response() or self._write(self._frame(piece)):
+                return True
+            number += 1
+        return body.length is None and self._write(http1.last_chunk(body.trailers))
+
+    def _complete_request(self, head: bytes) -> bytes:
+        """Return head and body in one piece: most requests are one write."""
+        body = self.request.body
+        parts = [head]
+        number = 0
+        while (piece := body.piece(number, self.deadline)) is not None:
+            parts.append(self._frame(piece))
+            number += 1
+        if body.length is None:
+            parts.append(http1.last_chunk(body.trailers))
+        return b"".join(parts)
+
+    def _frame(self, piece: bytes) -> bytes:
+        return http1.chunk(piece) if self.request.body.length is None else piece
+
+    def _has_early_response(self) -> bool:
+        data = self.connection.stream.try_recv()
+        if data is not None:
+            self.connection.parser.receive(data)
+        return data is not None
+
+    def _write(self, data: bytes) -> bool:
+        """Write; return True where the endpoint has begun to respond meanwhile."""
+        stream = self.connection.stream
+        while data:
+            sent_before = stream.sent
+            try:
+                stream.send(data, min(self.deadline, self.loop.now() + WRITE_SLICE_US))
+            except Expired:
+                data = data[stream.sent - sent_before :]
+                if self.loop.now() >= self.deadline:
+                    raise
+                if self._has_early_response():
+                    return True
+            else:
+                return False
+        return False
+
+    # -- the response
+
+    def receive_final_head(self, forwards_interim_responses: bool) -> Response:
+        """Read the head of the final response; pass interim ones to the client where that is wanted.
+
+        Raises Expired, Closed, Malformed.
+        """
+        for _ in range(MAX_INTERIM_RESPONSES):
+            event = self.next_event()
+            assert isinstance(event, Response)
+            if event.status >= FIRST_FINAL_STATUS:
+                return event
+            # the gateway itself sends 100 to clients; others are forwarded (RFC 9110 section 15.2)
+            if event.status > CONTINUE and forwards_interim_responses:
+                self.request.add_interim_response(event)
+        raise http1.Malformed(502, "interim answers without end")
+
+    def next_event(self) -> http1.Event:
+        """Read the next event of the response. Raises Expired, Closed, Malformed."""
+        connection = self.connection
+        parser = connection.parser
+        while (event := parser.next_event()) is None:
+            data = connection.stream.recv(deadline=self.deadline)
+            parser.receive(data)
+            connection.has_response_bytes = connection.has_response_bytes or bool(data)
+            if not data and (event := parser.next_event()) is None:
+                raise Closed("the endpoint ended the connection before its response")
+            if event is not None:
+                return event
+        return event
+
+    def drain(self, head: Response) -> bool:
+        """Read a short body that nobody wants; return whether the connection can be reused."""
+        if not head.keep_alive or head.length is None or head.length > MAX_DRAINED_BYTES:
+            return False
+        while not isinstance(self.next_event(), End):
+            pass
+        return self.finish(head)
+
+    def finish(self, head: Response) -> bool:
+        """Note the response's end; return whether the connection can be reused."""
+        if not head.keep_alive or self.connection.parser.pending:
+            return False
+        self.connection.parser.next_message()
+        return True
--- a/orchidlane/gateway/forwarding/policy_driver.py
+++ b/orchidlane/gateway/forwarding/policy_driver.py
@@ -1,136 +1,161 @@
-"""Hosts the decision module: tells it what happens and carries out what it decides. Decides nothing."""
+"""Drives the policy: passes events to it and carries out its actions. Decides nothing itself."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from orchidlane import policy
 from orchidlane.gateway.forwarding.call import QuotaOwner
-from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.gateway.forwarding.protocol_adapter import ClientAdapter
-from orchidlane.gateway.telemetry.counters import Counts
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import Loop
 
-if TYPE_CHECKING:
-    from orchidlane.gateway.forwarding.connection_pool import Attempt
-    from orchidlane.gateway.telemetry.traffic_recorder import Recorder
-
 
 class RemoteQuota(Protocol):
-    """Asks the process that decides on units in our place."""
+    """The new process of a hot restart, which decides on units in this one's place."""
 
     def take(self, customer: QuotaOwner, units: float, kind: int) -> bool:
-        """Ask for units; waits for the answer. No answer is a no."""
+        """Ask for units and wait for the reply; without one they are not granted."""
+
+
+class RunningAttempt(Protocol):
+    """An attempt that can be cancelled."""
+
+    def cancel(self) -> None:
+        """Stop waiting; the endpoint sees its connection closed."""
+
+
+class OutcomeCounter(Protocol):
+    """Counts what becomes of requests."""
+
+    malformed: int
+
+    def count_outcome(self, outcome: policy.Outcome, /) -> None:
+        """Count an attempt that ended."""
+
+
+class EventRecorder(Protocol):
+    """Records what the policy is notified of and what it decides."""
+
+    def record_event(self, now: int, event: policy.Event, actions: list[policy.Action], /) -> None:
+        """Record an event with the policy's actions."""
+
+    def record_response(self, request: int, status: int, kind: str, took_us: int, /) -> None:
+        """Record a final response."""
+
+    def finish(self) -> None:
+        """Write what has gathered: the gateway ends."""
 
 
 class PolicyDriver:
-    """One decision module and the exchanges that it knows.
+    """The policy of one gateway and the requests that it knows.
 
-    ``begin`` starts an attempt, ``tell`` sends bytes to a peer, ``ask_list`` follows the node list. They must
-    not feed events within the call: an action is carried out before the next event is told.
+    ``begin`` starts an attempt, ``send_to_peer`` sends bytes to a peer. Neither may feed an event within the
+    call: an action is carried out before the next event. ``on_units_spent`` is called with each customer
+    whose count has just grown, ``on_failure`` with each exception that is contained; without it they are
+    raised. While ``remote_quota`` is set, another process decides on units.
     """
 
     def __init__(
         self,
         loop: Loop,
         settings: policy.Settings,
-        rules: Gateway,
-        metrics: Counts,
+        gateway: Gateway,
+        metrics: OutcomeCounter,
         clients: ClientAdapter,
         begin: Callable[[PendingRequest, int, policy.SendAttempt], None],
-        tell: Callable[[int, bytes], None],
+        send_to_peer: Callable[[int, bytes], None],
     ) -> None:
         self.loop = loop
         self.settings = settings
         self.metrics = metrics
         self.clients = clients
         self.begin = begin
-        self.tell = tell
+        self.send_to_peer = send_to_peer
         self.requests: dict[int, PendingRequest] = {}
-        self.attempts: dict[tuple[int, int], Attempt] = {}  # attempts that are out
-        self.gateway = rules
-        self.recorder: Recorder | None = None
-        self.last_request_number = 0  # of the latest request
-        self.remote_quota: RemoteQuota | None = (
-            None  # our successor decides on units from the moment that it serves
-        )
-        self.on_units_spent: Callable[[int], None] | None = (
-            None  # told of each customer whose count has just grown
-        )
-        self.on_failure: Callable[[str, Exception], None] | None = (
-            None  # is told of failures, which end there
-        )
+        self.attempts: dict[tuple[int, int], RunningAttempt] = {}  # by request and attempt number
+        self.gateway = gateway
+        self.recorder: EventRecorder | None = None
+        self.last_request_number = 0
+        self.remote_quota: RemoteQuota | None = None
+        self.on_units_spent: Callable[[int], None] | None = None
+        self.on_failure: Callable[[str, Exception], None] | None = None
         self._feeding = False
-        self._granted: bool | None = None  # the answer to the take that is being fed
-        self._taking = -1  # its customer
+        self._is_granted: bool | None = None  # the reply to the quota request that is being fed
+        self._quota_customer = -1  # whose request that is
 
     def start(self) -> None:
-        """The module's first actions."""
+        """Carry out the policy's first actions."""
         self._carry_out(self.gateway.start())
 
-    def resume(self, rules: Gateway, number: int) -> None:
-        """Host a module that another process of this gateway hosted, and number requests on from there."""
-        self.gateway, self.last_request_number = rules, number
+    def resume(self, gateway: Gateway, number: int) -> None:
+        """Continue with the policy of another process, whose last request had this number."""
+        self.gateway = gateway
+        self.last_request_number = number
 
     def feed(self, event: policy.Event) -> None:
-        """Tell the module one event and carry out its answer."""
+        """Pass an event to the policy and carry out its actions."""
         assert not self._feeding, "an action fed an event"
         self._feeding = True
         try:
             now = self.loop.now()
             actions = self.gateway.handle(now, event)
             if self.recorder is not None:
-                self.recorder.event(now, event, actions)
+                self.recorder.record_event(now, event, actions)
             self._carry_out(actions)
-        except Exception as wrong:
+        except Exception as error:
             if self.on_failure is None:
                 raise
-            self.on_failure("module", wrong)
+            self.on_failure("module", error)
             if isinstance(event, policy.RequestArrived):
-                self._answer(event.request, self.clients.failed())
+                self._respond(event.request, self.clients.failed())
         finally:
             self._feeding = False
 
     def next_number(self) -> int:
-        """A request id that was not used in this life."""
+        """Return a request number that this gateway has not used yet."""
         self.last_request_number += 1
         return self.last_request_number
 
-    def request_quota(self, customer: QuotaOwner, units: float, kind: int) -> bool:
-        """Ask for units without a node; the module answers at once, our successor's after a while."""
+    def request_quota(self, customer: QuotaOwner, units: float, class_index: int) -> bool:
+        """Ask for units without forwarding a request.
+
+        The policy replies at once; where another process decides, this waits for its reply.
+        """
         if self.remote_quota is not None:
-            return self.remote_quota.take(customer, units, kind)
-        number = self.next_number()
-        taken = policy.QuotaRequested(
-            number,
+            return self.remote_quota.take(customer, units, class_index)
+        event = policy.QuotaRequested(
+            self.next_number(),
             customer.number,
             customer.plan,
-            kind,
+            class_index,
             units,
             customer.replica_set_start,
             customer.replica_set_size,
         )
-        self._granted, self._taking = None, customer.number
-        self.feed(taken)
-        assert self._granted is not None, "a take without an answer"
-        return self._granted
+        self._is_granted = None
+        self._quota_customer = customer.number
+        self.feed(event)
+        assert self._is_granted is not None, "a quota request without a reply"
+        return self._is_granted
 
-    # -- a request's events
+    # -- events of a request
 
-    def request_arrived(self, exchange: PendingRequest, time_left: int) -> None:
-        """A request was read as far as its head."""
-        call = exchange.call
-        self.requests[exchange.number] = exchange
+    def request_arrived(self, request: PendingRequest, time_left_us: int) -> None:
+        """Notify the policy of a request that was read as far as its head."""
+        call = request.call
+        self.requests[request.number] = request
         self.feed(
             policy.RequestArrived(
-                request=exchange.number,
+                request=request.number,
                 customer=call.customer,
                 plan=call.plan,
                 request_class=call.class_index,
                 units=call.units,
-                time_left_us=time_left,
+                time_left_us=time_left_us,
                 replica_set_start=call.replica_set_start,
                 replica_set_size=call.replica_set_size,
                 is_retry=call.is_retry,
@@ -139,47 +164,49 @@
 
     def attempt_ended(
         self,
-        exchange: PendingRequest,
+        request: PendingRequest,
         attempt: int,
-        server: bytes,
+        endpoint: bytes,
         outcome: policy.Outcome,
-        took: int,
-        report: tuple[float, ...] = (),
-        answer: ClientResponse | None = None,
+        took_us: int,
+        load_report: tuple[float, ...] = (),
+        response: ClientResponse | None = None,
     ) -> None:
-        """An attempt has its outcome; a served one brings the answer, which ends the request."""
-        self.attempts.pop((exchange.number, attempt), None)
-        self.metrics.outcome(outcome)
-        if answer is not None:
-            self._finish(exchange, answer)
-        answered = exchange.response is not None or exchange.client_disconnected
+        """Notify the policy of an attempt's outcome; a response ends the request."""
+        self.attempts.pop((request.number, attempt), None)
+        self.metrics.count_outcome(outcome)
+        if response is not None:
+            self._finish(request, response)
+        is_answered = request.response is not None or request.client_disconnected
         self.feed(
-            policy.AttemptEnded(exchange.number, attempt, server, outcome, took, answered, 0, 0.0, report)
+            policy.AttemptEnded(
+                request.number, attempt, endpoint, outcome, took_us, is_answered, 0, 0.0, load_report
+            )
         )
 
-    def client_disconnected(self, exchange: PendingRequest) -> None:
-        """The client left before its answer."""
-        if exchange.response is None and not exchange.client_disconnected:
-            exchange.client_disconnected = True
-            self._over(exchange)
-            self.feed(policy.ClientDisconnected(exchange.number))
-
-    def fail_overdue(self, exchange: PendingRequest) -> None:
-        """A request's time is up and no answer came: guards against anything that held it up."""
-        if exchange.response is None and not exchange.client_disconnected:
-            self._finish(exchange, self.clients.failed())
-            self.feed(policy.ClientDisconnected(exchange.number))
-
-    def _finish(self, exchange: PendingRequest, answer: ClientResponse) -> None:
-        """The one place where a request gets its final answer."""
-        if exchange.response is None and not exchange.client_disconnected:
-            exchange.response = answer
-            self._over(exchange)
-            self.loop.wake(exchange.task)
-
-    def _over(self, exchange: PendingRequest) -> None:
-        self.requests.pop(exchange.number, None)
-        self.clients.request_ended(exchange)
+    def client_disconnected(self, request: PendingRequest) -> None:
+        """Notify the policy of a client that left before its response."""
+        if request.response is None and not request.client_disconnected:
+            request.client_disconnected = True
+            self._forget(request)
+            self.feed(policy.ClientDisconnected(request.number))
+
+    def fail_overdue(self, request: PendingRequest) -> None:
+        """End a request whose time is over without a response, whatever has held it up."""
+        if request.response is None and not request.client_disconnected:
+            self._finish(request, self.clients.failed())
+            self.feed(policy.ClientDisconnected(request.number))
+
+    def _finish(self, request: PendingRequest, response: ClientResponse) -> None:
+        """Set the final response: the one place that does."""
+        if request.response is None and not request.client_disconnected:
+            request.response = response
+            self._forget(request)
+            self.loop.wake(request.task)
+
+    def _forget(self, request: PendingRequest) -> None:
+        self.requests.pop(request.number, None)
+        self.clients.request_ended(request)
 
     # -- actions
 
@@ -187,47 +214,52 @@
         for action in actions:
             match action:
                 case policy.SendAttempt():
-                    self._send(action)
+                    self._send_attempt(action)
                 case policy.SetTimer():
-                    self.loop.call_at(self.loop.now() + action.delay_us, self._fired, action.token)
+                    self.loop.call_at(self.loop.now() + action.delay_us, self._timer_fired, action.token)
                 case policy.SendPeerMessage():
-                    if self.remote_quota is None:  # peers see one gateway
-                        self.tell(action.peer, action.body)
-                case policy.GrantQuota():
-                    self._granted = True
-                    if self.on_units_spent is not None:
-                        self.on_units_spent(self._taking)
-                case policy.RejectRequest():
-                    self._granted = False
-                    self._answer(action.request, self.clients.rejected(action))
-                case policy.FailRequest():
-                    self._answer(action.request, self.clients.failed())
+                    if self.remote_quota is None:  # peers hear one process of a gateway
+                        self.send_to_peer(action.peer, action.body)
+                case policy.GrantQuota() | policy.RejectRequest() | policy.FailRequest():
+                    self._decide(action)
                 case policy.CancelAttempt():
-                    self._cancel(action)
+                    self._cancel_attempt(action)
                 case policy.WatchEndpoints() | policy.FetchEndpoints():
-                    pass  # the list is watched from the start
+                    pass  # the endpoint list is watched from the start
                 case policy.CheckHealth():
-                    raise AssertionError("the module was told that it may not probe")
-
-    def _send(self, action: policy.SendAttempt) -> None:
-        exchange = self.requests[action.request]
-        if self.on_units_spent is not None and not exchange.attempts:
-            self.on_units_spent(exchange.call.customer)
-        number = exchange.attempts
-        exchange.attempts += 1
-        self.begin(exchange, number, action)
-        self.loop.wake(exchange.task)  # a client that waits for 100 Continue may go on
-
-    def _fired(self, token: int) -> None:
+                    raise AssertionError("the settings do not permit health checks")
+
+    def _decide(self, decision: policy.GrantQuota | policy.RejectRequest | policy.FailRequest) -> None:
+        match decision:
+            case policy.GrantQuota():
+                self._is_granted = True
+                if self.on_units_spent is not None:
+                    self.on_units_spent(self._quota_customer)
+            case policy.RejectRequest():
+                self._is_granted = False
+                self._respond(decision.request, self.clients.rejected(decision))
+            case policy.FailRequest():
+                self._respond(decision.request, self.clients.failed())
+
+    def _send_attempt(self, action: policy.SendAttempt) -> None:
+        request = self.requests[action.request]
+        if self.on_units_spent is not None and not request.attempts:
+            self.on_units_spent(request.call.customer)
+        number = request.attempts
+        request.attempts += 1
+        self.begin(request, number, action)
+        self.loop.wake(request.task)  # a client that waits for 100 Continue may go on
+
+    def _timer_fired(self, token: int) -> None:
         self.feed(policy.TimerFired(token))
 
-    def _answer(self, request: int, answer: ClientResponse) -> None:
-        exchange = self.requests.get(request)
-        if exchange is not None:
-            self._finish(exchange, answer)
+    def _respond(self, number: int, response: ClientResponse) -> None:
+        request = self.requests.get(number)
+        if request is not None:
+            self._finish(request, response)
 
-    def _cancel(self, action: policy.CancelAttempt) -> None:
-        """The request has ended, and its exchange with it, but its attempts are still known by their runs."""
-        run = self.attempts.get((action.request, action.attempt))
-        if run is not None:
-            run.cancel()
+    def _cancel_attempt(self, action: policy.CancelAttempt) -> None:
+        """Cancel an attempt, also one of a request that has ended."""
+        attempt = self.attempts.get((action.request, action.attempt))
+        if attempt is not None:
+            attempt.cancel()
--- a/orchidlane/gateway/lifecycle/hot_restart.py
+++ b/orchidlane/gateway/lifecycle/hot_restart.py
@@ -172,7 +172,7 @@
 def answers_of(program: Program) -> Answers:
     """What was answered so far, by kind."""
     found = dict.fromkeys(Answers._fields, 0)
-    for (kind, _), count in program.metrics.answers.items():
+    for (kind, _), count in program.metrics.responses.items():
         found[kind] += count
     return Answers(**found)
 
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -15,8 +15,9 @@
 from orchidlane.gateway.control.policy_settings import policy_settings
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import hot_restart_address, parse_host_port
-from orchidlane.gateway.forwarding.connection_pool import AttemptStarter
-from orchidlane.gateway.forwarding.openapi_adapter import OpenApiClientAdapter, OpenApiEndpointAdapter
+from orchidlane.gateway.forwarding.attempt import AttemptStarter
+from orchidlane.gateway.forwarding.openapi_clients import OpenApiClientAdapter
+from orchidlane.gateway.forwarding.openapi_endpoints import OpenApiEndpointAdapter
 from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.lifecycle.account_store import Memory
 from orchidlane.gateway.lifecycle.hot_restart import GivingSide, Lent, TakingSide
@@ -34,7 +35,7 @@
 from orchidlane.gateway.server.resp_server import RespServer, Session
 from orchidlane.gateway.telemetry.admin_api import Admin, Names
 from orchidlane.gateway.telemetry.metrics import Metrics
-from orchidlane.gateway.telemetry.traffic_recorder import Recorder
+from orchidlane.gateway.telemetry.traffic_recorder import TrafficRecorder
 from orchidlane.hot_restart import messages, new_process, old_process
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording import track_accounts
@@ -300,7 +301,9 @@
         }
 
     def _record(self, scope: Scope, folder: str) -> None:
-        recorder = Recorder(self.loop, folder, self.entry.name, self.host, self.names(), self.log, self.about)
+        recorder = TrafficRecorder(
+            self.loop, folder, self.entry.name, self.host, self.names(), self.log, self.about
+        )
         self.host.recorder = recorder
         scope.spawn(recorder.work, kind=BACKGROUND, name="recorder")
 
@@ -364,7 +367,7 @@
         if self.quiet:
             return
         self.sequence += 1
-        self.metrics.told += 1
+        self.metrics.datagrams_sent += 1
         sealed = encode_datagram(self.secret, self.rank, rank, self.incarnation, self.sequence, body, kind)
         self.places["peer"].send(sealed, self.peers[rank])
 
@@ -374,7 +377,7 @@
             data, _ = datagrams.recv()
             taken = self.inbox.accept(self.loop.now(), data[: MAX_DATAGRAM_BYTES + 1])
             if taken is not None:
-                self.metrics.heard += 1
+                self.metrics.datagrams_received += 1
                 kind, sender, body = taken
                 if kind == DatagramKind.POLICY:
                     self.host.feed(policy.PeerMessageReceived(sender, body))
--- a/orchidlane/gateway/rollout_agent/agent.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -18,7 +18,8 @@
 from orchidlane.gateway.control.customers import CustomersError
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import parse_host_port
-from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.gateway.rollout_agent.admin_client import PREFIX, FetchError, call
 from orchidlane.gateway.rollout_agent.answer_tally import Book
 from orchidlane.gateway.rollout_agent.storage import Damaged, Files, RunningFile, VoterFile
--- a/orchidlane/gateway/rollout_agent/answer_tally.py
+++ b/orchidlane/gateway/rollout_agent/answer_tally.py
@@ -4,8 +4,9 @@
 
 from collections import deque
 
-from orchidlane.gateway.forwarding.openapi_adapter import operation_call
-from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.openapi_call import operation_call
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.rollout.canary_analysis import STRATA_MOST, Tally
 
 SPAN = 2_000_000  # microseconds over which the load is measured
--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 
 from orchidlane import http1
-from orchidlane.gateway.forwarding.pending_request import ClientResponse
+from orchidlane.gateway.forwarding.client_response import ClientResponse
 from orchidlane.gateway.forwarding.protocol_adapter import ClientAdapter, GatewayLimits
 from orchidlane.gateway.server.accept_loop import NO_DESCRIPTOR_WAIT, accept_clients
 from orchidlane.gateway.server.client_connection import Connection, Watcher
--- a/orchidlane/gateway/server/request_handler.py
+++ b/orchidlane/gateway/server/request_handler.py
@@ -8,12 +8,14 @@
 
 from typing import Protocol
 
-from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest, RequestBody
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
+from orchidlane.gateway.forwarding.policy_driver import OutcomeCounter
 from orchidlane.gateway.forwarding.protocol_adapter import Call, ClientAdapter, ResourceLimits
+from orchidlane.gateway.forwarding.request_body import RequestBody
 from orchidlane.gateway.server.client_connection import Connection
 from orchidlane.gateway.server.request_reader import ReaderState, RequestReader
 from orchidlane.gateway.server.response_writer import CONTINUE, ResponseWriter
-from orchidlane.gateway.telemetry.counters import Counts
 from orchidlane.http1 import Malformed, Request
 from orchidlane.runtime import Closed, Expired
 
@@ -25,7 +27,7 @@
     """Who is notified of requests and answers them by the policy's decisions."""
 
     requests: dict[int, PendingRequest]
-    metrics: Counts
+    metrics: OutcomeCounter
 
     def next_number(self) -> int:
         """Return the number of a new request."""
@@ -46,7 +48,7 @@
     bounds: ResourceLimits
     host: Driver
     clients: ClientAdapter
-    metrics: Counts
+    metrics: OutcomeCounter
 
 
 class RequestHandler:
@@ -96,7 +98,7 @@
         answer = exchange.response
         assert answer is not None
         server.clients.before_response(exchange, answer, server.loop.now() - exchange.arrived)
-        return self._respond(connection, head, answer, body_read=exchange.body.ended)
+        return self._respond(connection, head, answer, body_read=exchange.body.is_complete)
 
     def _reject_malformed(self, connection: Connection, error: Malformed) -> bool:
         self._server.metrics.malformed += 1
@@ -147,7 +149,7 @@
     def _wait(self, exchange: PendingRequest) -> None:
         """Wait until the task is woken: by an answer, by input, or because the time is over."""
         server, body = self._server, exchange.body
-        is_settled = body.ended or body.full
+        is_settled = body.is_complete or body.is_full
         deadline = (
             exchange.deadline + OVERDUE_US
             if is_settled
@@ -183,12 +185,12 @@
 
     def _is_at_bound(self, connection: Connection, body: RequestBody) -> bool:
         """Return whether no more may be read: then a client's end lies behind bytes that stay unread."""
-        if body.ended:
+        if body.is_complete:
             return connection.parser.pending >= self._server.bounds.max_pipelined_bytes
-        if body.full:
+        if body.is_full:
             assert self._server.loop.current is not None
-            body.tell_when_room(self._server.loop.current)
-        return body.full
+            body.wake_when_not_full(self._server.loop.current)
+        return body.is_full
 
     # -- responses
 
--- a/orchidlane/gateway/server/request_reader.py
+++ b/orchidlane/gateway/server/request_reader.py
@@ -4,8 +4,9 @@
 
 from typing import Protocol
 
-from orchidlane.gateway.forwarding.pending_request import PendingRequest, RequestBody
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.gateway.forwarding.protocol_adapter import Timeouts
+from orchidlane.gateway.forwarding.request_body import RequestBody
 from orchidlane.gateway.server.client_connection import Connection, Watcher, recv_watched
 from orchidlane.http1 import Data, End, Malformed, Request
 from orchidlane.runtime import Closed, Expired, Loop
@@ -111,7 +112,7 @@
         deadline = self._head_deadline(connection)
         body = exchange.body
         self.transfer(connection, body)
-        while not body.ended:
+        while not body.is_complete:
             try:
                 if not self._receive(connection, deadline - server.loop.now()):
                     raise Closed("the client left")
@@ -125,7 +126,7 @@
 
     def transfer(self, connection: Connection, body: RequestBody) -> None:
         """Move what was parsed of a body from the parser to the body."""
-        while not body.ended or body.length == 0:
+        while not body.is_complete or body.length == 0:
             event = connection.parser.next_event()
             if event is None:
                 return
@@ -133,4 +134,4 @@
                 body.end(event.trailers)
                 return
             assert isinstance(event, Data)
-            body.fill(event.data)
+            body.add(event.data)
--- a/orchidlane/gateway/server/response_writer.py
+++ b/orchidlane/gateway/server/response_writer.py
@@ -5,7 +5,8 @@
 from typing import Protocol
 
 from orchidlane import http1
-from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.gateway.forwarding.protocol_adapter import Timeouts
 from orchidlane.gateway.server.client_connection import Connection, Watcher, send_all
 from orchidlane.http1 import Request
@@ -76,7 +77,7 @@
             ) is not None:
                 data = http1.chunk(piece) if is_chunked else piece
                 connection.stream.send(data, self._deadline())
-            is_complete = not pieces.broken
+            is_complete = not pieces.is_broken
         finally:
             if not is_complete:
                 pieces.end(broken=True)
--- a/orchidlane/gateway/telemetry/metrics.py
+++ b/orchidlane/gateway/telemetry/metrics.py
@@ -10,10 +10,10 @@
 from prometheus_client.registry import Collector
 
 from orchidlane import policy
-from orchidlane.gateway.telemetry.counters import BUCKETS, Counts
+from orchidlane.gateway.telemetry.counters import BUCKETS, GatewayCounters
 
 
-class Metrics(Counts, Collector):
+class Metrics(GatewayCounters, Collector):
     """The counts of one gateway; ``gauges`` are read when the page is made."""
 
     def __init__(self) -> None:
@@ -28,14 +28,14 @@
     def collect(self) -> Iterable[Any]:
         """For the registry."""
         answers = CounterMetricFamily("orchidlane_answers", "Final answers", labels=["kind", "class"])
-        for (kind, class_name), count in list(self.answers.items()):
+        for (kind, class_name), count in list(self.responses.items()):
             answers.add_metric([kind, class_name], count)
         attempts = CounterMetricFamily("orchidlane_attempts", "Attempts by outcome", labels=["outcome"])
         for outcome in policy.Outcome:
             attempts.add_metric([outcome.value.replace(" ", "_")], self.outcomes[outcome.value])
         datagrams = CounterMetricFamily("orchidlane_datagrams", "Datagrams", labels=["way"])
-        datagrams.add_metric(["told"], self.told)
-        datagrams.add_metric(["heard"], self.heard)
+        datagrams.add_metric(["told"], self.datagrams_sent)
+        datagrams.add_metric(["heard"], self.datagrams_received)
         yield from (answers, attempts, datagrams, self._histogram())
         yield CounterMetricFamily("orchidlane_malformed", "Broken requests", value=self.malformed)
         for name, (help_text, value) in self.gauges.items():
--- a/orchidlane/gateway/telemetry/traffic_recorder.py
+++ b/orchidlane/gateway/telemetry/traffic_recorder.py
@@ -23,7 +23,7 @@
 KEEP = 64  # segments of one gateway; the oldest goes
 
 
-class Recorder:
+class TrafficRecorder:
     """One gateway's record in a folder; give its ``event`` and ``answer`` to the host."""
 
     def __init__(
@@ -52,13 +52,13 @@
         self._state: StateFrames  # that the segment began with
         self._rotate()
 
-    def event(self, now: int, event: policy.Event, actions: list[policy.Action]) -> None:
+    def record_event(self, now: int, event: policy.Event, actions: list[policy.Action]) -> None:
         """One event with the module's actions."""
         if not self.failed:
             self._buffer += recording.pack_entry(now, event, actions)
             self._check()
 
-    def answer(self, request: int, status: int, kind: str, span: int) -> None:
+    def record_response(self, request: int, status: int, kind: str, span: int) -> None:
         """What a client was answered, so many microseconds after its first byte."""
         if not self.failed:
             self._buffer += pack_response(self.loop.now(), request, status, kind, span)
--- a/orchidlane/platform/lifecycle.py
+++ b/orchidlane/platform/lifecycle.py
@@ -19,10 +19,10 @@
 
 from orchidlane import policy
 from orchidlane.gateway.control.endpoint_list import WatchEventError
-from orchidlane.gateway.forwarding.connection_pool import AttemptStarter
+from orchidlane.gateway.forwarding.attempt import AttemptStarter
 from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.server.http_server import HttpServer
-from orchidlane.gateway.telemetry.counters import Counts
+from orchidlane.gateway.telemetry.counters import GatewayCounters
 from orchidlane.platform.configuration import Configuration, ConfigurationError, parse_configuration
 from orchidlane.platform.discovery import DiscoveryEvent, DiscoveryTracker
 from orchidlane.platform.discovery_watch import DiscoveryWatch
@@ -58,6 +58,7 @@
         self.path = path
         self.log = RateLimitedLog(loop.now, configuration.name)
         self.tracker = DiscoveryTracker(configuration.platform_settings.zones)
+        self.metrics = GatewayCounters()
         self.ranks = {peer: rank for rank, peer in enumerate(configuration.peers)}
         self.stopping = False
         self.scope: Scope
@@ -102,7 +103,7 @@
         endpoints = PlatformEndpointAdapter(self.tracker, self.settings.load_report_names)
         attempts = AttemptStarter(self.loop, limits, scope, endpoints)
         self.host = PolicyDriver(
-            self.loop, self.settings, gateway, Counts(), self.clients, attempts.begin, self._send_to_peer
+            self.loop, self.settings, gateway, self.metrics, self.clients, attempts.begin, self._send_to_peer
         )
         attempts.host = self.host
         self.pool = attempts.pool
@@ -193,8 +194,8 @@
     def _write_report(self) -> None:
         """Write what was served so far to the log."""
         responses = _format_counts(self.clients.response_counts)
-        attempts = _format_counts(self.host.metrics.outcomes)
-        connections = f"{len(self.front.connections)} of clients, {self.pool.open} of endpoints"
+        attempts = _format_counts(self.metrics.outcomes)
+        connections = f"{len(self.front.connections)} of clients, {self.pool.open_connections} of endpoints"
         self.log.write(f"responses: {responses}; attempts: {attempts}; connections: {connections}")
 
     # -- discovery
@@ -222,7 +223,7 @@
         self.host.feed(listed)
         for entry in listed.entries:
             if entry.state is policy.EndpointState.GONE:
-                self.pool.forget(entry.endpoint)
+                self.pool.retire_idle(entry.endpoint)
 
     # -- peers
 
--- a/orchidlane/platform/protocol_adapter.py
+++ b/orchidlane/platform/protocol_adapter.py
@@ -7,7 +7,8 @@
 
 from orchidlane import policy
 from orchidlane.gateway.forwarding.call import Call
-from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.http1 import Request
 from orchidlane.platform.request_parsing import InvalidRequestError, PlatformCall, RequestParser
 
--- a/orchidlane/platform/response_outcomes.py
+++ b/orchidlane/platform/response_outcomes.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from orchidlane import http1
-from orchidlane.gateway.forwarding.pending_request import ClientResponse, PendingRequest
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.http1 import Response
 from orchidlane.platform.discovery import DiscoveryTracker
 from orchidlane.platform.request_parsing import PlatformCall
--- a/orchidlane/runtime/__init__.py
+++ b/orchidlane/runtime/__init__.py
@@ -4,8 +4,9 @@
 from orchidlane.runtime.errors import Cancelled, Closed, Expired, LoopError, NotConnected
 from orchidlane.runtime.lingering_close import Lingering
 from orchidlane.runtime.real_backend import RealWorld
-from orchidlane.runtime.scheduler import BACKGROUND, CONTROL, PEERS, REQUESTS, Loop, Process, Scope, Task
+from orchidlane.runtime.scheduler import Loop, Scope
 from orchidlane.runtime.simulated_backend import Faults, SimWorld
+from orchidlane.runtime.tasks import BACKGROUND, CONTROL, PEERS, REQUESTS, Process, Task
 
 __all__ = [
     "BACKGROUND",
--- a/orchidlane/runtime/backend.py
+++ b/orchidlane/runtime/backend.py
@@ -4,10 +4,9 @@
 
 import random
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any, Protocol
 
-if TYPE_CHECKING:
-    from orchidlane.runtime.scheduler import Loop, Task
+from orchidlane.runtime.tasks import Scheduler, Task
 
 Address = tuple[str, int]  # host, port; a host that begins with "/" is the path of a Unix socket
 Handle = Any  # a socket on its way to another process: only a world knows what is in it
@@ -120,7 +119,7 @@
 
     random: random.Random
 
-    def attach(self, loop: Loop) -> None:
+    def attach(self, loop: Scheduler) -> None:
         """Called once by the loop that lives in this world."""
 
     def now(self) -> int:
--- a/orchidlane/runtime/lingering_close.py
+++ b/orchidlane/runtime/lingering_close.py
@@ -11,7 +11,8 @@
 
 from orchidlane.runtime.backend import Stream
 from orchidlane.runtime.errors import Closed, Expired
-from orchidlane.runtime.scheduler import BACKGROUND, Loop, Scope, Task
+from orchidlane.runtime.scheduler import Loop, Scope
+from orchidlane.runtime.tasks import BACKGROUND, Task
 
 READ_MOST = 262_144  # bytes read and thrown away of one connection
 
--- a/orchidlane/runtime/real_backend.py
+++ b/orchidlane/runtime/real_backend.py
@@ -16,13 +16,11 @@
 import time
 from collections import deque
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from orchidlane.runtime.backend import Address, show
 from orchidlane.runtime.errors import Closed, NotConnected
-
-if TYPE_CHECKING:
-    from orchidlane.runtime.scheduler import Loop, Task
+from orchidlane.runtime.tasks import Scheduler, Task
 
 READ = select.POLLIN | select.POLLPRI
 WRITE = select.POLLOUT
@@ -48,9 +46,9 @@
         self._poller = select.poll()
         self._glancer = select.poll()
         self._descriptors: dict[int, _Descriptor] = {}
-        self.loop: Loop
+        self.loop: Scheduler
 
-    def attach(self, loop: Loop) -> None:
+    def attach(self, loop: Scheduler) -> None:
         self.loop = loop
 
     def now(self) -> int:
--- a/orchidlane/runtime/scheduler.py
+++ b/orchidlane/runtime/scheduler.py
@@ -23,56 +23,14 @@
 
 from orchidlane.runtime.backend import World
 from orchidlane.runtime.errors import Cancelled, Expired, LoopError
+from orchidlane.runtime.tasks import BACKGROUND, CONTROL, PEERS, REQUESTS, Process, Task
 from orchidlane.runtime.timers import Timer, Timers
 
-CONTROL, REQUESTS, PEERS, BACKGROUND = range(4)
 BUDGETS = (256, 128, 32, 8)  # tasks run in one turn, by class: bounds what one turn takes
 TIMERS_A_TURN = 512
 BREATH = 32  # operations that succeed without waiting before a task lets others run
 
 
-class Process:
-    """What is killed and stands still together: the whole program, or a part of a simulated world."""
-
-    def __init__(self, name: str) -> None:
-        self.name = name
-        self.frozen = False
-        self.dead = False
-        self.held: list[Callable[[], None]] = []  # what comes due while it stands still
-        self.tasks: dict[Task, None] = {}
-
-
-class Task:
-    """One greenlet with its class of work, its owner and its process."""
-
-    __slots__ = (
-        "cancelled",
-        "done",
-        "error",
-        "kind",
-        "name",
-        "parked",
-        "process",
-        "run",
-        "scope",
-        "spent",
-        "started",
-    )
-
-    def __init__(self, run: greenlet.greenlet, kind: int, process: Process, scope: Scope | None, name: str):
-        self.run = run
-        self.kind = kind
-        self.process = process
-        self.scope = scope
-        self.name = name
-        self.parked = False
-        self.cancelled = False
-        self.done = False
-        self.error: BaseException | None = None
-        self.spent = 0
-        self.started = False
-
-
 class Loop:
     """The scheduler; one for each thread."""
 
--- a/orchidlane/runtime/signals.py
+++ b/orchidlane/runtime/signals.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 
 from orchidlane.runtime.real_backend import RealWorld, Signs
-from orchidlane.runtime.scheduler import CONTROL, Loop, Scope
+from orchidlane.runtime.scheduler import Loop, Scope
+from orchidlane.runtime.tasks import CONTROL
 
 GARBAGE = (20_000, 20, 50)  # most goes by its count; rare runs keep pauses few
 
--- a/orchidlane/runtime/simulated_backend.py
+++ b/orchidlane/runtime/simulated_backend.py
@@ -12,14 +12,11 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from orchidlane.runtime.backend import Address
 from orchidlane.runtime.errors import Closed, NotConnected
-from orchidlane.runtime.scheduler import CONTROL, Process
-
-if TYPE_CHECKING:
-    from orchidlane.runtime.scheduler import Loop, Task
+from orchidlane.runtime.tasks import CONTROL, Process, Scheduler, Task
 
 START = 1_700_000_000_000_000  # microseconds: where the virtual clock begins
 WINDOW = 65536  # bytes that a connection holds for a reader that does not read
@@ -45,7 +42,7 @@
         self.random = random.Random(seed)
         self.faults = faults or Faults()
         self.clock = START
-        self.loop: Loop
+        self.loop: Scheduler
         self.files: dict[str, bytes] = {}
         self.listeners: dict[Address, SimListener] = {}
         self.sockets: dict[Address, SimDatagrams] = {}
@@ -56,7 +53,7 @@
         self.no_descriptors = False  # handles that arrive are lost
         self._next_port = 40_000
 
-    def attach(self, loop: Loop) -> None:
+    def attach(self, loop: Scheduler) -> None:
         self.loop = loop
 
     def now(self) -> int:
--- /dev/null
+++ b/orchidlane/runtime/tasks.py
@@ -0,0 +1,104 @@
+"""Tasks and processes, and what a backend needs of the scheduler that runs them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+import greenlet
+
+from orchidlane.runtime.timers import Timers
+
+CONTROL, REQUESTS, PEERS, BACKGROUND = range(4)
+
+
+class TaskOwner(Protocol):
+    """Is notified of the end of its tasks."""
+
+    def child_ended(self, task: Task) -> None:
+        """Note that a task of this owner has ended."""
+
+
+class Process:
+    """What is killed and stands still together: the whole program, or a part of a simulated world."""
+
+    def __init__(self, name: str) -> None:
+        self.name = name
+        self.frozen = False
+        self.dead = False
+        self.held: list[Callable[[], None]] = []  # what comes due while it stands still
+        self.tasks: dict[Task, None] = {}
+
+
+class Task:
+    """One greenlet with its class of work, its owner and its process."""
+
+    __slots__ = (
+        "cancelled",
+        "done",
+        "error",
+        "kind",
+        "name",
+        "parked",
+        "process",
+        "run",
+        "scope",
+        "spent",
+        "started",
+    )
+
+    def __init__(
+        self, run: greenlet.greenlet, kind: int, process: Process, scope: TaskOwner | None, name: str
+    ) -> None:
+        self.run = run
+        self.kind = kind
+        self.process = process
+        self.scope = scope
+        self.name = name
+        self.parked = False
+        self.cancelled = False
+        self.done = False
+        self.error: BaseException | None = None
+        self.spent = 0
+        self.started = False
+
+
+class Scheduler(Protocol):
+    """What a backend needs of the loop that runs in it; see ``orchidlane.runtime.scheduler.Loop``."""
+
+    current: Task | None
+    process: Process
+    home: Process
+    timers: Timers
+    now: Callable[[], int]
+
+    def park(self, deadline: int | None = None) -> Any:
+        """Wait to be woken. Raises Expired, Cancelled."""
+
+    def sleep(self, span: int) -> None:
+        """Wait for so many microseconds. Raises Cancelled."""
+
+    def wake(self, task: Task, value: Any = None) -> None:
+        """Let a parked task go on."""
+
+    def breathe(self) -> None:
+        """Let others run after many operations that did not wait."""
+
+    def call_at(self, when: int, call: Callable[[Any], None], argument: Any = None) -> Any:
+        """Have a call made at a time, in the current process."""
+
+    def call_in_world(self, when: int, call: Callable[[Any], None], argument: Any = None) -> Any:
+        """Have a call made at a time, in no process."""
+
+    def spawn(
+        self,
+        work: Callable[..., Any],
+        *args: Any,
+        kind: int | None = None,
+        process: Process | None = None,
+        name: str = "",
+    ) -> Task:
+        """Start a task. Raises Cancelled where the process is dead."""
+
+    def kill(self, process: Process) -> None:
+        """End a process where it stands."""
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -125,8 +125,8 @@
     ),
     "young because it was taken": (
         ConnectionPool,
-        "put_back",
-        ConnectionPool.give_back,
+        "release_unused",
+        ConnectionPool.release,
         moments.test_a_connection_that_was_taken_and_not_used_is_no_younger_for_it,
         (),
     ),
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -13,8 +13,8 @@
 from orchidlane import policy
 from orchidlane.config import Duration
 from orchidlane.gateway.control import endpoint_list
-from orchidlane.gateway.forwarding import connection_pool
-from orchidlane.gateway.forwarding.pending_request import ClientResponse
+from orchidlane.gateway.forwarding import attempt as attempts
+from orchidlane.gateway.forwarding.client_response import ClientResponse
 from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.server.response_writer import ResponseWriter
 from orchidlane.policy import admission, endpoint_registry, retries
@@ -146,7 +146,7 @@
         ended(self, exchange, attempt, server, outcome, took, report, answer)
 
     monkeypatch.setattr(PolicyDriver, "attempt_ended", lies)
-    monkeypatch.setattr(connection_pool, "why_not", lambda *_: None)
+    monkeypatch.setattr(attempts, "rejection_reason", lambda *_: None)
     steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
     verdict = simulate(day(steps, span=4), 1)
     assert verdict.effects_twice
@@ -155,7 +155,7 @@
 
 def test_the_audit_objects_to_a_refusal_after_a_run(monkeypatch):
     monkeypatch.setattr(
-        "orchidlane.gateway.forwarding.openapi_adapter.failed",
+        "orchidlane.gateway.forwarding.error_responses.failed",
         lambda: ClientResponse(503, [(b"retry-after", b"1")], b"", kind="refused"),
     )
     steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
@@ -164,7 +164,7 @@
 
 def test_the_audit_objects_to_work_for_a_draining_node(monkeypatch):
     monkeypatch.setitem(endpoint_list.ENDPOINT_STATES, "draining", policy.EndpointState.READY)
-    monkeypatch.setattr(connection_pool, "why_not", lambda *_: None)
+    monkeypatch.setattr(attempts, "rejection_reason", lambda *_: None)
     verdict = simulate(day(step(0.5, "drain_node", 0, 1, span=3), span=4), 1)
     assert verdict.sent_after_drain
     assert not verdict.rules["3"]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -525,7 +525,7 @@
             socket.send(random.randbytes(random.randint(0, 400)), ("127.0.0.1", 8180))
         house.loop.sleep(SECOND)
         assert house.ask(GET)[0] == 200
-        assert house.program.metrics.heard == 0
+        assert house.program.metrics.datagrams_received == 0
         assert sum(house.program.inbox.rejected.values()) > 200
 
     run(good, test=test)
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -450,7 +450,7 @@
         assert house.ask(call())[0] == 200
         theirs = house.host_stream
         theirs.send(b"HTTP/1.1 2")  # half a line, unread when the connection goes
-        house.life.pool.forget(b"s-0")
+        house.life.pool.retire_idle(b"s-0")
         theirs.send(b"00 OK\r\n")
         assert to_the_end(house, theirs) == b""
         theirs.close()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,7 +7,7 @@
 
 from orchidlane import policy
 from orchidlane.gateway.control.endpoint_list import EndpointListTracker, WatchEventError
-from orchidlane.gateway.forwarding.last_check import Leaving, why_not
+from orchidlane.gateway.forwarding.last_check import PendingSend, rejection_reason
 
 NOW, SECOND = 1_000_000_000, 1_000_000
 
@@ -75,32 +75,32 @@
 # The last look
 
 
-def leaving(**changes) -> Leaving:
+def leaving(**changes) -> PendingSend:
     values = {
-        "phase": "ready",
-        "give_up_at": NOW + SECOND,
-        "effect": policy.Idempotency.IDEMPOTENT_WITH_KEY,
-        "window": SECOND,
-        "first_left": None,
-        "client_left": False,
+        "endpoint_state": "ready",
+        "deadline": NOW + SECOND,
+        "idempotency": policy.Idempotency.IDEMPOTENT_WITH_KEY,
+        "deduplication_window_us": SECOND,
+        "first_sent_at": None,
+        "has_client_left": False,
     }
-    return Leaving(**(values | changes))
+    return PendingSend(**(values | changes))
 
 
 @pytest.mark.parametrize(
     ("changes", "why"),
     [
         ({}, None),
-        ({"give_up_at": NOW}, "deadline"),
-        ({"phase": "draining"}, "draining"),
-        ({"phase": "gone"}, "gone"),
-        ({"first_left": NOW - SECOND // 2}, None),
-        ({"first_left": NOW - SECOND}, "window"),
-        ({"first_left": NOW - SECOND, "effect": policy.Idempotency.IDEMPOTENT}, None),
-        ({"first_left": NOW, "effect": policy.Idempotency.NOT_IDEMPOTENT}, "unsafe"),
-        ({"client_left": True}, "client"),
-        ({"client_left": True, "first_left": NOW - SECOND // 2}, "client"),
+        ({"deadline": NOW}, "deadline"),
+        ({"endpoint_state": "draining"}, "draining"),
+        ({"endpoint_state": "gone"}, "gone"),
+        ({"first_sent_at": NOW - SECOND // 2}, None),
+        ({"first_sent_at": NOW - SECOND}, "window"),
+        ({"first_sent_at": NOW - SECOND, "idempotency": policy.Idempotency.IDEMPOTENT}, None),
+        ({"first_sent_at": NOW, "idempotency": policy.Idempotency.NOT_IDEMPOTENT}, "unsafe"),
+        ({"has_client_left": True}, "client"),
+        ({"has_client_left": True, "first_sent_at": NOW - SECOND // 2}, "client"),
     ],
 )
 def test_what_broke_a_rule_meanwhile_does_not_leave(changes, why):
-    assert why_not(NOW, leaving(**changes)) == why
+    assert rejection_reason(NOW, leaving(**changes)) == why
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -286,7 +286,7 @@
         stream.send(OK)
 
     def test(house):
-        house.life.pool.most_in_all = 2
+        house.life.pool.max_total = 2
         clients = [house.connect() for _ in range(3)]
         for client in clients:
             client.send(call())
@@ -357,7 +357,11 @@
             assert house.ask(call(client=client))[0] == 200
         house.loop.sleep(3 * SECOND)
         life, rules = house.life, house.life.host.gateway
-        assert (len(life.tracker.endpoints), len(life.tracker.addresses), life.pool.open) == (1, 1, 1)
+        assert (len(life.tracker.endpoints), len(life.tracker.addresses), life.pool.open_connections) == (
+            1,
+            1,
+            1,
+        )
         held = [
             rules.endpoints,
             rules.cell_pools,
@@ -481,10 +485,10 @@
         house.life.clients.before_response = lambda *_: 1 / 0
         assert house.ask(call())[0] == 500
         del house.life.clients.before_response
-        nodes = house.life.host.begin.__self__.nodes
-        nodes.request_head = lambda *_: 1 / 0
+        endpoints = house.life.host.begin.__self__.endpoints
+        endpoints.request_head = lambda *_: 1 / 0
         assert house.ask(call(left="0.300"))[0] in (500, 503)
-        del nodes.request_head
+        del endpoints.request_head
         assert house.ask(call())[0] == 200
         assert not house.life.host.requests
         assert not house.life.clients.in_flight
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -1,41 +1,41 @@
 """Which idle connections carry another request."""
 
-from orchidlane.gateway.forwarding.connection_reuse import HALVE, Reuse
+from orchidlane.gateway.forwarding.connection_reuse import HALF_LIFE_US, ReuseStatistics
 
 MS, SECOND = 1_000, 1_000_000
 
 
-def feed(reuse: Reuse, idle: int | None, number: int, lost: int, now: int = 0) -> None:
+def feed(reuse: ReuseStatistics, idle: int | None, number: int, lost: int, now: int = 0) -> None:
     for index in range(number):
-        reuse.told(idle, index < lost, now)
+        reuse.record(idle, index < lost, now)
 
 
 def test_an_idle_time_that_loses_requests_is_used_no_more_and_shorter_ones_are():
-    reuse = Reuse(0)
+    reuse = ReuseStatistics(0)
     feed(reuse, 2 * SECOND, 30, 3)
     feed(reuse, 5 * MS, 300, 0)
-    assert not reuse.may(2 * SECOND, False, 0)
-    assert reuse.may(5 * MS, True, 0)
+    assert not reuse.may_reuse(2 * SECOND, False, 0)
+    assert reuse.may_reuse(5 * MS, True, 0)
 
 
 def test_what_new_connections_lose_too_is_not_held_against_kept_ones():
-    reuse = Reuse(0)
+    reuse = ReuseStatistics(0)
     feed(reuse, 5 * MS, 200, 10)
-    assert not reuse.may(5 * MS, False, 0)
+    assert not reuse.may_reuse(5 * MS, False, 0)
     feed(reuse, None, 200, 9)
-    assert reuse.may(5 * MS, False, 0)
+    assert reuse.may_reuse(5 * MS, False, 0)
 
 
 def test_less_may_be_lost_before_what_cannot_be_repeated():
-    reuse = Reuse(0)
+    reuse = ReuseStatistics(0)
     feed(reuse, 5 * MS, 100, 1)
-    assert reuse.may(5 * MS, False, 0)
-    assert not reuse.may(5 * MS, True, 0)
+    assert reuse.may_reuse(5 * MS, False, 0)
+    assert not reuse.may_reuse(5 * MS, True, 0)
 
 
 def test_an_age_is_tried_again_some_time_after_it_went_wrong():
-    reuse = Reuse(0)
+    reuse = ReuseStatistics(0)
     feed(reuse, SECOND, 5, 1)
-    assert not reuse.may(SECOND, False, 0)
-    assert reuse.may(SECOND, False, 4 * HALVE)
-    assert reuse.may(SECOND, True, 10**15)
+    assert not reuse.may_reuse(SECOND, False, 0)
+    assert reuse.may_reuse(SECOND, False, 4 * HALF_LIFE_US)
+    assert reuse.may_reuse(SECOND, True, 10**15)
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -399,12 +399,12 @@
 
 
 def test_the_audit_over_records_objects_to_a_request_that_no_one_decided_on(tmp_path, monkeypatch):
-    from orchidlane.gateway.forwarding.connection_pool import Attempt
+    from orchidlane.gateway.forwarding.attempt import Attempt
 
-    head = Attempt._head
+    head = Attempt._request_head
     monkeypatch.setattr(
         Attempt,
-        "_head",
+        "_request_head",
         lambda self: head(self).replace(b"-0\r\norchidlane-customer", b"-7\r\norchidlane-customer"),
     )
     told = recorded_day(tmp_path, span=2)
