--- a/orchidlane/platform/configuration.py
+++ b/orchidlane/platform/configuration.py
@@ -16,7 +16,8 @@
 from orchidlane.platform.discovery import DiscoveryEvent
 from orchidlane.runtime import Address
 from orchidlane.runtime.backend import parse_address
-from orchidlane.simulator_protocol import codec
+from orchidlane.simulator_protocol import settings_json
+from orchidlane.simulator_protocol.errors import ProtocolError
 
 PATH_VARIABLE = "PROXY_CONFIG"
 MIN_SOCKETS = 64  # fewer leave too few beside the reserved descriptors, see ``resource_limits``
@@ -104,8 +105,8 @@
         file = msgspec.json.decode(text, type=ConfigurationFile)
         settings = bytes(file.settings)
         platform_settings = msgspec.json.decode(settings, type=PlatformSettings)
-        policy_settings = codec.parse_settings(settings)
-    except (msgspec.DecodeError, UnicodeDecodeError, codec.WireError) as error:
+        policy_settings = settings_json.parse_settings(settings)
+    except (msgspec.DecodeError, UnicodeDecodeError, ProtocolError) as error:
         raise ConfigurationError(f"{path}: {error}") from None
     _check_sockets(file.limits.sockets, path)
     seed = _parse_seed(file.seed, path)
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -20,29 +20,28 @@
 
 import msgspec
 import pytest
-from conftest import SETTINGS, T0
+from harness.policy_harness import SETTINGS, START_US
 
 from orchidlane import policy, recording
 from orchidlane.gateway.control import endpoint_list
-from orchidlane.gateway.lifecycle.account_store import Memory
-from orchidlane.gateway.lifecycle.rolling_upgrade import Kept, Rolling
+from orchidlane.gateway.lifecycle.account_store import AccountStore
+from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver, StoredRoll
 from orchidlane.gateway.peers import datagrams, query_exchange, token_messages, token_requests
-from orchidlane.gateway.rollout_agent import admin_api, agent, storage
+from orchidlane.gateway.rollout_agent import admin_messages, storage
 from orchidlane.gateway.telemetry import policy_views
 from orchidlane.hot_restart import messages as restart_messages
 from orchidlane.hot_restart import rolling_upgrade
-from orchidlane.hot_restart.probation import Answers
+from orchidlane.hot_restart.probation import AnswerCounts
 from orchidlane.limits import GrantOutcome, GrantStore, TokenOwner
 from orchidlane.policy import gossip_codec as module_messages
 from orchidlane.policy.accounts import Account, AccountKey, ReplicaCount
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording import segments
 from orchidlane.recording.state_dump import account_to_row
+from orchidlane.rollout import canary_analysis, version
 from orchidlane.rollout import messages as version_messages
 from orchidlane.rollout import replicated_state as fleet_ledger
-from orchidlane.rollout import version
-from orchidlane.rollout.canary_analysis import Tally
-from orchidlane.rollout.consensus import Kept as VoterKept
+from orchidlane.rollout.voter_state import VoterState as VoterKept
 
 GOLDEN = Path(__file__).parent / "corpus" / "golden"
 SECRET = b"the golden fleet's key"
@@ -59,7 +58,7 @@
         self.world = self
 
     def now(self) -> int:
-        return T0
+        return START_US
 
     def call_at(self, *_: Any) -> None:
         """No file grows too old here."""
@@ -83,20 +82,23 @@
         customer=7,
         key=AccountKey(2, 1, 3),
         limit=24.5,
-        refilled_at_us=T0 - 40,
+        refilled_at_us=START_US - 40,
         replica_counts={0: ReplicaCount(15_900, 3.25), 2: ReplicaCount(15_950, 4.5)},
         counted_total=7.75,
         spent_total=9.25,
         recently_changed=(2, 0),
         unconfirmed=False,
         in_flight=2,
-        peer_admissions_at_us=(T0 - 9, T0 - 5),
-        announced_at_us=T0 - 3,
+        peer_admissions_at_us=(START_US - 9, START_US - 5),
+        announced_at_us=START_US - 3,
         ceiling_tokens=5.5,
         requested_tokens=1.5,
         exhausted=True,
     )
-    return [first, Account(customer=4_000_000_000, key=AccountKey(0, 0, 1), limit=10.0, refilled_at_us=T0)]
+    return [
+        first,
+        Account(customer=4_000_000_000, key=AccountKey(0, 0, 1), limit=10.0, refilled_at_us=START_US),
+    ]
 
 
 def golden_state() -> recording.StateDump:
@@ -120,7 +122,7 @@
 def golden_events() -> list[policy.Event]:
     """Each type of event at least once, with each value of the enumerations that an event holds."""
     entries = tuple(
-        policy.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, T0 - 90, 1.5)
+        policy.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, START_US - 90, 1.5)
         for phase in policy.EndpointState
     )
     return [
@@ -145,7 +147,7 @@
 def golden_actions() -> list[policy.Action]:
     """Each type of action once."""
     return [
-        policy.SendAttempt(1, b"10.0.0.1:80", T0 + 5_000),
+        policy.SendAttempt(1, b"10.0.0.1:80", START_US + 5_000),
         policy.CancelAttempt(1, 4),
         policy.GrantQuota(2),
         policy.RejectRequest(1, 250_000, True),
@@ -164,13 +166,18 @@
         format=2,
         build=BUILD,
         gateway="gateway-1",
-        started_at_us=T0 - 1_000_000,
+        started_at_us=START_US - 1_000_000,
         number=3,
         settings=golden_settings(),
         state=msgspec.structs.replace(golden_state(), accounts=[]),
         class_names=CLASS_NAMES,
         plan_names=PLAN_NAMES,
-        context={"now": T0, "incarnation": T0 - 1_000_000, "list": ["epoch-1", 12, 2], "draining": True},
+        context={
+            "now": START_US,
+            "incarnation": START_US - 1_000_000,
+            "list": ["epoch-1", 12, 2],
+            "draining": True,
+        },
     )
 
 
@@ -180,7 +187,7 @@
         format=1,
         build=BUILD,
         gateway="gateway-1",
-        now=T0,
+        now=START_US,
         settings=golden_settings(),
         state=golden_state(),
         class_names=CLASS_NAMES,
@@ -213,26 +220,38 @@
     return tracker
 
 
-def golden_roll(phase: rolling_upgrade.Phase) -> Kept:
+def golden_roll(phase: rolling_upgrade.Phase) -> StoredRoll:
     """A roll's state in some phase, with one gateway in each place."""
     ones = [
-        rolling_upgrade.One(
-            place, 4_000 + number, T0 + number, 2, Answers(900, 30, 4), 3_000 + number, True, "done", True
+        rolling_upgrade.GatewayState(
+            place,
+            4_000 + number,
+            START_US + number,
+            2,
+            AnswerCounts(900, 30, 4),
+            3_000 + number,
+            True,
+            "done",
+            True,
         )
-        for number, place in enumerate(rolling_upgrade.Place)
+        for number, place in enumerate(rolling_upgrade.GatewayPhase)
     ]
-    state = rolling_upgrade.State(ones, phase, T0 + 99, True, 4, [3, 1, 2], "gateway-2: it serves less")
+    state = rolling_upgrade.RollState(
+        ones, phase, START_US + 99, True, 4, [3, 1, 2], "gateway-2: it serves less"
+    )
     names = [f"gateway-{number}" for number in range(len(ones))]
-    return Kept(names, ("orchidlane-old serve", "orchidlane-new serve"), [1.5, 2.5, 3.5, 0.5, 9.0], state)
+    return StoredRoll(
+        names, ("orchidlane-old serve", "orchidlane-new serve"), [1.5, 2.5, 3.5, 0.5, 9.0], state
+    )
 
 
 def golden_limits_carried() -> dict[str, Any]:
     """What a successor is told of takes, tokens and reservations, beside the tables' rows."""
     return {
-        "life": T0 - 1_000_000,
-        "numbers": T0 - 999_000,
-        "sure_from": T0 - 500_000,
-        "credits": [[7, 2.5, T0 + 60_000_000]],
+        "life": START_US - 1_000_000,
+        "numbers": START_US - 999_000,
+        "sure_from": START_US - 500_000,
+        "credits": [[7, 2.5, START_US + 60_000_000]],
         "answered": [[1, 55, b"an answer told before"]],
     }
 
@@ -243,13 +262,22 @@
     return {
         "accounts": [
             [
-                *(7, [2, 1, 3], 24.5, T0 - 40, [[0, 15_900, 3.25], [2, 15_950, 4.5]], 7.75, 9.25, [2, 0]),
-                *(False, 2, [T0 - 9, T0 - 5], T0 - 3, 5.5, 1.5, True),
+                *(
+                    7,
+                    [2, 1, 3],
+                    24.5,
+                    START_US - 40,
+                    [[0, 15_900, 3.25], [2, 15_950, 4.5]],
+                    7.75,
+                    9.25,
+                    [2, 0],
+                ),
+                *(False, 2, [START_US - 9, START_US - 5], START_US - 3, 5.5, 1.5, True),
             ]
         ],
-        "tokens": [[b"token-1", 1, 55, T0 + 5_000_000, True, 2.5]],
+        "tokens": [[b"token-1", 1, 55, START_US + 5_000_000, True, 2.5]],
         "grants": [
-            [b"grant-%d" % number, 7, 2.5, T0 + 6_000_000, True, end]
+            [b"grant-%d" % number, 7, 2.5, START_US + 6_000_000, True, end]
             for number, end in enumerate(["", *ends])
         ],
     }
@@ -257,7 +285,7 @@
 
 def golden_peers() -> list[Any]:
     """What came of each peer: rank, incarnation, latest number, which of those before it came."""
-    return [[1, T0 - 70, 900, bytes(range(128))], [2, T0 - 60, 800, bytes(range(127, -1, -1))]]
+    return [[1, START_US - 70, 900, bytes(range(128))], [2, START_US - 60, 800, bytes(range(127, -1, -1))]]
 
 
 def golden_restart_messages() -> dict[str, Any]:
@@ -265,28 +293,28 @@
     told = restart_messages
     return {
         "hello": told.Hello(1, BUILD, "gateway-1", 1, 3, PLAN_NAMES),
-        "warm": told.Warm(),
+        "warm": told.Ready(),
         "started": told.Started(),
-        "pulse": told.Pulse(900, 30, 4, 5_000, 6_000),
-        "unfit": told.Unfit("its settings are another fleet's"),
-        "taken": told.Taken(55, True),
-        "heard": told.Heard(2, b"\x01an answer"),
-        "count": told.Count(7, 2, 1, 3, 15_900, 3.25),
-        "reading": told.Reading(81),
-        "began": told.Began(82),
-        "answering": told.Answering(83),
-        "idle": told.Idle(84, True, b"GET / HT", (3, b"client", False)),
-        "opened": told.Opened(85, "resp"),
-        "ended": told.Ended(86),
-        "took": told.Took(87, True),
-        "returned": told.Returned(),
-        "offer": told.Offer(BUILD, T0, T0 - 1_000_000, 4, ("http", "resp", "peers")),
-        "place": told.Place("http"),
-        "rows of accounts": told.Rows("accounts", golden_rows()["accounts"], [8, 9]),
-        "rows of tokens": told.Rows("tokens", golden_rows()["tokens"], [b"token-2"]),
-        "rows of grants": told.Rows("grants", golden_rows()["grants"], [b"grant-9"]),
-        "whole": told.Whole(),
-        "final": told.Final(
+        "pulse": told.Heartbeat(900, 30, 4, 5_000, 6_000),
+        "unfit": told.Failure("its settings are another fleet's"),
+        "taken": told.UnitsReply(55, True),
+        "heard": told.PeerReply(2, b"\x01an answer"),
+        "count": told.CustomerCount(7, 2, 1, 3, 15_900, 3.25),
+        "reading": told.ReadStarted(81),
+        "began": told.RequestStarted(82),
+        "answering": told.ResponseStarted(83),
+        "idle": told.ConnectionIdle(84, True, b"GET / HT", (3, b"client", False)),
+        "opened": told.ConnectionOpened(85, "resp"),
+        "ended": told.ConnectionClosed(86),
+        "took": told.ConnectionAdopted(87, True),
+        "returned": told.ServingStopped(),
+        "offer": told.Offer(BUILD, START_US, START_US - 1_000_000, 4, ("http", "resp", "peers")),
+        "place": told.InheritedSocket("http"),
+        "rows of accounts": told.TableRows("accounts", golden_rows()["accounts"], [8, 9]),
+        "rows of tokens": told.TableRows("tokens", golden_rows()["tokens"], [b"token-2"]),
+        "rows of grants": told.TableRows("grants", golden_rows()["grants"], [b"grant-9"]),
+        "whole": told.CopyComplete(),
+        "final": told.FinalState(
             msgspec.structs.replace(golden_state(), accounts=[]),
             golden_limits_carried(),
             msgspec.to_builtins(golden_tracker().export_state()),
@@ -295,14 +323,16 @@
             6_000,
             CLASS_NAMES,
         ),
-        "connection": told.Connection(88, "resp", b"*1\r\n", T0 - 30, T0 - 20, (3, b"client", False)),
-        "take": told.Take(56, 7, 2, 1, 2.5, 1, 3),
-        "tell": told.Tell(2, b"\x02a datagram's body"),
-        "granted": told.Granted(b"grant-1", 7, 2.5, 60_000_000),
+        "connection": told.ConnectionHandover(
+            88, "resp", b"*1\r\n", START_US - 30, START_US - 20, (3, b"client", False)
+        ),
+        "take": told.UnitsRequest(56, 7, 2, 1, 2.5, 1, 3),
+        "tell": told.SendDatagram(2, b"\x02a datagram's body"),
+        "granted": told.GrantRecorded(b"grant-1", 7, 2.5, 60_000_000),
         "abort": told.Abort("it does not read"),
-        "recall": told.Recall("it serves less"),
+        "recall": told.Reclaim("it serves less"),
         "release": told.Release(),
-        "ask": told.Ask(),
+        "ask": told.StatusRequest(),
         "status": told.Status("trial", BUILD, 4_001, "done", 900, 30, 4),
     }
 
@@ -320,60 +350,62 @@
     return module_messages.CustomerRow(7, 2, 1, 3, 2, 15.25, 9.25, 1.5, ((1, 15_900, 3.25), (2, 15_950, 4.5)))
 
 
-def golden_parts(letter: str) -> version.Parts:
+def golden_parts(letter: str) -> version.ContentHashes:
     """The names of a version's contents."""
-    return version.Parts(*(digit + 63 * letter for digit in "0123"))
+    return version.ContentHashes(*(digit + 63 * letter for digit in "0123"))
 
 
 def golden_version(number: int) -> version.Version:
     """A version with all its fields."""
     return version.Version(
         number=number,
-        parts=golden_parts("a"),
+        contents=golden_parts("a"),
         base=number - 1,
         author="an author",
         reason="a reason",
-        undoes=number - 2,
-        proposal=f"proposal-{number}",
-        then=(golden_parts("b"), golden_parts("c")),
+        reverts=number - 2,
+        proposal_id=f"proposal-{number}",
+        followed_by=(golden_parts("b"), golden_parts("c")),
     )
 
 
-def golden_seats() -> tuple[version.Seat, ...]:
+def golden_seats() -> tuple[version.VotingMember, ...]:
     """Three voters."""
-    return tuple(version.Seat(rank, 9_000_000_000 + rank) for rank in range(3))
+    return tuple(version.VotingMember(rank, 9_000_000_000 + rank) for rank in range(3))
 
 
 def golden_certificate(number: int) -> version.Certificate:
     """What proves that all three voters approved a version."""
     approved, seats = golden_version(number), golden_seats()
-    votes = tuple(version.cast(SECRET, seat, approved, 5, True, "it fits") for seat in seats)
+    votes = tuple(version.cast_vote(SECRET, seat, approved, 5, True, "it fits") for seat in seats)
     return version.Certificate(approved, 5, seats, votes)
 
 
-def golden_ledger() -> fleet_ledger.Ledger:
+def golden_ledger() -> fleet_ledger.ReplicatedState:
     """A ledger with a change that is asked about, one that it takes back, and a history."""
-    asked = fleet_ledger.Change(golden_version(23), 6, fleet_ledger.Stage.ASKED, None, b"", "a pause")
-    halted = fleet_ledger.Change(
+    asked = fleet_ledger.Rollout(
+        golden_version(23), 6, fleet_ledger.RolloutPhase.VOTING, None, b"", "a pause"
+    )
+    halted = fleet_ledger.Rollout(
         golden_version(22),
         5,
-        fleet_ledger.Stage.ADOPTING,
+        fleet_ledger.RolloutPhase.ADOPTING,
         golden_certificate(22),
-        fleet_ledger.ranks_as_bits([0, 2, 9], 12),
+        fleet_ledger.encode_ranks([0, 2, 9], 12),
         "stopped by hand",
     )
-    return fleet_ledger.Ledger(
+    return fleet_ledger.ReplicatedState(
         index=40,
-        seats=golden_seats(),
+        members=golden_seats(),
         current=golden_certificate(21),
         term=6,
         leader=2,
-        before=golden_seats()[:2],
-        change=asked,
-        halted=halted,
-        latest=23,
+        previous_members=golden_seats()[:2],
+        rollout=asked,
+        halted_rollout=halted,
+        latest_number=23,
         history=tuple(
-            fleet_ledger.Entry(golden_version(number), state, "why it ended so")
+            fleet_ledger.HistoryEntry(golden_version(number), state, "why it ended so")
             for number, state in ((18, "done"), (19, "refused"), (20, "undone"))
         ),
     )
@@ -382,16 +414,16 @@
 def golden_voter_file() -> storage.VoterFile:
     """A voter's disk."""
     kept = VoterKept(
-        store=9_000_000_001,
+        store_id=9_000_000_001,
         promised=(8, 2, 9_000_000_002),
         accepted=(7, 1, 9_000_000_001),
-        name=version.name_of(fleet_ledger.encode(golden_ledger())),
-        mark=33,
-        marks={0: (9_000_000_000, 31), 2: (9_000_000_002, 32)},
-        said=(
+        accepted_hash=version.content_hash(fleet_ledger.encode(golden_ledger())),
+        vote_count=33,
+        seen_vote_counts={0: (9_000_000_000, 31), 2: (9_000_000_002, 32)},
+        latest_vote=(
             6,
             23,
-            version.cast(SECRET, golden_seats()[1], golden_version(23), 6, False, "a rule is broken"),
+            version.cast_vote(SECRET, golden_seats()[1], golden_version(23), 6, False, "a rule is broken"),
         ),
     )
     ledger = fleet_ledger.encode(golden_ledger())
@@ -400,77 +432,78 @@
 
 def golden_running_file() -> storage.RunningFile:
     """The version that a gateway runs, with its latest ledger."""
-    contents = tuple(golden_parts("a").names())
+    contents = tuple(golden_parts("a").hashes())
     return storage.RunningFile(fleet_ledger.encode(golden_ledger()), golden_certificate(21), contents)
 
 
 def golden_version_messages() -> dict[str, Any]:
     """One of each message between gateways on the fleet's versions; every field is other than its default."""
-    told, name, ballot = version_messages, version.name_of(b"a ledger"), (8, 2, 9_000_000_002)
+    told, name, ballot = version_messages, version.content_hash(b"a ledger"), (8, 2, 9_000_000_002)
     return {
-        "ask": told.Ask(555, 40),
-        "told": told.Told(555, 40, name, 1_200, True),
-        "hint": told.Hint(41),
-        "report": told.Report(21, 22, 900, "its contents did not come"),
-        "noted": told.Noted(21, 22),
+        "ask": told.GossipRequest(555, 40),
+        "told": told.GossipResponse(555, 40, name, 1_200, True),
+        "hint": told.NewStateHint(41),
+        "report": told.AdoptionReport(21, 22, 900, "its contents did not come"),
+        "noted": told.AdoptionReportAck(21, 22),
         "prepare": told.Prepare(ballot, 33),
         "promise": told.Promise(ballot, (7, 1, 9_000_000_001), name, 9_000_000_000, 31),
         "nack": told.Nack(ballot, (9, 0, 9_000_000_000)),
         "accept": told.Accept(ballot, name, 34),
         "accepted": told.Accepted(ballot, 9_000_000_001, 35),
-        "beat": told.Beat(6, ballot, 77, 40, name),
-        "beaten": told.Beaten(77, 9_000_000_001),
-        "voted": told.Voted(6, 23, 9_000_000_001, True, bytes(range(16)), "it fits"),
-        "waiting": told.Waiting(9_000_000_001, name, bytes(range(16, 32))),
-        "mark ask": told.MarkAsk(9_000_000_001),
-        "mark told": told.MarkTold(9_000_000_001, 33, True),
+        "beat": told.Heartbeat(6, ballot, 77, 40, name),
+        "beaten": told.HeartbeatAck(77, 9_000_000_001),
+        "voted": told.VersionVote(6, 23, 9_000_000_001, True, bytes(range(16)), "it fits"),
+        "waiting": told.AdmissionRequest(9_000_000_001, name, bytes(range(16, 32))),
+        "mark ask": told.VoteCountRequest(9_000_000_001),
+        "mark told": told.VoteCountResponse(9_000_000_001, 33, True),
     }
 
 
-def golden_order() -> admin_api.Order:
+def golden_order() -> admin_messages.CommandRequest:
     """A command at the admin address."""
     then = (golden_parts("b"),)
-    return admin_api.Order(
-        "order-1", "propose", 21, "an author", "a reason", golden_parts("a"), 20, then, passed_on=True
+    return admin_messages.CommandRequest(
+        "order-1", "propose", 21, "an author", "a reason", golden_parts("a"), 20, then, is_forwarded=True
     )
 
 
-def golden_status() -> admin_api.Status:
+def golden_status() -> admin_messages.RolloutStatus:
     """How the fleet's versions stand, as the gateway that leads tells it."""
     ledger = golden_ledger()
-    assert ledger.change is not None and ledger.halted is not None
-    return admin_api.Status(
+    assert ledger.rollout is not None and ledger.halted_rollout is not None
+    return admin_messages.RolloutStatus(
         gateway=2,
-        leads=True,
+        is_leader=True,
         term=6,
         leader=2,
-        confirmed=1_200,
-        serves="no quorum for a lease",
-        running="21:0123456789ab",
+        confirmed_us_ago=1_200,
+        rejection_reason="no quorum for a lease",
+        running_version="21:0123456789ab",
         index=40,
-        current=ledger.current.version,
-        change=ledger.change.version,
-        stage="asked",
-        paused="a pause",
-        halted=ledger.halted.version,
+        current_version=ledger.current.version,
+        rollout_version=ledger.rollout.version,
+        phase="asked",
+        pause_reason="a pause",
+        halted_version=ledger.halted_rollout.version,
         history=ledger.history,
-        seats=(0, 1, 2),
+        member_ranks=(0, 1, 2),
         votes={0: "yes", 1: "a rule is broken"},
         gateways=(
-            admin_api.GatewayState(0),
-            admin_api.GatewayState(1, 21, 22, "its contents did not come", 700, 9_000),
+            admin_messages.GatewayStatus(0),
+            admin_messages.GatewayStatus(1, 21, 22, "its contents did not come", 700, 9_000),
         ),
     )
 
 
-def golden_tallies() -> dict[str, Tally]:
+def golden_tallies() -> dict[str, canary_analysis.AnswerCounts]:
     """What a gateway answered, by class and plan."""
-    return {"safe plain": Tally(900, 30, 4, 5, 6, 7), "unsafe capped": Tally(80, 3, 2, 1, 9, 8)}
+    counts = canary_analysis.AnswerCounts
+    return {"safe plain": counts(900, 30, 4, 5, 6, 7), "unsafe capped": counts(80, 3, 2, 1, 9, 8)}
 
 
-def golden_outcome() -> agent.Outcome:
+def golden_outcome() -> admin_messages.CommandOutcome:
     """What became of a command."""
-    return agent.Outcome(True, "known already as version 21", True)
+    return admin_messages.CommandOutcome(True, "known already as version 21", True)
 
 
 # How the program writes them
@@ -491,12 +524,12 @@
     rows = [account_to_row(account) for account in golden_accounts()]
     parts = [
         recording.pack_header(golden_header()),
-        recording.pack_account_page(T0 + 1, rows[:1], last=False),
+        recording.pack_account_page(START_US + 1, rows[:1], last=False),
     ]
     for number, event in enumerate(golden_events()):
-        parts.append(recording.pack_entry(T0 + 2 + number, event, [] if number else golden_actions()))
-    parts.append(recording.pack_account_page(T0 + 90, rows[1:], last=True))
-    parts.append(segments.pack_response(T0 + 91, 1, 429, "refused", 6_000))
+        parts.append(recording.pack_entry(START_US + 2 + number, event, [] if number else golden_actions()))
+    parts.append(recording.pack_account_page(START_US + 90, rows[1:], last=True))
+    parts.append(segments.pack_response(START_US + 91, 1, 429, "refused", 6_000))
     return b"".join(parts)
 
 
@@ -515,13 +548,19 @@
 }
 
 
-def account_store(disk: Disk) -> Memory:
+def account_store(disk: Disk) -> AccountStore:
     """The account store of a gateway whose module holds the golden accounts, or none where they are read."""
     gateway = recording.restore_gateway(
         SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS)
     )
     recording.track_accounts(gateway)
-    about = {"now": T0, "incarnation": T0 - 1_000_000, "sequence": 5_000, "generation": 4, "open": 2}
+    about = {
+        "now": START_US,
+        "incarnation": START_US - 1_000_000,
+        "sequence": 5_000,
+        "generation": 4,
+        "open": 2,
+    }
     program = SimpleNamespace(
         loop=disk,
         host=SimpleNamespace(loop=disk, gateway=gateway, settings=SETTINGS),
@@ -531,47 +570,47 @@
             gateways=[],
         ),
         entry=SimpleNamespace(name="gateway-1"),
-        incarnation=T0 - 1_000_000,
-        names=lambda: (CLASS_NAMES, PLAN_NAMES),
-        about=lambda: about,
-        quiet=False,
+        incarnation=START_US - 1_000_000,
+        state_names=lambda: (CLASS_NAMES, PLAN_NAMES),
+        describe_state=lambda: about,
+        superseded=False,
         stopping=False,
         log=SimpleNamespace(error=lambda what, **why: pytest.fail(f"{what}: {why}")),
     )
-    return Memory(program, "accounts")  # type: ignore[arg-type]
+    return AccountStore(program, "accounts")  # type: ignore[arg-type]
 
 
 def write_account_store() -> bytes:
     """As the program writes its accounts down at its end."""
     disk = Disk()
     store = account_store(disk)
-    store.program.host.gateway.accounts.update({one.customer: one for one in golden_accounts()})
+    store.gateway.host.gateway.accounts.update({one.customer: one for one in golden_accounts()})
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(recording, "build_name", lambda: BUILD)
-        store.finish()
+        store.save_final()
     return disk.files["accounts"]
 
 
-def rolling_of(disk: Disk) -> Rolling:
+def rolling_of(disk: Disk) -> RollDriver:
     """What carries out a roll of the golden gateways."""
     gateways = [SimpleNamespace(name=name) for name in golden_roll(rolling_upgrade.Phase.ROLLING).names]
     fleet = SimpleNamespace(state_directory="state", gateways=gateways)
-    return Rolling(disk, fleet, None, print)  # type: ignore[arg-type]
+    return RollDriver(disk, fleet, None, print)  # type: ignore[arg-type]
 
 
 def write_roll(phase: rolling_upgrade.Phase) -> bytes:
     """As a roll writes its state down."""
     disk = Disk()
     written = rolling_of(disk)
-    written.kept = golden_roll(phase)
-    written._save()
+    written.stored = golden_roll(phase)
+    written._store()
     return disk.files["state/roll.json"]
 
 
 def write_version_file(kind: str) -> bytes:
     """As a gateway writes its voter's file or the one of the version that runs."""
     disk = Disk()
-    kept = storage.Files(disk, "gateway-1")  # type: ignore[arg-type]
+    kept = storage.RolloutStorage(disk, "gateway-1")  # type: ignore[arg-type]
     if kind == "voter":
         kept.write_voter(golden_voter_file())
     else:
@@ -581,7 +620,7 @@
 
 def write_module_message() -> bytes:
     """As the module tells its peers."""
-    sent = T0 // 1000
+    sent = START_US // 1000
     return module_messages.encode_message(
         sent, True, True, [module_messages.encode_row(golden_module_row(), sent, 3)]
     )
@@ -595,7 +634,7 @@
         "versions": datagrams.DatagramKind.ROLLOUT,
     }
     return {
-        name: datagrams.encode_datagram(SECRET, 1, 2, T0 - 5, 900 + kind, b"a body", kind)
+        name: datagrams.encode_datagram(SECRET, 1, 2, START_US - 5, 900 + kind, b"a body", kind)
         for name, kind in kinds.items()
     }
 
@@ -618,8 +657,8 @@
     "module-message.bin": write_module_message,
     "datagrams.json": lambda: as_hex(write_datagrams()),
     "ledger.msgpack": lambda: fleet_ledger.encode(golden_ledger()),
-    "ledger-name.txt": lambda: version.name_of(fleet_ledger.encode(golden_ledger())).encode(),
-    "content-name.txt": lambda: golden_parts("a").content.encode(),
+    "ledger-name.txt": lambda: version.content_hash(fleet_ledger.encode(golden_ledger())).encode(),
+    "content-name.txt": lambda: golden_parts("a").combined_hash.encode(),
     "voter-file.bin": lambda: write_version_file("voter"),
     "running-file.bin": lambda: write_version_file("running"),
     "version-messages.json": lambda: write_messages(golden_version_messages(), version_messages.encode),
@@ -719,7 +758,7 @@
     assert [module.now, module.allowance_refilled_at_us, module.started_at_us] == [
         1_000_549_025,
         1_000_470_794,
-        T0,
+        START_US,
     ]
     assert [module.last_attempt_at_us, module.retry_budget] == [1_000_412_080, 2.4499999999999984]
     assert [module.unreachable_share, module.message_allowance] == [0.14782969, 39.0]
@@ -806,9 +845,9 @@
     *entries, answer = reader.entries()
     assert reader.damage is None
     assert [entry.event for entry in entries] == golden_events()
-    assert [entry.at_us for entry in entries] == [T0 + 2 + number for number in range(len(entries))]
+    assert [entry.at_us for entry in entries] == [START_US + 2 + number for number in range(len(entries))]
     assert entries[0].actions == golden_actions()
-    assert (answer.at_us, answer.event, answer.response) == (T0 + 91, None, (1, 429, "refused", 6_000))
+    assert (answer.at_us, answer.event, answer.response) == (START_US + 91, None, (1, 429, "refused", 6_000))
 
 
 def test_a_golden_account_store_brings_back_its_accounts():
@@ -817,7 +856,7 @@
     assert [recording.account_from_row(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
     store = account_store(Disk(accounts=golden("account-store.olr")))
     assert store.load() == len(golden_accounts())
-    accounts = store.program.host.gateway.accounts
+    accounts = store.gateway.host.gateway.accounts
     for one in golden_accounts():
         found = accounts[one.customer]
         assert (found.key, found.spent_total, found.counted_total) == (
@@ -825,7 +864,7 @@
             one.spent_total,
             one.counted_total,
         )
-        assert (found.limit, found.refilled_at_us) == (max(one.limit, one.spent_total), T0)
+        assert (found.limit, found.refilled_at_us) == (max(one.limit, one.spent_total), START_US)
 
 
 def test_a_golden_view_is_read_as_its_values():
@@ -854,9 +893,9 @@
     examples = golden_examples("roll-states.json")
     assert set(examples) == {phase.value for phase in rolling_upgrade.Phase}
     for name, data in examples.items():
-        kept = rolling_of(Disk(**{"state/roll.json": data})).left()
+        kept = rolling_of(Disk(**{"state/roll.json": data})).load_stored()
         assert kept == golden_roll(rolling_upgrade.Phase(name))
-        assert {one.place for one in kept.state.ones} == set(rolling_upgrade.Place)
+        assert {one.phase for one in kept.state.gateways} == set(rolling_upgrade.GatewayPhase)
 
 
 # Hot restart
@@ -878,7 +917,7 @@
     accounts = read_restart_message("rows of accounts").rows
     assert [recording.account_from_row(row) for row in accounts] == golden_accounts()[:1]
     assert PACK([account_to_row(recording.account_from_row(row)) for row in accounts]) == PACK(accounts)
-    holder, grants = TokenOwner(1, 10, T0), GrantStore(100, 1, 1)
+    holder, grants = TokenOwner(1, 10, START_US), GrantStore(100, 1, 1)
     for kept, name in ((holder, "rows of tokens"), (grants, "rows of grants")):
         rows = read_restart_message(name).rows
         for row in rows:
@@ -896,14 +935,14 @@
     service.load_state(final.limits)
     again = {**final.limits, "numbers": final.limits["numbers"] + query_exchange.QUERY_IDS_PER_PROCESS}
     assert PACK(service.dump_state()) == PACK(again)
-    inbox = datagrams.Inbox(SECRET, 0, 3, T0, 9.0)
+    inbox = datagrams.Inbox(SECRET, 0, 3, START_US, 9.0)
     inbox.load_peer_rows(final.peers)
     assert PACK(inbox.peer_rows()) == PACK(final.peers)
     tracker = endpoint_list.EndpointListTracker("z1", 100)
-    tracker.import_state(final.nodes)
-    assert PACK(tracker.export_state()) == PACK(final.nodes) == PACK(golden_tracker().export_state())
+    tracker.import_state(final.endpoints)
+    assert PACK(tracker.export_state()) == PACK(final.endpoints) == PACK(golden_tracker().export_state())
     head = msgspec.structs.replace(golden_state(), accounts=[])
-    assert final.module == head
+    assert final.policy_state == head
 
 
 # Between gateways
@@ -927,14 +966,14 @@
 
 
 def test_a_golden_message_of_the_module_is_read_as_its_values():
-    found = module_messages.decode_message(golden("module-message.bin"), T0 // 1000, 3, len(PLAN_NAMES))
-    assert found == module_messages.GossipMessage(T0 // 1000, True, True, (golden_module_row(),))
+    found = module_messages.decode_message(golden("module-message.bin"), START_US // 1000, 3, len(PLAN_NAMES))
+    assert found == module_messages.GossipMessage(START_US // 1000, True, True, (golden_module_row(),))
 
 
 def test_golden_datagrams_of_every_kind_are_taken():
     for number, data in enumerate(golden_examples("datagrams.json").values()):
-        inbox = datagrams.Inbox(SECRET, 2, 3, T0, 9.0, 9.0, 9.0)
-        assert inbox.accept(T0, data) == (number, 1, b"a body")
+        inbox = datagrams.Inbox(SECRET, 2, 3, START_US, 9.0, 9.0, 9.0)
+        assert inbox.accept(START_US, data) == (number, 1, b"a body")
 
 
 # Fleet versions
@@ -956,16 +995,16 @@
 def test_the_golden_ledger_is_read_as_its_values_under_its_name():
     data = golden("ledger.msgpack")
     assert fleet_ledger.decode(data) == golden_ledger()
-    assert version.name_of(data).encode() == golden("ledger-name.txt")
+    assert version.content_hash(data).encode() == golden("ledger-name.txt")
 
 
 def test_the_golden_ledger_has_changes_in_every_stage_and_fills_every_field():
     ledger = golden_ledger()
-    assert ledger.change is not None and ledger.halted is not None
-    assert {ledger.change.stage, ledger.halted.stage} == set(fleet_ledger.Stage)
+    assert ledger.rollout is not None and ledger.halted_rollout is not None
+    assert {ledger.rollout.phase, ledger.halted_rollout.phase} == set(fleet_ledger.RolloutPhase)
     filled = (
         ledger,
-        ledger.halted,
+        ledger.halted_rollout,
         ledger.current,
         *ledger.history,
         ledger.current.version,
@@ -976,32 +1015,38 @@
 
 def test_golden_certificates_are_sealed_for_their_versions():
     ledger = fleet_ledger.decode(golden("ledger.msgpack"))
-    assert ledger.halted is not None and ledger.halted.certificate is not None
-    for certificate in (ledger.current, ledger.halted.certificate):
-        assert version.why_not_certified(SECRET, certificate) == ""
+    assert ledger.halted_rollout is not None and ledger.halted_rollout.certificate is not None
+    for certificate in (ledger.current, ledger.halted_rollout.certificate):
+        assert version.certificate_error(SECRET, certificate) == ""
 
 
 def test_golden_files_of_the_voter_and_of_what_runs_are_read_as_their_values():
     voter, running = golden("voter-file.bin"), golden("running-file.bin")
-    kept = storage.Files(Disk(**{"gateway-1.voter": voter, "gateway-1.running": running}), "gateway-1")  # type: ignore[arg-type]
+    kept = storage.RolloutStorage(
+        Disk(**{"gateway-1.voter": voter, "gateway-1.running": running}), "gateway-1"
+    )  # type: ignore[arg-type]
     assert kept.read_voter() == golden_voter_file()
     assert kept.read_running() == golden_running_file()
-    assert list(kept.contents) == golden_parts("a").names()
-    for file in (golden_voter_file(), golden_voter_file().kept, golden_running_file()):
+    assert list(kept.contents) == golden_parts("a").hashes()
+    for file in (golden_voter_file(), golden_voter_file().voter_state, golden_running_file()):
         assert has_default(file) == []
 
 
 def test_golden_bodies_of_the_admin_address_are_read_as_their_values():
     read = msgspec.msgpack.decode
-    assert read(golden("admin-order.msgpack"), type=admin_api.Order) == golden_order()
-    assert read(golden("admin-outcome.msgpack"), type=agent.Outcome) == golden_outcome()
-    assert read(golden("admin-status.msgpack"), type=admin_api.Status) == golden_status()
-    assert read(golden("admin-counts.msgpack"), type=dict[str, Tally]) == golden_tallies()
+    assert read(golden("admin-order.msgpack"), type=admin_messages.CommandRequest) == golden_order()
+    assert read(golden("admin-outcome.msgpack"), type=admin_messages.CommandOutcome) == golden_outcome()
+    assert read(golden("admin-status.msgpack"), type=admin_messages.RolloutStatus) == golden_status()
+    assert (
+        read(golden("admin-counts.msgpack"), type=dict[str, canary_analysis.AnswerCounts]) == golden_tallies()
+    )
     for body in (golden_order(), golden_outcome(), golden_status().gateways[1]):
         assert has_default(body) == []
 
 
 def test_what_tools_print_of_fleet_versions_names_every_field_as_before():
-    assert msgspec.json.decode(golden("admin-status.json"), type=admin_api.Status) == golden_status()
-    history = msgspec.json.decode(golden("admin-history.json"), type=tuple[fleet_ledger.Entry, ...])
+    assert (
+        msgspec.json.decode(golden("admin-status.json"), type=admin_messages.RolloutStatus) == golden_status()
+    )
+    history = msgspec.json.decode(golden("admin-history.json"), type=tuple[fleet_ledger.HistoryEntry, ...])
     assert history == golden_status().history
--- a/tests/test_golden_surface.py
+++ b/tests/test_golden_surface.py
@@ -14,7 +14,7 @@
 import sys
 from enum import Enum
 from pathlib import Path
-from typing import Any, get_args
+from typing import Any, get_args, get_type_hints
 
 import click
 import msgspec
@@ -39,15 +39,14 @@
 from orchidlane.cli.main import main
 from orchidlane.gateway.control import settings_loader
 from orchidlane.gateway.peers import datagrams, token_messages
-from orchidlane.gateway.rollout_agent import admin_api
-from orchidlane.gateway.rollout_agent import agent as versions_shell
+from orchidlane.gateway.rollout_agent import admin_messages
 from orchidlane.hot_restart import messages as upgrade_messages
 from orchidlane.platform import configuration as platform_config
 from orchidlane.policy import gossip_codec
-from orchidlane.rollout import canary_analysis, replicated_state, version
+from orchidlane.rollout import canary_analysis, commands, replicated_state, version
 from orchidlane.rollout import messages as change_messages
 from orchidlane.simulation import scenario as lab_day
-from orchidlane.simulator_protocol import codec
+from orchidlane.simulator_protocol import codec, settings_json
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 SECOND = 1_000_000
@@ -108,7 +107,7 @@
     return [event.kind.value, event.version, entries]
 
 
-def start_values(event: codec.Start) -> list:
+def start_values(event: codec.StartGateway) -> list:
     """A gateway's start as plain values."""
     return [event.seed, settings_values(event.settings)]
 
@@ -133,8 +132,8 @@
         event.duration_us,
         list(event.load_report),
     ],
-    codec.Start: start_values,
-    codec.Stop: lambda event: [],
+    codec.StartGateway: start_values,
+    codec.StopGateway: lambda event: [],
 }
 
 ACTIONS: dict[int, list[policy.Action]] = {  # by the code of its record
@@ -317,6 +316,9 @@
         return next(iter(kind))
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return sample_struct(kind)
+    if isinstance(kind, type) and issubclass(kind, tuple) and hasattr(kind, "_fields"):
+        parts = get_type_hints(kind).values()
+        return kind(*(sample(part, number + place) for place, part in enumerate(parts)))
     parts = get_args(kind)
     if type(None) in parts:
         return sample(parts[0], number)
@@ -379,30 +381,32 @@
 def test_ledgers_commands_and_states_of_versions_have_the_golden_names_and_values():
     """What gateways and tools send each other over the admin address, and what names contents and seals."""
     kinds = {
-        "command": admin_api.Order,
-        "how things stand": admin_api.Status,
-        "a gateway's state": admin_api.GatewayState,
-        "what became of a command": versions_shell.Outcome,
-        "answers counted": canary_analysis.Tally,
-        "ledger": replicated_state.Ledger,
+        "command": admin_messages.CommandRequest,
+        "how things stand": admin_messages.RolloutStatus,
+        "a gateway's state": admin_messages.GatewayStatus,
+        "what became of a command": admin_messages.CommandOutcome,
+        "answers counted": canary_analysis.AnswerCounts,
+        "ledger": replicated_state.ReplicatedState,
         "certificate": version.Certificate,
-        "change": replicated_state.Change,
+        "change": replicated_state.Rollout,
     }
     found: dict[str, Any] = {}
     for what, kind in kinds.items():
         body = msgspec.msgpack.encode(sample_struct(kind))
         assert msgspec.msgpack.decode(body, type=kind) == sample_struct(kind)
         found[what] = [body.hex(), without_build(msgspec.msgpack.decode(body))]
-    found["name of a content"] = version.name_of(b"a content")
-    found["name of a version's contents"] = sample_struct(version.Version).content
-    found["seal"] = version.seal_of(SECRET, "admin", "GET", b"/change/status", b"").hex()
-    vote = version.cast(SECRET, version.Seat(1, 77), sample_struct(version.Version), 5, True, "why")
+    found["name of a content"] = version.content_hash(b"a content")
+    found["name of a version's contents"] = sample_struct(version.Version).combined_hash
+    found["seal"] = version.compute_seal(SECRET, "admin", "GET", b"/change/status", b"").hex()
+    vote = version.cast_vote(
+        SECRET, version.VotingMember(1, 77), sample_struct(version.Version), 5, True, "why"
+    )
     found["vote"] = without_build(msgspec.to_builtins(vote, builtin_types=(bytes,)))
     check_golden("versions", found)
 
 
 def test_steps_of_the_ledger_have_the_golden_bytes():
-    steps = [sample_struct(kind) for kind in get_args(replicated_state.Step)]
+    steps = [sample_struct(kind) for kind in get_args(commands.Command)]
     check_golden("ledger-steps", [msgspec.msgpack.encode(one).hex() for one in steps])
 
 
@@ -411,7 +415,7 @@
 
 def record(code: int, layout: str, *values) -> bytes:
     """A record of an event, by the protocol's layout."""
-    return struct.pack("<B" + layout, code, *values).ljust(codec.EVENT_SIZE, b"\0")
+    return struct.pack("<B" + layout, code, *values).ljust(codec.EVENT_BYTES, b"\0")
 
 
 def frames_of_the_wire() -> dict[str, list[tuple[list[bytes], bytes]]]:
@@ -456,7 +460,7 @@
             body = b"".join(records) + tail
             events = [
                 [gateway, EVENT_VALUES[type(event)](event)]
-                for gateway, event in codec.Decoder().frame(len(records), body)
+                for gateway, event in codec.Decoder().decode_frame(len(records), body)
             ]
             found.setdefault(code, []).append({"records": len(records), "body": body.hex(), "events": events})
     assert {int(code) for code in found} == set(codec._READERS)
@@ -465,7 +469,7 @@
 
 def test_each_event_that_the_wire_has_is_covered():
     of_code = {policy.QuotaRequested, policy.CountRecovered, policy.ReplicaSetChanged}  # not of the wire
-    covered = {kind for kind in EVENT_VALUES if kind not in (codec.Start, codec.Stop)}
+    covered = {kind for kind in EVENT_VALUES if kind not in (codec.StartGateway, codec.StopGateway)}
     assert set(get_args(policy.Event)) - covered == of_code
 
 
@@ -474,12 +478,12 @@
     for code, actions in ACTIONS.items():
         encoder = codec.Encoder()
         for action in actions:
-            encoder.add(3, action)
-        found[str(code)] = encoder.reply().hex()
-        assert encoder.reply()[8] == code
+            encoder.add_action(3, action)
+        found[str(code)] = encoder.encode_reply().hex()
+        assert encoder.encode_reply()[8] == code
     encoder = codec.Encoder()
-    encoder.bug(3, "ValueError: what happened")
-    found["74"] = encoder.reply().hex()
+    encoder.add_failure(3, "ValueError: what happened")
+    found["74"] = encoder.encode_reply().hex()
     covered = {type(action) for actions in ACTIONS.values() for action in actions}
     assert covered | NOT_OF_THE_WIRE == set(get_args(policy.Action))
     check_golden("wire-actions", found)
@@ -497,7 +501,8 @@
         "by probes": settings(loadReport={"how": "on_probe", "names": ["util"]}, rank=2, balancers=5),
     }
     found = {
-        what: settings_values(codec.parse_settings(json.dumps(text).encode())) for what, text in texts.items()
+        what: settings_values(settings_json.parse_settings(json.dumps(text).encode()))
+        for what, text in texts.items()
     }
     check_golden("wire-settings", {"texts": texts, "values": found})
 
