--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -10,6 +10,7 @@
 
 from orchidlane import policy
 from orchidlane.gateway.control.configuration import ConfigurationSnapshot, build_snapshot, read_source_files
+from orchidlane.gateway.control.customers import Customer
 from orchidlane.gateway.control.endpoint_list import EndpointListTracker
 from orchidlane.gateway.control.endpoint_watch import EndpointWatch
 from orchidlane.gateway.control.policy_settings import policy_settings
@@ -30,8 +31,10 @@
 from orchidlane.gateway.rollout_agent.agent import RolloutAgent
 from orchidlane.gateway.server.http_server import Connection, HttpServer
 from orchidlane.gateway.server.resp_server import RespServer, Session
-from orchidlane.gateway.telemetry.admin_api import Admin, Names
-from orchidlane.gateway.telemetry.metrics import Metrics
+from orchidlane.gateway.telemetry.admin_api import AdminApi, AdminSources
+from orchidlane.gateway.telemetry.counters import Gauge
+from orchidlane.gateway.telemetry.metrics import MetricsPage
+from orchidlane.gateway.telemetry.policy_host import PolicyNames
 from orchidlane.gateway.telemetry.traffic_recorder import TrafficRecorder
 from orchidlane.hot_restart import new_process, old_process
 from orchidlane.policy.gateway import Gateway
@@ -73,7 +76,7 @@
         self.sources: tuple[bytes, bytes] | None = None  # contents of the description and customers files
         self.versions = RolloutAgent(self) if fleet.rollout.voting_members else None
         self.knowledge = knowledge or self._initial_configuration(1)
-        self.metrics = Metrics()
+        self.metrics = MetricsPage()
         self.stopping = False
         self.ready = False
         self.superseded = False  # another process serves in our place
@@ -201,10 +204,10 @@
         self.inbox = Inbox(self.secret, self.rank, len(self.peers), self.loop.now(), *intakes)
         self._build_forwarding(settings, scope)
         self.metrics.gauges = {
-            "connections": ("Clients' connections", lambda: len(self.front.connections)),
-            "open_requests": ("Requests under way", lambda: len(self.host.requests)),
-            "nodes": ("Nodes on the list", lambda: len(self.tracker.endpoints)),
-            "longest_turn_seconds": ("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
+            "connections": Gauge("Clients' connections", lambda: len(self.front.connections)),
+            "open_requests": Gauge("Requests under way", lambda: len(self.host.requests)),
+            "nodes": Gauge("Nodes on the list", lambda: len(self.tracker.endpoints)),
+            "longest_turn_seconds": Gauge("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
         }
         send = self.send_limits_datagram
         self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, send)
@@ -239,17 +242,22 @@
         self.front = HttpServer(self.loop, self.fleet, self.host, clients, scope)
 
     def _build_admin(self) -> None:
-        self.admin = Admin(
-            self.loop,
-            self.entry.name,
-            self.host,
-            self.metrics,
-            lambda: self.knowledge,
-            self.describe_state,
-            lambda: self.ready and not self.stopping and not self._unready_reason(),
-            self.state_names,
-            RolloutAdminApi(self.versions) if self.versions is not None else None,
+        sources = AdminSources(
+            gateway_name=self.entry.name,
+            host=self.host,
+            metrics=self.metrics,
+            find_customer=self._find_customer,
+            describe_moment=self.describe_state,
+            is_healthy=lambda: self.ready and not self.stopping and not self._unready_reason(),
+            names=self.state_names,
         )
+        rollout = RolloutAdminApi(self.versions) if self.versions is not None else None
+        self.admin = AdminApi(self.loop, sources, rollout)
+
+    def _find_customer(self, word: bytes) -> Customer | None:
+        """Return the customer of a name, a number or a key."""
+        customers = self.knowledge.customers
+        return customers.by_name_or_key(word) or customers.by_number(word)
 
     def _unready_reason(self) -> str:
         """Return why requests must not be served yet; empty if they may."""
@@ -295,7 +303,7 @@
         name, describe = self.entry.name, self.describe_state
         recorder = TrafficRecorder(self.loop, folder, name, self.host, names, self.log, describe)
         self.host.recorder = recorder
-        scope.spawn(recorder.work, kind=BACKGROUND, name="recorder")
+        scope.spawn(recorder.run, kind=BACKGROUND, name="recorder")
 
     def _receive_from_others(self) -> None:
         """Receive datagrams of peers, and requests of the admin API."""
@@ -303,9 +311,9 @@
         if "admin" in self.sockets:
             self.admin.listen(self.sockets["admin"], self.scope)
 
-    def state_names(self) -> Names:
+    def state_names(self) -> PolicyNames:
         """Return the names that a state's numbers stand for: classes, plans."""
-        return self.knowledge.generation.class_names, tuple(self.fleet.plans)
+        return PolicyNames(self.knowledge.generation.class_names, tuple(self.fleet.plans))
 
     def describe_state(self) -> dict[str, Any]:
         """Return the moment, incarnation and generations that a stored state belongs to."""
@@ -344,7 +352,7 @@
         self.loop.cancel(self._receiving)
         if self.versions is not None:
             self.versions.stop()
-        self.admin.hold()
+        self.admin.stop_accepting()
         self.front.hold(pass_http)
         if "resp" in self.sockets:
             self.resp.hold(pass_resp)
--- a/orchidlane/gateway/lifecycle/served_gateway.py
+++ b/orchidlane/gateway/lifecycle/served_gateway.py
@@ -15,7 +15,7 @@
 from orchidlane.gateway.peers.token_requests import LimitService
 from orchidlane.gateway.server.http_server import Connection, HttpServer
 from orchidlane.gateway.server.resp_server import RespServer, Session
-from orchidlane.gateway.telemetry.metrics import Metrics
+from orchidlane.gateway.telemetry.metrics import MetricsPage
 from orchidlane.hot_restart.probation import AnswerCounts
 from orchidlane.runtime import Loop, Scope
 
@@ -28,7 +28,7 @@
     entry: GatewayEntry
     rank: int
     log: Any
-    metrics: Metrics
+    metrics: MetricsPage
     knowledge: ConfigurationSnapshot
     host: PolicyDriver
     front: HttpServer
@@ -69,7 +69,7 @@
         """Send a datagram of the token requests to a peer."""
 
 
-def count_answers(metrics: Metrics) -> AnswerCounts:
+def count_answers(metrics: MetricsPage) -> AnswerCounts:
     """Return the answers given so far."""
     counts = {"served": 0, "refused": 0, "failed": 0}  # the metric's values of ``kind``
     for (kind, _), count in metrics.responses.items():
--- a/orchidlane/gateway/lifecycle/successor_units.py
+++ b/orchidlane/gateway/lifecycle/successor_units.py
@@ -30,7 +30,7 @@
         self._last_request_id = 0
 
     def take(self, customer: QuotaOwner, units: float, kind: int) -> bool:
-        """Ask for units and wait; no answer in time counts as refused (see ``policy_driver.Lent``)."""
+        """Ask for units and wait; no answer in time counts as refused (see ``policy_driver.RemoteQuota``)."""
         loop = self.channel.loop
         task = loop.current
         assert task is not None
--- a/orchidlane/gateway/rollout_agent/admin_api.py
+++ b/orchidlane/gateway/rollout_agent/admin_api.py
@@ -45,7 +45,7 @@
 
     def __init__(self, agent: RolloutAgent) -> None:
         self.agent = agent
-        self.body_most = int(agent.fleet.rollout.max_content_bytes)
+        self.max_body_bytes = int(agent.fleet.rollout.max_content_bytes)
 
     def answer(self, method: str, target: bytes, seal: bytes | None, body: bytes) -> AdminResponse:
         """Return status and body."""
