--- a/orchidlane/gateway/lifecycle/client_transfer.py
+++ b/orchidlane/gateway/lifecycle/client_transfer.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from orchidlane.gateway.forwarding.error_responses import failed
 from orchidlane.gateway.lifecycle.restart_channel import Channel
 from orchidlane.gateway.lifecycle.served_gateway import ServedGateway
-from orchidlane.gateway.server.error_responses import failed
 from orchidlane.gateway.server.http_server import Connection
 from orchidlane.gateway.server.resp_server import Session
 from orchidlane.hot_restart import messages
--- a/orchidlane/gateway/lifecycle/old_side.py
+++ b/orchidlane/gateway/lifecycle/old_side.py
@@ -256,7 +256,7 @@
         gateway = self.gateway
         self._handed_over_at_us = self.loop.now()
         self._baseline = self._take_baseline()
-        self.successor_numbers = UsedNumbers(gateway.sequence, gateway.host.numbers)
+        self.successor_numbers = UsedNumbers(gateway.sequence, gateway.host.last_request_number)
         self._state.complete(channel, copy)
         self.successor_units = SuccessorUnits(channel)
         gateway.delegate_units(self.successor_units)
@@ -275,10 +275,12 @@
 
     def _resume_serving(self) -> None:
         gateway = self.gateway
-        forfeit_ceiling_tokens(gateway.host.rules)
+        forfeit_ceiling_tokens(gateway.host.gateway)
         used = self.successor_numbers
         gateway.sequence = used.datagram_sequence + NUMBERS_SKIPPED
-        gateway.host.numbers = max(gateway.host.numbers, used.last_request_id) + NUMBERS_SKIPPED
+        gateway.host.last_request_number = (
+            max(gateway.host.last_request_number, used.last_request_id) + NUMBERS_SKIPPED
+        )
         gateway.resume_serving()
         self.successor_units = None
         self.clients.take_back_idle()
--- a/orchidlane/gateway/rollout_agent/answer_tally.py
+++ b/orchidlane/gateway/rollout_agent/answer_tally.py
@@ -4,8 +4,9 @@
 
 from collections import deque
 
-from orchidlane.gateway.forwarding.openapi_adapter import call_of
-from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.openapi_call import operation_call
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.rollout.canary_analysis import MAX_STRATA, AnswerCounts
 
 LOAD_WINDOW_US = 2_000_000
@@ -21,10 +22,10 @@
         self.answers = 0
         self._load_samples: deque[tuple[int, int]] = deque(maxlen=LOAD_SAMPLES)  # time, answers
 
-    def record(self, exchange: Exchange, answer: Answer, duration_us: int, now: int) -> None:
+    def record(self, exchange: PendingRequest, answer: ClientResponse, duration_us: int, now: int) -> None:
         """Count a final answer, so many microseconds after the request's first byte."""
-        call = call_of(exchange)
-        stratum = f"{call.match.operation.class_name} {call.by.plan_name}"
+        call = operation_call(exchange)
+        stratum = f"{call.match.operation.class_name} {call.owner.plan_name}"
         counts = self._counts.get(stratum)
         if counts is None:
             if len(self._counts) >= MAX_STRATA:
@@ -35,9 +36,9 @@
             1,
             answer.kind == "refused",
             answer.kind == "failed" or (answer.kind == "served" and answer.status >= 500),
-            now > exchange.until,
-            duration_us > call.cls.latency_objective_us,
-            max(0, exchange.sends - 1),
+            now > exchange.deadline,
+            duration_us > call.request_class.latency_objective_us,
+            max(0, exchange.attempts - 1),
         )
         for place, value in enumerate(added):
             counts[place] += value
--- a/orchidlane/gateway/server/request_handler.py
+++ b/orchidlane/gateway/server/request_handler.py
@@ -8,12 +8,14 @@
 
 from typing import Protocol
 
-from orchidlane.gateway.forwarding.pending_request import Answer, Body, Exchange
-from orchidlane.gateway.forwarding.protocol_adapter import Call, Clients, ResourceLimits
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
+from orchidlane.gateway.forwarding.policy_driver import OutcomeCounter
+from orchidlane.gateway.forwarding.protocol_adapter import Call, ClientAdapter, ResourceLimits
+from orchidlane.gateway.forwarding.request_body import RequestBody
 from orchidlane.gateway.server.client_connection import Connection
 from orchidlane.gateway.server.request_reader import ReaderState, RequestReader
 from orchidlane.gateway.server.response_writer import CONTINUE, ResponseWriter
-from orchidlane.gateway.telemetry.counters import GatewayCounters
 from orchidlane.http1 import Malformed, Request
 from orchidlane.runtime import Closed, Expired
 
@@ -24,19 +26,19 @@
 class Driver(Protocol):
     """Who is notified of requests and answers them by the policy's decisions."""
 
-    exchanges: dict[int, Exchange]
-    metrics: GatewayCounters
+    requests: dict[int, PendingRequest]
+    metrics: OutcomeCounter
 
     def next_number(self) -> int:
         """Return the number of a new request."""
 
-    def arrived(self, exchange: Exchange, left: int) -> None:
+    def request_arrived(self, exchange: PendingRequest, left: int) -> None:
         """Take a request, so many microseconds before its time is up."""
 
-    def client_gone(self, exchange: Exchange) -> None:
+    def client_disconnected(self, exchange: PendingRequest) -> None:
         """Drop a request whose client left."""
 
-    def overdue(self, exchange: Exchange) -> None:
+    def fail_overdue(self, exchange: PendingRequest) -> None:
         """End a request whose time is over."""
 
 
@@ -45,8 +47,8 @@
 
     bounds: ResourceLimits
     host: Driver
-    clients: Clients
-    metrics: GatewayCounters
+    clients: ClientAdapter
+    metrics: OutcomeCounter
 
 
 class RequestHandler:
@@ -70,8 +72,8 @@
             return False
         if server.watcher is not None:
             server.watcher.began(connection.number)
-        understood = server.clients.understand(head, len(server.host.exchanges))
-        if isinstance(understood, Answer):
+        understood = server.clients.parse_request(head, len(server.host.requests))
+        if isinstance(understood, ClientResponse):
             if 400 <= understood.status < 500:  # the client's own fault; what is ours is said at once
                 self._pause(connection)
             return self._respond(connection, head, understood, body_read=head.length == 0)
@@ -81,28 +83,28 @@
         server = self._server
         exchange = self._exchange(connection, head, call)
         try:
-            if server.clients.whole_first:
+            if server.clients.needs_complete_request:
                 self._reader.read_complete(connection, exchange)
             connection.known = True
             server.newcomers.pop(connection, None)
-            server.host.arrived(exchange, max(1, exchange.until - server.loop.now()))
+            server.host.request_arrived(exchange, max(1, exchange.deadline - server.loop.now()))
             self._await_answer(connection, exchange)
         except Malformed as error:
-            server.host.client_gone(exchange)
+            server.host.client_disconnected(exchange)
             return self._reject_malformed(connection, error)
         except BaseException:
-            server.host.client_gone(exchange)
+            server.host.client_disconnected(exchange)
             raise
-        answer = exchange.answer
+        answer = exchange.response
         assert answer is not None
-        server.clients.answering(exchange, answer, server.loop.now() - exchange.arrived)
-        return self._respond(connection, head, answer, body_read=exchange.body.ended)
+        server.clients.before_response(exchange, answer, server.loop.now() - exchange.arrived)
+        return self._respond(connection, head, answer, body_read=exchange.body.is_complete)
 
     def _reject_malformed(self, connection: Connection, error: Malformed) -> bool:
         self._server.metrics.malformed += 1
         if error.status != REQUEST_TIMEOUT:  # that took its time
             self._pause(connection)
-        self._writer.write_last(connection, self._server.clients.wrong(error.status, error.detail))
+        self._writer.write_last(connection, self._server.clients.invalid_request(error.status, error.detail))
         return False
 
     def _pause(self, connection: Connection) -> None:
@@ -114,54 +116,56 @@
             server.loop.sleep(server.times.error_delay_us)
             server.newcomers.pop(connection, None)
 
-    def _exchange(self, connection: Connection, head: Request, call: Call) -> Exchange:
+    def _exchange(self, connection: Connection, head: Request, call: Call) -> PendingRequest:
         server = self._server
         task = server.loop.current
         assert task is not None
-        return Exchange(
+        return PendingRequest(
             number=server.host.next_number(),
             head=head,
             call=call,
-            body=Body(server.loop, server.bounds.max_replay_bytes, head.length),
+            body=RequestBody(server.loop, server.bounds.max_replay_bytes, head.length),
             task=task,
-            until=connection.since + call.patience - server.times.response_margin_us,
+            deadline=connection.since + call.timeout_us - server.times.response_margin_us,
             arrived=connection.since,
             awaits_continue=head.expects_continue,
-            client_left=connection.stream.has_left,
+            has_client_left=connection.stream.has_left,
         )
 
     # -- until the answer is there
 
-    def _await_answer(self, connection: Connection, exchange: Exchange) -> None:
+    def _await_answer(self, connection: Connection, exchange: PendingRequest) -> None:
         self._reader.transfer(connection, exchange.body)
-        while exchange.answer is None:
-            if exchange.awaits_continue and exchange.sends:
+        while exchange.response is None:
+            if exchange.awaits_continue and exchange.attempts:
                 exchange.awaits_continue = False
                 connection.stream.send(CONTINUE)
                 continue
-            if exchange.hints:
+            if exchange.interim_responses:
                 self._writer.write_hints(connection, exchange)
             elif not self._read_on(connection, exchange):
                 self._wait(exchange)
 
-    def _wait(self, exchange: Exchange) -> None:
+    def _wait(self, exchange: PendingRequest) -> None:
         """Wait until the task is woken: by an answer, by input, or because the time is over."""
         server, body = self._server, exchange.body
-        is_settled = body.ended or body.full
+        is_settled = body.is_complete or body.is_full
         deadline = (
-            exchange.until + OVERDUE_US if is_settled else server.loop.now() + server.times.body_progress_us
+            exchange.deadline + OVERDUE_US
+            if is_settled
+            else server.loop.now() + server.times.body_progress_us
         )
         try:
             server.loop.park(deadline)
         except Expired:
             if is_settled:
-                server.host.overdue(exchange)
-                if exchange.answer is None:
+                server.host.fail_overdue(exchange)
+                if exchange.response is None:
                     raise Closed("no answer in its time") from None
-            elif exchange.answer is None:
+            elif exchange.response is None:
                 raise Malformed(REQUEST_TIMEOUT, "the body took too long") from None
 
-    def _read_on(self, connection: Connection, exchange: Exchange) -> bool:
+    def _read_on(self, connection: Connection, exchange: PendingRequest) -> bool:
         """Take what the client sent; where there is nothing, return False: the task is woken by more."""
         body = exchange.body
         if self._is_at_bound(connection, body):
@@ -179,18 +183,20 @@
         self._reader.transfer(connection, body)
         return True
 
-    def _is_at_bound(self, connection: Connection, body: Body) -> bool:
+    def _is_at_bound(self, connection: Connection, body: RequestBody) -> bool:
         """Return whether no more may be read: then a client's end lies behind bytes that stay unread."""
-        if body.ended:
+        if body.is_complete:
             return connection.parser.pending >= self._server.bounds.max_pipelined_bytes
-        if body.full:
+        if body.is_full:
             assert self._server.loop.current is not None
-            body.tell_when_room(self._server.loop.current)
-        return body.full
+            body.wake_when_not_full(self._server.loop.current)
+        return body.is_full
 
     # -- responses
 
-    def _respond(self, connection: Connection, head: Request, answer: Answer, body_read: bool) -> bool:
+    def _respond(
+        self, connection: Connection, head: Request, answer: ClientResponse, body_read: bool
+    ) -> bool:
         """Write an answer; return whether the connection goes on."""
         server = self._server
         keep = head.keep_alive and body_read and not self._is_last(connection)
@@ -219,6 +225,6 @@
         is_over = server.last is not None and server.loop.now() >= server.last
         return is_over or not connection.has_more()
 
-    def respond_alone(self, connection: Connection, answer: Answer) -> None:
+    def respond_alone(self, connection: Connection, answer: ClientResponse) -> None:
         """Write the only answer of a connection, its last one."""
         self._writer.write_last(connection, answer)
--- a/orchidlane/gateway/server/resp_server.py
+++ b/orchidlane/gateway/server/resp_server.py
@@ -1,6 +1,7 @@
 """The RESP front: commands for limits on the same customers, counts and rules as the HTTP front.
- A connection's commands are answered in their order. Replies gather until nothing more was sent along or a
-bound is reached; a client that reads nothing is not read from either, and closed after ``times.write``.
+
+A connection's commands are answered in their order. Replies gather until nothing more was sent along or a
+bound is reached; a client that reads nothing is not read from either, and closed after the time for a write.
 Each command gives others their turn, so a long pipeline holds nobody up.
 """
 
@@ -56,7 +57,7 @@
         return self.version, self.name, self.authorized
 
 
-class RespFront:
+class RespServer:
     """Accepts clients and carries out their commands."""
 
     def __init__(
--- a/orchidlane/gateway/telemetry/policy_host.py
+++ b/orchidlane/gateway/telemetry/policy_host.py
@@ -14,7 +14,7 @@
 
     loop: Loop
     settings: policy.Settings
-    rules: Gateway
+    gateway: Gateway
 
 
 class PolicyNames(NamedTuple):
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -9,12 +9,12 @@
 from harness.platform_house import SECOND, PlatformHouse
 
 from orchidlane.gateway.control.json_stream import JsonObjectSplitter
-from orchidlane.gateway.forwarding.connection_pool import Pool
-from orchidlane.gateway.server.http_server import Front
+from orchidlane.gateway.forwarding.connection_pool import ConnectionPool
+from orchidlane.gateway.server.http_server import HttpServer
 from orchidlane.gateway.server.request_handler import RequestHandler
 from orchidlane.gateway.server.request_reader import RequestReader
-from orchidlane.platform import discovery, lifecycle, shutdown
-from orchidlane.platform.discovery import Tracker
+from orchidlane.platform import discovery_watch, lifecycle, shutdown
+from orchidlane.platform.discovery import DiscoveryTracker
 from orchidlane.runtime import Lingering, Loop, RealWorld
 from orchidlane.runtime.real_backend import RealStream
 
@@ -45,7 +45,7 @@
 
 def old_shutdown(now, longest):
     last = now + min(longest, 3 * SECOND) + 470_000
-    return shutdown.Shutdown(now + 720_000, last, last + 125_000)
+    return shutdown.ShutdownTimes(now + 720_000, last, last + 125_000)
 
 
 def linger_for_ever(self, stream):
@@ -96,14 +96,14 @@
         (),
     ),
     "drains without a look": (
-        Front,
+        HttpServer,
         "_is_at_rest",
         yes,
         moments.test_what_has_come_when_a_gateway_leaves_is_served_and_what_comes_later_is_not,
         (),
     ),
     "drains without the waiting": (
-        Front,
+        HttpServer,
         "_next_waiting",
         no_more,
         moments.test_what_has_come_when_a_gateway_leaves_is_served_and_what_comes_later_is_not,
@@ -124,9 +124,9 @@
         (),
     ),
     "young because it was taken": (
-        Pool,
-        "put_back",
-        Pool.give_back,
+        ConnectionPool,
+        "release_unused",
+        ConnectionPool.release,
         moments.test_a_connection_that_was_taken_and_not_used_is_no_younger_for_it,
         (),
     ),
@@ -142,8 +142,8 @@
         (120_000,),
     ),
     "silent for long": (
-        discovery,
-        "SILENCE",
+        discovery_watch,
+        "SILENCE_TIMEOUT_US",
         6_500_000,
         watches.test_what_a_broken_watch_misses_is_known_when_it_counts_as_told,
         (PlatformHouse, "silent"),
@@ -164,27 +164,27 @@
     ),
     "seldom asked": (
         lifecycle,
-        "retry_interval",
+        "retry_interval_us",
         lambda grace: 3 * grace,
         watches.test_what_discovery_has_at_its_return_is_known_within_the_grace,
         (PlatformHouse, "refuses"),
     ),
     "old news count": (
-        Tracker,
-        "_counts",
+        DiscoveryTracker,
+        "_is_newer",
         yes,
         watches.test_a_host_that_left_does_not_come_back_by_an_older_list,
         (),
     ),
     "old news of drains count": (
-        Tracker,
-        "_counts",
+        DiscoveryTracker,
+        "_is_newer",
         yes,
         watches.test_a_host_that_drains_is_not_made_ready_by_changes_after_an_older_list,
         (),
     ),
     "ready before it is told": (
-        lifecycle.Life,
+        lifecycle.PlatformGateway,
         "_is_ready",
         yes,
         watches.test_ready_is_said_once_discovery_spoke,
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -13,9 +13,9 @@
 from orchidlane import policy
 from orchidlane.config import Duration
 from orchidlane.gateway.control import endpoint_list
-from orchidlane.gateway.forwarding import connection_pool
-from orchidlane.gateway.forwarding.pending_request import Answer
-from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.forwarding import attempt as attempts
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.server.response_writer import ResponseWriter
 from orchidlane.policy import admission, endpoint_registry, retries
 from orchidlane.simulation.backends import play, simulate
@@ -99,13 +99,13 @@
 
 
 def test_the_audit_objects_to_a_lost_answer(monkeypatch):
-    finish = Host._finish
+    finish = PolicyDriver._finish
 
     def loses(self, exchange, answer):
         if exchange.number % 20:
             finish(self, exchange, answer)
 
-    monkeypatch.setattr(Host, "_finish", loses)
+    monkeypatch.setattr(PolicyDriver, "_finish", loses)
     verdict = simulate(day(span=3), 1)
     assert verdict.missing
     assert not verdict.rules["1"]
@@ -138,15 +138,15 @@
 
 
 def test_the_audit_objects_to_an_effect_that_comes_twice(monkeypatch):
-    ended = Host.ended
+    ended = PolicyDriver.attempt_ended
 
     def lies(self, exchange, attempt, server, outcome, took, report=(), answer=None):
         if outcome is policy.Outcome.CONNECTION_BROKEN:
             outcome = policy.Outcome.NOT_SENT
         ended(self, exchange, attempt, server, outcome, took, report, answer)
 
-    monkeypatch.setattr(Host, "ended", lies)
-    monkeypatch.setattr(connection_pool, "why_not", lambda *_: None)
+    monkeypatch.setattr(PolicyDriver, "attempt_ended", lies)
+    monkeypatch.setattr(attempts, "rejection_reason", lambda *_: None)
     steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
     verdict = simulate(day(steps, span=4), 1)
     assert verdict.effects_twice
@@ -155,8 +155,8 @@
 
 def test_the_audit_objects_to_a_refusal_after_a_run(monkeypatch):
     monkeypatch.setattr(
-        "orchidlane.gateway.forwarding.openapi_adapter.failed",
-        lambda: Answer(503, [(b"retry-after", b"1")], b"", kind="refused"),
+        "orchidlane.gateway.forwarding.error_responses.failed",
+        lambda: ClientResponse(503, [(b"retry-after", b"1")], b"", kind="refused"),
     )
     steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
     assert not rules(day(steps, span=4))["2"]
@@ -164,7 +164,7 @@
 
 def test_the_audit_objects_to_work_for_a_draining_node(monkeypatch):
     monkeypatch.setitem(endpoint_list.ENDPOINT_STATES, "draining", policy.EndpointState.READY)
-    monkeypatch.setattr(connection_pool, "why_not", lambda *_: None)
+    monkeypatch.setattr(attempts, "rejection_reason", lambda *_: None)
     verdict = simulate(day(step(0.5, "drain_node", 0, 1, span=3), span=4), 1)
     assert verdict.sent_after_drain
     assert not verdict.rules["3"]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from test_day import SECOND, day, quiet, step  # noqa: F401
 
-from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.peers.token_requests import LimitService
 from orchidlane.limits import (
     ClaimVerdict,
@@ -216,7 +216,7 @@
 def test_no_token_is_counted_twice_over_the_fleet(monkeypatch):
     counted: Counter[bytes] = Counter()
     take_idempotent = LimitService.take_idempotent
-    take = Host.take
+    take = PolicyDriver.request_quota
     tokens: dict[int, bytes] = {}
 
     def take_noting_token(self, customer, units, request_class, timeout_us, token):
@@ -234,7 +234,7 @@
         return granted
 
     monkeypatch.setattr(LimitService, "take_idempotent", take_noting_token)
-    monkeypatch.setattr(Host, "take", take_counting)
+    monkeypatch.setattr(PolicyDriver, "request_quota", take_counting)
     faults = (
         step(0.2, "peer_faults", span=6, loss=0.3, double=0.3, delay=150_000),
         step(3.5, "kill_gateway", 0, back=0.1),
