--- a/tests/harness/fleet_harness.py
+++ b/tests/harness/fleet_harness.py
@@ -10,7 +10,7 @@
 import random
 from dataclasses import dataclass, field
 
-from harness.platform_house import HALLS, MS, SECOND, call, file, settings
+from harness.platform_harness import MS, SECOND, ZONES, call, file, settings
 from orchidlane import http1
 from orchidlane.platform.configuration import parse_configuration
 from orchidlane.platform.lifecycle import PlatformGateway
@@ -83,7 +83,7 @@
         return {
             "instanceId": f"s-{host.number}",
             "hostPort": f"{self.address(3, host.number)}:9000",
-            "zone": HALLS[host.number % 2],
+            "zone": ZONES[host.number % 2],
             "cell": host.number // 4,
             "lifecycle": "left" if host.removed else "active",
             "startedAtMs": host.started_at_us // MS,
--- a/tests/harness/platform_harness.py
+++ b/tests/harness/platform_harness.py
@@ -12,7 +12,7 @@
 from orchidlane.runtime import CONTROL, Closed, Faults, Loop, RealWorld, Scope, SimWorld
 
 MS, SECOND = 1_000, 1_000_000
-HALLS = ["hall-1", "hall-2"]
+ZONES = ["hall-1", "hall-2"]
 DISCOVERY = ("127.0.0.1", 8500)
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
@@ -37,7 +37,7 @@
         "rank": 0,
         "balancers": 1,
         "locality": 0,
-        "zones": HALLS,
+        "zones": ZONES,
         "discovery": "pushed",
         "classes": [{**c, "target": 500_000, "credit": 1.0, "lateWorth": 0.0} for c in classes],
         "packages": [
@@ -96,7 +96,7 @@
     found = {
         "instanceId": f"s-{index}",
         "hostPort": f"127.0.0.1:{9000 + index if port is None else port}",
-        "zone": HALLS[0],
+        "zone": ZONES[0],
         "cell": 0,
         "lifecycle": lifecycle,
         "startedAtMs": 0,
@@ -107,8 +107,8 @@
 class Discovery:
     """A stand-in that says what a test says, to whoever watches."""
 
-    def __init__(self, house: PlatformHouse, at: tuple[str, int]) -> None:
-        self.house, self.at = house, at
+    def __init__(self, harness: PlatformHarness, at: tuple[str, int]) -> None:
+        self.harness, self.at = harness, at
         self.streams: list = []
         self.unheard: list = []  # calls that hear nothing
         self.asked: list[bytes] = []
@@ -119,14 +119,14 @@
 
     def _beat(self) -> None:
         while True:
-            self.house.loop.sleep(2 * SECOND)
+            self.harness.loop.sleep(2 * SECOND)
             for stream in self.streams if self.beats else ():
                 with suppress(Closed):
                     stream.send(b"1\r\n\n\r\n")
 
     def serve(self) -> None:
-        self.listener = self.house.world.listen(self.at)
-        self.house.scope.spawn(self._beat, kind=CONTROL)
+        self.listener = self.harness.world.listen(self.at)
+        self.harness.scope.spawn(self._beat, kind=CONTROL)
         while True:
             try:
                 stream = self.listener.accept()
@@ -154,7 +154,7 @@
             self.send(stream, {"generation": generation, "reset": reset, "instances": list(instances)})
 
 
-class PlatformHouse(GatewayHarness):
+class PlatformHarness(GatewayHarness):
     """One gateway; ``handlers`` serve the hosts' connections, one handler for each host."""
 
     at = "127.0.0.1"  # where all of it listens
@@ -167,7 +167,7 @@
         self.seen: list[tuple[int, bytes]] = []
         self.heads: list = []  # of the requests that ``good`` served
         self.ended = False
-        self.life: PlatformGateway
+        self.gateway: PlatformGateway
 
     def _world(self, seed: int):
         return SimWorld(seed, Faults(delay=(100, 200), slow_chance=0.0, datagram_loss=0.0))
@@ -198,8 +198,8 @@
         self.world.kill(self.process)
 
     def _gateway(self) -> None:
-        self.life = PlatformGateway(self.loop, configuration(**self.changes), "config.json")
-        self.life.run()
+        self.gateway = PlatformGateway(self.loop, configuration(**self.changes), "config.json")
+        self.gateway.run()
         self.ended = True
 
     def until(self, holds, span: int = 10 * SECOND) -> None:
@@ -210,13 +210,13 @@
             self.loop.sleep(5 * MS)
 
 
-class RealPlatformHouse(PlatformHouse):
+class RealPlatformHarness(PlatformHarness):
     """The same over real connections: all parties are tasks of one loop, so that a test can force any
     order.
     """
 
     def __init__(self, *handlers, seed: int = 1, **changes) -> None:
-        number = os.getpid() << 8 | next(HOUSES) & 255
+        number = os.getpid() << 8 | next(HARNESS_NUMBERS) & 255
         self.at = f"127.{1 + (number >> 16) % 250}.{number >> 8 & 255}.{number & 255}"
         places = {"listen": 8080, "discovery": DISCOVERY[1], "peer_listen": 7946}
         ours = {name: f"{self.at}:{port}" for name, port in places.items()}
@@ -233,13 +233,13 @@
 
     def _begin(self) -> None:
         self.scope.spawn(self._gateway, kind=CONTROL)
-        self.until(lambda: self.discovery.streams and self.life.tracker.generation == 1)
+        self.until(lambda: self.discovery.streams and self.gateway.tracker.generation == 1)
 
     def _finish(self) -> None:
         """Its tasks are ours: they end with our scope."""
 
 
-HOUSES = iter(range(10**9))
+HARNESS_NUMBERS = iter(range(10**9))
 NUMBERS = iter(range(10**9))
 
 
--- a/tests/harness/platform_processes.py
+++ b/tests/harness/platform_processes.py
@@ -14,7 +14,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from harness.platform_house import OK, file, instance, settings
+from harness.platform_harness import OK, file, instance, settings
 
 WAIT = 20.0  # seconds that any one thing may take on a busy machine
 UP = b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n"
--- a/tests/processes/test_platform_processes.py
+++ b/tests/processes/test_platform_processes.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 import pytest
-from harness.platform_house import OK, call, file, settings
+from harness.platform_harness import OK, call, file, settings
 from harness.platform_processes import (
     UP,
     WAIT,
@@ -67,7 +67,7 @@
 # -- SIGTERM
 
 
-def test_sigterm_finds_a_request_at_each_stage_and_each_is_answered_once(tmp_path):
+def test_sigterm_with_a_request_at_each_stage_answers_each_exactly_once(tmp_path):
     with Platform(tmp_path, hosts=8) as gateway, ExitStack() as streams:
         names = ("at rest", "half a head", "half a body", "sent", "half answered", "after")
         client = {name: streams.enter_context(gateway.connect()) for name in names}
@@ -101,7 +101,7 @@
         assert not got_by(*gateway.hosts)
 
 
-def test_sigterm_finds_a_request_that_waits_for_a_host_and_it_is_served_once_there_is_one(tmp_path):
+def test_sigterm_with_a_request_that_waits_for_an_endpoint_serves_it_once_there_is_one(tmp_path):
     with Platform(tmp_path, hosts=1) as gateway, gateway.connect() as client:
         gateway.agent.tell(gateway.instance(0, "leaving"))
         until(lambda: gateway.says(call(left="0.100", client="0000000000000009")).startswith(b"HTTP/1.1 503"))
@@ -139,7 +139,7 @@
     return sum(sockets_in(ESTABLISHED, gateway.port, client.getsockname()[1]))
 
 
-def test_a_connection_that_comes_up_late_carries_a_request_once_and_in_its_time_or_not_at_all(tmp_path):
+def test_a_late_connection_carries_a_request_once_within_its_deadline_or_not_at_all(tmp_path):
     """The host's queue is full, so that its machine answers no SYN until the test takes those who wait."""
     with Platform(tmp_path, hosts=1) as gateway, ExitStack() as streams:
         host, port = gateway.hosts[0], gateway.hosts[0].getsockname()[1]
@@ -169,7 +169,7 @@
         assert not got_by(host)
 
 
-def test_what_comes_on_open_connections_until_the_end_is_answered_or_finds_an_end(tmp_path):
+def test_requests_on_open_connections_during_the_shutdown_are_answered_or_closed(tmp_path):
     """Clients go on to send on every connection that stays open: no reset, no silence, nothing sent on
     unanswered.
     """
@@ -194,7 +194,7 @@
         assert ends == 8 and answers >= len(served) > 0
 
 
-def test_sigterm_while_its_address_is_still_held_ends_it_at_once(tmp_path):
+def test_sigterm_while_the_address_is_still_held_ends_the_process_at_once(tmp_path):
     with listener() as holder:
         port = holder.getsockname()[1]
         with Platform(tmp_path, wait_up=False, listen=f"127.0.0.1:{port}") as gateway:
@@ -238,7 +238,7 @@
     return io.FileIO(found[0], "w")
 
 
-def test_a_reload_between_reading_the_configuration_and_listening_to_signals_counts(tmp_path):
+def test_a_reload_between_reading_the_configuration_and_handling_signals_is_applied(tmp_path):
     """The file is a pipe that the test holds open: it is being read when the signal comes."""
     with ExitStack() as streams:
         gateway = Platform(tmp_path, hosts=2, wait_up=False)
@@ -254,7 +254,7 @@
         follows(gateway, agent)
 
 
-def test_a_reload_while_an_address_is_still_held_counts(tmp_path):
+def test_a_reload_while_an_address_is_still_held_is_applied(tmp_path):
     """The process before it holds the datagrams' address; it follows nobody yet."""
     with ExitStack() as streams:
         holder = streams.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
@@ -282,7 +282,7 @@
     return bool(caught >> (signal.SIGHUP - 1) & 1)
 
 
-def test_a_signal_to_reload_while_the_interpreter_starts_does_not_end_it(tmp_path):
+def test_sighup_while_the_interpreter_starts_does_not_end_the_process(tmp_path):
     """By the command of the deploy file, held where nothing of ours has run yet."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert ".venv/bin/python" in run
@@ -303,7 +303,7 @@
 # -- pauses
 
 
-def test_a_gateway_that_stood_still_sends_nothing_on_for_clients_that_left_meanwhile(tmp_path):
+def test_a_paused_gateway_forwards_no_requests_of_clients_that_left_meanwhile(tmp_path):
     with Platform(tmp_path, hosts=2) as gateway:
         clients = [gateway.connect() for _ in range(6)]
         gateway.signal(signal.SIGSTOP)
@@ -319,7 +319,7 @@
         assert not got_by(*gateway.hosts)
 
 
-def test_a_gateway_that_stood_still_hears_of_drains_before_it_sends(tmp_path):
+def test_a_paused_gateway_learns_of_drains_before_it_sends_attempts(tmp_path):
     with Platform(tmp_path, hosts=2) as gateway, gateway.connect() as client:
         gateway.signal(signal.SIGSTOP)
         client.sendall(call(left="2.000"))
@@ -339,7 +339,7 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 256])
-def test_idle_clients_hold_all_that_they_may_and_all_else_still_gets_its_descriptors(tmp_path, sockets):
+def test_idle_clients_at_their_limit_leave_descriptors_for_everything_else(tmp_path, sockets):
     """While discovery is down, too: its calls, hosts' connections, a reload and further clients have room,
     and datagrams go both ways.
     """
@@ -415,7 +415,7 @@
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
-def test_a_configuration_that_cannot_be_used_ends_the_start_with_one_line(tmp_path, changes, names):
+def test_an_invalid_configuration_ends_the_start_with_one_line(tmp_path, changes, names):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(file(**changes)))
     done = subprocess.run(
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import pytest
+import test_discovery as discovery
 import test_lingering as lingering
-import test_narrow_moments as moments
-import test_watches as watches
-from harness.platform_house import SECOND, PlatformHouse
+import test_race_conditions as race_conditions
+from harness.platform_harness import SECOND, PlatformHarness
 
 from orchidlane.gateway.control.json_stream import JsonObjectSplitter
 from orchidlane.gateway.forwarding.connection_pool import ConnectionPool
@@ -57,21 +57,21 @@
     test(Loop(RealWorld(1)), *arguments)
 
 
-HELD_BACK = moments.test_a_client_that_leaves_behind_pipelined_bytes_is_seen
-CONNECTS = moments.test_a_client_that_leaves_while_its_attempt_connects_is_not_sent_on
+HELD_BACK = race_conditions.test_a_client_that_leaves_behind_pipelined_bytes_is_detected
+CONNECTS = race_conditions.test_a_request_of_a_client_that_leaves_while_its_attempt_connects_is_not_sent
 BROKEN = {
     "no lingering": (
         Lingering,
         "close",
         closes_at_once,
-        moments.test_a_last_answer_is_whole_though_unread_bytes_wait_behind_its_request,
+        race_conditions.test_a_last_response_is_complete_with_unread_bytes_behind_its_request,
         (),
     ),
     "no lingering of hosts'": (
         Lingering,
         "close",
         closes_at_once,
-        moments.test_a_host_that_writes_as_its_idle_connection_ends_is_not_reset,
+        race_conditions.test_an_endpoint_that_writes_as_its_idle_connection_closes_is_not_reset,
         (),
     ),
     "lingering without a bound": (
@@ -85,49 +85,49 @@
         RealStream,
         "waiting",
         no,
-        moments.test_a_request_that_came_just_before_its_connection_goes_to_make_room_is_served,
+        race_conditions.test_a_request_that_came_just_before_eviction_is_served,
         (),
     ),
     "idle time without a look": (
         RequestReader,
         "wait_for_first_bytes",
         wait_without_a_look,
-        moments.test_a_request_that_came_as_its_idle_time_ended_is_served,
+        race_conditions.test_a_request_that_came_as_the_idle_timeout_expired_is_served,
         (),
     ),
     "drains without a look": (
         HttpServer,
         "_is_at_rest",
         yes,
-        moments.test_what_has_come_when_a_gateway_leaves_is_served_and_what_comes_later_is_not,
+        race_conditions.test_requests_that_came_before_the_drain_are_served_and_later_ones_are_not,
         (),
     ),
     "drains without the waiting": (
         HttpServer,
         "_next_waiting",
         no_more,
-        moments.test_what_has_come_when_a_gateway_leaves_is_served_and_what_comes_later_is_not,
+        race_conditions.test_requests_that_came_before_the_drain_are_served_and_later_ones_are_not,
         (),
     ),
     "drains with the first answer": (
         RequestHandler,
         "_is_last",
         lambda self, connection: self._server.draining,
-        moments.test_requests_behind_another_one_when_a_gateway_leaves_are_served_like_it,
+        race_conditions.test_pipelined_requests_at_the_drain_are_served,
         (True,),
     ),
     "drains for ever": (
         RequestHandler,
         "_is_last",
         lambda self, connection: self._server.draining and not connection.stream.waiting(),
-        moments.test_a_client_that_sends_ever_more_finds_an_end_when_a_shutdown_is_over,
+        race_conditions.test_a_client_that_keeps_sending_is_closed_at_the_end_of_the_shutdown,
         (),
     ),
     "young because it was taken": (
         ConnectionPool,
         "release_unused",
         ConnectionPool.release,
-        moments.test_a_connection_that_was_taken_and_not_used_is_no_younger_for_it,
+        race_conditions.test_a_connection_released_unused_keeps_its_age,
         (),
     ),
     "no last look, first attempt": (RealStream, "has_left", no, CONNECTS, (1, "half_close")),
@@ -138,57 +138,57 @@
         lifecycle,
         "graceful_shutdown",
         old_shutdown,
-        moments.test_what_comes_before_a_gateway_leaves_has_all_its_time,
+        race_conditions.test_requests_before_the_drain_have_their_full_deadline,
         (120_000,),
     ),
     "silent for long": (
         discovery_watch,
         "SILENCE_TIMEOUT_US",
         6_500_000,
-        watches.test_what_a_broken_watch_misses_is_known_when_it_counts_as_told,
-        (PlatformHouse, "silent"),
+        discovery.test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline,
+        (PlatformHarness, "silent"),
     ),
     "any byte is life": (
         JsonObjectSplitter,
         "feed",
         lambda self, data: [b""],
-        watches.test_what_a_broken_watch_misses_is_known_when_it_counts_as_told,
-        (PlatformHouse, "trickles"),
+        discovery.test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline,
+        (PlatformHarness, "trickles"),
     ),
     "a line is an object": (
         JsonObjectSplitter,
         "_feed_line",
         one_line_one_object,
-        watches.test_an_indented_list_counts,
-        (PlatformHouse,),
+        discovery.test_an_indented_list_is_applied,
+        (PlatformHarness,),
     ),
     "seldom asked": (
         lifecycle,
         "retry_interval_us",
         lambda grace: 3 * grace,
-        watches.test_what_discovery_has_at_its_return_is_known_within_the_grace,
-        (PlatformHouse, "refuses"),
+        discovery.test_events_at_the_return_of_discovery_are_known_within_the_drain_grace,
+        (PlatformHarness, "refuses"),
     ),
     "old news count": (
         DiscoveryTracker,
         "_is_newer",
         yes,
-        watches.test_a_host_that_left_does_not_come_back_by_an_older_list,
+        discovery.test_an_older_list_does_not_bring_back_an_endpoint_that_left,
         (),
     ),
     "old news of drains count": (
         DiscoveryTracker,
         "_is_newer",
         yes,
-        watches.test_a_host_that_drains_is_not_made_ready_by_changes_after_an_older_list,
+        discovery.test_changes_after_an_older_list_do_not_make_a_draining_endpoint_ready,
         (),
     ),
     "ready before it is told": (
         lifecycle.PlatformGateway,
         "_is_ready",
         yes,
-        watches.test_ready_is_said_once_discovery_spoke,
-        (PlatformHouse,),
+        discovery.test_the_gateway_is_ready_once_discovery_has_responded,
+        (PlatformHarness,),
     ),
 }
 
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -10,7 +10,7 @@
         reuse.record(idle, index < lost, now)
 
 
-def test_an_idle_time_that_loses_requests_is_used_no_more_and_shorter_ones_are():
+def test_an_idle_class_that_loses_requests_is_not_reused_and_shorter_ones_are():
     reuse = ReuseStatistics(0)
     feed(reuse, 2 * SECOND, 30, 3)
     feed(reuse, 5 * MS, 300, 0)
@@ -18,7 +18,7 @@
     assert reuse.may_reuse(5 * MS, True, 0)
 
 
-def test_what_new_connections_lose_too_is_not_held_against_kept_ones():
+def test_losses_of_new_connections_are_not_counted_against_reused_ones():
     reuse = ReuseStatistics(0)
     feed(reuse, 5 * MS, 200, 10)
     assert not reuse.may_reuse(5 * MS, False, 0)
@@ -26,14 +26,14 @@
     assert reuse.may_reuse(5 * MS, False, 0)
 
 
-def test_less_may_be_lost_before_what_cannot_be_repeated():
+def test_fewer_losses_are_tolerated_before_non_idempotent_requests():
     reuse = ReuseStatistics(0)
     feed(reuse, 5 * MS, 100, 1)
     assert reuse.may_reuse(5 * MS, False, 0)
     assert not reuse.may_reuse(5 * MS, True, 0)
 
 
-def test_an_age_is_tried_again_some_time_after_it_went_wrong():
+def test_an_idle_class_is_tried_again_after_its_losses_have_decayed():
     reuse = ReuseStatistics(0)
     feed(reuse, SECOND, 5, 1)
     assert not reuse.may_reuse(SECOND, False, 0)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -5,12 +5,12 @@
 import json
 
 import pytest
-from harness.platform_house import (
+from harness.platform_harness import (
     MS,
     SECOND,
     Discovery,
-    PlatformHouse,
-    RealPlatformHouse,
+    PlatformHarness,
+    RealPlatformHarness,
     call,
     file,
     instance,
@@ -26,14 +26,14 @@
 from orchidlane.platform.polling import PollSchedule, retry_interval_us
 from orchidlane.runtime import CONTROL, Closed, NotConnected
 
-WORLDS = pytest.mark.parametrize("world", [PlatformHouse, RealPlatformHouse])
+BACKENDS = pytest.mark.parametrize("backend", [PlatformHarness, RealPlatformHarness])
 GRACE = SECOND  # of drains, in the settings of these tests
 
 
 # -- when to ask
 
 
-def test_the_times_of_a_silent_watch_add_up_to_what_it_counts_as_told():
+def test_a_silent_watch_is_replaced_before_its_notification_deadline():
     assert (
         polling.SILENCE_TIMEOUT_US >= polling.HEARTBEAT_INTERVAL_US + 100 * MS
     )  # else a healthy one is broken
@@ -54,7 +54,7 @@
 
 
 @given(EVENTS)
-def test_calls_are_bounded_and_one_is_always_followed_or_due_soon(events):
+def test_polls_are_bounded_and_one_is_always_active_or_due_soon(events):
     clock, now, open_calls = PollSchedule(500 * MS), 0, []
     for what, place, span in events:
         now += span if what == "wait" else 0
@@ -77,7 +77,7 @@
             assert clock.next_deadline() is None and number is None and not clock.pending
 
 
-def test_a_watch_that_spoke_for_long_is_followed_by_the_next_at_once():
+def test_a_long_watch_is_replaced_at_once():
     clock = PollSchedule(500 * MS)
     number, _ = clock.next_poll(0)
     clock.response_received(number)
@@ -85,7 +85,7 @@
     assert clock.next_poll(10 * SECOND)[0] is not None
 
 
-def test_watches_that_end_soon_are_asked_for_less_and_less_often():
+def test_short_watches_are_replaced_with_backoff():
     clock, now, apart = PollSchedule(250 * MS), 0, []
     for _ in range(7):
         began = now
@@ -112,7 +112,7 @@
     st.lists(st.integers(1, 60)),
     st.data(),
 )
-def test_objects_are_told_apart_however_they_come(indents, sizes, data):
+def test_objects_are_split_however_their_bytes_arrive(indents, sizes, data):
     text = b""
     for line, indent in zip(LINES, indents, strict=True):
         text += json.dumps(line, indent=indent).encode() + data.draw(
@@ -125,12 +125,12 @@
     assert [json.loads(one) for one in found if one.strip()] == LINES
 
 
-def test_blank_lines_between_objects_are_told_and_those_within_are_not():
+def test_blank_lines_are_reported_between_objects_and_not_within():
     assert JsonObjectSplitter(100).feed(b'\n{"a":\n\n1}\n\r\n') == [b"", b'{"a":\n\n1}', b""]
 
 
 @pytest.mark.parametrize("piece", [b"x", b"{\n"])
-def test_what_never_ends_is_too_long(piece):
+def test_input_without_an_end_is_too_long(piece):
     split = JsonObjectSplitter(100)
     with pytest.raises(LineTooLongError):
         for _ in range(200):
@@ -140,247 +140,247 @@
 # -- old news
 
 
-def told(tracker, generation, *instances, reset=False):
+def apply(tracker, generation, *instances, reset=False):
     line = {"generation": generation, "reset": reset, "instances": list(instances)}
     return tracker.apply_line(json.dumps(line).encode())
 
 
-def test_a_host_that_left_does_not_come_back_by_an_older_list():
+def test_an_older_list_does_not_bring_back_an_endpoint_that_left():
     tracker = DiscoveryTracker(("hall-1",))
-    told(tracker, 40, instance(1), instance(2), reset=True)
-    told(tracker, 41, instance(1, "left"))
-    assert told(tracker, 39, instance(1), instance(2), reset=True) is None
-    assert told(tracker, 40, instance(1)) is None  # changes that go on from there are old, too
+    apply(tracker, 40, instance(1), instance(2), reset=True)
+    apply(tracker, 41, instance(1, "left"))
+    assert apply(tracker, 39, instance(1), instance(2), reset=True) is None
+    assert apply(tracker, 40, instance(1)) is None  # changes that go on from there are old, too
     assert tracker.state(b"s-1") == "gone"
-    told(tracker, 42, instance(1))
+    apply(tracker, 42, instance(1))
     assert tracker.state(b"s-1") == "ready"
 
 
-def test_a_host_that_drains_is_not_made_ready_by_changes_after_an_older_list():
+def test_changes_after_an_older_list_do_not_make_a_draining_endpoint_ready():
     tracker = DiscoveryTracker(("hall-1",))
-    told(tracker, 40, instance(1), instance(2), reset=True)
-    told(tracker, 45, instance(1, "leaving"))
-    told(tracker, 30, instance(1), instance(2), reset=True)
-    assert told(tracker, 31, instance(1), instance(2, "leaving")).entries[0].endpoint == b"s-2"
+    apply(tracker, 40, instance(1), instance(2), reset=True)
+    apply(tracker, 45, instance(1, "leaving"))
+    apply(tracker, 30, instance(1), instance(2), reset=True)
+    assert apply(tracker, 31, instance(1), instance(2, "leaving")).entries[0].endpoint == b"s-2"
     assert (tracker.state(b"s-1"), tracker.state(b"s-2")) == ("draining", "draining")
-    told(tracker, 32, instance(1, startedAtMs=5))  # it was started anew since
+    apply(tracker, 32, instance(1, startedAtMs=5))  # it was started anew since
     assert tracker.state(b"s-1") == "ready"
 
 
-def test_a_whole_list_takes_away_those_that_it_does_not_name():
+def test_a_complete_list_removes_endpoints_that_it_does_not_name():
     tracker = DiscoveryTracker(("hall-1",))
-    told(tracker, 40, instance(1), instance(2), reset=True)
-    told(tracker, 41, instance(2), reset=True)
-    told(tracker, 30, instance(1), reset=True)
+    apply(tracker, 40, instance(1), instance(2), reset=True)
+    apply(tracker, 41, instance(2), reset=True)
+    apply(tracker, 30, instance(1), reset=True)
     assert tracker.state(b"s-1") == "gone"
 
 
-def test_hosts_that_left_are_remembered_up_to_a_bound():
+def test_departed_endpoints_are_remembered_up_to_a_bound():
     tracker = DiscoveryTracker(("hall-1",))
     for number in range(3 * MIN_DEPARTED_REMEMBERED):
-        told(tracker, 2 * number, instance(number))
-        told(tracker, 2 * number + 1, instance(number, "left"))
+        apply(tracker, 2 * number, instance(number))
+        apply(tracker, 2 * number + 1, instance(number, "left"))
     assert len(tracker.departed) == MIN_DEPARTED_REMEMBERED and not tracker.endpoints
 
 
-def test_changes_beyond_the_bound_change_nothing():
+def test_changes_beyond_the_bound_are_rejected_without_effect():
     tracker = DiscoveryTracker(("hall-1",))
-    told(tracker, 1, *(instance(number) for number in range(MAX_ENDPOINTS)), reset=True)
+    apply(tracker, 1, *(instance(number) for number in range(MAX_ENDPOINTS)), reset=True)
     with pytest.raises(WatchEventError):
-        told(tracker, 2, instance(0, "leaving"), instance(MAX_ENDPOINTS))
+        apply(tracker, 2, instance(0, "leaving"), instance(MAX_ENDPOINTS))
     assert (tracker.generation, tracker.state(b"s-0"), len(tracker.endpoints)) == (1, "ready", MAX_ENDPOINTS)
 
 
 # -- watches that go wrong
 
 
-def good(house, index, stream):
+def serves(harness, index, stream):
     while True:
-        house.read_request(index, stream)
+        harness.read_request(index, stream)
         stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
 
-def run(world, test, *handlers, **changes):
-    house = world(*(handlers or (good,)), **changes)
-    house.run(test)
-    return house
+def run(backend, test, *handlers, **changes):
+    harness = backend(*(handlers or (serves,)), **changes)
+    harness.run(test)
+    return harness
 
 
-def drains(house, generation=2) -> None:
+def drains(harness, generation=2) -> None:
     """Discovery knows from now on that host 0 drains; whoever asks is told."""
-    entry = house.instance(0, "leaving")
-    house.discovery.hello = [{"generation": generation, "reset": False, "instances": [entry]}]
+    entry = harness.instance(0, "leaving")
+    harness.discovery.hello = [{"generation": generation, "reset": False, "instances": [entry]}]
 
 
-def is_known(house) -> bool:
-    return house.life.tracker.state(b"s-0") == "draining"
+def is_drain_known(harness) -> bool:
+    return harness.gateway.tracker.state(b"s-0") == "draining"
 
 
-def within(house, span: int) -> int:
+def within(harness, span: int) -> int:
     """Exact times are the simulated world's; over real connections a busy machine may take longer."""
-    return 20 * SECOND if isinstance(house, RealPlatformHouse) else span
+    return 20 * SECOND if isinstance(harness, RealPlatformHarness) else span
 
 
-def trickle(house, piece: bytes) -> None:
+def trickle(harness, piece: bytes) -> None:
     """Bytes that end no line, ever."""
     try:
         while True:
-            house.discovery.send(house.discovery.streams[0], piece)
-            house.loop.sleep(200 * MS)
+            harness.discovery.send(harness.discovery.streams[0], piece)
+            harness.loop.sleep(200 * MS)
     except Closed:
         pass
 
 
-@WORLDS
+@BACKENDS
 @pytest.mark.parametrize("kind", ["silent", "trickles", "trickles an object", "trickles lines of an object"])
-def test_what_a_broken_watch_misses_is_known_when_it_counts_as_told(world, kind):
-    def test(house):
-        house.discovery.beats = False
-        house.discovery.send(house.discovery.streams[0], b"\n")  # the last that it says
-        began = house.loop.now()
+def test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline(backend, kind):
+    def test(harness: PlatformHarness) -> None:
+        harness.discovery.beats = False
+        harness.discovery.send(harness.discovery.streams[0], b"\n")  # the last that it says
+        began = harness.loop.now()
         if kind != "silent":
             piece = {"trickles": b" ", "trickles an object": b'{"g"', "trickles lines of an object": b"{\n"}[
                 kind
             ]
-            house.scope.spawn(trickle, house, piece)
-        drains(house)
-        house.until(lambda: is_known(house), within(house, polling.NOTIFICATION_DEADLINE_US))
-        assert len(house.discovery.asked) == 2
-        assert house.loop.now() - began < within(house, polling.NOTIFICATION_DEADLINE_US)
+            harness.scope.spawn(trickle, harness, piece)
+        drains(harness)
+        harness.until(lambda: is_drain_known(harness), within(harness, polling.NOTIFICATION_DEADLINE_US))
+        assert len(harness.discovery.asked) == 2
+        assert harness.loop.now() - began < within(harness, polling.NOTIFICATION_DEADLINE_US)
 
-    run(world, test)
+    run(backend, test)
 
 
-@WORLDS
-def test_a_watch_that_is_reset_is_opened_anew_at_once(world):
-    def test(house):
-        house.loop.sleep(polling.HEARTBEAT_INTERVAL_US)  # it spoke for a while
-        drains(house)
-        house.discovery.streams[0].abort()
-        house.until(lambda: is_known(house), within(house, GRACE // 2))
+@BACKENDS
+def test_a_watch_that_is_reset_is_reopened_at_once(backend):
+    def test(harness: PlatformHarness) -> None:
+        harness.loop.sleep(polling.HEARTBEAT_INTERVAL_US)  # it spoke for a while
+        drains(harness)
+        harness.discovery.streams[0].abort()
+        harness.until(lambda: is_drain_known(harness), within(harness, GRACE // 2))
 
-    run(world, test)
+    run(backend, test)
 
 
-@WORLDS
-def test_a_healthy_watch_that_only_beats_is_left_alone(world):
-    def test(house):
-        house.loop.sleep(3 * polling.HEARTBEAT_INTERVAL_US)
-        assert len(house.discovery.asked) == 1 and len(house.life.front.connections) == 0
+@BACKENDS
+def test_a_watch_with_heartbeats_alone_stays_open(backend):
+    def test(harness: PlatformHarness) -> None:
+        harness.loop.sleep(3 * polling.HEARTBEAT_INTERVAL_US)
+        assert len(harness.discovery.asked) == 1 and len(harness.gateway.front.connections) == 0
 
-    run(world, test)
+    run(backend, test)
 
 
-@WORLDS
-def test_an_indented_list_counts(world):
-    def test(house):
-        line = {"generation": 5, "reset": False, "instances": [house.instance(0, "leaving")]}
-        house.discovery.send(house.discovery.streams[0], line, indent=2)
-        house.until(lambda: is_known(house))
-        assert len(house.discovery.asked) == 1
+@BACKENDS
+def test_an_indented_list_is_applied(backend):
+    def test(harness: PlatformHarness) -> None:
+        line = {"generation": 5, "reset": False, "instances": [harness.instance(0, "leaving")]}
+        harness.discovery.send(harness.discovery.streams[0], line, indent=2)
+        harness.until(lambda: is_drain_known(harness))
+        assert len(harness.discovery.asked) == 1
 
-    run(world, test)
+    run(backend, test)
 
 
-@WORLDS
+@BACKENDS
 @pytest.mark.parametrize("how", ["takes calls and is silent", "refuses"])
-def test_what_discovery_has_at_its_return_is_known_within_the_grace(world, how):
+def test_events_at_the_return_of_discovery_are_known_within_the_drain_grace(backend, how):
     """Calls made while it was down hear nothing even then."""
 
-    def test(house):
-        discovery = house.discovery
+    def test(harness: PlatformHarness) -> None:
+        discovery = harness.discovery
         if how == "refuses":
             discovery.listener.close()
         discovery.answers = False
         for stream in discovery.streams:
             stream.abort()
-        house.loop.sleep(4 * SECOND)
+        harness.loop.sleep(4 * SECOND)
         assert (
-            isinstance(house, RealPlatformHouse)
+            isinstance(harness, RealPlatformHarness)
             or len(discovery.unheard) <= 4 * SECOND // retry_interval_us(GRACE) + 1
         )
-        drains(house)
+        drains(harness)
         discovery.answers = True
         if how == "refuses":
-            house.scope.spawn(discovery.serve, kind=CONTROL)
-        house.until(lambda: is_known(house), within(house, GRACE))
+            harness.scope.spawn(discovery.serve, kind=CONTROL)
+        harness.until(lambda: is_drain_known(harness), within(harness, GRACE))
 
-    run(world, test)
+    run(backend, test)
 
 
-@WORLDS
-def test_discovery_moved_while_the_old_one_speaks_older_news(world):
-    def test(house):
-        other = Discovery(house, (house.at, 8501))
-        other.hello = [{"generation": 9, "reset": True, "instances": [house.instance(0, "leaving")]}]
+@BACKENDS
+def test_a_moved_discovery_replaces_the_old_one_that_still_sends_older_events(backend):
+    def test(harness: PlatformHarness) -> None:
+        other = Discovery(harness, (harness.at, 8501))
+        other.hello = [{"generation": 9, "reset": True, "instances": [harness.instance(0, "leaving")]}]
         other.answers = False
-        house.scope.spawn(other.serve, kind=CONTROL)
-        moved = file(**{**house.changes, "discovery": f"{house.at}:8501"})
-        house.life.loop.world.read_file = lambda path: json.dumps(moved).encode()
-        house.life.reload()
-        house.until(lambda: other.asked)
-        house.discovery.tell(3, house.instance(0, weight=2.0))  # the old one is followed meanwhile
-        house.until(lambda: house.life.tracker.generation == 3)
+        harness.scope.spawn(other.serve, kind=CONTROL)
+        moved = file(**{**harness.changes, "discovery": f"{harness.at}:8501"})
+        harness.gateway.loop.world.read_file = lambda path: json.dumps(moved).encode()
+        harness.gateway.reload()
+        harness.until(lambda: other.asked)
+        harness.discovery.tell(3, harness.instance(0, weight=2.0))  # the old one is followed meanwhile
+        harness.until(lambda: harness.gateway.tracker.generation == 3)
         other.answers = True
-        house.until(lambda: is_known(house), within(house, GRACE))
-        for stream in house.discovery.streams:  # ended by us, or what it says is old
+        harness.until(lambda: is_drain_known(harness), within(harness, GRACE))
+        for stream in harness.discovery.streams:  # ended by us, or what it says is old
             try:
-                house.discovery.send(
-                    stream, {"generation": 4, "reset": True, "instances": [house.instance(0)]}
+                harness.discovery.send(
+                    stream, {"generation": 4, "reset": True, "instances": [harness.instance(0)]}
                 )
             except Closed:
                 continue
-        house.loop.sleep(50 * MS)
-        assert is_known(house)
-        house.until(lambda: len(house.life._watch_tasks) == 1)
+        harness.loop.sleep(50 * MS)
+        assert is_drain_known(harness)
+        harness.until(lambda: len(harness.gateway._watch_tasks) == 1)
 
-    run(world, test)
+    run(backend, test)
 
 
-@WORLDS
+@BACKENDS
 @pytest.mark.parametrize(
     "bad", [b"noise\n", b'{"generation":2}\n', b"{}}\n", b'{"generation":7,"reset":true\n}\n']
 )
-def test_a_list_that_cannot_be_read_changes_nothing_and_the_next_good_one_counts(world, bad, capsys):
-    def test(house):
-        before = house.life.tracker.endpoints.copy()
-        house.discovery.hello = []
+def test_an_invalid_list_changes_nothing_and_the_next_valid_one_is_applied(backend, bad, capsys):
+    def test(harness: PlatformHarness) -> None:
+        before = harness.gateway.tracker.endpoints.copy()
+        harness.discovery.hello = []
         for _ in range(3):
-            house.discovery.send(house.discovery.streams[-1], bad)
-            count = len(house.discovery.streams)
-            house.until(lambda count=count: len(house.discovery.streams) > count)
-        assert house.life.tracker.endpoints == before and house.life.tracker.generation == 1
-        good_one = {"generation": 2, "reset": False, "instances": [house.instance(0, "leaving")]}
-        house.discovery.send(house.discovery.streams[-1], good_one)
-        house.until(lambda: is_known(house))
-
-    run(world, test)
+            harness.discovery.send(harness.discovery.streams[-1], bad)
+            count = len(harness.discovery.streams)
+            harness.until(lambda count=count: len(harness.discovery.streams) > count)
+        assert harness.gateway.tracker.endpoints == before and harness.gateway.tracker.generation == 1
+        good_one = {"generation": 2, "reset": False, "instances": [harness.instance(0, "leaving")]}
+        harness.discovery.send(harness.discovery.streams[-1], good_one)
+        harness.until(lambda: is_drain_known(harness))
+
+    run(backend, test)
     assert capsys.readouterr().out.count("discovery:") <= 3
 
 
 # -- what is known at the start
 
 
-@WORLDS
-def test_ready_is_said_once_discovery_spoke(world):
+@BACKENDS
+def test_the_gateway_is_ready_once_discovery_has_responded(backend):
     up = b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n"
 
-    def test(house):
-        assert house.ask(up)[0] == 200
-        house.life._discovery_responded, house.life._ready_without_discovery_at = (
+    def test(harness: PlatformHarness) -> None:
+        assert harness.ask(up)[0] == 200
+        harness.gateway._discovery_responded, harness.gateway._ready_without_discovery_at = (
             False,
-            house.loop.now() + 60 * SECOND,
+            harness.loop.now() + 60 * SECOND,
         )
-        assert house.ask(up)[0] == 503
-        house.discovery.tell(2, house.instance(0))
-        house.until(lambda: house.ask(up)[0] == 200, within(house, GRACE // 2))
+        assert harness.ask(up)[0] == 503
+        harness.discovery.tell(2, harness.instance(0))
+        harness.until(lambda: harness.ask(up)[0] == 200, within(harness, GRACE // 2))
 
-    run(world, test)
+    run(backend, test)
 
 
-@WORLDS
-def test_where_discovery_answers_at_once_the_first_who_asks_hears_that_we_are_ready(world):
-    class Starts(world):
+@BACKENDS
+def test_the_first_readiness_check_succeeds_where_discovery_responds_at_once(backend):
+    class Starts(backend):
         def _begin(self) -> None:
             self.until(lambda: self.discovery.listener is not None)
             self.process = self.loop.spawn(self._gateway, kind=CONTROL, scope=self.scope)
@@ -388,31 +388,31 @@
         def _finish(self) -> None:
             pass
 
-    def test(house):
+    def test(harness: PlatformHarness) -> None:
         while True:
             try:
-                stream = house.connect()
+                stream = harness.connect()
                 break
             except NotConnected:
-                house.loop.sleep(MS)
+                harness.loop.sleep(MS)
         stream.send(b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n")
-        assert house.answer(stream)[0] == 200
+        assert harness.answer(stream)[0] == 200
 
     run(Starts, test)
 
 
-def test_while_discovery_is_silent_the_known_list_serves_and_ready_is_said_after_the_grace():
+def test_with_a_silent_discovery_the_last_known_list_serves_and_readiness_follows_the_grace():
     up = b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n"
     known = {"generation": 90, "reset": True, "instances": [instance(0)]}
 
-    class Down(PlatformHouse):
+    class Down(PlatformHarness):
         def _begin(self) -> None:
             self.discovery.answers = False
             super()._begin()
 
-    def test(house):
-        assert house.ask(up)[0] == 503
-        assert house.ask(call())[0] == 200
-        house.until(lambda: house.ask(up)[0] == 200, GRACE)
+    def test(harness: PlatformHarness) -> None:
+        assert harness.ask(up)[0] == 503
+        assert harness.ask(call())[0] == 200
+        harness.until(lambda: harness.ask(up)[0] == 200, GRACE)
 
     run(Down, test, known=known, settings=settings())
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -25,7 +25,7 @@
     )
 
 
-def test_an_older_version_of_the_same_epoch_is_passed_over():
+def test_an_older_version_of_the_same_epoch_is_ignored():
     tracker = EndpointListTracker("z", 10)
     tracker.apply_line(line(version=5, n1="draining"))
     assert tracker.apply_line(line(version=4, n1="ready")) is None
@@ -33,7 +33,7 @@
     assert tracker.ignored_events == 1
 
 
-def test_changes_with_a_gap_or_of_another_epoch_ask_for_the_whole_list():
+def test_changes_after_a_gap_or_of_another_epoch_are_rejected():
     tracker = EndpointListTracker("z", 10)
     tracker.apply_line(line(version=5, n1="ready"))
     with pytest.raises(WatchEventError):
@@ -42,7 +42,7 @@
         tracker.apply_line(line("changes", version=6, after=5, epoch="f", n1="draining"))
 
 
-def test_a_whole_list_of_a_new_epoch_counts_though_its_version_is_lower():
+def test_a_complete_list_of_a_new_epoch_is_applied_with_a_lower_version():
     tracker = EndpointListTracker("z", 10)
     tracker.apply_line(line(version=50, n1="ready", n2="ready"))
     listed = tracker.apply_line(line(version=1, epoch="f", n2="ready"))
@@ -50,7 +50,7 @@
     assert tracker.state(b"127.0.0.1:1") == "gone"
 
 
-def test_a_kept_list_is_read_again_and_a_spoilt_one_is_not():
+def test_a_cached_list_is_loaded_and_a_truncated_one_is_not():
     tracker = EndpointListTracker("z", 10)
     tracker.apply_line(line(version=5, n1="ready", n2="draining"))
     again = EndpointListTracker("z", 10)
@@ -62,12 +62,12 @@
 
 
 @pytest.mark.parametrize("text", [b"", b"{}", b"[1]", b'{"kind":"half"}', b"\xff", line(n1="asleep")])
-def test_what_is_no_line_is_refused(text):
+def test_an_invalid_line_is_rejected(text):
     with pytest.raises(WatchEventError):
         EndpointListTracker("z", 10).apply_line(text)
 
 
-def test_a_list_beyond_the_bound_is_refused():
+def test_a_list_beyond_the_bound_is_rejected():
     with pytest.raises(WatchEventError, match="allowed: 1"):
         EndpointListTracker("z", 1).apply_line(line(n1="ready", n2="ready"))
 
@@ -102,5 +102,5 @@
         ({"has_client_left": True, "first_sent_at": NOW - SECOND // 2}, "client"),
     ],
 )
-def test_what_broke_a_rule_meanwhile_does_not_leave(changes, why):
+def test_an_attempt_that_would_break_a_rule_is_not_sent(changes, why):
     assert rejection_reason(NOW, leaving(**changes)) == why
--- a/tests/test_fleet_totals.py
+++ b/tests/test_fleet_totals.py
@@ -7,7 +7,7 @@
 
 import pytest
 from harness.fleet_harness import FleetTerms, SimulatedFleet
-from harness.platform_house import MS, SECOND
+from harness.platform_harness import MS, SECOND
 
 from orchidlane.policy import admission, endpoint_registry, gossip, quota, token_owner
 from orchidlane.recording.reference_quota import ReferenceQuota
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -12,7 +12,7 @@
 from harness.golden_events import SECOND, SECRET, counts_row, message_values, sealed
 from harness.golden_files import check_golden
 from harness.golden_samples import samples
-from harness.platform_house import PlatformHouse, call, settings
+from harness.platform_harness import PlatformHarness, call, settings
 
 from orchidlane.gateway.peers import datagrams, token_messages
 from orchidlane.policy import gossip_codec
@@ -149,6 +149,6 @@
 
     may = {**settings()["permissions"], "peers": True}
     addresses = ["127.0.0.1:7946", "127.0.0.1:7947"]
-    PlatformHouse(good, good, peers=addresses, settings=settings(balancers=2, permissions=may)).run(test)
+    PlatformHarness(good, good, peers=addresses, settings=settings(balancers=2, permissions=may)).run(test)
     assert bodies
     check_golden("platform-datagrams", bodies)
--- a/tests/test_golden_simulator_protocol.py
+++ b/tests/test_golden_simulator_protocol.py
@@ -15,7 +15,7 @@
     settings_values,
 )
 from harness.golden_files import check_golden
-from harness.platform_house import settings
+from harness.platform_harness import settings
 
 from orchidlane import policy
 from orchidlane.simulator_protocol import codec, settings_json
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -9,13 +9,13 @@
 
 import pytest
 from harness.gateway_harness import resets_after
-from harness.platform_house import (
+from harness.platform_harness import (
     DISCOVERY,
     MS,
     OK,
     SECOND,
     Discovery,
-    PlatformHouse,
+    PlatformHarness,
     call,
     configuration,
     file,
@@ -33,30 +33,30 @@
 from orchidlane.runtime import CONTROL, Closed
 
 
-def run(*handlers, test, **changes) -> PlatformHouse:
-    house = PlatformHouse(*handlers, **changes)
-    house.run(test)
-    return house
+def run(*handlers, test, **changes) -> PlatformHarness:
+    harness = PlatformHarness(*handlers, **changes)
+    harness.run(test)
+    return harness
 
 
-def good(house, index, stream):
+def serves(harness, index, stream):
     while True:
-        house.heads.append(house.read_request(index, stream)[0])
+        harness.heads.append(harness.read_request(index, stream)[0])
         stream.send(OK)
 
 
-def silent(house, index, stream):
+def silent(harness, index, stream):
     """A host that takes requests and never answers."""
     while True:
-        house.read_request(index, stream)
+        harness.read_request(index, stream)
 
 
 def says(answer: bytes):
     """A host that gives every request the same answer."""
 
-    def handler(house, index, stream):
+    def handler(harness, index, stream):
         while True:
-            house.read_request(index, stream)
+            harness.read_request(index, stream)
             stream.send(answer)
 
     return handler
@@ -65,28 +65,28 @@
 # -- clients
 
 
-def test_a_request_passes_unchanged_and_its_answer_comes_back():
-    def test(house):
-        assert house.ask(call("put", body=b"x" * 212, number="aa01"))[::2] == (200, b"ok")
-        head = house.heads[0]
+def test_a_request_is_forwarded_unchanged_and_its_response_is_returned():
+    def test(harness: PlatformHarness) -> None:
+        assert harness.ask(call("put", body=b"x" * 212, number="aa01"))[::2] == (200, b"ok")
+        head = harness.heads[0]
         assert (head.method, head.target, head.length) == ("POST", b"/put?client=0000000000000001", 212)
         assert header(head.headers, b"x-request-id") == b"aa01"
         assert header(head.headers, b"idempotency-key") == b"5c0f6e1a"
         assert 0.9 < float(header(head.headers, b"x-timeout")) < 1.0
 
-    run(good, test=test)
+    run(serves, test=test)
 
 
-def test_a_request_begins_with_its_last_byte():
-    def test(house):
-        raw, stream = call("bill", body=b"12345678", left="0.300"), house.connect()
+def test_a_request_reaches_the_policy_once_it_is_complete():
+    def test(harness: PlatformHarness) -> None:
+        raw, stream = call("bill", body=b"12345678", left="0.300"), harness.connect()
         stream.send(raw[:-4])
-        house.loop.sleep(600 * MS)
-        assert not house.life.host.gateway.accounts
+        harness.loop.sleep(600 * MS)
+        assert not harness.gateway.host.gateway.accounts
         stream.send(raw[-4:])
-        assert house.answer(stream, "POST")[0] == 200
+        assert harness.answer(stream, "POST")[0] == 200
 
-    run(good, test=test)
+    run(serves, test=test)
 
 
 WRONG = [
@@ -120,91 +120,91 @@
 
 
 @pytest.mark.parametrize("raw", WRONG, ids=range(len(WRONG)))
-def test_what_cannot_be_used_is_an_error_and_reaches_nobody(raw):
-    def test(house):
-        began = house.loop.now()
-        status, _, _ = house.ask(raw)
+def test_an_invalid_request_gets_an_error_and_is_not_forwarded(raw):
+    def test(harness: PlatformHarness) -> None:
+        began = harness.loop.now()
+        status, _, _ = harness.ask(raw)
         assert 400 <= status < 500 or status == 501
-        assert house.loop.now() - began < 2 * SECOND
-        assert not house.life.host.gateway.accounts
-        assert not house.life.clients.in_flight
-        assert house.ask(call())[0] == 200
+        assert harness.loop.now() - began < 2 * SECOND
+        assert not harness.gateway.host.gateway.accounts
+        assert not harness.gateway.clients.in_flight
+        assert harness.ask(call())[0] == 200
 
-    house = run(good, test=test)
-    assert len(house.seen) == 1
+    harness = run(serves, test=test)
+    assert len(harness.seen) == 1
 
 
 @pytest.mark.parametrize("raw", [b"", call()[:40], call("put", body=b"12345678")[:-3]])
-def test_silent_and_half_requests_are_closed_within_three_seconds(raw):
-    def test(house):
-        stream = house.connect()
+def test_silent_and_incomplete_requests_are_closed_within_three_seconds(raw):
+    def test(harness: PlatformHarness) -> None:
+        stream = harness.connect()
         stream.send(raw) if raw else None
-        assert house.answer(stream, wait=2_900 * MS)[0] in (0, 408)
-        house.until(lambda: not house.life.front.connections, 400 * MS)
-        assert not house.life.host.gateway.accounts
+        assert harness.answer(stream, wait=2_900 * MS)[0] in (0, 408)
+        harness.until(lambda: not harness.gateway.front.connections, 400 * MS)
+        assert not harness.gateway.host.gateway.accounts
 
-    assert not run(good, test=test).seen
+    assert not run(serves, test=test).seen
 
 
-def test_the_id_of_an_open_request_is_no_good_and_the_open_one_goes_on():
-    def slow(house, index, stream):
-        house.read_request(index, stream)
-        house.loop.sleep(900 * MS)
+def test_a_request_with_the_id_of_one_in_flight_is_rejected_and_the_other_continues():
+    def slow(harness, index, stream):
+        harness.read_request(index, stream)
+        harness.loop.sleep(900 * MS)
         stream.send(OK)
 
-    def test(house):
-        first = house.connect()
+    def test(harness: PlatformHarness) -> None:
+        first = harness.connect()
         first.send(call(number="01"))
-        house.until(lambda: house.seen)
-        assert house.ask(call(number="01"))[0] == 409
-        assert house.answer(first)[0] == 200
-        assert house.ask(call(number="01"), wait=100 * MS)[0] != 409  # it may come again
+        harness.until(lambda: harness.seen)
+        assert harness.ask(call(number="01"))[0] == 409
+        assert harness.answer(first)[0] == 200
+        assert harness.ask(call(number="01"), wait=100 * MS)[0] != 409  # it may come again
 
     run(slow, test=test)
 
 
-def test_hundreds_that_say_nothing_leave_room_for_those_that_ask():
-    def test(house):
-        crowd = [house.connect() for _ in range(300)]
-        house.loop.sleep(200 * MS)
-        assert house.ask(call())[0] == 200
-        assert len(house.life.front.connections) <= house.life.front.bounds.max_connections
+def test_hundreds_of_silent_connections_leave_capacity_for_requests():
+    def test(harness: PlatformHarness) -> None:
+        crowd = [harness.connect() for _ in range(300)]
+        harness.loop.sleep(200 * MS)
+        assert harness.ask(call())[0] == 200
+        assert len(harness.gateway.front.connections) <= harness.gateway.front.bounds.max_connections
         assert crowd
 
-    run(good, test=test)
+    run(serves, test=test)
 
 
-def test_an_open_request_is_not_closed_to_make_room():
-    def slow(house, index, stream):
-        house.read_request(index, stream)
-        house.loop.sleep(800 * MS)
+def test_a_connection_with_a_request_in_flight_is_not_evicted():
+    def slow(harness, index, stream):
+        harness.read_request(index, stream)
+        harness.loop.sleep(800 * MS)
         stream.send(OK)
 
-    def test(house):
-        first = house.connect()
+    def test(harness: PlatformHarness) -> None:
+        first = harness.connect()
         first.send(call())
-        house.until(lambda: house.seen)
-        crowd = [house.connect() for _ in range(300)]
-        assert house.answer(first)[0] == 200
+        harness.until(lambda: harness.seen)
+        crowd = [harness.connect() for _ in range(300)]
+        assert harness.answer(first)[0] == 200
         assert crowd
 
     run(slow, test=test)
 
 
-def test_refusals_say_why_and_failures_do_not_ask_for_a_retry():
-    def test(house):
-        statuses = [house.ask(call(plan="small"))[0] for _ in range(6)]
+def test_rejections_have_the_status_of_their_reason_and_failures_no_retry_after():
+    def test(harness: PlatformHarness) -> None:
+        statuses = [harness.ask(call(plan="small"))[0] for _ in range(6)]
         assert statuses == [200] * 3 + [429] * 3
-        house.discovery.tell(2, instance(0, "left"))
-        house.loop.sleep(50 * MS)
-        assert house.ask(call(left="0.200", client="0000000000000002"))[0] == 503
+        harness.discovery.tell(2, instance(0, "left"))
+        harness.loop.sleep(50 * MS)
+        assert harness.ask(call(left="0.200", client="0000000000000002"))[0] == 503
 
-    run(good, test=test)
+    run(serves, test=test)
 
 
-def test_an_unsafe_request_that_may_have_run_fails():
-    def test(house):
-        assert house.ask(call("bill"))[0] == 500
+def test_a_possibly_executed_request_that_is_not_idempotent_fails():
+    def test(harness: PlatformHarness) -> None:
+        assert harness.ask(call("bill"))[0] == 500
 
     assert len(run(resets_after, test=test).seen) == 1
 
@@ -213,14 +213,14 @@
 
 
 @pytest.mark.parametrize("status", [b"503 Busy", b"504 Late"])
-def test_what_was_turned_away_with_the_mark_never_ran_and_goes_elsewhere(status):
+def test_a_request_rejected_with_the_header_is_retried_at_another_endpoint(status):
     away = says(b"HTTP/1.1 " + status + b"\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 
-    def test(house):
-        assert [house.ask(call("bill"))[0] for _ in range(8)] == [200] * 8
+    def test(harness: PlatformHarness) -> None:
+        assert [harness.ask(call("bill"))[0] for _ in range(8)] == [200] * 8
 
-    house = run(away, good, test=test)
-    assert {index for index, _ in house.seen} == {0, 1}
+    harness = run(away, serves, test=test)
+    assert {index for index, _ in harness.seen} == {0, 1}
 
 
 SPOILT = [
@@ -238,9 +238,9 @@
 
 
 @pytest.mark.parametrize("answer", SPOILT, ids=range(len(SPOILT)))
-def test_a_spoilt_answer_may_have_run_and_is_not_passed_on(answer):
-    def test(house):
-        status, _, body = house.ask(call("bill"))
+def test_an_invalid_response_counts_as_possibly_executed_and_is_not_forwarded(answer):
+    def test(harness: PlatformHarness) -> None:
+        status, _, body = harness.ask(call("bill"))
         assert (status, body) == (500, b"")
 
     assert len(run(says(answer), test=test).seen) == 1
@@ -256,42 +256,42 @@
 
 
 @pytest.mark.parametrize("answer", EXTRAS, ids=range(len(EXTRAS)))
-def test_a_good_answer_with_extras_counts(answer):
-    def test(house):
-        assert [house.ask(call("bill"))[::2] for _ in range(3)] == [(200, b"ok")] * 3
+def test_a_valid_response_with_extra_headers_is_served(answer):
+    def test(harness: PlatformHarness) -> None:
+        assert [harness.ask(call("bill"))[::2] for _ in range(3)] == [(200, b"ok")] * 3
 
     run(says(answer), test=test)
 
 
-def test_a_new_host_at_an_old_address_takes_none_of_its_connections():
-    def counts(house, index, stream):
+def test_a_new_endpoint_at_a_former_address_inherits_no_connections():
+    def counts(harness, index, stream):
         streams.append(stream)
-        good(house, index, stream)
+        serves(harness, index, stream)
 
-    def test(house):
-        assert house.ask(call())[0] == 200
-        house.discovery.tell(2, instance(0, "left"), instance(7, port=9000))
-        house.loop.sleep(50 * MS)
-        assert house.ask(call())[0] == 200
+    def test(harness: PlatformHarness) -> None:
+        assert harness.ask(call())[0] == 200
+        harness.discovery.tell(2, instance(0, "left"), instance(7, port=9000))
+        harness.loop.sleep(50 * MS)
+        assert harness.ask(call())[0] == 200
 
     streams: list = []
     run(counts, test=test)
     assert len(streams) == 2
 
 
-def test_over_the_bound_of_all_connections_nothing_is_held_against_a_host():
-    def slow(house, index, stream):
-        house.read_request(index, stream)
-        house.loop.sleep(400 * MS)
+def test_an_exhausted_connection_pool_is_no_fault_of_an_endpoint():
+    def slow(harness, index, stream):
+        harness.read_request(index, stream)
+        harness.loop.sleep(400 * MS)
         stream.send(OK)
 
-    def test(house):
-        house.life.pool.max_total = 2
-        clients = [house.connect() for _ in range(3)]
+    def test(harness: PlatformHarness) -> None:
+        harness.gateway.pool.max_total = 2
+        clients = [harness.connect() for _ in range(3)]
         for client in clients:
             client.send(call())
-        assert sorted(house.answer(client)[0] for client in clients) == [200, 200, 503]
-        assert all(host.failure_score == 0 for host in house.life.host.gateway.endpoints.values())
+        assert sorted(harness.answer(client)[0] for client in clients) == [200, 200, 503]
+        assert all(host.failure_score == 0 for host in harness.gateway.host.gateway.endpoints.values())
 
     run(slow, slow, test=test)
 
@@ -305,7 +305,7 @@
     )
 
 
-def test_old_news_never_make_a_host_ready_again():
+def test_stale_events_never_make_an_endpoint_ready_again():
     tracker = DiscoveryTracker(("hall-1",))
     listed(tracker, 40, instance(1), instance(2), reset=True)
     assert listed(tracker, 41, instance(1, "leaving")) is not None
@@ -328,36 +328,40 @@
         json.dumps({"generation": 1, "reset": True, "instances": [instance(1, port=99999)]}).encode(),
     ],
 )
-def test_a_line_that_is_none_is_refused(line):
+def test_an_invalid_line_is_rejected(line):
     with pytest.raises(WatchEventError):
         DiscoveryTracker(()).apply_line(line)
 
 
-def test_a_watch_that_falls_silent_or_breaks_is_begun_anew_from_its_generation():
-    def test(house):
-        house.discovery.tell(5, instance(0, "leaving"))
-        house.loop.sleep(50 * MS)
-        house.discovery.hello, house.discovery.beats = [], False
-        house.discovery.streams.pop().abort()
-        house.until(lambda: len(house.discovery.asked) == 2)
-        house.until(lambda: len(house.discovery.asked) == 3)  # nothing came, not even an empty line
-        assert [b"from=5" in head for head in house.discovery.asked] == [False, True, True]
-        assert house.life.tracker.state(b"s-0") == "draining"
+def test_a_silent_or_broken_watch_is_reopened_from_its_generation():
+    def test(harness: PlatformHarness) -> None:
+        harness.discovery.tell(5, instance(0, "leaving"))
+        harness.loop.sleep(50 * MS)
+        harness.discovery.hello, harness.discovery.beats = [], False
+        harness.discovery.streams.pop().abort()
+        harness.until(lambda: len(harness.discovery.asked) == 2)
+        harness.until(lambda: len(harness.discovery.asked) == 3)  # nothing came, not even an empty line
+        assert [b"from=5" in head for head in harness.discovery.asked] == [False, True, True]
+        assert harness.gateway.tracker.state(b"s-0") == "draining"
 
-    run(good, test=test)
+    run(serves, test=test)
 
 
-def test_hosts_that_come_and_go_leave_nothing_behind():
-    def test(house):
+def test_endpoints_that_come_and_go_leave_no_state():
+    def test(harness: PlatformHarness) -> None:
         for generation in range(2, 400):
             gone, new = instance(generation - 2, "left"), instance(generation - 1, port=9000, cell=generation)
-            house.discovery.tell(generation, gone, new)
-            house.loop.sleep(2 * MS)
+            harness.discovery.tell(generation, gone, new)
+            harness.loop.sleep(2 * MS)
             client = f"{generation:016x}"
-            assert house.ask(call(client=client))[0] == 200
-        house.loop.sleep(3 * SECOND)
-        life, rules = house.life, house.life.host.gateway
-        assert (len(life.tracker.endpoints), len(life.tracker.addresses), life.pool.open_connections) == (
+            assert harness.ask(call(client=client))[0] == 200
+        harness.loop.sleep(3 * SECOND)
+        gateway, rules = harness.gateway, harness.gateway.host.gateway
+        assert (
+            len(gateway.tracker.endpoints),
+            len(gateway.tracker.addresses),
+            gateway.pool.open_connections,
+        ) == (
             1,
             1,
             1,
@@ -368,86 +372,86 @@
             rules.slow_start_queue,
             rules.attempts,
             rules.requests,
-            life.clients.in_flight,
+            gateway.clients.in_flight,
         ]
         assert [len(table) for table in held] == [1, 1, 0, 0, 0, 0]
 
-    run(good, test=test)
+    run(serves, test=test)
 
 
 # -- life
 
 
-def test_after_sigterm_what_comes_is_answered_and_the_program_ends_by_itself():
-    def test(house):
-        old = house.connect()
+def test_after_sigterm_requests_are_answered_until_the_process_ends_by_itself():
+    def test(harness: PlatformHarness) -> None:
+        old = harness.connect()
         old.send(call())
-        assert house.answer(old)[0] == 200
-        house.life.stop()
-        house.loop.sleep(ACCEPT_PERIOD_US - 50 * MS)
+        assert harness.answer(old)[0] == 200
+        harness.gateway.stop()
+        harness.loop.sleep(ACCEPT_PERIOD_US - 50 * MS)
         old.send(call())
-        assert house.answer(old)[0] == 200
-        assert house.ask(call())[0] == 200
-        served = len(house.seen)
-        house.loop.sleep(60 * MS)
+        assert harness.answer(old)[0] == 200
+        assert harness.ask(call())[0] == 200
+        served = len(harness.seen)
+        harness.loop.sleep(60 * MS)
         with suppress(Closed):  # the end crosses a request: it is never sent on
             old.send(call())
         assert old.recv() == b""
-        house.until(lambda: house.ended, 2 * SECOND)
-        assert len(house.seen) == served
+        harness.until(lambda: harness.ended, 2 * SECOND)
+        assert len(harness.seen) == served
 
-    run(good, test=test)
+    run(serves, test=test)
 
 
-def test_after_sigterm_nothing_is_waited_for_until_we_are_killed():
-    def test(house):
+def test_after_sigterm_the_process_ends_before_it_is_killed():
+    def test(harness: PlatformHarness) -> None:
         streams = []
         for wait in (10, 600):  # the second one comes after SIGTERM
-            streams.append(house.connect())
+            streams.append(harness.connect())
             streams[-1].send(call(left="5.000"))
-            house.loop.sleep(wait * MS)
-            house.life.stop()
-        stopped = house.loop.now() - 600 * MS
-        assert [house.answer(stream)[0] in (500, 503) for stream in streams] == [True, True]
-        house.until(lambda: house.ended, SECOND)
-        assert house.loop.now() - stopped < 3_700 * MS  # SIGKILL may come then
+            harness.loop.sleep(wait * MS)
+            harness.gateway.stop()
+        stopped = harness.loop.now() - 600 * MS
+        assert [harness.answer(stream)[0] in (500, 503) for stream in streams] == [True, True]
+        harness.until(lambda: harness.ended, SECOND)
+        assert harness.loop.now() - stopped < 3_700 * MS  # SIGKILL may come then
 
     classes = [{**cls, "deadline": 5_000_000} for cls in settings()["classes"]]
     run(silent, test=test, settings=settings(classes=classes))
 
 
 @pytest.mark.parametrize("when", [0, 1, 50, 200])
-def test_sigterm_in_the_midst_of_the_start_ends_it(when):
-    house = PlatformHouse(good)
+def test_sigterm_during_the_start_ends_it(when):
+    harness = PlatformHarness(serves)
 
     def work():
-        process = house.world.start("n0", house._gateway)
-        house.loop.sleep(when * MS)
-        house.until(lambda: hasattr(house, "life"), 10 * MS)
-        house.life.stop()
-        house.until(lambda: house.ended, 2 * SECOND)
-        house.world.kill(process)
+        process = harness.world.start("n0", harness._gateway)
+        harness.loop.sleep(when * MS)
+        harness.until(lambda: hasattr(harness, "gateway"), 10 * MS)
+        harness.gateway.stop()
+        harness.until(lambda: harness.ended, 2 * SECOND)
+        harness.world.kill(process)
 
-    house.loop.run(work)
+    harness.loop.run(work)
 
 
-def test_an_address_that_the_process_before_us_still_holds_is_waited_for():
-    house = PlatformHouse(good)
+def test_an_address_held_by_an_earlier_process_is_waited_for():
+    harness = PlatformHarness(serves)
 
     def work():
-        listener = house.world.listen(("127.0.0.1", 8080))
-        process = house.world.start("n0", house._gateway)
-        house.loop.sleep(500 * MS)
+        listener = harness.world.listen(("127.0.0.1", 8080))
+        process = harness.world.start("n0", harness._gateway)
+        harness.loop.sleep(500 * MS)
         listener.close()
-        house.until(lambda: hasattr(house.life.front, "listener"), SECOND)
-        house.life.stop()
-        house.until(lambda: house.ended, 2 * SECOND)
-        house.world.kill(process)
+        harness.until(lambda: hasattr(harness.gateway.front, "listener"), SECOND)
+        harness.gateway.stop()
+        harness.until(lambda: harness.ended, 2 * SECOND)
+        harness.world.kill(process)
 
-    house.loop.run(work)
+    harness.loop.run(work)
 
 
-def test_a_log_that_nobody_takes_ends_nothing(monkeypatch):
+def test_a_log_that_cannot_be_written_raises_nothing(monkeypatch):
     class Full:
         def write(self, text):
             raise BlockingIOError(11, "no room")
@@ -459,41 +463,41 @@
     assert log.omitted_lines == 0
 
 
-def test_another_discovery_counts_at_once_and_a_bad_file_changes_nothing():
-    def test(house):
-        other = Discovery(house, (DISCOVERY[0], 8501))
+def test_reload_switches_discovery_at_once_and_an_invalid_file_changes_nothing():
+    def test(harness: PlatformHarness) -> None:
+        other = Discovery(harness, (DISCOVERY[0], 8501))
         other.hello = [{"generation": 9, "reset": True, "instances": [instance(0, "leaving"), instance(1)]}]
-        house.scope.spawn(other.serve, kind=CONTROL)
-        house.world.write_file("config.json", b"{")
-        house.life.reload()
-        assert len(house.discovery.asked) == 1
-        house.world.write_file("config.json", json.dumps(file(discovery="127.0.0.1:8501")).encode())
-        house.life.reload()
-        house.until(lambda: other.asked, 50 * MS)
-        house.until(lambda: house.life.tracker.state(b"s-0") == "draining", 50 * MS)
-        assert house.ask(call())[0] == 200
-
-    assert run(good, good, test=test).seen[-1][0] == 1
-
-
-def test_a_failure_of_a_task_ends_nothing_else():
-    def test(house):
-        rules = house.life.host.gateway
+        harness.scope.spawn(other.serve, kind=CONTROL)
+        harness.world.write_file("config.json", b"{")
+        harness.gateway.reload()
+        assert len(harness.discovery.asked) == 1
+        harness.world.write_file("config.json", json.dumps(file(discovery="127.0.0.1:8501")).encode())
+        harness.gateway.reload()
+        harness.until(lambda: other.asked, 50 * MS)
+        harness.until(lambda: harness.gateway.tracker.state(b"s-0") == "draining", 50 * MS)
+        assert harness.ask(call())[0] == 200
+
+    assert run(serves, serves, test=test).seen[-1][0] == 1
+
+
+def test_a_failure_in_one_task_is_contained():
+    def test(harness: PlatformHarness) -> None:
+        rules = harness.gateway.host.gateway
         before, rules.handle = rules.handle, lambda *_: 1 / 0
-        assert house.ask(call())[0] == 500
+        assert harness.ask(call())[0] == 500
         rules.handle = before
-        house.life.clients.before_response = lambda *_: 1 / 0
-        assert house.ask(call())[0] == 500
-        del house.life.clients.before_response
-        endpoints = house.life.host.begin.__self__.endpoints
+        harness.gateway.clients.before_response = lambda *_: 1 / 0
+        assert harness.ask(call())[0] == 500
+        del harness.gateway.clients.before_response
+        endpoints = harness.gateway.host.begin.__self__.endpoints
         endpoints.request_head = lambda *_: 1 / 0
-        assert house.ask(call(left="0.300"))[0] in (500, 503)
+        assert harness.ask(call(left="0.300"))[0] in (500, 503)
         del endpoints.request_head
-        assert house.ask(call())[0] == 200
-        assert not house.life.host.requests
-        assert not house.life.clients.in_flight
+        assert harness.ask(call())[0] == 200
+        assert not harness.gateway.host.requests
+        assert not harness.gateway.clients.in_flight
 
-    run(good, test=test)
+    run(serves, test=test)
 
 
 @pytest.mark.parametrize(
@@ -507,12 +511,12 @@
         (json.dumps(file(settings={})).encode(), "classes"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_is_named(text, names):
+def test_an_invalid_configuration_is_rejected_with_its_field(text, names):
     with pytest.raises(ConfigurationError, match=names):
         parse_configuration(text, "config.json")
 
 
-def test_the_start_ends_with_one_line_where_it_is_told_nothing():
+def test_the_start_ends_with_one_line_without_a_configuration():
     done = subprocess.run(
         [sys.executable, "-m", "orchidlane.platform"], env={}, capture_output=True, text=True
     )
@@ -520,7 +524,7 @@
     assert "PROXY_CONFIG" in done.stderr
 
 
-def test_run_loads_nothing_that_it_does_not_use():
+def test_the_platform_loads_no_modules_that_it_does_not_use():
     code = "import sys, orchidlane.platform.__main__; print(*sys.modules)"
     loaded = set(subprocess.check_output([sys.executable, "-c", code], text=True).split())
     other = {
@@ -533,13 +537,24 @@
         "openapi_spec_validator",
         "asyncio",
     }
-    rooms = {
-        f"orchidlane.{room}" for room in ("routes", "config", "upgrade", "record", "limits", "resp", "lab")
+    packages = {
+        f"orchidlane.{package}"
+        for package in (
+            "cli",
+            "config",
+            "hot_restart",
+            "limits",
+            "recording",
+            "resp",
+            "rollout",
+            "routes",
+            "simulation",
+        )
     }
-    assert not loaded & (other | rooms | {"hashlib", "ssl", "logging"})
+    assert not loaded & (other | packages | {"hashlib", "ssl", "logging"})
 
 
-def test_the_bounds_of_connections_fit_the_machine():
+def test_the_connection_limits_fit_the_machine():
     for sockets in (256, 384, 1024):
         limits = {"cores": 0.2, "memory_mb": 32, "sockets": sockets}
         bounds = limits_for(configuration(limits=limits)).resource_limits
@@ -547,14 +562,14 @@
         assert bounds.max_connections > sockets / 3
 
 
-def test_a_known_list_is_believed_until_discovery_speaks_even_with_a_lower_number():
+def test_the_last_known_list_counts_until_discovery_responds_with_any_generation():
     known = {"generation": 90, "reset": True, "instances": []}
     assert configuration(known=known).last_known_list.generation == 90
-    house = run(good, test=lambda house: None, known=known)
-    assert house.life.tracker.generation == 1
+    harness = run(serves, test=lambda harness: None, known=known)
+    assert harness.gateway.tracker.generation == 1
 
 
-def test_the_platforms_process_knows_nothing_of_fleet_versions():
+def test_the_platform_loads_no_modules_of_fleet_versions():
     """It loads none of their modules nor their library, so it can open, read and send nothing of theirs."""
     code = (
         "import sys, orchidlane.platform.__main__, orchidlane.platform.lifecycle;"
--- a/tests/test_platform_real.py
+++ b/tests/test_platform_real.py
@@ -12,7 +12,7 @@
 import time
 from pathlib import Path
 
-from harness.platform_house import OK, call, file, instance, settings
+from harness.platform_harness import OK, call, file, instance, settings
 
 PEERS, HOSTS = 1_024, 1_500
 
@@ -65,7 +65,7 @@
         assert said.startswith(b"HTTP/1.1 503") and time.monotonic() < by
 
 
-def test_a_gateway_among_a_thousand_with_many_hosts_starts_serves_and_ends(tmp_path: Path):
+def test_a_gateway_with_a_thousand_peers_and_many_endpoints_starts_serves_and_ends(tmp_path: Path):
     held: list[socket.socket] = []
     with listener() as host, listener() as discovery:
         hosts = [instance(index, port=port(host)) for index in range(HOSTS)]
