--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -86,7 +86,8 @@
         self._accepting = self.scope.spawn(self._accept, kind=REQUESTS, name="accept")
 
     def _pass(self, connection: Connection) -> None:
-        assert self.pass_on is not None and connection.task is not None
+        assert self.pass_on is not None
+        assert connection.task is not None
         connection.over = True
         self.newcomers.pop(connection, None)
         self.idle.pop(connection, None)
