--- a/benchmarks/index.py
+++ b/benchmarks/index.py
@@ -70,10 +70,12 @@
         index = indexes.pop()
         wanted = [n * (requests // LOOKUPS) for n in range(LOOKUPS)]
         lookup = measure_seconds(lambda: [index.entries(n) for n in wanted]) / LOOKUPS
-        again = recording.SegmentReader(str(path))
+        list_reader = recording.SegmentReader(str(path))
         pairs: list = []
         list_built = measure_seconds(
-            lambda: pairs.extend(sorted((request_number(e) or 0, e.offset, e) for e in again if e.event))
+            lambda: pairs.extend(
+                sorted((request_number(e) or 0, e.offset, e) for e in list_reader if e.event)
+            )
         )
         list_look = measure_seconds(lambda: [pairs[bisect_left(pairs, (n, 0))] for n in wanted]) / LOOKUPS
         scanner = recording.SegmentReader(str(path))
--- a/orchidlane/cli/gateway_commands.py
+++ b/orchidlane/cli/gateway_commands.py
@@ -116,12 +116,12 @@
             return
         rows: list[dict[str, float]] = []
 
-        def look_twice() -> None:
+        def read_twice() -> None:
             screen.look()
             loop.sleep(EVERY)
             rows.extend(screen.look())
 
-        loop.run(look_twice)
+        loop.run(read_twice)
         print_result(as_rows(admins, rows), [], as_json)
         sys.exit(0 if all(rows) else 1)
 
--- a/orchidlane/gateway/peers/datagrams.py
+++ b/orchidlane/gateway/peers/datagrams.py
@@ -83,15 +83,15 @@
 
     def accept(self, sequence: int) -> bool:
         """Note a sequence number; False where it arrived before or is too old to tell."""
-        behind = self.latest - sequence
-        if behind < 0:
-            ahead = -behind
+        age = self.latest - sequence
+        if age < 0:
+            ahead = -age
             self.seen = (self.seen << ahead | 1) & REPLAY_WINDOW_MASK if ahead < REPLAY_WINDOW else 1
             self.latest = sequence
             return True
-        if behind >= REPLAY_WINDOW or self.seen >> behind & 1:
+        if age >= REPLAY_WINDOW or self.seen >> age & 1:
             return False
-        self.seen |= 1 << behind
+        self.seen |= 1 << age
         return True
 
 
--- a/orchidlane/gateway/peers/query_exchange.py
+++ b/orchidlane/gateway/peers/query_exchange.py
@@ -55,17 +55,17 @@
         self.last_id += 1
         return self.last_id
 
-    def ask(
+    def query(
         self,
         replicas: list[int],
         query: TokenQuery,
         enough: int | None = None,
-        ask_self_by_peer: bool = False,
+        query_self_by_peer: bool = False,
     ) -> dict[int, TokenReply | None]:
         """Ask several gateways at once; None for those that do not answer in time.
 
-        With ``enough`` the wait ends at so many replies. With ``ask_self_by_peer`` a query to this replica is
-        sent like any other, as another process answers for it.
+        With ``enough`` the wait ends at so many replies. With ``query_self_by_peer`` a query to this replica
+        is sent like any other, as another process answers for it.
         """
         task = self._loop.current
         assert task is not None
@@ -73,7 +73,7 @@
         replies: dict[int, TokenReply | None] = {}
         for replica in replicas:
             numbered = msgspec.structs.replace(query, id=self.next_id())
-            if replica == self._replica and not ask_self_by_peer:
+            if replica == self._replica and not query_self_by_peer:
                 replies[replica] = self._answer(self._replica, numbered)
             else:
                 unanswered[replica] = numbered.id
--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -184,7 +184,7 @@
     def _settle(self, name: bytes, customer: Customer, units: float, number: int, claim: TokenClaim) -> None:
         self._add_grant(name, customer, units)
         query = TokenQuery(0, TokenOperation.SETTLE, name, customer.number, number, units)
-        self._ask(claim.owners, query, enough=claim.majority)
+        self._query(claim.owners, query, enough=claim.majority)
 
     def _add_grant(
         self, name: bytes, customer: Customer, units: float, reserved_for_us: int | None = None
@@ -197,7 +197,7 @@
     def _claim(self, name: bytes, customer: Customer, number: int) -> TokenClaim:
         claim = TokenClaim(owners_of(name, self._replica_set(customer)))
         query = TokenQuery(0, TokenOperation.CLAIM, name, customer.number, number)
-        for owner, reply in self._ask(claim.owners, query).items():
+        for owner, reply in self._query(claim.owners, query).items():
             if reply is None:
                 claim.add_timeout(owner)
             else:
@@ -206,7 +206,7 @@
 
     def _withdraw(self, name: bytes, customer: Customer, number: int, claim: TokenClaim) -> None:
         query = TokenQuery(0, TokenOperation.WITHDRAW, name, customer.number, number)
-        self._ask(claim.fresh_owners, query)
+        self._query(claim.fresh_owners, query)
 
     def _replica_set(self, customer: Customer) -> list[int]:
         return [
@@ -221,10 +221,10 @@
         name = token_name(customer.number, token)
         owners = owners_of(name, self._replica_set(customer))
         query = TokenQuery(0, TokenOperation.LOOK_UP, name, customer.number)
-        replies = [reply for reply in self._ask(owners, query).values() if reply is not None]
+        replies = [reply for reply in self._query(owners, query).values() if reply is not None]
         for reply in replies:
             if reply.state == TokenState.GRANTED:
-                return self._ask_granter(reply.claimant, TokenOperation.REFUND, name, customer)
+                return self._query_granter(reply.claimant, TokenOperation.REFUND, name, customer)
         unsure = any(reply.state == TokenState.UNSURE for reply in replies)
         if unsure or len(replies) <= len(owners) // 2:
             raise PeersUnreachableError("too few gateways know of the token")
@@ -249,22 +249,22 @@
         if len(name) > MAX_RESERVATION_NAME_BYTES:
             return GrantOutcome.UNKNOWN
         operation = TokenOperation.COMMIT if commit else TokenOperation.RELEASE
-        return self._ask_granter(int(granter), operation, name, customer)
+        return self._query_granter(int(granter), operation, name, customer)
 
-    def _ask_granter(
+    def _query_granter(
         self, replica: int, operation: TokenOperation, name: bytes, customer: Customer
     ) -> GrantOutcome:
-        reply = self._ask([replica], TokenQuery(0, operation, name, customer.number))[replica]
+        reply = self._query([replica], TokenQuery(0, operation, name, customer.number))[replica]
         if reply is None:
             raise PeersUnreachableError(f"gateway {replica}, which granted the units, does not answer")
         return GrantOutcome(reply.outcome)
 
     # Queries
 
-    def _ask(
+    def _query(
         self, replicas: list[int], query: TokenQuery, enough: int | None = None
     ) -> dict[int, TokenReply | None]:
-        return self.queries.ask(replicas, query, enough, ask_self_by_peer=self.successor is not None)
+        return self.queries.query(replicas, query, enough, query_self_by_peer=self.successor is not None)
 
     def _answer(self, sender: int, query: TokenQuery) -> TokenReply:
         now = self.loop.now()
--- a/orchidlane/recording/incarnation_audit.py
+++ b/orchidlane/recording/incarnation_audit.py
@@ -93,8 +93,8 @@
 
     def _set_phase(self, endpoint: bytes, state: EndpointState, location: _Location, now: int) -> None:
         self._locations[endpoint] = location
-        known = self._phases.get(endpoint)
-        if known is None or (known.state is EndpointState.READY) != (state is EndpointState.READY):
+        previous = self._phases.get(endpoint)
+        if previous is None or (previous.state is EndpointState.READY) != (state is EndpointState.READY):
             self._phases[endpoint] = _Phase(state, now)
 
     def feed(self, entry: Entry) -> None:
@@ -136,8 +136,8 @@
             return
         if event.kind is not EndpointListKind.DELTA:
             listed = {entry.endpoint for entry in event.entries}
-            gone = [endpoint for endpoint in self._phases if endpoint not in listed]
-            for endpoint in gone:
+            removed = [endpoint for endpoint in self._phases if endpoint not in listed]
+            for endpoint in removed:
                 self._set_phase(endpoint, EndpointState.GONE, self._locations[endpoint], now)
         for entry in event.entries:
             self._set_phase(entry.endpoint, entry.state, _Location(entry.zone, entry.cell), now)
--- a/orchidlane/recording/replay.py
+++ b/orchidlane/recording/replay.py
@@ -86,6 +86,7 @@
         self._last_number = -1
 
     def run(self) -> ReplayResult:
+        """Replay all segments, up to the first difference."""
         for path in self._paths:
             try:
                 with SegmentReader(path) as reader:
--- a/orchidlane/recording/state_restore.py
+++ b/orchidlane/recording/state_restore.py
@@ -62,6 +62,7 @@
         self._endpoints = [_endpoint_from_row(row) for row in state.endpoints]
 
     def restore(self) -> Gateway:
+        """Return the restored policy."""
         self._restore_scalars()
         self._restore_accounts()
         self._restore_gossip()
--- a/tests/harness/golden_admin.py
+++ b/tests/harness/golden_admin.py
@@ -18,9 +18,9 @@
     return value.hex() if isinstance(value, bytes) else value
 
 
-def ask_admin(house: GatewayHarness, target: str) -> tuple[int, dict[str, str], bytes]:
+def ask_admin(harness: GatewayHarness, target: str) -> tuple[int, dict[str, str], bytes]:
     """Status, headers and body of an answer at the admin address."""
-    stream = house.world.connect(("127.0.0.1", 8280))
+    stream = harness.world.connect(("127.0.0.1", 8280))
     stream.send(f"GET {target} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
-    status, headers, body = house.answer(stream)
+    status, headers, body = harness.answer(stream)
     return status, {name.decode(): value.decode() for name, value in headers}, body
--- a/tests/test_golden_command.py
+++ b/tests/test_golden_command.py
@@ -103,10 +103,10 @@
 def test_tools_print_the_golden_json_of_a_saved_state(tmp_path):
     path = tmp_path / "state.olr"
 
-    def test(house):
+    def test(harness):
         for raw in (GET, REPORT, UPLOAD, GET, GET):
-            house.ask(raw)
-        path.write_bytes(ask_admin(house, "/state")[2])
+            harness.ask(raw)
+        path.write_bytes(ask_admin(harness, "/state")[2])
 
     GatewayHarness(good, resets_after, good, seed=5).run(test)
     calls = {
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -134,18 +134,18 @@
 def test_the_platforms_gateways_send_the_golden_datagrams():
     bodies = []
 
-    def test(house):
-        peer = house.world.datagrams(("127.0.0.1", 7947))
+    def test(harness):
+        peer = harness.world.datagrams(("127.0.0.1", 7947))
 
         def hear() -> None:
             while True:
                 bodies.append(peer.recv()[0].hex())
 
-        house.scope.spawn(hear)
+        harness.scope.spawn(hear)
         for number in range(4):
             asked = call(number=f"r{number}", client=f"{number:016x}", extras="units=1,spread=2,first=0")
-            assert house.ask(asked)[0] == 200
-        house.loop.sleep(2 * SECOND)
+            assert harness.ask(asked)[0] == 200
+        harness.loop.sleep(2 * SECOND)
 
     may = {**settings()["permissions"], "peers": True}
     addresses = ["127.0.0.1:7946", "127.0.0.1:7947"]
--- a/tests/test_golden_responses.py
+++ b/tests/test_golden_responses.py
@@ -35,19 +35,19 @@
     """What the admin address of a gateway answers after a few requests."""
     found: dict[str, Any] = {}
 
-    def test(house):
+    def test(harness):
         for raw in (GET, REPORT, UPLOAD, GET, GET, b"nonsense\r\n\r\n"):
-            house.ask(raw)
+            harness.ask(raw)
         for target in ("/health", "/nothing", "/view?customer=nobody", "/change/status", "/change/content/x"):
-            status, headers, body = ask_admin(house, target)
+            status, headers, body = ask_admin(harness, target)
             found[target] = [status, headers, body.decode()]
-        status, headers, body = ask_admin(house, "/metrics")
+        status, headers, body = ask_admin(harness, "/metrics")
         del headers["content-length"]
         found["/metrics"] = [status, headers, samples_of(body)]
         for target in ("/view", "/view?customer=1"):
-            body = ask_admin(house, target)[2]
+            body = ask_admin(harness, target)[2]
             found[target] = without_build(msgspec.msgpack.decode(body))
-        body, at, frames = ask_admin(house, "/state")[2], 7, []
+        body, at, frames = ask_admin(harness, "/state")[2], 7, []
         found["/state"] = [body[:at].decode(), frames]
         while at < len(body):
             length, _ = struct.unpack_from("<II", body, at)
@@ -62,9 +62,9 @@
     check_golden("admin-answers", admin_answers())
 
 
-def http_answer(house: GatewayHarness, raw: bytes) -> list:
+def http_answer(harness: GatewayHarness, raw: bytes) -> list:
     """Status, headers and body of an answer; of a problem its keys, whose prose may change."""
-    status, headers, body = house.ask(raw)
+    status, headers, body = harness.ask(raw)
     fields = {name.decode(): value.decode() for name, value in headers}
     if fields.get("content-type") != "application/problem+json":
         return [status, fields, body.decode()]
@@ -88,14 +88,14 @@
     }
     found: dict[str, Any] = {}
 
-    def test(house):
+    def test(harness):
         for what, raw in asked.items():
-            found[what] = http_answer(house, raw)
+            found[what] = http_answer(harness, raw)
         for number in range(30):
-            found[f"request {number}"] = http_answer(house, GET)
+            found[f"request {number}"] = http_answer(harness, GET)
 
-    def test_broken(house):
-        found["may have run"] = http_answer(house, REPORT)
+    def test_broken(harness):
+        found["may have run"] = http_answer(harness, REPORT)
 
     GatewayHarness(good, good, seed=5, plans=settings_loader.parse_settings(SETTINGS, "fleet.cue").plans).run(
         test
@@ -125,15 +125,15 @@
     ]  # fmt: skip
     found = []
 
-    def test(house):
-        house.loop.sleep(4 * SECOND)  # tokens are sure from then on
-        stream = house.world.connect(("127.0.0.1", 8380))
+    def test(harness):
+        harness.loop.sleep(4 * SECOND)  # tokens are sure from then on
+        stream = harness.world.connect(("127.0.0.1", 8380))
         reserved = ""
         for words in commands:
             named = [reserved if word == "RESERVED" else word for word in words]
             stream.send(resp.encode(named))
-            house.loop.sleep(500_000)
-            reply = stream.recv(deadline=house.loop.now() + SECOND).decode()
+            harness.loop.sleep(500_000)
+            reply = stream.recv(deadline=harness.loop.now() + SECOND).decode()
             reserved = reply.split("\r\n")[1] if words[0] == "LIMIT.RESERVE" else reserved
             # Of an error its first word counts, the rest is prose.
             found.append([words, reply.split()[0] if reply.startswith("-") else reply])
