--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -12,7 +12,7 @@
 
 from orchidlane import recording
 from orchidlane.gateway.control.settings import FleetSettings, GatewayEntry
-from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.lifecycle.state_errors import INVALID_STATE_ERRORS
 from orchidlane.gateway.telemetry.policy_host import PolicyNames
 from orchidlane.gateway.telemetry.state_stream import StateStream
@@ -32,7 +32,7 @@
     entry: GatewayEntry
     rank: int
     log: Any
-    host: Host
+    host: PolicyDriver
     incarnation: int
     stopping: bool
     superseded: bool
@@ -67,7 +67,7 @@
         except (*INVALID_STATE_ERRORS, OSError) as error:
             self._log_error("accounts not read", error)
             return 0
-        rules = self.gateway.host.rules
+        rules = self.gateway.host.gateway
         rules.accounts.update(accounts)
         rules.idle_queue.extend(accounts)
         return len(accounts)
--- a/orchidlane/gateway/lifecycle/state_handover.py
+++ b/orchidlane/gateway/lifecycle/state_handover.py
@@ -26,7 +26,7 @@
         limits = self.gateway.limits
         copy = PreCopy(
             [
-                AccountsTable(self.gateway.host.rules),
+                AccountsTable(self.gateway.host.gateway),
                 NamedTable("tokens", limits.token_owner),
                 NamedTable("grants", limits.grants),
             ]
@@ -78,12 +78,12 @@
         self._copy = None
         channel.send(
             messages.FinalState(
-                policy_state=final_policy_state(gateway.host.rules),
+                policy_state=final_policy_state(gateway.host.gateway),
                 limits=gateway.limits.dump_state(),
                 endpoints=msgspec.to_builtins(gateway.tracker.export_state()),
                 peers=[list(row) for row in gateway.inbox.peer_rows()],
                 datagram_sequence=gateway.sequence,
-                last_request_id=gateway.host.numbers,
+                last_request_id=gateway.host.last_request_number,
                 class_names=gateway.knowledge.generation.class_names,
             )
         )
--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -7,7 +7,7 @@
 
 from orchidlane.gateway.control.customers import Customer
 from orchidlane.gateway.control.settings import FleetSettings
-from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.peers.query_exchange import QUERY_IDS_PER_PROCESS, QueryExchange
 from orchidlane.gateway.peers.token_messages import TokenOperation, TokenQuery, TokenReply
 from orchidlane.limits import (
@@ -47,7 +47,12 @@
     """One gateway's part in quota requests, tokens and reservations."""
 
     def __init__(
-        self, loop: Loop, fleet: FleetSettings, rank: int, host: Host, send: Callable[[int, bytes], None]
+        self,
+        loop: Loop,
+        fleet: FleetSettings,
+        rank: int,
+        host: PolicyDriver,
+        send: Callable[[int, bytes], None],
     ) -> None:
         self.loop = loop
         self.terms = fleet.quotas
@@ -100,7 +105,7 @@
     def remaining_units(self, customer: Customer) -> float:
         """Return the units that the customer has left, as far as this gateway knows; nothing is changed."""
         plan = self.host.settings.plans[customer.plan]
-        account = self.host.rules.accounts.get(customer.number)
+        account = self.host.gateway.accounts.get(customer.number)
         if account is None:
             return plan.burst
         elapsed_us = self.loop.now() - account.refilled_at_us
@@ -122,7 +127,7 @@
         if self.successor is None and self._pay_from_credit(customer, units):
             self.granted += 1
             return True
-        admitted = self.host.take(customer, units, request_class)
+        admitted = self.host.request_quota(customer, units, request_class)
         self.granted += admitted
         self.rejected += not admitted
         return admitted
--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -10,8 +10,8 @@
 from contextlib import suppress
 
 from orchidlane import http1
-from orchidlane.gateway.forwarding.pending_request import Answer
-from orchidlane.gateway.forwarding.protocol_adapter import Clients, GatewayLimits
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.protocol_adapter import ClientAdapter, GatewayLimits
 from orchidlane.gateway.server.accept_loop import NO_DESCRIPTOR_WAIT, accept_clients
 from orchidlane.gateway.server.client_connection import Connection, Watcher
 from orchidlane.gateway.server.request_handler import Driver, RequestHandler
@@ -29,11 +29,11 @@
 )
 
 
-class Front:
+class HttpServer:
     """Accepts clients and serves them."""
 
     def __init__(
-        self, loop: Loop, terms: GatewayLimits, host: Driver, clients: Clients, scope: Scope
+        self, loop: Loop, terms: GatewayLimits, host: Driver, clients: ClientAdapter, scope: Scope
     ) -> None:
         self.loop = loop
         self.bounds = terms.resource_limits
@@ -237,7 +237,7 @@
             return False
         return self._handler.handle(connection)
 
-    def answer_alone(self, stream: Stream, answer: Answer) -> None:
-        """Answer a client whose request another process took and can't answer any more, and end."""
+    def answer_alone(self, stream: Stream, answer: ClientResponse) -> None:
+        """ClientResponse a client whose request another process took and can't answer any more, and end."""
         self._handler.respond_alone(Connection(stream, self.limits, self.loop.now(), -1), answer)
         self.lingering.close(stream)
--- a/orchidlane/gateway/server/request_reader.py
+++ b/orchidlane/gateway/server/request_reader.py
@@ -4,8 +4,9 @@
 
 from typing import Protocol
 
-from orchidlane.gateway.forwarding.pending_request import Body, Exchange
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.gateway.forwarding.protocol_adapter import Timeouts
+from orchidlane.gateway.forwarding.request_body import RequestBody
 from orchidlane.gateway.server.client_connection import Connection, Watcher, recv_watched
 from orchidlane.http1 import Data, End, Malformed, Request
 from orchidlane.runtime import Closed, Expired, Loop
@@ -102,7 +103,7 @@
             connection.since = connection.last_recv
         connection.parser.receive(data)
 
-    def read_complete(self, connection: Connection, exchange: Exchange) -> None:
+    def read_complete(self, connection: Connection, exchange: PendingRequest) -> None:
         """Read a request to its end, where it begins with its last byte: nobody is notified of it before.
 
         Raises Closed where the client left, Malformed where the body takes too long.
@@ -111,7 +112,7 @@
         deadline = self._head_deadline(connection)
         body = exchange.body
         self.transfer(connection, body)
-        while not body.ended:
+        while not body.is_complete:
             try:
                 if not self._receive(connection, deadline - server.loop.now()):
                     raise Closed("the client left")
@@ -119,13 +120,13 @@
                 raise Malformed(408, "the body took too long") from None
             self.transfer(connection, body)
         exchange.arrived = connection.last_recv
-        exchange.until = exchange.arrived + exchange.call.patience - server.times.response_margin_us
+        exchange.deadline = exchange.arrived + exchange.call.timeout_us - server.times.response_margin_us
         if server.last is not None:
-            exchange.until = min(exchange.until, server.last)
+            exchange.deadline = min(exchange.deadline, server.last)
 
-    def transfer(self, connection: Connection, body: Body) -> None:
+    def transfer(self, connection: Connection, body: RequestBody) -> None:
         """Move what was parsed of a body from the parser to the body."""
-        while not body.ended or body.length == 0:
+        while not body.is_complete or body.length == 0:
             event = connection.parser.next_event()
             if event is None:
                 return
@@ -133,4 +134,4 @@
                 body.end(event.trailers)
                 return
             assert isinstance(event, Data)
-            body.fill(event.data)
+            body.add(event.data)
--- a/orchidlane/gateway/telemetry/admin_api.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -181,7 +181,7 @@
         host = self.sources.host
         names = self.sources.names()
         return _Response(
-            200, encode_view(host.rules, self.sources.gateway_name, self.loop.now(), names, viewed)
+            200, encode_view(host.gateway, self.sources.gateway_name, self.loop.now(), names, viewed)
         )
 
     def _send_state(self, stream: Stream) -> None:
--- a/tests/harness/fleet_harness.py
+++ b/tests/harness/fleet_harness.py
@@ -10,10 +10,10 @@
 import random
 from dataclasses import dataclass, field
 
-from harness.platform_house import HALLS, MS, SECOND, call, file, settings
+from harness.platform_harness import MS, SECOND, ZONES, call, file, settings
 from orchidlane import http1
-from orchidlane.platform.configuration import parse
-from orchidlane.platform.lifecycle import Life
+from orchidlane.platform.configuration import parse_configuration
+from orchidlane.platform.lifecycle import PlatformGateway
 from orchidlane.runtime import CONTROL, Closed, Expired, Faults, Loop, NotConnected, Scope, SimWorld
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -68,7 +68,7 @@
         self.hosts = [FakeHost(number, 0) for number in range(terms.hosts)]
         self.generation = 1
         self.changes: list[tuple[int, int, dict]] = []  # generation, time, entry
-        self.programs: list[Life] = []
+        self.programs: list[PlatformGateway] = []
         self.requests: list[tuple[int, int]] = []  # time and customer
         self.first_attempts: list[tuple[int, int]] = []  # the same, when it first reached a host
         self.statuses: dict[int, int] = {}
@@ -83,7 +83,7 @@
         return {
             "instanceId": f"s-{host.number}",
             "hostPort": f"{self.address(3, host.number)}:9000",
-            "zone": HALLS[host.number % 2],
+            "zone": ZONES[host.number % 2],
             "cell": host.number // 4,
             "lifecycle": "left" if host.removed else "active",
             "startedAtMs": host.started_at_us // MS,
@@ -115,7 +115,7 @@
             settings=gateway_settings,
             known=initial_list,
         )
-        return parse(json.dumps(config).encode(), "config.json")
+        return parse_configuration(json.dumps(config).encode(), "config.json")
 
     def _run_agent(self, rank: int) -> None:
         """Serve the watches of one gateway."""
@@ -265,7 +265,7 @@
         """Start a gateway, for the first time or again."""
 
         def work() -> None:
-            self.programs[rank] = Life(self.loop, self._gateway_config(rank), "config.json")
+            self.programs[rank] = PlatformGateway(self.loop, self._gateway_config(rank), "config.json")
             self.programs[rank].run()
 
         self.processes[rank] = self.world.start(f"n{rank}", work)
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -338,7 +338,7 @@
 def refuses(program) -> None:
     while not program.ready:
         program.loop.sleep(MS)
-    REJECTING.append(program.host.rules)
+    REJECTING.append(program.host.gateway)
 
 
 def does_not_call(program) -> None:
