--- a/tests/harness/platform_harness.py
+++ b/tests/harness/platform_harness.py
@@ -1,4 +1,4 @@
-"""Gateways of the platform in the simulated world, with hosts that do exactly what a test says."""
+"""Gateways of the platform in a simulated backend, with endpoints that a test scripts."""
 
 from __future__ import annotations
 
@@ -105,16 +105,16 @@
 
 
 class Discovery:
-    """A stand-in that says what a test says, to whoever watches."""
+    """A fake discovery service that sends what a test says, to each watch."""
 
     def __init__(self, harness: PlatformHarness, at: tuple[str, int]) -> None:
         self.harness, self.at = harness, at
         self.streams: list = []
-        self.unheard: list = []  # calls that hear nothing
+        self.unheard: list = []  # polls without a response
         self.asked: list[bytes] = []
         self.hello: list[dict] = []  # what a new watch gets first
         self.beats = True  # an empty line every 2 s, by the protocol
-        self.answers = True  # else calls are taken and hear nothing, now or later
+        self.answers = True  # else polls are accepted and get no response, now or later
         self.listener = None
 
     def _beat(self) -> None:
@@ -155,7 +155,7 @@
 
 
 class PlatformHarness(GatewayHarness):
-    """One gateway; ``handlers`` serve the hosts' connections, one handler for each host."""
+    """One gateway; ``handlers`` serve the endpoints' connections, one handler for each endpoint."""
 
     at = "127.0.0.1"  # where all of it listens
 
@@ -173,7 +173,7 @@
         return SimWorld(seed, Faults(delay=(100, 200), slow_chance=0.0, datagram_loss=0.0))
 
     def instance(self, index: int, lifecycle: str = "active", **changes) -> dict:
-        """An entry of the list, for a host of ours."""
+        """An entry of the list, for an endpoint of this harness."""
         return instance(index, lifecycle, **{"hostPort": f"{self.at}:{9000 + index}", **changes})
 
     def _run(self, test) -> None:
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The gateway's pure parts: the node list's order, the last look before a byte leaves."""
+"""The endpoint list: the order of watch events, and the cache."""
 
 from __future__ import annotations
 
@@ -7,14 +7,10 @@
 
 from orchidlane import policy
 from orchidlane.gateway.control.endpoint_list import EndpointListTracker, WatchEventError
-from orchidlane.gateway.forwarding.last_check import PendingSend, rejection_reason
 
 NOW, SECOND = 1_000_000_000, 1_000_000
 
 
-# The node list
-
-
 def line(kind="whole", version=1, epoch="e", after=0, **phases) -> bytes:
     nodes = [
         {"address": f"127.0.0.1:{name[1:]}", "phase": phase, "zone": "z", "cell": "c"}
@@ -70,37 +66,3 @@
 def test_a_list_beyond_the_bound_is_rejected():
     with pytest.raises(WatchEventError, match="allowed: 1"):
         EndpointListTracker("z", 1).apply_line(line(n1="ready", n2="ready"))
-
-
-# The last look
-
-
-def leaving(**changes) -> PendingSend:
-    values = {
-        "endpoint_state": "ready",
-        "deadline": NOW + SECOND,
-        "idempotency": policy.Idempotency.IDEMPOTENT_WITH_KEY,
-        "deduplication_window_us": SECOND,
-        "first_sent_at": None,
-        "has_client_left": False,
-    }
-    return PendingSend(**(values | changes))
-
-
-@pytest.mark.parametrize(
-    ("changes", "why"),
-    [
-        ({}, None),
-        ({"deadline": NOW}, "deadline"),
-        ({"endpoint_state": "draining"}, "draining"),
-        ({"endpoint_state": "gone"}, "gone"),
-        ({"first_sent_at": NOW - SECOND // 2}, None),
-        ({"first_sent_at": NOW - SECOND}, "window"),
-        ({"first_sent_at": NOW - SECOND, "idempotency": policy.Idempotency.IDEMPOTENT}, None),
-        ({"first_sent_at": NOW, "idempotency": policy.Idempotency.NOT_IDEMPOTENT}, "unsafe"),
-        ({"has_client_left": True}, "client"),
-        ({"has_client_left": True, "first_sent_at": NOW - SECOND // 2}, "client"),
-    ],
-)
-def test_an_attempt_that_would_break_a_rule_is_not_sent(changes, why):
-    assert rejection_reason(NOW, leaving(**changes)) == why
