--- a/tests/harness/platform_processes.py
+++ b/tests/harness/platform_processes.py
@@ -34,8 +34,8 @@
         return probe.getsockname()[1]
 
 
-class Agent:
-    """Discovery's agent: tells its list to whoever watches, beats, and can be gone or silent for a while."""
+class DiscoveryAgent:
+    """A fake discovery agent: sends its list and heartbeats to each watch, and can be down or silent."""
 
     def __init__(self, *instances: dict) -> None:
         self.generation, self.instances = 1, list(instances)
@@ -105,8 +105,8 @@
         self._socket.close()
 
 
-class Serving:
-    """Hosts that answer whatever comes, each connection by itself: one that brings nothing holds up no other.
+class ServingEndpoints:
+    """Endpoints that answer each request, each connection by itself: an idle one delays no other.
 
     The gateway makes such connections: an attempt whose host drains while it connects leaves nothing on it.
     """
@@ -129,14 +129,14 @@
                 stream.sendall(OK)
 
 
-class Platform:
-    """A gateway's process with ``hosts`` listeners of ours; a context."""
+class PlatformProcess:
+    """A gateway's process with ``hosts`` listeners of the test as endpoints; a context manager."""
 
     def __init__(
         self, folder: Path, hosts: int = 1, sockets: int = 256, wait_up: bool = True, **changes
     ) -> None:
         self.hosts = [listener() for _ in range(hosts)]
-        self.agent = Agent(*(self.instance(number) for number in range(hosts)))
+        self.agent = DiscoveryAgent(*(self.instance(number) for number in range(hosts)))
         self.port = free_port()
         self.path = folder / "config.json"
         self.sockets = sockets
@@ -154,7 +154,7 @@
         self.told = file(**{**told, **changes})
         self.path.write_text(json.dumps(self.told))
 
-    def move_discovery(self, agent: Agent) -> None:
+    def move_discovery(self, agent: DiscoveryAgent) -> None:
         """The configuration names another agent from now on; nobody is told."""
         self.path.write_text(json.dumps({**self.told, "discovery": agent.address}))
 
@@ -162,7 +162,7 @@
         """An entry of the list for a host of ours."""
         return instance(number, lifecycle, port=self.hosts[number].getsockname()[1])
 
-    def __enter__(self) -> Platform:
+    def __enter__(self) -> PlatformProcess:
         limit = (self.sockets, self.sockets)
         self.process = subprocess.Popen(
             self.command,
--- a/tests/processes/test_platform_processes.py
+++ b/tests/processes/test_platform_processes.py
@@ -21,9 +21,9 @@
 from harness.platform_processes import (
     UP,
     WAIT,
-    Agent,
-    Platform,
-    Serving,
+    DiscoveryAgent,
+    PlatformProcess,
+    ServingEndpoints,
     free_port,
     listener,
     request_at,
@@ -46,7 +46,7 @@
         stream.sendall(LAST)
 
 
-def hosts_with_requests(gateway: Platform) -> list[socket.socket]:
+def hosts_with_requests(gateway: PlatformProcess) -> list[socket.socket]:
     """Wait for a connection at any of the hosts."""
     ready, _, _ = select.select(gateway.hosts, [], [], WAIT)
     assert ready, "no request came"
@@ -68,7 +68,7 @@
 
 
 def test_sigterm_with_a_request_at_each_stage_answers_each_exactly_once(tmp_path):
-    with Platform(tmp_path, hosts=8) as gateway, ExitStack() as streams:
+    with PlatformProcess(tmp_path, hosts=8) as gateway, ExitStack() as streams:
         names = ("at rest", "half a head", "half a body", "sent", "half answered", "after")
         client = {name: streams.enter_context(gateway.connect()) for name in names}
         raw = call("put", body=b"x" * 50, left="1.900")
@@ -102,7 +102,7 @@
 
 
 def test_sigterm_with_a_request_that_waits_for_an_endpoint_serves_it_once_there_is_one(tmp_path):
-    with Platform(tmp_path, hosts=1) as gateway, gateway.connect() as client:
+    with PlatformProcess(tmp_path, hosts=1) as gateway, gateway.connect() as client:
         gateway.agent.tell(gateway.instance(0, "leaving"))
         until(lambda: gateway.says(call(left="0.100", client="0000000000000009")).startswith(b"HTTP/1.1 503"))
         got_by(*gateway.hosts)
@@ -113,7 +113,8 @@
         gateway.agent.tell(gateway.instance(0))
         answer_at(gateway.hosts[0])
         answer = to_the_end(client)
-        assert answer.startswith(b"HTTP/1.1 200") and answer.count(b"HTTP/1.1") == 1
+        assert answer.startswith(b"HTTP/1.1 200")
+        assert answer.count(b"HTTP/1.1") == 1
         gateway.ended()
         assert not got_by(*gateway.hosts)
 
@@ -134,14 +135,14 @@
 ESTABLISHED, SYN_SENT = 1, 2
 
 
-def unread_at(gateway: Platform, client: socket.socket) -> int:
+def unread_at(gateway: PlatformProcess, client: socket.socket) -> int:
     """What the gateway has not read of a client's bytes."""
     return sum(sockets_in(ESTABLISHED, gateway.port, client.getsockname()[1]))
 
 
 def test_a_late_connection_carries_a_request_once_within_its_deadline_or_not_at_all(tmp_path):
     """The host's queue is full, so that its machine answers no SYN until the test takes those who wait."""
-    with Platform(tmp_path, hosts=1) as gateway, ExitStack() as streams:
+    with PlatformProcess(tmp_path, hosts=1) as gateway, ExitStack() as streams:
         host, port = gateway.hosts[0], gateway.hosts[0].getsockname()[1]
         host.listen(0)
         for _ in range(2):  # one more than the backlog
@@ -173,8 +174,8 @@
     """Clients go on to send on every connection that stays open: no reset, no silence, nothing sent on
     unanswered.
     """
-    with Platform(tmp_path, hosts=3) as gateway, ExitStack() as streams:
-        served = Serving(gateway.hosts).got
+    with PlatformProcess(tmp_path, hosts=3) as gateway, ExitStack() as streams:
+        served = ServingEndpoints(gateway.hosts).got
         clients = [streams.enter_context(gateway.connect()) for _ in range(8)]
         gateway.signal(signal.SIGTERM)
         gateway.signal(signal.SIGTERM)  # twice changes nothing
@@ -191,13 +192,14 @@
                     ends += 1
                     clients.remove(stream)
         gateway.ended()
-        assert ends == 8 and answers >= len(served) > 0
+        assert ends == 8
+        assert answers >= len(served) > 0
 
 
 def test_sigterm_while_the_address_is_still_held_ends_the_process_at_once(tmp_path):
     with listener() as holder:
         port = holder.getsockname()[1]
-        with Platform(tmp_path, wait_up=False, listen=f"127.0.0.1:{port}") as gateway:
+        with PlatformProcess(tmp_path, wait_up=False, listen=f"127.0.0.1:{port}") as gateway:
             until(lambda: gateway.agent.calls)  # it has begun
             gateway.signal(signal.SIGTERM)
             gateway.ended()
@@ -206,17 +208,17 @@
 # -- SIGHUP while it starts
 
 
-def other_discovery(gateway: Platform, streams: ExitStack) -> Agent:
+def other_discovery(gateway: PlatformProcess, streams: ExitStack) -> DiscoveryAgent:
     """An agent that lists one host alone, the last of the gateway's."""
-    agent = Agent(gateway.instance(len(gateway.hosts) - 1))
+    agent = DiscoveryAgent(gateway.instance(len(gateway.hosts) - 1))
     agent.generation = 2
     streams.callback(agent.close)
     return agent
 
 
-def follows(gateway: Platform, agent: Agent) -> None:
+def follows(gateway: PlatformProcess, agent: DiscoveryAgent) -> None:
     """The gateway goes by what that agent says, and ends in order."""
-    served = Serving(gateway.hosts).got
+    served = ServingEndpoints(gateway.hosts).got
     until(lambda: agent.told and gateway.says(UP).startswith(b"HTTP/1.1 200"))
     for customer in range(8):
         assert gateway.says(call(client=f"{customer:016x}")).startswith(b"HTTP/1.1 200")
@@ -241,7 +243,7 @@
 def test_a_reload_between_reading_the_configuration_and_handling_signals_is_applied(tmp_path):
     """The file is a pipe that the test holds open: it is being read when the signal comes."""
     with ExitStack() as streams:
-        gateway = Platform(tmp_path, hosts=2, wait_up=False)
+        gateway = PlatformProcess(tmp_path, hosts=2, wait_up=False)
         agent = other_discovery(gateway, streams)
         gateway.path.unlink()
         os.mkfifo(gateway.path)
@@ -260,7 +262,7 @@
         holder = streams.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
         holder.bind(("127.0.0.1", 0))
         here = show(holder.getsockname())
-        gateway = Platform(tmp_path, hosts=2, wait_up=False, peer_listen=here, peers=[here])
+        gateway = PlatformProcess(tmp_path, hosts=2, wait_up=False, peer_listen=here, peers=[here])
         agent = other_discovery(gateway, streams)
         streams.enter_context(gateway)
         until(lambda: hears_signals(gateway))
@@ -275,7 +277,7 @@
         gateway.ended()
 
 
-def hears_signals(gateway: Platform) -> bool:
+def hears_signals(gateway: PlatformProcess) -> bool:
     """Whether the process has a handler of its own for SIGHUP (proc(5), SigCgt)."""
     rows = Path(f"/proc/{gateway.process.pid}/status").read_text().splitlines()
     caught = next(int(row.split()[1], 16) for row in rows if row.startswith("SigCgt"))
@@ -289,7 +291,7 @@
     go_on = tmp_path / "go_on"
     os.mkfifo(go_on)
     (tmp_path / "sitecustomize.py").write_text(f"open({str(go_on)!r}).read()\n")
-    prepared = Platform(tmp_path, hosts=2, wait_up=False)
+    prepared = PlatformProcess(tmp_path, hosts=2, wait_up=False)
     prepared.command = ["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)]
     prepared.environment = {"PYTHONPATH": f"{tmp_path}:{ROOT}"}
     with prepared as gateway:
@@ -304,7 +306,7 @@
 
 
 def test_a_paused_gateway_forwards_no_requests_of_clients_that_left_meanwhile(tmp_path):
-    with Platform(tmp_path, hosts=2) as gateway:
+    with PlatformProcess(tmp_path, hosts=2) as gateway:
         clients = [gateway.connect() for _ in range(6)]
         gateway.signal(signal.SIGSTOP)
         for number, stream in enumerate(clients):
@@ -320,7 +322,7 @@
 
 
 def test_a_paused_gateway_learns_of_drains_before_it_sends_attempts(tmp_path):
-    with Platform(tmp_path, hosts=2) as gateway, gateway.connect() as client:
+    with PlatformProcess(tmp_path, hosts=2) as gateway, gateway.connect() as client:
         gateway.signal(signal.SIGSTOP)
         client.sendall(call(left="2.000"))
         gateway.agent.tell(gateway.instance(0, "leaving"), gateway.instance(1))
@@ -350,7 +352,7 @@
         peer.settimeout(WAIT)
         here = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
         gateway = streams.enter_context(
-            Platform(
+            PlatformProcess(
                 tmp_path,
                 hosts=2,
                 sockets=sockets,
@@ -359,7 +361,7 @@
                 settings=settings(balancers=2, permissions={**settings()["permissions"], "peers": True}),
             )
         )
-        served = Serving(gateway.hosts).got
+        served = ServingEndpoints(gateway.hosts).got
 
         def ask() -> None:
             """Of a customer of its own: none goes beyond its quota, each is one that peers are told of."""
@@ -397,7 +399,8 @@
         gateway.signal(signal.SIGHUP)
         gateway.signal(signal.SIGTERM)
         log = gateway.ended()
-        assert "reloaded" in log and "Too many open files" not in log
+        assert "reloaded" in log
+        assert "Too many open files" not in log
 
 
 # -- configurations
@@ -425,5 +428,6 @@
         text=True,
         timeout=WAIT,
     )
-    assert done.returncode == 2 and not done.stdout
+    assert done.returncode == 2
+    assert not done.stdout
     assert done.stderr.count("\n") == 1 and str(path) in done.stderr and names in done.stderr, done.stderr
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -74,7 +74,9 @@
         if clock.active is None:
             assert clock.next_deadline() <= now + polling.MAX_BACKOFF_US
         else:
-            assert clock.next_deadline() is None and number is None and not clock.pending
+            assert clock.next_deadline() is None
+            assert number is None
+            assert not clock.pending
 
 
 def test_a_long_watch_is_replaced_at_once():
@@ -180,7 +182,8 @@
     for number in range(3 * MIN_DEPARTED_REMEMBERED):
         apply(tracker, 2 * number, instance(number))
         apply(tracker, 2 * number + 1, instance(number, "left"))
-    assert len(tracker.departed) == MIN_DEPARTED_REMEMBERED and not tracker.endpoints
+    assert len(tracker.departed) == MIN_DEPARTED_REMEMBERED
+    assert not tracker.endpoints
 
 
 def test_changes_beyond_the_bound_are_rejected_without_effect():
@@ -266,7 +269,8 @@
 def test_a_watch_with_heartbeats_alone_stays_open(backend):
     def test(harness: PlatformHarness) -> None:
         harness.loop.sleep(3 * polling.HEARTBEAT_INTERVAL_US)
-        assert len(harness.discovery.asked) == 1 and len(harness.gateway.front.connections) == 0
+        assert len(harness.discovery.asked) == 1
+        assert len(harness.gateway.front.connections) == 0
 
     run(backend, test)
 
@@ -349,7 +353,8 @@
             harness.discovery.send(harness.discovery.streams[-1], bad)
             count = len(harness.discovery.streams)
             harness.until(lambda count=count: len(harness.discovery.streams) > count)
-        assert harness.gateway.tracker.endpoints == before and harness.gateway.tracker.generation == 1
+        assert harness.gateway.tracker.endpoints == before
+        assert harness.gateway.tracker.generation == 1
         good_one = {"generation": 2, "reset": False, "instances": [harness.instance(0, "leaving")]}
         harness.discovery.send(harness.discovery.streams[-1], good_one)
         harness.until(lambda: is_drain_known(harness))
--- a/tests/test_platform_real.py
+++ b/tests/test_platform_real.py
@@ -62,7 +62,8 @@
     """503 is honest until discovery has spoken."""
     by = time.monotonic() + 20
     while not (said := ask(at, b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")).startswith(b"HTTP/1.1 200"):
-        assert said.startswith(b"HTTP/1.1 503") and time.monotonic() < by
+        assert said.startswith(b"HTTP/1.1 503")
+        assert time.monotonic() < by
 
 
 def test_a_gateway_with_a_thousand_peers_and_many_endpoints_starts_serves_and_ends(tmp_path: Path):
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -106,7 +106,8 @@
         harness.until(lambda: harness.seen)
         harness.answer_now = True
         answer = to_the_end(harness, client)
-        assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"\r\n\r\nok")
+        assert answer.startswith(b"HTTP/1.1 200")
+        assert answer.endswith(b"\r\n\r\nok")
 
     assert len(run(held, test=test).seen) == 1
 
@@ -229,7 +230,8 @@
         assert to_the_end(harness, resting) == b""
         for stream in (asking, newcomer, at_the_listener, half, new_half):
             answer = to_the_end(harness, stream)
-            assert answer.startswith(b"HTTP/1.1 200") and b"connection: close" in answer
+            assert answer.startswith(b"HTTP/1.1 200")
+            assert b"connection: close" in answer
         assert not front.connections
 
     assert len(run(*[serves] * 6, test=test).seen) == 3 + 5
@@ -253,7 +255,8 @@
         harness.answer_now = True
         answers = to_the_end(harness, client)
         assert answers.count(b"HTTP/1.1 200") == 3
-        assert answers.count(b"connection: close") == 1 and b"close" in answers.rpartition(b"HTTP/1.1")[2]
+        assert answers.count(b"connection: close") == 1
+        assert b"close" in answers.rpartition(b"HTTP/1.1")[2]
         assert not front.connections
 
     assert len(run(*[held] * 3, test=test).seen) == 3
@@ -388,7 +391,8 @@
         getattr(client, leave)()
         harness.until(lambda: harness.gateway.host.last_request_number or leave == "abort")
         harness.until(lambda: not harness.gateway.front.connections)
-        assert not harness.gateway.host.requests and not harness.gateway.host.gateway.attempts
+        assert not harness.gateway.host.requests
+        assert not harness.gateway.host.gateway.attempts
 
     assert not run(serves, test=test).seen
 
@@ -423,9 +427,8 @@
         harness.until(lambda: harness.seen)
         turns = harness.loop.turns
         harness.loop.sleep(20 * MS)
-        assert (
-            harness.gateway.host.requests and harness.loop.turns - turns < 50
-        )  # unread bytes don't make it spin
+        assert harness.gateway.host.requests
+        assert harness.loop.turns - turns < 50
         getattr(client, leave)()
         harness.until(lambda: not harness.gateway.host.requests, 1_500 * MS)  # before its time is over
         harness.until(lambda: harness.host_saw_end)
