--- a/orchidlane/gateway/control/customers.py
+++ b/orchidlane/gateway/control/customers.py
@@ -19,7 +19,7 @@
 class CustomerRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One entry of the customers' file; ``keys`` are SHA-256 digests in hexadecimal.
 
-    ``replica_set_start`` of -1 leaves the place of the replica set to the customer's number. While
+    ``replica_set_start`` of -1 leaves the location of the replica set to the customer's number. While
     ``migrating`` is set, the replica set moves and nothing is served.
     """
 
@@ -101,21 +101,21 @@
 
     def add(self, index: int, record: CustomerRecord) -> None:
         """Add the record at an index of the file. Raises CustomersError."""
-        place = f"{self.file}: customers[{index}]"
+        location = f"{self.file}: customers[{index}]"
         if not 0 <= record.id < CUSTOMER_NUMBER_LIMIT or record.id in self.by_number:
             limit = CUSTOMER_NUMBER_LIMIT - 1
-            raise CustomersError(f"{place}.id: found {record.id}, allowed: once, 0 to {limit}")
+            raise CustomersError(f"{location}.id: found {record.id}, allowed: once, 0 to {limit}")
         if record.plan not in self.plans:
             allowed = ", ".join(self.plans)
-            raise CustomersError(f"{place}.plan: found {record.plan!r}, allowed: {allowed}")
+            raise CustomersError(f"{location}.plan: found {record.plan!r}, allowed: {allowed}")
         customer = make_customer(record, self.fleet, self.plans)
         self.by_number[record.id] = customer
         if record.name and self.by_name.setdefault(record.name.encode(), customer) is not customer:
-            raise CustomersError(f"{place}.name: another customer has it")
+            raise CustomersError(f"{location}.name: another customer has it")
         for key in record.keys:
-            digest = _parse_digest(key, place)
+            digest = _parse_digest(key, location)
             if digest in self.by_digest:
-                raise CustomersError(f"{place}.keys: a key that another customer has")
+                raise CustomersError(f"{location}.keys: a key that another customer has")
             self.by_digest[digest] = customer
 
 
@@ -144,11 +144,11 @@
     return Customer(record.id, plans.index(record.plan), record.plan, start, size, record.migrating)
 
 
-def _parse_digest(text: str, place: str) -> bytes:
+def _parse_digest(text: str, location: str) -> bytes:
     try:
         digest = bytes.fromhex(text)
     except ValueError:
         digest = b""
     if len(digest) != hashlib.sha256().digest_size:
-        raise CustomersError(f"{place}.keys: not the 64 hexadecimal digits of a SHA-256 digest")
+        raise CustomersError(f"{location}.keys: not the 64 hexadecimal digits of a SHA-256 digest")
     return digest
--- a/orchidlane/gateway/forwarding/connection_pool.py
+++ b/orchidlane/gateway/forwarding/connection_pool.py
@@ -88,11 +88,11 @@
         times = self.times
         max_idle_us = times.non_idempotent_idle_us if is_non_idempotent else times.endpoint_idle_us
         idle = self._idle.get(endpoint)
-        while idle and (place := self._latest_reusable(idle)) is not None:
-            connection = idle[place]
+        while idle and (index := self._latest_reusable(idle)) is not None:
+            connection = idle[index]
             if is_non_idempotent and not self._may_reuse(connection, is_non_idempotent):
                 return None  # others may still use it
-            del idle[place]
+            del idle[index]
             if connection.address == address and self._is_fresh(connection, max_idle_us):
                 connection.idle_us = self.loop.now() - connection.idle_since
                 return connection
--- a/orchidlane/platform/rate_limited_log.py
+++ b/orchidlane/platform/rate_limited_log.py
@@ -43,11 +43,11 @@
             sys.stdout.flush()
 
     def write_failure(self, where: str, error: Exception) -> None:
-        """Write one line on an exception that was contained, with the place that raised it."""
+        """Write one line on an exception that was contained, with the location that raised it."""
         frame = error.__traceback__
         while frame is not None and frame.tb_next is not None:
             frame = frame.tb_next
-        place = "?"
+        location = "?"
         if frame is not None:
-            place = f"{frame.tb_frame.f_code.co_filename.rpartition('/')[2]}:{frame.tb_lineno}"
-        self.write(f"contained in {where}: {type(error).__name__} at {place}: {error}")
+            location = f"{frame.tb_frame.f_code.co_filename.rpartition('/')[2]}:{frame.tb_lineno}"
+        self.write(f"contained in {where}: {type(error).__name__} at {location}: {error}")
