--- a/orchidlane/recording/state_restore.py
+++ b/orchidlane/recording/state_restore.py
@@ -48,6 +48,11 @@
     return Account(**values)
 
 
+def listed_endpoints(state: StateDump) -> list[Endpoint]:
+    """Return the endpoints of a state that discovery lists. Raises ValueError, TypeError."""
+    return [_endpoint_from_row(row) for row in state.endpoints if row[3]]
+
+
 class _Restorer:
     """Fills a new policy with the values of one dump."""
 
@@ -99,10 +104,10 @@
         gateway.zone_health = {zone: _health_from_row(row) for zone, row in state.zone_health}
         warm, cold = state.pools
         gateway.warm_pool = self._pool(warm)
-        gateway.cold_pool = self._pool(cold)
+        gateway.slow_start_pool = self._pool(cold)
         gateway.cell_pools = {cell: self._pool(positions) for cell, positions in state.cell_pools}
         gateway.zone_pools = {zone: self._pool(positions) for zone, positions in state.zone_pools}
-        gateway.warming_queue = deque(self._endpoints[position] for position in state.warming_queue)
+        gateway.slow_start_queue = deque(self._endpoints[position] for position in state.slow_start_queue)
 
     def _pool(self, positions: list[int]) -> EndpointPool:
         pool = EndpointPool()
