--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -164,7 +164,7 @@
 
 def _number(simulation: SimulatedRolloutFleet) -> int:
     versions = simulation.programs[0].versions
-    return versions.known.running_number if versions is not None else -1
+    return versions.agent_state.running_number if versions is not None else -1
 
 
 def is_stopped(seed: int, harm: dict[str, float]) -> bool:
--- a/orchidlane/cli/change.py
+++ b/orchidlane/cli/change.py
@@ -46,11 +46,11 @@
     """Return the latest version. Raises ValueError where there is none."""
     version = status.rollout_version or status.current_version
     if version is None:
-        raise ValueError("no ledger is founded yet: all voters are needed for that, once")
+        raise ValueError("there is no replicated state yet: all voters are needed to create it, once")
     return version
 
 
-def _known_versions(status: RolloutStatus) -> dict[int, Version]:
+def _versions_by_number(status: RolloutStatus) -> dict[int, Version]:
     versions = [entry.version for entry in status.history]
     latest = (status.current_version, status.halted_version, status.rollout_version)
     versions += [version for version in latest if version is not None]
@@ -141,7 +141,7 @@
 
 def _version_to_revert(status: RolloutStatus, number: int) -> Version:
     """Return a known version that has one before it. Raises ValueError."""
-    known = _known_versions(status)
+    known = _versions_by_number(status)
     if number not in known:
         raise ValueError(f"version {number} is not known any more, known: {sorted(known)}")
     if number == 0:
@@ -156,7 +156,7 @@
     if reverted == status.rollout_version:
         assert status.current_version is not None
         return Contents(status.current_version.contents)
-    base = _known_versions(status).get(reverted.base)
+    base = _versions_by_number(status).get(reverted.base)
     if base is None:
         raise ValueError(
             f"version {reverted.base}, which {reverted.number} was made from, is not known any more"
--- a/orchidlane/gateway/control/schema.cue
+++ b/orchidlane/gateway/control/schema.cue
@@ -122,7 +122,7 @@
 	growth:    *2 | int & >=1 & <=16 // of a batch over the one before
 }
 
-// Versions of what the fleet goes by, approved by a quorum; off without voters. See docs/change.md.
+// Versions of what the fleet goes by, approved by a quorum; off without voters. See docs/rollout.md.
 #Change: {
 	voters:  *[] | [...string] // names of 3, 5 or 7 gateways, best over halls
 	lease:   *"60s" | #Duration // without word of a quorum for so long a gateway serves no more
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -327,7 +327,7 @@
             "client_margin": int(self.fleet.timeouts.response_margin_us),
         }
         if self.versions is not None:
-            description["version"] = self.versions.known.running_label
+            description["version"] = self.versions.agent_state.running_label
         return description
 
     # -- hot restart
--- a/orchidlane/gateway/rollout_agent/admin_api.py
+++ b/orchidlane/gateway/rollout_agent/admin_api.py
@@ -33,7 +33,7 @@
 MAX_FOLLOWING_VERSIONS = 14
 MAX_ID_CHARACTERS = 64
 
-NO_STATE = "no ledger is founded: all voters are needed for that, once"
+NO_STATE = "there is no replicated state yet: all voters are needed to create it, once"
 
 
 class InvalidCommandError(Exception):
@@ -139,7 +139,7 @@
             leader=state.leader if state else -1,
             confirmed_us_ago=-1 if confirmed_at is None else now - confirmed_at,
             rejection_reason=agent.rejection_reason(),
-            running_version=agent.known.running_label,
+            running_version=agent.agent_state.running_label,
             index=state.index if state else 0,
             current_version=state.current.version if state else None,
             rollout_version=rollout.version if rollout else None,
--- a/orchidlane/gateway/rollout_agent/admission.py
+++ b/orchidlane/gateway/rollout_agent/admission.py
@@ -19,7 +19,7 @@
         rank: int,
         voters: list[int],
         secret: bytes,
-        known: AgentState,
+        agent_state: AgentState,
         background: BackgroundTasks,
         runner: VoterRunner,
         send: SendMessage,
@@ -28,7 +28,7 @@
         self.rank = rank
         self.voters = voters
         self.secret = secret
-        self.known = known
+        self.agent_state = agent_state
         self.background = background
         self.runner = runner
         self.send = send
@@ -40,11 +40,11 @@
         voter = leadership.voter
         if voter.is_member or not self.background.is_due("admission"):
             return
-        contents = self.known.own_contents
+        contents = self.agent_state.own_contents
         if not contents.rules:
             return
         request = admission_request(self.secret, self.rank, voter.voter_state.store_id, contents)
-        state = self.known.replicated
+        state = self.agent_state.replicated
         if state is not None:
             if state.leader != self.rank:
                 self.send(state.leader, request)
@@ -57,7 +57,7 @@
     def _bootstrap(self, now: int, leadership: Leadership) -> None:
         """Create the first state, if all voters have asked with the same contents."""
         requests = leadership.recent_admission_requests(now)
-        state = bootstrap_state(self.secret, self.voters, requests, self.known.own_contents)
+        state = bootstrap_state(self.secret, self.voters, requests, self.agent_state.own_contents)
         if not isinstance(state, str):
             self.runner.bootstrap(state)
         elif state != self._logged_reason:
--- a/orchidlane/gateway/rollout_agent/adoption.py
+++ b/orchidlane/gateway/rollout_agent/adoption.py
@@ -31,7 +31,7 @@
 class RestoredVersion(NamedTuple):
     """What an earlier process of this gateway ran."""
 
-    knowledge: ConfigurationSnapshot
+    snapshot: ConfigurationSnapshot
     state: ReplicatedState
     encoded_state: bytes
 
@@ -42,7 +42,7 @@
     def __init__(
         self,
         process: GatewayProcess,
-        known: AgentState,
+        agent_state: AgentState,
         storage: RolloutStorage,
         fetcher: BlobFetcher,
         reader: ConfigurationReader,
@@ -50,7 +50,7 @@
         on_adopted: Callable[[], None],
     ) -> None:
         self.process = process
-        self.known = known
+        self.agent_state = agent_state
         self.storage = storage
         self.fetcher = fetcher
         self.reader = reader
@@ -69,12 +69,12 @@
                 return None
             state = replicated_state.decode(file.state)
             self._check_certificate(file)
-            knowledge = self.reader.restore_version(file.running.version, generation)
+            snapshot = self.reader.restore_version(file.running.version, generation)
         except (CorruptFileError, msgspec.DecodeError, OSError, ContentError, ValueError) as error:
             self.process.log.error("version not restored", reason=str(error))
             return None
-        self.known.running = file.running
-        return RestoredVersion(knowledge, state, file.state)
+        self.agent_state.running = file.running
+        return RestoredVersion(snapshot, state, file.state)
 
     def _check_certificate(self, file: RunningFile) -> None:
         error = certificate_error(self.process.secret, file.running)
@@ -86,7 +86,7 @@
     def tick(self, state: ReplicatedState) -> None:
         """Begin to adopt the target version, if another one runs."""
         target = state.target_certificate(self.process.rank)
-        running = self.known.running
+        running = self.agent_state.running
         is_behind = running is None or running.version != target.version
         if is_behind and not self.background.is_running("adopt") and self.background.is_due("adopt"):
             self.background.start("adopt", lambda: self._adopt(target))
@@ -96,20 +96,20 @@
         version = target.version
         log = self.process.log
         try:
-            knowledge = self._read_target(target)
+            snapshot = self._read_target(target)
         except (ContentUnavailableError, ContentError, OSError) as error:
             if str(error) != self.error:
                 log.error("version not adopted", version=version.label(), reason=str(error))
             self.error = str(error)
             return
-        reset = self._customers_to_reset(self.process.knowledge, knowledge)
-        state = self.known.replicated
+        reset = self._customers_to_reset(self.process.knowledge, snapshot)
+        state = self.agent_state.replicated
         if state is None or state.target_certificate(self.process.rank) != target:
             return  # the target changed meanwhile
-        self._reset_quotas(reset.served, knowledge)  # before these customers are served again
-        self.process.knowledge = knowledge
-        self._reset_quotas(reset.suspended, knowledge)  # once they are served no more
-        self.known.running = target
+        self._reset_quotas(reset.served, snapshot)  # before these customers are served again
+        self.process.knowledge = snapshot
+        self._reset_quotas(reset.suspended, snapshot)  # once they are served no more
+        self.agent_state.running = target
         self.error = ""
         log.info("adopted", version=version.label(), base=version.base, author=version.author)
         self.on_adopted()
@@ -121,10 +121,10 @@
             raise ContentError(f"no certificate: {error}")
         self.fetcher.ensure_contents(target.version.contents)
         generation = self.process.knowledge.generation.number + 1
-        knowledge = self.reader.read_version(target.version, generation)
-        if knowledge.generation.classes != self.process.knowledge.generation.classes:
+        snapshot = self.reader.read_version(target.version, generation)
+        if snapshot.generation.classes != self.process.knowledge.generation.classes:
             raise ContentError("other classes need a restart of the gateway")
-        return knowledge
+        return snapshot
 
     def _customers_to_reset(self, old: ConfigurationSnapshot, new: ConfigurationSnapshot) -> CustomersToReset:
         """Compare all customers, beside the loop."""
@@ -141,9 +141,9 @@
         reset: CustomersToReset = self.storage.world.aside(compare)
         return reset
 
-    def _reset_quotas(self, numbers: list[int], knowledge: ConfigurationSnapshot) -> None:
+    def _reset_quotas(self, numbers: list[int], snapshot: ConfigurationSnapshot) -> None:
         for number in numbers:
-            customer = knowledge.customers.by_number(b"%d" % number)
+            customer = snapshot.customers.by_number(b"%d" % number)
             assert customer is not None
             event = ReplicaSetChanged(
                 number, customer.plan, customer.replica_set_start, customer.replica_set_size
@@ -161,10 +161,14 @@
             self.background.start("persist", self._write_running)
 
     def _write_running(self) -> None:
-        while self._must_persist and self.known.replicated is not None and self.known.running is not None:
+        while (
+            self._must_persist
+            and self.agent_state.replicated is not None
+            and self.agent_state.running is not None
+        ):
             self._must_persist = False
-            state = self.known.replicated
-            running = self.known.running
+            state = self.agent_state.replicated
+            running = self.agent_state.running
             referenced = {name for version in state.versions() for name in version.contents.hashes()}
             self.storage.remove_unreferenced_contents(referenced | set(running.version.contents.hashes()))
             file = RunningFile(replicated_state.encode(state), running, tuple(self.storage.contents))
--- a/orchidlane/gateway/rollout_agent/agent.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -47,7 +47,7 @@
         self.secret = process.secret
         self.log = process.log
         self.voters = voter_ranks(self.fleet)
-        self.known = AgentState()
+        self.agent_state = AgentState()
         self.answer_tally = AnswerTally()
         self.client = AdminClient(self.loop, self.fleet, self.secret)
         world = self.loop.world
@@ -75,7 +75,7 @@
             self.rank,
             self.voters,
             self.client,
-            self.known,
+            self.agent_state,
             self.storage,
             background,
             self.loop.world.random,
@@ -91,13 +91,13 @@
             self.log,
         )
         self.adoption = Adoption(
-            self.process, self.known, self.storage, self.fetcher, reader, background, self._on_adopted
+            self.process, self.agent_state, self.storage, self.fetcher, reader, background, self._on_adopted
         )
         self._admission = Admission(
             self.rank,
             self.voters,
             self.secret,
-            self.known,
+            self.agent_state,
             background,
             self.voter_runner,
             self._send,
@@ -117,7 +117,7 @@
             return None
         data = restored.encoded_state
         self._learn_state(restored.state, content_hash(data), data, None)
-        return restored.knowledge
+        return restored.snapshot
 
     def start(self, scope: Scope) -> None:
         """Take part from here on; the files of earlier processes are read only now."""
@@ -144,7 +144,7 @@
         if sources is None:
             return
         description, customers = sources
-        self.known.own_contents = ContentHashes(content_hash(description), content_hash(customers))
+        self.agent_state.own_contents = ContentHashes(content_hash(description), content_hash(customers))
         if self.state is None:
             for data in sources:
                 self.storage.cache_state(content_hash(data), data)
@@ -154,7 +154,7 @@
     @property
     def state(self) -> ReplicatedState | None:
         """The latest replicated state that this gateway knows."""
-        return self.known.replicated
+        return self.agent_state.replicated
 
     @property
     def leadership(self) -> Leadership | None:
@@ -232,7 +232,7 @@
             return
         is_later = self.state is None or state.index > self.state.index
         self.storage.cache_state(state_hash, data)
-        self.known.replicated = state
+        self.agent_state.replicated = state
         actions = self.dissemination.learn_state(state.index, state_hash, confirmed_at)
         if self._background.is_started:
             self._carry_out(actions)
@@ -258,9 +258,11 @@
     def _update_target(self, state: ReplicatedState) -> None:
         """Tell the dissemination whether the target version runs here."""
         target = state.target_certificate(self.rank).version
-        running = self.known.running
+        running = self.agent_state.running
         runs_target = running is not None and running.version == target
-        runs_initial = running is None and target.number == 0 and target.contents == self.known.own_contents
+        runs_initial = (
+            running is None and target.number == 0 and target.contents == self.agent_state.own_contents
+        )
         self.dissemination.set_running(runs_target or runs_initial, runs_initial)
 
     def _on_adopted(self) -> None:
@@ -303,7 +305,7 @@
     def _report_if_due(self, now: int, state: ReplicatedState) -> None:
         """Report what runs here to the leader, until it acknowledged that; during a rollout always."""
         target = state.target_certificate(self.rank)
-        report = (self._leader_and_term(), self.known.running_number, target.version.number)
+        report = (self._leader_and_term(), self.agent_state.running_number, target.version.number)
         must_report = report != self._acknowledged_report or state.rollout is not None
         if must_report and now - self._reported_at >= REPORT_INTERVAL_US:
             self._report(now, state, target)
@@ -313,7 +315,7 @@
             return
         self._reported_at = now
         report = messages.AdoptionReport(
-            self.known.running_number,
+            self.agent_state.running_number,
             target.version.number,
             self.answer_tally.answers_per_second(now),
             messages.truncate_reason(self.adoption.error),
@@ -332,6 +334,6 @@
         if reason:
             self.log.warning("rejects all requests", reason=reason)
             return
-        self.log.info("serves", version=self.known.running_label)
+        self.log.info("serves", version=self.agent_state.running_label)
         self.process.when_ready()
         self.process.when_ready = lambda: None
--- a/orchidlane/gateway/rollout_agent/blob_fetcher.py
+++ b/orchidlane/gateway/rollout_agent/blob_fetcher.py
@@ -33,7 +33,7 @@
         rank: int,
         voters: list[int],
         client: AdminClient,
-        known: AgentState,
+        agent_state: AgentState,
         storage: RolloutStorage,
         background: BackgroundTasks,
         rng: Random,
@@ -42,7 +42,7 @@
         self.rank = rank
         self.voters = voters
         self.client = client
-        self.known = known
+        self.agent_state = agent_state
         self.storage = storage
         self.background = background
         self.random = rng
@@ -98,7 +98,7 @@
 
     def _sources(self) -> list[int]:
         """Return random gateways, so that many who ask at once spread their load, then likely ones."""
-        state = self.known.replicated
+        state = self.agent_state.replicated
         candidates = [self.random.randrange(len(self.client.fleet.gateways)) for _ in range(RANDOM_SOURCES)]
         voters = [member.rank for member in state.members] if state is not None else self.voters
         leader = state.leader if state is not None else -1
--- a/orchidlane/gateway/rollout_agent/configuration_reader.py
+++ b/orchidlane/gateway/rollout_agent/configuration_reader.py
@@ -25,10 +25,10 @@
     def read(self, contents: ContentHashes, number: int) -> ConfigurationSnapshot:
         """Return the configuration, made beside the loop. Raises ContentError."""
         description, customers = self._blobs(contents)
-        knowledge: ConfigurationSnapshot = self.storage.world.aside(
+        snapshot: ConfigurationSnapshot = self.storage.world.aside(
             lambda: self._make(description, customers, number)
         )
-        return knowledge
+        return snapshot
 
     def read_version(self, version: Version, generation: int) -> ConfigurationSnapshot:
         """Return the configuration of a version, which carries its label. Raises ContentError."""
@@ -37,8 +37,8 @@
     def restore_version(self, version: Version, generation: int) -> ConfigurationSnapshot:
         """Do the same at a start, in the calling task. Raises ContentError."""
         description, customers = self._blobs(version.contents)
-        knowledge = self._make(description, customers, generation)
-        return dataclasses.replace(knowledge, version=version.label())
+        snapshot = self._make(description, customers, generation)
+        return dataclasses.replace(snapshot, version=version.label())
 
     def _blobs(self, contents: ContentHashes) -> tuple[bytes, bytes]:
         """Return description and customers."""
@@ -56,7 +56,7 @@
 
 
 def customer_assignments(
-    knowledge: ConfigurationSnapshot, fleet: FleetSettings
+    snapshot: ConfigurationSnapshot, fleet: FleetSettings
 ) -> dict[int, CustomerAssignment]:
     """Return plan and replica set of each customer."""
     has_ceiling = {name: plan.ceiling is not None for name, plan in fleet.plans.items()}
@@ -68,10 +68,10 @@
             has_ceiling[customer.plan_name],
             customer.migrating,
         )
-        for customer in knowledge.customers.all()
+        for customer in snapshot.customers.all()
     }
 
 
-def version_configuration(knowledge: ConfigurationSnapshot, fleet: FleetSettings) -> VersionConfiguration:
+def version_configuration(snapshot: ConfigurationSnapshot, fleet: FleetSettings) -> VersionConfiguration:
     """Return what decides whether a version may serve beside another."""
-    return VersionConfiguration(knowledge.generation, customer_assignments(knowledge, fleet))
+    return VersionConfiguration(snapshot.generation, customer_assignments(snapshot, fleet))
--- a/orchidlane/gateway/rollout_agent/voter_runner.py
+++ b/orchidlane/gateway/rollout_agent/voter_runner.py
@@ -81,7 +81,11 @@
     # -- start and stop
 
     def load_voter(
-        self, gateway_count: int, secret: bytes, settings: LeadershipSettings, known: ReplicatedState | None
+        self,
+        gateway_count: int,
+        secret: bytes,
+        settings: LeadershipSettings,
+        latest_state: ReplicatedState | None,
     ) -> None:
         """Become a voter with what is on disk, or with a new store where that is lost."""
         now = self.loop.now()
@@ -95,13 +99,13 @@
         except (CorruptFileError, msgspec.DecodeError, OSError) as error:
             self.log.error("the voter's disk is lost: it waits to be admitted", reason=str(error))
             file = accepted_state = chosen_state = None
-        if chosen_state is not None and (known is None or chosen_state.index > known.index):
+        if chosen_state is not None and (latest_state is None or chosen_state.index > latest_state.index):
             data = replicated_state.encode(chosen_state)
             self.learn(chosen_state, content_hash(data), data)
-            known = chosen_state
+            latest_state = chosen_state
         voter_state = file.voter_state if file else VoterState(rng.getrandbits(STORE_ID_BITS) + 1)
         verifying = file is not None
-        voter = Voter(self.rank, voter_state, accepted_state, known, rng, now, verifying)
+        voter = Voter(self.rank, voter_state, accepted_state, latest_state, rng, now, verifying)
         self.leadership = Leadership(voter, gateway_count, secret, settings, rng, now)
 
     def _decode_state(self, data: bytes) -> ReplicatedState | None:
--- a/orchidlane/rollout/commands.py
+++ b/orchidlane/rollout/commands.py
@@ -261,13 +261,13 @@
         """
         _require_term(state, self.term)
         if state.previous_members:
-            raise CommandRejectedError("the last change of seats is not settled")
+            raise CommandRejectedError("the last membership change is not settled")
         members = tuple(member for member in state.members if member.rank != self.rank)
         if self.store_id:
             added = VotingMember(self.rank, self.store_id)
             members = tuple(sorted((*members, added), key=lambda member: member.rank))
         if members == state.members:
-            raise CommandRejectedError("the seats are so already")
+            raise CommandRejectedError("the members are so already")
         if not members:
             raise CommandRejectedError("the last voter can't leave")
         return _next_state(state, members=members, previous_members=state.members)
@@ -283,7 +283,7 @@
         """Return the next state. Raises CommandRejectedError."""
         _require_term(state, self.term)
         if state.index != self.index or not state.previous_members:
-            raise CommandRejectedError("another ledger came since")
+            raise CommandRejectedError("another state was chosen since")
         return _next_state(state, previous_members=())
 
 
--- a/orchidlane/rollout/consensus.py
+++ b/orchidlane/rollout/consensus.py
@@ -249,7 +249,9 @@
             broken = replicated_state.broken_invariant(base, state)
             assert not broken, broken
         if base.previous_members and base != self.chosen_state and not state.previous_members:
-            attempt.rejection = "the seats are not settled"  # Q3: the base is not known to be chosen
+            attempt.rejection = (
+                "the last membership change is not settled"  # Q3: the base is not known to be chosen
+            )
             return base
         return state
 
--- a/orchidlane/rollout/replicated_state.py
+++ b/orchidlane/rollout/replicated_state.py
@@ -129,11 +129,11 @@
         return "I2: adopted without a quorum's certificate"
     if after.halted_rollout is not None:
         if after.rollout is None:
-            return "I3: something is taken back by nothing"
+            return "I3: a rollout is halted without one that takes it back"
         if after.rollout.version.contents != after.current.version.contents:
-            return "I4: what takes a change back is not the prior version"
+            return "I4: a version that takes back a rollout has other contents than the prior version"
     if _breaks_membership_change(before, after):
-        return "I5: more than one seat changed"
+        return "I5: more than one member changed"
     return ""
 
 
--- a/orchidlane/simulation/rollout_checker.py
+++ b/orchidlane/simulation/rollout_checker.py
@@ -35,10 +35,10 @@
         if agent.leadership is not None and agent.leadership.state is not None:
             chosen = agent.leadership.state
             self._record_state(chosen, content_hash(msgspec.msgpack.encode(chosen)), now)
-        if agent.known.running is not None:
-            self._check_running(rank, agent.known.running)
+        if agent.agent_state.running is not None:
+            self._check_running(rank, agent.agent_state.running)
         if not is_frozen and not agent.rejection_reason():
-            self._check_serving(rank, agent.known.running_number, now)
+            self._check_serving(rank, agent.agent_state.running_number, now)
 
     def _record_state(self, state: ReplicatedState, state_hash: str, now: int) -> None:
         index = state.index
--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -174,7 +174,7 @@
 
     def _describe_gateway(self, rank: int) -> str:
         agent = self.agent(rank)
-        parts = [f"gw-{rank} runs {agent.known.running_number}"]
+        parts = [f"gw-{rank} runs {agent.agent_state.running_number}"]
         state = agent.state
         if state is not None:
             parts.append(f"index {state.index} term {state.term} leader {state.leader} {state.rollout}")
@@ -193,9 +193,9 @@
             agent = self.agent(rank)
             if agent.state is None or agent.state.rollout is not None or agent.rejection_reason():
                 return False
-            if agent.known.running is None:
+            if agent.agent_state.running is None:
                 return False
-            seen.add((agent.state.index, agent.known.running.version))
+            seen.add((agent.state.index, agent.agent_state.running.version))
         return len(seen) == 1
 
     # -- the author of versions
--- a/tests/test_rollout_commands.py
+++ b/tests/test_rollout_commands.py
@@ -230,7 +230,7 @@
     assert state.previous_members == MEMBERS
     with pytest.raises(CommandRejectedError, match="not settled"):
         ChangeMembership(1, 1, 556).apply(state)
-    with pytest.raises(CommandRejectedError, match="another ledger"):
+    with pytest.raises(CommandRejectedError, match="another state"):
         SettleMembership(1, state.index - 1).apply(state)
     settled = SettleMembership(1, state.index).apply(state)
     assert settled.previous_members == () and VotingMember(2, 555) in settled.members
