--- /dev/null
+++ b/tests/harness/hot_restart_harness.py
@@ -0,0 +1,194 @@
+"""A gateway in the simulated world that is upgraded under load, by new processes that may be broken."""
+
+from __future__ import annotations
+
+import contextlib
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import structlog
+
+from harness.gateway_harness import GENERATION, GET, MS, OK, REPORT, SETTINGS, GatewayHarness
+from orchidlane import http1
+from orchidlane.config import Duration
+from orchidlane.gateway.control.configuration import Knowledge
+from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.gateway.lifecycle.process import GatewayProcess
+from orchidlane.hot_restart import old_process
+from orchidlane.runtime import LoopError
+from orchidlane.runtime.scheduler import Process
+
+SECOND = 1_000_000
+WARM_UP_REQUESTS = 40
+SETTLED_PHASES = (old_process.Phase.SERVING, old_process.Phase.ENDED)
+
+Sabotage = Callable[[GatewayProcess], None]
+
+
+@dataclass
+class ClientAnswer:
+    """What a client got: status 0 where its connection ended without an answer."""
+
+    status: int
+    closes: bool
+
+
+class HotRestartHarness(GatewayHarness):
+    """``programs`` are all processes of the gateway in the order of their start, ``processes`` likewise."""
+
+    def __init__(
+        self,
+        *handlers,
+        probation: int = SECOND,
+        single_gateway: bool = False,
+        record_to: str | None = None,
+        **changes,
+    ) -> None:
+        self.record_to = record_to
+        if single_gateway:  # tokens have no other owners
+            changes["gateways"] = parse_fleet(SETTINGS, "fleet.cue").gateways[:1]
+        upgrade = {
+            "trial": Duration(probation),
+            "silence": Duration(600 * MS),
+            "warm": Duration(2 * SECOND),
+        }
+        super().__init__(*handlers, state="/sim", upgrade=upgrade, **changes)
+        self.programs: list[GatewayProcess] = []
+        self.processes: list[Process] = []
+        self.statuses: Counter[int] = Counter()
+        self.longest = 0  # answer time in microseconds
+        self.running_clients = 0
+
+    def _gateway(self, rank: int, take_over: bool = False, sabotage: Sabotage | None = None) -> None:
+        knowledge = Knowledge(GENERATION, self.customers, structlog.get_logger(), False)
+        secret = b"0123456789abcdef"
+        self.program = GatewayProcess(
+            self.loop, self.fleet, rank, secret, knowledge, self.record_to, take_over
+        )
+        self.programs.append(self.program)
+        if sabotage is not None:
+            sabotage(self.program)
+        try:
+            self.program.run()
+        except RuntimeError:  # a process that ends with a traceback
+            self.world.kill(self.loop.process)
+
+    def start(self, rank: int = 0) -> None:
+        """Start the gateway."""
+        self.process = self.world.start("gw-0", self._gateway, rank)
+        self.processes.append(self.process)
+
+    def start_upgrade(self, sabotage: Sabotage | None = None) -> None:
+        """Start a new process that takes over; ``sabotage`` breaks it."""
+        self.process = self.world.start("gw-0", self._gateway, 0, True, sabotage)
+        self.processes.append(self.process)
+
+    def upgrade(self) -> GatewayProcess:
+        """Start a new process, wait until it serves, and return it."""
+        number = len(self.programs)
+        self.start_upgrade()
+        self.until(lambda: len(self.programs) > number and self.programs[number] in self.serving())
+        return self.programs[number]
+
+    # -- load
+
+    def load(self, duration: int, clients: int = 3) -> None:
+        """Start clients that keep their connections and others that don't, after a few calm requests."""
+        for _ in range(WARM_UP_REQUESTS):
+            assert self.ask(GET)[0] == 200
+        for number in range(clients):
+            self.scope.spawn(self._client, self.loop.now() + duration, number % 2 == 0)
+            self.running_clients += 1
+
+    def _client(self, until: int, keeps_connection: bool) -> None:
+        stream, parser = None, None
+        number = 0
+        while self.loop.now() < until:
+            number += 1
+            began = self.loop.now()
+            answer = ClientAnswer(0, True)
+            with contextlib.suppress(LoopError):
+                if stream is None:
+                    stream, parser = self.connect(), http1.ResponseParser()
+                raw = REPORT if number % 4 == 0 else GET
+                stream.send(raw)
+                answer = self._read_answer(stream, raw, parser)
+            self.statuses[answer.status] += 1
+            self.longest = max(self.longest, self.loop.now() - began)
+            if answer.status and keeps_connection and not answer.closes:
+                parser.next_message()
+            elif stream is not None:
+                self._close(stream, answer.status)
+                stream = None
+            self.loop.sleep(self.world.random.randint(5 * MS, 25 * MS))
+        self.running_clients -= 1
+
+    def _read_answer(self, stream, raw: bytes, parser: http1.ResponseParser) -> ClientAnswer:
+        status, headers, _ = self.answer(stream, raw.split(b" ")[0].decode(), parser=parser)
+        return ClientAnswer(status, (b"connection", b"close") in headers)
+
+    def _close(self, stream, status: int) -> None:
+        """Close a connection; nothing may come after the last answer."""
+        if status:
+            with contextlib.suppress(LoopError):
+                data = stream.recv(deadline=self.loop.now() + 20 * MS)
+                assert data == b"", "bytes after the answer"
+        stream.close()
+
+    # -- observations
+
+    def until(self, condition: Callable[[], bool], timeout: int = 30 * SECOND) -> None:
+        """Wait for a condition."""
+        deadline = self.loop.now() + timeout
+        while not condition():
+            assert self.loop.now() < deadline, "it never came"
+            self.loop.sleep(10 * MS)
+
+    def serving(self) -> list[GatewayProcess]:
+        """Return the processes that accept requests now."""
+        return [
+            program
+            for program, process in zip(self.programs, self.processes, strict=True)
+            if not process.dead
+            and process.tasks
+            and program.ready
+            and program.front.pass_on is None
+            and not program.stopping
+        ]
+
+    def settle(self) -> GatewayProcess:
+        """Wait for the end of load and upgrade, and return the one process that serves."""
+        self.until(lambda: not self.running_clients)
+        self.until(self._is_settled)
+        self.until(lambda: len(self.serving()) == 1)
+        self.loop.sleep(500 * MS)
+        (program,) = self.serving()
+        assert self.ask(GET)[0] == 200
+        self.loop.sleep(100 * MS)
+        return program
+
+    def _is_settled(self) -> bool:
+        pairs = zip(self.programs, self.processes, strict=False)
+        living = [program for program, process in pairs if not process.dead]
+        return all(program.old_side.machine.phase in SETTLED_PHASES for program in living)
+
+    def forwarded_units(self) -> int:
+        """Return the units that the endpoints saw: a sheet costs 1, a report 3."""
+        costs = {operation.path: operation.cost for operation in GENERATION.operations}
+        report_cost = next(cost for path, cost in costs.items() if path.endswith("/reports"))
+        return sum(report_cost if line.startswith(b"POST") else 1 for _, line in self.seen)
+
+
+def slow(harness: GatewayHarness, index: int, stream) -> None:
+    """Serve each request after 8 ms."""
+    while True:
+        harness.read_request(index, stream)
+        harness.loop.sleep(8 * MS)
+        stream.send(OK)
+
+
+def counted_units(program: GatewayProcess) -> float:
+    """Return the units that a gateway has counted for the one customer."""
+    account = program.host.rules.accounts[1]
+    return account.replica_counts[0][1]
--- a/tests/test_account_recovery.py
+++ b/tests/test_account_recovery.py
@@ -9,10 +9,10 @@
 from conftest import PLAIN, SECOND, SETTINGS
 from harness.gateway_harness import GET, MS, GatewayHarness
 from harness.gateway_harness import SETTINGS as FLEET
+from harness.hot_restart_harness import slow
 from hypothesis import given
 from hypothesis import strategies as st
 from test_day import day, quiet  # noqa: F401
-from test_hot_restart import slow
 
 from orchidlane import policy
 from orchidlane.config import Duration
