--- a/tests/test_hot_restart_model.py
+++ b/tests/test_hot_restart_model.py
@@ -1,8 +1,7 @@
-"""The two machines of an upgrade and the channel between them, searched whole: crashes, hangs, nonsense
-anywhere.
+"""The two machines of a hot restart and the channel between them, explored over all states.
 
-Invariants: at most one of the two serves; who is alive and was never told to end leads to one that serves;
-units are decided on by at most one; and one side broken on purpose is found.
+Crashes, hangs and garbage may happen anywhere. Invariants: at most one of the two serves, and from every
+state one that serves is reached, unless both are dead. A machine broken on purpose is found.
 """
 
 from __future__ import annotations
@@ -23,21 +22,21 @@
 LAYOUT = GatewayIdentity("gw", 0, 3, ("p",))
 HELLO = Hello(PROTOCOL_VERSION, "b", "gw", 0, 3, ("p",))
 LATE = 10**12  # a clock at which every deadline is over
-WELL, SICK = AnswerCounts(50, 1, 0), AnswerCounts(0, 50, 0)
+HEALTHY, DEGRADED = AnswerCounts(50, 1, 0), AnswerCounts(0, 50, 0)
 
 
-class World:
-    """Both processes and the two ways of their channel."""
+class Model:
+    """Both processes and the two directions of their channel; index 0 is the old process, 1 the new one."""
 
     def __init__(self, faults: int = 2) -> None:
-        self.giver = old_process.OldProcess(LAYOUT)
-        self.taker = new_process.NewProcess()
-        self.to_taker: tuple[str, ...] = ()
-        self.to_giver: tuple[str, ...] = ()
+        self.old = old_process.OldProcess(LAYOUT)
+        self.new = new_process.NewProcess()
+        self.to_new: tuple[str, ...] = ()
+        self.to_old: tuple[str, ...] = ()
         self.alive = [True, True]
-        self.hung = [False, False]
+        self.hanging = [False, False]
         self.closed = [False, False]  # whose end of the channel
-        self.told = [False, False]  # that the other's end is closed
+        self.noticed = [False, False]  # that the other's end is closed
         self.serves = [True, False]
         self.waits = [False, False]  # for a tick
         self.checking = False
@@ -45,18 +44,18 @@
         self.faults = faults
 
     def key(self):
-        g, t = self.giver, self.taker
+        old, new = self.old, self.new
         return (
-            g.phase,
-            g.channel,
-            bool(g.probation_ends_us),
-            t.phase,
-            self.to_taker,
-            self.to_giver,
+            old.phase,
+            old.channel,
+            bool(old.probation_ends_us),
+            new.phase,
+            self.to_new,
+            self.to_old,
             *self.alive,
-            *self.hung,
+            *self.hanging,
             *self.closed,
-            *self.told,
+            *self.noticed,
             *self.serves,
             *self.waits,
             self.checking,
@@ -70,66 +69,72 @@
         return None
 
     def good(self) -> bool:
-        """One serves and has nothing more to do with the other; or both were ended."""
-        alone = self.giver.phase is old_process.Phase.SERVING and self.serves[0]
-        free = self.taker.phase is new_process.Phase.INDEPENDENT and self.serves[1]
+        """One serves and has nothing more to do with the other; or both are dead."""
+        alone = self.old.phase is old_process.Phase.SERVING and self.serves[0]
+        free = self.new.phase is new_process.Phase.INDEPENDENT and self.serves[1]
         return alone or free or not any(self.alive)
 
-    def moves(self) -> Iterable[tuple[str, World]]:
+    def moves(self) -> Iterable[tuple[str, Model]]:
         for name, change in (*self._steps(), *self._mishaps()):
             after = copy.copy(self)
-            after.giver, after.taker = copy.copy(self.giver), copy.copy(self.taker)
-            for list_ in ("alive", "hung", "closed", "told", "serves", "waits"):
+            after.old, after.new = copy.copy(self.old), copy.copy(self.new)
+            for list_ in ("alive", "hanging", "closed", "noticed", "serves", "waits"):
                 setattr(after, list_, list(getattr(self, list_)))
             change(after)
             yield name, after
 
     def _runs(self, side: int) -> bool:
-        return self.alive[side] and not self.hung[side]
+        return self.alive[side] and not self.hanging[side]
 
     def _steps(self):
         if self._runs(0):
-            if self.to_giver:
-                yield f"giver hears {self.to_giver[0]}", World.giver_hears
-            elif self.closed[1] and not self.told[0] and not self.closed[0]:
-                yield "giver hears the end", lambda w: w.end_heard(0)
+            if self.to_old:
+                yield f"old receives {self.to_old[0]}", Model.old_receives
+            elif self.closed[1] and not self.noticed[0] and not self.closed[0]:
+                yield "old receives the close", lambda m: m.notice_closed(0)
             if self.waits[0]:
-                yield "giver's time is up", lambda w: w.give(w.giver.deadline_us, old_process.TimerFired())
-                yield "giver's time was up long ago", lambda w: w.give(LATE, old_process.TimerFired())
-            if self.giver.phase is old_process.Phase.DRAINING:
-                yield "giver is drained", lambda w: w.give(0, old_process.Drained())
+                yield "old's timer fires", lambda m: m.feed_old(m.old.deadline_us, old_process.TimerFired())
+                yield "old's timer fires late", lambda m: m.feed_old(LATE, old_process.TimerFired())
+            if self.old.phase is old_process.Phase.DRAINING:
+                yield "old is drained", lambda m: m.feed_old(0, old_process.Drained())
         if self._runs(1):
-            if self.to_taker:
-                yield f"taker hears {self.to_taker[0]}", World.taker_hears
-            elif self.closed[0] and not self.told[1] and not self.closed[1]:
-                yield "taker hears the end", lambda w: w.end_heard(1)
+            if self.to_new:
+                yield f"new receives {self.to_new[0]}", Model.new_receives
+            elif self.closed[0] and not self.noticed[1] and not self.closed[1]:
+                yield "new receives the close", lambda m: m.notice_closed(1)
             if self.waits[1]:
-                yield "taker's time is up", lambda w: w.take(LATE, new_process.TimerFired())
+                yield "new's timer fires", lambda m: m.feed_new(LATE, new_process.TimerFired())
             if self.checking:
-                yield "taker is fit", lambda w: w.checked(new_process.SelfCheckPassed())
-                yield "taker is unfit", lambda w: w.checked(new_process.FailureDetected("no"))
-            if self.taker.phase is new_process.Phase.RETURNING:
-                yield "taker is drained", lambda w: w.take(0, new_process.Drained())
-            if self.taker.phase is new_process.Phase.PROBATION and len(self.to_giver) < 3:
-                yield "taker fares badly", lambda w: w.say(1, "sick")
+                yield "new passes its check", lambda m: m.checked(new_process.SelfCheckPassed())
+                yield "new fails its check", lambda m: m.checked(new_process.FailureDetected("no"))
+            if self.new.phase is new_process.Phase.RETURNING:
+                yield "new is drained", lambda m: m.feed_new(0, new_process.Drained())
+            if self.new.phase is new_process.Phase.PROBATION and len(self.to_old) < 3:
+                yield "new is degraded", lambda m: m.send(1, "degraded")
 
     def _mishaps(self):
-        for side, name in enumerate(("giver", "taker")):
-            if self.hung[side] and self.alive[side]:
-                yield f"{name} wakes", lambda w, s=side: w.hung.__setitem__(s, False)
+        for side, name in enumerate(("old", "new")):
+            if self.hanging[side] and self.alive[side]:
+                yield f"{name} wakes", lambda m, s=side: m.hanging.__setitem__(s, False)
         if not self.faults:
             return
-        for side, name in enumerate(("giver", "taker")):
+        for side, name in enumerate(("old", "new")):
             if self.alive[side]:
-                yield f"!{name} is killed", lambda w, s=side: w.fault(lambda: w.die(s))
-                if not self.hung[side]:
-                    yield f"!{name} hangs", lambda w, s=side: w.fault(lambda: w.hung.__setitem__(s, True))
+                yield f"!{name} is killed", lambda m, s=side: m.fault(lambda: m.die(s))
+                if not self.hanging[side]:
+                    yield f"!{name} hangs", lambda m, s=side: m.fault(lambda: m.hanging.__setitem__(s, True))
             if self._runs(side) and not self.closed[side]:
-                yield f"!{name} talks nonsense", lambda w, s=side: w.fault(lambda: w.say(s, "nonsense"))
+                yield f"!{name} sends garbage", lambda m, s=side: m.fault(lambda: m.send(s, "garbage"))
         if self._runs(0) and not self.stopped:
-            yield "!giver is asked to end", lambda w: w.fault(lambda: w.give(0, old_process.StopRequested()))
+            yield (
+                "!old is asked to stop",
+                lambda m: m.fault(lambda: m.feed_old(0, old_process.StopRequested())),
+            )
         if self._runs(1) and not self.stopped:
-            yield "!taker is asked to end", lambda w: w.fault(lambda: w.take(0, new_process.StopRequested()))
+            yield (
+                "!new is asked to stop",
+                lambda m: m.fault(lambda: m.feed_new(0, new_process.StopRequested())),
+            )
 
     # -- what happens
 
@@ -137,69 +142,69 @@
         self.faults -= 1
         change()
 
-    def say(self, side: int, word: str) -> None:
+    def send(self, side: int, message: str) -> None:
         if self.closed[side]:
             return
         if side:
-            self.to_giver = (*self.to_giver, word)
+            self.to_old = (*self.to_old, message)
         else:
-            self.to_taker = (*self.to_taker, word)
+            self.to_new = (*self.to_new, message)
 
     def die(self, side: int) -> None:
         self.alive[side] = self.serves[side] = False
         self.closed[side] = True
         self.checking = self.checking and side == 0
 
-    def end_heard(self, side: int) -> None:
-        self.told[side] = True
+    def notice_closed(self, side: int) -> None:
+        self.noticed[side] = True
         if side:
-            self.take(0, new_process.ChannelClosed())
+            self.feed_new(0, new_process.ChannelClosed())
         else:
-            self.give(0, old_process.ChannelClosed(1))
+            self.feed_old(0, old_process.ChannelClosed(1))
 
-    def giver_hears(self) -> None:
-        word, self.to_giver = self.to_giver[0], self.to_giver[1:]
-        told: dict[str, Any] = {
+    def old_receives(self) -> None:
+        message, self.to_old = self.to_old[0], self.to_old[1:]
+        events: dict[str, Any] = {
             "hello": old_process.HelloReceived(1, HELLO),
-            "warm": old_process.ReadyReceived(1),
+            "ready": old_process.ReadyReceived(1),
             "started": old_process.StartedReceived(1),
-            "pulse": old_process.HeartbeatReceived(1, WELL, WELL),
-            "sick": old_process.HeartbeatReceived(1, SICK, WELL),
-            "unfit": old_process.FailureDetected(1, "no"),
-            "nonsense": old_process.FailureDetected(1, "garbage"),
-            "returned": old_process.ServingStoppedReceived(1),
+            "heartbeat": old_process.HeartbeatReceived(1, HEALTHY, HEALTHY),
+            "degraded": old_process.HeartbeatReceived(1, DEGRADED, HEALTHY),
+            "failure": old_process.FailureDetected(1, "no"),
+            "garbage": old_process.FailureDetected(1, "garbage"),
+            "serving stopped": old_process.ServingStoppedReceived(1),
         }
-        self.give(LATE if word == "pulse" else 0, told[word])
+        self.feed_old(LATE if message == "heartbeat" else 0, events[message])
 
-    def taker_hears(self) -> None:
-        word, self.to_taker = self.to_taker[0], self.to_taker[1:]
-        told: dict[str, Any] = {
+    def new_receives(self) -> None:
+        message, self.to_new = self.to_new[0], self.to_new[1:]
+        events: dict[str, Any] = {
             "offer": new_process.OfferReceived(),
-            "whole": new_process.CopyCompleteReceived(),
-            "final": new_process.FinalStateReceived(),
-            "recall": new_process.ReclaimReceived("sick"),
+            "copy complete": new_process.CopyCompleteReceived(),
+            "final state": new_process.FinalStateReceived(),
+            "reclaim": new_process.ReclaimReceived("degraded"),
             "release": new_process.ReleaseReceived(),
             "abort": new_process.AbortReceived("no"),
-            "nonsense": new_process.FailureDetected("garbage"),
+            "garbage": new_process.FailureDetected("garbage"),
         }
-        self.take(0, told[word])
+        self.feed_new(0, events[message])
 
-    def give(self, now: int, event) -> None:
+    def feed_old(self, now: int, event) -> None:
         self.waits[0] = False if isinstance(event, old_process.TimerFired) else self.waits[0]
-        self.giver.deadline_us = min(self.giver.deadline_us, 1)  # the clock's figure makes no other state
-        for action in self.giver.handle(now, event):
+        self.old.deadline_us = min(self.old.deadline_us, 1)  # the clock's figure makes no other state
+        for action in self.old.handle(now, event):
             match action:
                 case old_process.SendOffer():
-                    self.say(0, "offer")
-                    self.say(0, "whole")
+                    self.send(0, "offer")
+                    self.send(0, "copy complete")
                 case old_process.Reject():
-                    self.say(0, "abort")
+                    self.send(0, "abort")
                     self.closed[0] = True
                 case old_process.HandOver():
                     self.serves[0] = False
-                    self.say(0, "final")
+                    self.send(0, "final state")
                 case old_process.SendReclaim():
-                    self.say(0, "recall")
+                    self.send(0, "reclaim")
                 case old_process.KillNewProcess():
                     self.die(1)
                 case old_process.ResumeServing():
@@ -207,7 +212,7 @@
                 case old_process.AnswerOrphanedClients():
                     self.closed[0] = True
                 case old_process.Release():
-                    self.say(0, "release")
+                    self.send(0, "release")
                 case old_process.Exit():
                     self.die(0)
                 case old_process.SetTimer():
@@ -215,88 +220,88 @@
 
     def checked(self, event) -> None:
         self.checking = False
-        self.take(0, event)
+        self.feed_new(0, event)
 
-    def take(self, now: int, event) -> None:
+    def feed_new(self, now: int, event) -> None:
         self.waits[1] = False if isinstance(event, new_process.TimerFired) else self.waits[1]
-        self.carry_out(self.taker.handle(now, event))
+        self.carry_out(self.new.handle(now, event))
 
     def carry_out(self, actions) -> None:
         for action in actions:
             match action:
                 case new_process.SendHello():
-                    self.say(1, "hello")
+                    self.send(1, "hello")
                 case new_process.RunSelfCheck():
                     self.checking = True
                 case new_process.SendReady():
-                    self.say(1, "warm")
+                    self.send(1, "ready")
                 case new_process.StartServing():
                     self.serves[1] = True
-                    self.say(1, "started")
+                    self.send(1, "started")
                 case new_process.SendHeartbeat():
-                    if len(self.to_giver) < 3:
-                        self.say(1, "pulse")
+                    if len(self.to_old) < 3:
+                        self.send(1, "heartbeat")
                 case new_process.ServeAlone():
                     if self.alive[0]:
                         self.die(0)
                     self.serves[1] = True
                 case new_process.StopServing():
                     self.serves[1] = False
-                    self.say(1, "returned")
+                    self.send(1, "serving stopped")
                 case new_process.Exit():
-                    self.say(1, "unfit")
+                    self.send(1, "failure")
                     self.die(1)
                 case new_process.SetTimer():
                     self.waits[1] = True
 
 
-def model(faults: int = 2) -> World:
-    world = World(faults)
-    world.carry_out(world.taker.start(0))
-    return world
+def initial_state(faults: int = 2) -> Model:
+    model = Model(faults)
+    model.carry_out(model.new.start(0))
+    return model
 
 
-def test_never_both_serve_and_one_always_can():
-    found = explore(model())
-    assert found.wrong == []
-    assert found.stuck == []
-    assert found.states > 3_000
+def test_never_both_serve_and_one_can_always_serve():
+    result = explore(initial_state())
+    assert result.wrong == []
+    assert result.stuck == []
+    assert result.states > 3_000
 
 
 @pytest.mark.parametrize(
     "phase, event, instead",
     [
-        # takes back as soon as the successor is silent, without making sure
+        # resumes serving at the first missed heartbeat, without making sure
         (
             old_process.Phase.COMMITTED,
             old_process.TimerFired,
-            lambda g, now, e: g.actions.append(old_process.ResumeServing("silent")),
+            lambda process, now, event: process.actions.append(old_process.ResumeServing("silent")),
         ),
-        # takes back on a sick successor's word alone
+        # resumes serving on the word of a failed new process alone
         (
             old_process.Phase.COMMITTED,
             old_process.FailureDetected,
-            lambda g, now, e: g.actions.append(old_process.ResumeServing("unfit")),
+            lambda process, now, event: process.actions.append(old_process.ResumeServing("unfit")),
         ),
     ],
 )
-def test_a_giver_that_does_not_fence_is_found(monkeypatch, phase, event, instead):
+def test_old_process_that_does_not_fence_is_found(monkeypatch, phase, event, instead):
     monkeypatch.setitem(old_process.TRANSITIONS, (phase, event), instead)
-    assert explore(model()).wrong[0][0] == "both serve"
+    assert explore(initial_state()).wrong[0][0] == "both serve"
 
 
-def test_a_giver_that_forgets_a_dead_successor_is_found(monkeypatch):
+def test_old_process_that_forgets_a_dead_new_process_is_found(monkeypatch):
     monkeypatch.delitem(old_process.TRANSITIONS, (old_process.Phase.FENCING, old_process.ChannelClosed))
-    assert explore(model()).stuck
+    assert explore(initial_state()).stuck
 
 
-def test_a_taker_that_goes_on_after_a_recall_is_found(monkeypatch):
+def test_new_process_that_ignores_a_reclaim_is_found(monkeypatch):
     monkeypatch.setitem(
         new_process.TRANSITIONS,
         (new_process.Phase.PROBATION, new_process.ReclaimReceived),
-        lambda t, now, e: t.actions.append(new_process.SendHeartbeat()),
+        lambda process, now, event: process.actions.append(new_process.SendHeartbeat()),
     )
-    found = explore(model())
-    assert (found.stuck, found.wrong) == ([], [])  # it is killed after a while
+    result = explore(initial_state())
+    assert (result.stuck, result.wrong) == ([], [])  # it is killed after a while
     monkeypatch.delitem(old_process.TRANSITIONS, (old_process.Phase.RECLAIMING, old_process.TimerFired))
-    assert explore(model()).stuck
+    assert explore(initial_state()).stuck
