--- /dev/null
+++ b/tests/harness/roll_harness.py
@@ -0,0 +1,131 @@
+"""A simulated fleet of eight gateways under load that is rolled, by successors that may be broken."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+
+from orchidlane.config import Duration
+from orchidlane.gateway.lifecycle.process import GatewayProcess
+from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver
+from orchidlane.runtime import CONTROL, Loop, SimWorld
+from orchidlane.runtime.scheduler import Process
+from orchidlane.simulation.backends import SimulatedBacking
+from orchidlane.simulation.scenario import Runner, make_plan
+
+MS = 1_000
+SECOND = 1_000_000
+COMMANDS = ("old", "new")
+REQUESTS_BEFORE_ROLL = 120
+
+Sabotage = Callable[[GatewayProcess], None]
+
+
+class SimulatedSuccessors:
+    """Starts successors in the simulated world; those of the new build with these numbers are broken."""
+
+    def __init__(self, backing: SimulatedBacking, broken: dict[int, Sabotage]) -> None:
+        self.backing = backing
+        self.broken = broken
+        self.processes: dict[int, Process] = {}
+        self.released: set[int] = set()
+        self.started: list[tuple[int, bool]] = []  # rank, whether it is of the new build
+
+    def prepare(self, rank: int, new_build: bool) -> int:
+        """Start a process that waits for ``release``."""
+        world = self.backing.world
+        number = sum(new for _, new in self.started)
+        sabotage = self.broken.get(number) if new_build else None
+        process = world.start(f"gw-{rank}", self._take_over, rank, sabotage)
+        pid = world.id_of(process)
+        self.processes[pid] = process
+        self.started.append((rank, new_build))
+        return pid
+
+    def _take_over(self, rank: int, sabotage: Sabotage | None) -> None:
+        backing = self.backing
+        while backing.world.process_id() not in self.released:
+            backing.loop.sleep(MS)
+        program = backing.program(backing.own_fleet(rank), rank, True)
+        if sabotage is not None:
+            backing.loop.spawn(sabotage, program, kind=CONTROL)
+        program.run()
+        if not program.failure:
+            backing.world.kill(backing.loop.process)
+
+    def release(self, pid: int) -> None:
+        """Let a process take over."""
+        self.released.add(pid)
+
+    def alive(self, pid: int) -> bool:
+        """Return whether a process has not ended."""
+        return not self.processes[pid].dead and bool(self.processes[pid].tasks)
+
+    def kill(self, pid: int) -> None:
+        """Kill a process."""
+        self.backing.world.kill(self.processes[pid])
+
+    def kill_unreleased(self) -> None:
+        """Kill the processes that wait for the word of a roll that is dead."""
+        for pid, process in self.processes.items():
+            if pid not in self.released:
+                self.backing.world.kill(process)
+
+
+class RollHarness:
+    """The fleet under load, with the audit's verdict at the end."""
+
+    def __init__(self, scenario, broken: dict[int, Sabotage] | None = None) -> None:
+        self.world = SimWorld(7)
+        self.loop = Loop(self.world)
+        self.backing = SimulatedBacking(self.loop, self.world)
+        self.plan = make_plan(scenario, "sim", self.backing.free_addresses)
+        fleet = self.plan.fleet
+        upgrade = {"trial": Duration(800 * MS), "warm": Duration(2 * SECOND)}
+        self.plan.fleet = msgspec.structs.replace(
+            fleet,
+            upgrade=msgspec.structs.replace(fleet.upgrade, **upgrade),
+            roll=msgspec.structs.replace(fleet.roll, soak=Duration(800 * MS)),
+        )
+        self.backing.prepare(self.plan)
+        self.starter = SimulatedSuccessors(self.backing, broken or {})
+        self.reports: list[str] = []
+
+    def make_driver(self) -> RollDriver:
+        """Return a driver that has not begun."""
+        return RollDriver(self.loop, self.plan.fleet, self.starter, self.reports.append)
+
+    def begin(self) -> RollDriver:
+        """Return a driver that has begun a roll to the new build."""
+        driver = self.make_driver()
+        driver.begin(COMMANDS)
+        return driver
+
+    def builds(self) -> list[bool]:
+        """Return whether each gateway runs the new build, by the processes themselves."""
+        started = zip(self.starter.processes, self.starter.started, strict=True)
+        new_pids = {pid for pid, (_, new_build) in started if new_build}
+        ranks = range(len(self.plan.fleet.gateways))
+        return [self.make_driver()._request_status(rank).pid in new_pids for rank in ranks]
+
+    def run(self, drive: Callable[[RollHarness], None]) -> Any:
+        """Run ``drive(harness)`` under load, and return the verdict: no rule may be broken."""
+        runner = Runner(self.loop, self.plan, self.backing)
+        verdicts: list[Any] = []
+
+        def drive_under_load() -> None:
+            while runner.crowd is None or runner.crowd.sent < REQUESTS_BEFORE_ROLL:
+                self.loop.sleep(50 * MS)
+            drive(self)
+            runner.end_load()
+
+        def run_both() -> None:
+            self.loop.spawn(drive_under_load, kind=CONTROL, process=self.loop.home)
+            verdicts.append(runner.run())
+
+        self.loop.run(run_both)
+        (verdict,) = verdicts
+        assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
+        return verdict
