--- a/orchidlane/cli/roll.py
+++ b/orchidlane/cli/roll.py
@@ -16,7 +16,8 @@
 
 from orchidlane.cli.errors import UNUSABLE, clear_errors
 from orchidlane.cli.upgrade import THIS_PROGRAM, successor_command
-from orchidlane.gateway.control.settings import Fleet, load_fleet
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import load_settings
 from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver, StoredRoll, UnfinishedRollError
 from orchidlane.hot_restart.rolling_upgrade import Phase, RollState
 from orchidlane.runtime import Loop, RealWorld
@@ -119,8 +120,8 @@
     brought back. It may be killed at any time and resumed.
     """
     with clear_errors():
-        fleet = load_fleet(settings)
-        if not fleet.state:
+        fleet = load_settings(settings)
+        if not fleet.state_directory:
             raise ValueError(f"{settings}: state: a folder is wanted, where the gateways take the call")
         with open(log_to or "/dev/null", "ab") as log:
             starter = LocalProcesses(_settings_of_each(fleet, settings, each), log)
@@ -137,7 +138,7 @@
     sys.exit(EXIT_CODES[state.phase])
 
 
-def _settings_of_each(fleet: Fleet, settings: str, each: str) -> list[str]:
+def _settings_of_each(fleet: FleetSettings, settings: str, each: str) -> list[str]:
     """Return the path of each gateway's settings file."""
     if not each:
         return [settings] * len(fleet.gateways)
@@ -146,7 +147,7 @@
 
 def _run(driver: RollDriver, starter: LocalProcesses, commands: tuple[str, str], recall: bool) -> RollState:
     """Run a roll under a lock that the kernel releases if we die: a listening Unix socket."""
-    path = os.path.abspath(f"{driver.fleet.state}/roll.lock")
+    path = os.path.abspath(f"{driver.fleet.state_directory}/roll.lock")
     try:
         lock = driver.loop.world.listen((path, 0))
     except OSError as error:
@@ -168,7 +169,7 @@
     return f"{state.phase.value}: {state.reason}" if state.reason else state.phase.value
 
 
-def _show(stored: StoredRoll | None, fleet: Fleet) -> None:
+def _show(stored: StoredRoll | None, fleet: FleetSettings) -> None:
     """Print how the latest roll stands."""
     if stored is None:
         click.echo("no roll so far")
--- a/orchidlane/cli/upgrade.py
+++ b/orchidlane/cli/upgrade.py
@@ -13,7 +13,7 @@
 import click
 
 from orchidlane.cli.errors import clear_errors
-from orchidlane.gateway.control.settings import load_fleet, upgrade_address
+from orchidlane.gateway.control.settings_loader import hot_restart_address, load_settings
 from orchidlane.gateway.lifecycle.status_query import request_status
 from orchidlane.hot_restart.messages import Status
 from orchidlane.runtime import Loop, RealWorld
@@ -59,10 +59,10 @@
     Exit 0: the successor passed its trial and serves; 1: the old process goes on, and why.
     """
     with clear_errors():
-        fleet = load_fleet(settings)
+        fleet = load_settings(settings)
         if not 0 <= rank < len(fleet.gateways):
             raise ValueError(f"--rank: found {rank}, allowed: 0 to {len(fleet.gateways) - 1}")
-        address = upgrade_address(fleet, fleet.gateways[rank])
+        address = hot_restart_address(fleet, fleet.gateways[rank])
         if address is None:
             raise ValueError(f"{settings}: state: a folder is wanted, where the gateway takes the call")
         path = address[0]
@@ -74,7 +74,7 @@
         click.echo(f"{status.phase}, {process}; latest: {status.last_outcome}")
         return
     command = successor_command(program, settings, rank)
-    outcome = _run_successor(command, log_to, path, fleet.upgrade.most / 1e6)
+    outcome = _run_successor(command, log_to, path, fleet.hot_restart.total_timeout_us / 1e6)
     sys.exit(0 if outcome.passed else 1)
 
 
--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from orchidlane import recording
-from orchidlane.gateway.control.settings import Fleet, GatewayEntry
+from orchidlane.gateway.control.settings import FleetSettings, GatewayEntry
 from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.gateway.lifecycle.state_errors import INVALID_STATE_ERRORS
 from orchidlane.gateway.telemetry.admin_api import Names, StateFrames
@@ -27,7 +27,7 @@
     """What the store uses of the gateway process whose accounts it saves."""
 
     loop: Loop
-    fleet: Fleet
+    fleet: FleetSettings
     entry: GatewayEntry
     rank: int
     log: Any
@@ -50,7 +50,7 @@
         self.gateway = gateway
         self.loop = gateway.loop
         self.path = path
-        self.save_interval_us = int(gateway.fleet.restart.every)
+        self.save_interval_us = int(gateway.fleet.account_store.write_interval_us)
         self._valid_until_us = 0
 
     # -- at a start
--- a/orchidlane/gateway/lifecycle/client_transfer.py
+++ b/orchidlane/gateway/lifecycle/client_transfer.py
@@ -145,7 +145,7 @@
         if handle is None:
             return
         now = self.gateway.loop.now()
-        needs_password = bool(self.gateway.fleet.limits.passwords)
+        needs_password = bool(self.gateway.fleet.quotas.passwords)
         self.retained[message.connection_id] = RetainedConnection(
             handle,
             message.protocol,
--- a/orchidlane/gateway/lifecycle/new_side.py
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -10,7 +10,7 @@
 
 from orchidlane import policy, recording
 from orchidlane.gateway.control.customers import Customer
-from orchidlane.gateway.control.settings import upgrade_address
+from orchidlane.gateway.control.settings_loader import hot_restart_address
 from orchidlane.gateway.lifecycle.client_transfer import HTTP, RESP, ClientReturn, ConnectionReporter
 from orchidlane.gateway.lifecycle.restart_channel import Channel
 from orchidlane.gateway.lifecycle.served_gateway import ServedGateway, count_answers
@@ -33,7 +33,7 @@
         self.gateway = gateway
         self.loop = gateway.loop
         self.scope = scope
-        timeouts = new_process.Timeouts(copy_us=int(gateway.fleet.upgrade.warm))
+        timeouts = new_process.Timeouts(copy_us=int(gateway.fleet.hot_restart.transfer_timeout_us))
         self.machine = new_process.NewProcess(timeouts)
         self.channel: Channel
         self.clients: ClientReturn
@@ -48,7 +48,7 @@
 
     def take_over(self) -> bool:
         """Connect, and wait until we serve; return False if we never will, ``failure`` says why."""
-        address = upgrade_address(self.gateway.fleet, self.gateway.entry)
+        address = hot_restart_address(self.gateway.fleet, self.gateway.entry)
         if address is None:
             self.failure = "the settings have no folder for the state, where the old process listens"
             return False
@@ -243,7 +243,7 @@
         recording.track_accounts(rules)
         gateway.host.go_on_with(rules, final.last_request_id)
         gateway.limits.load_state(final.limits)
-        gateway.tracker.carry_on(final.endpoints)
+        gateway.tracker.import_state(final.endpoints)
         gateway.inbox.load_peer_rows([tuple(row) for row in final.peers])
         gateway.sequence = final.datagram_sequence
         self.feed(new_process.FinalStateReceived())
--- a/orchidlane/gateway/lifecycle/old_side.py
+++ b/orchidlane/gateway/lifecycle/old_side.py
@@ -305,8 +305,11 @@
 
 
 def _timeouts(gateway: ServedGateway) -> old_process.Timeouts:
-    terms = gateway.fleet.upgrade
-    silence = int(terms.silence)
+    terms = gateway.fleet.hot_restart
+    silence = int(terms.silence_timeout_us)
     return old_process.Timeouts(
-        copy_us=int(terms.warm), start_us=silence, heartbeat_us=silence, probation_us=int(terms.trial)
+        copy_us=int(terms.transfer_timeout_us),
+        start_us=silence,
+        heartbeat_us=silence,
+        probation_us=int(terms.probation_us),
     )
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -9,10 +9,12 @@
 import structlog
 
 from orchidlane import policy
-from orchidlane.gateway.control.configuration import Knowledge, make_knowledge, read_sources
-from orchidlane.gateway.control.endpoint_list import ListTracker
-from orchidlane.gateway.control.endpoint_watch import Watch
-from orchidlane.gateway.control.settings import Fleet, address, module_settings
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot, build_snapshot, read_source_files
+from orchidlane.gateway.control.endpoint_list import EndpointListTracker
+from orchidlane.gateway.control.endpoint_watch import EndpointWatch
+from orchidlane.gateway.control.policy_settings import policy_settings
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.gateway.forwarding.connection_pool import Upstream
 from orchidlane.gateway.forwarding.openapi_adapter import OpenApiClients, OpenApiNodes
 from orchidlane.gateway.forwarding.policy_driver import Host
@@ -23,8 +25,8 @@
 from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
 from orchidlane.gateway.peers.datagrams import MAX_DATAGRAM_BYTES, DatagramKind, Inbox, encode_datagram
 from orchidlane.gateway.peers.token_requests import LimitService
-from orchidlane.gateway.rollout_agent.admin_api import Desk
-from orchidlane.gateway.rollout_agent.agent import Versions
+from orchidlane.gateway.rollout_agent.admin_api import RolloutAdminApi
+from orchidlane.gateway.rollout_agent.agent import RolloutAgent
 from orchidlane.gateway.server.http_server import Connection, Front
 from orchidlane.gateway.server.resp_server import RespFront, Session
 from orchidlane.gateway.telemetry.admin_api import Admin, Names
@@ -51,10 +53,10 @@
     def __init__(
         self,
         loop: Loop,
-        fleet: Fleet,
+        fleet: FleetSettings,
         rank: int,
         secret: bytes,
-        knowledge: Knowledge | None = None,
+        knowledge: ConfigurationSnapshot | None = None,
         record_to: str | None = None,
         take_over: bool = False,
     ) -> None:
@@ -68,7 +70,7 @@
         self.log = structlog.get_logger().bind(gateway=self.entry.name)
         self.configuration_given = knowledge is not None
         self.sources: tuple[bytes, bytes] | None = None  # contents of the description and customers files
-        self.versions = Versions(self) if fleet.change.voters else None
+        self.versions = RolloutAgent(self) if fleet.rollout.voting_members else None
         self.knowledge = knowledge or self._initial_configuration(1)
         self.metrics = Metrics()
         self.stopping = False
@@ -78,13 +80,13 @@
         self.when_ready: Callable[[], None] = lambda: None  # called once, when requests are served
         self.incarnation = loop.now()
         self.sequence = 0  # of the latest datagram
-        self.peers = [address(entry.peer) for entry in fleet.gateways]
+        self.peers = [parse_host_port(entry.peer) for entry in fleet.gateways]
         self.sockets = GatewaySockets(loop, fleet, self.entry)
         self.host: Host
         self.front: Front
         self.inbox: Inbox
         self.account_store: AccountStore | None = None
-        self.tracker = ListTracker(self.entry.zone, fleet.bounds.nodes)
+        self.tracker = EndpointListTracker(self.entry.zone, fleet.resource_limits.max_endpoints)
         self._receiving: Task
 
     # -- life
@@ -123,7 +125,7 @@
         self.front.drain()
         if "resp" in self.sockets:
             self.resp.drain()
-        deadline = self.loop.now() + self.fleet.times.drain
+        deadline = self.loop.now() + self.fleet.timeouts.drain_us
         while (self.front.connections or self.resp.sessions) and self.loop.now() < deadline:
             self.loop.sleep(DRAIN_POLL_INTERVAL_US)
         self.front.lingering.wait(deadline)
@@ -146,15 +148,15 @@
 
     # -- configuration
 
-    def _initial_configuration(self, number: int) -> Knowledge:
+    def _initial_configuration(self, number: int) -> ConfigurationSnapshot:
         """Return what an earlier incarnation ran with, or what the files say. Raises as the reading does."""
-        restored = self.versions.restored(number) if self.versions is not None else None
+        restored = self.versions.restore(number) if self.versions is not None else None
         return restored or self._read_configuration(number)
 
-    def _read_configuration(self, number: int) -> Knowledge:
+    def _read_configuration(self, number: int) -> ConfigurationSnapshot:
         """Read description and customers. Raises DescriptionError, CustomersError, OSError."""
-        sources = read_sources(self.loop.world, self.fleet)
-        knowledge = make_knowledge(*sources, self.fleet, number, self.log)
+        sources = read_source_files(self.loop.world, self.fleet)
+        knowledge = build_snapshot(*sources, self.fleet, number, self.log)
         self.sources = sources
         return knowledge
 
@@ -166,7 +168,7 @@
     def reload(self) -> None:
         """Read description and customers anew while serving; what is invalid changes nothing."""
         number = self.knowledge.generation.number + 1
-        if self.versions is not None and self.versions.ledger is not None:
+        if self.versions is not None and self.versions.state is not None:
             self._refuse_reload("the fleet goes by its ledger: propose the change")
             return
         try:
@@ -181,7 +183,7 @@
     def _refuse_reload(self, reason: str) -> None:
         self.log.error("reload refused", why=reason)
 
-    def _check_classes(self, fresh: Knowledge) -> None:
+    def _check_classes(self, fresh: ConfigurationSnapshot) -> None:
         if fresh.generation.classes != self.knowledge.generation.classes:
             problem = DescriptionProblem("x-orchidlane", "other classes need a restart of the gateway")
             raise DescriptionError(self.fleet.description, [problem])
@@ -191,16 +193,16 @@
     def build_parts(self, scope: Scope) -> None:
         """Make all parts; none of them does anything yet."""
         self.scope = scope
-        settings = module_settings(self.fleet, self.rank, self.knowledge.generation)
-        intakes = [self.fleet.peers.intake, self.fleet.limits.intake]
+        settings = policy_settings(self.fleet, self.rank, self.knowledge.generation)
+        intakes = [self.fleet.peers.messages_per_second, self.fleet.quotas.messages_per_second]
         if self.versions is not None:
-            intakes.append(self.fleet.change.intake)
+            intakes.append(self.fleet.rollout.messages_per_second)
         self.inbox = Inbox(self.secret, self.rank, len(self.peers), self.loop.now(), *intakes)
         self._build_forwarding(settings, scope)
         self.metrics.gauges = {
             "connections": ("Clients' connections", lambda: len(self.front.connections)),
             "open_requests": ("Requests under way", lambda: len(self.host.exchanges)),
-            "nodes": ("Nodes on the list", lambda: len(self.tracker.nodes)),
+            "nodes": ("Nodes on the list", lambda: len(self.tracker.endpoints)),
             "longest_turn_seconds": ("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
         }
         send = self.send_limits_datagram
@@ -209,12 +211,15 @@
             self.loop, self.fleet, self.limits, lambda: self.knowledge, scope, self._unready_reason
         )
         self._build_admin()
-        cache = f"{self.fleet.state}/{self.entry.name}.nodes.json" if self.fleet.state else ""
-        self.watch = Watch(self.loop, self.fleet, self.tracker, self.entry.name, cache, self._feed_list)
+        folder = self.fleet.state_directory
+        cache = f"{folder}/{self.entry.name}.nodes.json" if folder else ""
+        self.watch = EndpointWatch(
+            self.loop, self.fleet, self.tracker, self.entry.name, cache, self._feed_list
+        )
 
     def _build_forwarding(self, settings: policy.Settings, scope: Scope) -> None:
         nodes = OpenApiNodes(self.fleet, self.entry.name, self.incarnation, self.tracker)
-        note = self.versions.note if self.versions is not None else None
+        note = self.versions.record_answer if self.versions is not None else None
         clients = OpenApiClients(
             self.fleet,
             lambda: self.knowledge,
@@ -242,19 +247,19 @@
             self.describe_state,
             lambda: self.ready and not self.stopping and not self._unready_reason(),
             self.state_names,
-            Desk(self.versions) if self.versions is not None else None,
+            RolloutAdminApi(self.versions) if self.versions is not None else None,
         )
 
     def _unready_reason(self) -> str:
         """Return why requests must not be served yet; empty if they may."""
-        return self.versions.why_not_serve() if self.versions is not None else ""
+        return self.versions.rejection_reason() if self.versions is not None else ""
 
     # -- serving
 
     def start_serving(self, scope: Scope) -> None:
         """Accept requests; sockets that are not bound or inherited yet are bound here."""
         if not self.takes_over:
-            self.watch.restore()
+            self.watch.load_cache()
         self._start_account_store(scope)
         for name in ("http", PEER, "resp", "admin"):
             self.sockets.bind(name)
@@ -263,8 +268,8 @@
             self._start_recorder(scope, self.record_to)
         if self.versions is not None:
             self.versions.start(scope)
-        scope.spawn(self.watch.work, kind=CONTROL, name="node list")
-        scope.spawn(self.watch.keep, kind=BACKGROUND, name="node list's cache")
+        scope.spawn(self.watch.run, kind=CONTROL, name="node list")
+        scope.spawn(self.watch.run_cache_writer, kind=BACKGROUND, name="node list's cache")
         self._receive_from_others()
         self.front.listen(self.sockets["http"])
         if "resp" in self.sockets:
@@ -276,9 +281,9 @@
 
     def _start_account_store(self, scope: Scope) -> None:
         """Go on with the accounts of an earlier incarnation, unless another process sent its own."""
-        if not self.fleet.state or not self.fleet.restart.every:
+        if not self.fleet.state_directory or not self.fleet.account_store.write_interval_us:
             return
-        self.account_store = AccountStore(self, f"{self.fleet.state}/{self.entry.name}.accounts")
+        self.account_store = AccountStore(self, f"{self.fleet.state_directory}/{self.entry.name}.accounts")
         if not self.takes_over:
             self.log.info("remembered", accounts=self.account_store.load())
             self.account_store.save_before_serving()
@@ -308,13 +313,13 @@
             "incarnation": self.incarnation,
             "sequence": self.sequence,
             "generation": self.knowledge.generation.number,
-            "list": [self.tracker.epoch, self.tracker.version, len(self.tracker.nodes)],
+            "list": [self.tracker.epoch, self.tracker.version, len(self.tracker.endpoints)],
             "open": len(self.host.exchanges),
             "draining": self.stopping,
-            "client_margin": int(self.fleet.times.client_margin),
+            "client_margin": int(self.fleet.timeouts.response_margin_us),
         }
         if self.versions is not None:
-            description["version"] = self.versions.show()
+            description["version"] = self.versions.known.running_label
         return description
 
     # -- hot restart
@@ -393,6 +398,6 @@
             if kind == DatagramKind.POLICY:
                 self.host.feed(policy.PeerMessageReceived(sender, body))
             elif kind == DatagramKind.ROLLOUT and self.versions is not None:
-                self.versions.hear(sender, body)
+                self.versions.receive(sender, body)
             else:
                 self.limits.receive(sender, body)
--- a/orchidlane/gateway/lifecycle/rolling_upgrade.py
+++ b/orchidlane/gateway/lifecycle/rolling_upgrade.py
@@ -12,7 +12,8 @@
 
 import msgspec
 
-from orchidlane.gateway.control.settings import Fleet, upgrade_address
+from orchidlane.gateway.control.settings import FleetSettings
+from orchidlane.gateway.control.settings_loader import hot_restart_address
 from orchidlane.gateway.lifecycle.status_query import request_status
 from orchidlane.hot_restart import messages, rolling_upgrade
 from orchidlane.hot_restart.probation import AnswerCounts
@@ -62,13 +63,13 @@
     """One roll of a fleet, from its start or from where it was left."""
 
     def __init__(
-        self, loop: Loop, fleet: Fleet, starter: SuccessorStarter, report: Callable[[str], None]
+        self, loop: Loop, fleet: FleetSettings, starter: SuccessorStarter, report: Callable[[str], None]
     ) -> None:
         self.loop = loop
         self.fleet = fleet
         self.starter = starter
         self.report = report
-        self.path = f"{fleet.state}/roll.json"
+        self.path = f"{fleet.state_directory}/roll.json"
         self.stored: StoredRoll
         self.upgrade: rolling_upgrade.RollingUpgrade
         self._last_written = b""
@@ -128,16 +129,18 @@
     def _layout(self, loads: list[float]) -> Layout:
         zones = [entry.zone for entry in self.fleet.gateways]
         members = tuple(Member(rank, zones[rank], load) for rank, load in enumerate(loads))
-        set_sizes = {plan.spread for plan in self.fleet.plans.values()}
+        set_sizes = {plan.replica_set_size for plan in self.fleet.plans.values()}
         return Layout(members, tuple(sorted(set_sizes)))
 
     def _settings(self) -> rolling_upgrade.RollSettings:
-        terms = self.fleet.roll
+        terms = self.fleet.rolling_upgrade
         return rolling_upgrade.RollSettings(
-            limits=RiskLimits(terms.share, terms.set_share, terms.halls, terms.load),
-            soak_us=int(terms.soak),
-            upgrade_timeout_us=self.fleet.upgrade.most,
-            batch_growth=terms.growth,
+            limits=RiskLimits(
+                terms.max_share, terms.max_replica_set_share, terms.max_zones, terms.max_load_share
+            ),
+            soak_us=int(terms.soak_us),
+            upgrade_timeout_us=self.fleet.hot_restart.total_timeout_us,
+            batch_growth=terms.max_batch_growth,
         )
 
     # -- status
@@ -154,7 +157,7 @@
         return received
 
     def _request_status(self, rank: int) -> messages.Status | None:
-        address = upgrade_address(self.fleet, self.fleet.gateways[rank])
+        address = hot_restart_address(self.fleet, self.fleet.gateways[rank])
         assert address is not None
         return request_status(self.loop, address)
 
--- a/orchidlane/gateway/lifecycle/served_gateway.py
+++ b/orchidlane/gateway/lifecycle/served_gateway.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from orchidlane.gateway.control.configuration import Knowledge
-from orchidlane.gateway.control.endpoint_list import ListTracker
-from orchidlane.gateway.control.settings import Fleet, GatewayEntry
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot
+from orchidlane.gateway.control.endpoint_list import EndpointListTracker
+from orchidlane.gateway.control.settings import FleetSettings, GatewayEntry
 from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.gateway.lifecycle.sockets import GatewaySockets
 from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
@@ -24,17 +24,17 @@
     """One gateway process, with all its parts."""
 
     loop: Loop
-    fleet: Fleet
+    fleet: FleetSettings
     entry: GatewayEntry
     rank: int
     log: Any
     metrics: Metrics
-    knowledge: Knowledge
+    knowledge: ConfigurationSnapshot
     host: Host
     front: Front
     resp: RespFront
     limits: LimitService
-    tracker: ListTracker
+    tracker: EndpointListTracker
     inbox: Inbox
     sockets: GatewaySockets
     incarnation: int
--- a/orchidlane/gateway/lifecycle/sockets.py
+++ b/orchidlane/gateway/lifecycle/sockets.py
@@ -4,7 +4,8 @@
 
 from typing import Any
 
-from orchidlane.gateway.control.settings import Fleet, GatewayEntry, address, upgrade_address
+from orchidlane.gateway.control.settings import FleetSettings, GatewayEntry
+from orchidlane.gateway.control.settings_loader import hot_restart_address, parse_host_port
 from orchidlane.runtime import Loop
 from orchidlane.runtime.backend import Address, Handle
 
@@ -14,7 +15,7 @@
 class GatewaySockets:
     """Bound from the settings, or adopted from the process before this one."""
 
-    def __init__(self, loop: Loop, fleet: Fleet, entry: GatewayEntry) -> None:
+    def __init__(self, loop: Loop, fleet: FleetSettings, entry: GatewayEntry) -> None:
         self.loop = loop
         self.fleet = fleet
         self.entry = entry
@@ -42,10 +43,10 @@
 
     def _address(self, name: str) -> Address | None:
         if name == "upgrade":
-            return upgrade_address(self.fleet, self.entry)
+            return hot_restart_address(self.fleet, self.entry)
         entry = self.entry
         text = {"http": entry.listen, "resp": entry.resp, "admin": entry.admin, PEER: entry.peer}[name]
-        return address(text) if text else None
+        return parse_host_port(text) if text else None
 
     def adopt(self, handles: dict[str, Handle]) -> None:
         """Take over the sockets of another process."""
--- a/orchidlane/gateway/lifecycle/state_handover.py
+++ b/orchidlane/gateway/lifecycle/state_handover.py
@@ -80,7 +80,7 @@
             messages.FinalState(
                 policy_state=final_policy_state(gateway.host.rules),
                 limits=gateway.limits.dump_state(),
-                endpoints=msgspec.to_builtins(gateway.tracker.carried()),
+                endpoints=msgspec.to_builtins(gateway.tracker.export_state()),
                 peers=[list(row) for row in gateway.inbox.peer_rows()],
                 datagram_sequence=gateway.sequence,
                 last_request_id=gateway.host.numbers,
--- a/orchidlane/gateway/lifecycle/successor_units.py
+++ b/orchidlane/gateway/lifecycle/successor_units.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from orchidlane.gateway.forwarding.protocol_adapter import Payer
+from orchidlane.gateway.forwarding.protocol_adapter import QuotaOwner
 from orchidlane.gateway.lifecycle.restart_channel import Channel
 from orchidlane.hot_restart import messages
 from orchidlane.runtime import Expired, Task
@@ -29,7 +29,7 @@
         self.pending: dict[int, PendingUnits] = {}
         self._last_request_id = 0
 
-    def take(self, customer: Payer, units: float, kind: int) -> bool:
+    def take(self, customer: QuotaOwner, units: float, kind: int) -> bool:
         """Ask for units and wait; no answer in time counts as refused (see ``policy_driver.Lent``)."""
         loop = self.channel.loop
         task = loop.current
@@ -45,8 +45,8 @@
                 customer.plan,
                 kind,
                 units,
-                customer.set_first,
-                customer.set_size,
+                customer.replica_set_start,
+                customer.replica_set_size,
             )
         )
         deadline = loop.now() + UNITS_TIMEOUT_US
--- a/orchidlane/gateway/rollout_agent/admin_api.py
+++ b/orchidlane/gateway/rollout_agent/admin_api.py
@@ -1,218 +1,220 @@
-"""What others ask at the admin address of the fleet's versions: contents, how things stand, commands.
+"""The rollout API at a gateway's admin address: contents, counts, status and commands.
 
-Every call carries a seal under the fleet's key, over method, target and body; whoever merely reaches the
-address learns and changes nothing. A call heard again is harmless: contents are told by their hash, a command
-has a name of its own and the version that it was made from. A command is carried out where somebody leads;
-any other gateway passes it on, once.
+Every call carries a seal under the fleet's key, over method, target and body; a client without the key learns
+and changes nothing. A replayed call is harmless: contents are named by their hash, and a command has an id
+and names the version that it was made from. A command is carried out by the leader; any other gateway
+forwards it, once.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-from orchidlane.gateway.rollout_agent.admin_client import PREFIX, PURPOSE, FetchError, call
-from orchidlane.gateway.rollout_agent.agent import OUTCOME_WITHIN, Outcome, Versions
-from orchidlane.rollout.replicated_state import Entry, Ledger, Propose, Resume, Stop
-from orchidlane.rollout.version import TEXT_MOST, Parts, Version, is_name, is_sealed, name_of
-
-FORWARD_WITHIN = OUTCOME_WITHIN + 1_000_000  # microseconds
-THEN_MOST = 14  # versions that follow one proposal
-ID_MOST = 64  # characters
-
-Answer = tuple[int, bytes]
-
-
-class Order(msgspec.Struct, frozen=True):
-    """A command, as it is sent. ``base`` is the latest version that its author knew of."""
-
-    id: str
-    do: str  # propose, stop, resume
-    base: int
-    author: str = ""
-    reason: str = ""
-    parts: Parts | None = None
-    undoes: int = 0
-    then: tuple[Parts, ...] = ()
-    passed_on: bool = False
-
-
-class GatewayState(msgspec.Struct, frozen=True):
-    """What whoever leads knows of one gateway; spans in microseconds, -1: never heard of."""
-
-    rank: int
-    runs: int = -1
-    wanted: int = -1
-    why: str = ""
-    heard: int = -1  # ago
-    since: int = -1  # it runs that for so long, as far as we heard
-
-
-class Status(msgspec.Struct, frozen=True):
-    """How things stand, as the gateway that answers knows them."""
-
-    gateway: int
-    leads: bool
-    term: int
-    leader: int
-    confirmed: int  # microseconds ago a quorum confirmed this, -1: never
-    serves: str  # why not; "" where it does
-    running: str
-    index: int
-    current: Version | None
-    change: Version | None
-    stage: str
-    paused: str
-    halted: Version | None
-    history: tuple[Entry, ...]
-    seats: tuple[int, ...]
-    votes: dict[int, str]
-    gateways: tuple[GatewayState, ...]
-
-
-def latest_of(versions: Versions) -> list[Version]:
-    """The versions of the latest ledger."""
-    return versions.ledger.versions() if versions.ledger is not None else []
-
-
-class Desk:
-    """Answers for one gateway."""
-
-    def __init__(self, versions: Versions) -> None:
-        self.versions = versions
-        self.body_most = int(versions.fleet.change.content)
-
-    def answer(self, method: str, target: bytes, seal: bytes | None, body: bytes) -> Answer:
-        """Status and body."""
-        try:
-            sealed = bytes.fromhex((seal or b"").decode("latin-1"))
-        except ValueError:
-            sealed = b""
-        if not is_sealed(self.versions.secret, sealed, PURPOSE, method, target, body):
-            return 403, b"not sealed under the fleet's key\n"
-        what, _, name = target.removeprefix(PREFIX).decode("latin-1").partition("/")
-        match method, what:
-            case "GET", "content" if is_name(name):
-                return self._content(name)
-            case "PUT", "content" if is_name(name):
-                return self._upload(name, body)
+from orchidlane.gateway.rollout_agent.admin_client import (
+    PATH_PREFIX,
+    SEAL_PURPOSE,
+    AdminCallError,
+    AdminResponse,
+)
+from orchidlane.gateway.rollout_agent.admin_messages import (
+    CommandOutcome,
+    CommandRequest,
+    GatewayStatus,
+    RolloutStatus,
+)
+from orchidlane.gateway.rollout_agent.agent import RolloutAgent
+from orchidlane.gateway.rollout_agent.voter_runner import COMMAND_TIMEOUT_US
+from orchidlane.rollout.commands import ProposeVersion, ResumeRollout, StopRollout
+from orchidlane.rollout.leader import Leadership
+from orchidlane.rollout.replicated_state import ReplicatedState
+from orchidlane.rollout.version import MAX_TEXT_CHARACTERS, content_hash, is_content_hash, verify_seal
+
+FORWARD_TIMEOUT_US = COMMAND_TIMEOUT_US + 1_000_000
+MAX_FOLLOWING_VERSIONS = 14
+MAX_ID_CHARACTERS = 64
+
+NO_STATE = "no ledger is founded: all voters are needed for that, once"
+
+
+class InvalidCommandError(Exception):
+    """A request that names no valid command; the message tells why."""
+
+
+class RolloutAdminApi:
+    """Answers calls for one gateway."""
+
+    def __init__(self, agent: RolloutAgent) -> None:
+        self.agent = agent
+        self.body_most = int(agent.fleet.rollout.max_content_bytes)
+
+    def answer(self, method: str, target: bytes, seal: bytes | None, body: bytes) -> AdminResponse:
+        """Return status and body."""
+        if not verify_seal(self.agent.secret, _parse_seal(seal), SEAL_PURPOSE, method, target, body):
+            return AdminResponse(403, b"not sealed under the fleet's key\n")
+        resource, _, name = target.removeprefix(PATH_PREFIX).decode("latin-1").partition("/")
+        match method, resource:
+            case "GET", "content" if is_content_hash(name):
+                return self._get_content(name)
+            case "PUT", "content" if is_content_hash(name):
+                return self._put_content(name, body)
             case "GET", "counts":
-                return 200, msgspec.msgpack.encode(self.versions.book.tallies())
+                return AdminResponse(200, msgspec.msgpack.encode(self.agent.answer_tally.counts()))
             case "GET", "status":
-                return 200, msgspec.msgpack.encode(self.status())
+                return AdminResponse(200, msgspec.msgpack.encode(self.status()))
             case "POST", "command":
-                return self._command(body)
-        return 404, b"no such call\n"
-
-    def _content(self, name: str) -> Answer:
-        data = self.versions.files.get(name)
-        return (200, data) if data is not None else (404, b"not here\n")
-
-    def _upload(self, name: str, data: bytes) -> Answer:
-        """Contents of a proposal to come; those that nothing came of go first."""
-        files = self.versions.files
-        if name_of(data) != name:
-            return 400, b"not the content of this name\n"
+                return self._post_command(body)
+        return AdminResponse(404, b"no such call\n")
+
+    def _get_content(self, blob_hash: str) -> AdminResponse:
+        data = self.agent.storage.read_blob(blob_hash)
+        return AdminResponse(200, data) if data is not None else AdminResponse(404, b"not here\n")
+
+    def _put_content(self, blob_hash: str, data: bytes) -> AdminResponse:
+        """Keep a content of a proposal to come."""
+        if content_hash(data) != blob_hash:
+            return AdminResponse(400, b"not the content of this name\n")
         try:
-            files.upload(name, data)
-        except OSError as wrong:
-            return 507, f"not written: {wrong.strerror}\n".encode()
-        return 200, b"kept\n"
+            self.agent.storage.write_upload(blob_hash, data)
+        except OSError as error:
+            return AdminResponse(507, f"not written: {error.strerror}\n".encode())
+        return AdminResponse(200, b"kept\n")
 
     # -- commands
 
-    def _command(self, body: bytes) -> Answer:
+    def _post_command(self, body: bytes) -> AdminResponse:
+        try:
+            request = msgspec.msgpack.decode(body, type=CommandRequest)
+        except msgspec.DecodeError as error:
+            return AdminResponse(400, f"{error}\n".encode())
+        state = self.agent.state
+        if state is None:
+            return _outcome_response(CommandOutcome(False, NO_STATE))
         try:
-            order = msgspec.msgpack.decode(body, type=Order)
-        except msgspec.DecodeError as wrong:
-            return 400, f"{wrong}\n".encode()
-        latest = self.versions.ledger
-        if latest is None:
-            return self._tell(Outcome(False, "no ledger is founded: all voters are needed for that, once"))
-        step = self._step(order)
-        if isinstance(step, str):
-            return self._tell(Outcome(False, step))
-        outcome = self.versions.command(step, order.id)
+            command = _to_command(request)
+        except InvalidCommandError as error:
+            return _outcome_response(CommandOutcome(False, str(error)))
+        outcome = self.agent.run_command(command, request.command_id)
         if outcome is None:
-            return self._pass_on(order, latest)
-        if any(one.proposal == order.id for one in latest_of(self.versions)):
-            outcome = Outcome(True)  # told again
-        return self._tell(outcome)
-
-    def _step(self, order: Order) -> Propose | Stop | Resume | str:
-        if not 0 < len(order.id) <= ID_MOST:
-            return "a command has a name"
-        author, reason = order.author[:TEXT_MOST], order.reason[:TEXT_MOST]
-        match order.do:
-            case "propose" if order.parts is not None:
-                if len(order.then) > THEN_MOST:
-                    return f"{len(order.then)} versions that follow, allowed: {THEN_MOST}"
-                return Propose(0, order.id, order.parts, order.base, author, reason, order.undoes, order.then)
-            case "stop":
-                return Stop(0, order.base, f"by {author}: {reason}" if reason else f"by {author}", order.id)
-            case "resume":
-                return Resume(0, order.base, order.id)
-        return f"no such command: {order.do!r}"
-
-    def _pass_on(self, order: Order, latest: Ledger) -> Answer:
-        if order.passed_on or latest.leader in (-1, self.versions.rank):
-            gone = (
-                f"nobody leads: gateway {latest.leader} did in term {latest.term}; without a quorum of voters"
+            return self._forward(request, state)
+        if self._is_known_proposal(request.command_id):
+            outcome = CommandOutcome(True)  # it was sent before
+        return _outcome_response(outcome)
+
+    def _is_known_proposal(self, command_id: str) -> bool:
+        state = self.agent.state
+        return state is not None and any(version.proposal_id == command_id for version in state.versions())
+
+    def _forward(self, request: CommandRequest, state: ReplicatedState) -> AdminResponse:
+        """Pass a command on to the leader, once."""
+        if request.is_forwarded or state.leader in (-1, self.agent.rank):
+            reason = (
+                f"nobody leads: gateway {state.leader} did in term {state.term}; without a quorum of voters"
                 " nothing changes, and what runs is served for a lease after their last word"
             )
-            return self._tell(Outcome(False, gone, again=True))
-        body = msgspec.msgpack.encode(msgspec.structs.replace(order, passed_on=True))
-        return self._ask_leader("POST", PREFIX + b"command", body, latest.leader)
-
-    def _ask_leader(self, method: str, target: bytes, body: bytes, rank: int) -> Answer:
-        versions = self.versions
-        by = versions.loop.now() + FORWARD_WITHIN
+            return _outcome_response(CommandOutcome(False, reason, is_retryable=True))
+        body = msgspec.msgpack.encode(msgspec.structs.replace(request, is_forwarded=True))
         try:
-            return call(versions.loop, versions.admin_of(rank), versions.secret, method, target, body, by=by)
-        except FetchError as wrong:
-            gone = f"gateway {rank}, which leads, does not answer: {wrong}"
-            return self._tell(Outcome(False, gone, again=True))
-
-    def _tell(self, outcome: Outcome) -> Answer:
-        return 200 if outcome.taken else 409, msgspec.msgpack.encode(outcome)
-
-    # -- how things stand
-
-    def status(self) -> Status:
-        """As this gateway knows it."""
-        versions, latest = self.versions, self.versions.ledger
-        conductor, now = versions.conductor, versions.loop.now()
-        change = latest.change if latest is not None else None
-        leads = conductor is not None and conductor.leads
-        fresh = versions.spread.fresh
-        return Status(
-            gateway=versions.rank,
-            leads=leads,
-            term=latest.term if latest else 0,
-            leader=latest.leader if latest else -1,
-            confirmed=-1 if fresh is None else now - fresh,
-            serves=versions.why_not_serve(),
-            running=versions.show(),
-            index=latest.index if latest else 0,
-            current=latest.current.version if latest else None,
-            change=change.version if change else None,
-            stage=change.stage.value if change else "",
-            paused=change.paused if change else "",
-            halted=latest.halted.version if latest and latest.halted else None,
-            history=latest.history if latest else (),
-            seats=tuple(seat.rank for seat in latest.seats) if latest else (),
-            votes={rank: vote.why or "yes" for rank, vote in conductor.votes.items()} if conductor else {},
-            gateways=self._gateways(now) if leads else (),
+            return self.agent.client.call(
+                state.leader, "POST", "command", body, timeout_us=FORWARD_TIMEOUT_US
+            )
+        except AdminCallError as error:
+            reason = f"gateway {state.leader}, which leads, does not answer: {error}"
+            return _outcome_response(CommandOutcome(False, reason, is_retryable=True))
+
+    # -- status
+
+    def status(self) -> RolloutStatus:
+        """Return the state of fleet versions, as this gateway knows it."""
+        agent = self.agent
+        state = agent.state
+        leadership = agent.leadership
+        rollout = state.rollout if state is not None else None
+        is_leader = leadership is not None and leadership.is_leader
+        now = agent.loop.now()
+        confirmed_at = agent.dissemination.confirmed_at
+        return RolloutStatus(
+            gateway=agent.rank,
+            is_leader=is_leader,
+            term=state.term if state else 0,
+            leader=state.leader if state else -1,
+            confirmed_us_ago=-1 if confirmed_at is None else now - confirmed_at,
+            rejection_reason=agent.rejection_reason(),
+            running_version=agent.known.running_label,
+            index=state.index if state else 0,
+            current_version=state.current.version if state else None,
+            rollout_version=rollout.version if rollout else None,
+            phase=rollout.phase.value if rollout else "",
+            pause_reason=rollout.pause_reason if rollout else "",
+            halted_version=state.halted_rollout.version if state and state.halted_rollout else None,
+            history=state.history if state else (),
+            member_ranks=tuple(member.rank for member in state.members) if state else (),
+            votes=_vote_texts(leadership),
+            gateways=_gateway_statuses(leadership, now) if leadership and is_leader else (),
         )
 
-    def _gateways(self, now: int) -> tuple[GatewayState, ...]:
-        conductor = self.versions.conductor
-        assert conductor is not None
-        found = []
-        for rank in range(conductor.gateways):
-            known = conductor.reports.get(rank)
-            if known is None:
-                found.append(GatewayState(rank))
-            else:
-                heard, since = now - known.at, now - known.since
-                found.append(GatewayState(rank, known.number, known.wanted, known.why, heard, since))
-        return tuple(found)
+
+def _parse_seal(seal: bytes | None) -> bytes:
+    """Return the seal of a header field; b"" where it is none."""
+    try:
+        return bytes.fromhex((seal or b"").decode("latin-1"))
+    except ValueError:
+        return b""
+
+
+def _to_command(request: CommandRequest) -> ProposeVersion | StopRollout | ResumeRollout:
+    """Return the command, whose term the leader fills in. Raises InvalidCommandError."""
+    if not 0 < len(request.command_id) <= MAX_ID_CHARACTERS:
+        raise InvalidCommandError("a command has a name")
+    author = request.author[:MAX_TEXT_CHARACTERS]
+    reason = request.reason[:MAX_TEXT_CHARACTERS]
+    match request.action:
+        case "propose" if request.contents is not None:
+            following = len(request.followed_by)
+            if following > MAX_FOLLOWING_VERSIONS:
+                raise InvalidCommandError(
+                    f"{following} versions that follow, allowed: {MAX_FOLLOWING_VERSIONS}"
+                )
+            return ProposeVersion(
+                term=0,
+                proposal_id=request.command_id,
+                contents=request.contents,
+                base=request.base,
+                author=author,
+                reason=reason,
+                reverts=request.reverts,
+                followed_by=request.followed_by,
+            )
+        case "stop":
+            stop_reason = f"by {author}: {reason}" if reason else f"by {author}"
+            return StopRollout(0, request.base, stop_reason, request.command_id)
+        case "resume":
+            return ResumeRollout(0, request.base, request.command_id)
+    raise InvalidCommandError(f"no such command: {request.action!r}")
+
+
+def _outcome_response(outcome: CommandOutcome) -> AdminResponse:
+    return AdminResponse(200 if outcome.is_accepted else 409, msgspec.msgpack.encode(outcome))
+
+
+def _vote_texts(leadership: Leadership | None) -> dict[int, str]:
+    if leadership is None:
+        return {}
+    return {rank: vote.reason or "yes" for rank, vote in leadership.driver.votes.items()}
+
+
+def _gateway_statuses(leadership: Leadership, now: int) -> tuple[GatewayStatus, ...]:
+    return tuple(_gateway_status(leadership, rank, now) for rank in range(leadership.driver.gateway_count))
+
+
+def _gateway_status(leadership: Leadership, rank: int, now: int) -> GatewayStatus:
+    report = leadership.driver.reports.get(rank)
+    if report is None:
+        return GatewayStatus(rank)
+    return GatewayStatus(
+        rank,
+        report.running_number,
+        report.target_number,
+        report.reason,
+        last_seen_us_ago=now - report.received_at,
+        running_for_us=now - report.running_since,
+    )
--- a/orchidlane/gateway/server/request_reader.py
+++ b/orchidlane/gateway/server/request_reader.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from orchidlane.gateway.forwarding.pending_request import Body, Exchange
-from orchidlane.gateway.forwarding.protocol_adapter import Times
+from orchidlane.gateway.forwarding.protocol_adapter import Timeouts
 from orchidlane.gateway.server.client_connection import Connection, Watcher, recv_watched
 from orchidlane.http1 import Data, End, Malformed, Request
 from orchidlane.runtime import Closed, Expired, Loop
@@ -15,7 +15,7 @@
     """What a reader needs to know of its server."""
 
     loop: Loop
-    times: Times
+    times: Timeouts
     draining: bool
     last: int | None
     watcher: Watcher | None
@@ -61,7 +61,7 @@
         server = self._server
         if server.draining and not connection.stream.waiting():
             return False
-        timeout = server.times.idle if connection.known else server.times.newcomer
+        timeout = server.times.client_idle_us if connection.known else server.times.first_request_us
         return self.wait_for_first_bytes(connection, timeout)
 
     def wait_for_first_bytes(self, connection: Connection, timeout: int) -> bool:
@@ -72,15 +72,15 @@
             if not connection.stream.waiting():
                 return False
             # This process itself stood still: what arrived in the meantime is served.
-            return self._receive(connection, self._server.times.head)
+            return self._receive(connection, self._server.times.request_head_us)
 
     def _head_deadline(self, connection: Connection) -> int:
         """Return when a request that has begun to arrive must be complete."""
         times = self._server.times
-        deadline = connection.since + times.head
+        deadline = connection.since + times.request_head_us
         if connection.known:
             return deadline
-        return min(connection.opened + times.newcomer, deadline)
+        return min(connection.opened + times.first_request_us, deadline)
 
     def _receive(self, connection: Connection, timeout: int) -> bool:
         """Feed the parser once; return False at the end of input. Raises Expired."""
@@ -119,7 +119,7 @@
                 raise Malformed(408, "the body took too long") from None
             self.transfer(connection, body)
         exchange.arrived = connection.last_recv
-        exchange.until = exchange.arrived + exchange.call.patience - server.times.client_margin
+        exchange.until = exchange.arrived + exchange.call.patience - server.times.response_margin_us
         if server.last is not None:
             exchange.until = min(exchange.until, server.last)
 
--- a/tests/harness/hot_restart_harness.py
+++ b/tests/harness/hot_restart_harness.py
@@ -10,16 +10,16 @@
 import structlog
 
 from harness.gateway_harness import GENERATION, GET, MS, OK, REPORT, SETTINGS, GatewayHarness
+from harness.policy_harness import SECOND
 from orchidlane import http1
 from orchidlane.config import Duration
-from orchidlane.gateway.control.configuration import Knowledge
-from orchidlane.gateway.control.settings import parse_fleet
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot
+from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.hot_restart import old_process
 from orchidlane.runtime import LoopError
 from orchidlane.runtime.scheduler import Process
 
-SECOND = 1_000_000
 WARM_UP_REQUESTS = 40
 SETTLED_PHASES = (old_process.Phase.SERVING, old_process.Phase.ENDED)
 
@@ -47,7 +47,7 @@
     ) -> None:
         self.record_to = record_to
         if single_gateway:  # tokens have no other owners
-            changes["gateways"] = parse_fleet(SETTINGS, "fleet.cue").gateways[:1]
+            changes["gateways"] = parse_settings(SETTINGS, "fleet.cue").gateways[:1]
         upgrade = {
             "trial": Duration(probation),
             "silence": Duration(600 * MS),
@@ -61,7 +61,7 @@
         self.running_clients = 0
 
     def _gateway(self, rank: int, take_over: bool = False, sabotage: Sabotage | None = None) -> None:
-        knowledge = Knowledge(GENERATION, self.customers, structlog.get_logger(), False)
+        knowledge = ConfigurationSnapshot(GENERATION, self.customers, structlog.get_logger(), False)
         secret = b"0123456789abcdef"
         self.program = GatewayProcess(
             self.loop, self.fleet, rank, secret, knowledge, self.record_to, take_over
--- a/tests/harness/roll_harness.py
+++ b/tests/harness/roll_harness.py
@@ -83,11 +83,11 @@
         self.backing = SimulatedBacking(self.loop, self.world)
         self.plan = make_plan(scenario, "sim", self.backing.free_addresses)
         fleet = self.plan.fleet
-        upgrade = {"trial": Duration(800 * MS), "warm": Duration(2 * SECOND)}
+        upgrade = {"probation_us": Duration(800 * MS), "transfer_timeout_us": Duration(2 * SECOND)}
         self.plan.fleet = msgspec.structs.replace(
             fleet,
-            upgrade=msgspec.structs.replace(fleet.upgrade, **upgrade),
-            roll=msgspec.structs.replace(fleet.roll, soak=Duration(800 * MS)),
+            hot_restart=msgspec.structs.replace(fleet.hot_restart, **upgrade),
+            rolling_upgrade=msgspec.structs.replace(fleet.rolling_upgrade, soak_us=Duration(800 * MS)),
         )
         self.backing.prepare(self.plan)
         self.starter = SimulatedSuccessors(self.backing, broken or {})
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -4,9 +4,9 @@
 
 import msgspec
 import pytest
-from conftest import SECOND
 from harness.gateway_harness import GET, MS, good
 from harness.hot_restart_harness import HotRestartHarness, counted_units, slow
+from harness.policy_harness import SECOND
 from test_day import quiet  # noqa: F401
 
 from orchidlane import recording
--- a/tests/test_hot_restart_clients.py
+++ b/tests/test_hot_restart_clients.py
@@ -5,9 +5,9 @@
 import hashlib
 from collections import Counter
 
-from conftest import SECOND
 from harness.gateway_harness import GET, MS, OK, REPORT, GatewayHarness, good, request
 from harness.hot_restart_harness import HotRestartHarness, counted_units
+from harness.policy_harness import SECOND
 from test_day import quiet  # noqa: F401
 
 from orchidlane import http1
--- a/tests/test_hot_restart_faults.py
+++ b/tests/test_hot_restart_faults.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from conftest import SECOND
 from harness.gateway_harness import GET, MS, REPORT
 from harness.hot_restart_harness import HotRestartHarness, Sabotage, counted_units, slow
+from harness.policy_harness import SECOND
 from test_day import quiet  # noqa: F401
 
 from orchidlane.gateway.lifecycle.new_side import NewSide
