--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -161,7 +161,7 @@
 
 
 def _number(story: SimulatedRolloutFleet) -> int:
-    versions = story.programs[0].versions
+    versions = story.programs[0].rollout_agent
     return versions.known.running_number if versions is not None else -1
 
 
--- a/orchidlane/gateway/lifecycle/new_side.py
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -233,7 +233,7 @@
         """Go on from all that the old process had."""
         gateway = self.gateway
         old_numbers = {name: number for number, name in enumerate(final.class_names)}
-        names = gateway.knowledge.generation.class_names
+        names = gateway.configuration.generation.class_names
         self.class_map = {
             old_numbers[name]: number for number, name in enumerate(names) if name in old_numbers
         }
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -56,7 +56,7 @@
         fleet: FleetSettings,
         rank: int,
         secret: bytes,
-        knowledge: ConfigurationSnapshot | None = None,
+        configuration: ConfigurationSnapshot | None = None,
         record_to: str | None = None,
         take_over: bool = False,
     ) -> None:
@@ -68,10 +68,10 @@
         self.record_to = record_to
         self.takes_over = take_over
         self.log = structlog.get_logger().bind(gateway=self.entry.name)
-        self.configuration_given = knowledge is not None
+        self.configuration_given = configuration is not None
         self.sources: tuple[bytes, bytes] | None = None  # contents of the description and customers files
-        self.versions = RolloutAgent(self) if fleet.rollout.voting_members else None
-        self.knowledge = knowledge or self._initial_configuration(1)
+        self.rollout_agent = RolloutAgent(self) if fleet.rollout.voting_members else None
+        self.configuration = configuration or self._initial_configuration(1)
         self.metrics = Metrics()
         self.stopping = False
         self.ready = False
@@ -150,41 +150,41 @@
 
     def _initial_configuration(self, number: int) -> ConfigurationSnapshot:
         """Return what an earlier incarnation ran with, or what the files say. Raises as the reading does."""
-        restored = self.versions.restore(number) if self.versions is not None else None
+        restored = self.rollout_agent.restore(number) if self.rollout_agent is not None else None
         return restored or self._read_configuration(number)
 
     def _read_configuration(self, number: int) -> ConfigurationSnapshot:
         """Read description and customers. Raises DescriptionError, CustomersError, OSError."""
         sources = read_source_files(self.loop.world, self.fleet)
-        knowledge = build_snapshot(*sources, self.fleet, number, self.log)
+        snapshot = build_snapshot(*sources, self.fleet, number, self.log)
         self.sources = sources
-        return knowledge
+        return snapshot
 
     def load_configuration(self, number: int) -> None:
         """Read the configuration in a thread of its own. Raises as ``_read_configuration``."""
         if not self.configuration_given:
-            self.knowledge = self.loop.world.aside(lambda: self._initial_configuration(number))
+            self.configuration = self.loop.world.aside(lambda: self._initial_configuration(number))
 
     def reload(self) -> None:
         """Read description and customers anew while serving; what is invalid changes nothing."""
-        number = self.knowledge.generation.number + 1
-        if self.versions is not None and self.versions.state is not None:
+        number = self.configuration.generation.number + 1
+        if self.rollout_agent is not None and self.rollout_agent.state is not None:
             self._refuse_reload("the fleet goes by its ledger: propose the change")
             return
         try:
-            fresh = self.loop.world.aside(lambda: self._read_configuration(number))
-            self._check_classes(fresh)
+            snapshot = self.loop.world.aside(lambda: self._read_configuration(number))
+            self._check_classes(snapshot)
         except Exception as error:
             self._refuse_reload(str(error))
             return
-        self.knowledge = fresh
-        self.log.info("reloaded", generation=fresh.generation.number)
+        self.configuration = snapshot
+        self.log.info("reloaded", generation=snapshot.generation.number)
 
     def _refuse_reload(self, reason: str) -> None:
         self.log.error("reload refused", why=reason)
 
-    def _check_classes(self, fresh: ConfigurationSnapshot) -> None:
-        if fresh.generation.classes != self.knowledge.generation.classes:
+    def _check_classes(self, snapshot: ConfigurationSnapshot) -> None:
+        if snapshot.generation.classes != self.configuration.generation.classes:
             problem = DescriptionProblem("x-orchidlane", "other classes need a restart of the gateway")
             raise DescriptionError(self.fleet.description, [problem])
 
@@ -193,9 +193,9 @@
     def build_parts(self, scope: Scope) -> None:
         """Make all parts; none of them does anything yet."""
         self.scope = scope
-        settings = policy_settings(self.fleet, self.rank, self.knowledge.generation)
+        settings = policy_settings(self.fleet, self.rank, self.configuration.generation)
         intakes = [self.fleet.peers.messages_per_second, self.fleet.quotas.messages_per_second]
-        if self.versions is not None:
+        if self.rollout_agent is not None:
             intakes.append(self.fleet.rollout.messages_per_second)
         self.inbox = Inbox(self.secret, self.rank, len(self.peers), self.loop.now(), *intakes)
         self._build_forwarding(settings, scope)
@@ -208,7 +208,7 @@
         send = self.send_limits_datagram
         self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, send)
         self.resp = RespFront(
-            self.loop, self.fleet, self.limits, lambda: self.knowledge, scope, self._unready_reason
+            self.loop, self.fleet, self.limits, lambda: self.configuration, scope, self._unready_reason
         )
         self._build_admin()
         folder = self.fleet.state_directory
@@ -219,10 +219,10 @@
 
     def _build_forwarding(self, settings: policy.Settings, scope: Scope) -> None:
         nodes = OpenApiNodes(self.fleet, self.entry.name, self.incarnation, self.tracker)
-        note = self.versions.record_answer if self.versions is not None else None
+        note = self.rollout_agent.record_answer if self.rollout_agent is not None else None
         clients = OpenApiClients(
             self.fleet,
-            lambda: self.knowledge,
+            lambda: self.configuration,
             lambda: self.host,
             self.metrics,
             self._unready_reason,
@@ -243,16 +243,16 @@
             self.entry.name,
             self.host,
             self.metrics,
-            lambda: self.knowledge,
+            lambda: self.configuration,
             self.describe_state,
             lambda: self.ready and not self.stopping and not self._unready_reason(),
             self.state_names,
-            RolloutAdminApi(self.versions) if self.versions is not None else None,
+            RolloutAdminApi(self.rollout_agent) if self.rollout_agent is not None else None,
         )
 
     def _unready_reason(self) -> str:
         """Return why requests must not be served yet; empty if they may."""
-        return self.versions.rejection_reason() if self.versions is not None else ""
+        return self.rollout_agent.rejection_reason() if self.rollout_agent is not None else ""
 
     # -- serving
 
@@ -266,8 +266,8 @@
         self.host.start()
         if self.record_to:
             self._start_recorder(scope, self.record_to)
-        if self.versions is not None:
-            self.versions.start(scope)
+        if self.rollout_agent is not None:
+            self.rollout_agent.start(scope)
         scope.spawn(self.watch.run, kind=CONTROL, name="node list")
         scope.spawn(self.watch.run_cache_writer, kind=BACKGROUND, name="node list's cache")
         self._receive_from_others()
@@ -275,7 +275,7 @@
         if "resp" in self.sockets:
             self.resp.listen(self.sockets["resp"])
         self.ready = True
-        if self.versions is None:
+        if self.rollout_agent is None:
             self.when_ready()
         self.log.info("started", listen=self.entry.listen, rank=self.rank, pid=os.getpid())
 
@@ -304,7 +304,7 @@
 
     def state_names(self) -> Names:
         """Return the names that a state's numbers stand for: classes, plans."""
-        return self.knowledge.generation.class_names, tuple(self.fleet.plans)
+        return self.configuration.generation.class_names, tuple(self.fleet.plans)
 
     def describe_state(self) -> dict[str, Any]:
         """Return the moment, incarnation and generations that a stored state belongs to."""
@@ -312,14 +312,14 @@
             "now": self.loop.now(),
             "incarnation": self.incarnation,
             "sequence": self.sequence,
-            "generation": self.knowledge.generation.number,
+            "generation": self.configuration.generation.number,
             "list": [self.tracker.epoch, self.tracker.version, len(self.tracker.endpoints)],
             "open": len(self.host.exchanges),
             "draining": self.stopping,
             "client_margin": int(self.fleet.timeouts.response_margin_us),
         }
-        if self.versions is not None:
-            description["version"] = self.versions.known.running_label
+        if self.rollout_agent is not None:
+            description["version"] = self.rollout_agent.known.running_label
         return description
 
     # -- hot restart
@@ -341,8 +341,8 @@
     ) -> None:
         """Accept nothing more on any socket; clients are passed on between two requests."""
         self.loop.cancel(self._receiving)
-        if self.versions is not None:
-            self.versions.stop()
+        if self.rollout_agent is not None:
+            self.rollout_agent.stop()
         self.admin.hold()
         self.front.hold(pass_http)
         if "resp" in self.sockets:
@@ -354,8 +354,8 @@
         self.host.lent = None
         self.limits.reclaim()
         self._receive_from_others()
-        if self.versions is not None:
-            self.versions.start(self.scope)
+        if self.rollout_agent is not None:
+            self.rollout_agent.start(self.scope)
         self.front.resume()
         if "resp" in self.sockets:
             self.resp.resume()
@@ -397,7 +397,7 @@
             kind, sender, body = taken
             if kind == DatagramKind.POLICY:
                 self.host.feed(policy.PeerMessageReceived(sender, body))
-            elif kind == DatagramKind.ROLLOUT and self.versions is not None:
-                self.versions.receive(sender, body)
+            elif kind == DatagramKind.ROLLOUT and self.rollout_agent is not None:
+                self.rollout_agent.receive(sender, body)
             else:
                 self.limits.receive(sender, body)
--- a/orchidlane/gateway/lifecycle/served_gateway.py
+++ b/orchidlane/gateway/lifecycle/served_gateway.py
@@ -29,7 +29,7 @@
     rank: int
     log: Any
     metrics: Metrics
-    knowledge: ConfigurationSnapshot
+    configuration: ConfigurationSnapshot
     host: Host
     front: Front
     resp: RespFront
--- a/orchidlane/gateway/lifecycle/state_handover.py
+++ b/orchidlane/gateway/lifecycle/state_handover.py
@@ -47,7 +47,7 @@
                 recording.build_name(),
                 gateway.loop.world.clock_base(),
                 gateway.incarnation,
-                gateway.knowledge.generation.number,
+                gateway.configuration.generation.number,
                 gateway.sockets.names,
             )
         )
@@ -84,6 +84,6 @@
                 peers=[list(row) for row in gateway.inbox.peer_rows()],
                 datagram_sequence=gateway.sequence,
                 last_request_id=gateway.host.numbers,
-                class_names=gateway.knowledge.generation.class_names,
+                class_names=gateway.configuration.generation.class_names,
             )
         )
--- a/orchidlane/gateway/rollout_agent/adoption.py
+++ b/orchidlane/gateway/rollout_agent/adoption.py
@@ -102,12 +102,12 @@
                 log.error("version not adopted", version=version.label(), reason=str(error))
             self.error = str(error)
             return
-        reset = self._customers_to_reset(self.process.knowledge, knowledge)
+        reset = self._customers_to_reset(self.process.configuration, knowledge)
         state = self.known.replicated
         if state is None or state.target_certificate(self.process.rank) != target:
             return  # the target changed meanwhile
         self._reset_quotas(reset.served, knowledge)  # before these customers are served again
-        self.process.knowledge = knowledge
+        self.process.configuration = knowledge
         self._reset_quotas(reset.suspended, knowledge)  # once they are served no more
         self.known.running = target
         self.error = ""
@@ -120,9 +120,9 @@
         if error:
             raise ContentError(f"no certificate: {error}")
         self.fetcher.ensure_contents(target.version.contents)
-        generation = self.process.knowledge.generation.number + 1
+        generation = self.process.configuration.generation.number + 1
         knowledge = self.reader.read_version(target.version, generation)
-        if knowledge.generation.classes != self.process.knowledge.generation.classes:
+        if knowledge.generation.classes != self.process.configuration.generation.classes:
             raise ContentError("other classes need a restart of the gateway")
         return knowledge
 
--- a/orchidlane/gateway/rollout_agent/process_interface.py
+++ b/orchidlane/gateway/rollout_agent/process_interface.py
@@ -21,12 +21,12 @@
 class GatewayProcess(Protocol):
     """The gateway process.
 
-    ``sources`` are the contents of its own description and customers' file, ``knowledge`` the configuration
+    ``sources`` are the contents of its own description and customers' file, ``configuration`` the one
     that requests are handled by. ``when_ready`` is called once, when requests are served.
     """
 
     sources: tuple[bytes, bytes] | None
-    knowledge: ConfigurationSnapshot
+    configuration: ConfigurationSnapshot
     when_ready: Callable[[], None]
 
     @property
--- a/orchidlane/simulation/rollout_faults.py
+++ b/orchidlane/simulation/rollout_faults.py
@@ -171,7 +171,9 @@
         """Tell whether a quorum of voters keeps its disks; without one the state is lost, as documented."""
         if rank >= self.fleet.scenario.voters:
             return True
-        states = [program.versions.state for program in self.fleet.programs.values() if program.versions]
+        states = [
+            program.rollout_agent.state for program in self.fleet.programs.values() if program.rollout_agent
+        ]
         if any(state.previous_members for state in states if state is not None):
             return False  # a membership change is not settled: both sides are needed
         voting = [
--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -120,7 +120,7 @@
 
     def agent(self, rank: int) -> RolloutAgent:
         """Return a gateway's rollout agent."""
-        agent = self.programs[rank].versions
+        agent = self.programs[rank].rollout_agent
         assert agent is not None
         return agent
 
--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -1,4 +1,4 @@
-"""One gateway in the simulated world, with nodes that do exactly what a test says."""
+"""One gateway in the simulated world, with endpoints that do exactly what a test says."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 def fleet(**changes) -> FleetSettings:
-    """The example's settings with a roomy plan and some changes, by the keys of settings files."""
-    found = parse_settings(SETTINGS, "fleet.cue")
-    roomy = msgspec.structs.replace(found.plans["basico"], rate=1_000.0, burst=3_000.0)
-    found = msgspec.structs.replace(found, plans={**found.plans, "basico": roomy})
-    return replace_settings(found, changes)
+    """Return the example's settings with a plan of high limits and some changes, by the keys of files."""
+    settings = parse_settings(SETTINGS, "fleet.cue")
+    high_limits = msgspec.structs.replace(settings.plans["basico"], rate=1_000.0, burst=3_000.0)
+    settings = msgspec.structs.replace(settings, plans={**settings.plans, "basico": high_limits})
+    return replace_settings(settings, changes)
 
 
 def replace_settings(record: msgspec.Struct, changes: dict[str, Any]) -> Any:
-    """A copy of a settings record with some keys changed; a dict changes keys of the record that is there."""
+    """Return a settings record with some keys changed; a dict changes keys of the record that is there."""
     fields = {field.encode_name: field.name for field in msgspec.structs.fields(record)}
     values = {}
     for key, value in changes.items():
@@ -48,7 +48,7 @@
 
 
 class GatewayHarness:
-    """The world of one test: ``handlers`` serve the nodes' connections, one handler for each node."""
+    """The backend of one test: ``handlers`` serve the endpoints' connections, one handler for each."""
 
     def __init__(self, *handlers, racks: list[str] | None = None, seed: int = 1, **changes) -> None:
         self.world = SimWorld(seed, Faults(delay=(100, 200), slow_chance=0.0, datagram_loss=0.0))
@@ -56,7 +56,7 @@
         self.fleet = fleet(**changes)
         self.handlers = handlers
         self.racks = racks or ["r"] * len(handlers)
-        self.seen: list[tuple[int, bytes]] = []  # node, bytes of a request that it read
+        self.seen: list[tuple[int, bytes]] = []  # endpoint, method and target of a request that it read
         digest = hashlib.sha256(KEY).hexdigest()
         text = b'{"customers":[{"id":1,"plan":"basico","keys":["%s"]}]}' % digest.encode()
         self.customers = load_customers(text, "customers.json", self.fleet)
@@ -64,7 +64,7 @@
         self.list: NodeList
 
     def run(self, test) -> None:
-        """Run ``test(house)`` once the gateway knows its nodes."""
+        """Run ``test(harness)`` once the gateway knows its endpoints."""
         self.loop.run(self._run, test)
 
     def _run(self, test) -> None:
@@ -91,11 +91,11 @@
         self.program.run()
 
     def address(self, index: int) -> tuple[str, int]:
-        """Where a node listens."""
+        """Return the address at which an endpoint listens."""
         return "127.0.0.1", 9000 + index
 
     def set_phase(self, index: int, phase: str, launched: int = 0) -> None:
-        """What the node list says of a node from now on."""
+        """Set the phase of an endpoint in the endpoint list."""
         node = EndpointRecord(f"127.0.0.1:{9000 + index}", phase, "hall-1", self.racks[index], launched)
         self.list.set(f"node-{index}", node)
 
@@ -115,7 +115,7 @@
             stream.close()
 
     def read_request(self, index: int, stream) -> tuple[http1.Request, bytes]:
-        """A whole request as a node gets it."""
+        """Read a complete request at an endpoint."""
         parser, head, body = http1.RequestParser(), None, b""
         while True:
             event = parser.next_event()
@@ -136,25 +136,26 @@
     # -- clients
 
     def connect(self):
-        """A client's connection to the gateway."""
+        """Open a client's connection to the gateway."""
         return self.world.connect(("127.0.0.1", 8080))
 
     def ask(self, raw: bytes, wait: int = 8 * SECOND) -> tuple[int, http1.Headers, bytes]:
-        """One request over its own connection: status (0: none came), headers and body."""
+        """Send a request on its own connection; return status (0: no answer), headers and body."""
         stream = self.connect()
         stream.send(raw)
         return self.answer(stream, raw.split(b" ")[0].decode("latin-1"), wait)
 
     def answer(self, stream, method: str = "GET", wait: int = 8 * SECOND, parser=None):
-        """The next final answer on a connection."""
+        """Read the next final answer on a connection, like ``ask``."""
         parser = parser or http1.ResponseParser()
         parser.expect(method)
-        by, head, body = self.loop.now() + wait, None, b""
+        deadline = self.loop.now() + wait
+        head, body = None, b""
         while True:
             event = parser.next_event()
             if event is None:
                 try:
-                    data = stream.recv(deadline=by)
+                    data = stream.recv(deadline=deadline)
                 except Expired:
                     return 0, (), body
                 parser.receive(data)
@@ -169,7 +170,7 @@
 
 
 def request(method: str, target: str, headers: str = "", body: bytes = b"", length: bool = True) -> bytes:
-    """A request with the customer's key."""
+    """Encode a request with the customer's key."""
     lines = f"{method} {target} HTTP/1.1\r\nHost: g\r\nX-Api-Key: {KEY.decode()}\r\n{headers}"
     if body and length:
         lines += f"Content-Length: {len(body)}\r\n"
@@ -181,20 +182,20 @@
 UPLOAD = request("PUT", "/v1/tests/1", "Idempotency-Key: k\r\n", b"data")
 
 
-def good(house: GatewayHarness, index: int, stream) -> None:
-    """A node that serves."""
+def good(harness: GatewayHarness, index: int, stream) -> None:
+    """Serve each request at once."""
     while True:
-        house.read_request(index, stream)
+        harness.read_request(index, stream)
         stream.send(OK)
 
 
-def resets_after(house: GatewayHarness, index: int, stream) -> None:
-    """A node that reads a request and resets."""
-    house.read_request(index, stream)
+def resets_after(harness: GatewayHarness, index: int, stream) -> None:
+    """Read a request and reset the connection."""
+    harness.read_request(index, stream)
     stream.abort()
 
 
-def silent(house: GatewayHarness, index: int, stream) -> None:
-    """A node that accepts and says nothing."""
-    house.read_request(index, stream)
-    house.loop.sleep(60 * SECOND)
+def silent(harness: GatewayHarness, index: int, stream) -> None:
+    """Read a request and never answer."""
+    harness.read_request(index, stream)
+    harness.loop.sleep(60 * SECOND)
--- a/tests/test_account_recovery.py
+++ b/tests/test_account_recovery.py
@@ -1,4 +1,4 @@
-"""A gateway that starts anew with the accounts of its earlier life: no quota spent twice."""
+"""A gateway that restarts with the accounts that its earlier incarnation saved: no quota is spent twice."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 START = 10**15
 PLANS = ("basico", "amplio")
-FULL = 30  # of a burst of 40: below a quarter a customer is closed, quota.EXHAUSTED_BELOW_SHARE
+ALMOST_FULL = 30  # of a burst of 40: below a quarter a customer is exhausted, quota.EXHAUSTED_BELOW_SHARE
 
 
-def module(rate: float, burst: float) -> Gateway:
+def make_gateway(rate: float, burst: float) -> Gateway:
     plan = dataclasses.replace(PLAIN_PLAN, rate=rate, burst=burst)
     alone = dataclasses.replace(SETTINGS, replica_count=1, may_gossip=False, plans=(plan,))
     return Gateway(alone, 1, START)
 
 
-def take(gateway: Gateway, now: int, units: float) -> bool:
+def admits(gateway: Gateway, now: int, units: float) -> bool:
     asked = policy.QuotaRequested(now, 1, 0, 0, units, 0, 1)
     return any(isinstance(action, policy.GrantQuota) for action in gateway.handle(now, asked))
 
@@ -47,10 +47,10 @@
     st.integers(0, 20_000),
     st.integers(0, 5_000),
 )
-def test_no_life_spends_what_an_earlier_one_may_have_spent(asked, at, gap, promise):
-    """Whatever was asked and whenever it was written down, both lives together keep within one true store."""
+def test_no_incarnation_spends_what_an_earlier_one_may_have_spent(asked, at, gap, promise):
+    """Whatever was requested and whenever it was saved, both together stay within one token bucket."""
     rate, burst = 5.0, 12.0
-    gateway, now, row, taken = module(rate, burst), START, None, START
+    gateway, now, row, taken = make_gateway(rate, burst), START, None, START
     spent: list[tuple[int, float]] = []
     for number, (span, units) in enumerate(asked):
         now += span * MS
@@ -59,19 +59,19 @@
             row, taken = (account_to_row(account) if account else None), now
         if row is not None and now > taken + promise * MS:
             break  # it would have been renewed by then
-        if take(gateway, now, units):
+        if admits(gateway, now, units):
             spent.append((now, units))
     if row is None:
         return
     now = max(now, taken) + gap * MS
-    again = module(rate, burst)
+    restarted = make_gateway(rate, burst)
     (account,) = recover_accounts(
         [row], PreviousIncarnation(0, ["a"], taken, taken + promise * MS, False), ["a"], now
     )
-    again.accounts[1] = account
-    again.idle_queue.append(1)
+    restarted.accounts[1] = account
+    restarted.idle_queue.append(1)
     for _ in range(30):
-        if take(again, now, 1.0):
+        if admits(restarted, now, 1.0):
             spent.append((now, 1.0))
         now += 100 * MS
     room, last = burst, START
@@ -80,7 +80,7 @@
         assert room > -1e-6
 
 
-def test_what_is_kept_and_what_begins_anew():
+def test_counts_are_kept_and_the_rest_begins_anew():
     counts = {0: ReplicaCount(5, 10.0), 1: ReplicaCount(6, 20.0)}
     account = Account(7, AccountKey(1, 0, 3), 90.0, START, counts, 30.0, 30.0, (1, 0), False, 2)
     account.ceiling_tokens, account.peer_admissions_at_us, account.announced_at_us = 9.0, (START,), START
@@ -109,7 +109,7 @@
     assert list(recover_accounts([row], life, ("another",), START)) == []
 
 
-class Alone(GatewayHarness):
+class SingleGateway(GatewayHarness):
     """One gateway in its fleet, with a folder for its state."""
 
     def __init__(self, *handlers) -> None:
@@ -122,71 +122,71 @@
         return sum(self.ask(GET)[0] == 200 for _ in range(most))
 
 
-def again(house: GatewayHarness) -> None:
-    house.start()
-    house.loop.sleep(300 * MS)
+def restart(harness: GatewayHarness) -> None:
+    harness.start()
+    harness.loop.sleep(300 * MS)
 
 
-def test_a_killed_gateway_gives_no_customer_its_burst_again():
-    def test(house: Alone) -> None:
-        assert house.spend(20) == 20
-        house.loop.sleep(6 * SECOND)  # it is written down; 32 are free
-        assert house.spend(20) == 20
-        house.world.kill(house.process)
-        again(house)
-        assert house.spend(40) == 0
-        house.loop.sleep(40 * SECOND)
-        assert house.spend(40) >= FULL
+def test_killed_gateway_gives_no_customer_its_burst_again():
+    def test(harness: SingleGateway) -> None:
+        assert harness.spend(20) == 20
+        harness.loop.sleep(6 * SECOND)  # it is written down; 32 are free
+        assert harness.spend(20) == 20
+        harness.world.kill(harness.process)
+        restart(harness)
+        assert harness.spend(40) == 0
+        harness.loop.sleep(40 * SECOND)
+        assert harness.spend(40) >= ALMOST_FULL
 
-    Alone(slow, slow).run(test)
+    SingleGateway(slow, slow).run(test)
 
 
-def test_an_orderly_restart_goes_on_exactly():
-    def test(house: Alone) -> None:
-        assert house.spend(20) == 20
-        house.program.stop()
-        while house.process.tasks:
-            house.loop.sleep(10 * MS)
-        house.world.kill(house.process)
-        again(house)
-        assert 10 <= house.spend(40) <= 14
+def test_clean_restart_continues_exactly():
+    def test(harness: SingleGateway) -> None:
+        assert harness.spend(20) == 20
+        harness.program.stop()
+        while harness.process.tasks:
+            harness.loop.sleep(10 * MS)
+        harness.world.kill(harness.process)
+        restart(harness)
+        assert 10 <= harness.spend(40) <= 14
 
-    Alone(slow, slow).run(test)
+    SingleGateway(slow, slow).run(test)
 
 
 @pytest.mark.parametrize("spoil", [b"", b"garbage", b"OLREC1\n", None])
-def test_accounts_that_cannot_be_read_are_left_and_a_late_file_goes(spoil):
-    def test(house: Alone) -> None:
+def test_unreadable_accounts_are_ignored_and_an_expired_file_is_removed(spoil):
+    def test(harness: SingleGateway) -> None:
         path = "/sim/gw-0.accounts"
-        assert house.spend(10) == 10
-        house.loop.sleep(6 * SECOND)
-        house.world.kill(house.process)
-        data = house.world.files[path]
-        house.world.files[path] = data[: len(data) // 2] if spoil is None else spoil
-        again(house)
-        assert house.spend(40) >= FULL  # as without any
-        assert house.world.files[path] != data
+        assert harness.spend(10) == 10
+        harness.loop.sleep(6 * SECOND)
+        harness.world.kill(harness.process)
+        data = harness.world.files[path]
+        harness.world.files[path] = data[: len(data) // 2] if spoil is None else spoil
+        restart(harness)
+        assert harness.spend(40) >= ALMOST_FULL  # as without any
+        assert harness.world.files[path] != data
 
         def full(path: str, data: bytes) -> None:
             raise OSError(28, "No space left on device")
 
-        house.world.write_file = full
-        house.loop.sleep(60 * SECOND)
-        assert path not in house.world.files
-        assert house.ask(GET)[0] == 200
+        harness.world.write_file = full
+        harness.loop.sleep(60 * SECOND)
+        assert path not in harness.world.files
+        assert harness.ask(GET)[0] == 200
 
-    Alone(slow, slow).run(test)
+    SingleGateway(slow, slow).run(test)
 
 
-def test_a_fleet_that_is_killed_together_and_remembers_goes_less_beyond_its_quotas():
-    """The same killed day with and without what was written down."""
+def test_fleet_killed_together_exceeds_its_quotas_less_with_saved_accounts():
+    """The same scenario of kills with and without saved accounts."""
 
-    def beyond(every: int) -> tuple[float, dict[str, bool]]:
+    def run_scenario(save_interval: int) -> tuple[float, dict[str, bool]]:
         world = SimWorld(11)
         loop = Loop(world)
         backing = SimulatedBacking(loop, world)
         plan = make_plan(day(span=12, rate=160.0, customers=6, takes=0.0), "sim", backing.free_addresses)
-        restart = msgspec.structs.replace(plan.fleet.account_store, write_interval_us=Duration(every))
+        restart = msgspec.structs.replace(plan.fleet.account_store, write_interval_us=Duration(save_interval))
         plan.fleet = msgspec.structs.replace(plan.fleet, account_store=restart)
         backing.prepare(plan)
         runner = Runner(loop, plan, backing)
@@ -205,7 +205,9 @@
         loop.run(lambda: (loop.spawn(kills, process=loop.home), found.append(runner.run())))
         return found[0].beyond, found[0].rules
 
-    forgot, _ = beyond(0)
-    remembered, rules = beyond(SECOND)
-    assert rules["5"] and rules["2"]
-    assert forgot > 20 and remembered < forgot / 3, (forgot, remembered)
+    without_saved, _ = run_scenario(0)
+    with_saved, rules = run_scenario(SECOND)
+    assert rules["5"]
+    assert rules["2"]
+    assert without_saved > 20
+    assert with_saved < without_saved / 3, (without_saved, with_saved)
