--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -14,7 +14,8 @@
 from orchidlane.gateway.control.settings import FleetSettings, GatewayEntry
 from orchidlane.gateway.forwarding.policy_driver import Host
 from orchidlane.gateway.lifecycle.state_errors import INVALID_STATE_ERRORS
-from orchidlane.gateway.telemetry.admin_api import Names, StateFrames
+from orchidlane.gateway.telemetry.policy_host import PolicyNames
+from orchidlane.gateway.telemetry.state_stream import StateStream
 from orchidlane.hot_restart.account_recovery import PreviousIncarnation, recover_accounts
 from orchidlane.policy.accounts import Account
 from orchidlane.runtime import Loop
@@ -36,7 +37,7 @@
     stopping: bool
     superseded: bool
 
-    def state_names(self) -> Names:
+    def state_names(self) -> PolicyNames:
         """Return the names that a state's numbers stand for: classes, plans."""
 
     def describe_state(self) -> dict[str, Any]:
@@ -130,8 +131,8 @@
         gateway = self.gateway
         about = {**gateway.describe_state(), "until": now + validity_us, "clean": not validity_us}
         names = gateway.state_names()
-        frames = StateFrames(gateway.host, gateway.entry.name, gateway.incarnation, 0, names, about)
-        parts = [frames.head]
+        frames = StateStream(gateway.host, gateway.entry.name, gateway.incarnation, 0, names, about)
+        parts = [frames.header]
         try:
             for page in frames:
                 parts.append(page)
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -1,8 +1,8 @@
 """The policy as a whole: a fleet's session of many events leads to the same actions as golden data.
 
 Events go in and actions come out as records of the binary wire, so that names in the code play no part. What
-the wire does not carry (takes, counts told by another process, sets that move) is built below. ``golden.py``
-tells how the golden file is written.
+the wire does not carry (takes, counts told by another process, sets that move) is built below.
+``harness/golden_files.py`` tells how the golden file is written.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from functools import cache
 
 import pytest
-from golden import check_golden
+from harness.golden_files import check_golden
 
 from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
--- a/tests/test_hot_restart_model.py
+++ b/tests/test_hot_restart_model.py
@@ -63,12 +63,12 @@
             self.faults,
         )
 
-    def wrong(self) -> str | None:
+    def broken_invariant(self) -> str | None:
         if all(self.serves):
             return "both serve"
         return None
 
-    def good(self) -> bool:
+    def is_good(self) -> bool:
         """One serves and has nothing more to do with the other; or both are dead."""
         alone = self.old.phase is old_process.Phase.SERVING and self.serves[0]
         free = self.new.phase is new_process.Phase.INDEPENDENT and self.serves[1]
@@ -263,9 +263,9 @@
 
 def test_never_both_serve_and_one_can_always_serve():
     result = explore(initial_state())
-    assert result.wrong == []
-    assert result.stuck == []
-    assert result.states > 3_000
+    assert result.violations == []
+    assert result.stuck_paths == []
+    assert result.state_count > 3_000
 
 
 @pytest.mark.parametrize(
@@ -287,12 +287,12 @@
 )
 def test_old_process_that_does_not_fence_is_found(monkeypatch, phase, event, instead):
     monkeypatch.setitem(old_process.TRANSITIONS, (phase, event), instead)
-    assert explore(initial_state()).wrong[0][0] == "both serve"
+    assert explore(initial_state()).violations[0][0] == "both serve"
 
 
 def test_old_process_that_forgets_a_dead_new_process_is_found(monkeypatch):
     monkeypatch.delitem(old_process.TRANSITIONS, (old_process.Phase.FENCING, old_process.ChannelClosed))
-    assert explore(initial_state()).stuck
+    assert explore(initial_state()).stuck_paths
 
 
 def test_new_process_that_ignores_a_reclaim_is_found(monkeypatch):
@@ -302,6 +302,6 @@
         lambda process, now, event: process.actions.append(new_process.SendHeartbeat()),
     )
     result = explore(initial_state())
-    assert (result.stuck, result.wrong) == ([], [])  # it is killed after a while
+    assert (result.stuck_paths, result.violations) == ([], [])  # it is killed after a while
     monkeypatch.delitem(old_process.TRANSITIONS, (old_process.Phase.RECLAIMING, old_process.TimerFired))
-    assert explore(initial_state()).stuck
+    assert explore(initial_state()).stuck_paths
--- a/tests/test_hot_restart_real.py
+++ b/tests/test_hot_restart_real.py
@@ -8,8 +8,8 @@
 import time
 
 import pytest
+from harness.event_story import run_command
 from test_day import day, quiet  # noqa: F401
-from test_record import run
 
 from orchidlane.runtime import Loop, RealWorld
 from orchidlane.simulation.backends import RealBacking, play_while
@@ -64,7 +64,7 @@
     assert verdict.answers["200"] > 300
     assert verdict.answers.get("reset", 0) == 0, report
     assert json.dumps(report)
-    assert run("upgrade", str(tmp_path / "fleet.cue"))[0] == 2
+    assert run_command("upgrade", str(tmp_path / "fleet.cue"))[0] == 2
 
 
 def test_roll_of_real_processes_is_killed_resumed_and_rolled_back(tmp_path, builds):
--- a/tests/test_rolling_upgrade_model.py
+++ b/tests/test_rolling_upgrade_model.py
@@ -58,7 +58,7 @@
     def _feed(self, now: int, event: rolling_upgrade.Event) -> None:
         self.pending += tuple(self.upgrade.handle(now, event))
 
-    def wrong(self) -> str | None:
+    def broken_invariant(self) -> str | None:
         state = self.upgrade.state
         unreachable = {rank for rank, gateway in enumerate(self.gateways) if gateway.unreachable}
         risk = {rank for rank, gateway in enumerate(self.gateways) if gateway.successor and gateway.running}
@@ -71,7 +71,7 @@
             return "returned, and the new build runs"
         return None
 
-    def good(self) -> bool:
+    def is_good(self) -> bool:
         return self.upgrade.state.phase in rolling_upgrade.FINAL_PHASES
 
     def moves(self) -> Iterable[tuple[str, RollModel]]:
@@ -170,10 +170,10 @@
 
 
 def test_every_state_of_a_roll_leads_to_one_build_within_the_risk_limits():
-    result = explore(RollModel(2), most=400_000)
-    assert result.wrong == []
-    assert result.stuck == []
-    assert result.states > 2_000
+    result = explore(RollModel(2), max_states=400_000)
+    assert result.violations == []
+    assert result.stuck_paths == []
+    assert result.state_count > 2_000
 
 
 class IgnoresFailures(rolling_upgrade.RollingUpgrade):
@@ -204,4 +204,4 @@
 def test_exploration_finds_a_broken_roll(broken, monkeypatch):
     monkeypatch.setattr(RollModel, "machine", broken)
     result = explore(RollModel(1))
-    assert result.wrong or result.stuck
+    assert result.violations or result.stuck_paths
