--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -22,6 +22,7 @@
 from orchidlane.gateway.lifecycle.account_store import AccountStore
 from orchidlane.gateway.lifecycle.new_side import NewSide
 from orchidlane.gateway.lifecycle.old_side import OldSide
+from orchidlane.gateway.lifecycle.served_gateway import describe_moment
 from orchidlane.gateway.lifecycle.sockets import PEER, GatewaySockets
 from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
 from orchidlane.gateway.peers.datagrams import MAX_DATAGRAM_BYTES, DatagramKind, Inbox, encode_datagram
@@ -217,7 +218,7 @@
         folder = self.fleet.state_directory
         cache = f"{folder}/{self.entry.name}.nodes.json" if folder else ""
         self.watch = EndpointWatch(
-            self.loop, self.fleet, self.tracker, self.entry.name, cache, self._feed_list
+            self.loop, self.fleet, self.tracker, self.entry.name, cache, lambda event: self.host.feed(event)
         )
 
     def _build_forwarding(self, settings: policy.Settings, scope: Scope) -> None:
@@ -316,16 +317,7 @@
 
     def describe_state(self) -> dict[str, Any]:
         """Return the moment, incarnation and generations that a stored state belongs to."""
-        description = {
-            "now": self.loop.now(),
-            "incarnation": self.incarnation,
-            "sequence": self.sequence,
-            "generation": self.configuration.generation.number,
-            "list": [self.tracker.epoch, self.tracker.version, len(self.tracker.endpoints)],
-            "open": len(self.host.exchanges),
-            "draining": self.stopping,
-            "client_margin": int(self.fleet.timeouts.response_margin_us),
-        }
+        description = describe_moment(self)
         if self.rollout_agent is not None:
             description["version"] = self.rollout_agent.known.running_label
         return description
@@ -368,10 +360,7 @@
         if "resp" in self.sockets:
             self.resp.resume()
 
-    # -- endpoint list and peers
-
-    def _feed_list(self, event: policy.EndpointListReceived) -> None:
-        self.host.feed(event)
+    # -- peers
 
     def send_limits_datagram(self, rank: int, body: bytes) -> None:
         """Send a token request or reply, through the process that serves in this gateway's name."""
--- a/orchidlane/gateway/lifecycle/served_gateway.py
+++ b/orchidlane/gateway/lifecycle/served_gateway.py
@@ -75,3 +75,18 @@
     for (kind, _), count in metrics.responses.items():
         counts[kind] += count
     return AnswerCounts(counts["served"], counts["refused"], counts["failed"])
+
+
+def describe_moment(gateway: ServedGateway) -> dict[str, Any]:
+    """Return the moment, incarnation and generations of a gateway, under the names that are stored."""
+    tracker = gateway.tracker
+    return {
+        "now": gateway.loop.now(),
+        "incarnation": gateway.incarnation,
+        "sequence": gateway.sequence,
+        "generation": gateway.configuration.generation.number,
+        "list": [tracker.epoch, tracker.version, len(tracker.endpoints)],
+        "open": len(gateway.host.exchanges),
+        "draining": gateway.stopping,
+        "client_margin": int(gateway.fleet.timeouts.response_margin_us),
+    }
--- a/orchidlane/hot_restart/old_process.py
+++ b/orchidlane/hot_restart/old_process.py
@@ -334,7 +334,7 @@
         self.last_outcome = f"ended by force: {reason}"
         self.actions.append(KillNewProcess(self.channel))
 
-    # -- reclaim
+    # -- reclaim, exit
 
     def _reclaim(self, _now: int, event: ChannelClosed) -> None:
         if self.phase is Phase.COMMITTED:
@@ -359,8 +359,6 @@
             assert self.channel is not None
             self.actions.append(KillNewProcess(self.channel))
 
-    # -- exit
-
     def _finish(self, _now: int, _event: Drained) -> None:
         self.phase = Phase.ENDED
         self.actions.append(Exit())
