--- a/orchidlane/gateway/lifecycle/new_side.py
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -157,7 +157,7 @@
     def _send_heartbeat(self) -> None:
         gateway = self.gateway
         answers = count_answers(gateway.metrics)
-        self.channel.send(messages.Heartbeat(*answers, gateway.sequence, gateway.host.numbers))
+        self.channel.send(messages.Heartbeat(*answers, gateway.sequence, gateway.host.last_request_number))
 
     # -- messages of the old process
 
@@ -241,7 +241,7 @@
         accounts = self.received_tables.accounts
         rules = restore_policy(gateway.host.settings, final.policy_state, accounts, old_classes)
         recording.track_accounts(rules)
-        gateway.host.go_on_with(rules, final.last_request_id)
+        gateway.host.resume(rules, final.last_request_id)
         gateway.limits.load_state(final.limits)
         gateway.tracker.import_state(final.endpoints)
         gateway.inbox.load_peer_rows([tuple(row) for row in final.peers])
@@ -261,7 +261,7 @@
         granted = (
             class_index is not None
             and not self._returning
-            and self.gateway.host.take(customer, request.units, class_index)
+            and self.gateway.host.request_quota(customer, request.units, class_index)
         )
         self.channel.send(messages.UnitsReply(request.request_id, granted))
 
@@ -287,7 +287,7 @@
         gateway = self.gateway
         gateway.front.watcher = ConnectionReporter(self.channel, HTTP)
         gateway.resp.watcher = ConnectionReporter(self.channel, RESP)
-        gateway.host.spent = self._report_count
+        gateway.host.on_units_spent = self._report_count
         gateway.limits.queries.on_foreign_reply = self._pass_reply
         gateway.sockets.adopt(self.sockets)
         gateway.start_serving(self.scope)
@@ -295,7 +295,7 @@
 
     def _report_count(self, customer: int) -> None:
         """Report a count before the counted request is forwarded: the old process may have to go on."""
-        rules = self.gateway.host.rules
+        rules = self.gateway.host.gateway
         account = rules.accounts[customer]
         incarnation, value = account.replica_counts[rules.replica]
         self.channel.send(messages.CustomerCount(customer, *account.key, incarnation, value))
@@ -307,7 +307,7 @@
         gateway = self.gateway
         gateway.front.watcher = None
         gateway.resp.watcher = None
-        gateway.host.spent = None
+        gateway.host.on_units_spent = None
 
     def _end_probation(self) -> None:
         self._stop_reporting()
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -16,9 +16,10 @@
 from orchidlane.gateway.control.policy_settings import policy_settings
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import parse_host_port
-from orchidlane.gateway.forwarding.connection_pool import Upstream
-from orchidlane.gateway.forwarding.openapi_adapter import OpenApiClients, OpenApiNodes
-from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.forwarding.attempt import AttemptStarter
+from orchidlane.gateway.forwarding.openapi_clients import OpenApiClientAdapter
+from orchidlane.gateway.forwarding.openapi_endpoints import OpenApiEndpointAdapter
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.lifecycle.account_store import AccountStore
 from orchidlane.gateway.lifecycle.new_side import NewSide
 from orchidlane.gateway.lifecycle.old_side import OldSide
@@ -29,8 +30,8 @@
 from orchidlane.gateway.peers.token_requests import LimitService
 from orchidlane.gateway.rollout_agent.admin_api import RolloutAdminApi
 from orchidlane.gateway.rollout_agent.agent import RolloutAgent
-from orchidlane.gateway.server.http_server import Connection, Front
-from orchidlane.gateway.server.resp_server import RespFront, Session
+from orchidlane.gateway.server.http_server import Connection, HttpServer
+from orchidlane.gateway.server.resp_server import RespServer, Session
 from orchidlane.gateway.telemetry.admin_api import AdminApi, AdminSources
 from orchidlane.gateway.telemetry.counters import Gauge
 from orchidlane.gateway.telemetry.metrics import MetricsPage
@@ -86,8 +87,8 @@
         self.sequence = 0  # of the latest datagram
         self.peers = [parse_host_port(entry.peer) for entry in fleet.gateways]
         self.sockets = GatewaySockets(loop, fleet, self.entry)
-        self.host: Host
-        self.front: Front
+        self.host: PolicyDriver
+        self.front: HttpServer
         self.inbox: Inbox
         self.account_store: AccountStore | None = None
         self.tracker = EndpointListTracker(self.entry.zone, fleet.resource_limits.max_endpoints)
@@ -205,13 +206,12 @@
         self._build_forwarding(settings, scope)
         self.metrics.gauges = {
             "connections": Gauge("Clients' connections", lambda: len(self.front.connections)),
-            "open_requests": Gauge("Requests under way", lambda: len(self.host.exchanges)),
+            "open_requests": Gauge("Requests under way", lambda: len(self.host.requests)),
             "nodes": Gauge("Nodes on the list", lambda: len(self.tracker.endpoints)),
             "longest_turn_seconds": Gauge("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
         }
-        send = self.send_limits_datagram
-        self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, send)
-        self.resp = RespFront(
+        self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, self.send_limits_datagram)
+        self.resp = RespServer(
             self.loop, self.fleet, self.limits, lambda: self.configuration, scope, self._unready_reason
         )
         self._build_admin()
@@ -222,9 +222,9 @@
         )
 
     def _build_forwarding(self, settings: policy.Settings, scope: Scope) -> None:
-        nodes = OpenApiNodes(self.fleet, self.entry.name, self.incarnation, self.tracker)
+        nodes = OpenApiEndpointAdapter(self.fleet, self.entry.name, self.incarnation, self.tracker)
         note = self.rollout_agent.record_answer if self.rollout_agent is not None else None
-        clients = OpenApiClients(
+        clients = OpenApiClientAdapter(
             self.fleet,
             lambda: self.configuration,
             lambda: self.host,
@@ -234,12 +234,12 @@
         )
         rules = Gateway(settings, self.loop.world.random.getrandbits(64), self.loop.now())
         track_accounts(rules)
-        upstream = Upstream(self.loop, self.fleet, scope, nodes)
-        self.host = Host(
+        upstream = AttemptStarter(self.loop, self.fleet, scope, nodes)
+        self.host = PolicyDriver(
             self.loop, settings, rules, self.metrics, clients, upstream.begin, self._send_to_peer
         )
         upstream.host = self.host
-        self.front = Front(self.loop, self.fleet, self.host, clients, scope)
+        self.front = HttpServer(self.loop, self.fleet, self.host, clients, scope)
 
     def _build_admin(self) -> None:
         sources = AdminSources(
@@ -331,10 +331,10 @@
     def delegate_units(self, units: SuccessorUnits) -> None:
         """Let another process decide on units from here on; requests held here ask it."""
         self.superseded = True
-        self.host.lent = units
+        self.host.remote_quota = units
         self.limits.successor = units
-        for exchange in self.host.exchanges.values():
-            exchange.held_at_moment = not exchange.sends
+        for exchange in self.host.requests.values():
+            exchange.was_unsent_at_hand_over = not exchange.attempts
 
     def stop_accepting(
         self, pass_http: Callable[[Connection], None], pass_resp: Callable[[Session], None]
@@ -351,7 +351,7 @@
     def resume_serving(self) -> None:
         """Serve again: nobody else does."""
         self.superseded = False
-        self.host.lent = None
+        self.host.remote_quota = None
         self.limits.reclaim()
         self._receive_from_others()
         if self.rollout_agent is not None:
--- a/orchidlane/gateway/lifecycle/served_gateway.py
+++ b/orchidlane/gateway/lifecycle/served_gateway.py
@@ -8,13 +8,13 @@
 from orchidlane.gateway.control.configuration import ConfigurationSnapshot
 from orchidlane.gateway.control.endpoint_list import EndpointListTracker
 from orchidlane.gateway.control.settings import FleetSettings, GatewayEntry
-from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.lifecycle.sockets import GatewaySockets
 from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
 from orchidlane.gateway.peers.datagrams import Inbox
 from orchidlane.gateway.peers.token_requests import LimitService
-from orchidlane.gateway.server.http_server import Connection, Front
-from orchidlane.gateway.server.resp_server import RespFront, Session
+from orchidlane.gateway.server.http_server import Connection, HttpServer
+from orchidlane.gateway.server.resp_server import RespServer, Session
 from orchidlane.gateway.telemetry.metrics import MetricsPage
 from orchidlane.hot_restart.probation import AnswerCounts
 from orchidlane.runtime import Loop, Scope
@@ -30,9 +30,9 @@
     log: Any
     metrics: MetricsPage
     configuration: ConfigurationSnapshot
-    host: Host
-    front: Front
-    resp: RespFront
+    host: PolicyDriver
+    front: HttpServer
+    resp: RespServer
     limits: LimitService
     tracker: EndpointListTracker
     inbox: Inbox
@@ -86,7 +86,7 @@
         "sequence": gateway.sequence,
         "generation": gateway.configuration.generation.number,
         "list": [tracker.epoch, tracker.version, len(tracker.endpoints)],
-        "open": len(gateway.host.exchanges),
+        "open": len(gateway.host.requests),
         "draining": gateway.stopping,
         "client_margin": int(gateway.fleet.timeouts.response_margin_us),
     }
--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -7,7 +7,7 @@
 
 from orchidlane.gateway.control.customers import Customer
 from orchidlane.gateway.control.settings import FleetSettings
-from orchidlane.gateway.forwarding.policy_driver import Host
+from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.peers.query_exchange import QUERY_IDS_PER_PROCESS, QueryExchange
 from orchidlane.gateway.peers.token_messages import TokenOperation, TokenQuery, TokenReply
 from orchidlane.limits import (
@@ -47,7 +47,12 @@
     """One gateway's part in quota requests, tokens and reservations."""
 
     def __init__(
-        self, loop: Loop, fleet: FleetSettings, rank: int, host: Host, send: Callable[[int, bytes], None]
+        self,
+        loop: Loop,
+        fleet: FleetSettings,
+        rank: int,
+        host: PolicyDriver,
+        send: Callable[[int, bytes], None],
     ) -> None:
         self.loop = loop
         self.terms = fleet.quotas
@@ -100,7 +105,7 @@
     def remaining_units(self, customer: Customer) -> float:
         """Return the units that the customer has left, as far as this gateway knows; nothing is changed."""
         plan = self.host.settings.plans[customer.plan]
-        account = self.host.rules.accounts.get(customer.number)
+        account = self.host.gateway.accounts.get(customer.number)
         if account is None:
             return plan.burst
         elapsed_us = self.loop.now() - account.refilled_at_us
@@ -122,7 +127,7 @@
         if self.successor is None and self._pay_from_credit(customer, units):
             self.granted += 1
             return True
-        admitted = self.host.take(customer, units, request_class)
+        admitted = self.host.request_quota(customer, units, request_class)
         self.granted += admitted
         self.rejected += not admitted
         return admitted
@@ -184,7 +189,7 @@
     def _settle(self, name: bytes, customer: Customer, units: float, number: int, claim: TokenClaim) -> None:
         self._add_grant(name, customer, units)
         query = TokenQuery(0, TokenOperation.SETTLE, name, customer.number, number, units)
-        self._ask(claim.owners, query, enough=claim.majority)
+        self._query(claim.owners, query, enough=claim.majority)
 
     def _add_grant(
         self, name: bytes, customer: Customer, units: float, reserved_for_us: int | None = None
@@ -197,7 +202,7 @@
     def _claim(self, name: bytes, customer: Customer, number: int) -> TokenClaim:
         claim = TokenClaim(owners_of(name, self._replica_set(customer)))
         query = TokenQuery(0, TokenOperation.CLAIM, name, customer.number, number)
-        for owner, reply in self._ask(claim.owners, query).items():
+        for owner, reply in self._query(claim.owners, query).items():
             if reply is None:
                 claim.add_timeout(owner)
             else:
@@ -206,7 +211,7 @@
 
     def _withdraw(self, name: bytes, customer: Customer, number: int, claim: TokenClaim) -> None:
         query = TokenQuery(0, TokenOperation.WITHDRAW, name, customer.number, number)
-        self._ask(claim.fresh_owners, query)
+        self._query(claim.fresh_owners, query)
 
     def _replica_set(self, customer: Customer) -> list[int]:
         return [
@@ -221,10 +226,10 @@
         name = token_name(customer.number, token)
         owners = owners_of(name, self._replica_set(customer))
         query = TokenQuery(0, TokenOperation.LOOK_UP, name, customer.number)
-        replies = [reply for reply in self._ask(owners, query).values() if reply is not None]
+        replies = [reply for reply in self._query(owners, query).values() if reply is not None]
         for reply in replies:
             if reply.state == TokenState.GRANTED:
-                return self._ask_granter(reply.claimant, TokenOperation.REFUND, name, customer)
+                return self._query_granter(reply.claimant, TokenOperation.REFUND, name, customer)
         unsure = any(reply.state == TokenState.UNSURE for reply in replies)
         if unsure or len(replies) <= len(owners) // 2:
             raise PeersUnreachableError("too few gateways know of the token")
@@ -249,22 +254,22 @@
         if len(name) > MAX_RESERVATION_NAME_BYTES:
             return GrantOutcome.UNKNOWN
         operation = TokenOperation.COMMIT if commit else TokenOperation.RELEASE
-        return self._ask_granter(int(granter), operation, name, customer)
+        return self._query_granter(int(granter), operation, name, customer)
 
-    def _ask_granter(
+    def _query_granter(
         self, replica: int, operation: TokenOperation, name: bytes, customer: Customer
     ) -> GrantOutcome:
-        reply = self._ask([replica], TokenQuery(0, operation, name, customer.number))[replica]
+        reply = self._query([replica], TokenQuery(0, operation, name, customer.number))[replica]
         if reply is None:
             raise PeersUnreachableError(f"gateway {replica}, which granted the units, does not answer")
         return GrantOutcome(reply.outcome)
 
     # Queries
 
-    def _ask(
+    def _query(
         self, replicas: list[int], query: TokenQuery, enough: int | None = None
     ) -> dict[int, TokenReply | None]:
-        return self.queries.ask(replicas, query, enough, ask_self_by_peer=self.successor is not None)
+        return self.queries.query(replicas, query, enough, query_self_by_peer=self.successor is not None)
 
     def _answer(self, sender: int, query: TokenQuery) -> TokenReply:
         now = self.loop.now()
--- a/orchidlane/gateway/rollout_agent/agent.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -8,7 +8,8 @@
 from __future__ import annotations
 
 from orchidlane.gateway.control.configuration import ConfigurationSnapshot
-from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.gateway.rollout_agent.admin_client import AdminClient
 from orchidlane.gateway.rollout_agent.admin_messages import CommandOutcome
 from orchidlane.gateway.rollout_agent.admission import Admission
@@ -165,7 +166,7 @@
         """Return why requests are rejected; "" where they are served."""
         return self.dissemination.rejection_reason(self.loop.now())
 
-    def record_answer(self, exchange: Exchange, answer: Answer, duration_us: int) -> None:
+    def record_answer(self, exchange: PendingRequest, answer: ClientResponse, duration_us: int) -> None:
         """Count a final answer for the canary analysis."""
         self.answer_tally.record(exchange, answer, duration_us, self.loop.now())
 
--- a/orchidlane/gateway/server/response_writer.py
+++ b/orchidlane/gateway/server/response_writer.py
@@ -5,7 +5,8 @@
 from typing import Protocol
 
 from orchidlane import http1
-from orchidlane.gateway.forwarding.pending_request import Answer, Exchange
+from orchidlane.gateway.forwarding.client_response import ClientResponse
+from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.gateway.forwarding.protocol_adapter import Timeouts
 from orchidlane.gateway.server.client_connection import Connection, Watcher, send_all
 from orchidlane.http1 import Request
@@ -30,7 +31,7 @@
     def __init__(self, server: WriterState) -> None:
         self._server = server
 
-    def write(self, connection: Connection, head: Request, answer: Answer, keep: bool) -> bool:
+    def write(self, connection: Connection, head: Request, answer: ClientResponse, keep: bool) -> bool:
         """Write an answer; return whether the connection can go on. Raises Closed, Expired."""
         if answer.stream is not None:
             return self._write_stream(connection, head, answer, keep)
@@ -39,23 +40,25 @@
         send_all(connection.stream, data + answer.body if has_body else data, self._deadline())
         return True
 
-    def write_last(self, connection: Connection, answer: Answer) -> None:
+    def write_last(self, connection: Connection, answer: ClientResponse) -> None:
         """Write an answer after which nothing of the connection can be understood."""
         if self._server.watcher is not None:
             self._server.watcher.answering(connection.number)
         data = _response_head(answer, keep=False, length=len(answer.body)) + answer.body
         connection.stream.send(data, self._deadline())
 
-    def write_hints(self, connection: Connection, exchange: Exchange) -> None:
+    def write_hints(self, connection: Connection, exchange: PendingRequest) -> None:
         """Write the interim responses of an endpoint; HTTP/1.0 has none (RFC 9110 section 15.2)."""
-        hints, exchange.hints = exchange.hints, []
+        hints, exchange.interim_responses = exchange.interim_responses, []
         if not exchange.head.minor:
             return
         for hint in hints:
             data = http1.response_head(hint.status, http1.end_to_end(hint.headers))
             connection.stream.send(data, self._deadline())
 
-    def _write_stream(self, connection: Connection, head: Request, answer: Answer, keep: bool) -> bool:
+    def _write_stream(
+        self, connection: Connection, head: Request, answer: ClientResponse, keep: bool
+    ) -> bool:
         """Forward a large answer piece by piece; reset where its endpoint failed, so that the cut shows."""
         pieces = answer.stream
         assert pieces is not None
@@ -74,7 +77,7 @@
             ) is not None:
                 data = http1.chunk(piece) if is_chunked else piece
                 connection.stream.send(data, self._deadline())
-            is_complete = not pieces.broken
+            is_complete = not pieces.is_broken
         finally:
             if not is_complete:
                 pieces.end(broken=True)
@@ -89,7 +92,7 @@
         return self._server.loop.now() + self._server.times.client_write_us
 
 
-def _response_head(answer: Answer, keep: bool, length: int | None) -> bytes:
+def _response_head(answer: ClientResponse, keep: bool, length: int | None) -> bytes:
     headers = answer.headers
     if length is not None:
         headers = [*headers, (b"content-length", b"%d" % length)]
--- a/orchidlane/gateway/telemetry/state_stream.py
+++ b/orchidlane/gateway/telemetry/state_stream.py
@@ -25,7 +25,7 @@
         context: dict[str, Any],
     ) -> None:
         self._loop = host.loop
-        self._snapshot = recording.Snapshot(host.rules)
+        self._snapshot = recording.Snapshot(host.gateway)
         self._pages = self._snapshot.pages()
         self._done = False
         header = recording.Header(
--- a/orchidlane/gateway/telemetry/traffic_recorder.py
+++ b/orchidlane/gateway/telemetry/traffic_recorder.py
@@ -106,7 +106,7 @@
             self.host, self.gateway_name, self.started_at_us, self.number, self.names, self.describe_moment()
         )
         data = self._state.header
-        if not self.host.rules.accounts:
+        if not self.host.gateway.accounts:
             data += b"".join(self._state)  # complete from the start, however soon a crash comes
         self._segment_bytes = 0
         self._write(data)
--- a/tests/harness/hot_restart_harness.py
+++ b/tests/harness/hot_restart_harness.py
@@ -190,5 +190,5 @@
 
 def counted_units(program: GatewayProcess) -> float:
     """Return the units that a gateway has counted for the one customer."""
-    account = program.host.rules.accounts[1]
+    account = program.host.gateway.accounts[1]
     return account.replica_counts[0][1]
--- a/tests/processes/test_platform_processes.py
+++ b/tests/processes/test_platform_processes.py
@@ -17,13 +17,13 @@
 from pathlib import Path
 
 import pytest
-from harness.platform_house import OK, call, file, settings
+from harness.platform_harness import OK, call, file, settings
 from harness.platform_processes import (
     UP,
     WAIT,
-    Agent,
-    Platform,
-    Serving,
+    DiscoveryAgent,
+    PlatformProcess,
+    ServingEndpoints,
     free_port,
     listener,
     request_at,
@@ -46,7 +46,7 @@
         stream.sendall(LAST)
 
 
-def hosts_with_requests(gateway: Platform) -> list[socket.socket]:
+def hosts_with_requests(gateway: PlatformProcess) -> list[socket.socket]:
     """Wait for a connection at any of the hosts."""
     ready, _, _ = select.select(gateway.hosts, [], [], WAIT)
     assert ready, "no request came"
@@ -67,8 +67,8 @@
 # -- SIGTERM
 
 
-def test_sigterm_finds_a_request_at_each_stage_and_each_is_answered_once(tmp_path):
-    with Platform(tmp_path, hosts=8) as gateway, ExitStack() as streams:
+def test_sigterm_with_a_request_at_each_stage_answers_each_exactly_once(tmp_path):
+    with PlatformProcess(tmp_path, hosts=8) as gateway, ExitStack() as streams:
         names = ("at rest", "half a head", "half a body", "sent", "half answered", "after")
         client = {name: streams.enter_context(gateway.connect()) for name in names}
         raw = call("put", body=b"x" * 50, left="1.900")
@@ -101,8 +101,8 @@
         assert not got_by(*gateway.hosts)
 
 
-def test_sigterm_finds_a_request_that_waits_for_a_host_and_it_is_served_once_there_is_one(tmp_path):
-    with Platform(tmp_path, hosts=1) as gateway, gateway.connect() as client:
+def test_sigterm_with_a_request_that_waits_for_an_endpoint_serves_it_once_there_is_one(tmp_path):
+    with PlatformProcess(tmp_path, hosts=1) as gateway, gateway.connect() as client:
         gateway.agent.tell(gateway.instance(0, "leaving"))
         until(lambda: gateway.says(call(left="0.100", client="0000000000000009")).startswith(b"HTTP/1.1 503"))
         got_by(*gateway.hosts)
@@ -113,7 +113,8 @@
         gateway.agent.tell(gateway.instance(0))
         answer_at(gateway.hosts[0])
         answer = to_the_end(client)
-        assert answer.startswith(b"HTTP/1.1 200") and answer.count(b"HTTP/1.1") == 1
+        assert answer.startswith(b"HTTP/1.1 200")
+        assert answer.count(b"HTTP/1.1") == 1
         gateway.ended()
         assert not got_by(*gateway.hosts)
 
@@ -134,14 +135,14 @@
 ESTABLISHED, SYN_SENT = 1, 2
 
 
-def unread_at(gateway: Platform, client: socket.socket) -> int:
+def unread_at(gateway: PlatformProcess, client: socket.socket) -> int:
     """What the gateway has not read of a client's bytes."""
     return sum(sockets_in(ESTABLISHED, gateway.port, client.getsockname()[1]))
 
 
-def test_a_connection_that_comes_up_late_carries_a_request_once_and_in_its_time_or_not_at_all(tmp_path):
+def test_a_late_connection_carries_a_request_once_within_its_deadline_or_not_at_all(tmp_path):
     """The host's queue is full, so that its machine answers no SYN until the test takes those who wait."""
-    with Platform(tmp_path, hosts=1) as gateway, ExitStack() as streams:
+    with PlatformProcess(tmp_path, hosts=1) as gateway, ExitStack() as streams:
         host, port = gateway.hosts[0], gateway.hosts[0].getsockname()[1]
         host.listen(0)
         for _ in range(2):  # one more than the backlog
@@ -169,12 +170,12 @@
         assert not got_by(host)
 
 
-def test_what_comes_on_open_connections_until_the_end_is_answered_or_finds_an_end(tmp_path):
+def test_requests_on_open_connections_during_the_shutdown_are_answered_or_closed(tmp_path):
     """Clients go on to send on every connection that stays open: no reset, no silence, nothing sent on
     unanswered.
     """
-    with Platform(tmp_path, hosts=3) as gateway, ExitStack() as streams:
-        served = Serving(gateway.hosts).got
+    with PlatformProcess(tmp_path, hosts=3) as gateway, ExitStack() as streams:
+        served = ServingEndpoints(gateway.hosts).got
         clients = [streams.enter_context(gateway.connect()) for _ in range(8)]
         gateway.signal(signal.SIGTERM)
         gateway.signal(signal.SIGTERM)  # twice changes nothing
@@ -191,13 +192,14 @@
                     ends += 1
                     clients.remove(stream)
         gateway.ended()
-        assert ends == 8 and answers >= len(served) > 0
+        assert ends == 8
+        assert answers >= len(served) > 0
 
 
-def test_sigterm_while_its_address_is_still_held_ends_it_at_once(tmp_path):
+def test_sigterm_while_the_address_is_still_held_ends_the_process_at_once(tmp_path):
     with listener() as holder:
         port = holder.getsockname()[1]
-        with Platform(tmp_path, wait_up=False, listen=f"127.0.0.1:{port}") as gateway:
+        with PlatformProcess(tmp_path, wait_up=False, listen=f"127.0.0.1:{port}") as gateway:
             until(lambda: gateway.agent.calls)  # it has begun
             gateway.signal(signal.SIGTERM)
             gateway.ended()
@@ -206,17 +208,17 @@
 # -- SIGHUP while it starts
 
 
-def other_discovery(gateway: Platform, streams: ExitStack) -> Agent:
+def other_discovery(gateway: PlatformProcess, streams: ExitStack) -> DiscoveryAgent:
     """An agent that lists one host alone, the last of the gateway's."""
-    agent = Agent(gateway.instance(len(gateway.hosts) - 1))
+    agent = DiscoveryAgent(gateway.instance(len(gateway.hosts) - 1))
     agent.generation = 2
     streams.callback(agent.close)
     return agent
 
 
-def follows(gateway: Platform, agent: Agent) -> None:
+def follows(gateway: PlatformProcess, agent: DiscoveryAgent) -> None:
     """The gateway goes by what that agent says, and ends in order."""
-    served = Serving(gateway.hosts).got
+    served = ServingEndpoints(gateway.hosts).got
     until(lambda: agent.told and gateway.says(UP).startswith(b"HTTP/1.1 200"))
     for customer in range(8):
         assert gateway.says(call(client=f"{customer:016x}")).startswith(b"HTTP/1.1 200")
@@ -238,10 +240,10 @@
     return io.FileIO(found[0], "w")
 
 
-def test_a_reload_between_reading_the_configuration_and_listening_to_signals_counts(tmp_path):
+def test_a_reload_between_reading_the_configuration_and_handling_signals_is_applied(tmp_path):
     """The file is a pipe that the test holds open: it is being read when the signal comes."""
     with ExitStack() as streams:
-        gateway = Platform(tmp_path, hosts=2, wait_up=False)
+        gateway = PlatformProcess(tmp_path, hosts=2, wait_up=False)
         agent = other_discovery(gateway, streams)
         gateway.path.unlink()
         os.mkfifo(gateway.path)
@@ -254,13 +256,13 @@
         follows(gateway, agent)
 
 
-def test_a_reload_while_an_address_is_still_held_counts(tmp_path):
+def test_a_reload_while_an_address_is_still_held_is_applied(tmp_path):
     """The process before it holds the datagrams' address; it follows nobody yet."""
     with ExitStack() as streams:
         holder = streams.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
         holder.bind(("127.0.0.1", 0))
         here = show(holder.getsockname())
-        gateway = Platform(tmp_path, hosts=2, wait_up=False, peer_listen=here, peers=[here])
+        gateway = PlatformProcess(tmp_path, hosts=2, wait_up=False, peer_listen=here, peers=[here])
         agent = other_discovery(gateway, streams)
         streams.enter_context(gateway)
         until(lambda: hears_signals(gateway))
@@ -275,21 +277,21 @@
         gateway.ended()
 
 
-def hears_signals(gateway: Platform) -> bool:
+def hears_signals(gateway: PlatformProcess) -> bool:
     """Whether the process has a handler of its own for SIGHUP (proc(5), SigCgt)."""
     rows = Path(f"/proc/{gateway.process.pid}/status").read_text().splitlines()
     caught = next(int(row.split()[1], 16) for row in rows if row.startswith("SigCgt"))
     return bool(caught >> (signal.SIGHUP - 1) & 1)
 
 
-def test_a_signal_to_reload_while_the_interpreter_starts_does_not_end_it(tmp_path):
+def test_sighup_while_the_interpreter_starts_does_not_end_the_process(tmp_path):
     """By the command of the deploy file, held where nothing of ours has run yet."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert ".venv/bin/python" in run
     go_on = tmp_path / "go_on"
     os.mkfifo(go_on)
     (tmp_path / "sitecustomize.py").write_text(f"open({str(go_on)!r}).read()\n")
-    prepared = Platform(tmp_path, hosts=2, wait_up=False)
+    prepared = PlatformProcess(tmp_path, hosts=2, wait_up=False)
     prepared.command = ["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)]
     prepared.environment = {"PYTHONPATH": f"{tmp_path}:{ROOT}"}
     with prepared as gateway:
@@ -303,8 +305,8 @@
 # -- pauses
 
 
-def test_a_gateway_that_stood_still_sends_nothing_on_for_clients_that_left_meanwhile(tmp_path):
-    with Platform(tmp_path, hosts=2) as gateway:
+def test_a_paused_gateway_forwards_no_requests_of_clients_that_left_meanwhile(tmp_path):
+    with PlatformProcess(tmp_path, hosts=2) as gateway:
         clients = [gateway.connect() for _ in range(6)]
         gateway.signal(signal.SIGSTOP)
         for number, stream in enumerate(clients):
@@ -319,8 +321,8 @@
         assert not got_by(*gateway.hosts)
 
 
-def test_a_gateway_that_stood_still_hears_of_drains_before_it_sends(tmp_path):
-    with Platform(tmp_path, hosts=2) as gateway, gateway.connect() as client:
+def test_a_paused_gateway_learns_of_drains_before_it_sends_attempts(tmp_path):
+    with PlatformProcess(tmp_path, hosts=2) as gateway, gateway.connect() as client:
         gateway.signal(signal.SIGSTOP)
         client.sendall(call(left="2.000"))
         gateway.agent.tell(gateway.instance(0, "leaving"), gateway.instance(1))
@@ -339,7 +341,7 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 256])
-def test_idle_clients_hold_all_that_they_may_and_all_else_still_gets_its_descriptors(tmp_path, sockets):
+def test_idle_clients_at_their_limit_leave_descriptors_for_everything_else(tmp_path, sockets):
     """While discovery is down, too: its calls, hosts' connections, a reload and further clients have room,
     and datagrams go both ways.
     """
@@ -350,7 +352,7 @@
         peer.settimeout(WAIT)
         here = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
         gateway = streams.enter_context(
-            Platform(
+            PlatformProcess(
                 tmp_path,
                 hosts=2,
                 sockets=sockets,
@@ -359,7 +361,7 @@
                 settings=settings(balancers=2, permissions={**settings()["permissions"], "peers": True}),
             )
         )
-        served = Serving(gateway.hosts).got
+        served = ServingEndpoints(gateway.hosts).got
 
         def ask() -> None:
             """Of a customer of its own: none goes beyond its quota, each is one that peers are told of."""
@@ -397,7 +399,8 @@
         gateway.signal(signal.SIGHUP)
         gateway.signal(signal.SIGTERM)
         log = gateway.ended()
-        assert "reloaded" in log and "Too many open files" not in log
+        assert "reloaded" in log
+        assert "Too many open files" not in log
 
 
 # -- configurations
@@ -415,7 +418,7 @@
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
-def test_a_configuration_that_cannot_be_used_ends_the_start_with_one_line(tmp_path, changes, names):
+def test_an_invalid_configuration_ends_the_start_with_one_line(tmp_path, changes, names):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(file(**changes)))
     done = subprocess.run(
@@ -425,5 +428,6 @@
         text=True,
         timeout=WAIT,
     )
-    assert done.returncode == 2 and not done.stdout
+    assert done.returncode == 2
+    assert not done.stdout
     assert done.stderr.count("\n") == 1 and str(path) in done.stderr and names in done.stderr, done.stderr
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from harness.golden_files import check_golden
-from harness.platform_house import file as platform_file
+from harness.platform_harness import file as platform_file
 
 from orchidlane import config
 from orchidlane.gateway.control import settings_loader
@@ -53,8 +53,8 @@
 def is_accepted(value: dict) -> bool:
     """Whether the platform's configuration file may be so."""
     try:
-        platform_config.parse(json.dumps(value).encode(), "config.json")
-    except platform_config.ConfigError:
+        platform_config.parse_configuration(json.dumps(value).encode(), "config.json")
+    except platform_config.ConfigurationError:
         return False
     return True
 
--- a/tests/test_recording_audit.py
+++ b/tests/test_recording_audit.py
@@ -69,12 +69,12 @@
 
 
 def test_the_audit_of_records_reports_an_arrival_that_no_policy_decided_on(tmp_path, monkeypatch):
-    from orchidlane.gateway.forwarding.connection_pool import AttemptRun
+    from orchidlane.gateway.forwarding.attempt import Attempt
 
-    head = AttemptRun._head
+    head = Attempt._request_head
     monkeypatch.setattr(
-        AttemptRun,
-        "_head",
+        Attempt,
+        "_request_head",
         lambda self: head(self).replace(b"-0\r\norchidlane-customer", b"-7\r\norchidlane-customer"),
     )
     output = recorded_day(tmp_path, span=2)
