--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -163,7 +163,7 @@
 
 
 def _number(simulation: SimulatedRolloutFleet) -> int:
-    versions = simulation.programs[0].versions
+    versions = simulation.programs[0].rollout_agent
     return versions.agent_state.running_number if versions is not None else -1
 
 
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -23,6 +23,7 @@
 from orchidlane.gateway.lifecycle.account_store import AccountStore
 from orchidlane.gateway.lifecycle.new_side import NewSide
 from orchidlane.gateway.lifecycle.old_side import OldSide
+from orchidlane.gateway.lifecycle.served_gateway import describe_moment
 from orchidlane.gateway.lifecycle.sockets import PEER, GatewaySockets
 from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
 from orchidlane.gateway.peers.datagrams import MAX_DATAGRAM_BYTES, DatagramKind, Inbox, encode_datagram
@@ -60,7 +61,7 @@
         fleet: FleetSettings,
         rank: int,
         secret: bytes,
-        knowledge: ConfigurationSnapshot | None = None,
+        configuration: ConfigurationSnapshot | None = None,
         record_to: str | None = None,
         take_over: bool = False,
     ) -> None:
@@ -72,10 +73,10 @@
         self.record_to = record_to
         self.takes_over = take_over
         self.log = structlog.get_logger().bind(gateway=self.entry.name)
-        self.configuration_given = knowledge is not None
+        self.configuration_given = configuration is not None
         self.sources: tuple[bytes, bytes] | None = None  # contents of the description and customers files
-        self.versions = RolloutAgent(self) if fleet.rollout.voting_members else None
-        self.knowledge = knowledge or self._initial_configuration(1)
+        self.rollout_agent = RolloutAgent(self) if fleet.rollout.voting_members else None
+        self.configuration = configuration or self._initial_configuration(1)
         self.metrics = MetricsPage()
         self.stopping = False
         self.ready = False
@@ -154,41 +155,41 @@
 
     def _initial_configuration(self, number: int) -> ConfigurationSnapshot:
         """Return what an earlier incarnation ran with, or what the files say. Raises as the reading does."""
-        restored = self.versions.restore(number) if self.versions is not None else None
+        restored = self.rollout_agent.restore(number) if self.rollout_agent is not None else None
         return restored or self._read_configuration(number)
 
     def _read_configuration(self, number: int) -> ConfigurationSnapshot:
         """Read description and customers. Raises DescriptionError, CustomersError, OSError."""
         sources = read_source_files(self.loop.world, self.fleet)
-        knowledge = build_snapshot(*sources, self.fleet, number, self.log)
+        snapshot = build_snapshot(*sources, self.fleet, number, self.log)
         self.sources = sources
-        return knowledge
+        return snapshot
 
     def load_configuration(self, number: int) -> None:
         """Read the configuration in a thread of its own. Raises as ``_read_configuration``."""
         if not self.configuration_given:
-            self.knowledge = self.loop.world.aside(lambda: self._initial_configuration(number))
+            self.configuration = self.loop.world.aside(lambda: self._initial_configuration(number))
 
     def reload(self) -> None:
         """Read description and customers anew while serving; what is invalid changes nothing."""
-        number = self.knowledge.generation.number + 1
-        if self.versions is not None and self.versions.state is not None:
+        number = self.configuration.generation.number + 1
+        if self.rollout_agent is not None and self.rollout_agent.state is not None:
             self._refuse_reload("the fleet goes by its ledger: propose the change")
             return
         try:
-            fresh = self.loop.world.aside(lambda: self._read_configuration(number))
-            self._check_classes(fresh)
+            snapshot = self.loop.world.aside(lambda: self._read_configuration(number))
+            self._check_classes(snapshot)
         except Exception as error:
             self._refuse_reload(str(error))
             return
-        self.knowledge = fresh
-        self.log.info("reloaded", generation=fresh.generation.number)
+        self.configuration = snapshot
+        self.log.info("reloaded", generation=snapshot.generation.number)
 
     def _refuse_reload(self, reason: str) -> None:
         self.log.error("reload refused", why=reason)
 
-    def _check_classes(self, fresh: ConfigurationSnapshot) -> None:
-        if fresh.generation.classes != self.knowledge.generation.classes:
+    def _check_classes(self, snapshot: ConfigurationSnapshot) -> None:
+        if snapshot.generation.classes != self.configuration.generation.classes:
             problem = DescriptionProblem("x-orchidlane", "other classes need a restart of the gateway")
             raise DescriptionError(self.fleet.description, [problem])
 
@@ -197,9 +198,9 @@
     def build_parts(self, scope: Scope) -> None:
         """Make all parts; none of them does anything yet."""
         self.scope = scope
-        settings = policy_settings(self.fleet, self.rank, self.knowledge.generation)
+        settings = policy_settings(self.fleet, self.rank, self.configuration.generation)
         intakes = [self.fleet.peers.messages_per_second, self.fleet.quotas.messages_per_second]
-        if self.versions is not None:
+        if self.rollout_agent is not None:
             intakes.append(self.fleet.rollout.messages_per_second)
         self.inbox = Inbox(self.secret, self.rank, len(self.peers), self.loop.now(), *intakes)
         self._build_forwarding(settings, scope)
@@ -209,24 +210,23 @@
             "nodes": Gauge("Nodes on the list", lambda: len(self.tracker.endpoints)),
             "longest_turn_seconds": Gauge("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
         }
-        send = self.send_limits_datagram
-        self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, send)
+        self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, self.send_limits_datagram)
         self.resp = RespServer(
-            self.loop, self.fleet, self.limits, lambda: self.knowledge, scope, self._unready_reason
+            self.loop, self.fleet, self.limits, lambda: self.configuration, scope, self._unready_reason
         )
         self._build_admin()
         folder = self.fleet.state_directory
         cache = f"{folder}/{self.entry.name}.nodes.json" if folder else ""
         self.watch = EndpointWatch(
-            self.loop, self.fleet, self.tracker, self.entry.name, cache, self._feed_list
+            self.loop, self.fleet, self.tracker, self.entry.name, cache, lambda event: self.host.feed(event)
         )
 
     def _build_forwarding(self, settings: policy.Settings, scope: Scope) -> None:
         nodes = OpenApiEndpointAdapter(self.fleet, self.entry.name, self.incarnation, self.tracker)
-        note = self.versions.record_answer if self.versions is not None else None
+        note = self.rollout_agent.record_answer if self.rollout_agent is not None else None
         clients = OpenApiClientAdapter(
             self.fleet,
-            lambda: self.knowledge,
+            lambda: self.configuration,
             lambda: self.host,
             self.metrics,
             self._unready_reason,
@@ -251,17 +251,17 @@
             is_healthy=lambda: self.ready and not self.stopping and not self._unready_reason(),
             names=self.state_names,
         )
-        rollout = RolloutAdminApi(self.versions) if self.versions is not None else None
+        rollout = RolloutAdminApi(self.rollout_agent) if self.rollout_agent is not None else None
         self.admin = AdminApi(self.loop, sources, rollout)
 
     def _find_customer(self, word: bytes) -> Customer | None:
         """Return the customer of a name, a number or a key."""
-        customers = self.knowledge.customers
+        customers = self.configuration.customers
         return customers.by_name_or_key(word) or customers.by_number(word)
 
     def _unready_reason(self) -> str:
         """Return why requests must not be served yet; empty if they may."""
-        return self.versions.rejection_reason() if self.versions is not None else ""
+        return self.rollout_agent.rejection_reason() if self.rollout_agent is not None else ""
 
     # -- serving
 
@@ -275,8 +275,8 @@
         self.host.start()
         if self.record_to:
             self._start_recorder(scope, self.record_to)
-        if self.versions is not None:
-            self.versions.start(scope)
+        if self.rollout_agent is not None:
+            self.rollout_agent.start(scope)
         scope.spawn(self.watch.run, kind=CONTROL, name="node list")
         scope.spawn(self.watch.run_cache_writer, kind=BACKGROUND, name="node list's cache")
         self._receive_from_others()
@@ -284,7 +284,7 @@
         if "resp" in self.sockets:
             self.resp.listen(self.sockets["resp"])
         self.ready = True
-        if self.versions is None:
+        if self.rollout_agent is None:
             self.when_ready()
         self.log.info("started", listen=self.entry.listen, rank=self.rank, pid=os.getpid())
 
@@ -313,22 +313,13 @@
 
     def state_names(self) -> PolicyNames:
         """Return the names that a state's numbers stand for: classes, plans."""
-        return PolicyNames(self.knowledge.generation.class_names, tuple(self.fleet.plans))
+        return PolicyNames(self.configuration.generation.class_names, tuple(self.fleet.plans))
 
     def describe_state(self) -> dict[str, Any]:
         """Return the moment, incarnation and generations that a stored state belongs to."""
-        description = {
-            "now": self.loop.now(),
-            "incarnation": self.incarnation,
-            "sequence": self.sequence,
-            "generation": self.knowledge.generation.number,
-            "list": [self.tracker.epoch, self.tracker.version, len(self.tracker.endpoints)],
-            "open": len(self.host.requests),
-            "draining": self.stopping,
-            "client_margin": int(self.fleet.timeouts.response_margin_us),
-        }
-        if self.versions is not None:
-            description["version"] = self.versions.agent_state.running_label
+        description = describe_moment(self)
+        if self.rollout_agent is not None:
+            description["version"] = self.rollout_agent.agent_state.running_label
         return description
 
     # -- hot restart
@@ -350,8 +341,8 @@
     ) -> None:
         """Accept nothing more on any socket; clients are passed on between two requests."""
         self.loop.cancel(self._receiving)
-        if self.versions is not None:
-            self.versions.stop()
+        if self.rollout_agent is not None:
+            self.rollout_agent.stop()
         self.admin.stop_accepting()
         self.front.hold(pass_http)
         if "resp" in self.sockets:
@@ -363,16 +354,13 @@
         self.host.remote_quota = None
         self.limits.reclaim()
         self._receive_from_others()
-        if self.versions is not None:
-            self.versions.start(self.scope)
+        if self.rollout_agent is not None:
+            self.rollout_agent.start(self.scope)
         self.front.resume()
         if "resp" in self.sockets:
             self.resp.resume()
 
-    # -- endpoint list and peers
-
-    def _feed_list(self, event: policy.EndpointListReceived) -> None:
-        self.host.feed(event)
+    # -- peers
 
     def send_limits_datagram(self, rank: int, body: bytes) -> None:
         """Send a token request or reply, through the process that serves in this gateway's name."""
@@ -406,7 +394,7 @@
             kind, sender, body = taken
             if kind == DatagramKind.POLICY:
                 self.host.feed(policy.PeerMessageReceived(sender, body))
-            elif kind == DatagramKind.ROLLOUT and self.versions is not None:
-                self.versions.receive(sender, body)
+            elif kind == DatagramKind.ROLLOUT and self.rollout_agent is not None:
+                self.rollout_agent.receive(sender, body)
             else:
                 self.limits.receive(sender, body)
--- a/orchidlane/gateway/rollout_agent/adoption.py
+++ b/orchidlane/gateway/rollout_agent/adoption.py
@@ -102,12 +102,12 @@
                 log.error("version not adopted", version=version.label(), reason=str(error))
             self.error = str(error)
             return
-        reset = self._customers_to_reset(self.process.knowledge, snapshot)
+        reset = self._customers_to_reset(self.process.configuration, snapshot)
         state = self.agent_state.replicated
         if state is None or state.target_certificate(self.process.rank) != target:
             return  # the target changed meanwhile
         self._reset_quotas(reset.served, snapshot)  # before these customers are served again
-        self.process.knowledge = snapshot
+        self.process.configuration = snapshot
         self._reset_quotas(reset.suspended, snapshot)  # once they are served no more
         self.agent_state.running = target
         self.error = ""
@@ -120,9 +120,9 @@
         if error:
             raise ContentError(f"no certificate: {error}")
         self.fetcher.ensure_contents(target.version.contents)
-        generation = self.process.knowledge.generation.number + 1
+        generation = self.process.configuration.generation.number + 1
         snapshot = self.reader.read_version(target.version, generation)
-        if snapshot.generation.classes != self.process.knowledge.generation.classes:
+        if snapshot.generation.classes != self.process.configuration.generation.classes:
             raise ContentError("other classes need a restart of the gateway")
         return snapshot
 
