--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -319,7 +319,7 @@
         """Return the moment, incarnation and generations that a stored state belongs to."""
         description = describe_moment(self)
         if self.rollout_agent is not None:
-            description["version"] = self.rollout_agent.known.running_label
+            description["version"] = self.rollout_agent.agent_state.running_label
         return description
 
     # -- hot restart
