--- a/tests/processes/test_rollout_processes.py
+++ b/tests/processes/test_rollout_processes.py
@@ -234,7 +234,7 @@
 
     observed: dict = {}
     # A dead gateway holds the rollout in its phase for a lease, which has to outlast some status queries.
-    verdict, fleet = run_nine(tmp_path, script, lease="6s")
+    verdict, fleet = run_nine(tmp_path, script, lease="20s")
     assert_rules_hold(verdict)
     assert observed["end"][0][0] == 0, observed
     assert fleet.served_versions(observed["all"]).keys() <= {1}
