--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -88,12 +88,16 @@
     def _pass(self, connection: Connection) -> None:
         assert self.pass_on is not None
         assert connection.task is not None
+        self._remove(connection)
+        self.pass_on(connection)
+        self.loop.cancel(connection.task)
+
+    def _remove(self, connection: Connection) -> None:
+        """Take a connection out of all tables: nothing more is read or answered here."""
         connection.over = True
         self.newcomers.pop(connection, None)
         self.idle.pop(connection, None)
         self.connections.pop(connection, None)
-        self.pass_on(connection)
-        self.loop.cancel(connection.task)
 
     def adopt(self, stream: Stream, unread: bytes, since: int, last: int, number: int) -> None:
         """Serve a client that another process passed on between two requests."""
@@ -156,10 +160,7 @@
         """End a connection, from its own task or, where it has none of its own under way, from another."""
         if connection.over:
             return
-        connection.over = True
-        self.newcomers.pop(connection, None)
-        self.idle.pop(connection, None)
-        self.connections.pop(connection, None)
+        self._remove(connection)
         self.lingering.close(connection.stream)
         if self.watcher is not None:
             self.watcher.ended(connection.number)
@@ -239,6 +240,6 @@
         return self._handler.handle(connection)
 
     def answer_alone(self, stream: Stream, answer: ClientResponse) -> None:
-        """ClientResponse a client whose request another process took and can't answer any more, and end."""
+        """Answer a client whose request another process took and can't answer any more, and end."""
         self._handler.respond_alone(Connection(stream, self.limits, self.loop.now(), -1), answer)
         self.lingering.close(stream)
