--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -149,7 +149,10 @@
         spans.append((simulation.loop.now() - began) // 1_000)
 
     def run() -> None:
-        simulation.world.files["openapi"], simulation.world.files["customers"] = describe_edit(0), customers
+        simulation.backend.files["openapi"], simulation.backend.files["customers"] = (
+            describe_edit(0),
+            customers,
+        )
         for rank in range(gateways):
             simulation.start(rank)
         simulation.wait_until(simulation.has_converged, 120 * SECOND, "not founded")
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -97,10 +97,10 @@
 def list_server(port: int, node_port: int) -> None:
     """A node list with one node that is ready."""
     from orchidlane.gateway.control.endpoint_list import EndpointRecord
-    from orchidlane.runtime import Loop, RealWorld
+    from orchidlane.runtime import EventLoop, RealBackend
     from orchidlane.simulation.fake_servers import NodeList
 
-    loop = Loop(RealWorld())
+    loop = EventLoop(RealBackend())
 
     def serve() -> None:
         nodes = NodeList(loop, ("127.0.0.1", port), (0, 0), lambda _: None)
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -28,7 +28,7 @@
 from orchidlane.config import Duration
 from orchidlane.gateway.control.settings_loader import parse_host_port, parse_settings
 from orchidlane.resp import encode
-from orchidlane.runtime import Loop, RealWorld
+from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.simulation.audit import Verdict
 from orchidlane.simulation.backends import RealBacking, play_while
 from orchidlane.simulation.mutants import BROKEN_BUILDS, make_build
@@ -63,7 +63,7 @@
         self.plan.text = re.sub(r"ceiling: \{[^}]*\}", "", self.plan.text)
         self.plan.fleet = parse_settings(self.plan.text, "day")
         self.backing.prepare(self.plan)
-        self.runner = Runner(Loop(RealWorld(seed)), self.plan, self.backing)
+        self.runner = Runner(EventLoop(RealBackend(seed)), self.plan, self.backing)
         self.settings = str(self.folder / "gw-0.cue")
         self.upgrades: list[tuple[int, int, str, bool]] = []  # from, to, build, whether it stayed
 
--- a/orchidlane/cli/change.py
+++ b/orchidlane/cli/change.py
@@ -23,7 +23,7 @@
 from orchidlane.rollout.rollback import revert_customers_edit, revert_description_edit
 from orchidlane.rollout.shard_migration import migration_files
 from orchidlane.rollout.version import ContentHashes, Version
-from orchidlane.runtime import RealWorld
+from orchidlane.runtime import RealBackend
 
 RETRY_TIMEOUT_S = 15.0  # of a command while nobody leads
 POLL_INTERVAL_S = 0.1
@@ -58,7 +58,7 @@
 
 
 def _new_id() -> str:
-    return f"{RealWorld().random.getrandbits(ID_BITS):032x}"
+    return f"{RealBackend().random.getrandbits(ID_BITS):032x}"
 
 
 @click.group()
@@ -93,7 +93,7 @@
     Exit 0: every gateway goes by it, or does not serve; 1: it was refused, or taken back; 3: not known yet.
     """
     client = RolloutClient(settings)
-    description, customers = read_source_files(RealWorld(), client.fleet)
+    description, customers = read_source_files(RealBackend(), client.fleet)
     build_snapshot(description, customers, client.fleet, 0, structlog.get_logger())
     base = _latest(client.status())
     contents = _migration_contents(client, base, client.upload(description), customers)
--- a/orchidlane/cli/gateway_commands.py
+++ b/orchidlane/cli/gateway_commands.py
@@ -26,7 +26,7 @@
 from orchidlane.policy import EndpointState
 from orchidlane.policy.endpoints import Endpoint
 from orchidlane.recording import listed_endpoints
-from orchidlane.runtime import Loop, RealWorld
+from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.runtime.backend import Address
 
 MICROSECONDS_PER_SECOND = 1e6
@@ -108,7 +108,7 @@
     """A live screen of a fleet: WHERE is a settings file or one gateway's admin address."""
     with clear_errors():
         admins = _admin_addresses(where)
-    loop = Loop(RealWorld())
+    loop = EventLoop(RealBackend())
     screen = Screen(loop, "orchidlane top", admins)
     with contextlib.suppress(KeyboardInterrupt):
         if not as_json:
--- a/orchidlane/cli/roll.py
+++ b/orchidlane/cli/roll.py
@@ -20,7 +20,7 @@
 from orchidlane.gateway.control.settings_loader import load_settings
 from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver, StoredRoll, UnfinishedRollError
 from orchidlane.hot_restart.rolling_upgrade import Phase, RollState
-from orchidlane.runtime import Loop, RealWorld
+from orchidlane.runtime import EventLoop, RealBackend
 
 # Runs a command once a line is written to its standard input; exits if that is closed before.
 WAIT_FOR_RELEASE = ("/bin/sh", "-c", 'read -r go && exec "$@"', "sh")
@@ -125,7 +125,7 @@
             raise ValueError(f"{settings}: state: a folder is wanted, where the gateways take the call")
         with open(log_to or "/dev/null", "ab") as log:
             starter = LocalProcesses(_settings_of_each(fleet, settings, each), log)
-            driver = RollDriver(Loop(RealWorld()), fleet, starter, click.echo)
+            driver = RollDriver(EventLoop(RealBackend()), fleet, starter, click.echo)
             if only_status:
                 _show(driver.load_stored(), fleet)
                 return
@@ -149,7 +149,7 @@
     """Run a roll under a lock that the kernel releases if we die: a listening Unix socket."""
     path = os.path.abspath(f"{driver.fleet.state_directory}/roll.lock")
     try:
-        lock = driver.loop.world.listen((path, 0))
+        lock = driver.loop.backend.listen((path, 0))
     except OSError as error:
         raise UnfinishedRollError(f"{path}: another roll is under way: {error.strerror}") from None
     try:
--- a/orchidlane/cli/rollout_client.py
+++ b/orchidlane/cli/rollout_client.py
@@ -12,7 +12,7 @@
 from orchidlane.gateway.rollout_agent.admin_messages import CommandOutcome, CommandRequest, RolloutStatus
 from orchidlane.gateway.rollout_agent.settings import check_rollout_settings, voter_ranks
 from orchidlane.rollout.version import content_hash
-from orchidlane.runtime import Loop, RealWorld
+from orchidlane.runtime import EventLoop, RealBackend
 
 CALL_TIMEOUT_US = 8_000_000
 MAX_RESPONSE_BYTES = 1 << 20  # of a response that is no content
@@ -44,7 +44,7 @@
         max_response_bytes: int = MAX_RESPONSE_BYTES,
     ) -> AdminResponse:
         """Call one gateway. Raises AdminCallError."""
-        loop = Loop(RealWorld())
+        loop = EventLoop(RealBackend())
         client = AdminClient(loop, self.fleet, self.secret)
 
         def call() -> AdminResponse:
@@ -136,7 +136,7 @@
         return msgspec.msgpack.decode(response.body, type=CommandOutcome)
 
 
-def _run(loop: Loop, call: Callable[[], AdminResponse]) -> AdminResponse:
+def _run(loop: EventLoop, call: Callable[[], AdminResponse]) -> AdminResponse:
     """Run a call to its end. Raises AdminCallError."""
     results: list[AdminResponse | AdminCallError] = []
 
--- a/orchidlane/cli/run.py
+++ b/orchidlane/cli/run.py
@@ -12,7 +12,7 @@
 from orchidlane.gateway.control.settings_loader import read_secret
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.rollout_agent.settings import check_rollout_settings
-from orchidlane.runtime import Loop, RealWorld
+from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.runtime.signals import serve
 from orchidlane.simulation.fake_endpoint import Node, NodeSpec
 
@@ -28,13 +28,13 @@
     if not 0 <= rank < len(fleet.gateways):
         raise ValueError(f"--rank: found {rank}, allowed: 0 to {len(fleet.gateways) - 1}")
     secret = read_secret(fleet.peers.secret_file)
-    world = RealWorld()
-    loop = Loop(world)
+    backend = RealBackend()
+    loop = EventLoop(backend)
     check_rollout_settings(fleet)
     program = GatewayProcess(loop, fleet, rank, secret, record_to=folder, take_over=take_over)
     if ready_fd >= 0:
         program.when_ready = lambda: _say_ready(ready_fd)
-    serve(loop, world, program.run, program.stop, program.reload)
+    serve(loop, backend, program.run, program.stop, program.reload)
     return program.failure
 
 
@@ -47,6 +47,6 @@
 def run_node(path: str) -> None:
     """Run one stand-in node until it is killed."""
     spec = msgspec.json.decode(Path(path).read_bytes(), type=NodeSpec)
-    loop = Loop(RealWorld())
+    loop = EventLoop(RealBackend())
     with contextlib.suppress(KeyboardInterrupt):
         loop.run(Node(loop, spec).run)
--- a/orchidlane/cli/screen.py
+++ b/orchidlane/cli/screen.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from orchidlane import http1
-from orchidlane.runtime import Expired, Loop, LoopError
+from orchidlane.runtime import DeadlineExceededError, EventLoop, EventLoopError
 from orchidlane.runtime.backend import Address
 
 EVERY = 1_000_000  # microseconds between two looks
@@ -31,7 +31,9 @@
 class Screen:
     """Reads the gateways' metrics once a second and draws them; one that does not answer is shown so."""
 
-    def __init__(self, loop: Loop, title: str, gateways: list[tuple[str, Address]], hint: str = "") -> None:
+    def __init__(
+        self, loop: EventLoop, title: str, gateways: list[tuple[str, Address]], hint: str = ""
+    ) -> None:
         self.loop = loop
         self.title = title
         self.gateways = gateways
@@ -97,7 +99,7 @@
     def _read(self, at: Address) -> dict[str, float]:
         by = self.loop.now() + EVERY // 2
         try:
-            stream = self.loop.world.connect(at, by)
+            stream = self.loop.backend.connect(at, by)
             try:
                 stream.send(http1.request_head("GET", b"/metrics", [(b"host", b"admin")]), by)
                 text = b""
@@ -105,7 +107,7 @@
                     text += data
             finally:
                 stream.close()
-        except (LoopError, Expired):
+        except (EventLoopError, DeadlineExceededError):
             return {}
         return sums(text.decode("utf-8", "replace")) | {"clock": self.loop.now() / 1e6}
 
--- a/orchidlane/cli/up.py
+++ b/orchidlane/cli/up.py
@@ -15,7 +15,7 @@
 from orchidlane.config import Duration
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import load_settings, parse_host_port
-from orchidlane.runtime import BACKGROUND, Loop, RealWorld
+from orchidlane.runtime import BACKGROUND, EventLoop, RealBackend
 from orchidlane.simulation.backends import RealBacking
 from orchidlane.simulation.scenario import Day, KindEntry, Runner, make_plan
 
@@ -56,7 +56,7 @@
         backing = RealBacking(folder)
         plan = make_plan(day, folder, backing.free_addresses, as_written=True)
         backing.prepare(plan)
-        loop = Loop(RealWorld())
+        loop = EventLoop(RealBackend())
         plan.nodes = [msgspec.structs.replace(spec, records="") for spec in plan.nodes]
         runner = Runner(loop, plan, backing, deque(maxlen=KEPT))
         door = plan.gateways[0]
@@ -89,8 +89,8 @@
                 ) from None
 
 
-def _run(loop: Loop, runner: Runner, screen: Screen) -> None:
-    loop.spawn(screen.show, kind=BACKGROUND, name="screen")
+def _run(loop: EventLoop, runner: Runner, screen: Screen) -> None:
+    loop.spawn(screen.show, priority=BACKGROUND, name="screen")
     verdict = runner.run()
     held = all(verdict.rules.values())
     print(f"{verdict.requests} requests; rules held: {'all' if held else verdict.rules}")
--- a/orchidlane/gateway/control/configuration.py
+++ b/orchidlane/gateway/control/configuration.py
@@ -8,7 +8,7 @@
 from orchidlane.gateway.control.customers import CustomerDirectory, load_customers
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.routes import Generation, build, load_description
-from orchidlane.runtime.backend import World
+from orchidlane.runtime.backend import Backend
 
 
 @dataclass
@@ -29,9 +29,9 @@
     """Contents of a fleet version that no snapshot can be built from."""
 
 
-def read_source_files(world: World, fleet: FleetSettings) -> tuple[bytes, bytes]:
+def read_source_files(backend: Backend, fleet: FleetSettings) -> tuple[bytes, bytes]:
     """Read the files of the description and of the customers. Raises OSError."""
-    return _read(world, fleet.description), _read(world, fleet.customers)
+    return _read(backend, fleet.description), _read(backend, fleet.customers)
 
 
 def build_snapshot(
@@ -43,8 +43,8 @@
     return ConfigurationSnapshot(generation, directory, log, fleet.log_requests)
 
 
-def _read(world: World, path: str) -> bytes:
-    data = world.read_file(path)
+def _read(backend: Backend, path: str) -> bytes:
+    data = backend.read_file(path)
     if data is None:
         raise FileNotFoundError(f"{path}: no such file")
     return data
--- a/orchidlane/gateway/control/endpoint_watch.py
+++ b/orchidlane/gateway/control/endpoint_watch.py
@@ -15,7 +15,7 @@
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.http1 import Malformed
-from orchidlane.runtime import Loop, LoopError
+from orchidlane.runtime import EventLoop, EventLoopError
 
 CONNECT_TIMEOUT_US = 2_000_000
 SILENCE_TIMEOUT_US = 15_000_000  # the service sends an empty line at least every few seconds
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         fleet: FleetSettings,
         tracker: EndpointListTracker,
         name: str,
@@ -47,7 +47,7 @@
 
     def load_cache(self) -> None:
         """Start with the cached list, if there is one that can be read."""
-        text = self.loop.world.read_file(self.cache_path) if self.cache_path else None
+        text = self.loop.backend.read_file(self.cache_path) if self.cache_path else None
         if text is None:
             return
         event = self.tracker.load_cache(text)
@@ -62,7 +62,7 @@
             began = self.loop.now()
             try:
                 self._watch()
-            except (LoopError, Malformed, LineTooLongError, WatchEventError):
+            except (EventLoopError, Malformed, LineTooLongError, WatchEventError):
                 self.failures += 1
                 self.notify(policy.EndpointListReceived(policy.EndpointListKind.FAILED, 0, ()))
             lasted_us = self.loop.now() - began
@@ -71,11 +71,11 @@
                 if lasted_us > MAX_RETRY_DELAY_US
                 else min(MAX_RETRY_DELAY_US, 2 * delay_us)
             )
-            self.loop.sleep(int(delay_us * (0.5 + self.loop.world.random.random())))
+            self.loop.sleep(int(delay_us * (0.5 + self.loop.backend.random.random())))
 
     def _watch(self) -> None:
         service = self.fleet.endpoints.list_address
-        stream = self.loop.world.connect(parse_host_port(service), self.loop.now() + CONNECT_TIMEOUT_US)
+        stream = self.loop.backend.connect(parse_host_port(service), self.loop.now() + CONNECT_TIMEOUT_US)
         try:
             stream.send(self._request(service))
             for lines in read_objects(self.loop, stream, SILENCE_TIMEOUT_US, MAX_LINE_BYTES):
@@ -103,4 +103,4 @@
         digest = hashlib.sha256(text).digest()
         if digest != self._cached_digest:
             self._cached_digest = digest
-            self.loop.world.write_file(self.cache_path, text)
+            self.loop.backend.write_file(self.cache_path, text)
--- a/orchidlane/gateway/control/json_stream.py
+++ b/orchidlane/gateway/control/json_stream.py
@@ -7,7 +7,7 @@
 
 from orchidlane import http1
 from orchidlane.http1 import Data, End, Response
-from orchidlane.runtime import Closed, Loop, NotConnected, Stream
+from orchidlane.runtime import ConnectionClosedError, ConnectionFailedError, EventLoop, Stream
 
 JSON_STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
 
@@ -57,13 +57,13 @@
 
 
 def read_objects(
-    loop: Loop, stream: Stream, silence_timeout_us: int, max_bytes: int
+    loop: EventLoop, stream: Stream, silence_timeout_us: int, max_bytes: int
 ) -> Iterator[list[bytes]]:
     """Yield the objects that each piece of the response completes; an empty list first, for its head.
 
     Blank lines are left out, but they count as a sign of life, as objects do; bytes that complete neither
-    don't. Raises NotConnected unless the status is 200, Closed at the end of the response, Expired after a
-    silence, Malformed, LineTooLongError.
+    don't. Raises ConnectionFailedError unless the status is 200, ConnectionClosedError at the end of the
+    response, DeadlineExceededError after a silence, Malformed, LineTooLongError.
     """
     parser = http1.ResponseParser()
     splitter = JsonObjectSplitter(max_bytes)
@@ -73,10 +73,10 @@
         if event is None:
             parser.receive(stream.recv(deadline=deadline))
             if parser.ended and parser.next_event() is None:
-                raise Closed("the endpoint list ended")
+                raise ConnectionClosedError("the endpoint list ended")
         elif isinstance(event, Response):
             if event.status != 200:
-                raise NotConnected(f"the endpoint list's service answers {event.status}")
+                raise ConnectionFailedError(f"the endpoint list's service answers {event.status}")
             deadline = loop.now() + silence_timeout_us
             yield []
         elif isinstance(event, Data):
@@ -84,4 +84,4 @@
                 deadline = loop.now() + silence_timeout_us
                 yield [item for item in items if item]
         elif isinstance(event, End):
-            raise Closed("the endpoint list ended")
+            raise ConnectionClosedError("the endpoint list ended")
--- a/orchidlane/gateway/forwarding/attempt.py
+++ b/orchidlane/gateway/forwarding/attempt.py
@@ -28,7 +28,16 @@
 from orchidlane.gateway.forwarding.protocol_adapter import EndpointAdapter, GatewayLimits
 from orchidlane.http1 import Data, End, Response
 from orchidlane.policy import Idempotency, Outcome
-from orchidlane.runtime import BACKGROUND, Cancelled, Closed, Expired, Loop, NotConnected, Scope, Task
+from orchidlane.runtime import (
+    BACKGROUND,
+    Cancelled,
+    ConnectionClosedError,
+    ConnectionFailedError,
+    DeadlineExceededError,
+    EventLoop,
+    Task,
+    TaskGroup,
+)
 
 
 class AttemptResult(NamedTuple):
@@ -45,7 +54,9 @@
 class AttemptStarter:
     """Starts attempts; ``host`` has to be set before the first one."""
 
-    def __init__(self, loop: Loop, limits: GatewayLimits, scope: Scope, endpoints: EndpointAdapter) -> None:
+    def __init__(
+        self, loop: EventLoop, limits: GatewayLimits, scope: TaskGroup, endpoints: EndpointAdapter
+    ) -> None:
         self.loop = loop
         self.scope = scope
         self.endpoints = endpoints
@@ -53,13 +64,13 @@
         self.max_buffered_response_bytes = limits.resource_limits.max_buffered_response_bytes
         self.host: PolicyDriver
         self.pool = ConnectionPool(loop, limits, scope)
-        scope.spawn(self.pool.run_sweeper, kind=BACKGROUND, name="sweep")
+        scope.spawn(self.pool.run_sweeper, priority=BACKGROUND, name="sweep")
 
     def begin(self, request: PendingRequest, number: int, action: policy.SendAttempt) -> None:
         """Start an attempt in a task of its own."""
         attempt = Attempt(self, request, number, action)
         self.host.attempts[request.number, number] = attempt
-        attempt.task = self.scope.spawn(attempt.run, kind=request.task.kind, name="attempt")
+        attempt.task = self.scope.spawn(attempt.run, priority=request.task.priority, name="attempt")
 
 
 class Attempt:
@@ -95,7 +106,7 @@
         try:
             result = self._run()
         except Cancelled:
-            if self.loop.process.dead:
+            if self.loop.process.is_dead:
                 raise
             if not self.has_ended:
                 self._end(Outcome.CANCELLED if self.was_sent else Outcome.NOT_SENT, None)
@@ -126,7 +137,7 @@
             return NOT_SENT  # its beginning was dropped after an earlier attempt
         try:
             body.wait_settled(self.deadline)
-        except Expired:
+        except DeadlineExceededError:
             return NOT_SENT
         address = self.starter.endpoints.address(self.endpoint)
         if address is None:
@@ -135,7 +146,7 @@
         pool = self.starter.pool
         try:
             connection = pool.acquire(self.endpoint, address, is_non_idempotent, self.deadline)
-        except (NotConnected, Expired):
+        except (ConnectionFailedError, DeadlineExceededError):
             return AttemptResult(Outcome.CONNECT_FAILED)
         except PoolExhaustedError:
             return NOT_SENT
@@ -184,34 +195,34 @@
 
     def _exchange(self, connection: EndpointConnection) -> AttemptResult:
         stream = connection.stream
-        sent_before = stream.sent
+        sent_before = stream.sent_bytes
         self.began = self.loop.now()
         connection.parser.expect(self.request.head.method)
         connection.has_response_bytes = False
         exchange = EndpointExchange(self.loop, connection, self.request, self.deadline)
         try:
             was_early = exchange.send(self._request_head())
-        except Expired:
-            self.was_sent = stream.sent > sent_before
+        except DeadlineExceededError:
+            self.was_sent = stream.sent_bytes > sent_before
             return self._timed_out_in_send()
-        except Closed:
-            self.was_sent = stream.sent > sent_before
+        except ConnectionClosedError:
+            self.was_sent = stream.sent_bytes > sent_before
             incomplete = self.starter.endpoints.incomplete_request_outcome
             if not self.was_sent or incomplete is not Outcome.CONNECTION_BROKEN:
                 self.was_sent = False
                 return NOT_SENT if incomplete is Outcome.CONNECTION_BROKEN else AttemptResult(incomplete)
             was_early = True  # a response may have come before the reset
         except Cancelled:
-            self.was_sent = stream.sent > sent_before
+            self.was_sent = stream.sent_bytes > sent_before
             self._mark_sent()
             raise
         self.was_sent = True
         self._mark_sent()
         try:
             result = self._receive(exchange)
-        except Expired:
+        except DeadlineExceededError:
             return AttemptResult(Outcome.TIMED_OUT)
-        except (Closed, http1.Malformed):
+        except (ConnectionClosedError, http1.Malformed):
             result = AttemptResult(Outcome.CONNECTION_BROKEN)
         was_lost = not connection.has_response_bytes
         self.starter.pool.reuse.record(connection.idle_us, was_lost, self.loop.now())
@@ -273,7 +284,7 @@
                     return AttemptResult(Outcome.SERVED)
         except BaseException as error:
             stream.end(broken=True)
-            if isinstance(error, Closed | Expired | http1.Malformed):
+            if isinstance(error, ConnectionClosedError | DeadlineExceededError | http1.Malformed):
                 return AttemptResult(Outcome.SERVED)
             raise
         stream.end(broken=False, trailers=event.trailers)
--- a/orchidlane/gateway/forwarding/client_response.py
+++ b/orchidlane/gateway/forwarding/client_response.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from orchidlane import http1
-from orchidlane.runtime import Loop, Task
+from orchidlane.runtime import EventLoop, Task
 
 MAX_STREAM_PIECES = 8  # on their way from the endpoint to the client
 
@@ -14,7 +14,7 @@
 class ResponseStream:
     """The rest of a response that is too large to buffer: a bounded queue from an attempt to the client."""
 
-    def __init__(self, loop: Loop, first: list[bytes]) -> None:
+    def __init__(self, loop: EventLoop, first: list[bytes]) -> None:
         self.loop = loop
         self.is_broken = False
         self.trailers: http1.Headers = ()
@@ -40,7 +40,7 @@
         self._wake_writer()
 
     def take(self, deadline: int) -> bytes | None:
-        """Wait for the next piece and return it, None at the end. Raises Expired."""
+        """Wait for the next piece and return it, None at the end. Raises DeadlineExceededError."""
         while not self._queue:
             if self._is_complete or self.is_broken:
                 return None
--- a/orchidlane/gateway/forwarding/connection_pool.py
+++ b/orchidlane/gateway/forwarding/connection_pool.py
@@ -8,7 +8,15 @@
 from orchidlane import http1
 from orchidlane.gateway.forwarding.connection_reuse import ReuseStatistics
 from orchidlane.gateway.forwarding.protocol_adapter import GatewayLimits
-from orchidlane.runtime import Address, Closed, Lingering, Loop, NotConnected, Scope, Stream
+from orchidlane.runtime import (
+    Address,
+    ConnectionClosedError,
+    ConnectionFailedError,
+    EventLoop,
+    LingeringConnections,
+    Stream,
+    TaskGroup,
+)
 
 SWEEP_INTERVAL_US = 1_000_000
 RESPONSE_HEAD_FACTOR = 2  # a response's head may be so many times as long as a request's
@@ -39,11 +47,11 @@
 class ConnectionPool:
     """Connections by endpoint; the one that became idle last is reused first."""
 
-    def __init__(self, loop: Loop, limits: GatewayLimits, scope: Scope) -> None:
+    def __init__(self, loop: EventLoop, limits: GatewayLimits, scope: TaskGroup) -> None:
         resource_limits = limits.resource_limits
         self.loop = loop
         self.times = limits.timeouts
-        self.lingering = Lingering(
+        self.lingering = LingeringConnections(
             loop, scope, limits.timeouts.linger_us, resource_limits.max_lingering_connections
         )
         self.max_per_endpoint = resource_limits.max_connections_per_endpoint
@@ -62,21 +70,21 @@
     ) -> EndpointConnection:
         """Return a connection to the endpoint at its current address, idle or new.
 
-        Raises NotConnected (also beyond the endpoint's bound), Expired, and PoolExhaustedError beyond the
-        bound of all; then no byte has left.
+        Raises ConnectionFailedError (also beyond the endpoint's bound), DeadlineExceededError, and
+        PoolExhaustedError beyond the bound of all; then no byte has left.
         """
         connection = self._acquire_idle(endpoint, address, is_non_idempotent)
         if connection is not None:
             return connection
         if self._count.get(endpoint, 0) >= self.max_per_endpoint:
-            raise NotConnected("as many connections as the settings allow")
+            raise ConnectionFailedError("as many connections as the settings allow")
         if self.open_connections >= self.max_total and not self._retire_one():
             raise PoolExhaustedError
         self._count[endpoint] = self._count.get(endpoint, 0) + 1
         self.open_connections += 1
         try:
             connect_deadline = min(deadline, self.loop.now() + self.times.endpoint_connect_us)
-            stream = self.loop.world.connect(address, connect_deadline)
+            stream = self.loop.backend.connect(address, connect_deadline)
         except BaseException:
             self._uncount(endpoint)
             raise
@@ -119,7 +127,7 @@
             return False
         try:
             return connection.stream.try_recv(1) is None
-        except Closed:
+        except ConnectionClosedError:
             return False
 
     def _retire_one(self) -> bool:
--- a/orchidlane/gateway/forwarding/endpoint_exchange.py
+++ b/orchidlane/gateway/forwarding/endpoint_exchange.py
@@ -6,7 +6,7 @@
 from orchidlane.gateway.forwarding.connection_pool import EndpointConnection
 from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.http1 import End, Response
-from orchidlane.runtime import Closed, Expired, Loop
+from orchidlane.runtime import ConnectionClosedError, DeadlineExceededError, EventLoop
 
 WRITE_SLICE_US = 50_000  # a write waits so long before an early response is looked for
 MAX_INTERIM_RESPONSES = 64  # before a final one: an endpoint that sends more is broken
@@ -19,7 +19,7 @@
     """Sends a request and reads its response; everything ends at ``deadline``, a clock time."""
 
     def __init__(
-        self, loop: Loop, connection: EndpointConnection, request: PendingRequest, deadline: int
+        self, loop: EventLoop, connection: EndpointConnection, request: PendingRequest, deadline: int
     ) -> None:
         self.loop = loop
         self.connection = connection
@@ -31,7 +31,7 @@
     def send(self, head: bytes) -> bool:
         """Send head and body; return True where the endpoint responded before it had all.
 
-        Raises Expired, Closed.
+        Raises DeadlineExceededError, ConnectionClosedError.
         """
         body = self.request.body
         if body.length == 0:
@@ -72,11 +72,11 @@
         """Write; return True where the endpoint has begun to respond meanwhile."""
         stream = self.connection.stream
         while data:
-            sent_before = stream.sent
+            sent_before = stream.sent_bytes
             try:
                 stream.send(data, min(self.deadline, self.loop.now() + WRITE_SLICE_US))
-            except Expired:
-                data = data[stream.sent - sent_before :]
+            except DeadlineExceededError:
+                data = data[stream.sent_bytes - sent_before :]
                 if self.loop.now() >= self.deadline:
                     raise
                 if self._has_early_response():
@@ -90,7 +90,7 @@
     def receive_final_head(self, forwards_interim_responses: bool) -> Response:
         """Read the head of the final response; pass interim ones to the client where that is wanted.
 
-        Raises Expired, Closed, Malformed.
+        Raises DeadlineExceededError, ConnectionClosedError, Malformed.
         """
         for _ in range(MAX_INTERIM_RESPONSES):
             event = self.next_event()
@@ -103,7 +103,10 @@
         raise http1.Malformed(502, "interim answers without end")
 
     def next_event(self) -> http1.Event:
-        """Read the next event of the response. Raises Expired, Closed, Malformed."""
+        """Read the next event of the response.
+
+        Raises DeadlineExceededError, ConnectionClosedError, Malformed.
+        """
         connection = self.connection
         parser = connection.parser
         while (event := parser.next_event()) is None:
@@ -111,7 +114,7 @@
             parser.receive(data)
             connection.has_response_bytes = connection.has_response_bytes or bool(data)
             if not data and (event := parser.next_event()) is None:
-                raise Closed("the endpoint ended the connection before its response")
+                raise ConnectionClosedError("the endpoint ended the connection before its response")
             if event is not None:
                 return event
         return event
--- a/orchidlane/gateway/forwarding/policy_driver.py
+++ b/orchidlane/gateway/forwarding/policy_driver.py
@@ -11,7 +11,7 @@
 from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.gateway.forwarding.protocol_adapter import ClientAdapter
 from orchidlane.policy.gateway import Gateway
-from orchidlane.runtime import Loop
+from orchidlane.runtime import EventLoop
 
 
 class RemoteQuota(Protocol):
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         settings: policy.Settings,
         gateway: Gateway,
         metrics: OutcomeCounter,
--- a/orchidlane/gateway/forwarding/request_body.py
+++ b/orchidlane/gateway/forwarding/request_body.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 from orchidlane import http1
-from orchidlane.runtime import Loop, Task
+from orchidlane.runtime import EventLoop, Task
 
 
 class RequestBody:
@@ -15,7 +15,7 @@
     ``length`` is None where the request does not tell it.
     """
 
-    def __init__(self, loop: Loop, max_replay_bytes: int, length: int | None) -> None:
+    def __init__(self, loop: EventLoop, max_replay_bytes: int, length: int | None) -> None:
         self.loop = loop
         self.max_replay_bytes = max_replay_bytes
         self.length = length
@@ -58,7 +58,7 @@
             self.loop.wake(task)
 
     def wait_settled(self, deadline: int) -> None:
-        """Wait until an attempt may begin. Raises Expired."""
+        """Wait until an attempt may begin. Raises DeadlineExceededError."""
         while not self.is_settled:
             self._wait(deadline)
 
@@ -70,7 +70,7 @@
             self._reader = None
 
     def piece(self, number: int, deadline: int) -> bytes | None:
-        """Wait for piece ``number`` and return it, None after the last one. Raises Expired.
+        """Wait for piece ``number`` and return it, None after the last one. Raises DeadlineExceededError.
 
         Pieces are read in order. Once more has come than is kept, those that were read are dropped.
         """
--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -18,7 +18,7 @@
 from orchidlane.gateway.telemetry.state_stream import StateStream
 from orchidlane.hot_restart.account_recovery import PreviousIncarnation, recover_accounts
 from orchidlane.policy.accounts import Account
-from orchidlane.runtime import Loop
+from orchidlane.runtime import EventLoop
 
 MIN_INTERVAL_PER_SAVE = 20  # times as long as a save takes
 GRACE_US = 5_000_000  # beyond two intervals, for a slow disk or machine
@@ -27,7 +27,7 @@
 class StoredGateway(Protocol):
     """What the store uses of the gateway process whose accounts it saves."""
 
-    loop: Loop
+    loop: EventLoop
     fleet: FleetSettings
     entry: GatewayEntry
     rank: int
@@ -58,7 +58,7 @@
 
     def load(self) -> int:
         """Go on with the saved accounts and return their number; an invalid file is logged and left out."""
-        data = self.loop.world.read_file(self.path)
+        data = self.loop.backend.read_file(self.path)
         if data is None:
             return 0
         try:
@@ -112,14 +112,14 @@
 
     def _save(self, validity_us: int, aside: bool) -> None:
         """Save the accounts; with ``aside`` give way while they are encoded, and write in a thread."""
-        world = self.loop.world
+        backend = self.loop.backend
         now = self.loop.now()
         data = self._encode(now, validity_us, aside)
         try:
             if aside:
-                world.aside(lambda: world.write_file(self.path, data))
+                backend.run_in_thread(lambda: backend.write_file(self.path, data))
             else:
-                world.write_file(self.path, data)
+                backend.write_file(self.path, data)
         except OSError as error:
             self._log_error("accounts not written", error)
             return
@@ -137,7 +137,7 @@
             for page in frames:
                 parts.append(page)
                 if gives_way:
-                    self.loop.give_way()
+                    self.loop.yield_to_others()
         finally:
             frames.close()
         return b"".join(parts)
@@ -150,4 +150,4 @@
         was_renewed = valid_until_us != self._valid_until_us
         if not was_renewed and not self.gateway.superseded and not self.gateway.stopping:
             self.gateway.log.error("accounts too old", file=self.path)
-            self.loop.world.remove_file(self.path)
+            self.loop.backend.remove_file(self.path)
--- a/orchidlane/gateway/lifecycle/client_transfer.py
+++ b/orchidlane/gateway/lifecycle/client_transfer.py
@@ -14,7 +14,7 @@
 from orchidlane.gateway.server.resp_server import Session
 from orchidlane.hot_restart import messages
 from orchidlane.hot_restart.messages import INITIAL_RESP_SESSION, RespSessionState
-from orchidlane.runtime import REQUESTS, Closed, Expired, Scope, Stream
+from orchidlane.runtime import REQUESTS, ConnectionClosedError, DeadlineExceededError, Stream, TaskGroup
 from orchidlane.runtime.backend import Handle
 
 HTTP = "http"
@@ -56,7 +56,7 @@
 class ClientTransfer:
     """The old process's part: hands clients over, and takes back those that it has retained."""
 
-    def __init__(self, gateway: ServedGateway, scope: Scope, in_probation: Callable[[], bool]) -> None:
+    def __init__(self, gateway: ServedGateway, scope: TaskGroup, in_probation: Callable[[], bool]) -> None:
         self.gateway = gateway
         self.scope = scope
         self.in_probation = in_probation
@@ -67,7 +67,7 @@
     def hand_over_http(self, channel: Channel, connection: Connection) -> None:
         """Hand an idle HTTP connection over."""
         retained = RetainedConnection(
-            connection.stream.share(),
+            connection.stream.duplicate(),
             HTTP,
             unread=connection.parser.unread,
             unread_since_us=connection.since,
@@ -82,7 +82,7 @@
             session.stream.close()
             return
         state = RespSessionState(*session.facts)
-        retained = RetainedConnection(session.stream.share(), RESP, unread=unread, session=state)
+        retained = RetainedConnection(session.stream.duplicate(), RESP, unread=unread, session=state)
         self._hand_over(channel, session.stream, connection_id(RESP, session.number), retained)
 
     def _hand_over(
@@ -96,12 +96,12 @@
             retained.last_received_at_us,
             retained.session,
         )
-        channel.send(message, stream.share())
+        channel.send(message, stream.duplicate())
         stream.release()
         if self.in_probation():
             self.retained[identifier] = retained
         else:
-            self.gateway.loop.world.drop(retained.handle)
+            self.gateway.loop.backend.close_handle(retained.handle)
 
     # -- reports of the new process
 
@@ -141,7 +141,7 @@
             self._take_back(message.connection_id)
 
     def _receive_opened(self, channel: Channel, message: messages.ConnectionOpened) -> None:
-        handle = channel.stream.take_handle()
+        handle = channel.stream.receive_handle()
         if handle is None:
             return
         now = self.gateway.loop.now()
@@ -158,13 +158,13 @@
         """Release our descriptor; the connection goes on in the new process."""
         retained = self.retained.pop(identifier, None)
         if retained is not None:
-            self.gateway.loop.world.drop(retained.handle)
+            self.gateway.loop.backend.close_handle(retained.handle)
 
     def _close(self, identifier: int) -> None:
         """Close a connection that did not arrive."""
         retained = self.retained.pop(identifier, None)
         if retained is not None:
-            self.gateway.loop.world.adopt_stream(retained.handle).close()
+            self.gateway.loop.backend.adopt_stream(retained.handle).close()
 
     def drop_all(self) -> None:
         """Release all descriptors: probation is passed."""
@@ -181,7 +181,7 @@
 
     def _take_back(self, identifier: int) -> None:
         retained = self.retained.pop(identifier)
-        stream = self.gateway.loop.world.adopt_stream(retained.handle)
+        stream = self.gateway.loop.backend.adopt_stream(retained.handle)
         if retained.protocol == HTTP:
             server = self.gateway.front
             since = retained.unread_since_us
@@ -199,11 +199,11 @@
             if retained.state is ConnectionState.IDLE:  # it is owed nothing
                 self._take_back(identifier)
                 continue
-            stream = self.gateway.loop.world.adopt_stream(retained.handle)
+            stream = self.gateway.loop.backend.adopt_stream(retained.handle)
             if retained.state is ConnectionState.RESPONDING:
                 stream.close()
             else:
-                self.scope.spawn(self._answer_failed, retained, stream, kind=REQUESTS, name="settle")
+                self.scope.spawn(self._answer_failed, retained, stream, priority=REQUESTS, name="settle")
         self.retained.clear()
 
     def _answer_failed(self, retained: RetainedConnection, stream: Stream) -> None:
@@ -215,7 +215,7 @@
                 began = retained.state is ConnectionState.REQUEST_STARTED
                 unread = retained.unread if began else None
                 resp.answer_alone(stream, unread, retained.session, resp.next_number())
-        except (Closed, Expired):
+        except (ConnectionClosedError, DeadlineExceededError):
             stream.close()
 
 
@@ -232,13 +232,13 @@
     def opened(self, number: int, stream: Stream) -> None:
         """Report a new client."""
         identifier = connection_id(self.protocol, number)
-        self.channel.send(messages.ConnectionOpened(identifier, self.protocol), stream.share())
+        self.channel.send(messages.ConnectionOpened(identifier, self.protocol), stream.duplicate())
 
     def reading(self, number: int) -> None:
         """Report that bytes are about to be read, and wait until that is sent: they would be lost with us."""
         self.channel.send(messages.ReadStarted(connection_id(self.protocol, number)))
         if self.channel.has_backlog:
-            with contextlib.suppress(Expired):
+            with contextlib.suppress(DeadlineExceededError):
                 self.channel.flush()
 
     def began(self, number: int) -> None:
@@ -269,11 +269,11 @@
 
     def adopt(self, message: messages.ConnectionHandover) -> None:
         """Serve a client of the old process."""
-        handle = self.channel.stream.take_handle()
+        handle = self.channel.stream.receive_handle()
         self.channel.send(messages.ConnectionAdopted(message.connection_id, handle is not None))
         if handle is None:
             return
-        stream = self.gateway.loop.world.adopt_stream(handle)
+        stream = self.gateway.loop.backend.adopt_stream(handle)
         number = connection_number(message.connection_id)
         if message.protocol == HTTP:
             since = message.unread_since_us
--- a/orchidlane/gateway/lifecycle/new_side.py
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -18,8 +18,15 @@
 from orchidlane.hot_restart import messages, new_process
 from orchidlane.hot_restart.tables import ReceivedTables, restore_policy
 from orchidlane.policy.gateway import Gateway
-from orchidlane.runtime import CONTROL, Cancelled, Expired, NotConnected, Scope, Task
-from orchidlane.runtime.backend import Handle, show
+from orchidlane.runtime import (
+    CONTROL,
+    Cancelled,
+    ConnectionFailedError,
+    DeadlineExceededError,
+    Task,
+    TaskGroup,
+)
+from orchidlane.runtime.backend import Handle, format_address
 
 CONNECT_TIMEOUT_US = 5_000_000
 DRAIN_POLL_INTERVAL_US = 10_000
@@ -29,7 +36,7 @@
 class NewSide:
     """Takes a running gateway over."""
 
-    def __init__(self, gateway: ServedGateway, scope: Scope) -> None:
+    def __init__(self, gateway: ServedGateway, scope: TaskGroup) -> None:
         self.gateway = gateway
         self.loop = gateway.loop
         self.scope = scope
@@ -53,13 +60,13 @@
             self.failure = "the settings have no folder for the state, where the old process listens"
             return False
         try:
-            stream = self.loop.world.connect(address, self.loop.now() + CONNECT_TIMEOUT_US)
-        except (NotConnected, Expired) as error:
-            self.failure = f"nobody answers at {show(address)}: {error}"
+            stream = self.loop.backend.connect(address, self.loop.now() + CONNECT_TIMEOUT_US)
+        except (ConnectionFailedError, DeadlineExceededError) as error:
+            self.failure = f"nobody answers at {format_address(address)}: {error}"
             return False
         self.channel = Channel(self.loop, stream, 0, self.scope)
         self.clients = ClientReturn(self.gateway, self.channel)
-        self.scope.spawn(self._serve_channel, kind=CONTROL, name="upgrade channel")
+        self.scope.spawn(self._serve_channel, priority=CONTROL, name="upgrade channel")
         self._carry_out_all(self.machine.start(self.loop.now()))
         self._waiting = self.loop.current
         while self.machine.phase not in SETTLED_PHASES:
@@ -134,10 +141,10 @@
         self.gateway.log.error("take-over ended", why=reason)
         self.channel.send(messages.Failure(reason))
         self.gateway.stopping = True
-        self.scope.spawn(self._close, kind=CONTROL, name="take-over ends")
+        self.scope.spawn(self._close, priority=CONTROL, name="take-over ends")
 
     def _close(self) -> None:
-        with contextlib.suppress(Expired):
+        with contextlib.suppress(DeadlineExceededError):
             self.channel.flush()
         self.channel.close()
 
@@ -200,7 +207,7 @@
     def _receive_offer(self, offer: messages.Offer) -> None:
         """Go on with the old process's clock and incarnation; read and check our own configuration."""
         gateway = self.gateway
-        self.loop.world.follow_clock(offer.clock_base_us)
+        self.loop.backend.follow_clock(offer.clock_base_us)
         gateway.incarnation = offer.incarnation
         self.expected_sockets = offer.socket_names
         gateway.load_configuration(offer.generation + 1)
@@ -210,7 +217,7 @@
         self.feed(new_process.OfferReceived())
 
     def _receive_socket(self, message: messages.InheritedSocket) -> None:
-        handle = self.channel.stream.take_handle()
+        handle = self.channel.stream.receive_handle()
         if handle is None:
             self._fail(f"the listener {message.name} got lost: no descriptor left?")
         else:
@@ -339,7 +346,7 @@
         self.gateway.stop_accepting(self.clients.return_http, self.clients.return_resp)
         self.gateway.superseded = True
         self.channel.send(messages.ServingStopped())
-        self.scope.spawn(self._await_drained, kind=CONTROL, name="returning")
+        self.scope.spawn(self._await_drained, priority=CONTROL, name="returning")
 
     def _await_drained(self) -> None:
         while self.gateway.front.connections or self.gateway.resp.sessions:
--- a/orchidlane/gateway/lifecycle/old_side.py
+++ b/orchidlane/gateway/lifecycle/old_side.py
@@ -29,7 +29,14 @@
 from orchidlane.hot_restart.handshake import GatewayIdentity
 from orchidlane.hot_restart.probation import AnswerCounts
 from orchidlane.hot_restart.tables import forfeit_ceiling_tokens
-from orchidlane.runtime import BACKGROUND, CONTROL, Closed, Expired, Scope, Task
+from orchidlane.runtime import (
+    BACKGROUND,
+    CONTROL,
+    ConnectionClosedError,
+    DeadlineExceededError,
+    Task,
+    TaskGroup,
+)
 
 BASELINE_INTERVAL_US = 5_000_000
 MAX_BASELINE_SAMPLES = 6
@@ -46,7 +53,7 @@
 class OldSide:
     """Hands a running gateway over, and takes it back where probation fails."""
 
-    def __init__(self, gateway: ServedGateway, scope: Scope) -> None:
+    def __init__(self, gateway: ServedGateway, scope: TaskGroup) -> None:
         self.gateway = gateway
         self.loop = gateway.loop
         self.scope = scope
@@ -76,20 +83,20 @@
         """Accept successors, if the settings have a folder for the Unix socket."""
         self.gateway.sockets.bind("upgrade")
         if "upgrade" in self.gateway.sockets:
-            self._accepting = self.scope.spawn(self._accept, kind=CONTROL, name="upgrade")
-            self.scope.spawn(self._sample_answers, kind=BACKGROUND, name="upgrade samples")
+            self._accepting = self.scope.spawn(self._accept, priority=CONTROL, name="upgrade")
+            self.scope.spawn(self._sample_answers, priority=BACKGROUND, name="upgrade samples")
 
     def _accept(self) -> None:
         listener = self.gateway.sockets["upgrade"]
         while True:
             try:
                 stream = listener.accept()
-            except Closed:
+            except ConnectionClosedError:
                 return
             self._last_channel += 1
             channel = Channel(self.loop, stream, self._last_channel, self.scope)
             self.channels[channel.number] = channel
-            self.scope.spawn(self._serve_channel, channel, kind=CONTROL, name="upgrade channel")
+            self.scope.spawn(self._serve_channel, channel, priority=CONTROL, name="upgrade channel")
 
     def _sample_answers(self) -> None:
         while True:
@@ -124,11 +131,13 @@
     def _carry_out(self, action: old_process.Action) -> None:
         match action:
             case old_process.SendOffer():
-                self.scope.spawn(self._offer, self.channels[action.channel], kind=CONTROL, name="offer")
+                self.scope.spawn(self._offer, self.channels[action.channel], priority=CONTROL, name="offer")
             case old_process.Reject():
                 self._reject(action)
             case old_process.HandOver():
-                self.scope.spawn(self._hand_over, self.channels[action.channel], kind=CONTROL, name="commit")
+                self.scope.spawn(
+                    self._hand_over, self.channels[action.channel], priority=CONTROL, name="commit"
+                )
             case old_process.SendReclaim():
                 self.channels[action.channel].send(messages.Reclaim(action.reason))
             case old_process.KillNewProcess():
@@ -156,10 +165,10 @@
         channel = self.channels.get(action.channel)
         if channel is not None:
             channel.send(messages.Abort(action.reason))
-            self.scope.spawn(self._close_flushed, channel, kind=CONTROL, name="turned away")
+            self.scope.spawn(self._close_flushed, channel, priority=CONTROL, name="turned away")
 
     def _close_flushed(self, channel: Channel) -> None:
-        with contextlib.suppress(Expired):
+        with contextlib.suppress(DeadlineExceededError):
             channel.flush()
         channel.close()
 
@@ -231,7 +240,7 @@
         return messages.Status(
             self.machine.phase.value,
             recording.build_name(),
-            self.loop.world.process_id(),
+            self.loop.backend.process_id(),
             self.machine.last_outcome,
             *answers,
         )
@@ -241,14 +250,14 @@
     def _offer(self, channel: Channel) -> None:
         try:
             self._state.offer(channel)
-        except Expired:
+        except DeadlineExceededError:
             self.feed(old_process.FailureDetected(channel.number, "it does not read"))
 
     def _hand_over(self, channel: Channel) -> None:
         """Copy what changed, then all that is left at once, with no decision in between."""
         try:
             copy = self._state.copy_changes(channel)
-        except Expired:
+        except DeadlineExceededError:
             self.feed(old_process.FailureDetected(channel.number, "it does not read"))
             return
         if self.machine.phase is not old_process.Phase.COMMITTED:
@@ -297,7 +306,7 @@
         """Our last request is answered: wait until all that was handed over is sent."""
         self.feed(old_process.Drained())
         for channel in list(self.channels.values()):
-            with contextlib.suppress(Expired):
+            with contextlib.suppress(DeadlineExceededError):
                 channel.flush()
 
 
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -41,7 +41,7 @@
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording import track_accounts
 from orchidlane.routes import DescriptionError, DescriptionProblem
-from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, Loop, Scope, Task
+from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, EventLoop, Task, TaskGroup
 
 DRAIN_POLL_INTERVAL_US = 10_000
 STOP_POLL_INTERVAL_US = 50_000
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         fleet: FleetSettings,
         rank: int,
         secret: bytes,
@@ -98,7 +98,7 @@
 
     def run(self) -> None:
         """Serve from start to the end of a drain."""
-        with Scope(self.loop) as scope:
+        with TaskGroup(self.loop) as scope:
             self.old_side = OldSide(self, scope)
             if self.takes_over:
                 self.new_side = NewSide(self, scope)
@@ -116,7 +116,7 @@
             self.failure = self.new_side.failure
         self.log.info("ended", why=self.failure)
 
-    def _start(self, scope: Scope) -> None:
+    def _start(self, scope: TaskGroup) -> None:
         for name in ("http", PEER):
             self.sockets.bind(name)
         self.build_parts(scope)
@@ -160,7 +160,7 @@
 
     def _read_configuration(self, number: int) -> ConfigurationSnapshot:
         """Read description and customers. Raises DescriptionError, CustomersError, OSError."""
-        sources = read_source_files(self.loop.world, self.fleet)
+        sources = read_source_files(self.loop.backend, self.fleet)
         snapshot = build_snapshot(*sources, self.fleet, number, self.log)
         self.sources = sources
         return snapshot
@@ -168,7 +168,7 @@
     def load_configuration(self, number: int) -> None:
         """Read the configuration in a thread of its own. Raises as ``_read_configuration``."""
         if not self.configuration_given:
-            self.configuration = self.loop.world.aside(lambda: self._initial_configuration(number))
+            self.configuration = self.loop.backend.run_in_thread(lambda: self._initial_configuration(number))
 
     def reload(self) -> None:
         """Read description and customers anew while serving; what is invalid changes nothing."""
@@ -177,7 +177,7 @@
             self._refuse_reload("the fleet goes by its ledger: propose the change")
             return
         try:
-            snapshot = self.loop.world.aside(lambda: self._read_configuration(number))
+            snapshot = self.loop.backend.run_in_thread(lambda: self._read_configuration(number))
             self._check_classes(snapshot)
         except Exception as error:
             self._refuse_reload(str(error))
@@ -195,7 +195,7 @@
 
     # -- parts
 
-    def build_parts(self, scope: Scope) -> None:
+    def build_parts(self, scope: TaskGroup) -> None:
         """Make all parts; none of them does anything yet."""
         self.scope = scope
         settings = policy_settings(self.fleet, self.rank, self.configuration.generation)
@@ -208,7 +208,9 @@
             "connections": Gauge("Clients' connections", lambda: len(self.front.connections)),
             "open_requests": Gauge("Requests under way", lambda: len(self.host.requests)),
             "nodes": Gauge("Nodes on the list", lambda: len(self.tracker.endpoints)),
-            "longest_turn_seconds": Gauge("Longest turn of the loop", lambda: self.loop.longest_turn / 1e6),
+            "longest_turn_seconds": Gauge(
+                "Longest turn of the loop", lambda: self.loop.longest_turn_us / 1e6
+            ),
         }
         self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, self.send_limits_datagram)
         self.resp = RespServer(
@@ -221,7 +223,7 @@
             self.loop, self.fleet, self.tracker, self.entry.name, cache, lambda event: self.host.feed(event)
         )
 
-    def _build_forwarding(self, settings: policy.Settings, scope: Scope) -> None:
+    def _build_forwarding(self, settings: policy.Settings, scope: TaskGroup) -> None:
         nodes = OpenApiEndpointAdapter(self.fleet, self.entry.name, self.incarnation, self.tracker)
         note = self.rollout_agent.record_answer if self.rollout_agent is not None else None
         clients = OpenApiClientAdapter(
@@ -232,7 +234,7 @@
             self._unready_reason,
             note,
         )
-        rules = Gateway(settings, self.loop.world.random.getrandbits(64), self.loop.now())
+        rules = Gateway(settings, self.loop.backend.random.getrandbits(64), self.loop.now())
         track_accounts(rules)
         upstream = AttemptStarter(self.loop, self.fleet, scope, nodes)
         self.host = PolicyDriver(
@@ -265,7 +267,7 @@
 
     # -- serving
 
-    def start_serving(self, scope: Scope) -> None:
+    def start_serving(self, scope: TaskGroup) -> None:
         """Accept requests; sockets that are not bound or inherited yet are bound here."""
         if not self.takes_over:
             self.watch.load_cache()
@@ -277,8 +279,8 @@
             self._start_recorder(scope, self.record_to)
         if self.rollout_agent is not None:
             self.rollout_agent.start(scope)
-        scope.spawn(self.watch.run, kind=CONTROL, name="node list")
-        scope.spawn(self.watch.run_cache_writer, kind=BACKGROUND, name="node list's cache")
+        scope.spawn(self.watch.run, priority=CONTROL, name="node list")
+        scope.spawn(self.watch.run_cache_writer, priority=BACKGROUND, name="node list's cache")
         self._receive_from_others()
         self.front.listen(self.sockets["http"])
         if "resp" in self.sockets:
@@ -288,7 +290,7 @@
             self.when_ready()
         self.log.info("started", listen=self.entry.listen, rank=self.rank, pid=os.getpid())
 
-    def _start_account_store(self, scope: Scope) -> None:
+    def _start_account_store(self, scope: TaskGroup) -> None:
         """Go on with the accounts of an earlier incarnation, unless another process sent its own."""
         if not self.fleet.state_directory or not self.fleet.account_store.write_interval_us:
             return
@@ -296,18 +298,18 @@
         if not self.takes_over:
             self.log.info("remembered", accounts=self.account_store.load())
             self.account_store.save_before_serving()
-        scope.spawn(self.account_store.save_periodically, kind=BACKGROUND, name="memory")
+        scope.spawn(self.account_store.save_periodically, priority=BACKGROUND, name="memory")
 
-    def _start_recorder(self, scope: Scope, folder: str) -> None:
+    def _start_recorder(self, scope: TaskGroup, folder: str) -> None:
         names = self.state_names()
         name, describe = self.entry.name, self.describe_state
         recorder = TrafficRecorder(self.loop, folder, name, self.host, names, self.log, describe)
         self.host.recorder = recorder
-        scope.spawn(recorder.run, kind=BACKGROUND, name="recorder")
+        scope.spawn(recorder.run, priority=BACKGROUND, name="recorder")
 
     def _receive_from_others(self) -> None:
         """Receive datagrams of peers, and requests of the admin API."""
-        self._receiving = self.scope.spawn(self._receive_datagrams, kind=PEERS, name="peers")
+        self._receiving = self.scope.spawn(self._receive_datagrams, priority=PEERS, name="peers")
         if "admin" in self.sockets:
             self.admin.listen(self.sockets["admin"], self.scope)
 
--- a/orchidlane/gateway/lifecycle/restart_channel.py
+++ b/orchidlane/gateway/lifecycle/restart_channel.py
@@ -6,7 +6,15 @@
 from collections.abc import Iterator
 
 from orchidlane.hot_restart import messages
-from orchidlane.runtime import CONTROL, Closed, Expired, Loop, Scope, Stream, Task
+from orchidlane.runtime import (
+    CONTROL,
+    ConnectionClosedError,
+    DeadlineExceededError,
+    EventLoop,
+    Stream,
+    Task,
+    TaskGroup,
+)
 from orchidlane.runtime.backend import Handle
 
 WRITE_TIMEOUT_US = 5_000_000
@@ -16,7 +24,7 @@
 class Channel:
     """One end of the Unix socket; a message may pass a descriptor."""
 
-    def __init__(self, loop: Loop, stream: Stream, number: int, scope: Scope) -> None:
+    def __init__(self, loop: EventLoop, stream: Stream, number: int, scope: TaskGroup) -> None:
         self.loop = loop
         self.stream = stream
         self.number = number
@@ -24,7 +32,7 @@
         self._queue: deque[tuple[bytes, Handle | None]] = deque()
         self._parser = messages.Parser()
         self._flushing: list[Task] = []
-        self._writer = scope.spawn(self._write, kind=CONTROL, name="upgrade writer")
+        self._writer = scope.spawn(self._write, priority=CONTROL, name="upgrade writer")
 
     def send(self, message: messages.Message, handle: Handle | None = None) -> None:
         """Send in order, at once if the socket takes it: the peer then reads it even if we die next."""
@@ -33,16 +41,16 @@
             try:
                 if handle is None:
                     data = data[self.stream.try_send(data) :]
-                elif sent := self.stream.try_send_with(data, handle):
+                elif sent := self.stream.try_send_with_handle(data, handle):
                     data = data[sent:]
                     handle = None
-            except Closed:
+            except ConnectionClosedError:
                 self.closed = True
             if not data:
                 return
         if self.closed or len(self._queue) >= MAX_QUEUED_MESSAGES:
             if handle is not None:
-                self.loop.world.drop(handle)
+                self.loop.backend.close_handle(handle)
             return
         self._queue.append((data, handle))
         self.loop.wake(self._writer)
@@ -51,12 +59,12 @@
         try:
             while True:
                 self._write_next()
-        except (Closed, Expired):
+        except (ConnectionClosedError, DeadlineExceededError):
             self.closed = True
         finally:
             for _, handle in self._queue:
                 if handle is not None:
-                    self.loop.world.drop(handle)
+                    self.loop.backend.close_handle(handle)
             self._queue.clear()
             self._wake_flushing()
 
@@ -69,7 +77,7 @@
         if handle is None:
             self.stream.send(data, deadline)
         else:
-            self.stream.send_with(data, handle, deadline)
+            self.stream.send_with_handle(data, handle, deadline)
         self._queue.popleft()
 
     def _wake_flushing(self) -> None:
@@ -84,7 +92,7 @@
         return bool(self._queue) and not self.closed
 
     def flush(self) -> None:
-        """Wait until all is sent, or never will be. Raises Expired."""
+        """Wait until all is sent, or never will be. Raises DeadlineExceededError."""
         task = self.loop.current
         assert task is not None
         while self._queue and not self.closed:
@@ -100,7 +108,7 @@
                 continue
             try:
                 data = self.stream.recv()
-            except Closed:
+            except ConnectionClosedError:
                 return
             if not data:
                 return
@@ -111,7 +119,7 @@
         try:
             while self.stream.recv():
                 pass
-        except Closed:
+        except ConnectionClosedError:
             pass
 
     def close(self) -> None:
--- a/orchidlane/gateway/lifecycle/rolling_upgrade.py
+++ b/orchidlane/gateway/lifecycle/rolling_upgrade.py
@@ -19,7 +19,7 @@
 from orchidlane.hot_restart.probation import AnswerCounts
 from orchidlane.hot_restart.rolling_batches import Fleet as Layout
 from orchidlane.hot_restart.rolling_batches import Member, RiskLimits
-from orchidlane.runtime import CONTROL, Loop, Scope
+from orchidlane.runtime import CONTROL, EventLoop, TaskGroup
 
 STATUS_INTERVAL_US = 200_000
 MAX_CONCURRENT_STATUS_REQUESTS = 16
@@ -63,7 +63,7 @@
     """One roll of a fleet, from its start or from where it was left."""
 
     def __init__(
-        self, loop: Loop, fleet: FleetSettings, starter: SuccessorStarter, report: Callable[[str], None]
+        self, loop: EventLoop, fleet: FleetSettings, starter: SuccessorStarter, report: Callable[[str], None]
     ) -> None:
         self.loop = loop
         self.fleet = fleet
@@ -79,7 +79,7 @@
 
     def load_stored(self) -> StoredRoll | None:
         """Return what an earlier roll stored. Raises ValueError if it is unreadable or another fleet's."""
-        data = self.loop.world.read_file(self.path)
+        data = self.loop.backend.read_file(self.path)
         if data is None:
             return None
         try:
@@ -194,9 +194,9 @@
         if rollback_reason:
             self._feed(rolling_upgrade.RollbackRequested(rollback_reason))
         while self.upgrade.state.phase not in rolling_upgrade.FINAL_PHASES:
-            with Scope(self.loop) as scope:
+            with TaskGroup(self.loop) as scope:
                 for rank in self._ranks_to_poll():
-                    scope.spawn(self._poll, rank, kind=CONTROL, name="look")
+                    scope.spawn(self._poll, rank, priority=CONTROL, name="look")
             self._feed(rolling_upgrade.TimerFired())
             self.loop.sleep(STATUS_INTERVAL_US)
         return self.upgrade.state
@@ -213,7 +213,7 @@
     def _store(self) -> None:
         data = msgspec.json.encode(self.stored)
         if data != self._last_written:
-            self.loop.world.write_file(self.path, data)
+            self.loop.backend.write_file(self.path, data)
             self._last_written = data
 
     def _report_changes(
--- a/orchidlane/gateway/lifecycle/served_gateway.py
+++ b/orchidlane/gateway/lifecycle/served_gateway.py
@@ -17,13 +17,13 @@
 from orchidlane.gateway.server.resp_server import RespServer, Session
 from orchidlane.gateway.telemetry.metrics import MetricsPage
 from orchidlane.hot_restart.probation import AnswerCounts
-from orchidlane.runtime import Loop, Scope
+from orchidlane.runtime import EventLoop, TaskGroup
 
 
 class ServedGateway(Protocol):
     """One gateway process, with all its parts."""
 
-    loop: Loop
+    loop: EventLoop
     fleet: FleetSettings
     entry: GatewayEntry
     rank: int
@@ -45,10 +45,10 @@
     def load_configuration(self, number: int) -> None:
         """Read description and customers as the configuration of this number."""
 
-    def build_parts(self, scope: Scope) -> None:
+    def build_parts(self, scope: TaskGroup) -> None:
         """Make all parts; none of them does anything yet."""
 
-    def start_serving(self, scope: Scope) -> None:
+    def start_serving(self, scope: TaskGroup) -> None:
         """Accept requests."""
 
     def delegate_units(self, units: SuccessorUnits) -> None:
--- a/orchidlane/gateway/lifecycle/sockets.py
+++ b/orchidlane/gateway/lifecycle/sockets.py
@@ -6,7 +6,7 @@
 
 from orchidlane.gateway.control.settings import FleetSettings, GatewayEntry
 from orchidlane.gateway.control.settings_loader import hot_restart_address, parse_host_port
-from orchidlane.runtime import Loop
+from orchidlane.runtime import EventLoop
 from orchidlane.runtime.backend import Address, Handle
 
 PEER = "peer"  # datagrams; all others are listeners
@@ -15,7 +15,7 @@
 class GatewaySockets:
     """Bound from the settings, or adopted from the process before this one."""
 
-    def __init__(self, loop: Loop, fleet: FleetSettings, entry: GatewayEntry) -> None:
+    def __init__(self, loop: EventLoop, fleet: FleetSettings, entry: GatewayEntry) -> None:
         self.loop = loop
         self.fleet = fleet
         self.entry = entry
@@ -38,8 +38,8 @@
             return
         at = self._address(name)
         if at is not None:
-            world = self.loop.world
-            self._sockets[name] = world.datagrams(at) if name == PEER else world.listen(at)
+            backend = self.loop.backend
+            self._sockets[name] = backend.bind_datagrams(at) if name == PEER else backend.listen(at)
 
     def _address(self, name: str) -> Address | None:
         if name == "upgrade":
@@ -50,9 +50,9 @@
 
     def adopt(self, handles: dict[str, Handle]) -> None:
         """Take over the sockets of another process."""
-        world = self.loop.world
+        backend = self.loop.backend
         for name, handle in handles.items():
-            adopt = world.adopt_datagrams if name == PEER else world.adopt_listener
+            adopt = backend.adopt_datagrams if name == PEER else backend.adopt_listener
             self._sockets[name] = adopt(handle)
 
     def close(self) -> None:
--- a/orchidlane/gateway/lifecycle/state_handover.py
+++ b/orchidlane/gateway/lifecycle/state_handover.py
@@ -21,7 +21,7 @@
         self._channel: int | None = None  # that the copy goes to
 
     def offer(self, channel: Channel) -> None:
-        """Pass the sockets, then copy the state while traffic goes on. Raises Expired."""
+        """Pass the sockets, then copy the state while traffic goes on. Raises DeadlineExceededError."""
         self._send_offer(channel)
         limits = self.gateway.limits
         copy = PreCopy(
@@ -36,7 +36,7 @@
         while self._copy is copy and (page := copy.next_page()) is not None:
             channel.send(messages.TableRows(*page))
             channel.flush()
-            self.gateway.loop.give_way()
+            self.gateway.loop.yield_to_others()
         if self._copy is copy:
             channel.send(messages.CopyComplete())
 
@@ -45,14 +45,14 @@
         channel.send(
             messages.Offer(
                 recording.build_name(),
-                gateway.loop.world.clock_base(),
+                gateway.loop.backend.clock_base(),
                 gateway.incarnation,
                 gateway.configuration.generation.number,
                 gateway.sockets.names,
             )
         )
         for name in gateway.sockets.names:
-            channel.send(messages.InheritedSocket(name), gateway.sockets[name].share())
+            channel.send(messages.InheritedSocket(name), gateway.sockets[name].duplicate())
 
     def cancel(self, channel: int) -> None:
         """Drop the copy if it goes to this channel."""
@@ -61,7 +61,10 @@
             self._copy = None
 
     def copy_changes(self, channel: Channel) -> PreCopy:
-        """Copy what changed since, until little is left, and return the copy. Raises Expired."""
+        """Copy what changed since, until little is left, and return the copy.
+
+        Raises DeadlineExceededError.
+        """
         copy = self._copy
         assert copy is not None
         copy.allow_more_rounds()
--- a/orchidlane/gateway/lifecycle/status_query.py
+++ b/orchidlane/gateway/lifecycle/status_query.py
@@ -3,25 +3,31 @@
 from __future__ import annotations
 
 from orchidlane.hot_restart import messages
-from orchidlane.runtime import Closed, Expired, Loop, NotConnected, Stream
+from orchidlane.runtime import (
+    ConnectionClosedError,
+    ConnectionFailedError,
+    DeadlineExceededError,
+    EventLoop,
+    Stream,
+)
 from orchidlane.runtime.backend import Address
 
 STATUS_TIMEOUT_US = 1_000_000
 
 
 def request_status(
-    loop: Loop, address: Address, timeout_us: int = STATUS_TIMEOUT_US
+    loop: EventLoop, address: Address, timeout_us: int = STATUS_TIMEOUT_US
 ) -> messages.Status | None:
     """Return the status, None if there is no valid answer in time."""
     deadline = loop.now() + timeout_us
     try:
-        stream = loop.world.connect(address, deadline)
-    except (NotConnected, Expired):
+        stream = loop.backend.connect(address, deadline)
+    except (ConnectionFailedError, DeadlineExceededError):
         return None
     try:
         stream.send(messages.encode(messages.StatusRequest()), deadline)
         return _receive_status(stream, deadline)
-    except (Closed, Expired, messages.ProtocolError):
+    except (ConnectionClosedError, DeadlineExceededError, messages.ProtocolError):
         return None
     finally:
         stream.close()
--- a/orchidlane/gateway/lifecycle/successor_units.py
+++ b/orchidlane/gateway/lifecycle/successor_units.py
@@ -7,7 +7,7 @@
 from orchidlane.gateway.forwarding.call import QuotaOwner
 from orchidlane.gateway.lifecycle.restart_channel import Channel
 from orchidlane.hot_restart import messages
-from orchidlane.runtime import Expired, Task
+from orchidlane.runtime import DeadlineExceededError, Task
 
 UNITS_TIMEOUT_US = 1_000_000
 NO_RESERVATION = -1
@@ -53,7 +53,7 @@
         try:
             while pending.granted is None and not self.channel.closed:
                 loop.park(deadline)
-        except Expired:
+        except DeadlineExceededError:
             pass
         finally:
             del self.pending[request_id]
--- a/orchidlane/gateway/peers/query_exchange.py
+++ b/orchidlane/gateway/peers/query_exchange.py
@@ -14,7 +14,7 @@
 
 from orchidlane.gateway.control.settings import QuotaSettings
 from orchidlane.gateway.peers.token_messages import TokenQuery, TokenReply
-from orchidlane.runtime import Expired, Loop, Task
+from orchidlane.runtime import DeadlineExceededError, EventLoop, Task
 
 QUERY_IDS_PER_PROCESS = 1 << 32  # between the queries of a process and those of its successor
 MAX_CACHED_REPLIES = 4_096
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         replica: int,
         terms: QuotaSettings,
         send: Callable[[int, bytes], None],
@@ -101,7 +101,7 @@
                 return
             try:
                 self._loop.park(min(give_up_at, resend_at))
-            except Expired:
+            except DeadlineExceededError:
                 resend_at = self._loop.now() + self._terms.retry_delay_us
                 for replica, query_id in unanswered.items():
                     numbered = msgspec.structs.replace(query, id=query_id)
--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -23,7 +23,7 @@
     token_name,
 )
 from orchidlane.limits.tokens import ClaimId
-from orchidlane.runtime import Loop
+from orchidlane.runtime import EventLoop
 
 MICROSECONDS_PER_SECOND = 1_000_000
 MIN_RETRY_AFTER_US = 1_000
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         fleet: FleetSettings,
         rank: int,
         host: PolicyDriver,
@@ -174,7 +174,7 @@
                 return True
             if verdict is ClaimVerdict.NO_MAJORITY or self.loop.now() >= give_up_at:
                 raise PeersUnreachableError("the take with this token is not settled")
-            self.loop.sleep(self.loop.world.random.randint(*CLAIM_RETRY_DELAY_US))
+            self.loop.sleep(self.loop.backend.random.randint(*CLAIM_RETRY_DELAY_US))
 
     def _can_grant(self, customer: Customer, units: float, request_class: int, timeout_us: int) -> bool:
         if self.grants.is_full(self.loop.now()):
--- a/orchidlane/gateway/rollout_agent/admin_client.py
+++ b/orchidlane/gateway/rollout_agent/admin_client.py
@@ -9,7 +9,13 @@
 from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.http1 import Data, End, Malformed, Response
 from orchidlane.rollout.version import compute_seal
-from orchidlane.runtime import Closed, Expired, Loop, NotConnected, Stream
+from orchidlane.runtime import (
+    ConnectionClosedError,
+    ConnectionFailedError,
+    DeadlineExceededError,
+    EventLoop,
+    Stream,
+)
 from orchidlane.runtime.backend import Address
 
 SEAL_HEADER = b"orchidlane-seal"
@@ -32,7 +38,7 @@
 class AdminClient:
     """Calls to the gateways of a fleet, by rank."""
 
-    def __init__(self, loop: Loop, fleet: FleetSettings, secret: bytes) -> None:
+    def __init__(self, loop: EventLoop, fleet: FleetSettings, secret: bytes) -> None:
         self.loop = loop
         self.fleet = fleet
         self.secret = secret
@@ -61,7 +67,7 @@
 
 
 def call_admin_api(
-    loop: Loop,
+    loop: EventLoop,
     admin_address: Address,
     secret: bytes,
     method: str,
@@ -79,13 +85,13 @@
         (b"connection", b"close"),
     ]
     try:
-        stream = loop.world.connect(admin_address, deadline_us)
-    except (NotConnected, Expired) as error:
+        stream = loop.backend.connect(admin_address, deadline_us)
+    except (ConnectionFailedError, DeadlineExceededError) as error:
         raise AdminCallError(f"no connection: {error or 'in time'}") from None
     try:
         stream.send(http1.request_head(method, target, fields) + body, deadline_us)
         return _receive_response(stream, method, deadline_us, max_response_bytes)
-    except (Closed, Expired, Malformed) as error:
+    except (ConnectionClosedError, DeadlineExceededError, Malformed) as error:
         raise AdminCallError(f"no whole answer: {error or 'in time'}") from None
     finally:
         stream.close()
--- a/orchidlane/gateway/rollout_agent/adoption.py
+++ b/orchidlane/gateway/rollout_agent/adoption.py
@@ -138,7 +138,7 @@
                 served=[number for number in numbers if not after[number].is_suspended],
             )
 
-        reset: CustomersToReset = self.storage.world.aside(compare)
+        reset: CustomersToReset = self.storage.backend.run_in_thread(compare)
         return reset
 
     def _reset_quotas(self, numbers: list[int], snapshot: ConfigurationSnapshot) -> None:
--- a/orchidlane/gateway/rollout_agent/agent.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -31,7 +31,7 @@
 from orchidlane.rollout.leader import Leadership
 from orchidlane.rollout.replicated_state import ReplicatedState, RolloutPhase
 from orchidlane.rollout.version import Certificate, ContentHashes, content_hash
-from orchidlane.runtime import CONTROL, Scope, Task
+from orchidlane.runtime import CONTROL, Task, TaskGroup
 
 TICK_INTERVAL_US = 20_000
 REPORT_INTERVAL_US = 500_000
@@ -51,16 +51,16 @@
         self.agent_state = AgentState()
         self.answer_tally = AnswerTally()
         self.client = AdminClient(self.loop, self.fleet, self.secret)
-        world = self.loop.world
+        backend = self.loop.backend
         name = self.fleet.gateways[self.rank].name
-        self.storage = RolloutStorage(world, f"{self.fleet.state_directory}/{name}")
+        self.storage = RolloutStorage(backend, f"{self.fleet.state_directory}/{name}")
         self.dissemination = Dissemination(
             self.rank,
             len(self.fleet.gateways),
             self.voters,
             self.fleet.rollout.lease_us,
             self.fleet.rollout.poll_interval_us,
-            world.random,
+            backend.random,
         )
         self._background = BackgroundTasks(self.loop)
         self._build_parts()
@@ -79,7 +79,7 @@
             self.agent_state,
             self.storage,
             background,
-            self.loop.world.random,
+            self.loop.backend.random,
             self.log,
         )
         self.voter_runner = VoterRunner(
@@ -120,7 +120,7 @@
         self._learn_state(restored.state, content_hash(data), data, None)
         return restored.snapshot
 
-    def start(self, scope: Scope) -> None:
+    def start(self, scope: TaskGroup) -> None:
         """Take part from here on; the files of earlier processes are read only now."""
         self._store_own_contents()
         if self.rank in self.voters:
@@ -128,7 +128,7 @@
                 len(self.fleet.gateways), self.secret, leadership_settings(self.fleet), self.state
             )
         self.voter_runner.start(scope)
-        self._clock = scope.spawn(self._run_clock, kind=CONTROL, name="rollout agent")
+        self._clock = scope.spawn(self._run_clock, priority=CONTROL, name="rollout agent")
         self._background.scope = scope
 
     def stop(self) -> None:
--- a/orchidlane/gateway/rollout_agent/background_tasks.py
+++ b/orchidlane/gateway/rollout_agent/background_tasks.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from orchidlane.runtime import BACKGROUND, CONTROL, Loop, Scope
+from orchidlane.runtime import BACKGROUND, CONTROL, EventLoop, TaskGroup
 
 RETRY_INTERVAL_US = 300_000
 
@@ -12,9 +12,9 @@
 class BackgroundTasks:
     """Tasks in the agent's scope; ``scope`` is None while the agent does not take part."""
 
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
-        self.scope: Scope | None = None
+        self.scope: TaskGroup | None = None
         self._running: set[str] = set()
         self._retry_at: dict[str, int] = {}
 
@@ -50,9 +50,9 @@
             finally:
                 self._running.discard(kind)
 
-        self.scope.spawn(run, kind=BACKGROUND, name=kind)
+        self.scope.spawn(run, priority=BACKGROUND, name=kind)
 
     def start_fetch(self, fetch: Callable[[], None]) -> None:
         """Run a fetch that a voter may wait for, in a task of its own."""
         assert self.scope is not None
-        self.scope.spawn(fetch, kind=CONTROL, name="replicated state")
+        self.scope.spawn(fetch, priority=CONTROL, name="replicated state")
--- a/orchidlane/gateway/rollout_agent/configuration_reader.py
+++ b/orchidlane/gateway/rollout_agent/configuration_reader.py
@@ -25,7 +25,7 @@
     def read(self, contents: ContentHashes, number: int) -> ConfigurationSnapshot:
         """Return the configuration, made beside the loop. Raises ContentError."""
         description, customers = self._blobs(contents)
-        snapshot: ConfigurationSnapshot = self.storage.world.aside(
+        snapshot: ConfigurationSnapshot = self.storage.backend.run_in_thread(
             lambda: self._make(description, customers, number)
         )
         return snapshot
--- a/orchidlane/gateway/rollout_agent/process_interface.py
+++ b/orchidlane/gateway/rollout_agent/process_interface.py
@@ -8,7 +8,7 @@
 from orchidlane.gateway.control.configuration import ConfigurationSnapshot
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.policy import ReplicaSetChanged
-from orchidlane.runtime import Loop
+from orchidlane.runtime import EventLoop
 
 
 class PolicyFeed(Protocol):
@@ -30,7 +30,7 @@
     when_ready: Callable[[], None]
 
     @property
-    def loop(self) -> Loop:
+    def loop(self) -> EventLoop:
         """The scheduler of all tasks."""
 
     @property
--- a/orchidlane/gateway/rollout_agent/storage.py
+++ b/orchidlane/gateway/rollout_agent/storage.py
@@ -12,7 +12,7 @@
 
 from orchidlane.rollout.version import Certificate, content_hash
 from orchidlane.rollout.voter_state import VoterState
-from orchidlane.runtime.backend import World
+from orchidlane.runtime.backend import Backend
 
 DIGEST_BYTES = 64
 MAX_UPLOADS = 32  # contents that no version names yet
@@ -45,8 +45,8 @@
 class RolloutStorage:
     """The files of one gateway; ``prefix`` is their folder and the gateway's name."""
 
-    def __init__(self, world: World, prefix: str) -> None:
-        self.world = world
+    def __init__(self, backend: Backend, prefix: str) -> None:
+        self.backend = backend
         self.prefix = prefix
         # Insertion order is age.
         self.cached_states: dict[str, bytes] = {}
@@ -66,13 +66,13 @@
         """Return a state or a content; None where it is not here, or damaged on disk."""
         if blob_hash in self.cached_states:
             return self.cached_states[blob_hash]
-        data = self.world.read_file(self._content_path(blob_hash))
+        data = self.backend.read_file(self._content_path(blob_hash))
         return data if data is not None and content_hash(data) == blob_hash else None
 
     def write_content(self, blob_hash: str, data: bytes) -> None:
         """Write a content to disk. Raises OSError."""
         path = self._content_path(blob_hash)
-        self.world.aside(lambda: self.world.write_file(path, data))
+        self.backend.run_in_thread(lambda: self.backend.write_file(path, data))
         self.contents[blob_hash] = None
 
     def write_upload(self, blob_hash: str, data: bytes) -> None:
@@ -87,7 +87,7 @@
         """Remove contents that are neither referenced nor recent uploads."""
         kept = referenced | self.uploads.keys()
         for blob_hash in [each for each in self.contents if each not in kept]:
-            self.world.remove_file(self._content_path(blob_hash))
+            self.backend.remove_file(self._content_path(blob_hash))
             del self.contents[blob_hash]
 
     def _content_path(self, blob_hash: str) -> str:
@@ -116,7 +116,7 @@
 
     def _read(self, suffix: str, file_type: type[AnyFile]) -> AnyFile | None:
         path = f"{self.prefix}.{suffix}"
-        data = self.world.read_file(path)
+        data = self.backend.read_file(path)
         if data is None:
             return None
         body = data[:-DIGEST_BYTES]
@@ -132,4 +132,4 @@
         body = msgspec.msgpack.encode(file)
         data = body + content_hash(body).encode()
         path = f"{self.prefix}.{suffix}"
-        self.world.aside(lambda: self.world.write_file(path, data))
+        self.backend.run_in_thread(lambda: self.backend.write_file(path, data))
--- a/orchidlane/gateway/rollout_agent/version_review.py
+++ b/orchidlane/gateway/rollout_agent/version_review.py
@@ -98,7 +98,7 @@
             old = self.reader.read(current.contents, current.number)
         except ContentError as error:
             return f"the version that runs: {error}"
-        reason: str = self.reader.storage.world.aside(
+        reason: str = self.reader.storage.backend.run_in_thread(
             lambda: incompatibility(
                 version_configuration(old, self._fleet), version_configuration(new, self._fleet)
             )
--- a/orchidlane/gateway/rollout_agent/voter_runner.py
+++ b/orchidlane/gateway/rollout_agent/voter_runner.py
@@ -34,7 +34,7 @@
     StoreBlob,
     VoterState,
 )
-from orchidlane.runtime import CONTROL, Expired, Loop, Scope, Task
+from orchidlane.runtime import CONTROL, DeadlineExceededError, EventLoop, Task, TaskGroup
 
 MAX_QUEUED_EVENTS = 1_000  # more are lost, as datagrams may be
 COMMAND_TIMEOUT_US = 5_000_000
@@ -58,7 +58,7 @@
     def __init__(
         self,
         rank: int,
-        loop: Loop,
+        loop: EventLoop,
         storage: RolloutStorage,
         fetcher: BlobFetcher,
         send: SendMessage,
@@ -89,7 +89,7 @@
     ) -> None:
         """Become a voter with what is on disk, or with a new store where that is lost."""
         now = self.loop.now()
-        rng: Random = self.storage.world.random
+        rng: Random = self.storage.backend.random
         file = accepted_state = chosen_state = None
         try:
             file = self.storage.read_voter()
@@ -114,9 +114,9 @@
         self.storage.cache_state(content_hash(data), data)
         return replicated_state.decode(data)
 
-    def start(self, scope: Scope) -> None:
+    def start(self, scope: TaskGroup) -> None:
         """Work on events from here on."""
-        self._worker = scope.spawn(self._work, kind=CONTROL, name="voter")
+        self._worker = scope.spawn(self._work, priority=CONTROL, name="voter")
 
     def stop(self) -> None:
         """Give up the vote, and drop all events."""
@@ -276,7 +276,7 @@
         try:
             while not waiting.outcomes:
                 self.loop.park(deadline)
-        except Expired:
+        except DeadlineExceededError:
             reason = "no quorum of voters answers; whether it is taken later is not known"
             return CommandOutcome(False, reason, is_retryable=True)
         finally:
--- a/orchidlane/gateway/server/accept_loop.py
+++ b/orchidlane/gateway/server/accept_loop.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Callable
 
-from orchidlane.runtime import Closed, Listener, Loop, NotConnected, Stream
+from orchidlane.runtime import ConnectionClosedError, ConnectionFailedError, EventLoop, Listener, Stream
 
 NO_DESCRIPTOR_WAIT = 20_000  # microseconds between two tries to accept without descriptors
 
 
 def accept_clients(
-    loop: Loop,
+    loop: EventLoop,
     listener: Listener,
     take: Callable[[Stream], None],
     make_room: Callable[[], object] = lambda: None,
@@ -19,9 +19,9 @@
     while True:
         try:
             stream = listener.accept()
-        except Closed:
+        except ConnectionClosedError:
             return
-        except NotConnected:
+        except ConnectionFailedError:
             make_room()
             loop.sleep(NO_DESCRIPTOR_WAIT)
             continue
--- a/orchidlane/gateway/server/client_connection.py
+++ b/orchidlane/gateway/server/client_connection.py
@@ -59,7 +59,7 @@
 
     def has_more(self) -> bool:
         """Return whether bytes, or the end, have arrived beyond what was used, read by us or not yet."""
-        return bool(self.parser.pending) or self.stream.waiting()
+        return bool(self.parser.pending) or self.stream.has_input()
 
 
 def send_all(stream: Stream, data: bytes, deadline: int) -> None:
--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -17,15 +17,15 @@
 from orchidlane.gateway.server.request_handler import Driver, RequestHandler
 from orchidlane.runtime import (
     REQUESTS,
-    Closed,
-    Expired,
-    Lingering,
+    ConnectionClosedError,
+    ConnectionFailedError,
+    DeadlineExceededError,
+    EventLoop,
+    LingeringConnections,
     Listener,
-    Loop,
-    NotConnected,
-    Scope,
     Stream,
     Task,
+    TaskGroup,
 )
 
 
@@ -33,7 +33,7 @@
     """Accepts clients and serves them."""
 
     def __init__(
-        self, loop: Loop, terms: GatewayLimits, host: Driver, clients: ClientAdapter, scope: Scope
+        self, loop: EventLoop, terms: GatewayLimits, host: Driver, clients: ClientAdapter, scope: TaskGroup
     ) -> None:
         self.loop = loop
         self.bounds = terms.resource_limits
@@ -52,7 +52,7 @@
         self.connections: dict[Connection, None] = {}
         self.newcomers: dict[Connection, None] = {}  # those that asked nothing yet, the oldest first
         self.idle: dict[Connection, None] = {}  # those between two requests, the longest idle first
-        self.lingering = Lingering(
+        self.lingering = LingeringConnections(
             loop, scope, terms.timeouts.linger_us, terms.resource_limits.max_lingering_connections
         )
         self.listener: Listener
@@ -70,7 +70,7 @@
     def listen(self, listener: Listener) -> None:
         """Take clients from a listener."""
         self.listener = listener
-        self._accepting = self.scope.spawn(self._accept, kind=REQUESTS, name="accept")
+        self._accepting = self.scope.spawn(self._accept, priority=REQUESTS, name="accept")
 
     def hold(self, pass_on: Callable[[Connection], None]) -> None:
         """Take no more clients, who wait at the listener; each that we have is passed on between requests."""
@@ -83,7 +83,7 @@
     def resume(self) -> None:
         """Take clients again."""
         self.pass_on = None
-        self._accepting = self.scope.spawn(self._accept, kind=REQUESTS, name="accept")
+        self._accepting = self.scope.spawn(self._accept, priority=REQUESTS, name="accept")
 
     def _pass(self, connection: Connection) -> None:
         assert self.pass_on is not None
@@ -137,7 +137,7 @@
     def _begin(self, connection: Connection) -> None:
         connection.known = not self.times.first_request_us
         self.connections[connection] = None
-        connection.task = self.scope.spawn(self._client, connection, kind=REQUESTS, name="client")
+        connection.task = self.scope.spawn(self._client, connection, priority=REQUESTS, name="client")
 
     def _make_room(self) -> None:
         """At the bound the client that is idle for longest goes; while all are busy, no more are taken."""
@@ -151,7 +151,7 @@
         for resting in (self.newcomers, self.idle):
             connection = next(iter(resting), None)
             # Guards against a close that crosses a request: what has come already is served.
-            if connection is not None and connection.rested <= least and not connection.stream.waiting():
+            if connection is not None and connection.rested <= least and not connection.stream.has_input():
                 self._forget(connection)
                 return True
         return False
@@ -175,7 +175,7 @@
         try:
             while self.connections:
                 self.loop.park(by)
-        except Expired:
+        except DeadlineExceededError:
             return False
         finally:
             self._leaving = None
@@ -189,7 +189,7 @@
         """
         self.draining = True
         self.loop.cancel(self._accepting)
-        with suppress(Closed, NotConnected):
+        with suppress(ConnectionClosedError, ConnectionFailedError):
             while len(self.connections) < self.bounds.max_connections:
                 if (stream := self._next_waiting()) is None:
                     break
@@ -212,7 +212,7 @@
         try:
             while self._serve_next(connection):
                 pass
-        except (Closed, Expired):
+        except (ConnectionClosedError, DeadlineExceededError):
             pass
         except BaseException as wrong:
             if isinstance(wrong, Exception) and self.contain is not None:
@@ -228,7 +228,7 @@
         """A failure within one connection ends that connection, with an answer, and nothing else."""
         assert self.contain is not None
         self.contain("client", wrong)
-        with suppress(Closed, Expired):
+        with suppress(ConnectionClosedError, DeadlineExceededError):
             self._handler.respond_alone(connection, self.clients.failed())
 
     def _serve_next(self, connection: Connection) -> bool:
--- a/orchidlane/gateway/server/request_handler.py
+++ b/orchidlane/gateway/server/request_handler.py
@@ -17,7 +17,7 @@
 from orchidlane.gateway.server.request_reader import ReaderState, RequestReader
 from orchidlane.gateway.server.response_writer import CONTINUE, ResponseWriter
 from orchidlane.http1 import Malformed, Request
-from orchidlane.runtime import Closed, Expired
+from orchidlane.runtime import ConnectionClosedError, DeadlineExceededError
 
 OVERDUE_US = 5_000  # beyond a request's time: then the policy's answer is waited for no more
 REQUEST_TIMEOUT = 408
@@ -129,7 +129,7 @@
             deadline=connection.since + call.timeout_us - server.times.response_margin_us,
             arrived=connection.since,
             awaits_continue=head.expects_continue,
-            has_client_left=connection.stream.has_left,
+            has_client_left=connection.stream.is_closed_by_peer,
         )
 
     # -- until the answer is there
@@ -157,11 +157,11 @@
         )
         try:
             server.loop.park(deadline)
-        except Expired:
+        except DeadlineExceededError:
             if is_settled:
                 server.host.fail_overdue(exchange)
                 if exchange.response is None:
-                    raise Closed("no answer in its time") from None
+                    raise ConnectionClosedError("no answer in its time") from None
             elif exchange.response is None:
                 raise Malformed(REQUEST_TIMEOUT, "the body took too long") from None
 
@@ -169,16 +169,16 @@
         """Take what the client sent; where there is nothing, return False: the task is woken by more."""
         body = exchange.body
         if self._is_at_bound(connection, body):
-            if connection.stream.has_left():
-                raise Closed("the client left")
-            connection.stream.watch_end(exchange.task)
+            if connection.stream.is_closed_by_peer():
+                raise ConnectionClosedError("the client left")
+            connection.stream.wake_on_peer_close(exchange.task)
             return False
-        data = None if connection.stream.drained else connection.stream.try_recv()
+        data = None if connection.stream.is_input_exhausted else connection.stream.try_recv()
         if data is None:
-            connection.stream.watch(exchange.task)
+            connection.stream.wake_on_input(exchange.task)
             return False
         if not data:
-            raise Closed("the client left")
+            raise ConnectionClosedError("the client left")
         self._reader.received(connection, data)
         self._reader.transfer(connection, body)
         return True
@@ -210,7 +210,7 @@
         connection.parser.next_message()
         if connection.parser.pending:
             connection.since = connection.last_recv
-        server.loop.breathe()
+        server.loop.yield_sometimes()
         return True
 
     def _is_last(self, connection: Connection) -> bool:
--- a/orchidlane/gateway/server/request_reader.py
+++ b/orchidlane/gateway/server/request_reader.py
@@ -9,13 +9,13 @@
 from orchidlane.gateway.forwarding.request_body import RequestBody
 from orchidlane.gateway.server.client_connection import Connection, Watcher, recv_watched
 from orchidlane.http1 import Data, End, Malformed, Request
-from orchidlane.runtime import Closed, Expired, Loop
+from orchidlane.runtime import ConnectionClosedError, DeadlineExceededError, EventLoop
 
 
 class ReaderState(Protocol):
     """What a reader needs to know of its server."""
 
-    loop: Loop
+    loop: EventLoop
     times: Timeouts
     draining: bool
     last: int | None
@@ -43,7 +43,7 @@
         try:
             if not parser.pending and not self._wait_for_request(connection):
                 return None
-        except Expired:
+        except DeadlineExceededError:
             return None
         finally:
             server.idle.pop(connection, None)
@@ -53,14 +53,14 @@
                 if not self._receive(connection, deadline - server.loop.now()):
                     parser.next_event()  # raises Malformed for a head that was cut
                     return None
-            except Expired:
+            except DeadlineExceededError:
                 raise Malformed(408, "the head took too long") from None
         assert isinstance(event, Request)
         return event
 
     def _wait_for_request(self, connection: Connection) -> bool:
         server = self._server
-        if server.draining and not connection.stream.waiting():
+        if server.draining and not connection.stream.has_input():
             return False
         timeout = server.times.client_idle_us if connection.known else server.times.first_request_us
         return self.wait_for_first_bytes(connection, timeout)
@@ -69,8 +69,8 @@
         """Wait for a request to begin; return False where the client left or stayed silent."""
         try:
             return self._receive(connection, timeout)
-        except Expired:
-            if not connection.stream.waiting():
+        except DeadlineExceededError:
+            if not connection.stream.has_input():
                 return False
             # This process itself stood still: what arrived in the meantime is served.
             return self._receive(connection, self._server.times.request_head_us)
@@ -84,7 +84,7 @@
         return min(connection.opened + times.first_request_us, deadline)
 
     def _receive(self, connection: Connection, timeout: int) -> bool:
-        """Feed the parser once; return False at the end of input. Raises Expired."""
+        """Feed the parser once; return False at the end of input. Raises DeadlineExceededError."""
         server = self._server
         deadline = server.loop.now() + timeout
         if server.watcher is None or not connection.between:
@@ -115,8 +115,8 @@
         while not body.is_complete:
             try:
                 if not self._receive(connection, deadline - server.loop.now()):
-                    raise Closed("the client left")
-            except Expired:
+                    raise ConnectionClosedError("the client left")
+            except DeadlineExceededError:
                 raise Malformed(408, "the body took too long") from None
             self.transfer(connection, body)
         exchange.arrived = connection.last_recv
--- a/orchidlane/gateway/server/resp_server.py
+++ b/orchidlane/gateway/server/resp_server.py
@@ -20,7 +20,17 @@
 from orchidlane.gateway.server.resp_quota_commands import QuotaCommands
 from orchidlane.gateway.server.resp_session import Session
 from orchidlane.resp import ErrorReply
-from orchidlane.runtime import REQUESTS, Closed, Expired, Lingering, Listener, Loop, Scope, Stream, Task
+from orchidlane.runtime import (
+    REQUESTS,
+    ConnectionClosedError,
+    DeadlineExceededError,
+    EventLoop,
+    LingeringConnections,
+    Listener,
+    Stream,
+    Task,
+    TaskGroup,
+)
 
 FLUSH_BYTES = 16_384  # of replies that are written at once
 MAX_REPORTED_BYTES = 65_536  # of unread commands that another process is told of
@@ -33,11 +43,11 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         fleet: FleetSettings,
         service: LimitService,
         knowledge: Callable[[], ConfigurationSnapshot],
-        scope: Scope,
+        scope: TaskGroup,
         why_not: Callable[[], str] = str,
     ) -> None:
         self.loop = loop
@@ -52,7 +62,7 @@
             max_depth=MAX_NESTING,
         )
         self.sessions: dict[Session, None] = {}
-        self.lingering = Lingering(
+        self.lingering = LingeringConnections(
             loop, scope, fleet.timeouts.linger_us, fleet.resource_limits.max_lingering_connections
         )
         self.draining = False
@@ -71,7 +81,7 @@
     def listen(self, listener: Listener) -> None:
         """Take clients from a listener."""
         self.listener = listener
-        self._accepting = self.scope.spawn(self._accept, kind=REQUESTS, name="accept resp")
+        self._accepting = self.scope.spawn(self._accept, priority=REQUESTS, name="accept resp")
 
     def hold(self, pass_on: Callable[[Session], None]) -> None:
         """Take no more clients, who wait at the listener; each that we have is passed on between commands."""
@@ -84,7 +94,7 @@
     def resume(self) -> None:
         """Take clients again."""
         self.pass_on = None
-        self._accepting = self.scope.spawn(self._accept, kind=REQUESTS, name="accept resp")
+        self._accepting = self.scope.spawn(self._accept, priority=REQUESTS, name="accept resp")
 
     def _pass(self, session: Session) -> None:
         assert self.pass_on is not None
@@ -131,7 +141,7 @@
 
     def _take_client(self, stream: Stream) -> None:
         if len(self.sessions) >= self.terms.max_connections:
-            self.scope.spawn(self._turn_away, stream, kind=REQUESTS, name="resp turned away")
+            self.scope.spawn(self._turn_away, stream, priority=REQUESTS, name="resp turned away")
             return
         session = Session(stream, self.next_number(), self.limits, not self.terms.passwords)
         if self.watcher is not None:
@@ -140,13 +150,13 @@
 
     def _begin(self, session: Session) -> None:
         self.sessions[session] = None
-        session.task = self.scope.spawn(self._client, session, kind=REQUESTS, name="resp client")
+        session.task = self.scope.spawn(self._client, session, priority=REQUESTS, name="resp client")
 
     def _turn_away(self, stream: Stream) -> None:
         try:
             reply = ErrorReply("ERR max number of clients reached")
             stream.send(resp.encode(reply), self.loop.now() + self.fleet.timeouts.client_write_us)
-        except (Closed, Expired):
+        except (ConnectionClosedError, DeadlineExceededError):
             pass
         finally:
             self.lingering.close(stream)
@@ -156,7 +166,7 @@
         self.draining = True
         self.listener.close()
         for session in list(self.sessions):
-            if not (session.decoder.pending_bytes or session.busy or session.stream.waiting()):
+            if not (session.decoder.pending_bytes or session.busy or session.stream.has_input()):
                 self._forget(session)
 
     def _forget(self, session: Session) -> None:
@@ -182,7 +192,7 @@
                 session.busy = False
             if self.pass_on is not None and not session.over:
                 self._pass(session)
-        except (Closed, Expired):
+        except (ConnectionClosedError, DeadlineExceededError):
             pass
         except BaseException:  # as in ``front``
             if self.watcher is not None and not session.over:
@@ -226,16 +236,16 @@
                 if len(out) >= FLUSH_BYTES or quits:
                     self._write(session, out)
                 if quits:
-                    raise Closed("the client quit")
-                self.loop.breathe()
+                    raise ConnectionClosedError("the client quit")
+                self.loop.yield_sometimes()
         except resp.ProtocolError as wrong:
             out += resp.encode(ErrorReply(f"ERR Protocol error: {wrong}"))
             self._write(session, out)
-            raise Closed("out of step") from None
+            raise ConnectionClosedError("out of step") from None
         self._write(session, out)
         if self.draining:
-            raise Closed("draining")
-        self.loop.breathe()
+            raise ConnectionClosedError("draining")
+        self.loop.yield_sometimes()
 
     def _write(self, session: Session, out: bytearray) -> None:
         if out:
--- a/orchidlane/gateway/server/response_writer.py
+++ b/orchidlane/gateway/server/response_writer.py
@@ -10,7 +10,7 @@
 from orchidlane.gateway.forwarding.protocol_adapter import Timeouts
 from orchidlane.gateway.server.client_connection import Connection, Watcher, send_all
 from orchidlane.http1 import Request
-from orchidlane.runtime import Loop
+from orchidlane.runtime import EventLoop
 
 STATUS_WITHOUT_BODY = (204, 304)  # RFC 9110 section 6.4.1
 STREAM_PIECE_WAITS = 2  # times the wait for a piece of a body: the endpoint's own wait ends first
@@ -20,7 +20,7 @@
 class WriterState(Protocol):
     """What a writer needs to know of its server."""
 
-    loop: Loop
+    loop: EventLoop
     times: Timeouts
     watcher: Watcher | None
 
@@ -32,7 +32,10 @@
         self._server = server
 
     def write(self, connection: Connection, head: Request, answer: ClientResponse, keep: bool) -> bool:
-        """Write an answer; return whether the connection can go on. Raises Closed, Expired."""
+        """Write an answer; return whether the connection can go on.
+
+        Raises ConnectionClosedError, DeadlineExceededError.
+        """
         if answer.stream is not None:
             return self._write_stream(connection, head, answer, keep)
         has_body = head.method != "HEAD" and answer.status not in STATUS_WITHOUT_BODY
--- a/orchidlane/gateway/telemetry/admin_api.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -21,7 +21,16 @@
 from orchidlane.gateway.telemetry.policy_views import ViewedCustomer, encode_view
 from orchidlane.gateway.telemetry.state_stream import StateStream
 from orchidlane.http1 import Data, End, Malformed, Request
-from orchidlane.runtime import BACKGROUND, Closed, Expired, Listener, Loop, Scope, Stream, Task
+from orchidlane.runtime import (
+    BACKGROUND,
+    ConnectionClosedError,
+    DeadlineExceededError,
+    EventLoop,
+    Listener,
+    Stream,
+    Task,
+    TaskGroup,
+)
 
 IO_TIMEOUT_US = 5_000_000  # for a request, and for each piece of a response to be taken
 STATE_TIMEOUT_US = 30_000_000  # for the complete state to be read
@@ -62,7 +71,7 @@
 class AdminApi:
     """Serves the admin address of one gateway."""
 
-    def __init__(self, loop: Loop, sources: AdminSources, rollout: RolloutApi | None = None) -> None:
+    def __init__(self, loop: EventLoop, sources: AdminSources, rollout: RolloutApi | None = None) -> None:
         self.loop = loop
         self.sources = sources
         self.rollout = rollout
@@ -70,14 +79,14 @@
         self._accepting: Task | None = None
         self._rollout_calls = 0
 
-    def listen(self, listener: Listener, scope: Scope) -> None:
+    def listen(self, listener: Listener, scope: TaskGroup) -> None:
         """Accept connections of a listener, as background work."""
 
         def serve(stream: Stream) -> None:
-            scope.spawn(self._serve, stream, kind=BACKGROUND, name="admin")
+            scope.spawn(self._serve, stream, priority=BACKGROUND, name="admin")
 
         self._accepting = scope.spawn(
-            accept_clients, self.loop, listener, serve, kind=BACKGROUND, name="admin"
+            accept_clients, self.loop, listener, serve, priority=BACKGROUND, name="admin"
         )
 
     def stop_accepting(self) -> None:
@@ -97,7 +106,7 @@
                 self._send_state(stream)
             else:
                 self._send(stream, self._answer(request.target))
-        except (Closed, Expired, Malformed):
+        except (ConnectionClosedError, DeadlineExceededError, Malformed):
             pass
         finally:
             stream.close()
@@ -202,7 +211,7 @@
             for page in state:
                 stream.send(data, min(deadline, self.loop.now() + IO_TIMEOUT_US))
                 data = http1.chunk(page)
-                self.loop.give_way()
+                self.loop.yield_to_others()
             stream.send(data + http1.last_chunk(), min(deadline, self.loop.now() + IO_TIMEOUT_US))
         finally:
             state.close()
--- a/orchidlane/gateway/telemetry/policy_host.py
+++ b/orchidlane/gateway/telemetry/policy_host.py
@@ -6,13 +6,13 @@
 
 from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
-from orchidlane.runtime import Loop
+from orchidlane.runtime import EventLoop
 
 
 class PolicyHost(Protocol):
     """The running policy with its settings and the loop that it runs on."""
 
-    loop: Loop
+    loop: EventLoop
     settings: policy.Settings
     gateway: Gateway
 
--- a/orchidlane/gateway/telemetry/traffic_recorder.py
+++ b/orchidlane/gateway/telemetry/traffic_recorder.py
@@ -15,7 +15,7 @@
 from orchidlane.gateway.telemetry.policy_host import PolicyHost, PolicyNames
 from orchidlane.gateway.telemetry.state_stream import StateStream
 from orchidlane.recording.segments import SEGMENT_SUFFIX, pack_response
-from orchidlane.runtime import Loop
+from orchidlane.runtime import EventLoop
 
 WRITE_INTERVAL_US = 100_000
 MAX_BUFFER_BYTES = 1 << 18  # written at once
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         folder: str,
         gateway_name: str,
         host: PolicyHost,
@@ -112,14 +112,14 @@
         self._write(data)
         oldest = self.number - MAX_SEGMENTS
         if oldest >= 0:
-            self.loop.world.remove_file(self._segment_path(oldest))
+            self.loop.backend.remove_file(self._segment_path(oldest))
 
     def _segment_path(self, number: int) -> str:
         return f"{self.folder}/{self.gateway_name}-{self.started_at_us:x}-{number:06}{SEGMENT_SUFFIX}"
 
     def _write(self, data: bytes) -> None:
         try:
-            self.loop.world.append_file(self.path, data)
+            self.loop.backend.append_file(self.path, data)
         except OSError as error:
             self.failed = True
             self._state.close()
--- a/orchidlane/hot_restart/messages.py
+++ b/orchidlane/hot_restart/messages.py
@@ -5,7 +5,7 @@
 The frame is that of a record's segments. Each body is an array: the number of the message's type, then its
 fields. Numbers are never reused, fields are only appended with a default; ``PROTOCOL_VERSION`` grows when an
 old process could no longer understand a new one. A message that passes a descriptor says so; the descriptor
-travels beside the frame's first byte (``Stream.send_with``).
+travels beside the frame's first byte (``Stream.send_with_handle``).
 """
 
 from __future__ import annotations
--- a/orchidlane/platform/__main__.py
+++ b/orchidlane/platform/__main__.py
@@ -8,8 +8,8 @@
 
 from orchidlane.platform.configuration import ConfigurationError, configuration_path, parse_configuration
 from orchidlane.platform.lifecycle import PlatformGateway
-from orchidlane.runtime import Loop, RealWorld
-from orchidlane.runtime.signals import hold_reload, serve
+from orchidlane.runtime import EventLoop, RealBackend
+from orchidlane.runtime.signals import block_reload_signal, serve
 
 
 def main() -> int:
@@ -18,7 +18,7 @@
     Returns the exit status: 2 after one line where the configuration is not valid, 1 where an address can't
     be bound, else 0.
     """
-    hold_reload()
+    block_reload_signal()
     try:
         path = configuration_path(os.environ)
         with open(path, "rb") as file:
@@ -27,11 +27,11 @@
         print(f"orchidlane: {error}", file=sys.stderr)
         return 2
     gc.freeze()
-    world = RealWorld(configuration.seed)
-    loop = Loop(world)
+    backend = RealBackend(configuration.seed)
+    loop = EventLoop(backend)
     gateway = PlatformGateway(loop, configuration, path)
     try:
-        serve(loop, world, gateway.run, gateway.stop, gateway.reload)
+        serve(loop, backend, gateway.run, gateway.stop, gateway.reload)
     except OSError as error:
         print(f"orchidlane: {error}", file=sys.stderr)
         return 1
--- a/orchidlane/platform/discovery_watch.py
+++ b/orchidlane/platform/discovery_watch.py
@@ -11,8 +11,16 @@
 from orchidlane.http1 import Malformed
 from orchidlane.platform.discovery import DiscoveryTracker
 from orchidlane.platform.polling import SILENCE_TIMEOUT_US, PollSchedule
-from orchidlane.runtime import CONTROL, Address, Expired, Loop, LoopError, Scope, Task
-from orchidlane.runtime.backend import show
+from orchidlane.runtime import (
+    CONTROL,
+    Address,
+    DeadlineExceededError,
+    EventLoop,
+    EventLoopError,
+    Task,
+    TaskGroup,
+)
+from orchidlane.runtime.backend import format_address
 
 MAX_LINE_BYTES = 4 << 20
 
@@ -25,7 +33,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         tracker: DiscoveryTracker,
         notify: Callable[[policy.EndpointListReceived], None],
         log: Callable[[str], None],
@@ -45,14 +53,16 @@
         task = self.loop.current
         assert task is not None
         self._wake = lambda: self.loop.wake(task)
-        with Scope(self.loop) as scope:
+        with TaskGroup(self.loop) as scope:
             while True:
                 number, replaced = self.schedule.next_poll(self.loop.now())
                 self._cancel(replaced)
                 if number is not None:
-                    poll = scope.spawn(self._poll, number, address, on_response, kind=CONTROL, name="call")
+                    poll = scope.spawn(
+                        self._poll, number, address, on_response, priority=CONTROL, name="call"
+                    )
                     self._polls[number] = poll
-                with suppress(Expired):
+                with suppress(DeadlineExceededError):
                     self.loop.park(self.schedule.next_deadline())
 
     def _cancel(self, numbers: list[int]) -> None:
@@ -63,7 +73,7 @@
         """Run one poll to its end, which the next one may wait for."""
         try:
             self._read_events(number, address, on_response)
-        except (LoopError, Malformed, LineTooLongError, WatchEventError) as error:
+        except (EventLoopError, Malformed, LineTooLongError, WatchEventError) as error:
             if str(error) != self._logged_failure:
                 self._logged_failure = str(error)
                 self.log(f"discovery: {error}")
@@ -73,7 +83,7 @@
             self._wake()
 
     def _read_events(self, number: int, address: Address, on_response: Callable[[], None]) -> None:
-        stream = self.loop.world.connect(address)
+        stream = self.loop.backend.connect(address)
         try:
             stream.send(self._request(address))
             pieces = read_objects(self.loop, stream, SILENCE_TIMEOUT_US, MAX_LINE_BYTES)
@@ -93,4 +103,4 @@
         target = "/discovery/hosts?watch=1"
         if self.tracker.generation >= 0:
             target += f"&from={self.tracker.generation}"
-        return http1.request_head("GET", target.encode(), [(b"host", show(address).encode())])
+        return http1.request_head("GET", target.encode(), [(b"host", format_address(address).encode())])
--- a/orchidlane/platform/lifecycle.py
+++ b/orchidlane/platform/lifecycle.py
@@ -34,7 +34,16 @@
 from orchidlane.platform.response_outcomes import PlatformEndpointAdapter
 from orchidlane.platform.shutdown import ShutdownTimes, graceful_shutdown
 from orchidlane.policy.gateway import Gateway
-from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, Address, Expired, Loop, Scope, Task
+from orchidlane.runtime import (
+    BACKGROUND,
+    CONTROL,
+    PEERS,
+    Address,
+    DeadlineExceededError,
+    EventLoop,
+    Task,
+    TaskGroup,
+)
 
 BIND_TIMEOUT_US = 8_000_000  # for an address that an earlier process still holds; the platform allows 10 s
 FIRST_RESPONSE_TIMEOUT_US = 100_000  # clients wait for discovery at most so long at the start
@@ -51,7 +60,7 @@
 class PlatformGateway:
     """One gateway from its start to its end; ``stop`` and ``reload`` are called for signals."""
 
-    def __init__(self, loop: Loop, configuration: Configuration, path: str) -> None:
+    def __init__(self, loop: EventLoop, configuration: Configuration, path: str) -> None:
         self.loop = loop
         self.configuration = configuration
         self.settings = configuration.policy_settings
@@ -61,7 +70,7 @@
         self.metrics = GatewayCounters()
         self.ranks = {peer: rank for rank, peer in enumerate(configuration.peers)}
         self.stopping = False
-        self.scope: Scope
+        self.scope: TaskGroup
         self.host: PolicyDriver
         self.front: HttpServer
         self.clients: PlatformClientAdapter
@@ -75,7 +84,7 @@
 
     def run(self) -> None:
         """Run the main task, from the start to the end. Raises OSError where an address can't be bound."""
-        with Scope(self.loop) as scope:
+        with TaskGroup(self.loop) as scope:
             self.scope = scope
             self._main = self.loop.current
             self._build(scope)
@@ -89,7 +98,7 @@
 
     # -- start
 
-    def _build(self, scope: Scope) -> None:
+    def _build(self, scope: TaskGroup) -> None:
         limits = limits_for(self.configuration)
         permissions = self.configuration.platform_settings.permissions
         parser = RequestParser(self.settings, self.configuration.platform_settings)
@@ -122,13 +131,13 @@
         if self.configuration.last_known_list is not None:
             self._apply_last_known_list(self.configuration.last_known_list)
         if self.configuration.peer_listen is not None:
-            self._datagrams = self._bind(self.loop.world.datagrams, self.configuration.peer_listen)
-            self._spawn(self._receive_from_peers, kind=PEERS, name="peers")
+            self._datagrams = self._bind(self.loop.backend.bind_datagrams, self.configuration.peer_listen)
+            self._spawn(self._receive_from_peers, priority=PEERS, name="peers")
         self.host.start()
         self._watch(self._discovery_address)
         self._await_discovery()
-        self.front.listen(self._bind(self.loop.world.listen, self.configuration.listen))
-        self._spawn(self._report, kind=BACKGROUND, name="report")
+        self.front.listen(self._bind(self.loop.backend.listen, self.configuration.listen))
+        self._spawn(self._report, priority=BACKGROUND, name="report")
         self.log.write(f"serves, {len(self.tracker.endpoints)} endpoints known")
         self._check_peer_count()
 
@@ -145,7 +154,7 @@
     def _await_discovery(self) -> None:
         """Wait a moment for discovery, which responds at once, so that the first check finds us ready."""
         deadline = self.loop.now() + FIRST_RESPONSE_TIMEOUT_US
-        with suppress(Expired):
+        with suppress(DeadlineExceededError):
             while not (self._discovery_responded or self.stopping):
                 self.loop.park(deadline)
 
@@ -175,8 +184,8 @@
 
     # -- tasks whose failures do not end the others
 
-    def _spawn(self, work: Callable[..., None], *args: Any, kind: int, name: str) -> Task:
-        return self.scope.spawn(self._run_guarded, name, work, args, kind=kind, name=name)
+    def _spawn(self, work: Callable[..., None], *args: Any, priority: int, name: str) -> Task:
+        return self.scope.spawn(self._run_guarded, name, work, args, priority=priority, name=name)
 
     def _run_guarded(self, name: str, work: Callable[..., None], args: tuple[Any, ...]) -> None:
         while True:
@@ -209,7 +218,7 @@
 
         interval_us = retry_interval_us(self.settings.drain_grace_us)
         watch = DiscoveryWatch(self.loop, self.tracker, self._list_received, self.log.write, interval_us)
-        task = self._spawn(watch.run, address, end_earlier_watches, kind=CONTROL, name="list")
+        task = self._spawn(watch.run, address, end_earlier_watches, priority=CONTROL, name="list")
         self._watch_tasks.append(task)
         while len(self._watch_tasks) > MAX_WATCHES:
             self.loop.cancel(self._watch_tasks.pop(0))
@@ -272,7 +281,7 @@
         self.log.write("reloaded")
 
     def _read_configuration(self) -> Configuration:
-        text = self.loop.world.read_file(self.path)
+        text = self.loop.backend.read_file(self.path)
         if text is None:
             raise ConfigurationError(f"{self.path}: no such file")
         return parse_configuration(text, self.path)
--- a/orchidlane/platform/response_outcomes.py
+++ b/orchidlane/platform/response_outcomes.py
@@ -10,7 +10,7 @@
 from orchidlane.platform.request_parsing import PlatformCall
 from orchidlane.policy import Outcome
 from orchidlane.runtime import Address
-from orchidlane.runtime.backend import show
+from orchidlane.runtime.backend import format_address
 
 NOT_PROCESSED_HEADER = b"x-not-processed"
 LOAD_REPORT_HEADER = b"x-server-load"
@@ -47,7 +47,7 @@
         call = request.call
         assert isinstance(call, PlatformCall)
         headers = [
-            (b"Host", show(self.tracker.addresses[endpoint]).encode()),
+            (b"Host", format_address(self.tracker.addresses[endpoint]).encode()),
             (b"X-Request-ID", call.request_id),
             (b"X-Timeout", b"%.3f" % (time_left_us / 1_000_000)),
         ]
--- a/orchidlane/runtime/__init__.py
+++ b/orchidlane/runtime/__init__.py
@@ -1,11 +1,17 @@
 """All waiting, clocks, randomness and I/O: greenlets over ``select.poll``, or in a simulated world."""
 
-from orchidlane.runtime.backend import Address, Datagrams, Listener, Stream, World
-from orchidlane.runtime.errors import Cancelled, Closed, Expired, LoopError, NotConnected
-from orchidlane.runtime.lingering_close import Lingering
-from orchidlane.runtime.real_backend import RealWorld
-from orchidlane.runtime.scheduler import Loop, Scope
-from orchidlane.runtime.simulated_backend import Faults, SimWorld
+from orchidlane.runtime.backend import Address, Backend, DatagramSocket, Listener, Stream
+from orchidlane.runtime.errors import (
+    Cancelled,
+    ConnectionClosedError,
+    ConnectionFailedError,
+    DeadlineExceededError,
+    EventLoopError,
+)
+from orchidlane.runtime.lingering_close import LingeringConnections
+from orchidlane.runtime.real_backend import RealBackend
+from orchidlane.runtime.scheduler import EventLoop, TaskGroup
+from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
 from orchidlane.runtime.tasks import BACKGROUND, CONTROL, PEERS, REQUESTS, Process, Task
 
 __all__ = [
@@ -14,21 +20,21 @@
     "PEERS",
     "REQUESTS",
     "Address",
+    "Backend",
     "Cancelled",
-    "Closed",
-    "Datagrams",
-    "Expired",
-    "Faults",
-    "Lingering",
+    "ConnectionClosedError",
+    "ConnectionFailedError",
+    "DatagramSocket",
+    "DeadlineExceededError",
+    "EventLoop",
+    "EventLoopError",
+    "LingeringConnections",
     "Listener",
-    "Loop",
-    "LoopError",
-    "NotConnected",
+    "NetworkFaults",
     "Process",
-    "RealWorld",
-    "Scope",
-    "SimWorld",
+    "RealBackend",
+    "SimulatedBackend",
     "Stream",
     "Task",
-    "World",
+    "TaskGroup",
 ]
--- a/orchidlane/runtime/errors.py
+++ b/orchidlane/runtime/errors.py
@@ -7,17 +7,17 @@
     """The task was ended by its owner; every later wait of it raises this again."""
 
 
-class LoopError(Exception):
+class EventLoopError(Exception):
     """Any failure of a wait or of I/O."""
 
 
-class Expired(LoopError):
+class DeadlineExceededError(EventLoopError):
     """The deadline of a wait has passed; what was waited for is untouched."""
 
 
-class Closed(LoopError):
+class ConnectionClosedError(EventLoopError):
     """The stream was reset by the other side, or closed on ours."""
 
 
-class NotConnected(LoopError):
+class ConnectionFailedError(EventLoopError):
     """No connection was made: refused, unreachable, or out of descriptors. No byte has left."""
--- a/orchidlane/runtime/lingering_close.py
+++ b/orchidlane/runtime/lingering_close.py
@@ -10,21 +10,21 @@
 from __future__ import annotations
 
 from orchidlane.runtime.backend import Stream
-from orchidlane.runtime.errors import Closed, Expired
-from orchidlane.runtime.scheduler import Loop, Scope
+from orchidlane.runtime.errors import ConnectionClosedError, DeadlineExceededError
+from orchidlane.runtime.scheduler import EventLoop, TaskGroup
 from orchidlane.runtime.tasks import BACKGROUND, Task
 
 READ_MOST = 262_144  # bytes read and thrown away of one connection
 
 
-class Lingering:
+class LingeringConnections:
     """Connections that are ending: each at most for ``span`` microseconds, ``most`` at a time."""
 
-    def __init__(self, loop: Loop, scope: Scope, span: int, most: int) -> None:
+    def __init__(self, loop: EventLoop, scope: TaskGroup, timeout_us: int, max_connections: int) -> None:
         self.loop = loop
         self.scope = scope
-        self.span = span
-        self.most = most
+        self.timeout_us = timeout_us
+        self.max_connections = max_connections
         self._ending: dict[Stream, None] = {}  # the longest first
         self._waiting: Task | None = None  # until none is ending
 
@@ -37,20 +37,20 @@
         left = _read_out(stream, READ_MOST)
         if not left:
             return stream.close()
-        while len(self._ending) >= self.most:
+        while len(self._ending) >= self.max_connections:
             longest = next(iter(self._ending))
             del self._ending[longest]
             longest.close()  # its task finds that and ends
         self._ending[stream] = None
-        self.scope.spawn(self._linger, stream, left, kind=BACKGROUND, name="lingering")
+        self.scope.spawn(self._linger, stream, left, priority=BACKGROUND, name="lingering")
 
     def _linger(self, stream: Stream, left: int) -> None:
-        by = self.loop.now() + self.span
+        by = self.loop.now() + self.timeout_us
         try:
             while left:
                 stream.await_input(by)
                 left = _read_out(stream, left)
-        except (Closed, Expired):
+        except (ConnectionClosedError, DeadlineExceededError):
             pass
         finally:
             self._ending.pop(stream, None)
@@ -64,7 +64,7 @@
         try:
             while self._ending:
                 self.loop.park(by)
-        except Expired:
+        except DeadlineExceededError:
             pass
         finally:
             self._waiting = None
@@ -79,6 +79,6 @@
             if not data:
                 return 0
             left -= len(data)
-    except Closed:
+    except ConnectionClosedError:
         return 0
     return max(0, left)
--- a/orchidlane/runtime/real_backend.py
+++ b/orchidlane/runtime/real_backend.py
@@ -18,9 +18,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from orchidlane.runtime.backend import Address, show
-from orchidlane.runtime.errors import Closed, NotConnected
-from orchidlane.runtime.tasks import Scheduler, Task
+from orchidlane.runtime.backend import Address, format_address
+from orchidlane.runtime.errors import ConnectionClosedError, ConnectionFailedError
+from orchidlane.runtime.tasks import SchedulerInterface, Task
 
 READ = select.POLLIN | select.POLLPRI
 WRITE = select.POLLOUT
@@ -33,7 +33,7 @@
 LONGEST_POLL = 1_000  # ms: a poll ends by then, so that a turn's figures stay fresh
 
 
-class RealWorld:
+class RealBackend:
     """Sockets, clock and files of this machine.
 
     The clock is the time of day at the start plus the monotonic clock since: peers' clocks agree as well as
@@ -45,86 +45,86 @@
         self._offset = time.time_ns() - time.monotonic_ns()
         self._poller = select.poll()
         self._glancer = select.poll()
-        self._descriptors: dict[int, _Descriptor] = {}
-        self.loop: Scheduler
+        self._descriptors: dict[int, PolledDescriptor] = {}
+        self.loop: SchedulerInterface
 
-    def attach(self, loop: Scheduler) -> None:
+    def attach(self, loop: SchedulerInterface) -> None:
         self.loop = loop
 
     def now(self) -> int:
         return (time.monotonic_ns() + self._offset) // 1_000
 
-    def poll(self, wait: int | None) -> None:
-        span = LONGEST_POLL if wait is None else min(LONGEST_POLL, -(-wait // 1_000))
+    def poll(self, timeout_us: int | None) -> None:
+        span = LONGEST_POLL if timeout_us is None else min(LONGEST_POLL, -(-timeout_us // 1_000))
         for number, events in self._poller.poll(span):
             descriptor = self._descriptors.get(number)
             if descriptor is not None:
                 descriptor.ready(events)
 
-    def watch(self, descriptor: _Descriptor) -> None:
+    def watch(self, descriptor: PolledDescriptor) -> None:
         """Register a descriptor; its interest stays registered between polls."""
         self._descriptors[descriptor.number] = descriptor
         self._poller.register(descriptor.number, 0)
 
-    def want(self, descriptor: _Descriptor, mask: int) -> None:
+    def want(self, descriptor: PolledDescriptor, mask: int) -> None:
         """Change what a descriptor is polled for."""
         self._poller.modify(descriptor.number, mask)
 
-    def glance(self, descriptor: _Descriptor, mask: int) -> int:
+    def glance(self, descriptor: PolledDescriptor, mask: int) -> int:
         """What holds of a descriptor right now, whether polled for or not."""
         self._glancer.register(descriptor.number, mask)
         found = self._glancer.poll(0)
         self._glancer.unregister(descriptor.number)
         return found[0][1] if found else 0
 
-    def forget(self, descriptor: _Descriptor) -> None:
+    def forget(self, descriptor: PolledDescriptor) -> None:
         """A descriptor is closed."""
         if self._descriptors.pop(descriptor.number, None) is not None:
             self._poller.unregister(descriptor.number)
 
-    def connect(self, to: Address, deadline: int | None = None) -> RealStream:
+    def connect(self, address: Address, deadline: int | None = None) -> RealStream:
         try:
-            sock = socket.socket(_family(to), socket.SOCK_STREAM)
+            sock = socket.socket(_family(address), socket.SOCK_STREAM)
         except OSError as error:
-            raise NotConnected(str(error)) from None
+            raise ConnectionFailedError(str(error)) from None
         sock.setblocking(False)
-        stream = RealStream(self, sock, to)
+        stream = RealStream(self, sock, address)
         try:
-            code = sock.connect_ex(_where(to))
+            code = sock.connect_ex(_where(address))
             if code == errno.EINPROGRESS:
                 stream.wait_write(deadline)
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
-                raise NotConnected(os.strerror(code))
+                raise ConnectionFailedError(os.strerror(code))
         except BaseException:
             stream.close()
             raise
         return stream
 
-    def listen(self, at: Address, backlog: int = 1024) -> RealListener:
-        sock = socket.socket(_family(at), socket.SOCK_STREAM)
+    def listen(self, address: Address, backlog: int = 1024) -> RealListener:
+        sock = socket.socket(_family(address), socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
             if sock.family == socket.AF_UNIX:
-                _bind_path(sock, at[0])
+                _bind_path(sock, address[0])
             else:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                sock.bind(at)
+                sock.bind(address)
             sock.listen(backlog)
         except OSError as error:
             sock.close()
-            raise OSError(error.errno, error.strerror, show(at)) from None
+            raise OSError(error.errno, error.strerror, format_address(address)) from None
         return RealListener(self, sock)
 
-    def datagrams(self, at: Address) -> RealDatagrams:
+    def bind_datagrams(self, address: Address) -> RealDatagramSocket:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         try:
-            sock.bind(at)
+            sock.bind(address)
         except OSError as error:
             sock.close()
-            raise OSError(error.errno, error.strerror, show(at)) from None
-        return RealDatagrams(self, sock)
+            raise OSError(error.errno, error.strerror, format_address(address)) from None
+        return RealDatagramSocket(self, sock)
 
     def adopt_stream(self, handle: socket.socket) -> RealStream:
         handle.setblocking(False)
@@ -134,11 +134,11 @@
         handle.setblocking(False)
         return RealListener(self, handle)
 
-    def adopt_datagrams(self, handle: socket.socket) -> RealDatagrams:
+    def adopt_datagrams(self, handle: socket.socket) -> RealDatagramSocket:
         handle.setblocking(False)
-        return RealDatagrams(self, handle)
+        return RealDatagramSocket(self, handle)
 
-    def drop(self, handle: socket.socket) -> None:
+    def close_handle(self, handle: socket.socket) -> None:
         handle.close()
 
     def process_id(self) -> int:
@@ -150,8 +150,8 @@
     def follow_clock(self, base: int) -> None:
         self._offset = base  # the monotonic clock is the machine's, so the two processes' clocks are one
 
-    def aside(self, work: Callable[[], Any]) -> Any:
-        signs = Signs(self)
+    def run_in_thread(self, work: Callable[[], Any]) -> Any:
+        signs = WakeupPipe(self)
         found: list[Any] = []
 
         def run() -> None:
@@ -245,24 +245,26 @@
         return -1
 
 
-class _Descriptor:
+class PolledDescriptor:
     """A polled socket or pipe, with the tasks that wait to read and to write."""
 
-    def __init__(self, world: RealWorld, sock: Any) -> None:
-        self.world = world
+    def __init__(self, backend: RealBackend, sock: Any) -> None:
+        self.backend = backend
         self.sock = sock
         self.number = sock.fileno()
         self.mask = 0
         self.reader: Task | None = None
         self.writer: Task | None = None
-        self.closed = False
-        self.drained = False  # the last read took all there was: the next one waits for the poll's word
-        world.watch(self)
+        self.is_closed = False
+        self.is_input_exhausted = (
+            False  # the last read took all there was: the next one waits for the poll's word
+        )
+        backend.watch(self)
 
     def ready(self, events: int) -> None:
         """Wake who waits; interest that nobody has is dropped, or the poll would spin."""
-        self.drained = False
-        loop = self.world.loop
+        self.is_input_exhausted = False
+        loop = self.backend.loop
         drop = 0
         if events & (READ | LEFT | ENDED):
             if self.reader is not None:
@@ -277,95 +279,95 @@
             drop |= WRITE
         if self.mask & drop:
             self.mask &= ~drop
-            self.world.want(self, self.mask)
+            self.backend.want(self, self.mask)
         elif events & ENDED and not self.mask:
-            self.world.forget(self)  # poll tells of an end whatever the interest
+            self.backend.forget(self)  # poll tells of an end whatever the interest
 
     def _want(self, bits: int) -> None:
-        if self.closed:
-            raise Closed("closed on our side")
-        if self.number not in self.world._descriptors:
-            self.world.watch(self)
+        if self.is_closed:
+            raise ConnectionClosedError("closed on our side")
+        if self.number not in self.backend._descriptors:
+            self.backend.watch(self)
             self.mask = 0
         if self.mask & bits != bits:
             self.mask |= bits
-            self.world.want(self, self.mask)
+            self.backend.want(self, self.mask)
 
     def wait_read(self, deadline: int | None) -> None:
         """Wait until something can be read."""
         self._want(READ)
-        task = self.reader = self.world.loop.current
+        task = self.reader = self.backend.loop.current
         try:
-            self.world.loop.park(deadline)
+            self.backend.loop.park(deadline)
         finally:
             if self.reader is task:  # else somebody else reads on, who ends the connection
                 self.reader = None
-        if self.closed:
-            raise Closed("closed on our side")
+        if self.is_closed:
+            raise ConnectionClosedError("closed on our side")
 
     def wait_write(self, deadline: int | None) -> None:
         """Wait until something can be written."""
         self._want(WRITE)
-        self.writer = self.world.loop.current
+        self.writer = self.backend.loop.current
         try:
-            self.world.loop.park(deadline)
+            self.backend.loop.park(deadline)
         finally:
             self.writer = None
-        if self.closed:
-            raise Closed("closed on our side")
+        if self.is_closed:
+            raise ConnectionClosedError("closed on our side")
 
-    def watch(self, task: Task) -> None:
+    def wake_on_input(self, task: Task) -> None:
         """Wake the task once something can be read, without waiting here."""
         self._want(READ)
         self.reader = task
 
-    def watch_end(self, task: Task) -> None:
+    def wake_on_peer_close(self, task: Task) -> None:
         """Wake the task once the other side has ended; bytes that wait unread wake nobody."""
         self._want(LEFT)
         if self.mask & READ:
             self.mask &= ~READ
-            self.world.want(self, self.mask)
+            self.backend.want(self, self.mask)
         self.reader = task
 
-    def waiting(self) -> bool:
+    def has_input(self) -> bool:
         """Whether something can be read at once, an end or an error among it."""
-        return not self.closed and self.world.glance(self, READ | LEFT) != 0
+        return not self.is_closed and self.backend.glance(self, READ | LEFT) != 0
 
-    def has_left(self) -> bool:
+    def is_closed_by_peer(self) -> bool:
         """Whether the other side has ended or reset."""
-        return self.closed or self.world.glance(self, LEFT) != 0
+        return self.is_closed or self.backend.glance(self, LEFT) != 0
 
-    def share(self) -> socket.socket:
+    def duplicate(self) -> socket.socket:
         """A second hold on the socket."""
         return self.sock.dup()
 
     def close(self) -> None:
         """Close, and wake who waits."""
-        if self.closed:
+        if self.is_closed:
             return
-        self.closed = True
-        self.world.forget(self)
+        self.is_closed = True
+        self.backend.forget(self)
         self.sock.close()
         for task in (self.reader, self.writer):
             if task is not None:
-                self.world.loop.wake(task)
+                self.backend.loop.wake(task)
         self.reader = self.writer = None
 
 
-class Signs(_Descriptor):
+class WakeupPipe(PolledDescriptor):
     """Bytes from a signal's handler or another thread, which wake the loop: a pipe.
 
     A pair of Unix sockets would do, too, but not where only TCP and UDP are known: there its end has no
     credentials. A pipe is polled alike everywhere.
     """
 
-    def __init__(self, world: RealWorld) -> None:
+    def __init__(self, backend: RealBackend) -> None:
         ours, theirs = os.pipe()
         os.set_blocking(ours, False)
         os.set_blocking(theirs, False)
         self._reading = os.fdopen(ours, "rb", buffering=0)
         self._writing = os.fdopen(theirs, "wb", buffering=0)
-        super().__init__(world, self._reading)
+        super().__init__(backend, self._reading)
 
     @property
     def writer_number(self) -> int:
@@ -383,14 +385,14 @@
         self._writing.close()
 
 
-class RealStream(_Descriptor):
+class RealStream(PolledDescriptor):
     """A connection, over TCP or a Unix socket."""
 
-    def __init__(self, world: RealWorld, sock: socket.socket, peer: Address) -> None:
-        super().__init__(world, sock)
+    def __init__(self, backend: RealBackend, sock: socket.socket, peer: Address) -> None:
+        super().__init__(backend, sock)
         self.peer = peer
-        self.sent = 0
-        self.shared = False  # another hold exists: only a shutdown ends the connection
+        self.sent_bytes = 0
+        self.is_duplicated = False  # another hold exists: only a shutdown ends the connection
         self.is_unix = sock.family == socket.AF_UNIX
         self._handles: deque[socket.socket | None] = deque()
         self._peer = _process_behind(sock) if self.is_unix else -1
@@ -398,28 +400,28 @@
             with contextlib.suppress(OSError):  # reset already: the first read or write tells
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def try_recv(self, most: int = 65536) -> bytes | None:
-        if self.closed:
-            raise Closed("closed on our side")
+    def try_recv(self, max_bytes: int = 65536) -> bytes | None:
+        if self.is_closed:
+            raise ConnectionClosedError("closed on our side")
         try:
-            return self._recv_with(most) if self.is_unix else self.sock.recv(most)
+            return self._recv_with(max_bytes) if self.is_unix else self.sock.recv(max_bytes)
         except BlockingIOError:
             return None
         except OSError as error:
-            raise Closed(str(error)) from None
+            raise ConnectionClosedError(str(error)) from None
 
-    def recv(self, most: int = 65536, deadline: int | None = None) -> bytes:
-        self.world.loop.breathe()  # before the read: a cancel may not lose what was read
+    def recv(self, max_bytes: int = 65536, deadline: int | None = None) -> bytes:
+        self.backend.loop.yield_sometimes()  # before the read: a cancel may not lose what was read
         while True:
-            data = None if self.drained and not self.closed else self.try_recv(most)
+            data = None if self.is_input_exhausted and not self.is_closed else self.try_recv(max_bytes)
             if data is not None:
-                self.drained = 0 < len(data) < most
+                self.is_input_exhausted = 0 < len(data) < max_bytes
                 return data
             self.await_input(deadline)
 
     def await_input(self, deadline: int | None = None) -> None:
         self.wait_read(deadline)
-        self.drained = False
+        self.is_input_exhausted = False
 
     def send(self, data: bytes, deadline: int | None = None) -> None:
         done = self._send_some(data)
@@ -429,7 +431,7 @@
                 if not (done := self._send_some(view)):
                     self.wait_write(deadline)
                 view = view[done:]
-        self.world.loop.breathe()
+        self.backend.loop.yield_sometimes()
 
     def _recv_with(self, most: int) -> bytes:
         """Bytes, and the handles that came with them; those that no descriptor was left for are lost."""
@@ -442,19 +444,19 @@
                     self._handles.append(socket.socket(fileno=number))
         return data
 
-    def take_handle(self) -> socket.socket | None:
+    def receive_handle(self) -> socket.socket | None:
         return self._handles.popleft() if self._handles else None
 
-    def send_with(self, data: bytes, handle: socket.socket, deadline: int | None = None) -> None:
+    def send_with_handle(self, data: bytes, handle: socket.socket, deadline: int | None = None) -> None:
         try:
-            while not (done := self.try_send_with(data, handle)):
+            while not (done := self.try_send_with_handle(data, handle)):
                 self.wait_write(deadline)
         finally:
             handle.close()
         if done < len(data):
             self.send(data[done:], deadline)
 
-    def try_send_with(self, data: bytes, handle: socket.socket) -> int:
+    def try_send_with_handle(self, data: bytes, handle: socket.socket) -> int:
         rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [handle.fileno()]))]
         done = self._send_some(data, rights)
         if done:
@@ -466,9 +468,9 @@
             with contextlib.suppress(ProcessLookupError):
                 signal.pidfd_send_signal(self._peer, signal.SIGKILL)
 
-    def share(self) -> socket.socket:
-        self.shared = True
-        return super().share()
+    def duplicate(self) -> socket.socket:
+        self.is_duplicated = True
+        return super().duplicate()
 
     def release(self) -> None:
         self._forget_peer()
@@ -480,7 +482,7 @@
             self._peer = -1
 
     def close(self) -> None:
-        if self.shared and not self.closed:
+        if self.is_duplicated and not self.is_closed:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
         for handle in filter(None, self._handles):
@@ -493,86 +495,86 @@
         return self._send_some(data)
 
     def _send_some(self, data: bytes | memoryview, extras: Any = None) -> int:
-        if self.closed:
-            raise Closed("closed on our side")
+        if self.is_closed:
+            raise ConnectionClosedError("closed on our side")
         try:
             done = self.sock.sendmsg([data], extras) if extras else self.sock.send(data)
         except BlockingIOError:
             return 0
         except OSError as error:
-            raise Closed(str(error)) from None
-        self.sent += done
+            raise ConnectionClosedError(str(error)) from None
+        self.sent_bytes += done
         return done
 
     def half_close(self) -> None:
-        if not self.closed:
+        if not self.is_closed:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
 
     def abort(self) -> None:
-        if not self.closed:
+        if not self.is_closed:
             with contextlib.suppress(OSError):
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.close()
 
 
-class RealListener(_Descriptor):
+class RealListener(PolledDescriptor):
     """A listening TCP socket."""
 
-    def __init__(self, world: RealWorld, sock: socket.socket) -> None:
-        super().__init__(world, sock)
+    def __init__(self, backend: RealBackend, sock: socket.socket) -> None:
+        super().__init__(backend, sock)
         name = sock.getsockname()
         self.address: Address = (name, 0) if isinstance(name, str) else name
 
     def accept(self, deadline: int | None = None) -> RealStream:
-        self.world.loop.breathe()
+        self.backend.loop.yield_sometimes()
         while True:
             try:
                 if (stream := self.try_accept()) is not None:
                     return stream
             except OSError:  # of the connection that came: it was reset before we took it
-                self.world.loop.sleep(PAUSE)
+                self.backend.loop.sleep(PAUSE)
                 continue
             self.wait_read(deadline)
 
     def try_accept(self) -> RealStream | None:
-        if self.closed:
-            raise Closed("closed on our side")
+        if self.is_closed:
+            raise ConnectionClosedError("closed on our side")
         try:
             sock, peer = self.sock.accept()
         except BlockingIOError:
             return None
         except OSError as error:
             if error.errno in NO_LISTENER:
-                raise Closed(str(error)) from None
+                raise ConnectionClosedError(str(error)) from None
             if error.errno in NO_DESCRIPTOR:
-                raise NotConnected(str(error)) from None
+                raise ConnectionFailedError(str(error)) from None
             raise
         sock.setblocking(False)
-        return RealStream(self.world, sock, peer or self.address)
+        return RealStream(self.backend, sock, peer or self.address)
 
 
-class RealDatagrams(_Descriptor):
+class RealDatagramSocket(PolledDescriptor):
     """A bound UDP socket."""
 
-    def __init__(self, world: RealWorld, sock: socket.socket) -> None:
-        super().__init__(world, sock)
+    def __init__(self, backend: RealBackend, sock: socket.socket) -> None:
+        super().__init__(backend, sock)
         self.address: Address = sock.getsockname()
 
     def recv(self, deadline: int | None = None) -> tuple[bytes, Address]:
         while True:
-            if self.closed:
-                raise Closed("closed on our side")
+            if self.is_closed:
+                raise ConnectionClosedError("closed on our side")
             try:
                 data, sender = self.sock.recvfrom(65536)
-                self.world.loop.breathe()
+                self.backend.loop.yield_sometimes()
                 return data, sender
             except BlockingIOError:
                 self.wait_read(deadline)
             except OSError:  # a refusal that an earlier send of ours met; one that stays may not spin
-                self.world.loop.sleep(PAUSE)
+                self.backend.loop.sleep(PAUSE)
 
-    def send(self, data: bytes, to: Address) -> None:
-        if not self.closed:
+    def send(self, data: bytes, address: Address) -> None:
+        if not self.is_closed:
             with contextlib.suppress(OSError):
-                self.sock.sendto(data, to)
+                self.sock.sendto(data, address)
--- a/orchidlane/runtime/signals.py
+++ b/orchidlane/runtime/signals.py
@@ -6,14 +6,14 @@
 import signal
 from collections.abc import Callable
 
-from orchidlane.runtime.real_backend import RealWorld, Signs
-from orchidlane.runtime.scheduler import Loop, Scope
+from orchidlane.runtime.real_backend import RealBackend, WakeupPipe
+from orchidlane.runtime.scheduler import EventLoop, TaskGroup
 from orchidlane.runtime.tasks import CONTROL
 
 GARBAGE = (20_000, 20, 50)  # most goes by its count; rare runs keep pauses few
 
 
-def hold_reload() -> None:
+def block_reload_signal() -> None:
     """Hold SIGHUP back until ``serve`` hears it. Guards against its default, which ends the process, and
     against one that comes after the configuration was read and before anybody listens.
     """
@@ -21,8 +21,8 @@
 
 
 def serve(
-    loop: Loop,
-    world: RealWorld,
+    loop: EventLoop,
+    backend: RealBackend,
     work: Callable[[], None],
     stop: Callable[[], None],
     reload: Callable[[], None],
@@ -30,14 +30,17 @@
     """Run ``work`` as all that this process does: SIGTERM and SIGINT call ``stop``, SIGHUP ``reload``."""
     gc.set_threshold(*GARBAGE)
     handlers = {signal.SIGTERM: stop, signal.SIGINT: stop, signal.SIGHUP: reload}
-    loop.run(_with_signals, loop, world, handlers, work)
+    loop.run(_with_signals, loop, backend, handlers, work)
 
 
 def _with_signals(
-    loop: Loop, world: RealWorld, handlers: dict[signal.Signals, Callable[[], None]], work: Callable[[], None]
+    loop: EventLoop,
+    backend: RealBackend,
+    handlers: dict[signal.Signals, Callable[[], None]],
+    work: Callable[[], None],
 ) -> None:
     """Run ``work`` with signals brought to the loop as bytes on a pipe."""
-    signs = Signs(world)
+    signs = WakeupPipe(backend)
     for number in handlers:
         signal.signal(number, lambda *_: None)
     signal.set_wakeup_fd(signs.writer_number, warn_on_full_buffer=False)
@@ -47,11 +50,11 @@
         while True:
             for number in signs.recv():
                 if number in handlers:  # another one says nothing to us
-                    scope.spawn(handlers[signal.Signals(number)], kind=CONTROL, name="signal")
+                    scope.spawn(handlers[signal.Signals(number)], priority=CONTROL, name="signal")
 
     try:
-        with Scope(loop) as scope:
-            scope.spawn(listen, kind=CONTROL, name="signals")
+        with TaskGroup(loop) as scope:
+            scope.spawn(listen, priority=CONTROL, name="signals")
             work()
             scope.cancel()
     finally:
--- a/orchidlane/runtime/simulated_backend.py
+++ b/orchidlane/runtime/simulated_backend.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from orchidlane.runtime.backend import Address
-from orchidlane.runtime.errors import Closed, NotConnected
-from orchidlane.runtime.tasks import CONTROL, Process, Scheduler, Task
+from orchidlane.runtime.errors import ConnectionClosedError, ConnectionFailedError
+from orchidlane.runtime.tasks import CONTROL, Process, SchedulerInterface, Task
 
 START = 1_700_000_000_000_000  # microseconds: where the virtual clock begins
 WINDOW = 65536  # bytes that a connection holds for a reader that does not read
@@ -24,59 +24,59 @@
 
 
 @dataclass
-class Faults:
+class NetworkFaults:
     """How the network behaves; spans in microseconds, the rest are chances."""
 
-    delay: tuple[int, int] = (50, 400)
-    slow_chance: float = 0.001
-    slow_delay: tuple[int, int] = (5_000, 40_000)
-    datagram_loss: float = 0.01
-    datagram_double: float = 0.005
-    reset_chance: float = 0.0  # of a connection, at each delivery
+    delay_us: tuple[int, int] = (50, 400)
+    slow_probability: float = 0.001
+    slow_delay_us: tuple[int, int] = (5_000, 40_000)
+    datagram_loss_probability: float = 0.01
+    datagram_duplication_probability: float = 0.005
+    reset_probability: float = 0.0  # of a connection, at each delivery
 
 
-class SimWorld:
-    """Virtual clock, network and files; give it to a Loop."""
+class SimulatedBackend:
+    """Virtual clock, network and files; give it to an EventLoop."""
 
-    def __init__(self, seed: int, faults: Faults | None = None) -> None:
+    def __init__(self, seed: int, faults: NetworkFaults | None = None) -> None:
         self.random = random.Random(seed)
-        self.faults = faults or Faults()
+        self.faults = faults or NetworkFaults()
         self.clock = START
-        self.loop: Scheduler
+        self.loop: SchedulerInterface
         self.files: dict[str, bytes] = {}
-        self.listeners: dict[Address, SimListener] = {}
-        self.sockets: dict[Address, SimDatagrams] = {}
-        self.streams: dict[Process, dict[SimStream, None]] = {}
+        self.listeners: dict[Address, SimulatedListener] = {}
+        self.datagram_sockets: dict[Address, SimulatedDatagramSocket] = {}
+        self.streams: dict[Process, dict[SimulatedStream, None]] = {}
         self._ids: dict[Process, int] = {}
         self.cuts: set[frozenset[str]] = set()
-        self.full: set[str] = set()  # names of processes whose writes fail
-        self.no_descriptors = False  # handles that arrive are lost
+        self.processes_with_full_disk: set[str] = set()  # names of processes whose writes fail
+        self.is_out_of_descriptors = False  # handles that arrive are lost
         self._next_port = 40_000
 
-    def attach(self, loop: Scheduler) -> None:
+    def attach(self, loop: SchedulerInterface) -> None:
         self.loop = loop
 
     def now(self) -> int:
         return self.clock
 
-    def poll(self, wait: int | None) -> None:
-        if wait is None:
+    def poll(self, timeout_us: int | None) -> None:
+        if timeout_us is None:
             raise RuntimeError("the simulated world stands still: every task waits and no timer is set")
-        self.clock += wait
+        self.clock += timeout_us
 
     # -- processes
 
     def process_id(self) -> int:
-        return self.id_of(self.loop.process)
+        return self.process_id_of(self.loop.process)
 
-    def id_of(self, process: Process) -> int:
+    def process_id_of(self, process: Process) -> int:
         """The number of a process, from 1 on in the order in which they were asked for."""
         return self._ids.setdefault(process, len(self._ids) + 1)
 
     def start(self, name: str, work: Callable[..., Any], *args: Any) -> Process:
         """Run ``work(*args)`` as a process of its own."""
         process = Process(name)
-        self.loop.spawn(work, *args, kind=CONTROL, process=process, name=name)
+        self.loop.spawn(work, *args, priority=CONTROL, process=process, name=name)
         return process
 
     def kill(self, process: Process) -> None:
@@ -88,7 +88,7 @@
             stream.lose(process)
         for listener in [it for it in self.listeners.values() if process in it.holders]:
             listener.lose(process)
-        for socket in [it for it in self.sockets.values() if process in it.holders]:
+        for socket in [it for it in self.datagram_sockets.values() if process in it.holders]:
             socket.lose(process)
         self.loop.kill(process)
 
@@ -104,10 +104,10 @@
         """Whether the two can't reach each other."""
         return bool(self.cuts) and frozenset((one.name, other.name)) in self.cuts
 
-    def some_delay(self) -> int:
+    def draw_delay(self) -> int:
         """How long one delivery takes."""
-        slow = self.random.random() < self.faults.slow_chance
-        return self.random.randint(*(self.faults.slow_delay if slow else self.faults.delay))
+        slow = self.random.random() < self.faults.slow_probability
+        return self.random.randint(*(self.faults.slow_delay_us if slow else self.faults.delay_us))
 
     # -- network
 
@@ -120,52 +120,55 @@
             raise OSError(98, "address in use")
         return host, port
 
-    def connect(self, to: Address, deadline: int | None = None) -> SimStream:
+    def connect(self, address: Address, deadline: int | None = None) -> SimulatedStream:
         loop, task = self.loop, self.loop.current
-        arrival = loop.call_in_world(loop.now() + self.some_delay(), loop.wake, task)
+        arrival = loop.call_at_outside_processes(loop.now() + self.draw_delay(), loop.wake, task)
         try:
             loop.park(deadline)
         finally:
             loop.timers.cancel(arrival)  # a late one may not wake another wait of the task
-        listener = self.listeners.get(tuple(to))  # type: ignore[arg-type]
+        listener = self.listeners.get(tuple(address))  # type: ignore[arg-type]
         if listener is None or listener.full():
-            raise NotConnected("refused")
-        if self.is_cut(loop.process, listener.process) and not to[0].startswith("/"):
+            raise ConnectionFailedError("refused")
+        if self.is_cut(loop.process, listener.process) and not address[0].startswith("/"):
             loop.park(deadline if deadline is not None else loop.now() + 60_000_000)
-        mine, theirs = SimStream(self, loop.process, to), SimStream(self, listener.process, ("sim", 0))
+        mine, theirs = (
+            SimulatedStream(self, loop.process, address),
+            SimulatedStream(self, listener.process, ("sim", 0)),
+        )
         mine.other, theirs.other = theirs, mine
-        mine.local = theirs.local = to[0].startswith("/")
+        mine.local = theirs.local = address[0].startswith("/")
         listener.arrive(theirs)
         return mine
 
-    def listen(self, at: Address, backlog: int = 1024) -> SimListener:
-        address = self._port(at, self.listeners)
-        self.listeners[address] = listener = SimListener(self, address, backlog)
+    def listen(self, address: Address, backlog: int = 1024) -> SimulatedListener:
+        address = self._port(address, self.listeners)
+        self.listeners[address] = listener = SimulatedListener(self, address, backlog)
         return listener
 
-    def datagrams(self, at: Address) -> SimDatagrams:
-        address = self._port(at, self.sockets)
-        self.sockets[address] = found = SimDatagrams(self, address)
+    def bind_datagrams(self, address: Address) -> SimulatedDatagramSocket:
+        address = self._port(address, self.datagram_sockets)
+        self.datagram_sockets[address] = found = SimulatedDatagramSocket(self, address)
         return found
 
-    def adopt_stream(self, handle: _Handle) -> SimStream:
+    def adopt_stream(self, handle: SimulatedHandle) -> SimulatedStream:
         stream = handle.taken_by(self.loop.process)
-        assert isinstance(stream, SimStream)
-        stream.process, stream.closed = self.loop.process, False
+        assert isinstance(stream, SimulatedStream)
+        stream.process, stream.is_closed = self.loop.process, False
         self.streams.setdefault(stream.process, {})[stream] = None
         return stream
 
-    def adopt_listener(self, handle: _Handle) -> SimListener:
+    def adopt_listener(self, handle: SimulatedHandle) -> SimulatedListener:
         listener = handle.taken_by(self.loop.process)
-        assert isinstance(listener, SimListener)
+        assert isinstance(listener, SimulatedListener)
         return listener
 
-    def adopt_datagrams(self, handle: _Handle) -> SimDatagrams:
+    def adopt_datagrams(self, handle: SimulatedHandle) -> SimulatedDatagramSocket:
         found = handle.taken_by(self.loop.process)
-        assert isinstance(found, SimDatagrams)
+        assert isinstance(found, SimulatedDatagramSocket)
         return found
 
-    def drop(self, handle: _Handle) -> None:
+    def close_handle(self, handle: SimulatedHandle) -> None:
         handle.what.lose(handle)
 
     def clock_base(self) -> int:
@@ -174,7 +177,7 @@
     def follow_clock(self, base: int) -> None:
         """There is one clock here."""
 
-    def aside(self, work: Callable[[], Any]) -> Any:
+    def run_in_thread(self, work: Callable[[], Any]) -> Any:
         return work()  # takes no virtual time
 
     # -- files
@@ -183,27 +186,27 @@
         return self.files.get(path)
 
     def write_file(self, path: str, data: bytes) -> None:
-        if self.loop.process.name in self.full:
+        if self.loop.process.name in self.processes_with_full_disk:
             raise OSError(errno.ENOSPC, "no space left", path)
-        if not self.loop.process.dead:
+        if not self.loop.process.is_dead:
             self.files[path] = data
 
     def remove_file(self, path: str) -> None:
         self.files.pop(path, None)
 
     def append_file(self, path: str, data: bytes) -> None:
-        if not self.loop.process.dead:
+        if not self.loop.process.is_dead:
             self.files[path] = self.files.get(path, b"") + data
 
 
-class _Held:
+class SharedResource:
     """What several processes may hold: it ends with the last hold."""
 
     holders: dict[Any, None]  # processes, and handles on their way
 
-    def share(self) -> _Handle:
+    def duplicate(self) -> SimulatedHandle:
         """A second hold, on its way."""
-        handle = _Handle(self)
+        handle = SimulatedHandle(self)
         self.holders[handle] = None
         return handle
 
@@ -217,55 +220,55 @@
         raise NotImplementedError
 
 
-class _Handle:
+class SimulatedHandle:
     """A hold that no process has yet."""
 
-    def __init__(self, what: _Held) -> None:
+    def __init__(self, what: SharedResource) -> None:
         self.what = what
 
-    def taken_by(self, process: Process) -> _Held:
+    def taken_by(self, process: Process) -> SharedResource:
         """It is the process's from here on."""
         self.what.holders.pop(self, None)
         self.what.holders[process] = None
         return self.what
 
 
-class SimStream(_Held):
+class SimulatedStream(SharedResource):
     """One end of a connection."""
 
-    def __init__(self, world: SimWorld, process: Process, peer: Address) -> None:
-        self.world = world
+    def __init__(self, backend: SimulatedBackend, process: Process, peer: Address) -> None:
+        self.backend = backend
         self.process = process
         self.peer = peer
-        self.sent = 0
-        self.other: SimStream
+        self.sent_bytes = 0
+        self.other: SimulatedStream
         self.inbox: deque[bytes] = deque()
         self.held = 0  # bytes on the way to us or not read yet
         self.ended = False  # the other side sends no more
         self.reset = False
-        self.closed = False
-        self.drained = False
+        self.is_closed = False
+        self.is_input_exhausted = False
         self.finished = False  # we send no more
         self.reader: Task | None = None
         self.only_end = False  # the reader waits for the other side's end alone
         self.writer: Task | None = None
         self.holders = {process: None}
         self.local = False  # over a Unix socket
-        self.handles: deque[_Handle | None] = deque()
+        self.handles: deque[SimulatedHandle | None] = deque()
         self._last = 0  # when the latest delivery to us is due: they keep their order
-        world.streams.setdefault(process, {})[self] = None
+        backend.streams.setdefault(process, {})[self] = None
 
     def _deliver(self, call: Callable[[Any], None], argument: Any) -> None:
-        world = self.world
-        when = max(self._last + 1, world.now() + world.some_delay())
+        backend = self.backend
+        when = max(self._last + 1, backend.now() + backend.draw_delay())
         self._last = when
-        world.loop.call_in_world(when, call, argument)
+        backend.loop.call_at_outside_processes(when, call, argument)
 
     def _arrive(self, data: bytes) -> None:
-        if self.world.is_cut(self.process, self.other.process):
-            self.world.loop.call_in_world(self.world.now() + 10_000, self._arrive, data)
+        if self.backend.is_cut(self.process, self.other.process):
+            self.backend.loop.call_at_outside_processes(self.backend.now() + 10_000, self._arrive, data)
             return
-        if self.closed:
+        if self.is_closed:
             self.held -= len(data)
             # bytes for a socket that is gone: a reset comes back
             if self.local:
@@ -278,14 +281,14 @@
             self._wake_reader()
 
     def _end(self, _: Any) -> None:
-        if self.world.is_cut(self.process, self.other.process):
-            self.world.loop.call_in_world(self.world.now() + 10_000, self._end, None)
+        if self.backend.is_cut(self.process, self.other.process):
+            self.backend.loop.call_at_outside_processes(self.backend.now() + 10_000, self._end, None)
             return
         self.ended = True
         self._wake_reader()
 
     def _fail(self, _: Any) -> None:
-        if not self.closed and not self.reset:
+        if not self.is_closed and not self.reset:
             self.reset = True
             if not self.local:  # over a Unix socket what came before is still read
                 self.inbox.clear()
@@ -295,65 +298,65 @@
     def _wake_reader(self) -> None:
         task, self.reader = self.reader, None
         if task is not None:
-            self.world.loop.wake(task)
+            self.backend.loop.wake(task)
 
     def _wake_writer(self) -> None:
         task, self.writer = self.writer, None
         if task is not None:
-            self.world.loop.wake(task)
+            self.backend.loop.wake(task)
 
     def _check(self) -> None:
-        if self.closed:
-            raise Closed("closed on our side")
+        if self.is_closed:
+            raise ConnectionClosedError("closed on our side")
         if self.reset:
-            raise Closed("reset by the other side")
+            raise ConnectionClosedError("reset by the other side")
 
-    def try_recv(self, most: int = 65536) -> bytes | None:
-        if self.closed or not (self.local and self.inbox):
+    def try_recv(self, max_bytes: int = 65536) -> bytes | None:
+        if self.is_closed or not (self.local and self.inbox):
             self._check()
         if not self.inbox:
             return b"" if self.ended else None
         data = self.inbox.popleft()
-        if len(data) > most:
-            self.inbox.appendleft(data[most:])
-            data = data[:most]
+        if len(data) > max_bytes:
+            self.inbox.appendleft(data[max_bytes:])
+            data = data[:max_bytes]
         self.held -= len(data)
         self.other._wake_writer()
         return data
 
-    def recv(self, most: int = 65536, deadline: int | None = None) -> bytes:
-        self.world.loop.breathe()
+    def recv(self, max_bytes: int = 65536, deadline: int | None = None) -> bytes:
+        self.backend.loop.yield_sometimes()
         while True:
-            data = self.try_recv(most)
+            data = self.try_recv(max_bytes)
             if data is not None:
                 return data
             self.await_input(deadline)
 
-    def watch(self, task: Task) -> None:
+    def wake_on_input(self, task: Task) -> None:
         self.reader, self.only_end = task, False
         if self.inbox or self.ended or self.reset:
             self.reader = None
-            self.world.loop.wake(task)
+            self.backend.loop.wake(task)
 
-    def watch_end(self, task: Task) -> None:
+    def wake_on_peer_close(self, task: Task) -> None:
         self.reader, self.only_end = task, True
         if self.ended or self.reset:
             self.reader = None
-            self.world.loop.wake(task)
+            self.backend.loop.wake(task)
 
-    def waiting(self) -> bool:
-        return not self.closed and bool(self.inbox or self.ended or self.reset)
+    def has_input(self) -> bool:
+        return not self.is_closed and bool(self.inbox or self.ended or self.reset)
 
-    def has_left(self) -> bool:
-        return self.closed or self.ended or self.reset
+    def is_closed_by_peer(self) -> bool:
+        return self.is_closed or self.ended or self.reset
 
     def await_input(self, deadline: int | None = None) -> None:
         if not (self.inbox or self.ended):
             self._check()
-            task = self.world.loop.current
+            task = self.backend.loop.current
             self.reader, self.only_end = task, False
             try:
-                self.world.loop.park(deadline)
+                self.backend.loop.park(deadline)
             finally:
                 if self.reader is task:  # else somebody else reads on, who ends the connection
                     self.reader = None
@@ -364,23 +367,23 @@
             done = self.try_send(data[at:])
             at += done
             if not done:
-                self.writer = self.world.loop.current
+                self.writer = self.backend.loop.current
                 try:
-                    self.world.loop.park(deadline)
+                    self.backend.loop.park(deadline)
                 finally:
                     self.writer = None
-        self.world.loop.breathe()
+        self.backend.loop.yield_sometimes()
 
     def try_send(self, data: bytes) -> int:
         self._check()
-        if self.world.loop.process.dead:
-            raise Closed("the process is dead")
+        if self.backend.loop.process.is_dead:
+            raise ConnectionClosedError("the process is dead")
         part = bytes(data[: max(0, WINDOW - self.other.held)])
         if not part:
             return 0
-        self.sent += len(part)
+        self.sent_bytes += len(part)
         self.other.held += len(part)
-        if not self.local and self.world.random.random() < self.world.faults.reset_chance:
+        if not self.local and self.backend.random.random() < self.backend.faults.reset_probability:
             self.other._deliver(self.other._fail, None)
             self._deliver(self._fail, None)
         else:
@@ -388,7 +391,7 @@
         return len(part)
 
     def half_close(self) -> None:
-        if not self.closed and not self.finished and not self.world.loop.process.dead:
+        if not self.is_closed and not self.finished and not self.backend.loop.process.is_dead:
             self.finished = True
             self.other._deliver(self.other._end, None)
 
@@ -397,53 +400,53 @@
 
         Over bytes that nobody has read it is a reset, as in a kernel.
         """
-        if not self.closed and not self.world.loop.process.dead:
+        if not self.is_closed and not self.backend.loop.process.is_dead:
             if self.inbox and not self.local:
                 return self.abort()
             self.half_close()
             self._leave()
 
     def abort(self) -> None:
-        if not self.closed and not self.world.loop.process.dead:
+        if not self.is_closed and not self.backend.loop.process.is_dead:
             self._leave()
             self.other._deliver(self.other._fail, None)
 
     # -- between processes of one machine
 
-    def send_with(self, data: bytes, handle: _Handle, deadline: int | None = None) -> None:
+    def send_with_handle(self, data: bytes, handle: SimulatedHandle, deadline: int | None = None) -> None:
         self._check()
         self.other._deliver(self.other._arrive_handle, handle)
         self.send(data, deadline)
 
-    def try_send_with(self, data: bytes, handle: _Handle) -> int:
+    def try_send_with_handle(self, data: bytes, handle: SimulatedHandle) -> int:
         self._check()
         if self.other.held >= WINDOW:
             return 0
         self.other._deliver(self.other._arrive_handle, handle)
         return self.try_send(data)
 
-    def _arrive_handle(self, handle: _Handle) -> None:
-        if self.closed:
-            self.world.drop(handle)
+    def _arrive_handle(self, handle: SimulatedHandle) -> None:
+        if self.is_closed:
+            self.backend.close_handle(handle)
         else:
-            self.handles.append(handle if not self.world.no_descriptors else None)
-            if self.world.no_descriptors:
-                self.world.drop(handle)
+            self.handles.append(handle if not self.backend.is_out_of_descriptors else None)
+            if self.backend.is_out_of_descriptors:
+                self.backend.close_handle(handle)
 
-    def take_handle(self) -> _Handle | None:
+    def receive_handle(self) -> SimulatedHandle | None:
         return self.handles.popleft() if self.handles else None
 
     def kill_peer(self) -> None:
-        if not self.world.loop.process.dead:
-            self.world.kill(self.other.process)
+        if not self.backend.loop.process.is_dead:
+            self.backend.kill(self.other.process)
 
     def release(self) -> None:
-        if self.world.loop.process.dead:
+        if self.backend.loop.process.is_dead:
             return
-        self.world.streams.get(self.world.loop.process, {}).pop(self, None)
+        self.backend.streams.get(self.backend.loop.process, {}).pop(self, None)
         self._wake_reader()
         self._wake_writer()
-        self.lose(self.world.loop.process)
+        self.lose(self.backend.loop.process)
 
     def _end_hold(self) -> None:
         if self.local:
@@ -452,34 +455,34 @@
             self.abort()
 
     def _leave(self) -> None:
-        self.closed = True
+        self.is_closed = True
         for handle in filter(None, self.handles):
-            self.world.drop(handle)
+            self.backend.close_handle(handle)
         self.handles.clear()
         self.inbox.clear()
-        self.world.streams.get(self.process, {}).pop(self, None)
+        self.backend.streams.get(self.process, {}).pop(self, None)
         self._wake_reader()
         self._wake_writer()
 
 
-class _Place(_Held):
+class BoundAddress(SharedResource):
     """A bound address, where tasks of the processes that hold it wait for what arrives."""
 
-    world: SimWorld
+    backend: SimulatedBackend
     tasks: list[Task]
-    closed: bool
+    is_closed: bool
 
     @property
     def process(self) -> Process:
         """One of the processes that hold it: all are on one machine."""
-        return next((one for one in self.holders if isinstance(one, Process)), self.world.loop.home)
+        return next((one for one in self.holders if isinstance(one, Process)), self.backend.loop.main_process)
 
     def _wait_for(self, arrived: deque[Any], deadline: int | None) -> None:
-        """Wait until something has arrived. Raises Closed, Expired."""
-        loop = self.world.loop
+        """Wait until something has arrived. Raises ConnectionClosedError, DeadlineExceededError."""
+        loop = self.backend.loop
         while True:
-            if self.closed or loop.process not in self.holders:
-                raise Closed("closed on our side")
+            if self.is_closed or loop.process not in self.holders:
+                raise ConnectionClosedError("closed on our side")
             if arrived:
                 return
             task = loop.current
@@ -492,103 +495,103 @@
                     self.tasks.remove(task)
 
     def close(self) -> None:
-        self.lose(self.world.loop.process)
+        self.lose(self.backend.loop.process)
         for task in [one for one in self.tasks if one.process not in self.holders]:
-            self.world.loop.wake(task)
+            self.backend.loop.wake(task)
 
 
-class SimListener(_Place):
+class SimulatedListener(BoundAddress):
     """A bound address with its queue of connections not yet taken."""
 
-    def __init__(self, world: SimWorld, address: Address, backlog: int) -> None:
-        self.world = world
+    def __init__(self, backend: SimulatedBackend, address: Address, backlog: int) -> None:
+        self.backend = backend
         self.address = address
         self.backlog = backlog
-        self.holders = {world.loop.process: None}
-        self.queue: deque[SimStream] = deque()
+        self.holders = {backend.loop.process: None}
+        self.queue: deque[SimulatedStream] = deque()
         self.tasks: list[Task] = []
-        self.closed = False
+        self.is_closed = False
 
     def full(self) -> bool:
         """Whether the queue takes no more."""
         return len(self.queue) >= self.backlog
 
-    def arrive(self, stream: SimStream) -> None:
+    def arrive(self, stream: SimulatedStream) -> None:
         """A connection was made."""
         self.queue.append(stream)
         if self.tasks:
-            self.world.loop.wake(self.tasks.pop(0))
+            self.backend.loop.wake(self.tasks.pop(0))
 
-    def accept(self, deadline: int | None = None) -> SimStream:
-        loop = self.world.loop
-        loop.breathe()
+    def accept(self, deadline: int | None = None) -> SimulatedStream:
+        loop = self.backend.loop
+        loop.yield_sometimes()
         self._wait_for(self.queue, deadline)
         return self._taken()
 
-    def try_accept(self) -> SimStream | None:
-        if self.closed:
-            raise Closed("closed on our side")
+    def try_accept(self) -> SimulatedStream | None:
+        if self.is_closed:
+            raise ConnectionClosedError("closed on our side")
         return self._taken() if self.queue else None
 
-    def _taken(self) -> SimStream:
-        loop = self.world.loop
+    def _taken(self) -> SimulatedStream:
+        loop = self.backend.loop
         stream = self.queue.popleft()
         stream.holders, before = {loop.process: None}, stream.process
-        self.world.streams.get(before, {}).pop(stream, None)
+        self.backend.streams.get(before, {}).pop(stream, None)
         stream.process = loop.process
-        self.world.streams.setdefault(loop.process, {})[stream] = None
+        self.backend.streams.setdefault(loop.process, {})[stream] = None
         return stream
 
     def _end_hold(self) -> None:
-        if self.closed:
+        if self.is_closed:
             return
-        self.closed = True
-        self.world.listeners.pop(self.address, None)
+        self.is_closed = True
+        self.backend.listeners.pop(self.address, None)
         while self.queue:
             self.queue.popleft().abort()
         for task in self.tasks:
-            self.world.loop.wake(task)
+            self.backend.loop.wake(task)
 
 
-class SimDatagrams(_Place):
+class SimulatedDatagramSocket(BoundAddress):
     """A bound address for datagrams."""
 
-    def __init__(self, world: SimWorld, address: Address) -> None:
-        self.world = world
+    def __init__(self, backend: SimulatedBackend, address: Address) -> None:
+        self.backend = backend
         self.address = address
-        self.holders = {world.loop.process: None}
+        self.holders = {backend.loop.process: None}
         self.inbox: deque[tuple[bytes, Address]] = deque()
         self.tasks: list[Task] = []
-        self.closed = False
+        self.is_closed = False
 
     def recv(self, deadline: int | None = None) -> tuple[bytes, Address]:
         self._wait_for(self.inbox, deadline)
-        self.world.loop.breathe()
+        self.backend.loop.yield_sometimes()
         return self.inbox.popleft()
 
-    def send(self, data: bytes, to: Address) -> None:
-        world = self.world
-        if world.loop.process.dead:
+    def send(self, data: bytes, address: Address) -> None:
+        backend = self.backend
+        if backend.loop.process.is_dead:
             return
-        copies = 1 + (world.random.random() < world.faults.datagram_double)
+        copies = 1 + (backend.random.random() < backend.faults.datagram_duplication_probability)
         for _ in range(copies):
-            if world.random.random() >= world.faults.datagram_loss:
-                when = world.now() + world.some_delay()
-                world.loop.call_in_world(when, self._bring, (bytes(data), tuple(to)))
+            if backend.random.random() >= backend.faults.datagram_loss_probability:
+                when = backend.now() + backend.draw_delay()
+                backend.loop.call_at_outside_processes(when, self._bring, (bytes(data), tuple(address)))
 
     def _bring(self, what: tuple[bytes, Address]) -> None:
         data, to = what
-        target = self.world.sockets.get(to)
-        if target is None or self.world.is_cut(self.process, target.process):
+        target = self.backend.datagram_sockets.get(to)
+        if target is None or self.backend.is_cut(self.process, target.process):
             return
         if len(target.inbox) < DATAGRAMS_HELD:
             target.inbox.append((data, self.address))
             if target.tasks:
-                self.world.loop.wake(target.tasks.pop(0))
+                self.backend.loop.wake(target.tasks.pop(0))
 
     def _end_hold(self) -> None:
-        if not self.closed:
-            self.closed = True
-            self.world.sockets.pop(self.address, None)
+        if not self.is_closed:
+            self.is_closed = True
+            self.backend.datagram_sockets.pop(self.address, None)
             for task in self.tasks:
-                self.world.loop.wake(task)
+                self.backend.loop.wake(task)
--- a/orchidlane/runtime/tasks.py
+++ b/orchidlane/runtime/tasks.py
@@ -24,9 +24,9 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.frozen = False
-        self.dead = False
-        self.held: list[Callable[[], None]] = []  # what comes due while it stands still
+        self.is_frozen = False
+        self.is_dead = False
+        self.deferred_calls: list[Callable[[], None]] = []  # what comes due while it stands still
         self.tasks: dict[Task, None] = {}
 
 
@@ -34,67 +34,67 @@
     """One greenlet with its class of work, its owner and its process."""
 
     __slots__ = (
-        "cancelled",
-        "done",
         "error",
-        "kind",
+        "greenlet",
+        "is_cancelled",
+        "is_done",
+        "is_parked",
+        "is_started",
         "name",
-        "parked",
+        "operations_without_yield",
+        "owner",
+        "priority",
         "process",
-        "run",
-        "scope",
-        "spent",
-        "started",
     )
 
     def __init__(
         self, run: greenlet.greenlet, kind: int, process: Process, scope: TaskOwner | None, name: str
     ) -> None:
-        self.run = run
-        self.kind = kind
+        self.greenlet = run
+        self.priority = kind
         self.process = process
-        self.scope = scope
+        self.owner = scope
         self.name = name
-        self.parked = False
-        self.cancelled = False
-        self.done = False
+        self.is_parked = False
+        self.is_cancelled = False
+        self.is_done = False
         self.error: BaseException | None = None
-        self.spent = 0
-        self.started = False
+        self.operations_without_yield = 0
+        self.is_started = False
 
 
-class Scheduler(Protocol):
-    """What a backend needs of the loop that runs in it; see ``orchidlane.runtime.scheduler.Loop``."""
+class SchedulerInterface(Protocol):
+    """What a backend needs of the loop that runs in it; see ``orchidlane.runtime.scheduler.EventLoop``."""
 
     current: Task | None
     process: Process
-    home: Process
+    main_process: Process
     timers: Timers
     now: Callable[[], int]
 
     def park(self, deadline: int | None = None) -> Any:
-        """Wait to be woken. Raises Expired, Cancelled."""
+        """Wait to be woken. Raises DeadlineExceededError, Cancelled."""
 
-    def sleep(self, span: int) -> None:
+    def sleep(self, duration_us: int) -> None:
         """Wait for so many microseconds. Raises Cancelled."""
 
     def wake(self, task: Task, value: Any = None) -> None:
         """Let a parked task go on."""
 
-    def breathe(self) -> None:
+    def yield_sometimes(self) -> None:
         """Let others run after many operations that did not wait."""
 
     def call_at(self, when: int, call: Callable[[Any], None], argument: Any = None) -> Any:
         """Have a call made at a time, in the current process."""
 
-    def call_in_world(self, when: int, call: Callable[[Any], None], argument: Any = None) -> Any:
+    def call_at_outside_processes(self, when: int, call: Callable[[Any], None], argument: Any = None) -> Any:
         """Have a call made at a time, in no process."""
 
     def spawn(
         self,
         work: Callable[..., Any],
         *args: Any,
-        kind: int | None = None,
+        priority: int | None = None,
         process: Process | None = None,
         name: str = "",
     ) -> Task:
--- a/orchidlane/simulation/backends.py
+++ b/orchidlane/simulation/backends.py
@@ -23,8 +23,7 @@
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.lifecycle.status_query import request_status
 from orchidlane.hot_restart import new_process
-from orchidlane.runtime import Faults as NetFaults
-from orchidlane.runtime import Loop, Process, RealWorld, SimWorld
+from orchidlane.runtime import EventLoop, NetworkFaults, Process, RealBackend, SimulatedBackend
 from orchidlane.runtime.backend import Address
 from orchidlane.simulation.audit import Verdict
 from orchidlane.simulation.fake_endpoint import Node, NodeSpec
@@ -37,10 +36,10 @@
 class SimulatedBacking:
     """Everything in one process, under a virtual clock, from one seed."""
 
-    def __init__(self, loop: Loop, world: SimWorld, record_to: str | None = None) -> None:
+    def __init__(self, loop: EventLoop, backend: SimulatedBackend, record_to: str | None = None) -> None:
         self.loop = loop
         self.record_to = record_to
-        self.world = world
+        self.backend = backend
         self.plan: Plan
         self.settings: list[str] = []
         self.processes: dict[str, Process] = {}
@@ -58,7 +57,7 @@
         self.customers = load_customers(customers_file(plan), "customers.json", plan.fleet)
 
     def start_gateway(self, rank: int) -> None:
-        process = self.world.start(f"gw-{rank}", self._gateway, self.own_fleet(rank), rank)
+        process = self.backend.start(f"gw-{rank}", self._gateway, self.own_fleet(rank), rank)
         self.processes[f"gw-{rank}"] = process
 
     def own_fleet(self, rank: int) -> FleetSettings:
@@ -84,21 +83,21 @@
             found.append(self.program(self.own_fleet(rank), rank, True))
             found[0].run()
 
-        self.successors[rank] = self.world.start(f"gw-{rank}", succeed), found
+        self.successors[rank] = self.backend.start(f"gw-{rank}", succeed), found
 
     def kill_successor(self, rank: int) -> None:
-        self.world.kill(self.successors[rank][0])
+        self.backend.kill(self.successors[rank][0])
 
-    def upgraded(self, rank: int, loop: Loop) -> bool | None:
+    def upgraded(self, rank: int, loop: EventLoop) -> bool | None:
         process, found = self.successors[rank]
         if found and found[0].new_side.machine.phase is new_process.Phase.INDEPENDENT:
             self.processes[f"gw-{rank}"], self.programs[rank] = process, found[0]
             return True
-        return False if process.dead or (found and not process.tasks) else None
+        return False if process.is_dead or (found and not process.tasks) else None
 
     def end_gateway(self, rank: int, kill: bool) -> None:
         if kill:
-            self.world.kill(self.processes[f"gw-{rank}"])
+            self.backend.kill(self.processes[f"gw-{rank}"])
         else:
             self.programs[rank].stop()
 
@@ -106,7 +105,7 @@
         process = self.processes[f"gw-{rank}"]
         if process.tasks:
             return False
-        self.world.kill(process)  # what it had open goes with it, as a kernel would see to
+        self.backend.kill(process)  # what it had open goes with it, as a kernel would see to
         return True
 
     def freeze_gateway(self, rank: int, still: bool) -> None:
@@ -116,10 +115,10 @@
         (self.loop.freeze if still else self.loop.thaw)(self.processes[name])
 
     def start_node(self, spec: NodeSpec) -> None:
-        self.processes[spec.name] = self.world.start(spec.name, lambda: Node(self.loop, spec).run())
+        self.processes[spec.name] = self.backend.start(spec.name, lambda: Node(self.loop, spec).run())
 
     def kill_node(self, name: str) -> None:
-        self.world.kill(self.processes[name])
+        self.backend.kill(self.processes[name])
 
     def freeze_node(self, name: str, still: bool) -> None:
         self._freeze(name, still)
@@ -135,20 +134,20 @@
                 len(host.gateway.attempts),
             )
             out = sum(known.in_flight for known in host.gateway.endpoints.values())
-            if any((*left, out)) and not self.processes[f"gw-{rank}"].dead:
+            if any((*left, out)) and not self.processes[f"gw-{rank}"].is_dead:
                 raise AssertionError(f"gw-{rank} left behind: {left}, {out} out")
 
     def end(self) -> None:
         for process in self.processes.values():
-            if not process.dead:
-                self.world.kill(process)
+            if not process.is_dead:
+                self.backend.kill(process)
 
 
-def simulate(day: Day, seed: int, faults: NetFaults | None = None) -> Verdict:
+def simulate(day: Day, seed: int, faults: NetworkFaults | None = None) -> Verdict:
     """Play a day in the simulated world."""
-    world = SimWorld(seed, faults)
-    loop = Loop(world)
-    backing = SimulatedBacking(loop, world)
+    backend = SimulatedBackend(seed, faults)
+    loop = EventLoop(backend)
+    backing = SimulatedBacking(loop, backend)
     plan = make_plan(day, "sim", backing.free_addresses)
     backing.prepare(plan)
     runner = Runner(loop, plan, backing)
@@ -223,7 +222,7 @@
     def kill_successor(self, rank: int) -> None:
         self.successors[rank].kill()
 
-    def upgraded(self, rank: int, loop: Loop) -> bool | None:
+    def upgraded(self, rank: int, loop: EventLoop) -> bool | None:
         own = self.successors[rank]
         if own.poll() is not None:
             return False
@@ -276,7 +275,7 @@
         backing = RealBacking(folder or own, records=folder is not None)
         plan = make_plan(day, folder or own, backing.free_addresses)
         backing.prepare(plan)
-        loop = Loop(RealWorld(seed))
+        loop = EventLoop(RealBackend(seed))
         runner = Runner(loop, plan, backing)
         found: list[Verdict] = []
         loop.run(lambda: found.append(runner.run()))
@@ -317,7 +316,7 @@
         runner.end_load()
 
     def play() -> None:
-        loop.spawn(drive, process=loop.home)
+        loop.spawn(drive, process=loop.main_process)
         found.append(runner.run())
 
     try:
--- a/orchidlane/simulation/clients.py
+++ b/orchidlane/simulation/clients.py
@@ -12,7 +12,15 @@
 
 from orchidlane import http1
 from orchidlane.http1 import Data, End, Malformed, Response
-from orchidlane.runtime import REQUESTS, Closed, Expired, Loop, NotConnected, Scope, Stream
+from orchidlane.runtime import (
+    REQUESTS,
+    ConnectionClosedError,
+    ConnectionFailedError,
+    DeadlineExceededError,
+    EventLoop,
+    Stream,
+    TaskGroup,
+)
 from orchidlane.runtime.backend import Address
 from orchidlane.simulation.observations import Extra, Record, Try
 
@@ -47,7 +55,7 @@
 class Crowd:
     """All subscribers together: ``rate`` requests a second for ``span`` microseconds."""
 
-    loop: Loop
+    loop: EventLoop
     gateways: list[tuple[str, Address]]
     subscribers: list[Subscriber]
     kinds: list[Kind]
@@ -61,24 +69,24 @@
 
     def run(self) -> None:
         """Send until the span is over, then wait for all answers."""
-        random, began = self.loop.world.random, self.loop.now()
+        random, began = self.loop.backend.random, self.loop.now()
         weights = [subscriber.weight for subscriber in self.subscribers]
         shares = [kind.share for kind in self.kinds]
         due = float(self.loop.now())
-        with Scope(self.loop) as scope:
+        with TaskGroup(self.loop) as scope:
             while due < began + self.span:
                 due += random.expovariate(self.rate) * 1_000_000
                 self.loop.sleep(int(due) - self.loop.now())
                 subscriber = random.choices(self.subscribers, weights)[0]
                 kind = random.choices(self.kinds, shares)[0]
                 self.sent += 1
-                scope.spawn(self._request, f"r{self.sent}", subscriber, kind, kind=REQUESTS)
+                scope.spawn(self._request, f"r{self.sent}", subscriber, kind, priority=REQUESTS)
         for kept in self.idle.values():
             for stream, _, name in kept:
                 self._is_quiet(stream, name)
 
     def _request(self, name: str, subscriber: Subscriber, kind: Kind) -> None:
-        random = self.loop.world.random
+        random = self.loop.backend.random
         patience = int(kind.deadline * random.uniform(0.5, 1.0))
         end = self.loop.now() + kind.deadline
         for number in range(self.tries):
@@ -94,7 +102,7 @@
 
     def _gateway(self, subscriber: Subscriber) -> int:
         """The busiest of the set most often."""
-        random, ranks = self.loop.world.random, subscriber.gateways
+        random, ranks = self.loop.backend.random, subscriber.gateways
         return ranks[min(int(random.expovariate(0.9)), len(ranks) - 1)]
 
     def _try(self, request: str, name: str, subscriber: Subscriber, kind: Kind, patience: int) -> Try:
@@ -128,24 +136,24 @@
         loop = self.loop
         try:
             stream, parser = self._connection(rank, min(by, loop.now() + CONNECT))
-        except (NotConnected, Expired):
+        except (ConnectionFailedError, DeadlineExceededError):
             return loop.now(), "unreachable", 0, False, 0, ""
         end, status, harmless, extra, keep, leaves = "reset", 0, False, 0, False, False
         version = ""
         try:
             stream.send(self._bytes(request, name, subscriber, kind, by), by)
             parser.expect(kind.method)
-            leaves = loop.world.random.random() < self.impatient
-            until = loop.world.random.randint(loop.now(), by) if leaves else by + LISTEN_ON
+            leaves = loop.backend.random.random() < self.impatient
+            until = loop.backend.random.randint(loop.now(), by) if leaves else by + LISTEN_ON
             head = self._answer(stream, parser, until)
             end, status = "answer", head.status
             harmless = status in (429, 503)
             version = (http1.header(head.headers, b"orchidlane-version") or b"").decode("latin-1")
             extra = parser.pending
             keep = head.keep_alive and not extra
-        except Expired:
+        except DeadlineExceededError:
             end = "left" if leaves else "silence"
-        except Closed as closed:
+        except ConnectionClosedError as closed:
             end = "cut" if "within" in str(closed) else "reset"
         except Malformed:
             end = "cut"
@@ -164,13 +172,13 @@
             if self._is_quiet(stream, name):
                 return stream, parser
             stream.close()
-        return self.loop.world.connect(self.gateways[rank][1], by), http1.ResponseParser()
+        return self.loop.backend.connect(self.gateways[rank][1], by), http1.ResponseParser()
 
     def _is_quiet(self, stream: Stream, name: str) -> bool:
         """Whether nothing came after the answer to the try before; bytes would be a second one."""
         try:
             data = stream.try_recv()
-        except Closed:
+        except ConnectionClosedError:
             return False
         if data:
             self.record(Extra(name))
@@ -199,7 +207,9 @@
                 data = stream.recv(deadline=by)
                 parser.receive(data)
                 if not data and parser.next_event() is None:
-                    raise Closed("the end within an answer" if head else "the end before an answer")
+                    raise ConnectionClosedError(
+                        "the end within an answer" if head else "the end before an answer"
+                    )
             elif isinstance(event, Response) and event.status >= 200:
                 head = event
             elif isinstance(event, End):
