--- a/orchidlane/simulation/fake_endpoint.py
+++ b/orchidlane/simulation/fake_endpoint.py
@@ -14,7 +14,15 @@
 
 from orchidlane import http1
 from orchidlane.http1 import Data, End, Malformed, Request
-from orchidlane.runtime import REQUESTS, Closed, Expired, Loop, Scope, Stream, Task
+from orchidlane.runtime import (
+    REQUESTS,
+    ConnectionClosedError,
+    DeadlineExceededError,
+    EventLoop,
+    Stream,
+    Task,
+    TaskGroup,
+)
 from orchidlane.runtime.backend import Address
 from orchidlane.simulation.observations import Arrival, Fell, Run, encode
 
@@ -74,7 +82,7 @@
 class Node:
     """One node; ``run`` serves until it is killed or falls over."""
 
-    def __init__(self, loop: Loop, spec: NodeSpec) -> None:
+    def __init__(self, loop: EventLoop, spec: NodeSpec) -> None:
         self.loop = loop
         self.spec = spec
         self.faults = Faults()
@@ -91,20 +99,20 @@
 
     def run(self) -> None:
         """Listen and serve."""
-        self.listener = self.loop.world.listen(self.spec.address)
-        with Scope(self.loop) as scope:
+        self.listener = self.loop.backend.listen(self.spec.address)
+        with TaskGroup(self.loop) as scope:
             while True:
                 try:
                     stream = self.listener.accept()
-                except Closed:
+                except ConnectionClosedError:
                     break
                 self.streams[stream] = None
-                scope.spawn(self._client, stream, kind=REQUESTS)
+                scope.spawn(self._client, stream, priority=REQUESTS)
             self.loop.sleep(10**12)
 
     def _record(self, record: Any) -> None:
         if self.spec.records:
-            self.loop.world.append_file(self.spec.records, encode(record))
+            self.loop.backend.append_file(self.spec.records, encode(record))
 
     # -- capacity
 
@@ -167,7 +175,7 @@
         try:
             while self._one(stream, parser):
                 pass
-        except (Closed, Malformed, Expired):
+        except (ConnectionClosedError, Malformed, DeadlineExceededError):
             pass
         finally:
             self.streams.pop(stream, None)
@@ -181,7 +189,7 @@
             self.faults = msgspec.json.decode(body, type=Faults)
             stream.send(http1.response_head(204, []))
             return True
-        random, faults = self.loop.world.random, self.faults
+        random, faults = self.loop.backend.random, self.faults
         work = self._work.get(head.method)
         if work is None:
             stream.send(http1.response_head(405, [(b"content-length", b"0")]))
@@ -231,7 +239,7 @@
     def _serve(self, stream: Stream, head: Request, work: Work, full: bool) -> bool:
         task = self.loop.current
         assert task is not None
-        amount = self.loop.world.random.expovariate(1 / work.mean)
+        amount = self.loop.backend.random.expovariate(1 / work.mean)
         self._press(amount)
         if self.fallen:
             return False
@@ -254,7 +262,7 @@
                 if job not in self.active and stream.try_recv(1) == b"":
                     return False
                 if job not in self.active:
-                    stream.watch(job.task)
+                    stream.wake_on_input(job.task)
                 self.loop.park()
         finally:
             job.wanted = False
@@ -276,7 +284,7 @@
         )
 
     def _respond(self, stream: Stream, head: Request) -> bool:
-        random = self.loop.world.random
+        random = self.loop.backend.random
         if random.random() < self.faults.reset_after:
             stream.abort()
             return False
--- a/orchidlane/simulation/fake_servers.py
+++ b/orchidlane/simulation/fake_servers.py
@@ -10,8 +10,16 @@
 from orchidlane.gateway.control.endpoint_list import EndpointRecord, WatchEvent
 from orchidlane.gateway.peers.datagrams import HEADER
 from orchidlane.http1 import Malformed, Request
-from orchidlane.runtime import CONTROL, PEERS, Closed, Expired, Loop, Scope, Stream
-from orchidlane.runtime.backend import Address, Datagrams
+from orchidlane.runtime import (
+    CONTROL,
+    PEERS,
+    ConnectionClosedError,
+    DeadlineExceededError,
+    EventLoop,
+    Stream,
+    TaskGroup,
+)
+from orchidlane.runtime.backend import Address, DatagramSocket
 from orchidlane.simulation.observations import Record, Told
 
 HEARTBEAT = 3_000_000  # microseconds between two empty lines
@@ -21,7 +29,7 @@
     """Keeps the list and pushes each change to every watch, so long after it happened."""
 
     def __init__(
-        self, loop: Loop, at: Address, delay: tuple[int, int], record: Callable[[Record], None]
+        self, loop: EventLoop, at: Address, delay: tuple[int, int], record: Callable[[Record], None]
     ) -> None:
         self.loop = loop
         self.delay = delay
@@ -32,11 +40,11 @@
         self.names: dict[str, str] = {}  # address -> node
         self.watches: dict[Stream, str] = {}
         self._last: dict[str, int] = {}  # when a node's latest news is due: each node's keep their order
-        self.listener = loop.world.listen(at)
+        self.listener = loop.backend.listen(at)
 
     def set(self, name: str, node: EndpointRecord) -> None:
         """A node's state changed just now; the watches hear of it later."""
-        due = self.loop.now() + self.loop.world.random.randint(*self.delay)
+        due = self.loop.now() + self.loop.backend.random.randint(*self.delay)
         self._last[name] = due = max(due, self._last.get(name, 0) + 1)
         self.loop.call_at(due, self._publish, (name, node))
 
@@ -53,12 +61,12 @@
             self._push(stream, gateway, line)
 
     def _push(self, stream: Stream, gateway: str, line: WatchEvent) -> None:
-        self.loop.spawn(self._write, stream, gateway, line, kind=CONTROL, name="push")
+        self.loop.spawn(self._write, stream, gateway, line, priority=CONTROL, name="push")
 
     def _write(self, stream: Stream, gateway: str, line: WatchEvent) -> None:
         try:
             stream.send(http1.chunk(msgspec.json.encode(line) + b"\n"), self.loop.now() + 5_000_000)
-        except (Closed, Expired):
+        except (ConnectionClosedError, DeadlineExceededError):
             self._drop(stream)
             return
         for node in line.endpoints:
@@ -66,13 +74,13 @@
 
     def serve(self) -> None:
         """Take watches for ever."""
-        with Scope(self.loop) as scope:
+        with TaskGroup(self.loop) as scope:
             while True:
                 try:
                     stream = self.listener.accept()
-                except Closed:
+                except ConnectionClosedError:
                     return
-                scope.spawn(self._watch, stream, kind=CONTROL)
+                scope.spawn(self._watch, stream, priority=CONTROL)
 
     def _watch(self, stream: Stream) -> None:
         parser = http1.RequestParser()
@@ -92,7 +100,7 @@
             while stream in self.watches:
                 self.loop.sleep(HEARTBEAT)
                 stream.send(http1.chunk(b"\n"), self.loop.now() + HEARTBEAT)
-        except (Closed, Expired, Malformed):
+        except (ConnectionClosedError, DeadlineExceededError, Malformed):
             pass
         finally:
             self._drop(stream)
@@ -105,10 +113,10 @@
 class Relay:
     """Between the gateways: datagrams are lost, delayed, doubled, or cut off by pair of ranks."""
 
-    def __init__(self, loop: Loop, ways: list[tuple[Address, Address]]) -> None:
+    def __init__(self, loop: EventLoop, ways: list[tuple[Address, Address]]) -> None:
         self.loop = loop
         self.targets = [target for _, target in ways]
-        self.sockets: list[Datagrams] = [loop.world.datagrams(at) for at, _ in ways]
+        self.sockets: list[DatagramSocket] = [loop.backend.bind_datagrams(at) for at, _ in ways]
         self.loss = 0.0
         self.double = 0.0
         self.delay = (0, 0)
@@ -119,12 +127,12 @@
 
     def serve(self) -> None:
         """Bring datagrams for ever."""
-        with Scope(self.loop) as scope:
+        with TaskGroup(self.loop) as scope:
             for rank in range(len(self.sockets)):
-                scope.spawn(self._one, rank, kind=PEERS)
+                scope.spawn(self._one, rank, priority=PEERS)
 
     def _one(self, rank: int) -> None:
-        random = self.loop.world.random
+        random = self.loop.backend.random
         while True:
             data, _ = self.sockets[rank].recv()
             sender = HEADER.unpack_from(data)[3] if len(data) >= HEADER.size else -1
--- a/orchidlane/simulation/network_links.py
+++ b/orchidlane/simulation/network_links.py
@@ -8,7 +8,16 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from orchidlane.runtime import PEERS, Closed, Expired, Listener, Loop, NotConnected, Scope, Stream
+from orchidlane.runtime import (
+    PEERS,
+    ConnectionClosedError,
+    ConnectionFailedError,
+    DeadlineExceededError,
+    EventLoop,
+    Listener,
+    Stream,
+    TaskGroup,
+)
 from orchidlane.runtime.backend import Address
 
 POLL_INTERVAL_US = 10_000
@@ -25,7 +34,7 @@
     passes; on one in ``response_cuts`` requests arrive and responses do not.
     """
 
-    loop: Loop
+    loop: EventLoop
     routes: Mapping[Pair, tuple[Address, Address]]
     cuts: set[Pair] = field(default_factory=set)
     response_cuts: set[Pair] = field(default_factory=set)
@@ -36,31 +45,33 @@
 
     def serve(self) -> None:
         """Relay connections until cancelled."""
-        with Scope(self.loop) as scope:
+        with TaskGroup(self.loop) as scope:
             for pair, (own, target) in self.routes.items():
-                listener = self.loop.world.listen(own)
-                scope.spawn(self._accept, pair, listener, target, kind=PEERS, name="links")
+                listener = self.loop.backend.listen(own)
+                scope.spawn(self._accept, pair, listener, target, priority=PEERS, name="links")
 
     def _accept(self, pair: Pair, listener: Listener, target: Address) -> None:
-        with Scope(self.loop) as scope:
+        with TaskGroup(self.loop) as scope:
             while True:
                 try:
                     stream = listener.accept()
-                except (Closed, NotConnected):
+                except (ConnectionClosedError, ConnectionFailedError):
                     return
-                scope.spawn(self._relay, pair, stream, target, kind=PEERS, name="link")
+                scope.spawn(self._relay, pair, stream, target, priority=PEERS, name="link")
 
     def _relay(self, pair: Pair, client: Stream, target: Address) -> None:
         self.connection_counts[pair] = self.connection_counts.get(pair, 0) + 1
         try:
             self._wait_while_cut(pair, self.cuts)
-            server = self.loop.world.connect(target, self.loop.now() + CONNECT_TIMEOUT_US)
-        except (NotConnected, Expired):
+            server = self.loop.backend.connect(target, self.loop.now() + CONNECT_TIMEOUT_US)
+        except (ConnectionFailedError, DeadlineExceededError):
             client.abort()
             return
-        with Scope(self.loop) as scope:
-            scope.spawn(self._forward, pair, client, server, self.cuts, kind=PEERS, name="requests")
-            scope.spawn(self._forward, pair, server, client, self.response_cuts, kind=PEERS, name="responses")
+        with TaskGroup(self.loop) as scope:
+            scope.spawn(self._forward, pair, client, server, self.cuts, priority=PEERS, name="requests")
+            scope.spawn(
+                self._forward, pair, server, client, self.response_cuts, priority=PEERS, name="responses"
+            )
 
     def _wait_while_cut(self, pair: Pair, cuts: set[Pair]) -> None:
         while pair in cuts or pair in self.cuts:
@@ -71,7 +82,7 @@
         try:
             while data := source.recv():
                 self._wait_while_cut(pair, cuts)
-                if self.loop.world.random.random() < self.reset_probability.get(pair, 0.0):
+                if self.loop.backend.random.random() < self.reset_probability.get(pair, 0.0):
                     source.abort()
                     sink.abort()
                     return
@@ -79,7 +90,7 @@
                     self.loop.sleep(self.delays_us[pair])
                 self._write(pair, sink, data)
             sink.half_close()
-        except (Closed, Expired):
+        except (ConnectionClosedError, DeadlineExceededError):
             sink.abort()
 
     def _write(self, pair: Pair, sink: Stream, data: bytes) -> None:
--- a/orchidlane/simulation/process_fleet.py
+++ b/orchidlane/simulation/process_fleet.py
@@ -23,7 +23,7 @@
 from orchidlane.gateway.control.settings_loader import parse_host_port, schema_text
 from orchidlane.gateway.peers.datagrams import HEADER, MAC_BYTES, DatagramKind
 from orchidlane.rollout import messages
-from orchidlane.runtime import Loop, RealWorld
+from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.runtime.backend import Address
 from orchidlane.simulation.audit import Verdict
 from orchidlane.simulation.backends import END_WITHIN, RealBacking, play_while
@@ -308,7 +308,7 @@
     backing = FleetProcesses(folder, edit_settings)
     plan = make_plan(day, folder, backing.free_addresses)
     backing.prepare(plan)
-    loop = Loop(RealWorld(seed))
+    loop = EventLoop(RealBackend(seed))
     runner = Runner(loop, plan, backing)
     links = NetworkLinks(loop, backing.routes)
     runner.beside.append(links.serve)
--- a/orchidlane/simulation/quota_clients.py
+++ b/orchidlane/simulation/quota_clients.py
@@ -7,7 +7,15 @@
 
 from orchidlane import resp
 from orchidlane.resp import ErrorReply
-from orchidlane.runtime import REQUESTS, Closed, Expired, Loop, NotConnected, Scope, Stream
+from orchidlane.runtime import (
+    REQUESTS,
+    ConnectionClosedError,
+    ConnectionFailedError,
+    DeadlineExceededError,
+    EventLoop,
+    Stream,
+    TaskGroup,
+)
 from orchidlane.runtime.backend import Address
 from orchidlane.simulation.clients import Subscriber
 from orchidlane.simulation.observations import Record, Take
@@ -23,7 +31,7 @@
 class Takers:
     """Services together: ``rate`` takes a second for ``span`` microseconds."""
 
-    loop: Loop
+    loop: EventLoop
     gateways: list[tuple[str, Address]]
     subscribers: list[Subscriber]
     rate: float
@@ -34,19 +42,19 @@
 
     def run(self) -> None:
         """Ask until the span is over, then wait for all replies."""
-        random, began = self.loop.world.random, self.loop.now()
+        random, began = self.loop.backend.random, self.loop.now()
         weights = [subscriber.weight for subscriber in self.subscribers]
         due = float(self.loop.now())
-        with Scope(self.loop) as scope:
+        with TaskGroup(self.loop) as scope:
             while due < began + self.span:
                 due += random.expovariate(self.rate) * 1_000_000
                 self.loop.sleep(int(due) - self.loop.now())
                 self.sent += 1
                 subscriber = random.choices(self.subscribers, weights)[0]
-                scope.spawn(self._take, f"t{self.sent}", subscriber, kind=REQUESTS)
+                scope.spawn(self._take, f"t{self.sent}", subscriber, priority=REQUESTS)
 
     def _take(self, name: str, subscriber: Subscriber) -> None:
-        random = self.loop.world.random
+        random = self.loop.backend.random
         units, with_token = random.randint(1, 3), random.random() < WITH_TOKEN
         until = self.loop.now() + AGAIN_WITHIN
         for _ in range(TRIES):
@@ -79,7 +87,7 @@
     ) -> tuple[str, int]:
         try:
             stream, decoder = self._connection(rank)
-        except (NotConnected, Expired):
+        except (ConnectionFailedError, DeadlineExceededError):
             return "unreachable", 0
         words = ["LIMIT.TAKE", subscriber.key, str(units), *(("IDEMPOTENT", name) if with_token else ())]
         try:
@@ -87,11 +95,11 @@
             while (found := decoder.next_value()) is None:
                 data = stream.recv(deadline=by)
                 if not data:
-                    raise Closed("the end before a reply")
+                    raise ConnectionClosedError("the end before a reply")
                 decoder.receive(data)
-        except (Closed, Expired, resp.ProtocolError) as wrong:
+        except (ConnectionClosedError, DeadlineExceededError, resp.ProtocolError) as wrong:
             stream.close()
-            return ("silence" if isinstance(wrong, Expired) else "reset"), 0
+            return ("silence" if isinstance(wrong, DeadlineExceededError) else "reset"), 0
         extra = decoder.pending_bytes
         self.idle.setdefault(rank, []).append((stream, decoder))
         if isinstance(found[0], ErrorReply):
@@ -105,8 +113,8 @@
             try:
                 if stream.try_recv() is None:
                     return stream, decoder
-            except Closed:
+            except ConnectionClosedError:
                 pass
             stream.close()
-        stream = self.loop.world.connect(self.gateways[rank][1], self.loop.now() + CONNECT)
+        stream = self.loop.backend.connect(self.gateways[rank][1], self.loop.now() + CONNECT)
         return stream, resp.Decoder()
--- a/orchidlane/simulation/random_faults.py
+++ b/orchidlane/simulation/random_faults.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from orchidlane.config import Duration
-from orchidlane.runtime import Faults as NetFaults
+from orchidlane.runtime import NetworkFaults
 from orchidlane.simulation.backends import simulate
 from orchidlane.simulation.scenario import Day, Step
 
@@ -55,14 +55,14 @@
     return Step(at, kind, which, span, back)
 
 
-def random_net(seed: int) -> NetFaults:
+def random_net(seed: int) -> NetworkFaults:
     """A network whose delays, losses and repeats are drawn from the seed."""
     rng = random.Random(seed ^ 0x5EED)
-    return NetFaults(
-        delay=(20, rng.choice((200, 1_000, 5_000))),
-        slow_chance=rng.choice((0.0, 0.001, 0.01)),
-        datagram_loss=rng.choice((0.0, 0.02, 0.1)),
-        datagram_double=rng.choice((0.0, 0.01, 0.1)),
+    return NetworkFaults(
+        delay_us=(20, rng.choice((200, 1_000, 5_000))),
+        slow_probability=rng.choice((0.0, 0.001, 0.01)),
+        datagram_loss_probability=rng.choice((0.0, 0.02, 0.1)),
+        datagram_duplication_probability=rng.choice((0.0, 0.01, 0.1)),
     )
 
 
--- a/orchidlane/simulation/rollout_faults.py
+++ b/orchidlane/simulation/rollout_faults.py
@@ -8,7 +8,7 @@
 
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.rollout_agent.agent import RolloutAgent
-from orchidlane.runtime import Loop, Process, SimWorld
+from orchidlane.runtime import EventLoop, Process, SimulatedBackend
 
 SECOND = 1_000_000
 USUAL_DELAY_US = (100, 900)
@@ -32,8 +32,8 @@
     """The simulated fleet that faults befall."""
 
     random: random.Random
-    loop: Loop
-    world: SimWorld
+    loop: EventLoop
+    backend: SimulatedBackend
     processes: dict[int, Process]
     programs: dict[int, GatewayProcess]
 
@@ -65,20 +65,20 @@
 
     def clear(self) -> None:
         """End all faults."""
-        self.fleet.world.cuts.clear()
-        self.fleet.world.full.clear()
+        self.fleet.backend.cuts.clear()
+        self.fleet.backend.processes_with_full_disk.clear()
         self._restore_network()
         for rank, process in self.fleet.processes.items():
-            if process.dead:
+            if process.is_dead:
                 self.fleet.start(rank)
-            elif process.frozen:
+            elif process.is_frozen:
                 self.fleet.loop.thaw(process)
 
     def _restore_network(self) -> None:
-        faults = self.fleet.world.faults
-        faults.datagram_loss = 0.0
-        faults.datagram_double = 0.0
-        faults.delay = USUAL_DELAY_US
+        faults = self.fleet.backend.faults
+        faults.datagram_loss_probability = 0.0
+        faults.datagram_duplication_probability = 0.0
+        faults.delay_us = USUAL_DELAY_US
 
     def inject(self, kind: str) -> None:
         """Begin a fault again and again; each generator's steps are some time apart."""
@@ -100,20 +100,20 @@
                 self.fleet.loop.sleep(self.fleet.random.randint(SECOND // 50, 3 * SECOND))
 
     def _kill(self, rank: int) -> Iterator[None]:
-        if self.fleet.processes[rank].dead:
+        if self.fleet.processes[rank].is_dead:
             return
         self.fleet.kill(rank)
         yield
-        if self.fleet.processes[rank].dead:
+        if self.fleet.processes[rank].is_dead:
             self.fleet.start(rank)
 
     def _freeze(self, rank: int) -> Iterator[None]:
         process = self.fleet.processes[rank]
-        if process.dead or process.frozen:
+        if process.is_dead or process.is_frozen:
             return
         self.fleet.loop.freeze(process)
         yield
-        if not process.dead and process.frozen:
+        if not process.is_dead and process.is_frozen:
             self.fleet.loop.thaw(process)
 
     def _partition(self, rank: int) -> Iterator[None]:
@@ -121,23 +121,23 @@
         isolated = {rank, *(other for other in ranks if self.fleet.random.random() < 0.3)}
         pairs = [(f"gw-{a}", f"gw-{b}") for a in isolated for b in ranks if b not in isolated]
         for pair in pairs:
-            self.fleet.world.cut(*pair)
+            self.fleet.backend.cut(*pair)
         yield
         for pair in pairs:
-            self.fleet.world.heal(*pair)
+            self.fleet.backend.heal(*pair)
 
     def _lose_datagrams(self, _rank: int) -> Iterator[None]:
-        faults = self.fleet.world.faults
-        faults.datagram_loss = self.fleet.random.random() * 0.6
-        faults.datagram_double = 0.2
-        faults.delay = self.fleet.random.choice((USUAL_DELAY_US, LONG_DELAY_US))
+        faults = self.fleet.backend.faults
+        faults.datagram_loss_probability = self.fleet.random.random() * 0.6
+        faults.datagram_duplication_probability = 0.2
+        faults.delay_us = self.fleet.random.choice((USUAL_DELAY_US, LONG_DELAY_US))
         yield
         self._restore_network()
 
     def _fill_disk(self, rank: int) -> Iterator[None]:
-        self.fleet.world.full.add(f"gw-{rank}")
+        self.fleet.backend.processes_with_full_disk.add(f"gw-{rank}")
         yield
-        self.fleet.world.full.discard(f"gw-{rank}")
+        self.fleet.backend.processes_with_full_disk.discard(f"gw-{rank}")
 
     def _restore_old_files(self, rank: int) -> Iterator[None]:
         """Restart with the files of some time ago."""
@@ -156,15 +156,15 @@
         yield from self._restart_with(rank, files)
 
     def _restart_with(self, rank: int, files: dict[str, bytes]) -> Iterator[None]:
-        if self.fleet.processes[rank].dead or not self._can_lose_disk(rank):
+        if self.fleet.processes[rank].is_dead or not self._can_lose_disk(rank):
             return
         self.fleet.kill(rank)
         yield
-        if not self.fleet.processes[rank].dead or not self._can_lose_disk(rank):
+        if not self.fleet.processes[rank].is_dead or not self._can_lose_disk(rank):
             return
         for path in self.fleet.files_of(rank):
-            del self.fleet.world.files[path]
-        self.fleet.world.files.update(files)
+            del self.fleet.backend.files[path]
+        self.fleet.backend.files.update(files)
         self.fleet.start(rank)
 
     def _can_lose_disk(self, rank: int) -> bool:
--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -26,7 +26,7 @@
 from orchidlane.gateway.rollout_agent.admin_messages import CommandOutcome, CommandRequest, RolloutStatus
 from orchidlane.gateway.rollout_agent.agent import RolloutAgent
 from orchidlane.rollout.version import ContentHashes, content_hash
-from orchidlane.runtime import Faults, Loop, Process, SimWorld
+from orchidlane.runtime import EventLoop, NetworkFaults, Process, SimulatedBackend
 from orchidlane.simulation.rollout_checker import (
     CHECK_INTERVAL_US,
     SECRET,
@@ -85,9 +85,9 @@
     ) -> None:
         self.scenario = scenario
         self.random = random.Random(scenario.seed ^ 0x5EED)
-        faults = Faults(delay=USUAL_DELAY_US, slow_chance=0.0, datagram_loss=0.0)
-        self.world = SimWorld(scenario.seed, faults)
-        self.loop = Loop(self.world)
+        faults = NetworkFaults(delay_us=USUAL_DELAY_US, slow_probability=0.0, datagram_loss_probability=0.0)
+        self.backend = SimulatedBackend(scenario.seed, faults)
+        self.loop = EventLoop(self.backend)
         self.describe_edit = describe_edit
         self.customers = customers
         self.fleet = _fleet_settings(scenario, fleet)
@@ -102,7 +102,7 @@
 
     def start(self, rank: int) -> None:
         """Start a gateway with the files that there are."""
-        self.processes[rank] = self.world.start(f"gw-{rank}", self._run_gateway, rank)
+        self.processes[rank] = self.backend.start(f"gw-{rank}", self._run_gateway, rank)
 
     def _run_gateway(self, rank: int) -> None:
         program = GatewayProcess(self.loop, self.fleet, rank, SECRET)
@@ -111,12 +111,12 @@
 
     def kill(self, rank: int) -> None:
         """End a gateway as SIGKILL does."""
-        if not self.processes[rank].dead:
-            self.world.kill(self.processes[rank])
+        if not self.processes[rank].is_dead:
+            self.backend.kill(self.processes[rank])
 
     def running_ranks(self) -> list[int]:
         """Return the gateways that run, standing still or not."""
-        return [rank for rank, process in self.processes.items() if not process.dead]
+        return [rank for rank, process in self.processes.items() if not process.is_dead]
 
     def agent(self, rank: int) -> RolloutAgent:
         """Return a gateway's rollout agent."""
@@ -127,7 +127,7 @@
     def files_of(self, rank: int) -> dict[str, bytes]:
         """Return all that a gateway has on disk."""
         prefix = f"state/gw-{rank}."
-        return {path: data for path, data in self.world.files.items() if path.startswith(prefix)}
+        return {path: data for path, data in self.backend.files.items() if path.startswith(prefix)}
 
     # -- the scenario
 
@@ -137,15 +137,15 @@
         return self.scenario
 
     def _run(self) -> None:
-        self.world.files["openapi"] = self.describe_edit(0)
-        self.world.files["customers"] = self.customers
+        self.backend.files["openapi"] = self.describe_edit(0)
+        self.backend.files["customers"] = self.customers
         for rank in range(self.scenario.gateways):
             self.start(rank)
         self.wait_until(self.has_converged, BOOTSTRAP_TIMEOUT_US, "the first state was never created")
-        checker = self.loop.spawn(self._run_checker, process=self.loop.home, name="checker")
-        author = self.loop.spawn(self._run_author, process=self.loop.home, name="author")
+        checker = self.loop.spawn(self._run_checker, process=self.loop.main_process, name="checker")
+        author = self.loop.spawn(self._run_author, process=self.loop.main_process, name="author")
         injectors = [
-            self.loop.spawn(self.faults.inject, kind, process=self.loop.home, name=kind)
+            self.loop.spawn(self.faults.inject, kind, process=self.loop.main_process, name=kind)
             for kind in sorted(self.scenario.faults)
         ]
         self.loop.sleep(self.scenario.duration_us)
@@ -153,7 +153,7 @@
             self.loop.cancel(task)
         self.faults.clear()
         self.wait_until(self.has_converged, CONVERGENCE_TIMEOUT_US, "the gateways came to no one version")
-        if checker.done:
+        if checker.is_done:
             raise InvariantViolationError(str(checker.error))
         self.check_invariants()
         self.loop.cancel(checker)
@@ -270,7 +270,7 @@
         """Check every gateway that runs. Raises InvariantViolationError."""
         for rank in self.running_ranks():
             if rank in self.programs:
-                is_frozen = self.processes[rank].frozen
+                is_frozen = self.processes[rank].is_frozen
                 self.checker.check(rank, self.agent(rank), is_frozen, self.loop.now())
 
 
--- a/orchidlane/simulation/scenario.py
+++ b/orchidlane/simulation/scenario.py
@@ -24,7 +24,7 @@
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import parse_host_port, parse_settings, schema_text
 from orchidlane.routes import Generation, build, load_description
-from orchidlane.runtime import CONTROL, PEERS, REQUESTS, Loop, LoopError, Scope
+from orchidlane.runtime import CONTROL, PEERS, REQUESTS, EventLoop, EventLoopError, TaskGroup
 from orchidlane.runtime.backend import Address
 from orchidlane.simulation.audit import Terms, Verdict, audit
 from orchidlane.simulation.clients import Crowd, Kind, Subscriber
@@ -117,7 +117,7 @@
     def kill_successor(self, rank: int) -> None:
         """Kill it."""
 
-    def upgraded(self, rank: int, loop: Loop) -> bool | None:
+    def upgraded(self, rank: int, loop: EventLoop) -> bool | None:
         """Whether the successor serves alone; None while that is open."""
 
     def freeze_gateway(self, rank: int, still: bool) -> None:
@@ -271,7 +271,7 @@
 class Runner:
     """Plays a plan in a world; ``records`` is what passed on the sockets of the laboratory."""
 
-    loop: Loop
+    loop: EventLoop
     plan: Plan
     backing: Backing
     records: MutableSequence[Record] = field(default_factory=list)
@@ -290,19 +290,19 @@
         self.relay.loss = day.peer_loss
         self.node_list = NodeList(self.loop, plan.list_at, day.list_delay, self.records.append)
         try:
-            with Scope(self.loop) as scope:
-                scope.spawn(self.relay.serve, kind=PEERS)
-                scope.spawn(self.node_list.serve, kind=CONTROL)
+            with TaskGroup(self.loop) as scope:
+                scope.spawn(self.relay.serve, priority=PEERS)
+                scope.spawn(self.node_list.serve, priority=CONTROL)
                 for work in self.beside:
-                    scope.spawn(work, kind=PEERS)
+                    scope.spawn(work, priority=PEERS)
                 self._start_all()
                 self.crowd = self._crowd()
                 for step in day.steps:
-                    scope.spawn(self._step, step, kind=CONTROL, name=step.do)
-                scope.spawn(self.crowd.run, kind=REQUESTS, name="crowd")
+                    scope.spawn(self._step, step, priority=CONTROL, name=step.do)
+                scope.spawn(self.crowd.run, priority=REQUESTS, name="crowd")
                 if day.takes:
                     self.takers = self._takers()
-                    scope.spawn(self.takers.run, kind=REQUESTS, name="crowd")
+                    scope.spawn(self.takers.run, priority=REQUESTS, name="crowd")
                 while self._busy(scope):
                     self.loop.sleep(100_000)
                 self.loop.sleep(SETTLE)
@@ -318,7 +318,7 @@
             if load is not None:
                 load.span = 0
 
-    def _busy(self, scope: Scope) -> bool:
+    def _busy(self, scope: TaskGroup) -> bool:
         names = {task.name for task in scope.children}
         return bool(names & {"crowd", *(step.do for step in self.plan.day.steps)})
 
@@ -345,16 +345,16 @@
         by = self.loop.now() + UP_WITHIN
         while True:
             try:
-                self.loop.world.connect(at, self.loop.now() + 200_000).close()
+                self.loop.backend.connect(at, self.loop.now() + 200_000).close()
                 return
-            except LoopError:
+            except EventLoopError:
                 if self.loop.now() > by:
                     raise
                 self.loop.sleep(20_000)
 
     def _crowd(self) -> Crowd:
         plan, day = self.plan, self.plan.day
-        random = self.loop.world.random
+        random = self.loop.backend.random
         names = list(plan.fleet.plans)
         subscribers = []
         for index, entry in enumerate(plan.customers):
@@ -417,7 +417,7 @@
         for spec in self.plan.nodes:
             if not spec.records:
                 continue
-            found += decode(self.loop.world.read_file(spec.records) or b"")
+            found += decode(self.loop.backend.read_file(spec.records) or b"")
         return found
 
     # -- what befalls
@@ -557,9 +557,9 @@
         body = json.dumps(msgspec.structs.asdict(faults)).encode()
         head = f"POST {FAULTS} HTTP/1.1\r\nhost: node\r\ncontent-length: {len(body)}\r\n\r\n".encode()
         try:
-            stream = self.loop.world.connect(self.plan.nodes[index].address, self.loop.now() + 500_000)
+            stream = self.loop.backend.connect(self.plan.nodes[index].address, self.loop.now() + 500_000)
             stream.send(head + body)
             stream.recv(deadline=self.loop.now() + 500_000)
             stream.close()
-        except LoopError:
+        except EventLoopError:
             pass  # the node is down: it comes back without faults
--- a/tests/harness/fleet_harness.py
+++ b/tests/harness/fleet_harness.py
@@ -14,7 +14,16 @@
 from orchidlane import http1
 from orchidlane.platform.configuration import parse_configuration
 from orchidlane.platform.lifecycle import PlatformGateway
-from orchidlane.runtime import CONTROL, Closed, Expired, Faults, Loop, NotConnected, Scope, SimWorld
+from orchidlane.runtime import (
+    CONTROL,
+    ConnectionClosedError,
+    ConnectionFailedError,
+    DeadlineExceededError,
+    EventLoop,
+    NetworkFaults,
+    SimulatedBackend,
+    TaskGroup,
+)
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 FULL = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -63,8 +72,10 @@
         """Make a fleet; ``customers`` are plan and share of all requests, by number."""
         self.terms, self.plans, self.customers = terms, plans, customers
         self.random = random.Random(seed)
-        self.world = SimWorld(seed, Faults(delay=(100, 400), slow_chance=0.0, datagram_loss=0.02))
-        self.loop = Loop(self.world)
+        self.backend = SimulatedBackend(
+            seed, NetworkFaults(delay_us=(100, 400), slow_probability=0.0, datagram_loss_probability=0.02)
+        )
+        self.loop = EventLoop(self.backend)
         self.hosts = [FakeHost(number, 0) for number in range(terms.hosts)]
         self.generation = 1
         self.changes: list[tuple[int, int, dict]] = []  # generation, time, entry
@@ -119,7 +130,7 @@
 
     def _run_agent(self, rank: int) -> None:
         """Serve the watches of one gateway."""
-        listener = self.world.listen((self.address(2, rank), 8500))
+        listener = self.backend.listen((self.address(2, rank), 8500))
         while True:
             self.scope.spawn(self._serve_watch, listener.accept(), self._discovery_lag_us(rank))
 
@@ -152,7 +163,7 @@
                     else None
                 )
                 generation = due[-1][0] if due else generation
-        except Closed:
+        except ConnectionClosedError:
             pass
 
     # Hosts
@@ -186,7 +197,7 @@
         )
 
     def _run_host(self, host: FakeHost) -> None:
-        listener = self.world.listen((self.address(3, host.number), 9000))
+        listener = self.backend.listen((self.address(3, host.number), 9000))
         while True:
             self.scope.spawn(self._serve_connection, host, listener.accept())
 
@@ -203,7 +214,7 @@
                         self._note_request(host, event)
                 parser.next_message()
                 stream.send(self._serve_request(host))
-        except Closed:
+        except ConnectionClosedError:
             pass
 
     def _note_request(self, host: FakeHost, head: http1.Request) -> None:
@@ -246,11 +257,11 @@
         )
         self.requests.append((self.loop.now(), customer))
         try:
-            stream = self.world.connect((self.address(1, rank), 8080))
+            stream = self.backend.connect((self.address(1, rank), 8080))
             stream.send(raw)
             status = int(stream.recv(deadline=self.loop.now() + 2 * SECOND)[9:12] or b"0")
             stream.close()
-        except (Closed, Expired, NotConnected):
+        except (ConnectionClosedError, DeadlineExceededError, ConnectionFailedError):
             status = 0
         self.statuses[status] = self.statuses.get(status, 0) + 1
 
@@ -268,23 +279,23 @@
             self.programs[rank] = PlatformGateway(self.loop, self._gateway_config(rank), "config.json")
             self.programs[rank].run()
 
-        self.processes[rank] = self.world.start(f"n{rank}", work)
+        self.processes[rank] = self.backend.start(f"n{rank}", work)
 
     def restart(self, rank: int) -> None:
         """Kill a gateway and start it anew."""
-        self.world.kill(self.processes[rank])
+        self.backend.kill(self.processes[rank])
         self.start(rank)
 
     def _run(self, during) -> None:
         terms = self.terms
         self.first = list(self.hosts)
         self.programs, self.processes = [None] * terms.gateways, [None] * terms.gateways
-        with Scope(self.loop) as scope:
+        with TaskGroup(self.loop) as scope:
             self.scope = scope
             for host in self.hosts:
                 scope.spawn(self._run_host, host)
             for rank in range(terms.gateways):
-                scope.spawn(self._run_agent, rank, kind=CONTROL)
+                scope.spawn(self._run_agent, rank, priority=CONTROL)
                 self.start(rank)
             self.loop.sleep(200 * MS)
             rate = terms.load * terms.requests_per_second * terms.hosts / terms.gateways
@@ -295,7 +306,7 @@
             self.loop.sleep(began + terms.duration_us - self.loop.now())
             scope.cancel()
             for process in self.processes:
-                self.world.kill(process)
+                self.backend.kill(process)
 
     def worst_excess(self, host: FakeHost) -> float:
         """Return how far requests to a cold host exceeded its budget at worst; chance explains 1.
--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -17,7 +17,15 @@
 from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.routes import build, load_description
-from orchidlane.runtime import CONTROL, Closed, Expired, Faults, Loop, Scope, SimWorld
+from orchidlane.runtime import (
+    CONTROL,
+    ConnectionClosedError,
+    DeadlineExceededError,
+    EventLoop,
+    NetworkFaults,
+    SimulatedBackend,
+    TaskGroup,
+)
 from orchidlane.simulation.fake_servers import NodeList
 
 MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
@@ -51,8 +59,10 @@
     """The backend of one test: ``handlers`` serve the endpoints' connections, one handler for each."""
 
     def __init__(self, *handlers, racks: list[str] | None = None, seed: int = 1, **changes) -> None:
-        self.world = SimWorld(seed, Faults(delay=(100, 200), slow_chance=0.0, datagram_loss=0.0))
-        self.loop = Loop(self.world)
+        self.backend = SimulatedBackend(
+            seed, NetworkFaults(delay_us=(100, 200), slow_probability=0.0, datagram_loss_probability=0.0)
+        )
+        self.loop = EventLoop(self.backend)
         self.fleet = fleet(**changes)
         self.handlers = handlers
         self.racks = racks or ["r"] * len(handlers)
@@ -69,9 +79,9 @@
 
     def _run(self, test) -> None:
         self.list = NodeList(self.loop, ("127.0.0.1", 8300), (1 * MS, 2 * MS), lambda _: None)
-        with Scope(self.loop) as scope:
+        with TaskGroup(self.loop) as scope:
             self.scope = scope
-            scope.spawn(self.list.serve, kind=CONTROL)
+            scope.spawn(self.list.serve, priority=CONTROL)
             for index in range(len(self.handlers)):
                 scope.spawn(self._serve, index)
                 self.set_phase(index, "ready")
@@ -79,11 +89,11 @@
             self.loop.sleep(300 * MS)
             test(self)
             scope.cancel()
-            self.world.kill(self.process)
+            self.backend.kill(self.process)
 
     def start(self, rank: int = 0) -> None:
         """Start the gateway as a process of its own."""
-        self.process = self.world.start("gw-0", self._gateway, rank)
+        self.process = self.backend.start("gw-0", self._gateway, rank)
 
     def _gateway(self, rank: int) -> None:
         knowledge = ConfigurationSnapshot(GENERATION, self.customers, structlog.get_logger(), False)
@@ -100,11 +110,11 @@
         self.list.set(f"node-{index}", node)
 
     def _serve(self, index: int) -> None:
-        listener = self.world.listen(self.address(index))
+        listener = self.backend.listen(self.address(index))
         while True:
             try:
                 stream = listener.accept()
-            except Closed:
+            except ConnectionClosedError:
                 return
             self.scope.spawn(self._connection, index, stream)
 
@@ -137,7 +147,7 @@
 
     def connect(self):
         """Open a client's connection to the gateway."""
-        return self.world.connect(("127.0.0.1", 8080))
+        return self.backend.connect(("127.0.0.1", 8080))
 
     def ask(self, raw: bytes, wait: int = 8 * SECOND) -> tuple[int, http1.Headers, bytes]:
         """Send a request on its own connection; return status (0: no answer), headers and body."""
@@ -156,7 +166,7 @@
             if event is None:
                 try:
                     data = stream.recv(deadline=deadline)
-                except Expired:
+                except DeadlineExceededError:
                     return 0, (), body
                 parser.receive(data)
                 if not data and (event := parser.next_event()) is None:
--- a/tests/harness/golden_admin.py
+++ b/tests/harness/golden_admin.py
@@ -20,7 +20,7 @@
 
 def ask_admin(harness: GatewayHarness, target: str) -> tuple[int, dict[str, str], bytes]:
     """Status, headers and body of an answer at the admin address."""
-    stream = harness.world.connect(("127.0.0.1", 8280))
+    stream = harness.backend.connect(("127.0.0.1", 8280))
     stream.send(f"GET {target} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
     status, headers, body = harness.answer(stream)
     return status, {name.decode(): value.decode() for name, value in headers}, body
--- a/tests/harness/golden_writers.py
+++ b/tests/harness/golden_writers.py
@@ -73,7 +73,7 @@
 
     def __init__(self, **kept: bytes) -> None:
         self.files: dict[str, bytes] = kept
-        self.world = self
+        self.backend = self
 
     def now(self) -> int:
         return START_US
@@ -81,7 +81,7 @@
     def call_at(self, *_: Any) -> None:
         """No file grows too old here."""
 
-    def aside(self, work: Callable[[], Any]) -> Any:
+    def run_in_thread(self, work: Callable[[], Any]) -> Any:
         return work()
 
     def read_file(self, path: str) -> bytes | None:
--- a/tests/harness/hot_restart_harness.py
+++ b/tests/harness/hot_restart_harness.py
@@ -17,7 +17,7 @@
 from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.hot_restart import old_process
-from orchidlane.runtime import LoopError
+from orchidlane.runtime import EventLoopError
 from orchidlane.runtime.scheduler import Process
 
 WARM_UP_REQUESTS = 40
@@ -72,16 +72,16 @@
         try:
             self.program.run()
         except RuntimeError:  # a process that ends with a traceback
-            self.world.kill(self.loop.process)
+            self.backend.kill(self.loop.process)
 
     def start(self, rank: int = 0) -> None:
         """Start the gateway."""
-        self.process = self.world.start("gw-0", self._gateway, rank)
+        self.process = self.backend.start("gw-0", self._gateway, rank)
         self.processes.append(self.process)
 
     def start_upgrade(self, sabotage: Sabotage | None = None) -> None:
         """Start a new process that takes over; ``sabotage`` breaks it."""
-        self.process = self.world.start("gw-0", self._gateway, 0, True, sabotage)
+        self.process = self.backend.start("gw-0", self._gateway, 0, True, sabotage)
         self.processes.append(self.process)
 
     def upgrade(self) -> GatewayProcess:
@@ -108,7 +108,7 @@
             number += 1
             began = self.loop.now()
             answer = ClientAnswer(0, True)
-            with contextlib.suppress(LoopError):
+            with contextlib.suppress(EventLoopError):
                 if stream is None:
                     stream, parser = self.connect(), http1.ResponseParser()
                 raw = REPORT if number % 4 == 0 else GET
@@ -121,7 +121,7 @@
             elif stream is not None:
                 self._close(stream, answer.status)
                 stream = None
-            self.loop.sleep(self.world.random.randint(5 * MS, 25 * MS))
+            self.loop.sleep(self.backend.random.randint(5 * MS, 25 * MS))
         self.running_clients -= 1
 
     def _read_answer(self, stream, raw: bytes, parser: http1.ResponseParser) -> ClientAnswer:
@@ -131,7 +131,7 @@
     def _close(self, stream, status: int) -> None:
         """Close a connection; nothing may come after the last answer."""
         if status:
-            with contextlib.suppress(LoopError):
+            with contextlib.suppress(EventLoopError):
                 data = stream.recv(deadline=self.loop.now() + 20 * MS)
                 assert data == b"", "bytes after the answer"
         stream.close()
@@ -150,7 +150,7 @@
         return [
             program
             for program, process in zip(self.programs, self.processes, strict=True)
-            if not process.dead
+            if not process.is_dead
             and process.tasks
             and program.ready
             and program.front.pass_on is None
@@ -170,7 +170,7 @@
 
     def _is_settled(self) -> bool:
         pairs = zip(self.programs, self.processes, strict=False)
-        living = [program for program, process in pairs if not process.dead]
+        living = [program for program, process in pairs if not process.is_dead]
         return all(program.old_side.machine.phase in SETTLED_PHASES for program in living)
 
     def forwarded_units(self) -> int:
--- a/tests/harness/platform_harness.py
+++ b/tests/harness/platform_harness.py
@@ -9,7 +9,15 @@
 from harness.gateway_harness import GatewayHarness
 from orchidlane.platform.configuration import Configuration, parse_configuration
 from orchidlane.platform.lifecycle import PlatformGateway
-from orchidlane.runtime import CONTROL, Closed, Faults, Loop, RealWorld, Scope, SimWorld
+from orchidlane.runtime import (
+    CONTROL,
+    ConnectionClosedError,
+    EventLoop,
+    NetworkFaults,
+    RealBackend,
+    SimulatedBackend,
+    TaskGroup,
+)
 
 MS, SECOND = 1_000, 1_000_000
 ZONES = ["hall-1", "hall-2"]
@@ -121,18 +129,18 @@
         while True:
             self.harness.loop.sleep(2 * SECOND)
             for stream in self.streams if self.beats else ():
-                with suppress(Closed):
+                with suppress(ConnectionClosedError):
                     stream.send(b"1\r\n\n\r\n")
 
     def serve(self) -> None:
-        self.listener = self.harness.world.listen(self.at)
-        self.harness.scope.spawn(self._beat, kind=CONTROL)
+        self.listener = self.harness.backend.listen(self.at)
+        self.harness.scope.spawn(self._beat, priority=CONTROL)
         while True:
             try:
                 stream = self.listener.accept()
-            except Closed:
+            except ConnectionClosedError:
                 return
-            with suppress(Closed):
+            with suppress(ConnectionClosedError):
                 self._answer(stream)
 
     def _answer(self, stream) -> None:
@@ -160,8 +168,8 @@
     at = "127.0.0.1"  # where all of it listens
 
     def __init__(self, *handlers, seed: int = 1, **changes) -> None:
-        self.world = self._world(seed)
-        self.loop = Loop(self.world)
+        self.backend = self._world(seed)
+        self.loop = EventLoop(self.backend)
         self.handlers = handlers
         self.changes = changes
         self.seen: list[tuple[int, bytes]] = []
@@ -170,7 +178,9 @@
         self.gateway: PlatformGateway
 
     def _world(self, seed: int):
-        return SimWorld(seed, Faults(delay=(100, 200), slow_chance=0.0, datagram_loss=0.0))
+        return SimulatedBackend(
+            seed, NetworkFaults(delay_us=(100, 200), slow_probability=0.0, datagram_loss_probability=0.0)
+        )
 
     def instance(self, index: int, lifecycle: str = "active", **changes) -> dict:
         """An entry of the list, for an endpoint of this harness."""
@@ -180,9 +190,9 @@
         self.discovery = Discovery(self, (self.at, DISCOVERY[1]))
         hosts = [self.instance(index) for index in range(len(self.handlers))]
         self.discovery.hello = [{"generation": 1, "reset": True, "instances": hosts}]
-        with Scope(self.loop) as scope:
+        with TaskGroup(self.loop) as scope:
             self.scope = scope
-            scope.spawn(self.discovery.serve, kind=CONTROL)
+            scope.spawn(self.discovery.serve, priority=CONTROL)
             for index in range(len(self.handlers)):
                 scope.spawn(self._serve, index)
             self._begin()
@@ -191,11 +201,11 @@
             self._finish()
 
     def _begin(self) -> None:
-        self.process = self.world.start("n0", self._gateway)
+        self.process = self.backend.start("n0", self._gateway)
         self.loop.sleep(300 * MS)
 
     def _finish(self) -> None:
-        self.world.kill(self.process)
+        self.backend.kill(self.process)
 
     def _gateway(self) -> None:
         self.gateway = PlatformGateway(self.loop, configuration(**self.changes), "config.json")
@@ -223,16 +233,16 @@
         super().__init__(*handlers, seed=seed, **{**ours, "peers": [ours["peer_listen"]], **changes})
 
     def _world(self, seed: int):
-        return RealWorld(seed)
+        return RealBackend(seed)
 
     def address(self, index: int) -> tuple[str, int]:
         return self.at, 9000 + index
 
     def connect(self):
-        return self.world.connect((self.at, 8080))
+        return self.backend.connect((self.at, 8080))
 
     def _begin(self) -> None:
-        self.scope.spawn(self._gateway, kind=CONTROL)
+        self.scope.spawn(self._gateway, priority=CONTROL)
         self.until(lambda: self.discovery.streams and self.gateway.tracker.generation == 1)
 
     def _finish(self) -> None:
--- a/tests/harness/roll_harness.py
+++ b/tests/harness/roll_harness.py
@@ -10,7 +10,7 @@
 from orchidlane.config import Duration
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver
-from orchidlane.runtime import CONTROL, Loop, SimWorld
+from orchidlane.runtime import CONTROL, EventLoop, SimulatedBackend
 from orchidlane.runtime.scheduler import Process
 from orchidlane.simulation.backends import SimulatedBacking
 from orchidlane.simulation.scenario import Runner, make_plan
@@ -35,25 +35,25 @@
 
     def prepare(self, rank: int, new_build: bool) -> int:
         """Start a process that waits for ``release``."""
-        world = self.backing.world
+        backend = self.backing.backend
         number = sum(new for _, new in self.started)
         sabotage = self.broken.get(number) if new_build else None
-        process = world.start(f"gw-{rank}", self._take_over, rank, sabotage)
-        pid = world.id_of(process)
+        process = backend.start(f"gw-{rank}", self._take_over, rank, sabotage)
+        pid = backend.process_id_of(process)
         self.processes[pid] = process
         self.started.append((rank, new_build))
         return pid
 
     def _take_over(self, rank: int, sabotage: Sabotage | None) -> None:
         backing = self.backing
-        while backing.world.process_id() not in self.released:
+        while backing.backend.process_id() not in self.released:
             backing.loop.sleep(MS)
         program = backing.program(backing.own_fleet(rank), rank, True)
         if sabotage is not None:
-            backing.loop.spawn(sabotage, program, kind=CONTROL)
+            backing.loop.spawn(sabotage, program, priority=CONTROL)
         program.run()
         if not program.failure:
-            backing.world.kill(backing.loop.process)
+            backing.backend.kill(backing.loop.process)
 
     def release(self, pid: int) -> None:
         """Let a process take over."""
@@ -61,26 +61,26 @@
 
     def alive(self, pid: int) -> bool:
         """Return whether a process has not ended."""
-        return not self.processes[pid].dead and bool(self.processes[pid].tasks)
+        return not self.processes[pid].is_dead and bool(self.processes[pid].tasks)
 
     def kill(self, pid: int) -> None:
         """Kill a process."""
-        self.backing.world.kill(self.processes[pid])
+        self.backing.backend.kill(self.processes[pid])
 
     def kill_unreleased(self) -> None:
         """Kill the processes that wait for the word of a roll that is dead."""
         for pid, process in self.processes.items():
             if pid not in self.released:
-                self.backing.world.kill(process)
+                self.backing.backend.kill(process)
 
 
 class RollHarness:
     """The fleet under load, with the audit's verdict at the end."""
 
     def __init__(self, scenario, broken: dict[int, Sabotage] | None = None) -> None:
-        self.world = SimWorld(7)
-        self.loop = Loop(self.world)
-        self.backing = SimulatedBacking(self.loop, self.world)
+        self.backend = SimulatedBackend(7)
+        self.loop = EventLoop(self.backend)
+        self.backing = SimulatedBacking(self.loop, self.backend)
         self.plan = make_plan(scenario, "sim", self.backing.free_addresses)
         fleet = self.plan.fleet
         upgrade = {"probation_us": Duration(800 * MS), "transfer_timeout_us": Duration(2 * SECOND)}
@@ -122,7 +122,7 @@
             runner.end_load()
 
         def run_both() -> None:
-            self.loop.spawn(drive_under_load, kind=CONTROL, process=self.loop.home)
+            self.loop.spawn(drive_under_load, priority=CONTROL, process=self.loop.main_process)
             verdicts.append(runner.run())
 
         self.loop.run(run_both)
--- a/tests/processes/test_platform_processes.py
+++ b/tests/processes/test_platform_processes.py
@@ -31,7 +31,7 @@
     until,
 )
 
-from orchidlane.runtime.backend import show
+from orchidlane.runtime.backend import format_address
 
 ROOT = Path(__file__).parent.parent.parent
 LAST = OK.replace(
@@ -261,7 +261,7 @@
     with ExitStack() as streams:
         holder = streams.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
         holder.bind(("127.0.0.1", 0))
-        here = show(holder.getsockname())
+        here = format_address(holder.getsockname())
         gateway = PlatformProcess(tmp_path, hosts=2, wait_up=False, peer_listen=here, peers=[here])
         agent = other_discovery(gateway, streams)
         streams.enter_context(gateway)
@@ -356,8 +356,8 @@
                 tmp_path,
                 hosts=2,
                 sockets=sockets,
-                peer_listen=show(here),
-                peers=[show(here), show(peer.getsockname())],
+                peer_listen=format_address(here),
+                peers=[format_address(here), format_address(peer.getsockname())],
                 settings=settings(balancers=2, permissions={**settings()["permissions"], "peers": True}),
             )
         )
--- a/tests/test_account_recovery.py
+++ b/tests/test_account_recovery.py
@@ -21,7 +21,7 @@
 from orchidlane.policy.accounts import Account, AccountKey, ReplicaCount
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording.state_dump import account_to_row
-from orchidlane.runtime import Loop, SimWorld
+from orchidlane.runtime import EventLoop, SimulatedBackend
 from orchidlane.simulation.backends import SimulatedBacking
 from orchidlane.simulation.scenario import Runner, make_plan
 
@@ -132,7 +132,7 @@
         assert harness.spend(20) == 20
         harness.loop.sleep(6 * SECOND)  # it is written down; 32 are free
         assert harness.spend(20) == 20
-        harness.world.kill(harness.process)
+        harness.backend.kill(harness.process)
         restart(harness)
         assert harness.spend(40) == 0
         harness.loop.sleep(40 * SECOND)
@@ -147,7 +147,7 @@
         harness.program.stop()
         while harness.process.tasks:
             harness.loop.sleep(10 * MS)
-        harness.world.kill(harness.process)
+        harness.backend.kill(harness.process)
         restart(harness)
         assert 10 <= harness.spend(40) <= 14
 
@@ -160,19 +160,19 @@
         path = "/sim/gw-0.accounts"
         assert harness.spend(10) == 10
         harness.loop.sleep(6 * SECOND)
-        harness.world.kill(harness.process)
-        data = harness.world.files[path]
-        harness.world.files[path] = data[: len(data) // 2] if spoil is None else spoil
+        harness.backend.kill(harness.process)
+        data = harness.backend.files[path]
+        harness.backend.files[path] = data[: len(data) // 2] if spoil is None else spoil
         restart(harness)
         assert harness.spend(40) >= ALMOST_FULL  # as without any
-        assert harness.world.files[path] != data
+        assert harness.backend.files[path] != data
 
         def full(path: str, data: bytes) -> None:
             raise OSError(28, "No space left on device")
 
-        harness.world.write_file = full
+        harness.backend.write_file = full
         harness.loop.sleep(60 * SECOND)
-        assert path not in harness.world.files
+        assert path not in harness.backend.files
         assert harness.ask(GET)[0] == 200
 
     SingleGateway(slow, slow).run(test)
@@ -182,9 +182,9 @@
     """The same scenario of kills with and without saved accounts."""
 
     def run_scenario(save_interval: int) -> tuple[float, dict[str, bool]]:
-        world = SimWorld(11)
-        loop = Loop(world)
-        backing = SimulatedBacking(loop, world)
+        backend = SimulatedBackend(11)
+        loop = EventLoop(backend)
+        backing = SimulatedBacking(loop, backend)
         plan = make_plan(day(span=12, rate=160.0, customers=6, takes=0.0), "sim", backing.free_addresses)
         restart = msgspec.structs.replace(plan.fleet.account_store, write_interval_us=Duration(save_interval))
         plan.fleet = msgspec.structs.replace(plan.fleet, account_store=restart)
@@ -202,7 +202,7 @@
                     backing.start_gateway(rank)
 
         found = []
-        loop.run(lambda: (loop.spawn(kills, process=loop.home), found.append(runner.run())))
+        loop.run(lambda: (loop.spawn(kills, process=loop.main_process), found.append(runner.run())))
         return found[0].beyond, found[0].rules
 
     without_saved, _ = run_scenario(0)
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -15,7 +15,7 @@
 from orchidlane.gateway.server.request_reader import RequestReader
 from orchidlane.platform import discovery_watch, lifecycle, shutdown
 from orchidlane.platform.discovery import DiscoveryTracker
-from orchidlane.runtime import Lingering, Loop, RealWorld
+from orchidlane.runtime import EventLoop, LingeringConnections, RealBackend
 from orchidlane.runtime.real_backend import RealStream
 
 
@@ -54,28 +54,28 @@
 
 
 def real_loop(test, *arguments):
-    test(Loop(RealWorld(1)), *arguments)
+    test(EventLoop(RealBackend(1)), *arguments)
 
 
 HELD_BACK = race_conditions.test_a_client_that_leaves_behind_pipelined_bytes_is_detected
 CONNECTS = race_conditions.test_a_request_of_a_client_that_leaves_while_its_attempt_connects_is_not_sent
 BROKEN = {
     "no lingering": (
-        Lingering,
+        LingeringConnections,
         "close",
         closes_at_once,
         race_conditions.test_a_last_response_is_complete_with_unread_bytes_behind_its_request,
         (),
     ),
     "no lingering of hosts'": (
-        Lingering,
+        LingeringConnections,
         "close",
         closes_at_once,
         race_conditions.test_an_endpoint_that_writes_as_its_idle_connection_closes_is_not_reset,
         (),
     ),
     "lingering without a bound": (
-        Lingering,
+        LingeringConnections,
         "close",
         linger_for_ever,
         lambda: real_loop(lingering.test_beyond_the_bound_the_one_that_lingered_longest_closes),
@@ -83,7 +83,7 @@
     ),
     "evicts without a look": (
         RealStream,
-        "waiting",
+        "has_input",
         no,
         race_conditions.test_a_request_that_came_just_before_eviction_is_served,
         (),
@@ -119,7 +119,7 @@
     "drains for ever": (
         RequestHandler,
         "_is_last",
-        lambda self, connection: self._server.draining and not connection.stream.waiting(),
+        lambda self, connection: self._server.draining and not connection.stream.has_input(),
         race_conditions.test_a_client_that_keeps_sending_is_closed_at_the_end_of_the_shutdown,
         (),
     ),
@@ -130,10 +130,10 @@
         race_conditions.test_a_connection_released_unused_keeps_its_age,
         (),
     ),
-    "no last look, first attempt": (RealStream, "has_left", no, CONNECTS, (1, "half_close")),
-    "no last look, further attempt": (RealStream, "has_left", no, CONNECTS, (2, "abort")),
-    "no watch of the end, FIN": (RealStream, "watch_end", no_more, HELD_BACK, ("half_close",)),
-    "no watch of the end, RST": (RealStream, "watch_end", no_more, HELD_BACK, ("abort",)),
+    "no last look, first attempt": (RealStream, "is_closed_by_peer", no, CONNECTS, (1, "half_close")),
+    "no last look, further attempt": (RealStream, "is_closed_by_peer", no, CONNECTS, (2, "abort")),
+    "no watch of the end, FIN": (RealStream, "wake_on_peer_close", no_more, HELD_BACK, ("half_close",)),
+    "no watch of the end, RST": (RealStream, "wake_on_peer_close", no_more, HELD_BACK, ("abort",)),
     "the old shutdown": (
         lifecycle,
         "graceful_shutdown",
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -24,7 +24,7 @@
 from orchidlane.platform import polling
 from orchidlane.platform.discovery import MAX_ENDPOINTS, MIN_DEPARTED_REMEMBERED, DiscoveryTracker
 from orchidlane.platform.polling import PollSchedule, retry_interval_us
-from orchidlane.runtime import CONTROL, Closed, NotConnected
+from orchidlane.runtime import CONTROL, ConnectionClosedError, ConnectionFailedError
 
 BACKENDS = pytest.mark.parametrize("backend", [PlatformHarness, RealPlatformHarness])
 GRACE = SECOND  # of drains, in the settings of these tests
@@ -230,7 +230,7 @@
         while True:
             harness.discovery.send(harness.discovery.streams[0], piece)
             harness.loop.sleep(200 * MS)
-    except Closed:
+    except ConnectionClosedError:
         pass
 
 
@@ -306,7 +306,7 @@
         drains(harness)
         discovery.answers = True
         if how == "refuses":
-            harness.scope.spawn(discovery.serve, kind=CONTROL)
+            harness.scope.spawn(discovery.serve, priority=CONTROL)
         harness.until(lambda: is_drain_known(harness), within(harness, GRACE))
 
     run(backend, test)
@@ -318,9 +318,9 @@
         other = Discovery(harness, (harness.at, 8501))
         other.hello = [{"generation": 9, "reset": True, "instances": [harness.instance(0, "leaving")]}]
         other.answers = False
-        harness.scope.spawn(other.serve, kind=CONTROL)
+        harness.scope.spawn(other.serve, priority=CONTROL)
         moved = file(**{**harness.changes, "discovery": f"{harness.at}:8501"})
-        harness.gateway.loop.world.read_file = lambda path: json.dumps(moved).encode()
+        harness.gateway.loop.backend.read_file = lambda path: json.dumps(moved).encode()
         harness.gateway.reload()
         harness.until(lambda: other.asked)
         harness.discovery.tell(3, harness.instance(0, weight=2.0))  # the old one is followed meanwhile
@@ -332,7 +332,7 @@
                 harness.discovery.send(
                     stream, {"generation": 4, "reset": True, "instances": [harness.instance(0)]}
                 )
-            except Closed:
+            except ConnectionClosedError:
                 continue
         harness.loop.sleep(50 * MS)
         assert is_drain_known(harness)
@@ -388,7 +388,7 @@
     class Starts(backend):
         def _begin(self) -> None:
             self.until(lambda: self.discovery.listener is not None)
-            self.process = self.loop.spawn(self._gateway, kind=CONTROL, scope=self.scope)
+            self.process = self.loop.spawn(self._gateway, priority=CONTROL, scope=self.scope)
 
         def _finish(self) -> None:
             pass
@@ -398,7 +398,7 @@
             try:
                 stream = harness.connect()
                 break
-            except NotConnected:
+            except ConnectionFailedError:
                 harness.loop.sleep(MS)
         stream.send(b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n")
         assert harness.answer(stream)[0] == 200
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -116,7 +116,7 @@
 
 def test_a_report_to_a_node_that_refuses_connections_goes_to_another():
     def test(house):
-        house.world.listeners[house.address(0)].close()
+        house.backend.listeners[house.address(0)].close()
         assert [house.ask(REPORT)[0] for _ in range(3)] == [200] * 3
 
     assert {index for index, _ in run(good, good, test=test).seen} == {1}
@@ -462,7 +462,7 @@
 def test_a_restarted_gateway_begins_with_its_kept_list():
     def test(house):
         house.loop.sleep(2 * SECOND)
-        house.world.kill(house.process)
+        house.backend.kill(house.process)
         house.list.listener.close()
         for stream in list(house.list.watches):
             stream.abort()
@@ -519,8 +519,8 @@
 
 def test_forged_datagrams_change_nothing():
     def test(house):
-        socket = house.world.datagrams(("127.0.0.1", 0))
-        random = house.world.random
+        socket = house.backend.bind_datagrams(("127.0.0.1", 0))
+        random = house.backend.random
         for _ in range(3_000):
             socket.send(random.randbytes(random.randint(0, 400)), ("127.0.0.1", 8180))
         house.loop.sleep(SECOND)
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -135,7 +135,7 @@
     bodies = []
 
     def test(harness):
-        peer = harness.world.datagrams(("127.0.0.1", 7947))
+        peer = harness.backend.bind_datagrams(("127.0.0.1", 7947))
 
         def hear() -> None:
             while True:
--- a/tests/test_golden_responses.py
+++ b/tests/test_golden_responses.py
@@ -127,7 +127,7 @@
 
     def test(harness):
         harness.loop.sleep(4 * SECOND)  # tokens are sure from then on
-        stream = harness.world.connect(("127.0.0.1", 8380))
+        stream = harness.backend.connect(("127.0.0.1", 8380))
         reserved = ""
         for words in commands:
             named = [reserved if word == "RESERVED" else word for word in words]
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -173,7 +173,7 @@
 def test_old_process_continues_where_descriptors_are_lost():
     def test(harness: HotRestartHarness) -> None:
         harness.load(3 * SECOND)
-        harness.world.no_descriptors = True
+        harness.backend.is_out_of_descriptors = True
         harness.start_upgrade()
         program = harness.settle()
         assert program is harness.programs[0]
@@ -210,7 +210,7 @@
 
     harness = HotRestartHarness(slow, slow, slow, slow, record_to="rec")
     harness.run(test)
-    for name, data in harness.world.files.items():
+    for name, data in harness.backend.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
     lives = [
--- a/tests/test_hot_restart_clients.py
+++ b/tests/test_hot_restart_clients.py
@@ -80,7 +80,7 @@
 
     def without_descriptors(self) -> None:
         begin(self)
-        self.loop.world.no_descriptors = True
+        self.loop.backend.is_out_of_descriptors = True
 
     monkeypatch.setattr(NewSide, "_start_probation", without_descriptors)
 
@@ -102,7 +102,7 @@
 def test_resp_sessions_are_handed_over_with_tokens_grants_and_partial_commands():
     def test(harness: HotRestartHarness) -> None:
         def connect():
-            return harness.world.connect(("127.0.0.1", 8380))
+            return harness.backend.connect(("127.0.0.1", 8380))
 
         def reply(stream) -> bytes:
             return stream.recv(deadline=harness.loop.now() + 3 * SECOND)
@@ -135,7 +135,7 @@
 
     def test(harness: HotRestartHarness) -> None:
         harness.upgrade()
-        client, stranger = (harness.world.connect(("127.0.0.1", 8380)) for _ in range(2))
+        client, stranger = (harness.backend.connect(("127.0.0.1", 8380)) for _ in range(2))
         client.send(resp_command(b"AUTH", b"open"))
         assert client.recv(deadline=harness.loop.now() + SECOND) == b"+OK\r\n"
         stranger.send(resp_command(b"PING")[:9])
@@ -145,7 +145,7 @@
         wait = resp_command(b"LIMIT.TAKE", b"a-key", b"1500", b"WITHIN", b"9000")
         client.send(wait + resp_command(b"PING")[:9])
         harness.loop.sleep(20 * MS)
-        harness.world.kill(harness.processes[1])
+        harness.backend.kill(harness.processes[1])
         harness.until(lambda: harness.programs[0] in harness.serving())
         assert client.recv(deadline=harness.loop.now() + SECOND).startswith(b"-ERR the process that took")
         for stream in (client, stranger):
@@ -160,7 +160,7 @@
 
 def test_take_waiting_at_the_handover_is_decided_by_the_new_process():
     def test(harness: HotRestartHarness) -> None:
-        stream = harness.world.connect(("127.0.0.1", 8380))
+        stream = harness.backend.connect(("127.0.0.1", 8380))
         stream.send(resp_command(b"LIMIT.TAKE", b"a-key", b"2900"))
         harness.loop.sleep(50 * MS)
         stream.recv()
--- a/tests/test_hot_restart_faults.py
+++ b/tests/test_hot_restart_faults.py
@@ -12,7 +12,7 @@
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.lifecycle.restart_channel import Channel
 from orchidlane.hot_restart import messages, new_process
-from orchidlane.runtime import Expired
+from orchidlane.runtime import DeadlineExceededError
 
 EVENTS = (
     new_process.OfferReceived,
@@ -34,7 +34,7 @@
     if fault == "hang":
         loop.freeze(loop.process)
     else:
-        loop.world.kill(loop.process)
+        loop.backend.kill(loop.process)
     if loop.current is not None:
         loop.sleep(1)
 
@@ -87,7 +87,7 @@
     def test(harness: HotRestartHarness) -> None:
         def die(program: GatewayProcess) -> None:
             if end == "crash":
-                return harness.world.kill(program.loop.process)
+                return harness.backend.kill(program.loop.process)
             raise RuntimeError("a broken build")
 
         harness.upgrade()
@@ -119,7 +119,7 @@
             send(self, message, handle)
             returning = harness.programs[-1].new_side.machine.phase is new_process.Phase.RETURNING
             if returning and isinstance(message, messages.ConnectionIdle) and not message.returned:
-                harness.world.kill(harness.processes[1])
+                harness.backend.kill(harness.processes[1])
                 harness.loop.park()
 
         harness.upgrade()
@@ -129,8 +129,8 @@
         harness.loop.sleep(4 * MS)
         harness.programs[1].stop()
         assert harness.answer(client)[0] == 200
-        harness.until(lambda: harness.processes[1].dead and harness.programs[0] in harness.serving())
-        with pytest.raises(Expired):
+        harness.until(lambda: harness.processes[1].is_dead and harness.programs[0] in harness.serving())
+        with pytest.raises(DeadlineExceededError):
             client.recv(deadline=harness.loop.now() + 200 * MS)
         client.send(GET)
         assert harness.answer(client)[0] == 200
@@ -185,7 +185,7 @@
         self.killed_at = name
         loop = self.harness.loop
         victim = self.harness.processes[0 if self.side == "old" else -1]
-        self.harness.world.kill(victim)
+        self.harness.backend.kill(victim)
         if loop.process is victim and loop.current is not None:
             loop.park()  # no line of it runs after that
 
--- a/tests/test_hot_restart_real.py
+++ b/tests/test_hot_restart_real.py
@@ -11,7 +11,7 @@
 from harness.event_story import run_command
 from test_day import day, quiet  # noqa: F401
 
-from orchidlane.runtime import Loop, RealWorld
+from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.simulation.backends import RealBacking, play_while
 from orchidlane.simulation.mutants import BROKEN_BUILDS, make_build
 from orchidlane.simulation.scenario import Runner, make_plan
@@ -42,7 +42,7 @@
     assert 'trial: "5s"' in plan.text
     plan.text = plan.text.replace('trial: "5s"', 'trial: "1s"')
     backing.prepare(plan)
-    loop = Loop(RealWorld(3))
+    loop = EventLoop(RealBackend(3))
     runner = Runner(loop, plan, backing)
     outcomes: list[tuple[str, int, str]] = []
 
@@ -100,7 +100,7 @@
         roll("broken", "--program", builds["crashes as it serves"], "--back", this_program)
         roll("over", "--resume")
 
-    verdict = play_while(Runner(Loop(RealWorld(4)), plan, backing), roll_all)
+    verdict = play_while(Runner(EventLoop(RealBackend(4)), plan, backing), roll_all)
     codes = {name: code for name, (code, _) in results.items()}
     assert codes == {"beside": 2, "anew": 2, "status": 0, "resumed": 0, "broken": 1, "over": 2}, results
     assert "another roll is under way" in results["beside"][1]
--- a/tests/test_live_tools.py
+++ b/tests/test_live_tools.py
@@ -10,19 +10,19 @@
 
 from orchidlane import recording
 from orchidlane.cli.main import main
-from orchidlane.runtime import Loop, RealWorld, SimWorld
+from orchidlane.runtime import EventLoop, RealBackend, SimulatedBackend
 from orchidlane.simulation.backends import RealBacking, SimulatedBacking
 from orchidlane.simulation.scenario import Runner, load_day, make_plan
 
 
 def test_the_record_of_a_day_of_faults_replays_without_difference(tmp_path):
-    world = SimWorld(4)
-    loop = Loop(world)
-    backing = SimulatedBacking(loop, world, record_to="rec")
+    backend = SimulatedBackend(4)
+    loop = EventLoop(backend)
+    backing = SimulatedBacking(loop, backend, record_to="rec")
     plan = make_plan(load_day(str(MATERIALS / "bad.cue")), "sim", backing.free_addresses)
     backing.prepare(plan)
     loop.run(Runner(loop, plan, backing).run)
-    for name, data in world.files.items():
+    for name, data in backend.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
     result = CliRunner().invoke(main, ["replay", str(tmp_path), "--json"])
@@ -38,7 +38,7 @@
     backing = RealBacking(str(tmp_path), records=True)
     plan = make_plan(day(span=3, takes=10.0), str(tmp_path), backing.free_addresses)
     backing.prepare(plan)
-    loop, said = Loop(RealWorld(1)), {}
+    loop, said = EventLoop(RealBackend(1)), {}
     runner = Runner(loop, plan, backing)
     admins = [gateway.admin for gateway in plan.fleet.gateways]
     fleet_file = str(tmp_path / "gw-0.cue")
@@ -46,21 +46,25 @@
     def ask() -> None:
         while runner.crowd is None or runner.crowd.sent < 40:
             loop.sleep(20_000)
-        said["counts"] = loop.world.aside(lambda: run_command("counts", admins[0], "subscriber 3", "--json"))
-        said["none"] = loop.world.aside(lambda: run_command("counts", admins[0], "nobody"))
-        said["nodes"] = loop.world.aside(lambda: run_command("nodes", admins[1], "--json"))
-        said["state"] = loop.world.aside(lambda: run_command("state", admins[2], "--json"))
-        said["plan"] = loop.world.aside(
+        said["counts"] = loop.backend.run_in_thread(
+            lambda: run_command("counts", admins[0], "subscriber 3", "--json")
+        )
+        said["none"] = loop.backend.run_in_thread(lambda: run_command("counts", admins[0], "nobody"))
+        said["nodes"] = loop.backend.run_in_thread(lambda: run_command("nodes", admins[1], "--json"))
+        said["state"] = loop.backend.run_in_thread(lambda: run_command("state", admins[2], "--json"))
+        said["plan"] = loop.backend.run_in_thread(
             lambda: run_command("counts", fleet_file, "--plan", "amplio", "--json")
         )
-        said["all"] = loop.world.aside(lambda: run_command("counts", fleet_file, "subscriber 3", "--json"))
-        said["number"] = loop.world.aside(lambda: run_command("counts", admins[0], "4", "--json"))
-        said["top"] = loop.world.aside(lambda: run_command("top", fleet_file, "--json"))
-        said["diff"] = loop.world.aside(
+        said["all"] = loop.backend.run_in_thread(
+            lambda: run_command("counts", fleet_file, "subscriber 3", "--json")
+        )
+        said["number"] = loop.backend.run_in_thread(lambda: run_command("counts", admins[0], "4", "--json"))
+        said["top"] = loop.backend.run_in_thread(lambda: run_command("top", fleet_file, "--json"))
+        said["diff"] = loop.backend.run_in_thread(
             lambda: run_command("diff", admins[0], admins[1], "subscriber 3", "--json")
         )
 
-    loop.run(lambda: (loop.spawn(ask, process=loop.home), runner.run()))
+    loop.run(lambda: (loop.spawn(ask, process=loop.main_process), runner.run()))
     code, text = said["counts"]
     assert code == 0, text
     counts = json.loads(text)
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -14,14 +14,14 @@
     BACKGROUND,
     REQUESTS,
     Cancelled,
-    Closed,
-    Expired,
-    Faults,
-    Loop,
-    NotConnected,
-    RealWorld,
-    Scope,
-    SimWorld,
+    ConnectionClosedError,
+    ConnectionFailedError,
+    DeadlineExceededError,
+    EventLoop,
+    NetworkFaults,
+    RealBackend,
+    SimulatedBackend,
+    TaskGroup,
 )
 from orchidlane.runtime.timers import Timers
 
@@ -30,11 +30,15 @@
 
 
 @pytest.fixture(params=["real", "simulated"])
-def loop(request) -> Loop:
-    return Loop(RealWorld(1) if request.param == "real" else SimWorld(1, Faults(datagram_loss=0)))
+def loop(request) -> EventLoop:
+    return EventLoop(
+        RealBackend(1)
+        if request.param == "real"
+        else SimulatedBackend(1, NetworkFaults(datagram_loss_probability=0))
+    )
 
 
-def play(loop: Loop, work) -> list:
+def play(loop: EventLoop, work) -> list:
     log: list = []
     loop.run(work, log)
     return log
@@ -53,7 +57,7 @@
         raise ZeroDivisionError
 
     def work(log):
-        with pytest.raises(ZeroDivisionError), Scope(loop) as scope:
+        with pytest.raises(ZeroDivisionError), TaskGroup(loop) as scope:
             scope.spawn(sibling, log)
             scope.spawn(fails)
             loop.sleep(100 * SECOND)
@@ -67,7 +71,7 @@
         log.append("child")
 
     def work(log):
-        with Scope(loop) as scope:
+        with TaskGroup(loop) as scope:
             for _ in range(3):
                 scope.spawn(child, log)
         log.append("after")
@@ -84,7 +88,7 @@
                 log.append("cancelled")
 
     def work(log):
-        with Scope(loop) as scope:
+        with TaskGroup(loop) as scope:
             scope.spawn(child, log)
             loop.sleep(MS)
             scope.cancel()
@@ -100,7 +104,7 @@
             log.append("told")
 
     def work(log):
-        with Scope(loop) as scope:
+        with TaskGroup(loop) as scope:
             scope.spawn(child, log)
             scope.cancel()
 
@@ -109,13 +113,13 @@
 
 def test_an_expired_wait_leaves_nothing_behind(loop):
     def work(log):
-        listener = loop.world.listen(ANY)
+        listener = loop.backend.listen(ANY)
         for _ in range(3):
-            with pytest.raises(Expired):
+            with pytest.raises(DeadlineExceededError):
                 listener.accept(loop.now() + 5 * MS)
         assert len(loop.timers) == 0
-        with Scope(loop) as scope:
-            scope.spawn(lambda: loop.world.connect(listener.address).send(b"x"))
+        with TaskGroup(loop) as scope:
+            scope.spawn(lambda: loop.backend.connect(listener.address).send(b"x"))
             log.append(listener.accept(loop.now() + SECOND).recv())
 
     assert play(loop, work) == [b"x"]
@@ -124,13 +128,13 @@
 def test_a_busy_task_does_not_starve_others(loop):
     def busy(log):
         for _ in range(2_000):
-            loop.breathe()
+            loop.yield_sometimes()
         log.append("busy")
 
     def work(log):
-        with Scope(loop) as scope:
-            scope.spawn(busy, log, kind=REQUESTS)
-            scope.spawn(lambda: log.append("other"), kind=REQUESTS)
+        with TaskGroup(loop) as scope:
+            scope.spawn(busy, log, priority=REQUESTS)
+            scope.spawn(lambda: log.append("other"), priority=REQUESTS)
 
     assert play(loop, work) == ["other", "busy"]
 
@@ -138,14 +142,14 @@
 def test_background_work_goes_on_beside_requests_and_does_not_hold_them_up(loop):
     def endless(log, name, kind):
         for _ in range(200):
-            loop.give_way()
+            loop.yield_to_others()
         log.append(name)
 
     def work(log):
-        with Scope(loop) as scope:
+        with TaskGroup(loop) as scope:
             for number in range(40):
-                scope.spawn(endless, log, f"b{number}", BACKGROUND, kind=BACKGROUND)
-            scope.spawn(endless, log, "request", REQUESTS, kind=REQUESTS)
+                scope.spawn(endless, log, f"b{number}", BACKGROUND, priority=BACKGROUND)
+            scope.spawn(endless, log, "request", REQUESTS, priority=REQUESTS)
 
     log = play(loop, work)
     assert log[0] == "request"
@@ -156,19 +160,19 @@
     data = bytes(range(256)) * 4_000
 
     def work(log):
-        listener = loop.world.listen(ANY)
+        listener = loop.backend.listen(ANY)
 
         def send():
-            stream = loop.world.connect(listener.address)
+            stream = loop.backend.connect(listener.address)
             stream.send(data)
             stream.close()
 
-        with Scope(loop) as scope:
+        with TaskGroup(loop) as scope:
             scope.spawn(send)
             stream, got = listener.accept(), b""
             while piece := stream.recv(10_000):
                 got += piece
-                loop.give_way()
+                loop.yield_to_others()
             log.append(got == data)
 
     assert play(loop, work) == [True]
@@ -176,23 +180,23 @@
 
 def test_a_reset_and_a_refusal_are_told_apart(loop):
     def work(log):
-        listener = loop.world.listen(ANY)
-        stream = loop.world.connect(listener.address)
+        listener = loop.backend.listen(ANY)
+        stream = loop.backend.connect(listener.address)
         other = listener.accept()
         other.abort()
-        with pytest.raises(Closed):
+        with pytest.raises(ConnectionClosedError):
             while True:
                 stream.recv(deadline=loop.now() + SECOND)
         listener.close()
-        with pytest.raises(NotConnected):
-            loop.world.connect(listener.address, loop.now() + SECOND)
+        with pytest.raises(ConnectionFailedError):
+            loop.backend.connect(listener.address, loop.now() + SECOND)
 
     play(loop, work)
 
 
 def test_datagrams_come_with_their_sender(loop):
     def work(log):
-        one, two = loop.world.datagrams(ANY), loop.world.datagrams(ANY)
+        one, two = loop.backend.bind_datagrams(ANY), loop.backend.bind_datagrams(ANY)
         one.send(b"hello", two.address)
         log.append(two.recv(loop.now() + SECOND) == (b"hello", one.address))
 
@@ -203,19 +207,19 @@
     path = str(tmp_path / "f")
 
     def work(log):
-        assert loop.world.read_file(path) is None
-        loop.world.write_file(path, b"one")
-        loop.world.append_file(path, b"two")
-        log.append(loop.world.read_file(path))
+        assert loop.backend.read_file(path) is None
+        loop.backend.write_file(path, b"one")
+        loop.backend.append_file(path, b"two")
+        log.append(loop.backend.read_file(path))
 
     assert play(loop, work) == [b"onetwo"]
 
 
 def test_long_work_aside_does_not_hold_the_loop_up(loop):
     def work(log):
-        log.append(loop.world.aside(lambda: sum(range(1_000))))
+        log.append(loop.backend.run_in_thread(lambda: sum(range(1_000))))
         with pytest.raises(ZeroDivisionError):
-            loop.world.aside(lambda: 1 / 0)
+            loop.backend.run_in_thread(lambda: 1 / 0)
 
     assert play(loop, work) == [499_500]
 
@@ -227,10 +231,10 @@
     if event == "socket.__new__" and arguments[1] == 1:
         raise OSError("no Unix sockets here")
 sys.addaudithook(refuse)
-from orchidlane.runtime import Loop, RealWorld
+from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.runtime.signals import serve
-world = RealWorld(1)
-loop, told = Loop(world), []
+backend = RealBackend(1)
+loop, told = EventLoop(backend), []
 def work():
     task = loop.current
     def tell(name):
@@ -242,7 +246,7 @@
         loop.park(deadline)
 hear = {}
 began = loop.now()
-serve(loop, world, work, lambda: hear["stop"](), lambda: hear["reload"]())
+serve(loop, backend, work, lambda: hear["stop"](), lambda: hear["reload"]())
 print(*told, loop.now() - began < 10_000_000)
 """
 
@@ -265,12 +269,12 @@
 
 
 def test_errors_of_one_client_or_of_the_network_do_not_end_accepting():
-    loop = Loop(RealWorld(1))
+    loop = EventLoop(RealBackend(1))
 
     def work(log):
-        listener = loop.world.listen(ANY)
+        listener = loop.backend.listen(ANY)
         listener.sock = Failing(listener.sock, errno.EPROTO, errno.ENETDOWN, errno.ECONNABORTED, errno.EPERM)
-        stream = loop.world.connect(listener.address)
+        stream = loop.backend.connect(listener.address)
         stream.send(b"hello")
         log.append(listener.accept(loop.now() + SECOND).recv(deadline=loop.now() + SECOND))
 
@@ -278,10 +282,10 @@
 
 
 def test_an_error_of_datagrams_that_stays_does_not_spin():
-    loop = Loop(RealWorld(1))
+    loop = EventLoop(RealBackend(1))
 
     def work(log):
-        here = loop.world.datagrams(ANY)
+        here = loop.backend.bind_datagrams(ANY)
         here.send(b"one", here.address)
         here.sock = Failing(here.sock, *[errno.ENETDOWN] * 5)
         others = []
@@ -299,11 +303,11 @@
 
 
 def test_idle_descriptors_do_not_make_the_poll_spin():
-    loop = Loop(RealWorld(1))
+    loop = EventLoop(RealBackend(1))
 
     def work(log):
-        listener = loop.world.listen(ANY)
-        streams = [loop.world.connect(listener.address) for _ in range(20)]
+        listener = loop.backend.listen(ANY)
+        streams = [loop.backend.connect(listener.address) for _ in range(20)]
         others = [listener.accept() for _ in range(20)]
         for other in others:
             other.send(b"unread")
@@ -318,19 +322,19 @@
 
 
 def test_out_of_descriptors_is_no_connection_and_no_crash():
-    loop = Loop(RealWorld(1))
+    loop = EventLoop(RealBackend(1))
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
 
     def work(log):
-        listener = loop.world.listen(ANY)
+        listener = loop.backend.listen(ANY)
         held = []
         gc.collect()  # what earlier tests left open may not come free meanwhile
         resource.setrlimit(resource.RLIMIT_NOFILE, (80, hard))
         try:
-            with pytest.raises(NotConnected):
+            with pytest.raises(ConnectionFailedError):
                 while True:
-                    held.append(loop.world.connect(listener.address, loop.now() + SECOND))
-            with pytest.raises(NotConnected):
+                    held.append(loop.backend.connect(listener.address, loop.now() + SECOND))
+            with pytest.raises(ConnectionFailedError):
                 listener.accept(loop.now() + SECOND)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
@@ -341,8 +345,8 @@
 
 
 def test_a_process_that_stands_still_finds_everything_at_once():
-    world = SimWorld(1)
-    loop = Loop(world)
+    backend = SimulatedBackend(1)
+    loop = EventLoop(backend)
     times = []
 
     def ticks():
@@ -351,7 +355,7 @@
             times.append(loop.now())
 
     def work(log):
-        process = world.start("p", ticks)
+        process = backend.start("p", ticks)
         loop.sleep(250 * MS)
         loop.freeze(process)
         loop.sleep(SECOND)
@@ -359,7 +363,7 @@
         loop.thaw(process)
         loop.sleep(MS)
         assert len(times) == 3
-        world.kill(process)
+        backend.kill(process)
         loop.sleep(SECOND)
         log.append(len(times))
 
@@ -368,18 +372,18 @@
 
 def test_the_same_seed_gives_the_same_world():
     def trace(seed):
-        world = SimWorld(seed)
-        loop = Loop(world)
+        backend = SimulatedBackend(seed)
+        loop = EventLoop(backend)
         seen = []
 
         def work(log):
-            listener = world.listen(ANY)
+            listener = backend.listen(ANY)
 
             def client(number):
-                stream = world.connect(listener.address)
+                stream = backend.connect(listener.address)
                 stream.send(b"%d" % number)
 
-            with Scope(loop) as scope:
+            with TaskGroup(loop) as scope:
                 for number in range(50):
                     scope.spawn(client, number)
                 for _ in range(50):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -30,7 +30,7 @@
 from orchidlane.platform.rate_limited_log import RateLimitedLog
 from orchidlane.platform.resource_limits import limits_for
 from orchidlane.platform.shutdown import ACCEPT_PERIOD_US
-from orchidlane.runtime import CONTROL, Closed
+from orchidlane.runtime import CONTROL, ConnectionClosedError
 
 
 def run(*handlers, test, **changes) -> PlatformHarness:
@@ -394,7 +394,7 @@
         assert harness.ask(call())[0] == 200
         served = len(harness.seen)
         harness.loop.sleep(60 * MS)
-        with suppress(Closed):  # the end crosses a request: it is never sent on
+        with suppress(ConnectionClosedError):  # the end crosses a request: it is never sent on
             old.send(call())
         assert old.recv() == b""
         harness.until(lambda: harness.ended, 2 * SECOND)
@@ -425,12 +425,12 @@
     harness = PlatformHarness(serves)
 
     def work():
-        process = harness.world.start("n0", harness._gateway)
+        process = harness.backend.start("n0", harness._gateway)
         harness.loop.sleep(when * MS)
         harness.until(lambda: hasattr(harness, "gateway"), 10 * MS)
         harness.gateway.stop()
         harness.until(lambda: harness.ended, 2 * SECOND)
-        harness.world.kill(process)
+        harness.backend.kill(process)
 
     harness.loop.run(work)
 
@@ -439,14 +439,14 @@
     harness = PlatformHarness(serves)
 
     def work():
-        listener = harness.world.listen(("127.0.0.1", 8080))
-        process = harness.world.start("n0", harness._gateway)
+        listener = harness.backend.listen(("127.0.0.1", 8080))
+        process = harness.backend.start("n0", harness._gateway)
         harness.loop.sleep(500 * MS)
         listener.close()
         harness.until(lambda: hasattr(harness.gateway.front, "listener"), SECOND)
         harness.gateway.stop()
         harness.until(lambda: harness.ended, 2 * SECOND)
-        harness.world.kill(process)
+        harness.backend.kill(process)
 
     harness.loop.run(work)
 
@@ -467,11 +467,11 @@
     def test(harness: PlatformHarness) -> None:
         other = Discovery(harness, (DISCOVERY[0], 8501))
         other.hello = [{"generation": 9, "reset": True, "instances": [instance(0, "leaving"), instance(1)]}]
-        harness.scope.spawn(other.serve, kind=CONTROL)
-        harness.world.write_file("config.json", b"{")
+        harness.scope.spawn(other.serve, priority=CONTROL)
+        harness.backend.write_file("config.json", b"{")
         harness.gateway.reload()
         assert len(harness.discovery.asked) == 1
-        harness.world.write_file("config.json", json.dumps(file(discovery="127.0.0.1:8501")).encode())
+        harness.backend.write_file("config.json", json.dumps(file(discovery="127.0.0.1:8501")).encode())
         harness.gateway.reload()
         harness.until(lambda: other.asked, 50 * MS)
         harness.until(lambda: harness.gateway.tracker.state(b"s-0") == "draining", 50 * MS)
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -15,7 +15,7 @@
 from harness.platform_harness import MS, OK, SECOND, PlatformHarness, RealPlatformHarness, call, settings
 
 from orchidlane.platform.shutdown import ACCEPT_PERIOD_US, graceful_shutdown
-from orchidlane.runtime import Closed
+from orchidlane.runtime import ConnectionClosedError
 
 CLOSE = "Connection: close"
 FULL = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -45,7 +45,7 @@
 def silent(harness, index, stream):
     """A host that never answers; tells when its connection has ended."""
     harness.read_request(index, stream)
-    with suppress(Closed):
+    with suppress(ConnectionClosedError):
         while stream.recv():
             pass
     harness.host_saw_end = True
@@ -61,7 +61,7 @@
 
 def to_hosts(harness) -> list:
     """The gateway's connections to hosts."""
-    streams = list(harness.world._descriptors.values())
+    streams = list(harness.backend._descriptors.values())
     return [one for one in streams if getattr(one, "peer", ("", 0)) == (harness.at, 9000)]
 
 
@@ -77,7 +77,7 @@
         self.harness, self.first = harness, first
         self.made, self.is_open = 0, False
         self.waiting: list = []
-        self.connect, harness.world.connect = harness.world.connect, self
+        self.connect, harness.backend.connect = harness.backend.connect, self
 
     def __call__(self, to, deadline=None):
         stream = self.connect(to, deadline)
@@ -249,7 +249,7 @@
         client = harness.connect()
         for _ in range(3):
             client.send(call())
-        harness.until(lambda: harness.seen and client.sent and harness.gateway.host.requests)
+        harness.until(lambda: harness.seen and client.sent_bytes and harness.gateway.host.requests)
         harness.gateway.stopping = True
         front.drain()
         harness.answer_now = True
@@ -274,7 +274,7 @@
             nonlocal unsent
             while len(unsent) < 50_000:  # hundreds always wait
                 unsent += call()
-            with suppress(Closed):  # sent after the end had come
+            with suppress(ConnectionClosedError):  # sent after the end had come
                 unsent = unsent[client.try_send(unsent) :]
 
         send_more()
@@ -301,7 +301,7 @@
         busy.send(call())
         harness.until(lambda: harness.seen)
         crowded.send(call())
-        harness.until(lambda: not harness.world.glance(front.listener, select.POLLIN))  # it was taken
+        harness.until(lambda: not harness.backend.glance(front.listener, select.POLLIN))  # it was taken
         front.drain()
         assert to_the_end(harness, crowded) == b""
         harness.answer_now = True
@@ -362,7 +362,7 @@
         harness.gateway.stop()
         served = 0
         while True:
-            with suppress(Closed):  # sent after the end had come
+            with suppress(ConnectionClosedError):  # sent after the end had come
                 client.send(call(left=f"{deadline / SECOND:.3f}"))
             if not (said := client.recv(deadline=harness.loop.now() + 5 * SECOND)):
                 break
@@ -546,7 +546,7 @@
         harness.read_request(index, stream)
         if raw:
             stream.send(raw)
-            harness.until(lambda: not any(one.waiting() for one in to_hosts(harness)))
+            harness.until(lambda: not any(one.has_input() for one in to_hosts(harness)))
         if how:
             getattr(stream, how)()
 
@@ -604,7 +604,7 @@
     def endless(harness, index, stream):
         harness.read_request(index, stream)
         stream.send(HEAD + b"\r\n")
-        with suppress(Closed):
+        with suppress(ConnectionClosedError):
             while True:
                 stream.send(b"x")
                 harness.loop.sleep(10 * MS)
@@ -621,7 +621,7 @@
     def flood(harness, index, stream):
         harness.read_request(index, stream)
         stream.send(HEAD + b"\r\n")
-        with suppress(Closed):
+        with suppress(ConnectionClosedError):
             while True:
                 stream.send(b"x" * 65_536)
 
--- a/tests/test_recording_audit.py
+++ b/tests/test_recording_audit.py
@@ -13,20 +13,20 @@
 
 from orchidlane import policy, recording
 from orchidlane.policy import endpoint_selection, retries
-from orchidlane.runtime import Loop, SimWorld
+from orchidlane.runtime import EventLoop, SimulatedBackend
 from orchidlane.simulation.backends import SimulatedBacking
 from orchidlane.simulation.scenario import Runner, make_plan
 
 
 def recorded_day(tmp_path: Path, *steps, seed: int = 1, **changes) -> dict:
-    world = SimWorld(seed)
-    loop = Loop(world)
-    backing = SimulatedBacking(loop, world, record_to="rec")
+    backend = SimulatedBackend(seed)
+    loop = EventLoop(backend)
+    backing = SimulatedBacking(loop, backend, record_to="rec")
     plan = make_plan(day(*steps, **changes), "sim", backing.free_addresses)
     backing.prepare(plan)
     runner = Runner(loop, plan, backing)
     loop.run(runner.run)
-    for name, data in world.files.items():
+    for name, data in backend.files.items():
         if name.startswith(("rec/", "sim/node-")) and not name.endswith(".json"):
             (tmp_path / name.rpartition("/")[2]).write_bytes(data)
     runner.keep(str(tmp_path))
--- a/tests/test_respfront.py
+++ b/tests/test_respfront.py
@@ -8,7 +8,7 @@
 
 from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.resp import Decoder, ErrorReply, encode
-from orchidlane.runtime import Closed, Expired
+from orchidlane.runtime import ConnectionClosedError, DeadlineExceededError
 
 DOOR = ("127.0.0.1", 8380)
 ALONE = parse_settings(SETTINGS, "fleet.cue").gateways[:1]
@@ -29,7 +29,7 @@
 
 
 def call(house: GatewayHarness, *words) -> object:
-    stream = house.world.connect(DOOR)
+    stream = house.backend.connect(DOOR)
     stream.send(encode([KEY if word is KEY else str(word) for word in words]))
     found = replies(house, stream, 1)[0]
     stream.close()
@@ -42,7 +42,7 @@
 
 def test_a_long_pipeline_does_not_hold_others_up():
     def test(house):
-        busy, other = house.world.connect(DOOR), house.world.connect(DOOR)
+        busy, other = house.backend.connect(DOOR), house.backend.connect(DOOR)
         order = []
 
         def read(name, stream, count):
@@ -53,7 +53,7 @@
         busy.send(take() * 10_000)
         house.scope.spawn(read, "one", other, 1)
         other.send(take())
-        while not task.done:
+        while not task.is_done:
             house.loop.sleep(MS)
         assert order == ["one", "pipeline"]
 
@@ -62,13 +62,13 @@
 
 def test_a_client_that_reads_nothing_is_closed_and_costs_no_memory():
     def test(house):
-        stream = house.world.connect(DOOR)
+        stream = house.backend.connect(DOOR)
         sent = 0
         try:
             while True:
                 stream.send(take() * 1_000, house.loop.now() + 2 * SECOND)
                 sent += 1_000
-        except (Expired, Closed):
+        except (DeadlineExceededError, ConnectionClosedError):
             pass
         assert sent < 20_000
         house.loop.sleep(3 * SECOND)
@@ -79,7 +79,7 @@
 
 def test_half_a_command_and_silence_ends_after_a_while():
     def test(house):
-        stream = house.world.connect(DOOR)
+        stream = house.backend.connect(DOOR)
         stream.send(b"*3\r\n$10\r\nLIMIT.")
         began = house.loop.now()
         assert stream.recv(deadline=began + 5 * SECOND) == b""
@@ -114,7 +114,7 @@
     def test(house):
         while call(house, "LIMIT.TAKE", KEY, 2)[0]:
             pass
-        idle, stream = house.world.connect(DOOR), house.world.connect(DOOR)
+        idle, stream = house.backend.connect(DOOR), house.backend.connect(DOOR)
         stream.send(encode(["LIMIT.TAKE", KEY, "2", "WITHIN", "5000"]))
         house.loop.sleep(50 * MS)
         house.program.stop()
@@ -129,7 +129,7 @@
     def test(house):
         house.loop.sleep(SECOND)
         assert call(house, "LIMIT.TAKE", KEY, 1, "IDEMPOTENT", "t")[0] == 1
-        house.world.kill(house.process)
+        house.backend.kill(house.process)
         house.start()
         house.loop.sleep(300 * MS)
         unsure = call(house, "LIMIT.TAKE", KEY, 1, "IDEMPOTENT", "t")
@@ -168,9 +168,9 @@
 
 def test_at_the_bound_of_clients_the_next_is_told_so():
     def test(house):
-        held = [house.world.connect(DOOR) for _ in range(2)]
+        held = [house.backend.connect(DOOR) for _ in range(2)]
         house.loop.sleep(50 * MS)
-        assert house.world.connect(DOOR).recv() == b"-ERR max number of clients reached\r\n"
+        assert house.backend.connect(DOOR).recv() == b"-ERR max number of clients reached\r\n"
         held[0].close()
         house.loop.sleep(50 * MS)
         assert call(house, "PING").text == "PONG"
@@ -196,7 +196,7 @@
 )
 def test_a_last_reply_is_whole_though_unread_bytes_wait_behind_its_command(raw, reply):
     def test(house):
-        stream = house.world.connect(DOOR)
+        stream = house.backend.connect(DOOR)
         stream.send(raw + STRAY)
         assert to_the_end(house, stream).startswith(reply)
         assert not house.program.resp.sessions
@@ -206,10 +206,10 @@
 
 def test_a_client_beyond_the_bound_that_sent_already_hears_why_it_goes():
     def test(house):
-        first = house.world.connect(DOOR)
+        first = house.backend.connect(DOOR)
         first.send(encode(["PING"]))
         assert replies(house, first, 1)
-        second = house.world.connect(DOOR)
+        second = house.backend.connect(DOOR)
         second.send(take() + STRAY)
         assert to_the_end(house, second) == b"-ERR max number of clients reached\r\n"
 
@@ -218,7 +218,7 @@
 
 def test_what_has_come_when_a_gateway_leaves_is_answered_and_a_command_that_crosses_its_end_resets_nothing():
     def test(house):
-        asking, resting = house.world.connect(DOOR), house.world.connect(DOOR)
+        asking, resting = house.backend.connect(DOOR), house.backend.connect(DOOR)
         for stream in (asking, resting):
             stream.send(encode(["PING"]))
             assert replies(house, stream, 1)
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -34,7 +34,7 @@
     while not program.ready:
         program.loop.sleep(10 * MS)
     program.loop.sleep(100 * MS)
-    program.loop.world.kill(program.loop.process)
+    program.loop.backend.kill(program.loop.process)
 
 
 def reject_everything(program) -> None:
@@ -103,12 +103,12 @@
         self.harness = harness
         self.at = at
         self.writes = 0
-        self.write_file = harness.world.write_file
-        harness.world.write_file = self.write_and_kill
-        process = harness.world.start("roll", lambda: harness.begin().run())
-        while not process.dead:
+        self.write_file = harness.backend.write_file
+        harness.backend.write_file = self.write_and_kill
+        process = harness.backend.start("roll", lambda: harness.begin().run())
+        while not process.is_dead:
             harness.loop.sleep(20 * MS)
-        harness.world.write_file = self.write_file
+        harness.backend.write_file = self.write_file
         harness.starter.kill_unreleased()
 
     def write_and_kill(self, path: str, data: bytes) -> None:
@@ -119,10 +119,10 @@
         loop = self.harness.loop
         self.writes += 1
         if self.writes == self.at and self.at % 2:
-            self.harness.world.kill(loop.process)
+            self.harness.backend.kill(loop.process)
         self.write_file(path, data)
         if self.writes == self.at:
-            self.harness.world.kill(loop.process)
+            self.harness.backend.kill(loop.process)
             loop.sleep(1)
 
 
@@ -146,7 +146,7 @@
 def test_interrupted_roll_is_rolled_back_on_request():
     def drive(harness: RollHarness) -> None:
         driver = harness.begin()
-        running = harness.loop.spawn(driver.run, kind=CONTROL)
+        running = harness.loop.spawn(driver.run, priority=CONTROL)
         gateways = driver.upgrade.state.gateways
         while sum(gateway.phase is GatewayPhase.UPGRADED for gateway in gateways) < 3:
             harness.loop.sleep(20 * MS)
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -16,7 +16,7 @@
 from orchidlane.gateway.telemetry.predictions import predict_request
 from orchidlane.policy import quota
 from orchidlane.policy.gateway import Gateway
-from orchidlane.runtime import Loop, SimWorld
+from orchidlane.runtime import EventLoop, SimulatedBackend
 from orchidlane.simulation.backends import SimulatedBacking
 from orchidlane.simulation.scenario import Runner, make_plan
 
@@ -89,7 +89,7 @@
 
 
 def ask_admin(harness: GatewayHarness, target: bytes):
-    stream = harness.world.connect(("127.0.0.1", 8280))
+    stream = harness.backend.connect(("127.0.0.1", 8280))
     stream.send(b"GET %s HTTP/1.1\r\nHost: a\r\n\r\n" % target)
     return harness.answer(stream)
 
@@ -120,7 +120,7 @@
         rules = harness.program.host.gateway
         for customer in range(2_000):
             quota.update_account_key(rules, customer + 10, 0, 0, 3)
-        hung = harness.world.connect(("127.0.0.1", 8280))
+        hung = harness.backend.connect(("127.0.0.1", 8280))
         hung.send(b"GET /state HTTP/1.1\r\nHost: a\r\n\r\n")
         harness.loop.sleep(100 * MS)
         assert harness.program.admin.is_sending_state
@@ -141,13 +141,13 @@
     """Small segments under load: each can be replayed alone, and all in a row."""
     monkeypatch.setattr("orchidlane.gateway.telemetry.traffic_recorder.MAX_SEGMENT_BYTES", 30_000)
     monkeypatch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", 3)
-    world = SimWorld(6)
-    loop = Loop(world)
-    backing = SimulatedBacking(loop, world, record_to="rec")
+    backend = SimulatedBackend(6)
+    loop = EventLoop(backend)
+    backing = SimulatedBacking(loop, backend, record_to="rec")
     plan = make_plan(day(span=3, rate=200.0), "sim", backing.free_addresses)
     backing.prepare(plan)
     loop.run(Runner(loop, plan, backing).run)
-    for name, data in world.files.items():
+    for name, data in backend.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
     paths = recording.list_segments(str(tmp_path))
@@ -164,7 +164,7 @@
 
 def test_an_admin_connection_without_a_request_is_closed_at_its_deadline():
     def test(harness: GatewayHarness) -> None:
-        stream = harness.world.connect(("127.0.0.1", 8280))
+        stream = harness.backend.connect(("127.0.0.1", 8280))
         assert stream.recv(deadline=harness.loop.now() + 6 * SECOND) == b""
 
     GatewayHarness(good).run(test)
