--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -209,7 +209,7 @@
             "open_requests": Gauge("Requests under way", lambda: len(self.host.requests)),
             "nodes": Gauge("Nodes on the list", lambda: len(self.tracker.endpoints)),
             "longest_turn_seconds": Gauge(
-                "Longest turn of the loop", lambda: self.loop.longest_turn_us / 1e6
+                "Longest turn of the loop", lambda: self.loop.longest_iteration_us / 1e6
             ),
         }
         self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, self.send_limits_datagram)
--- a/orchidlane/runtime/scheduler.py
+++ b/orchidlane/runtime/scheduler.py
@@ -41,8 +41,8 @@
         self.main_process = Process("home")
         self.process = self.main_process  # of the task or timer that runs now
         self.current: Task | None = None
-        self.turns = 0
-        self.longest_turn_us = 0
+        self.iterations = 0
+        self.longest_iteration_us = 0
         self.on_unowned_failure: Callable[[Task, BaseException], None] = _raise
         self._queues: tuple[deque[tuple[Task, Any]], ...] = tuple(deque() for _ in BUDGETS)
         self._hub = greenlet.getcurrent()
@@ -182,7 +182,7 @@
         before, self.on_unowned_failure = self.on_unowned_failure, lambda _task, error: failures.append(error)
         try:
             while not root.is_done and not failures:
-                self.turn()
+                self.run_once()
         finally:
             self.on_unowned_failure = before
             self._end_all()
@@ -199,9 +199,9 @@
             for kind in range(len(BUDGETS)):
                 self._run_queue(kind)
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """One turn: poll, then each class within its budget."""
-        self.turns += 1
+        self.iterations += 1
         wait: int | None = 0
         if not any(self._queues):
             due = self.timers.next_due()
@@ -212,7 +212,7 @@
         self._fire_timers()
         for kind in (REQUESTS, PEERS, BACKGROUND):
             self._run_queue(kind)
-        self.longest_turn_us = max(self.longest_turn_us, self.now() - began)
+        self.longest_iteration_us = max(self.longest_iteration_us, self.now() - began)
 
     def _run_queue(self, kind: int) -> None:
         queue = self._queues[kind]
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -167,9 +167,9 @@
         scope.spawn(watcher)
         theirs.send(b"x" * 1_000)
         settle(loop, ours.has_input)
-        turns = loop.turns
+        iterations_before = loop.iterations
         loop.sleep(20 * MS)
-        assert not woken and loop.turns - turns < 20  # nor do they make the loop spin
+        assert not woken and loop.iterations - iterations_before < 20  # nor do they make the loop spin
         getattr(theirs, leave)()
         settle(loop, lambda: woken)
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -313,9 +313,9 @@
             other.send(b"unread")
             other.close()
         loop.sleep(20 * MS)
-        turns = loop.turns
+        iterations_before = loop.iterations
         loop.sleep(100 * MS)
-        log.append(loop.turns - turns)
+        log.append(loop.iterations - iterations_before)
         assert [stream.recv() for stream in streams] == [b"unread"] * 20
 
     assert play(loop, work)[0] < 40
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -425,10 +425,10 @@
         client = harness.connect()
         send_what_fits(client, call(left="2.000") + STRAY)
         harness.until(lambda: harness.seen)
-        turns = harness.loop.turns
+        iterations_before = harness.loop.iterations
         harness.loop.sleep(20 * MS)
         assert harness.gateway.host.requests
-        assert harness.loop.turns - turns < 50
+        assert harness.loop.iterations - iterations_before < 50
         getattr(client, leave)()
         harness.until(lambda: not harness.gateway.host.requests, 1_500 * MS)  # before its time is over
         harness.until(lambda: harness.host_saw_end)
