--- a/orchidlane/runtime/signals.py
+++ b/orchidlane/runtime/signals.py
@@ -1,21 +1,27 @@
-"""A process that serves until a signal ends it; signals are tasks of the loop."""
+"""A process that serves until a signal ends it; each signal runs its handler as a task of the event loop."""
 
 from __future__ import annotations
 
 import gc
 import signal
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 
 from orchidlane.runtime.real_backend import RealBackend, WakeupPipe
 from orchidlane.runtime.scheduler import EventLoop, TaskGroup
 from orchidlane.runtime.tasks import CONTROL
 
-GARBAGE = (20_000, 20, 50)  # most goes by its count; rare runs keep pauses few
+# Most garbage is freed by its reference count: rare collections keep pauses rare.
+GARBAGE_COLLECTION_THRESHOLDS = (20_000, 20, 50)
+
+SignalHandlers = dict[signal.Signals, Callable[[], None]]
 
 
 def block_reload_signal() -> None:
-    """Hold SIGHUP back until ``serve`` hears it. Guards against its default, which ends the process, and
-    against one that comes after the configuration was read and before anybody listens.
+    """Block SIGHUP until ``serve`` handles it.
+
+    Its default action ends the process, and one that came after the configuration was read and before
+    ``serve`` listens would be lost.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
@@ -27,37 +33,41 @@
     stop: Callable[[], None],
     reload: Callable[[], None],
 ) -> None:
-    """Run ``work`` as all that this process does: SIGTERM and SIGINT call ``stop``, SIGHUP ``reload``."""
-    gc.set_threshold(*GARBAGE)
+    """Run ``work`` as the process's main task: SIGTERM and SIGINT call ``stop``, SIGHUP calls ``reload``."""
+    gc.set_threshold(*GARBAGE_COLLECTION_THRESHOLDS)
     handlers = {signal.SIGTERM: stop, signal.SIGINT: stop, signal.SIGHUP: reload}
-    loop.run(_with_signals, loop, backend, handlers, work)
+    loop.run(_run_with_handlers, loop, backend, handlers, work)
 
 
-def _with_signals(
-    loop: EventLoop,
-    backend: RealBackend,
-    handlers: dict[signal.Signals, Callable[[], None]],
-    work: Callable[[], None],
+def _run_with_handlers(
+    loop: EventLoop, backend: RealBackend, handlers: SignalHandlers, work: Callable[[], None]
 ) -> None:
-    """Run ``work`` with signals brought to the loop as bytes on a pipe."""
-    signs = WakeupPipe(backend)
+    """Run ``work`` while signals run their handlers."""
+    with _signal_pipe(backend, handlers) as pipe, TaskGroup(loop) as group:
+        group.spawn(_dispatch_signals, pipe, handlers, group, priority=CONTROL, name="signals")
+        work()
+        group.cancel()
+
+
+@contextmanager
+def _signal_pipe(backend: RealBackend, handlers: SignalHandlers) -> Iterator[WakeupPipe]:
+    """Write the number of each signal that arrives to a pipe, see ``signal.set_wakeup_fd``."""
+    pipe = WakeupPipe(backend)
     for number in handlers:
         signal.signal(number, lambda *_: None)
-    signal.set_wakeup_fd(signs.writer_number, warn_on_full_buffer=False)
+    signal.set_wakeup_fd(pipe.writer_fileno, warn_on_full_buffer=False)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-
-    def listen() -> None:
-        while True:
-            for number in signs.recv():
-                if number in handlers:  # another one says nothing to us
-                    scope.spawn(handlers[signal.Signals(number)], priority=CONTROL, name="signal")
-
     try:
-        with TaskGroup(loop) as scope:
-            scope.spawn(listen, priority=CONTROL, name="signals")
-            work()
-            scope.cancel()
+        yield pipe
     finally:
         signal.set_wakeup_fd(-1)
-        signs.close()
-        signs.hang_up()
+        pipe.close()
+        pipe.close_writer()
+
+
+def _dispatch_signals(pipe: WakeupPipe, handlers: SignalHandlers, group: TaskGroup) -> None:
+    """Spawn a handler for each signal that arrives; other signals are ignored."""
+    while True:
+        for number in pipe.recv():
+            if number in handlers:
+                group.spawn(handlers[signal.Signals(number)], priority=CONTROL, name="signal")
