--- a/orchidlane/runtime/simulated_backend/backend.py
+++ b/orchidlane/runtime/simulated_backend/backend.py
@@ -48,7 +48,7 @@
         self.datagram_sockets: dict[Address, SimulatedDatagramSocket] = {}
         self.streams: dict[Process, dict[SimulatedStream, None]] = {}
         self._ids: dict[Process, int] = {}
-        self.cuts: set[frozenset[str]] = set()
+        self._partitions: set[frozenset[str]] = set()
         self.processes_with_full_disk: set[str] = set()  # names of processes whose writes fail
         self.is_out_of_descriptors = False  # handles that arrive are lost
         self._next_port = 40_000
@@ -92,17 +92,21 @@
             socket.lose(process)
         self.loop.kill(process)
 
-    def cut(self, one: str, other: str) -> None:
-        """No datagram passes between two processes, and no byte until it is healed."""
-        self.cuts.add(frozenset((one, other)))
+    def partition(self, one: str, other: str) -> None:
+        """Stop all traffic between two processes until ``heal``: datagrams are lost, bytes delayed."""
+        self._partitions.add(frozenset((one, other)))
 
     def heal(self, one: str, other: str) -> None:
-        """Undo a cut."""
-        self.cuts.discard(frozenset((one, other)))
+        """End a partition between two processes."""
+        self._partitions.discard(frozenset((one, other)))
 
-    def is_cut(self, one: Process, other: Process) -> bool:
+    def heal_all(self) -> None:
+        """Undo all partitions."""
+        self._partitions.clear()
+
+    def is_partitioned(self, one: Process, other: Process) -> bool:
         """Whether the two can't reach each other."""
-        return bool(self.cuts) and frozenset((one.name, other.name)) in self.cuts
+        return bool(self._partitions) and frozenset((one.name, other.name)) in self._partitions
 
     def draw_delay(self) -> int:
         """How long one delivery takes."""
@@ -130,7 +134,7 @@
         listener = self.listeners.get(tuple(address))  # type: ignore[arg-type]
         if listener is None or listener.full():
             raise ConnectionFailedError("refused")
-        if self.is_cut(loop.process, listener.process) and not address[0].startswith("/"):
+        if self.is_partitioned(loop.process, listener.process) and not address[0].startswith("/"):
             loop.park(deadline if deadline is not None else loop.now() + 60_000_000)
         mine, theirs = (
             SimulatedStream(self, loop.process, address),
@@ -265,7 +269,7 @@
         backend.loop.call_at_outside_processes(when, call, argument)
 
     def _arrive(self, data: bytes) -> None:
-        if self.backend.is_cut(self.process, self.other.process):
+        if self.backend.is_partitioned(self.process, self.other.process):
             self.backend.loop.call_at_outside_processes(self.backend.now() + 10_000, self._arrive, data)
             return
         if self.is_closed:
@@ -281,7 +285,7 @@
             self._wake_reader()
 
     def _end(self, _: Any) -> None:
-        if self.backend.is_cut(self.process, self.other.process):
+        if self.backend.is_partitioned(self.process, self.other.process):
             self.backend.loop.call_at_outside_processes(self.backend.now() + 10_000, self._end, None)
             return
         self.ended = True
@@ -582,7 +586,7 @@
     def _bring(self, what: tuple[bytes, Address]) -> None:
         data, to = what
         target = self.backend.datagram_sockets.get(to)
-        if target is None or self.backend.is_cut(self.process, target.process):
+        if target is None or self.backend.is_partitioned(self.process, target.process):
             return
         if len(target.inbox) < DATAGRAMS_HELD:
             target.inbox.append((data, self.address))
--- a/orchidlane/simulation/rollout_faults.py
+++ b/orchidlane/simulation/rollout_faults.py
@@ -65,7 +65,7 @@
 
     def clear(self) -> None:
         """End all faults."""
-        self.fleet.backend.cuts.clear()
+        self.fleet.backend.heal_all()
         self.fleet.backend.processes_with_full_disk.clear()
         self._restore_network()
         for rank, process in self.fleet.processes.items():
@@ -121,7 +121,7 @@
         isolated = {rank, *(other for other in ranks if self.fleet.random.random() < 0.3)}
         pairs = [(f"gw-{a}", f"gw-{b}") for a in isolated for b in ranks if b not in isolated]
         for pair in pairs:
-            self.fleet.backend.cut(*pair)
+            self.fleet.backend.partition(*pair)
         yield
         for pair in pairs:
             self.fleet.backend.heal(*pair)
