--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -114,7 +114,7 @@
 
 
 def test_a_tool_that_hangs_slows_no_request_and_is_disconnected(monkeypatch):
-    monkeypatch.setattr("orchidlane.runtime.simulated_backend.backend.WINDOW", 4096)
+    monkeypatch.setattr("orchidlane.runtime.simulated_backend.stream.STREAM_WINDOW_BYTES", 4096)
 
     def test(harness: GatewayHarness) -> None:
         rules = harness.program.host.gateway
