--- a/orchidlane/runtime/__init__.py
+++ b/orchidlane/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""All waiting, clocks, randomness and I/O: greenlets over ``select.poll``, or in a simulated world."""
+"""Event loop, clock, randomness and I/O: greenlets over ``select.poll``, or a deterministic simulation."""
 
 from orchidlane.runtime.backend import Address, Backend, DatagramSocket, Listener, Stream
 from orchidlane.runtime.errors import (
@@ -10,8 +10,9 @@
 )
 from orchidlane.runtime.lingering_close import LingeringConnections
 from orchidlane.runtime.real_backend import RealBackend
-from orchidlane.runtime.scheduler import EventLoop, TaskGroup
+from orchidlane.runtime.scheduler import EventLoop
 from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
+from orchidlane.runtime.task_group import TaskGroup
 from orchidlane.runtime.tasks import BACKGROUND, CONTROL, PEERS, REQUESTS, Process, Task
 
 __all__ = [
--- a/orchidlane/runtime/signals.py
+++ b/orchidlane/runtime/signals.py
@@ -8,7 +8,8 @@
 from contextlib import contextmanager
 
 from orchidlane.runtime.real_backend import RealBackend, WakeupPipe
-from orchidlane.runtime.scheduler import EventLoop, TaskGroup
+from orchidlane.runtime.scheduler import EventLoop
+from orchidlane.runtime.task_group import TaskGroup
 from orchidlane.runtime.tasks import CONTROL
 
 # Most garbage is freed by its reference count: rare collections keep pauses rare.
--- a/orchidlane/runtime/tasks.py
+++ b/orchidlane/runtime/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks and processes, and what a backend needs of the scheduler that runs them."""
+"""Tasks and processes, and the part of the event loop that its backend uses."""
 
 from __future__ import annotations
 
@@ -9,29 +9,35 @@
 
 from orchidlane.runtime.timers import Timers
 
-CONTROL, REQUESTS, PEERS, BACKGROUND = range(4)
+# Priorities of tasks, the most urgent first. Plain numbers: they index the run queues at each wake-up.
+CONTROL = 0  # endpoint list, signals, hot restart
+REQUESTS = 1
+PEERS = 2  # gossip and token requests
+BACKGROUND = 3
 
 
 class TaskOwner(Protocol):
-    """Is notified of the end of its tasks."""
+    """What is notified of the ends of its tasks, such as a task group."""
+
+    children: dict[Task, None]  # the event loop adds each task that it starts
 
     def child_ended(self, task: Task) -> None:
         """Note that a task of this owner has ended."""
 
 
 class Process:
-    """What is killed and stands still together: the whole program, or a part of a simulated world."""
+    """Tasks that are killed and frozen together: the whole program, or one process of a simulation."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.is_frozen = False
         self.is_dead = False
-        self.deferred_calls: list[Callable[[], None]] = []  # what comes due while it stands still
+        self.deferred_calls: list[Callable[[], None]] = []  # made when a frozen process is thawed
         self.tasks: dict[Task, None] = {}
 
 
 class Task:
-    """One greenlet with its class of work, its owner and its process."""
+    """A greenlet with its priority, owner and process."""
 
     __slots__ = (
         "error",
@@ -48,23 +54,23 @@
     )
 
     def __init__(
-        self, run: greenlet.greenlet, kind: int, process: Process, scope: TaskOwner | None, name: str
+        self, run: greenlet.greenlet, priority: int, process: Process, owner: TaskOwner | None, name: str
     ) -> None:
         self.greenlet = run
-        self.priority = kind
+        self.priority = priority
         self.process = process
-        self.owner = scope
+        self.owner = owner
         self.name = name
-        self.is_parked = False
+        self.is_started = False
+        self.is_parked = False  # waits to be woken
         self.is_cancelled = False
         self.is_done = False
-        self.error: BaseException | None = None
+        self.error: BaseException | None = None  # that ended it
         self.operations_without_yield = 0
-        self.is_started = False
 
 
 class SchedulerInterface(Protocol):
-    """What a backend needs of the loop that runs in it; see ``orchidlane.runtime.scheduler.EventLoop``."""
+    """The part of ``orchidlane.runtime.scheduler.EventLoop`` that a backend uses."""
 
     current: Task | None
     process: Process
@@ -73,22 +79,25 @@
     now: Callable[[], int]
 
     def park(self, deadline: int | None = None) -> Any:
-        """Wait to be woken. Raises DeadlineExceededError, Cancelled."""
+        """Wait to be woken; return the value passed to ``wake``.
+
+        Raises DeadlineExceededError, Cancelled.
+        """
 
     def sleep(self, duration_us: int) -> None:
-        """Wait for so many microseconds. Raises Cancelled."""
+        """Wait for a duration. Raises Cancelled."""
 
     def wake(self, task: Task, value: Any = None) -> None:
-        """Let a parked task go on."""
+        """Let a parked task go on with ``value``."""
 
     def yield_sometimes(self) -> None:
-        """Let others run after many operations that did not wait."""
+        """Let other tasks run after many operations that did not wait."""
 
     def call_at(self, when: int, call: Callable[[Any], None], argument: Any = None) -> Any:
-        """Have a call made at a time, in the current process."""
+        """Schedule ``call(argument)`` in the current process; return the timer."""
 
     def call_at_outside_processes(self, when: int, call: Callable[[Any], None], argument: Any = None) -> Any:
-        """Have a call made at a time, in no process."""
+        """Schedule ``call(argument)`` in no simulated process; return the timer."""
 
     def spawn(
         self,
@@ -101,4 +110,4 @@
         """Start a task. Raises Cancelled where the process is dead."""
 
     def kill(self, process: Process) -> None:
-        """End a process where it stands."""
+        """End a process: its tasks run no further than their current wait."""
--- a/orchidlane/runtime/timers.py
+++ b/orchidlane/runtime/timers.py
@@ -1,8 +1,8 @@
 """Pending timers in the order of their time, cheap to cancel.
 
-A binary heap with lazy deletion: cancelling marks an entry, and once more than half of the heap is marked it
-is built anew, so memory stays within twice the live timers. ``benchmarks/timers.py`` measures it against a
-hierarchical wheel.
+A binary heap with lazy deletion: a cancelled entry stays in the heap, and once more than half of the entries
+are cancelled the heap is rebuilt, so memory stays within twice the pending timers. ``benchmarks/timers.py``
+compares it with a hierarchical timing wheel.
 """
 
 from __future__ import annotations
@@ -11,65 +11,69 @@
 from collections.abc import Callable
 from typing import Any
 
-COMPACT_FROM = 64  # marked entries: fewer are not worth a rebuild
+MIN_CANCELLED_FOR_REBUILD = 64  # fewer entries are not worth a rebuild
 
 
 class Timer:
-    """One pending call; cancelled when ``call`` is None."""
+    """A call that is to be made at a time."""
 
-    __slots__ = ("argument", "call", "owner", "when")
+    __slots__ = ("argument", "call", "is_pending", "owner", "when")
 
     def __init__(self, when: int, call: Callable[[Any], None], argument: Any, owner: Any) -> None:
         self.when = when
-        self.call: Callable[[Any], None] | None = call
+        self.call: Callable[[Any], None] | None = call  # None once cancelled
         self.argument = argument
         self.owner = owner
+        self.is_pending = True  # neither due nor cancelled
 
 
 class Timers:
-    """A queue of timers; times are microseconds, equal times keep the order in which they were added."""
+    """A queue of timers. Times are microseconds; equal times keep the order in which they were added."""
 
     def __init__(self) -> None:
-        self._heap: list[tuple[int, int, Timer]] = []
-        self._added = 0
-        self._marked = 0
+        self._heap: list[tuple[int, int, Timer]] = []  # time, order of addition: tuples compare fast
+        self._added_count = 0
+        self._cancelled_count = 0  # of the entries in the heap
 
     def __len__(self) -> int:
-        return len(self._heap) - self._marked
+        return len(self._heap) - self._cancelled_count
 
     def add(self, when: int, call: Callable[[Any], None], argument: Any = None, owner: Any = None) -> Timer:
-        """Have ``call(argument)`` made at ``when``."""
+        """Add a timer for ``call(argument)`` at ``when`` and return it."""
         timer = Timer(when, call, argument, owner)
-        self._added += 1
-        heapq.heappush(self._heap, (when, self._added, timer))
+        self._added_count += 1
+        heapq.heappush(self._heap, (when, self._added_count, timer))
         return timer
 
     def cancel(self, timer: Timer) -> None:
-        """Forget a timer; one that fired or was cancelled is passed over."""
-        if timer.call is None:
+        """Cancel a timer; does nothing if it was due or cancelled before."""
+        if not timer.is_pending:
             return
+        timer.is_pending = False
         timer.call = timer.argument = None
-        self._marked += 1
-        if self._marked > COMPACT_FROM and 2 * self._marked > len(self._heap):
-            self._heap = [entry for entry in self._heap if entry[2].call is not None]
-            heapq.heapify(self._heap)
-            self._marked = 0
+        self._cancelled_count += 1
+        if self._cancelled_count > MIN_CANCELLED_FOR_REBUILD and 2 * self._cancelled_count > len(self._heap):
+            self._rebuild()
+
+    def _rebuild(self) -> None:
+        """Drop the cancelled entries."""
+        self._heap = [entry for entry in self._heap if entry[2].is_pending]
+        heapq.heapify(self._heap)
+        self._cancelled_count = 0
 
     def next_due(self) -> int | None:
-        """When the first pending timer is due, if there is one."""
+        """Return when the first pending timer is due, None if there is none."""
         heap = self._heap
-        while heap and heap[0][2].call is None:
+        while heap and not heap[0][2].is_pending:
             heapq.heappop(heap)
-            self._marked -= 1
+            self._cancelled_count -= 1
         return heap[0][0] if heap else None
 
-    def pop_due(self, now: int) -> tuple[Callable[[Any], None], Any, Any] | None:
-        """Take out one timer that is due: its call, argument and owner."""
+    def pop_due(self, now: int) -> Timer | None:
+        """Remove and return the first timer that is due, None if there is none."""
         due = self.next_due()
         if due is None or due > now:
             return None
         timer = heapq.heappop(self._heap)[2]
-        call, argument = timer.call, timer.argument
-        assert call is not None
-        timer.call = timer.argument = None
-        return call, argument, timer.owner
+        timer.is_pending = False
+        return timer
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -388,7 +388,7 @@
     class Starts(backend):
         def _begin(self) -> None:
             self.until(lambda: self.discovery.listener is not None)
-            self.process = self.loop.spawn(self._gateway, priority=CONTROL, scope=self.scope)
+            self.process = self.loop.spawn(self._gateway, priority=CONTROL, owner=self.scope)
 
         def _finish(self) -> None:
             pass
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -406,5 +406,5 @@
     assert len(timers) == 100
     assert len(timers._heap) < 300
     while due := timers.pop_due(10_000):
-        due[0](due[1])
+        due.call(due.argument)
     assert fired == sorted((n for n in range(0, 1_000, 10)), key=lambda n: n * 7 % 1_000)
