--- a/orchidlane/runtime/backend.py
+++ b/orchidlane/runtime/backend.py
@@ -1,4 +1,7 @@
-"""What a world offers: the one interface of the real and the simulated one."""
+"""The interface that the real and the simulated backend implement: clock, randomness, network and files.
+
+Deadlines are microseconds of the backend's clock; None means no limit. Every wait may raise ``Cancelled``.
+"""
 
 from __future__ import annotations
 
@@ -8,129 +11,143 @@
 
 from orchidlane.runtime.tasks import SchedulerInterface, Task
 
-Address = tuple[str, int]  # host, port; a host that begins with "/" is the path of a Unix socket
-Handle = Any  # a socket on its way to another process: only a world knows what is in it
+Address = tuple[str, int]  # host and port; a host that begins with "/" is the path of a Unix socket
+Handle = Any  # a socket that is passed between processes; only the backend knows its type
+
+MAX_PORT = 65_535
 
 
 class Stream(Protocol):
     """A connection. One task may read and one may write at a time."""
 
-    sent_bytes: int  # bytes that left us: 0 proves that the other side saw nothing
+    sent_bytes: int  # handed to the network: 0 proves that the peer received nothing
     peer: Address
-    is_input_exhausted: bool  # a try to read now would most likely be in vain
+    is_input_exhausted: bool  # the last read returned all there was: another one would probably find nothing
 
     def recv(self, max_bytes: int = 65536, deadline: int | None = None) -> bytes:
-        """Bytes as they come, ``b""`` at the end of input.
+        """Wait for bytes and return them, ``b""`` at the end of input.
 
         Raises ConnectionClosedError, DeadlineExceededError.
         """
 
     def try_recv(self, max_bytes: int = 65536) -> bytes | None:
-        """The same without waiting: None where there is nothing yet. Raises ConnectionClosedError."""
+        """Return what can be read now, ``b""`` at the end of input, None if nothing is there.
+
+        Raises ConnectionClosedError.
+        """
 
     def await_input(self, deadline: int | None = None) -> None:
-        """Wait until something can be read, and leave it there.
+        """Wait until something can be read, without reading it.
 
         Raises ConnectionClosedError, DeadlineExceededError.
         """
 
     def wake_on_input(self, task: Task) -> None:
-        """Wake the task once something can be read; holds until it did or until the next read."""
+        """Register a task to be woken once something can be read; return at once.
+
+        The registration ends with the wake-up or with the next read.
+        """
 
     def wake_on_peer_close(self, task: Task) -> None:
-        """The same once the other side has ended or reset the connection, whatever waits to be read."""
+        """Register a task to be woken once the peer has closed or reset; unread bytes do not wake it.
+
+        The registration ends with the wake-up or with the next read.
+        """
 
     def has_input(self) -> bool:
-        """Whether something can be read at once: bytes, the end of input, or that it was reset."""
+        """Return whether a read would return at once: with bytes, the end of input or a reset."""
 
     def is_closed_by_peer(self) -> bool:
-        """Whether the other side has ended or reset the connection, seen behind bytes that wait unread."""
+        """Return whether the peer has closed or reset the connection, even if bytes before it are unread."""
 
     def send(self, data: bytes, deadline: int | None = None) -> None:
-        """Hand all bytes over; waits while the other side does not take them.
+        """Send all bytes, waiting while the peer does not take them.
 
         Raises ConnectionClosedError, DeadlineExceededError.
         """
 
     def try_send(self, data: bytes) -> int:
-        """Hand over what is taken without waiting; how many bytes. Raises ConnectionClosedError."""
+        """Send what is taken without waiting; return the number of bytes. Raises ConnectionClosedError."""
 
     def half_close(self) -> None:
-        """Send no more; reading goes on."""
+        """End the sending side; reading goes on."""
 
     def close(self) -> None:
-        """End the connection at once; over unread bytes that is a reset, see ``LingeringConnections``."""
+        """Close the connection at once; over unread bytes that is a reset, see ``LingeringConnections``."""
 
     def abort(self) -> None:
         """Reset the connection."""
 
     def duplicate(self) -> Handle:
-        """A second hold on the connection, to be sent to another process or kept."""
+        """Return a second handle of the connection, to be kept or passed to another process."""
 
     def release(self) -> None:
-        """Let our hold go and nothing else: whoever else holds the connection goes on with it."""
+        """Close our handle alone; the connection goes on in the processes that share it."""
 
     # -- between processes of one machine, over a Unix socket
 
     def send_with_handle(self, data: bytes, handle: Handle, deadline: int | None = None) -> None:
-        """The same as ``send`` with one handle along with the first byte; it is used up.
+        """Send all bytes, with a handle that is passed along with the first; the handle is used up.
 
         Raises ConnectionClosedError, DeadlineExceededError.
         """
 
     def try_send_with_handle(self, data: bytes, handle: Handle) -> int:
-        """The same as ``try_send`` with one handle, which is used up where a byte is taken.
+        """Send what is taken without waiting, with a handle passed along.
 
-        Raises ConnectionClosedError.
+        Return the number of bytes; the handle is used up if that is not 0. Raises ConnectionClosedError.
         """
 
     def receive_handle(self) -> Handle | None:
-        """The next handle that came, in the order they were sent; None where none did, or it was lost."""
+        """Return the next handle in the order of sending, None if there is none or it was lost."""
 
     def kill_peer(self) -> None:
-        """End the process on the other side where it stands; our next read tells when it is gone."""
+        """Kill the process on the other side; our next read returns once it has ended."""
 
 
 class Listener(Protocol):
-    """A bound address that takes connections."""
+    """A bound address that accepts connections."""
 
     address: Address
 
     def accept(self, deadline: int | None = None) -> Stream:
-        """The next connection.
+        """Wait for the next connection and return it.
 
-        Raises ConnectionClosedError, DeadlineExceededError, and ConnectionFailedError out of descriptors.
+        Raises ConnectionClosedError, DeadlineExceededError, ConnectionFailedError when out of descriptors.
         """
 
     def try_accept(self) -> Stream | None:
-        """One that waits already, None where there is none.
+        """Return a connection that is already queued, None if there is none.
 
-        Raises ConnectionClosedError, and ConnectionFailedError as above.
+        Raises ConnectionClosedError, ConnectionFailedError when out of descriptors.
         """
 
     def duplicate(self) -> Handle:
-        """A second hold on the address and those who wait there."""
+        """Return a second handle of the address and its queue of connections."""
 
     def close(self) -> None:
-        """Take no more; those waiting are reset, unless another process holds the address too."""
+        """Close our handle; with the last one of all processes the queued connections are reset."""
 
 
 class DatagramSocket(Protocol):
-    """A bound address for datagrams; sending never waits, and what does not fit is lost."""
+    """A bound address for datagrams."""
 
     address: Address
 
     def recv(self, deadline: int | None = None) -> tuple[bytes, Address]:
-        """The next datagram and where it came from. Raises ConnectionClosedError, DeadlineExceededError."""
+        """Wait for the next datagram; return it with its sender's address.
+
+        Raises ConnectionClosedError, DeadlineExceededError.
+        """
 
     def send(self, data: bytes, address: Address) -> None:
-        """Send one datagram, perhaps in vain."""
+        """Send one datagram without waiting; it may be lost."""
 
     def duplicate(self) -> Handle:
-        """A second hold on the address and what waits there."""
+        """Return a second handle of the address and its queue of datagrams."""
 
     def close(self) -> None:
-        """Give the address up."""
+        """Close our handle."""
 
 
 class Backend(Protocol):
@@ -139,68 +156,74 @@
     random: random.Random
 
     def attach(self, loop: SchedulerInterface) -> None:
-        """Called once by the loop that lives in this world."""
+        """Set the event loop that runs on this backend; the loop calls this once."""
 
     def now(self) -> int:
-        """The clock in microseconds: near the time of day, and never going backwards."""
+        """Return the clock in microseconds: near the time of day, and never going backwards."""
 
     def poll(self, timeout_us: int | None) -> None:
-        """Wake the tasks whose I/O is ready; wait for it so many microseconds, None for ever."""
+        """Wake the tasks whose I/O is ready; wait at most ``timeout_us``, None for no limit."""
 
     def connect(self, address: Address, deadline: int | None = None) -> Stream:
-        """A new connection. Raises ConnectionFailedError, DeadlineExceededError."""
+        """Connect to an address and return the stream.
+
+        Raises ConnectionFailedError, DeadlineExceededError.
+        """
 
     def listen(self, address: Address, backlog: int = 1024) -> Listener:
-        """Take connections at an address; port 0 picks a free one."""
+        """Listen on an address; port 0 picks a free one. Raises OSError."""
 
     def bind_datagrams(self, address: Address) -> DatagramSocket:
-        """Take datagrams at an address; port 0 picks a free one."""
+        """Bind a datagram socket to an address; port 0 picks a free one. Raises OSError."""
 
     def adopt_stream(self, handle: Handle) -> Stream:
-        """The connection of a handle, as ours."""
+        """Return the stream of a handle, as one of the current process."""
 
     def adopt_listener(self, handle: Handle) -> Listener:
-        """The listener of a handle, as ours."""
+        """Return the listener of a handle, as one of the current process."""
 
     def adopt_datagrams(self, handle: Handle) -> DatagramSocket:
-        """The datagrams' address of a handle, as ours."""
+        """Return the datagram socket of a handle, as one of the current process."""
 
     def close_handle(self, handle: Handle) -> None:
-        """Let a handle go that nobody adopts."""
+        """Close a handle that is not adopted."""
 
     def process_id(self) -> int:
-        """The number of this process, which no other that lives has."""
+        """Return the current process's identifier, unique among the running ones."""
 
     def clock_base(self) -> int:
-        """What a process of the same machine needs to go on with this clock."""
+        """Return what another process of this machine needs in order to continue this clock."""
 
     def follow_clock(self, base: int) -> None:
-        """Go on with the clock of the process that this one follows."""
+        """Continue the clock of another process of this machine, given its ``clock_base``."""
 
     def run_in_thread(self, work: Callable[[], Any]) -> Any:
-        """Run long work that does no I/O of the loop's beside it, and wait for its value or exception."""
+        """Run long work beside the event loop; return its value or raise its exception.
+
+        The work must not use the event loop.
+        """
 
     def read_file(self, path: str) -> bytes | None:
-        """A whole file, or None where there is none."""
+        """Return a file's content, None where there is no such file. Raises OSError."""
 
     def write_file(self, path: str, data: bytes) -> None:
-        """Replace a whole file so that a crash leaves the old or the new one."""
+        """Replace a file so that a crash leaves either the old or the new content. Raises OSError."""
 
     def remove_file(self, path: str) -> None:
-        """Take a file away, if there is one."""
+        """Remove a file, if there is one. Raises OSError."""
 
     def append_file(self, path: str, data: bytes) -> None:
-        """Add to the end of a file with one write."""
+        """Append to a file with a single write; create it if there is none. Raises OSError."""
 
 
 def parse_address(text: str) -> Address:
-    """Host and port of ``host:port``, as somebody else told them. Raises ValueError."""
+    """Return host and port of ``host:port``. Raises ValueError."""
     host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65_536:
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"{text!r} is no address such as 10.0.0.4:3000")
     return host, int(port)
 
 
 def format_address(address: Any) -> str:
-    """An address as text."""
+    """Return an address as ``host:port``, or the path of a Unix socket."""
     return address[0] if address[0].startswith("/") else f"{address[0]}:{address[1]}"
--- a/orchidlane/runtime/real_backend/stream.py
+++ b/orchidlane/runtime/real_backend/stream.py
@@ -86,8 +86,8 @@
             self._received_handles.append(None)
         for level, kind, payload in control_messages:
             if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
-                whole_descriptors = payload[: len(payload) // DESCRIPTOR.size * DESCRIPTOR.size]
-                for (fileno,) in DESCRIPTOR.iter_unpack(whole_descriptors):
+                complete_part = payload[: len(payload) // DESCRIPTOR.size * DESCRIPTOR.size]
+                for (fileno,) in DESCRIPTOR.iter_unpack(complete_part):
                     self._received_handles.append(socket.socket(fileno=fileno))
         received: bytes = data
         return received
