--- a/orchidlane/config/parser.py
+++ b/orchidlane/config/parser.py
@@ -132,17 +132,20 @@
         return SourcePosition(self.file, meta.line, meta.column)
 
     def start(self, parts: Items) -> Struct:
+        """Return a whole file as a struct."""
         body = parts[-1] if parts else []
         return self._struct(SourcePosition(self.file, 1, 1), body if isinstance(body, list) else [body])
 
     def body(self, parts: Items) -> Items:
+        """Return the declarations of a file."""
         return parts
 
     def package(self, _parts: Items) -> None:
-        return None
+        """Ignore the package clause."""
 
     @v_args(meta=True)
     def struct(self, meta: Any, parts: Items) -> Struct:
+        """Return a struct between braces."""
         return self._struct(self._position(meta), parts)
 
     def _struct(self, position: SourcePosition, parts: Items) -> Struct:
@@ -151,9 +154,11 @@
         return Struct(position, fields, patterns, any(isinstance(part, _Ellipsis) for part in parts))
 
     def open(self, _parts: Items) -> _Ellipsis:
+        """Return the mark of a struct that allows further fields."""
         return _Ellipsis(None)
 
     def pattern(self, parts: Items) -> _Pattern:
+        """Return the constraint of ``[string]: value``. Raises ConfigError for other patterns."""
         names = parts[0].items
         if len(names) != 1 or not isinstance(names[0], Reference) or names[0].names != ("string",):
             raise ConfigError([Problem(parts[0].position, "", "only [string] stands for names")])
@@ -161,54 +166,66 @@
 
     @v_args(meta=True)
     def field(self, meta: Any, parts: Items) -> Field:
+        """Return a field; one with three parts is optional."""
         return Field(self._position(meta), parts[0], len(parts) == 3, parts[-1])
 
     @v_args(meta=True)
     def nested(self, meta: Any, parts: Items) -> Struct:
+        """Return the struct that ``a: b: value`` stands for."""
         return self._struct(self._position(meta), parts)
 
     def label(self, parts: Items) -> str:
+        """Return a field's name."""
         token = parts[0]
         return _string_value(token) if token.type == "STRING" else str(token)
 
     @v_args(meta=True)
     def alternatives(self, meta: Any, parts: Items) -> Expression:
+        """Return a disjunction, or its only operand."""
         if len(parts) == 1 and not isinstance(parts[0], tuple):
             return parts[0]
         options = tuple(part if isinstance(part, tuple) else (False, part) for part in parts)
         return Disjunction(self._position(meta), options)
 
     def default(self, parts: Items) -> tuple[bool, Expression]:
+        """Return an alternative that is marked as the default."""
         return True, parts[0]
 
     @v_args(meta=True)
     def conj(self, meta: Any, parts: Items) -> Expression:
+        """Return a conjunction, or its only operand."""
         return parts[0] if len(parts) == 1 else Conjunction(self._position(meta), tuple(parts))
 
     @v_args(meta=True)
     def bound(self, meta: Any, parts: Items) -> Bound:
+        """Return a comparison such as ``>=1``."""
         return Bound(self._position(meta), str(parts[0]), parts[1])
 
     @v_args(meta=True)
     def literal(self, meta: Any, parts: Items) -> Literal:
+        """Return a string or a number."""
         token = parts[0]
         value = _string_value(token) if token.type == "STRING" else _number_value(token)
         return Literal(self._position(meta), value)
 
     @v_args(meta=True)
     def true(self, meta: Any, _parts: Items) -> Literal:
+        """Return the literal ``true``."""
         return Literal(self._position(meta), True)
 
     @v_args(meta=True)
     def false(self, meta: Any, _parts: Items) -> Literal:
+        """Return the literal ``false``."""
         return Literal(self._position(meta), False)
 
     @v_args(meta=True)
     def null(self, meta: Any, _parts: Items) -> Literal:
+        """Return the literal ``null``."""
         return Literal(self._position(meta), None)
 
     @v_args(meta=True)
     def list(self, meta: Any, parts: Items) -> List:
+        """Return a list, with the type of further items where it is open."""
         parts = [part for part in parts if part is not None]
         rest = next((part.item for part in parts if isinstance(part, _Ellipsis)), None)
         return List(
@@ -217,10 +234,12 @@
 
     @v_args(meta=True)
     def rest(self, meta: Any, parts: Items) -> _Ellipsis:
+        """Return the mark of an open list, with the type of further items."""
         return _Ellipsis(parts[1] if len(parts) > 1 else Reference(self._position(meta), ("_",)))
 
     @v_args(meta=True)
     def reference(self, meta: Any, parts: Items) -> Reference:
+        """Return a reference by a dotted name."""
         return Reference(self._position(meta), tuple(str(part) for part in parts))
 
 
--- a/orchidlane/gateway/telemetry/plan_counts.py
+++ b/orchidlane/gateway/telemetry/plan_counts.py
@@ -80,6 +80,7 @@
         self._nearest: list[tuple[float, int]] = []
 
     def add(self, account: Account, plan: policy.Plan) -> None:
+        """Add an account of the plan."""
         counts = self._counts
         counts.customers += 1
         counts.spent += account.spent_total
@@ -93,6 +94,7 @@
             heapq.heappop(self._nearest)
 
     def result(self) -> PlanCounts:
+        """Return the sums, with the customers nearest to their limits."""
         self._counts.nearest_to_limit = sorted(
             CustomerShare(-share, -customer) for share, customer in self._nearest
         )
--- a/orchidlane/recording/snapshot.py
+++ b/orchidlane/recording/snapshot.py
@@ -59,6 +59,7 @@
         return super().__getitem__(customer)
 
     def get(self, customer: int, default: Any = None) -> Any:
+        """Return an account, after the observers were notified."""
         self._notify(customer)
         return super().get(customer, default)
 
--- a/orchidlane/routes/build.py
+++ b/orchidlane/routes/build.py
@@ -52,6 +52,7 @@
         self._classes = RequestClasses(description, self._root)
 
     def build(self) -> Generation:
+        """Return the generation of all operations; problems go to the description."""
         values = self._description.values
         tree: Tree[dict[str, Operation]] = Tree()
         for template, item in values.get("paths", {}).items():
@@ -72,8 +73,8 @@
         )
 
     def _add_path(self, tree: Tree[dict[str, Operation]], template: str, item: dict[str, Any]) -> None:
-        place = f"paths/{template}"
-        path_extension = read_extension(self._description, item, place)
+        location = f"paths/{template}"
+        path_extension = read_extension(self._description, item, location)
         operations = {
             method: self._operation(template, method, item, path_extension)
             for method in METHODS
@@ -82,23 +83,23 @@
         methods_by_path: dict[str, dict[str, Operation]] = {}
         for method, operation in operations.items():
             for base_path in self._base_paths(item[method], item):
-                path = self._full_path(base_path, template, place)
+                path = self._full_path(base_path, template, location)
                 methods_by_path.setdefault(path, {})[operation.method] = replace(operation, path=path)
         for path, methods in methods_by_path.items():
             try:
                 tree.add(path, methods)
             except ValueError as error:
-                self._description.report(place, str(error))
+                self._description.report(location, str(error))
             self._methods.append(methods)
 
-    def _full_path(self, base_path: str, template: str, place: str) -> str:
+    def _full_path(self, base_path: str, template: str, location: str) -> str:
         """Return base path and template in the canonical form in which requests are matched."""
         parts = TEMPLATE.split(base_path + template)
         literal = "\x01".join(parts[::2])
         try:
             canonical = canonical_path(literal.replace("\x01", "~t~").encode("utf-8")).replace("~t~", "\x01")
         except PathError as error:
-            self._description.report(place, str(error))
+            self._description.report(location, str(error))
             return base_path + template
         literals = canonical.split("\x01")
         parameters = [f"{{{name}}}" for name in parts[1::2]]
@@ -108,18 +109,18 @@
         self, template: str, method: str, item: dict[str, Any], path_extension: Extension
     ) -> Operation:
         holder = item[method]
-        place = f"paths/{template}/{method}"
-        own = read_extension(self._description, holder, place)
+        location = f"paths/{template}/{method}"
+        own = read_extension(self._description, holder, location)
         nearer = (own, path_extension)
         name = str(holder.get("operationId") or f"{method.upper()} {template}")
         class_name = own.class_name or path_extension.class_name or self._root.class_name or name
-        self._classes.add(class_name, method, nearer, place)
-        cost = self._cost(class_name, nearer, place)
-        headers = self._header_parameters(item, holder, place)
+        self._classes.add(class_name, method, nearer, location)
+        cost = self._cost(class_name, nearer, location)
+        headers = self._header_parameters(item, holder, location)
         sources = (*nearer, self._root)
         idempotency_header = inherit(sources, lambda source: source.idempotency_header) or IDEMPOTENCY_HEADER
         give_up_header = inherit(sources, lambda source: source.give_up_header) or GIVE_UP_HEADER
-        api_keys = self._api_keys(holder, place)
+        api_keys = self._api_keys(holder, location)
         return Operation(
             method=method.upper(),
             path=template,
@@ -134,12 +135,12 @@
             anonymous=api_keys.anonymous,
         )
 
-    def _cost(self, class_name: str, nearer: tuple[Extension, ...], place: str) -> float:
+    def _cost(self, class_name: str, nearer: tuple[Extension, ...], location: str) -> float:
         sources = (*nearer, self._classes.declared(class_name), self._root)
         stated = inherit(sources, lambda source: source.cost)
         cost = DEFAULT_COST_UNITS if stated is None else stated
         if not 0 < cost <= MAX_COST_UNITS:
-            self._description.report(place, f"found cost {cost}, allowed: above 0, at most 1000000")
+            self._description.report(location, f"found cost {cost}, allowed: above 0, at most 1000000")
         return float(cost)
 
     def _base_paths(self, holder: dict[str, Any], item: dict[str, Any]) -> tuple[str, ...]:
@@ -154,24 +155,24 @@
             paths.append(urlsplit(url).path.rstrip("/"))
         return tuple(dict.fromkeys(paths)) or ("",)
 
-    def _header_parameters(self, item: dict[str, Any], holder: dict[str, Any], place: str) -> set[str]:
+    def _header_parameters(self, item: dict[str, Any], holder: dict[str, Any], location: str) -> set[str]:
         """Return the names of the header parameters of an operation and of its path, in lower case."""
         names: set[str] = set()
         for parameter in [*item.get("parameters", ()), *holder.get("parameters", ())]:
-            resolved = self._description.resolve(parameter, place)
+            resolved = self._description.resolve(parameter, location)
             if resolved.get("in") == "header":
                 names.add(str(resolved.get("name", "")).lower())
         return names
 
-    def _api_keys(self, holder: dict[str, Any], place: str) -> _ApiKeys:
+    def _api_keys(self, holder: dict[str, Any], location: str) -> _ApiKeys:
         values = self._description.values
         requirements = holder.get("security", values.get("security", []))
         schemes = values.get("components", {}).get("securitySchemes", {})
         headers: list[bytes] = []
         queries: list[str] = []
         for name in (name for requirement in requirements for name in requirement):
-            scheme_place = f"{place}/security/{name}"
-            scheme = self._description.resolve(schemes.get(name, {}), scheme_place)
+            scheme_location = f"{location}/security/{name}"
+            scheme = self._description.resolve(schemes.get(name, {}), scheme_location)
             match scheme:
                 case {"type": "apiKey", "in": "header"}:
                     headers.append(str(scheme["name"]).lower().encode("latin-1"))
@@ -180,7 +181,9 @@
                 case {"type": "http"} if str(scheme.get("scheme", "")).lower() == "bearer":
                     headers.append(b"authorization")
                 case _:
-                    self._description.report(scheme_place, "allowed: apiKey in header or query, http bearer")
+                    self._description.report(
+                        scheme_location, "allowed: apiKey in header or query, http bearer"
+                    )
         anonymous = not requirements or any(not requirement for requirement in requirements)
         return _ApiKeys(tuple(dict.fromkeys(headers)), tuple(dict.fromkeys(queries)), anonymous)
 
--- a/orchidlane/routes/description.py
+++ b/orchidlane/routes/description.py
@@ -26,8 +26,8 @@
         raise _error(file, f"line {error.lineno}", error.msg) from None
     except (yaml.YAMLError, UnicodeDecodeError, RecursionError) as error:
         mark = getattr(error, "problem_mark", None)
-        place = f"line {mark.line + 1}" if mark else "file"
-        raise _error(file, place, str(getattr(error, "problem", None) or "not YAML")) from None
+        location = f"line {mark.line + 1}" if mark else "file"
+        raise _error(file, location, str(getattr(error, "problem", None) or "not YAML")) from None
     if not isinstance(value, dict):
         raise _error(file, "file", "holds no object")
     return _with_text_keys(value)
@@ -39,8 +39,8 @@
     return yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
 
 
-def _error(file: str, place: str, message: str) -> DescriptionError:
-    return DescriptionError(file, [DescriptionProblem(place, message)])
+def _error(file: str, location: str, message: str) -> DescriptionError:
+    return DescriptionError(file, [DescriptionProblem(location, message)])
 
 
 def _with_text_keys(value: Any) -> Any:
@@ -60,9 +60,9 @@
         self.file = file
         self.problems: list[DescriptionProblem] = []
 
-    def report(self, place: str, message: str) -> None:
+    def report(self, location: str, message: str) -> None:
         """Add a problem; ``raise_problems`` raises all of them together."""
-        self.problems.append(DescriptionProblem(place, message))
+        self.problems.append(DescriptionProblem(location, message))
 
     def raise_problems(self) -> None:
         """Raise DescriptionError where a problem was reported."""
@@ -80,8 +80,8 @@
         validator = VALIDATORS[str(self.values["openapi"])[:3]](self.values)
         try:
             for error in validator.iter_errors():
-                place = "/".join(str(part) for part in error.absolute_path) or "file"
-                self.report(place, error.message[:MAX_MESSAGE_CHARACTERS])
+                location = "/".join(str(part) for part in error.absolute_path) or "file"
+                self.report(location, error.message[:MAX_MESSAGE_CHARACTERS])
         except Exception as error:
             # The validator's later checks raise on what its earlier ones have reported.
             if not self.problems:
@@ -91,32 +91,32 @@
         """Report each ``$ref`` that points at nothing within the document."""
         self._check_references(self.values, "")
 
-    def _check_references(self, value: Any, place: str) -> None:
+    def _check_references(self, value: Any, location: str) -> None:
         if isinstance(value, list):
             value = dict(enumerate(value))
         if not isinstance(value, dict):
             return
         if isinstance(value.get("$ref"), str):
-            self._target(value["$ref"], place)
+            self._target(value["$ref"], location)
         for key, part in value.items():
-            self._check_references(part, f"{place}/{key}".lstrip("/"))
+            self._check_references(part, f"{location}/{key}".lstrip("/"))
 
-    def resolve(self, value: Any, place: str) -> dict[str, Any]:
+    def resolve(self, value: Any, location: str) -> dict[str, Any]:
         """Follow the references of an object; an empty one, and a problem, where they lead nowhere."""
         for _ in range(MAX_REFERENCE_CHAIN):
             if not isinstance(value, dict):
-                self.report(place, "is no object")
+                self.report(location, "is no object")
                 return {}
             if "$ref" not in value:
                 return value
-            value = self._target(str(value["$ref"]), place)
-        self.report(place, "a $ref that leads to itself")
+            value = self._target(str(value["$ref"]), location)
+        self.report(location, "a $ref that leads to itself")
         return {}
 
-    def _target(self, reference: str, place: str) -> Any:
+    def _target(self, reference: str, location: str) -> Any:
         """Return what a JSON pointer (RFC 6901) within the document points at."""
         if not reference.startswith("#/"):
-            self.report(place, f"$ref {reference!r} leaves the document")
+            self.report(location, f"$ref {reference!r} leaves the document")
             return {}
         value: Any = self.values
         for token in reference[2:].split("/"):
@@ -124,7 +124,7 @@
             if isinstance(value, list):
                 value = {str(index): item for index, item in enumerate(value)}
             if not isinstance(value, dict) or key not in value:
-                self.report(place, f"$ref {reference!r} points nowhere")
+                self.report(location, f"$ref {reference!r} points nowhere")
                 return {}
             value = value[key]
         return value
--- a/orchidlane/routes/errors.py
+++ b/orchidlane/routes/errors.py
@@ -1,4 +1,4 @@
-"""Problems of an API description, each with its place in the document."""
+"""Problems of an API description, each with its location in the document."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 class DescriptionProblem(NamedTuple):
     """One problem: the path of keys to it, joined by slashes, and what is wrong there."""
 
-    place: str
+    location: str
     message: str
 
 
 class DescriptionError(Exception):
-    """All problems of one description; the text has a line ``file: place: message`` for each."""
+    """All problems of one description; the text has a line ``file: location: message`` for each."""
 
     def __init__(self, file: str, problems: list[DescriptionProblem]) -> None:
         self.file = file
         self.problems = problems
-        super().__init__("\n".join(f"{file}: {problem.place}: {problem.message}" for problem in problems))
+        super().__init__("\n".join(f"{file}: {problem.location}: {problem.message}" for problem in problems))
--- a/orchidlane/routes/extension.py
+++ b/orchidlane/routes/extension.py
@@ -51,14 +51,14 @@
 Sources = tuple[Extension, ...]  # nearest first
 
 
-def read_extension(description: Description, holder: dict[str, Any], place: str) -> Extension:
+def read_extension(description: Description, holder: dict[str, Any], location: str) -> Extension:
     """Return the extension of an object, an empty one where it has none or where it can't be read."""
     if NAME not in holder:
         return Extension()
     try:
         return msgspec.convert(holder[NAME], Extension)
     except msgspec.ValidationError as error:
-        description.report(f"{place}/{NAME}".lstrip("/"), str(error))
+        description.report(f"{location}/{NAME}".lstrip("/"), str(error))
         return Extension()
 
 
--- a/orchidlane/routes/request_classes.py
+++ b/orchidlane/routes/request_classes.py
@@ -17,9 +17,9 @@
 Choice = TypeVar("Choice", bound=enum.Enum)
 
 
-class _KnownClass(NamedTuple):
+class _Definition(NamedTuple):
     request_class: RequestClass
-    place: str
+    location: str
 
 
 class RequestClasses:
@@ -28,7 +28,7 @@
     def __init__(self, description: Description, root: Extension) -> None:
         self._description = description
         self._root = root
-        self._known: dict[str, _KnownClass] = {}
+        self._definitions: dict[str, _Definition] = {}
 
     def names(self) -> tuple[str, ...]:
         """Return the names in their final order: as declared, then by first use.
@@ -36,48 +36,48 @@
         Operations that move about in the description leave the numbers of the classes alone.
         """
         declared = {name: index for index, name in enumerate(self._root.classes or {})}
-        return tuple(sorted(self._known, key=lambda name: declared.get(name, len(declared))))
+        return tuple(sorted(self._definitions, key=lambda name: declared.get(name, len(declared))))
 
     def values(self) -> tuple[RequestClass, ...]:
         """Return the classes in the order of ``names``."""
-        return tuple(self._known[name].request_class for name in self.names())
+        return tuple(self._definitions[name].request_class for name in self.names())
 
     def declared(self, name: str) -> Extension:
         """Return what the root's ``classes`` says of a class."""
         return (self._root.classes or {}).get(name, Extension())
 
-    def add(self, name: str, method: str, nearer: Sources, place: str) -> None:
+    def add(self, name: str, method: str, nearer: Sources, location: str) -> None:
         """Add the class of an operation; reports one that differs from the same name elsewhere."""
         sources = (*nearer, self.declared(name), self._root)
-        request_class = self._make(name, method, sources, place)
-        known = self._known.setdefault(name, _KnownClass(request_class, place))
-        if known.request_class != request_class:
-            self._description.report(place, f"class {name} differs from the one at {known.place}")
+        request_class = self._make(name, method, sources, location)
+        first = self._definitions.setdefault(name, _Definition(request_class, location))
+        if first.request_class != request_class:
+            self._description.report(location, f"class {name} differs from the one at {first.location}")
 
-    def _make(self, name: str, method: str, sources: Sources, place: str) -> RequestClass:
+    def _make(self, name: str, method: str, sources: Sources, location: str) -> RequestClass:
         idempotency = self._choose(
             "effect",
             inherit(sources, lambda source: source.idempotency),
             Idempotency.IDEMPOTENT if method in SAFE_METHODS else Idempotency.NOT_IDEMPOTENT,
-            place,
+            location,
         )
         scope = self._choose(
             "group",
             inherit(sources, lambda source: source.deduplication_scope),
             DeduplicationScope.ALL,
-            place,
+            location,
         )
         deadline = inherit(sources, lambda source: source.deadline) or DEFAULT_DEADLINE
-        deadline_us = self._duration("deadline", deadline, place)
+        deadline_us = self._duration("deadline", deadline, location)
         objective = inherit(sources, lambda source: source.latency_objective)
-        objective_us = self._duration("aim", objective, place) or deadline_us // DEFAULT_OBJECTIVE_DIVISOR
+        objective_us = self._duration("aim", objective, location) or deadline_us // DEFAULT_OBJECTIVE_DIVISOR
         window_us = self._duration(
-            "window", inherit(sources, lambda source: source.deduplication_window), place
+            "window", inherit(sources, lambda source: source.deduplication_window), location
         )
         if idempotency is Idempotency.IDEMPOTENT_WITH_KEY and not window_us:
-            self._description.report(place, f"class {name} is keyed and states no window")
+            self._description.report(location, f"class {name} is keyed and states no window")
         if objective_us > deadline_us:
-            self._description.report(place, f"class {name} has an aim beyond its deadline")
+            self._description.report(location, f"class {name} has an aim beyond its deadline")
         weight = inherit(sources, lambda source: source.priority_weight)
         late_weight = inherit(sources, lambda source: source.late_priority_weight)
         return RequestClass(
@@ -90,7 +90,7 @@
             deduplication_window_us=window_us,
         )
 
-    def _choose(self, field: str, text: str | None, default: Choice, place: str) -> Choice:
+    def _choose(self, field: str, text: str | None, default: Choice, location: str) -> Choice:
         if not text:
             return default
         choices = type(default)
@@ -98,15 +98,15 @@
             return choices(text)
         except ValueError:
             allowed = ", ".join(choice.value for choice in choices)
-            self._description.report(place, f"found {field} {text!r}, allowed: {allowed}")
+            self._description.report(location, f"found {field} {text!r}, allowed: {allowed}")
             return default
 
-    def _duration(self, field: str, text: str | None, place: str) -> int:
+    def _duration(self, field: str, text: str | None, location: str) -> int:
         """Return a duration in microseconds, 0 where none is stated."""
         if not text:
             return 0
         try:
             return int(Duration.parse(text))
         except ValueError as error:
-            self._description.report(place, f"{field}: {error}")
+            self._description.report(location, f"{field}: {error}")
             return INVALID_DURATION_US
