--- a/orchidlane/cli/admin_client.py
+++ b/orchidlane/cli/admin_client.py
@@ -8,7 +8,7 @@
 from orchidlane import http1
 from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.gateway.telemetry.policy_views import ViewError
-from orchidlane.http1 import Data, End, Malformed, Response
+from orchidlane.http1 import Data, End, ProtocolError, Response
 
 TIMEOUT_SECONDS = 5.0  # for each piece of a response
 RECEIVE_BYTES = 1 << 16
@@ -25,7 +25,7 @@
         with socket.create_connection(admin_address, TIMEOUT_SECONDS) as connection:
             connection.sendall(http1.request_head("GET", target.encode(), [(b"host", b"admin")]))
             yield from _read_body(connection, admin, max_bytes)
-    except Malformed as error:
+    except ProtocolError as error:
         raise ViewError(f"{admin} does not answer as a gateway: {error}") from None
     except TimeoutError:
         raise ViewError(f"{admin} does not answer within {TIMEOUT_SECONDS:g} s") from None
@@ -41,7 +41,7 @@
     while not isinstance(event := parser.next_event(), End):
         match event:
             case None:
-                if parser.ended:
+                if parser.input_ended:
                     raise ViewError(f"{admin} ended its answer early")
                 parser.receive(connection.recv(RECEIVE_BYTES))
             case Response():
--- a/orchidlane/gateway/control/endpoint_watch.py
+++ b/orchidlane/gateway/control/endpoint_watch.py
@@ -14,7 +14,7 @@
 from orchidlane.gateway.control.json_stream import LineTooLongError, read_objects
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import parse_host_port
-from orchidlane.http1 import Malformed
+from orchidlane.http1 import ProtocolError
 from orchidlane.runtime import EventLoop, EventLoopError
 
 CONNECT_TIMEOUT_US = 2_000_000
@@ -62,7 +62,7 @@
             began = self.loop.now()
             try:
                 self._watch()
-            except (EventLoopError, Malformed, LineTooLongError, WatchEventError):
+            except (EventLoopError, ProtocolError, LineTooLongError, WatchEventError):
                 self.failures += 1
                 self.notify(policy.EndpointListReceived(policy.EndpointListKind.FAILED, 0, ()))
             lasted_us = self.loop.now() - began
--- a/orchidlane/gateway/control/json_stream.py
+++ b/orchidlane/gateway/control/json_stream.py
@@ -63,7 +63,7 @@
 
     Blank lines are left out, but they count as a sign of life, as objects do; bytes that complete neither
     don't. Raises ConnectionFailedError unless the status is 200, ConnectionClosedError at the end of the
-    response, DeadlineExceededError after a silence, Malformed, LineTooLongError.
+    response, DeadlineExceededError after a silence, ProtocolError, LineTooLongError.
     """
     parser = http1.ResponseParser()
     splitter = JsonObjectSplitter(max_bytes)
@@ -72,7 +72,7 @@
         event = parser.next_event()
         if event is None:
             parser.receive(stream.recv(deadline=deadline))
-            if parser.ended and parser.next_event() is None:
+            if parser.input_ended and parser.next_event() is None:
                 raise ConnectionClosedError("the endpoint list ended")
         elif isinstance(event, Response):
             if event.status != 200:
--- a/orchidlane/gateway/forwarding/attempt.py
+++ b/orchidlane/gateway/forwarding/attempt.py
@@ -197,7 +197,7 @@
         stream = connection.stream
         sent_before = stream.sent_bytes
         self.began = self.loop.now()
-        connection.parser.expect(self.request.head.method)
+        connection.parser.expect_response_to(self.request.head.method)
         connection.has_response_bytes = False
         exchange = EndpointExchange(self.loop, connection, self.request, self.deadline)
         try:
@@ -222,7 +222,7 @@
             result = self._receive(exchange)
         except DeadlineExceededError:
             return AttemptResult(Outcome.TIMED_OUT)
-        except (ConnectionClosedError, http1.Malformed):
+        except (ConnectionClosedError, http1.ProtocolError):
             result = AttemptResult(Outcome.CONNECTION_BROKEN)
         was_lost = not connection.has_response_bytes
         self.starter.pool.reuse.record(connection.idle_us, was_lost, self.loop.now())
@@ -284,7 +284,7 @@
                     return AttemptResult(Outcome.SERVED)
         except BaseException as error:
             stream.end(broken=True)
-            if isinstance(error, ConnectionClosedError | DeadlineExceededError | http1.Malformed):
+            if isinstance(error, ConnectionClosedError | DeadlineExceededError | http1.ProtocolError):
                 return AttemptResult(Outcome.SERVED)
             raise
         stream.end(broken=False, trailers=event.trailers)
--- a/orchidlane/gateway/forwarding/connection_pool.py
+++ b/orchidlane/gateway/forwarding/connection_pool.py
@@ -35,7 +35,7 @@
 
     __slots__ = ("address", "has_response_bytes", "idle_since", "idle_us", "parser", "stream")
 
-    def __init__(self, stream: Stream, limits: http1.Limits, address: Address) -> None:
+    def __init__(self, stream: Stream, limits: http1.ParserLimits, address: Address) -> None:
         self.stream = stream
         self.parser = http1.ResponseParser(limits)
         self.address = address
@@ -56,9 +56,9 @@
         )
         self.max_per_endpoint = resource_limits.max_connections_per_endpoint
         self.max_total = resource_limits.max_endpoint_connections
-        self.parser_limits = http1.Limits(
-            head=resource_limits.max_request_head_bytes * RESPONSE_HEAD_FACTOR,
-            headers=resource_limits.max_request_headers,
+        self.parser_limits = http1.ParserLimits(
+            max_head_bytes=resource_limits.max_request_head_bytes * RESPONSE_HEAD_FACTOR,
+            max_header_lines=resource_limits.max_request_headers,
         )
         self.open_connections = 0
         self.reuse = ReuseStatistics(loop.now())
--- a/orchidlane/gateway/forwarding/endpoint_exchange.py
+++ b/orchidlane/gateway/forwarding/endpoint_exchange.py
@@ -90,7 +90,7 @@
     def receive_final_head(self, forwards_interim_responses: bool) -> Response:
         """Read the head of the final response; pass interim ones to the client where that is wanted.
 
-        Raises DeadlineExceededError, ConnectionClosedError, Malformed.
+        Raises DeadlineExceededError, ConnectionClosedError, ProtocolError.
         """
         for _ in range(MAX_INTERIM_RESPONSES):
             event = self.next_event()
@@ -100,12 +100,12 @@
             # the gateway itself sends 100 to clients; others are forwarded (RFC 9110 section 15.2)
             if event.status > CONTINUE and forwards_interim_responses:
                 self.request.add_interim_response(event)
-        raise http1.Malformed(502, "interim answers without end")
+        raise http1.ProtocolError(502, "interim answers without end")
 
     def next_event(self) -> http1.Event:
         """Read the next event of the response.
 
-        Raises DeadlineExceededError, ConnectionClosedError, Malformed.
+        Raises DeadlineExceededError, ConnectionClosedError, ProtocolError.
         """
         connection = self.connection
         parser = connection.parser
@@ -121,7 +121,7 @@
 
     def drain(self, head: Response) -> bool:
         """Read a short body that nobody wants; return whether the connection can be reused."""
-        if not head.keep_alive or head.length is None or head.length > MAX_DRAINED_BYTES:
+        if not head.keep_alive or head.body_length is None or head.body_length > MAX_DRAINED_BYTES:
             return False
         while not isinstance(self.next_event(), End):
             pass
@@ -129,7 +129,7 @@
 
     def finish(self, head: Response) -> bool:
         """Note the response's end; return whether the connection can be reused."""
-        if not head.keep_alive or self.connection.parser.pending:
+        if not head.keep_alive or self.connection.parser.pending_bytes:
             return False
         self.connection.parser.next_message()
         return True
--- a/orchidlane/gateway/rollout_agent/admin_client.py
+++ b/orchidlane/gateway/rollout_agent/admin_client.py
@@ -7,7 +7,7 @@
 from orchidlane import http1
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import parse_host_port
-from orchidlane.http1 import Data, End, Malformed, Response
+from orchidlane.http1 import Data, End, ProtocolError, Response
 from orchidlane.rollout.version import compute_seal
 from orchidlane.runtime import (
     ConnectionClosedError,
@@ -91,7 +91,7 @@
     try:
         stream.send(http1.request_head(method, target, fields) + body, deadline_us)
         return _receive_response(stream, method, deadline_us, max_response_bytes)
-    except (ConnectionClosedError, DeadlineExceededError, Malformed) as error:
+    except (ConnectionClosedError, DeadlineExceededError, ProtocolError) as error:
         raise AdminCallError(f"no whole answer: {error or 'in time'}") from None
     finally:
         stream.close()
@@ -100,14 +100,14 @@
 def _receive_response(
     stream: Stream, method: str, deadline_us: int, max_response_bytes: int
 ) -> AdminResponse:
-    parser = http1.ResponseParser(http1.Limits(body=max_response_bytes))
-    parser.expect(method)
+    parser = http1.ResponseParser(http1.ParserLimits(max_body_bytes=max_response_bytes))
+    parser.expect_response_to(method)
     status = 0
     body = bytearray()
     while True:
         match parser.next_event():
             case None:
-                if parser.ended:
+                if parser.input_ended:
                     raise AdminCallError("the answer ended early")
                 parser.receive(stream.recv(deadline=deadline_us))
             case Response() as response:
--- a/orchidlane/gateway/server/client_connection.py
+++ b/orchidlane/gateway/server/client_connection.py
@@ -47,7 +47,7 @@
         "task",
     )
 
-    def __init__(self, stream: Stream, limits: http1.Limits, now: int, number: int) -> None:
+    def __init__(self, stream: Stream, limits: http1.ParserLimits, now: int, number: int) -> None:
         self.stream = stream
         self.number = number
         self.parser = http1.RequestParser(limits)
@@ -59,7 +59,7 @@
 
     def has_more(self) -> bool:
         """Return whether bytes, or the end, have arrived beyond what was used, read by us or not yet."""
-        return bool(self.parser.pending) or self.stream.has_input()
+        return bool(self.parser.pending_bytes) or self.stream.has_input()
 
 
 def send_all(stream: Stream, data: bytes, deadline: int) -> None:
--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -43,11 +43,11 @@
         self.scope = scope
         self.metrics = host.metrics
         self.draining = False
-        self.limits = http1.Limits(
-            line=terms.resource_limits.max_request_line_bytes,
-            head=terms.resource_limits.max_request_head_bytes,
-            headers=terms.resource_limits.max_request_headers,
-            body=terms.resource_limits.max_request_body_bytes,
+        self.limits = http1.ParserLimits(
+            max_line_bytes=terms.resource_limits.max_request_line_bytes,
+            max_head_bytes=terms.resource_limits.max_request_head_bytes,
+            max_header_lines=terms.resource_limits.max_request_headers,
+            max_body_bytes=terms.resource_limits.max_request_body_bytes,
         )
         self.connections: dict[Connection, None] = {}
         self.newcomers: dict[Connection, None] = {}  # those that asked nothing yet, the oldest first
--- a/orchidlane/gateway/server/request_handler.py
+++ b/orchidlane/gateway/server/request_handler.py
@@ -16,7 +16,7 @@
 from orchidlane.gateway.server.client_connection import Connection
 from orchidlane.gateway.server.request_reader import ReaderState, RequestReader
 from orchidlane.gateway.server.response_writer import CONTINUE, ResponseWriter
-from orchidlane.http1 import Malformed, Request
+from orchidlane.http1 import ProtocolError, Request
 from orchidlane.runtime import ConnectionClosedError, DeadlineExceededError
 
 OVERDUE_US = 5_000  # beyond a request's time: then the policy's answer is waited for no more
@@ -64,7 +64,7 @@
         server = self._server
         try:
             head = self._reader.read_head(connection)
-        except Malformed as error:
+        except ProtocolError as error:
             connection.between = False
             return self._reject_malformed(connection, error)
         connection.between = False
@@ -76,7 +76,7 @@
         if isinstance(understood, ClientResponse):
             if 400 <= understood.status < 500:  # the client's own fault; what is ours is said at once
                 self._pause(connection)
-            return self._respond(connection, head, understood, body_read=head.length == 0)
+            return self._respond(connection, head, understood, body_read=head.body_length == 0)
         return self._handle_call(connection, head, understood)
 
     def _handle_call(self, connection: Connection, head: Request, call: Call) -> bool:
@@ -89,7 +89,7 @@
             server.newcomers.pop(connection, None)
             server.host.request_arrived(exchange, max(1, exchange.deadline - server.loop.now()))
             self._await_answer(connection, exchange)
-        except Malformed as error:
+        except ProtocolError as error:
             server.host.client_disconnected(exchange)
             return self._reject_malformed(connection, error)
         except BaseException:
@@ -100,7 +100,7 @@
         server.clients.before_response(exchange, answer, server.loop.now() - exchange.arrived)
         return self._respond(connection, head, answer, body_read=exchange.body.is_complete)
 
-    def _reject_malformed(self, connection: Connection, error: Malformed) -> bool:
+    def _reject_malformed(self, connection: Connection, error: ProtocolError) -> bool:
         self._server.metrics.malformed += 1
         if error.status != REQUEST_TIMEOUT:  # that took its time
             self._pause(connection)
@@ -124,7 +124,7 @@
             number=server.host.next_number(),
             head=head,
             call=call,
-            body=RequestBody(server.loop, server.bounds.max_replay_bytes, head.length),
+            body=RequestBody(server.loop, server.bounds.max_replay_bytes, head.body_length),
             task=task,
             deadline=connection.since + call.timeout_us - server.times.response_margin_us,
             arrived=connection.since,
@@ -163,7 +163,7 @@
                 if exchange.response is None:
                     raise ConnectionClosedError("no answer in its time") from None
             elif exchange.response is None:
-                raise Malformed(REQUEST_TIMEOUT, "the body took too long") from None
+                raise ProtocolError(REQUEST_TIMEOUT, "the body took too long") from None
 
     def _read_on(self, connection: Connection, exchange: PendingRequest) -> bool:
         """Take what the client sent; where there is nothing, return False: the task is woken by more."""
@@ -186,7 +186,7 @@
     def _is_at_bound(self, connection: Connection, body: RequestBody) -> bool:
         """Return whether no more may be read: then a client's end lies behind bytes that stay unread."""
         if body.is_complete:
-            return connection.parser.pending >= self._server.bounds.max_pipelined_bytes
+            return connection.parser.pending_bytes >= self._server.bounds.max_pipelined_bytes
         if body.is_full:
             assert self._server.loop.current is not None
             body.wake_when_not_full(self._server.loop.current)
@@ -208,7 +208,7 @@
         if server.watcher is not None:
             server.watcher.idle(connection.number, connection.parser.unread)
         connection.parser.next_message()
-        if connection.parser.pending:
+        if connection.parser.pending_bytes:
             connection.since = connection.last_recv
         server.loop.yield_sometimes()
         return True
--- a/orchidlane/gateway/server/request_reader.py
+++ b/orchidlane/gateway/server/request_reader.py
@@ -8,7 +8,7 @@
 from orchidlane.gateway.forwarding.protocol_adapter import Timeouts
 from orchidlane.gateway.forwarding.request_body import RequestBody
 from orchidlane.gateway.server.client_connection import Connection, Watcher, recv_watched
-from orchidlane.http1 import Data, End, Malformed, Request
+from orchidlane.http1 import Data, End, ProtocolError, Request
 from orchidlane.runtime import ConnectionClosedError, DeadlineExceededError, EventLoop
 
 
@@ -33,7 +33,7 @@
     def read_head(self, connection: Connection) -> Request | None:
         """Return the next head, None where the client left or stayed silent between requests.
 
-        Raises Malformed for a head that is cut or takes too long.
+        Raises ProtocolError for a head that is cut or takes too long.
         """
         server, parser = self._server, connection.parser
         is_known = connection.known
@@ -41,7 +41,7 @@
         resting = server.idle if is_known else server.newcomers
         resting[connection] = None
         try:
-            if not parser.pending and not self._wait_for_request(connection):
+            if not parser.pending_bytes and not self._wait_for_request(connection):
                 return None
         except DeadlineExceededError:
             return None
@@ -51,10 +51,10 @@
         while (event := parser.next_event()) is None:
             try:
                 if not self._receive(connection, deadline - server.loop.now()):
-                    parser.next_event()  # raises Malformed for a head that was cut
+                    parser.next_event()  # raises ProtocolError for a head that was cut
                     return None
             except DeadlineExceededError:
-                raise Malformed(408, "the head took too long") from None
+                raise ProtocolError(408, "the head took too long") from None
         assert isinstance(event, Request)
         return event
 
@@ -99,14 +99,14 @@
     def received(self, connection: Connection, data: bytes) -> None:
         """Give bytes that were read to the parser, and note when they arrived."""
         connection.last_recv = self._server.loop.now()
-        if not connection.parser.pending:
+        if not connection.parser.pending_bytes:
             connection.since = connection.last_recv
         connection.parser.receive(data)
 
     def read_complete(self, connection: Connection, exchange: PendingRequest) -> None:
         """Read a request to its end, where it begins with its last byte: nobody is notified of it before.
 
-        Raises Closed where the client left, Malformed where the body takes too long.
+        Raises Closed where the client left, ProtocolError where the body takes too long.
         """
         server = self._server
         deadline = self._head_deadline(connection)
@@ -117,7 +117,7 @@
                 if not self._receive(connection, deadline - server.loop.now()):
                     raise ConnectionClosedError("the client left")
             except DeadlineExceededError:
-                raise Malformed(408, "the body took too long") from None
+                raise ProtocolError(408, "the body took too long") from None
             self.transfer(connection, body)
         exchange.arrived = connection.last_recv
         exchange.deadline = exchange.arrived + exchange.call.timeout_us - server.times.response_margin_us
--- a/orchidlane/gateway/server/response_writer.py
+++ b/orchidlane/gateway/server/response_writer.py
@@ -53,7 +53,7 @@
     def write_hints(self, connection: Connection, exchange: PendingRequest) -> None:
         """Write the interim responses of an endpoint; HTTP/1.0 has none (RFC 9110 section 15.2)."""
         hints, exchange.interim_responses = exchange.interim_responses, []
-        if not exchange.head.minor:
+        if not exchange.head.minor_version:
             return
         for hint in hints:
             data = http1.response_head(hint.status, http1.end_to_end(hint.headers))
@@ -65,7 +65,7 @@
         """Forward a large answer piece by piece; reset where its endpoint failed, so that the cut shows."""
         pieces = answer.stream
         assert pieces is not None
-        is_chunked = head.minor == 1
+        is_chunked = head.minor_version == 1
         loop, times = self._server.loop, self._server.times
         headers = answer.headers
         if is_chunked:
--- a/orchidlane/gateway/telemetry/admin_api.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -20,7 +20,7 @@
 from orchidlane.gateway.telemetry.policy_host import PolicyHost, PolicyNames
 from orchidlane.gateway.telemetry.policy_views import ViewedCustomer, encode_view
 from orchidlane.gateway.telemetry.state_stream import StateStream
-from orchidlane.http1 import Data, End, Malformed, Request
+from orchidlane.http1 import Data, End, ProtocolError, Request
 from orchidlane.runtime import (
     BACKGROUND,
     ConnectionClosedError,
@@ -106,7 +106,7 @@
                 self._send_state(stream)
             else:
                 self._send(stream, self._answer(request.target))
-        except (ConnectionClosedError, DeadlineExceededError, Malformed):
+        except (ConnectionClosedError, DeadlineExceededError, ProtocolError):
             pass
         finally:
             stream.close()
@@ -116,7 +116,7 @@
         deadline = self.loop.now() + IO_TIMEOUT_US
         while (event := parser.next_event()) is None:
             parser.receive(stream.recv(deadline=deadline))
-            if parser.ended:
+            if parser.input_ended:
                 return None
         assert isinstance(event, Request)
         return event
@@ -125,7 +125,7 @@
         self, stream: Stream, parser: http1.RequestParser, head: Request, rollout: RolloutApi
     ) -> None:
         """Serve a call about the fleet's versions, within its bounds."""
-        too_large = head.length is not None and head.length > rollout.max_body_bytes
+        too_large = head.body_length is not None and head.body_length > rollout.max_body_bytes
         if self._rollout_calls >= MAX_ROLLOUT_CALLS or too_large:
             self._send(stream, _Response(503, b"too many calls, or one that is too large\n"))
             return
@@ -153,7 +153,7 @@
                     break
             elif event is None:
                 parser.receive(stream.recv(deadline=min(deadline, self.loop.now() + IO_TIMEOUT_US)))
-                if parser.ended:
+                if parser.input_ended:
                     return None
         return bytes(body)
 
--- a/orchidlane/http1/events.py
+++ b/orchidlane/http1/events.py
@@ -10,18 +10,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class ParserLimits:
     """Bounds of one message, in bytes but for the counts."""
 
-    line: int = 8_192  # request or status line
-    head: int = 32_768  # all of a head, first line included
-    headers: int = 100  # header lines, and again trailer lines
-    body: int = 1 << 40
-    chunk_line: int = 256  # size and extensions of one chunk
-    chunk_size: int = 1 << 31
+    max_line_bytes: int = 8_192  # request or status line
+    max_head_bytes: int = 32_768  # all of a head, first line included
+    max_header_lines: int = 100  # header lines, and again trailer lines
+    max_body_bytes: int = 1 << 40
+    max_chunk_line_bytes: int = 256  # size and extensions of one chunk
+    max_chunk_bytes: int = 1 << 31
 
 
-class Malformed(Exception):
+class ProtocolError(Exception):
     """The other side broke the protocol; ``status`` is what a server answers (RFC 9110 section 15)."""
 
     def __init__(self, status: int, detail: str) -> None:
@@ -35,9 +35,9 @@
 
     method: str
     target: bytes
-    minor: int  # 0 or 1: the version is HTTP/1.minor
+    minor_version: int  # 0 or 1: the version is HTTP/1.minor
     headers: Headers
-    length: int | None
+    body_length: int | None
     keep_alive: bool
     expects_continue: bool
 
@@ -47,9 +47,9 @@
 
     status: int
     reason: bytes
-    minor: int
+    minor_version: int
     headers: Headers
-    length: int | None
+    body_length: int | None
     keep_alive: bool
 
 
--- a/orchidlane/http1/parser.py
+++ b/orchidlane/http1/parser.py
@@ -8,7 +8,7 @@
     UNTIL_END -> DONE when the input ends (responses only)
     DONE -> IDLE by ``next_message``: bytes that came early wait until then (pipelining)
 
-Any breach raises ``Malformed`` and leaves the parser dead: what follows can't be told from an attack
+Any breach raises ``ProtocolError`` and leaves the parser dead: what follows can't be told from an attack
 (RFC 9112 section 11.2), so nothing is ever guessed. Bytes are fed by ``receive``, events taken by
 ``next_event`` until it gives None; a parser holds no more than one head or one chunk line beyond what the
 caller fed it at a time.
@@ -25,8 +25,8 @@
     End,
     Event,
     Headers,
-    Limits,
-    Malformed,
+    ParserLimits,
+    ProtocolError,
     Request,
     Response,
     header_tokens,
@@ -66,10 +66,10 @@
 class _Parser:
     """What both sides share."""
 
-    def __init__(self, limits: Limits | None = None) -> None:
-        self.limits = limits or Limits()
+    def __init__(self, limits: ParserLimits | None = None) -> None:
+        self.limits = limits or ParserLimits()
         self.state = State.IDLE
-        self.ended = False  # the other side sends no more
+        self.input_ended = False  # the other side sends no more
         self._buffer = bytearray()
         self._searched = 0  # no end of a head lies before this place
         self._left = 0  # of a body or chunk of known length
@@ -79,7 +79,7 @@
         self._empty_lines = 0
 
     @property
-    def pending(self) -> int:
+    def pending_bytes(self) -> int:
         """Bytes that were fed and not yet told."""
         return len(self._buffer)
 
@@ -88,13 +88,13 @@
         if data:
             self._buffer += data
         else:
-            self.ended = True
+            self.input_ended = True
 
     def next_event(self) -> Event | None:
-        """The next event, or None until more bytes come. Raises Malformed."""
+        """The next event, or None until more bytes come. Raises ProtocolError."""
         try:
             return self._STEPS[self.state](self)
-        except Malformed:
+        except ProtocolError:
             self.state = State.DEAD
             raise
 
@@ -119,15 +119,15 @@
         if end < 0:
             self._check_unfinished_head()
             return None
-        if end > self.limits.head:
-            raise Malformed(self._too_long(), "the head is too long")
+        if end > self.limits.max_head_bytes:
+            raise ProtocolError(self._too_long(), "the head is too long")
         head = bytes(buffer[:end])
         del buffer[: end + 4]
         self._searched = 0
         first = head.find(b"\r\n")
         line = head if first < 0 else head[:first]
-        if len(line) > self.limits.line:
-            raise Malformed(self._long_line_status, "the first line is too long")
+        if len(line) > self.limits.max_line_bytes:
+            raise ProtocolError(self._long_line_status, "the first line is too long")
         return self._start(line, self._fields(head[len(line) :]))
 
     def _skip_empty_lines(self) -> None:
@@ -135,25 +135,26 @@
             del self._buffer[:2]
             self._empty_lines += 1
         if self._buffer[:2] == b"\r\n":
-            raise Malformed(400, "empty lines in place of a message")
+            raise ProtocolError(400, "empty lines in place of a message")
 
     def _check_unfinished_head(self) -> None:
         buffer = self._buffer
         at = buffer.find(b"\n", self._searched)
         while at >= 0:  # a bare LF would otherwise be waited upon for ever
             if at == 0 or buffer[at - 1] != 13:
-                raise Malformed(400, "a line ends with a bare LF")
+                raise ProtocolError(400, "a line ends with a bare LF")
             at = buffer.find(b"\n", at + 1)
         self._searched = max(0, len(buffer) - 1)
-        if len(buffer) > self.limits.head or (
-            len(buffer) > self.limits.line and buffer.find(b"\r\n", 0, self.limits.line + 2) < 0
+        if len(buffer) > self.limits.max_head_bytes or (
+            len(buffer) > self.limits.max_line_bytes
+            and buffer.find(b"\r\n", 0, self.limits.max_line_bytes + 2) < 0
         ):
-            raise Malformed(self._too_long(), "the head is too long")
-        if self.ended and buffer:
-            raise Malformed(400, "the input ended within a head")
+            raise ProtocolError(self._too_long(), "the head is too long")
+        if self.input_ended and buffer:
+            raise ProtocolError(400, "the input ended within a head")
 
     def _too_long(self) -> int:
-        first = self._buffer.find(b"\r\n", 0, self.limits.line + 2)
+        first = self._buffer.find(b"\r\n", 0, self.limits.max_line_bytes + 2)
         return self._long_line_status if first < 0 else 431
 
     _long_line_status = 400
@@ -161,19 +162,19 @@
     def _fields(self, block: bytes) -> Headers:
         """All header lines, each after its CRLF: in one go, or line by line to say what is wrong."""
         count = block.count(b"\r\n")
-        if count > self.limits.headers:
-            raise Malformed(431, "too many header lines")
+        if count > self.limits.max_header_lines:
+            raise ProtocolError(431, "too many header lines")
         found = FIELDS.findall(block)
         if len(found) != count or block.count(b"\r") != count or block.count(b"\n") != count:
             for line in block.split(b"\r\n")[1:]:
                 self._field(line)
-            raise Malformed(400, "header lines that can't be told apart")
+            raise ProtocolError(400, "header lines that can't be told apart")
         return tuple([(name.lower(), value) for name, value in found])
 
     def _field(self, line: bytes) -> tuple[bytes, bytes]:
         match = FIELD.fullmatch(line)
         if match is None:
-            raise Malformed(400, _what_is_wrong(line))
+            raise ProtocolError(400, _what_is_wrong(line))
         return match[1].lower(), match[2]
 
     def _start(self, line: bytes, headers: Headers) -> Event:
@@ -190,16 +191,16 @@
         codings = [value for name, value in headers if name == b"transfer-encoding"]
         if codings:
             if lengths:
-                raise Malformed(400, "both Content-Length and Transfer-Encoding")
+                raise ProtocolError(400, "both Content-Length and Transfer-Encoding")
             if minor == 0:
-                raise Malformed(400, "Transfer-Encoding in HTTP/1.0")
+                raise ProtocolError(400, "Transfer-Encoding in HTTP/1.0")
             self._check_chunked(codings)
             return None
         if len(lengths) > 1 or not LENGTH_VALUE.fullmatch(lengths[0]):
-            raise Malformed(400, "Content-Length is no single number")
+            raise ProtocolError(400, "Content-Length is no single number")
         length = int(lengths[0])
-        if length > self.limits.body:
-            raise Malformed(413, "the body is too large")
+        if length > self.limits.max_body_bytes:
+            raise ProtocolError(413, "the body is too large")
         return length
 
     def _check_chunked(self, codings: list[bytes]) -> None:
@@ -207,8 +208,8 @@
         if names == [b"chunked"]:
             return
         if b"chunked" in names[:-1] or names[-1] != b"chunked":
-            raise Malformed(400, "chunked is not the final transfer coding")
-        raise Malformed(501, "a transfer coding other than chunked")
+            raise ProtocolError(400, "chunked is not the final transfer coding")
+        raise ProtocolError(501, "a transfer coding other than chunked")
 
     def _enter_body(self, length: int | None) -> None:
         if length is None:
@@ -243,8 +244,8 @@
         return Data(data)
 
     def _check_not_ended(self) -> None:
-        if self.ended:
-            raise Malformed(400, "the input ended within a body")
+        if self.input_ended:
+            raise ProtocolError(400, "the input ended within a body")
 
     def _length(self) -> Event | None:
         event = self._take()
@@ -264,48 +265,51 @@
         end = self._buffer.find(b"\n", 0, most + 2)
         if end < 0:
             if len(self._buffer) > most:
-                raise Malformed(status, "a line of the framing is too long")
+                raise ProtocolError(status, "a line of the framing is too long")
             self._check_not_ended()
             return None
         if end == 0 or self._buffer[end - 1] != 13:
-            raise Malformed(400, "a line ends with a bare LF")
+            raise ProtocolError(400, "a line ends with a bare LF")
         line = bytes(self._buffer[: end - 1])
         del self._buffer[: end + 1]
         return line
 
     def _chunk_line(self) -> Event | None:
-        line = self._line(self.limits.chunk_line, 400)
+        line = self._line(self.limits.max_chunk_line_bytes, 400)
         if line is None:
             return None
         match = CHUNK.fullmatch(line)
         if match is None:
-            raise Malformed(400, "a chunk's size is no number")
+            raise ProtocolError(400, "a chunk's size is no number")
         self._left = int(match[1], 16)
         self._body += self._left
-        if self._left > self.limits.chunk_size or self._body > self.limits.body:
-            raise Malformed(413, "the body is too large")
+        if self._left > self.limits.max_chunk_bytes or self._body > self.limits.max_body_bytes:
+            raise ProtocolError(413, "the body is too large")
         self.state = State.CHUNK if self._left else State.TRAILERS
         return self.next_event()
 
     def _chunk_crlf(self) -> Event | None:
         if len(self._buffer) < 2:
             if self._buffer and self._buffer[0] != 13:
-                raise Malformed(400, "a chunk is longer than its size")
+                raise ProtocolError(400, "a chunk is longer than its size")
             self._check_not_ended()
             return None
         if self._buffer[:2] != b"\r\n":
-            raise Malformed(400, "a chunk is longer than its size")
+            raise ProtocolError(400, "a chunk is longer than its size")
         del self._buffer[:2]
         self.state = State.CHUNK_LINE
         return self.next_event()
 
     def _trailer(self) -> Event | None:
-        while (line := self._line(self.limits.line, 431)) is not None:
+        while (line := self._line(self.limits.max_line_bytes, 431)) is not None:
             if not line:
                 return self._finish()
             self._trailer_bytes += len(line)
-            if len(self._trailers) >= self.limits.headers or self._trailer_bytes > self.limits.head:
-                raise Malformed(431, "too many trailers")
+            if (
+                len(self._trailers) >= self.limits.max_header_lines
+                or self._trailer_bytes > self.limits.max_head_bytes
+            ):
+                raise ProtocolError(431, "too many trailers")
             self._trailers.append(self._field(line))
         return None
 
@@ -314,10 +318,10 @@
             data = bytes(self._buffer)
             self._buffer.clear()
             return Data(data)
-        return self._finish() if self.ended else None
+        return self._finish() if self.input_ended else None
 
     def _dead(self) -> Event | None:
-        raise Malformed(400, "the connection is out of step")
+        raise ProtocolError(400, "the connection is out of step")
 
     _STEPS: ClassVar = {
         State.IDLE: _head,
@@ -340,10 +344,10 @@
     def _start(self, line: bytes, headers: Headers) -> Request:
         match = REQUEST_LINE.fullmatch(line)
         if match is None:
-            raise Malformed(400, "no request line of HTTP")
+            raise ProtocolError(400, "no request line of HTTP")
         method, target, minor = match[1].decode("ascii"), match[2], int(match[4])
         if match[3] != b"1" or minor > 1:
-            raise Malformed(505, "HTTP/1.0 and HTTP/1.1 are spoken here")
+            raise ProtocolError(505, "HTTP/1.0 and HTTP/1.1 are spoken here")
         self._check_host(headers, minor)
         self._check_target(method, target)
         framed = self._frame(headers, minor)
@@ -355,48 +359,48 @@
     def _check_host(self, headers: Headers, minor: int) -> None:
         hosts = [value for name, value in headers if name == b"host"]
         if len(hosts) > 1 or (not hosts and minor == 1):
-            raise Malformed(400, "not exactly one Host")
+            raise ProtocolError(400, "not exactly one Host")
         if hosts and not HOST.fullmatch(hosts[0]):
-            raise Malformed(400, "Host is no authority")
+            raise ProtocolError(400, "Host is no authority")
 
     def _check_target(self, method: str, target: bytes) -> None:
         if method == "CONNECT":
-            raise Malformed(501, "no tunnels here")
+            raise ProtocolError(501, "no tunnels here")
         if target == b"*":
             if method != "OPTIONS":
-                raise Malformed(400, "the target * is for OPTIONS only")
+                raise ProtocolError(400, "the target * is for OPTIONS only")
         elif not target.startswith(b"/") and not re.match(rb"https?://[^/?#@]+(?:[/?]|$)", target, re.I):
-            raise Malformed(400, "the target is neither a path nor an absolute URI")
+            raise ProtocolError(400, "the target is neither a path nor an absolute URI")
         if b"#" in target:
-            raise Malformed(400, "a fragment in the target")
+            raise ProtocolError(400, "a fragment in the target")
 
     def _expects(self, headers: Headers, minor: int) -> bool:
         expected = header_tokens(headers, b"expect")
         if not expected or minor == 0:
             return False
         if expected != [b"100-continue"]:
-            raise Malformed(417, "only 100-continue can be expected")
+            raise ProtocolError(417, "only 100-continue can be expected")
         return True
 
 
 class ResponseParser(_Parser):
     """A client's side: what servers answer. Tell each request's method by ``expect`` before its answer."""
 
-    def __init__(self, limits: Limits | None = None) -> None:
+    def __init__(self, limits: ParserLimits | None = None) -> None:
         super().__init__(limits)
         self._method = "GET"
 
-    def expect(self, method: str) -> None:
+    def expect_response_to(self, method: str) -> None:
         """The next response answers a request of this method."""
         self._method = method
 
     def _start(self, line: bytes, headers: Headers) -> Response:
         match = STATUS_LINE.fullmatch(line)
         if match is None or match[1] != b"1" or int(match[2]) > 1:
-            raise Malformed(502, "no status line of HTTP/1")
+            raise ProtocolError(502, "no status line of HTTP/1")
         status, minor = int(match[3]), int(match[2])
         if status == 101:
-            raise Malformed(502, "an upgrade that nobody asked for")
+            raise ProtocolError(502, "an upgrade that nobody asked for")
         keep = _keeps_alive(headers, minor)
         if status < 200:
             return Response(status, match[4] or b"", minor, headers, 0, keep)  # the final one follows
--- a/orchidlane/platform/discovery_watch.py
+++ b/orchidlane/platform/discovery_watch.py
@@ -8,7 +8,7 @@
 from orchidlane import http1, policy
 from orchidlane.gateway.control.endpoint_list import WatchEventError
 from orchidlane.gateway.control.json_stream import LineTooLongError, read_objects
-from orchidlane.http1 import Malformed
+from orchidlane.http1 import ProtocolError
 from orchidlane.platform.discovery import DiscoveryTracker
 from orchidlane.platform.polling import SILENCE_TIMEOUT_US, PollSchedule
 from orchidlane.runtime import (
@@ -73,7 +73,7 @@
         """Run one poll to its end, which the next one may wait for."""
         try:
             self._read_events(number, address, on_response)
-        except (EventLoopError, Malformed, LineTooLongError, WatchEventError) as error:
+        except (EventLoopError, ProtocolError, LineTooLongError, WatchEventError) as error:
             if str(error) != self._logged_failure:
                 self._logged_failure = str(error)
                 self.log(f"discovery: {error}")
--- a/orchidlane/platform/request_parsing.py
+++ b/orchidlane/platform/request_parsing.py
@@ -139,7 +139,7 @@
 
 
 def _check_idempotency(head: Request, idempotency: Idempotency, key: bytes) -> None:
-    if idempotency is Idempotency.IDEMPOTENT and head.length != 0:
+    if idempotency is Idempotency.IDEMPOTENT and head.body_length != 0:
         raise InvalidRequestError(400, "a request that is safe to repeat has no body")
     if idempotency is Idempotency.IDEMPOTENT_WITH_KEY and not IDEMPOTENCY_KEY.fullmatch(key):
         raise InvalidRequestError(400, "the class needs an idempotency key")
--- a/orchidlane/simulation/clients.py
+++ b/orchidlane/simulation/clients.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from orchidlane import http1
-from orchidlane.http1 import Data, End, Malformed, Response
+from orchidlane.http1 import Data, End, ProtocolError, Response
 from orchidlane.runtime import (
     REQUESTS,
     ConnectionClosedError,
@@ -142,20 +142,20 @@
         version = ""
         try:
             stream.send(self._bytes(request, name, subscriber, kind, by), by)
-            parser.expect(kind.method)
+            parser.expect_response_to(kind.method)
             leaves = loop.backend.random.random() < self.impatient
             until = loop.backend.random.randint(loop.now(), by) if leaves else by + LISTEN_ON
             head = self._answer(stream, parser, until)
             end, status = "answer", head.status
             harmless = status in (429, 503)
             version = (http1.header(head.headers, b"orchidlane-version") or b"").decode("latin-1")
-            extra = parser.pending
+            extra = parser.pending_bytes
             keep = head.keep_alive and not extra
         except DeadlineExceededError:
             end = "left" if leaves else "silence"
         except ConnectionClosedError as closed:
             end = "cut" if "within" in str(closed) else "reset"
-        except Malformed:
+        except ProtocolError:
             end = "cut"
         ended = loop.now()
         if keep:
--- a/orchidlane/simulation/fake_endpoint.py
+++ b/orchidlane/simulation/fake_endpoint.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from orchidlane import http1
-from orchidlane.http1 import Data, End, Malformed, Request
+from orchidlane.http1 import Data, End, ProtocolError, Request
 from orchidlane.runtime import (
     REQUESTS,
     ConnectionClosedError,
@@ -175,7 +175,7 @@
         try:
             while self._one(stream, parser):
                 pass
-        except (ConnectionClosedError, Malformed, DeadlineExceededError):
+        except (ConnectionClosedError, ProtocolError, DeadlineExceededError):
             pass
         finally:
             self.streams.pop(stream, None)
--- a/orchidlane/simulation/fake_servers.py
+++ b/orchidlane/simulation/fake_servers.py
@@ -9,7 +9,7 @@
 from orchidlane import http1
 from orchidlane.gateway.control.endpoint_list import EndpointRecord, WatchEvent
 from orchidlane.gateway.peers.datagrams import HEADER
-from orchidlane.http1 import Malformed, Request
+from orchidlane.http1 import ProtocolError, Request
 from orchidlane.runtime import (
     CONTROL,
     PEERS,
@@ -87,7 +87,7 @@
         try:
             while not isinstance(head := parser.next_event(), Request):
                 parser.receive(stream.recv())
-                if parser.ended:
+                if parser.input_ended:
                     return
             gateway = (http1.header(head.headers, b"user-agent") or b" ").decode().split(" ")[-1]
             stream.send(http1.response_head(200, [(b"transfer-encoding", b"chunked")]))
@@ -100,7 +100,7 @@
             while stream in self.watches:
                 self.loop.sleep(HEARTBEAT)
                 stream.send(http1.chunk(b"\n"), self.loop.now() + HEARTBEAT)
-        except (ConnectionClosedError, DeadlineExceededError, Malformed):
+        except (ConnectionClosedError, DeadlineExceededError, ProtocolError):
             pass
         finally:
             self._drop(stream)
--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -158,7 +158,7 @@
     def answer(self, stream, method: str = "GET", wait: int = 8 * SECOND, parser=None):
         """Read the next final answer on a connection, like ``ask``."""
         parser = parser or http1.ResponseParser()
-        parser.expect(method)
+        parser.expect_response_to(method)
         deadline = self.loop.now() + wait
         head, body = None, b""
         while True:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -309,7 +309,7 @@
             assert house.loop.now() - began <= 200 * MS
             house.loop.sleep(300 * MS)
             assert stream.try_recv() is None
-            assert parser.pending == 0
+            assert parser.pending_bytes == 0
 
         run(timed, test=test)
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -11,8 +11,10 @@
 
 
 def read(data: bytes, parser=None, step: int | None = None):
-    """All events of some bytes, fed in steps; a Malformed one ends them."""
-    parser = parser or http1.RequestParser(http1.Limits(line=200, head=600, headers=8, body=1000))
+    """All events of some bytes, fed in steps; a ProtocolError one ends them."""
+    parser = parser or http1.RequestParser(
+        http1.ParserLimits(max_line_bytes=200, max_head_bytes=600, max_header_lines=8, max_body_bytes=1000)
+    )
     events = []
     pieces = [data] if step is None else [data[i : i + step] for i in range(0, len(data), step)]
     for piece in pieces:
@@ -22,7 +24,7 @@
                 events.append(event)
                 if isinstance(event, http1.End):
                     parser.next_message()
-        except http1.Malformed as wrong:
+        except http1.ProtocolError as wrong:
             return [*events, wrong.status]
     return events
 
@@ -102,11 +104,11 @@
 
 def test_after_a_breach_nothing_more_is_read():
     parser = http1.RequestParser()
-    with pytest.raises(http1.Malformed):
+    with pytest.raises(http1.ProtocolError):
         parser.receive(b"nonsense\r\n\r\n")
         parser.next_event()
     parser.receive(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-    with pytest.raises(http1.Malformed):
+    with pytest.raises(http1.ProtocolError):
         parser.next_event()
 
 
@@ -117,7 +119,7 @@
     parser.receive(data[: min(cut, len(data) - 1)])
     parser.receive(b"")
     events = []
-    with pytest.raises(http1.Malformed):
+    with pytest.raises(http1.ProtocolError):
         while (event := parser.next_event()) is not None:
             events.append(event)
     assert not any(isinstance(e, http1.End) for e in events)
@@ -132,7 +134,7 @@
 
 def test_an_answer_to_head_has_no_body_whatever_its_length_says():
     parser = http1.ResponseParser()
-    parser.expect("HEAD")
+    parser.expect_response_to("HEAD")
     parser.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
     assert parser.next_event().status == 200
     assert parser.next_event() == http1.End()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -69,7 +69,7 @@
     def test(harness: PlatformHarness) -> None:
         assert harness.ask(call("put", body=b"x" * 212, number="aa01"))[::2] == (200, b"ok")
         head = harness.heads[0]
-        assert (head.method, head.target, head.length) == ("POST", b"/put?client=0000000000000001", 212)
+        assert (head.method, head.target, head.body_length) == ("POST", b"/put?client=0000000000000001", 212)
         assert header(head.headers, b"x-request-id") == b"aa01"
         assert header(head.headers, b"idempotency-key") == b"5c0f6e1a"
         assert 0.9 < float(header(head.headers, b"x-timeout")) < 1.0
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -216,7 +216,9 @@
         half.send(raw[:30])
         new_half.send(raw[:30])
         harness.until(
-            lambda: len(front.connections) == 5 and sum(c.parser.pending for c in front.connections) == 60
+            lambda: (
+                len(front.connections) == 5 and sum(c.parser.pending_bytes for c in front.connections) == 60
+            )
         )
         asking.send(call())
         newcomer.send(call())
