--- a/orchidlane/http1/__init__.py
+++ b/orchidlane/http1/__init__.py
@@ -12,7 +12,7 @@
     header,
     header_tokens,
 )
-from orchidlane.http1.parser import RequestParser, ResponseParser
+from orchidlane.http1.message_parser import RequestParser, ResponseParser
 from orchidlane.http1.writer import chunk, end_to_end, last_chunk, request_head, response_head
 
 __all__ = [
