--- a/orchidlane/gateway/forwarding/attempt.py
+++ b/orchidlane/gateway/forwarding/attempt.py
@@ -62,14 +62,14 @@
         self.endpoints = endpoints
         self.times = limits.timeouts
         self.max_buffered_response_bytes = limits.resource_limits.max_buffered_response_bytes
-        self.host: PolicyDriver
+        self.policy_driver: PolicyDriver
         self.pool = ConnectionPool(loop, limits, scope)
         scope.spawn(self.pool.run_sweeper, priority=BACKGROUND, name="sweep")
 
-    def begin(self, request: PendingRequest, number: int, action: policy.SendAttempt) -> None:
+    def start_attempt(self, request: PendingRequest, number: int, action: policy.SendAttempt) -> None:
         """Start an attempt in a task of its own."""
         attempt = Attempt(self, request, number, action)
-        self.host.attempts[request.number, number] = attempt
+        self.policy_driver.attempts[request.number, number] = attempt
         attempt.task = self.scope.spawn(attempt.run, priority=request.task.priority, name="attempt")
 
 
@@ -112,7 +112,7 @@
                 self._end(Outcome.CANCELLED if self.was_sent else Outcome.NOT_SENT, None)
             raise
         except Exception as error:
-            on_failure = self.starter.host.on_failure
+            on_failure = self.starter.policy_driver.on_failure
             if on_failure is None:
                 raise
             on_failure("attempt", error)
@@ -125,7 +125,7 @@
         if outcome is Outcome.ENDPOINT_FULL and self.is_first_sent:
             self.request.first_sent_at = None  # it was not executed: the next attempt counts as the first
         took_us = self.loop.now() - self.began
-        self.starter.host.attempt_ended(
+        self.starter.policy_driver.attempt_ended(
             self.request, self.number, self.endpoint, outcome, took_us, self.load_report, response
         )
 
@@ -154,7 +154,7 @@
         if reason is not None:
             pool.release_unused(self.endpoint, connection)
             if reason is RejectionReason.CLIENT_LEFT:  # its server task may not have run since: it waits, too
-                self.starter.host.client_disconnected(self.request)
+                self.starter.policy_driver.client_disconnected(self.request)
             return NOT_SENT
         return self._run_over(connection)
 
@@ -173,7 +173,7 @@
     def _is_charged(self) -> bool:
         """Charge a request that was unsent at a hand-over: the new process counts its units first."""
         request = self.request
-        remote_quota = self.starter.host.remote_quota
+        remote_quota = self.starter.policy_driver.remote_quota
         if remote_quota is not None and request.was_unsent_at_hand_over and not request.is_charged:
             call = request.call
             request.is_charged = remote_quota.take(call, call.units, call.class_index)
--- a/orchidlane/gateway/forwarding/policy_driver.py
+++ b/orchidlane/gateway/forwarding/policy_driver.py
@@ -66,14 +66,14 @@
         gateway: Gateway,
         metrics: OutcomeCounter,
         clients: ClientAdapter,
-        begin: Callable[[PendingRequest, int, policy.SendAttempt], None],
+        start_attempt: Callable[[PendingRequest, int, policy.SendAttempt], None],
         send_to_peer: Callable[[int, bytes], None],
     ) -> None:
         self.loop = loop
         self.settings = settings
         self.metrics = metrics
         self.clients = clients
-        self.begin = begin
+        self.start_attempt = start_attempt
         self.send_to_peer = send_to_peer
         self.requests: dict[int, PendingRequest] = {}
         self.attempts: dict[tuple[int, int], RunningAttempt] = {}  # by request and attempt number
@@ -247,7 +247,7 @@
             self.on_units_spent(request.call.customer)
         number = request.attempts
         request.attempts += 1
-        self.begin(request, number, action)
+        self.start_attempt(request, number, action)
         self.loop.wake(request.task)  # a client that waits for 100 Continue may go on
 
     def _timer_fired(self, token: int) -> None:
--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -32,7 +32,7 @@
     entry: GatewayEntry
     rank: int
     log: Any
-    host: PolicyDriver
+    policy_driver: PolicyDriver
     incarnation: int
     stopping: bool
     superseded: bool
@@ -67,7 +67,7 @@
         except (*INVALID_STATE_ERRORS, OSError) as error:
             self._log_error("accounts not read", error)
             return 0
-        rules = self.gateway.host.gateway
+        rules = self.gateway.policy_driver.gateway
         rules.accounts.update(accounts)
         rules.idle_queue.extend(accounts)
         return len(accounts)
@@ -131,7 +131,7 @@
         gateway = self.gateway
         about = {**gateway.describe_state(), "until": now + validity_us, "clean": not validity_us}
         names = gateway.state_names()
-        frames = StateStream(gateway.host, gateway.entry.name, gateway.incarnation, 0, names, about)
+        frames = StateStream(gateway.policy_driver, gateway.entry.name, gateway.incarnation, 0, names, about)
         parts = [frames.header]
         try:
             for page in frames:
--- a/orchidlane/gateway/lifecycle/client_transfer.py
+++ b/orchidlane/gateway/lifecycle/client_transfer.py
@@ -10,7 +10,7 @@
 from orchidlane.gateway.forwarding.error_responses import failed
 from orchidlane.gateway.lifecycle.restart_channel import Channel
 from orchidlane.gateway.lifecycle.served_gateway import ServedGateway
-from orchidlane.gateway.server.http_server import Connection
+from orchidlane.gateway.server.http_server import ClientConnection
 from orchidlane.gateway.server.resp_server import Session
 from orchidlane.hot_restart import messages
 from orchidlane.hot_restart.messages import INITIAL_RESP_SESSION, RespSessionState
@@ -64,14 +64,14 @@
 
     # -- handing over
 
-    def hand_over_http(self, channel: Channel, connection: Connection) -> None:
+    def hand_over_http(self, channel: Channel, connection: ClientConnection) -> None:
         """Hand an idle HTTP connection over."""
         retained = RetainedConnection(
             connection.stream.duplicate(),
             HTTP,
             unread=connection.parser.unread,
-            unread_since_us=connection.since,
-            last_received_at_us=connection.last_recv,
+            unread_since_us=connection.unread_since_us,
+            last_received_at_us=connection.last_received_at_us,
         )
         self._hand_over(channel, connection.stream, connection_id(HTTP, connection.number), retained)
 
@@ -81,7 +81,7 @@
         if unread is None:
             session.stream.close()
             return
-        state = RespSessionState(*session.facts)
+        state = session.state
         retained = RetainedConnection(session.stream.duplicate(), RESP, unread=unread, session=state)
         self._hand_over(channel, session.stream, connection_id(RESP, session.number), retained)
 
@@ -183,11 +183,11 @@
         retained = self.retained.pop(identifier)
         stream = self.gateway.loop.backend.adopt_stream(retained.handle)
         if retained.protocol == HTTP:
-            server = self.gateway.front
+            server = self.gateway.http_server
             since = retained.unread_since_us
             server.adopt(stream, retained.unread, since, retained.last_received_at_us, server.next_number())
         else:
-            resp = self.gateway.resp
+            resp = self.gateway.resp_server
             resp.adopt(stream, retained.unread, retained.session, resp.next_number())
 
     def answer_orphaned(self) -> None:
@@ -209,12 +209,12 @@
     def _answer_failed(self, retained: RetainedConnection, stream: Stream) -> None:
         try:
             if retained.protocol == HTTP:
-                self.gateway.front.answer_alone(stream, failed())
+                self.gateway.http_server.respond_to_orphan(stream, failed())
             else:
-                resp = self.gateway.resp
+                resp = self.gateway.resp_server
                 began = retained.state is ConnectionState.REQUEST_STARTED
                 unread = retained.unread if began else None
-                resp.answer_alone(stream, unread, retained.session, resp.next_number())
+                resp.respond_to_orphan(stream, unread, retained.session, resp.next_number())
         except (ConnectionClosedError, DeadlineExceededError):
             stream.close()
 
@@ -222,40 +222,39 @@
 class ConnectionReporter:
     """Reports the new process's clients to the old one, before what could be lost with us happens.
 
-    Implements ``http_server.Watcher``.
+    Implements ``client_connection.ConnectionObserver``.
     """
 
     def __init__(self, channel: Channel, protocol: str) -> None:
         self.channel = channel
         self.protocol = protocol
 
-    def opened(self, number: int, stream: Stream) -> None:
+    def connection_opened(self, number: int, stream: Stream) -> None:
         """Report a new client."""
         identifier = connection_id(self.protocol, number)
         self.channel.send(messages.ConnectionOpened(identifier, self.protocol), stream.duplicate())
 
-    def reading(self, number: int) -> None:
+    def read_started(self, number: int) -> None:
         """Report that bytes are about to be read, and wait until that is sent: they would be lost with us."""
         self.channel.send(messages.ReadStarted(connection_id(self.protocol, number)))
         if self.channel.has_backlog:
             with contextlib.suppress(DeadlineExceededError):
                 self.channel.flush()
 
-    def began(self, number: int) -> None:
+    def request_started(self, number: int) -> None:
         """Report that a request is in progress."""
         self.channel.send(messages.RequestStarted(connection_id(self.protocol, number)))
 
-    def answering(self, number: int) -> None:
+    def response_started(self, number: int) -> None:
         """Report that an answer is about to be written."""
         self.channel.send(messages.ResponseStarted(connection_id(self.protocol, number)))
 
-    def idle(self, number: int, unread: bytes, session: tuple[int, bytes, bool] | None = None) -> None:
+    def connection_idle(self, number: int, unread: bytes, session: RespSessionState | None = None) -> None:
         """Report that no request is in progress, with what was read of the next one."""
-        state = RespSessionState(*session) if session is not None else None
         identifier = connection_id(self.protocol, number)
-        self.channel.send(messages.ConnectionIdle(identifier, unread=unread, session=state))
+        self.channel.send(messages.ConnectionIdle(identifier, unread=unread, session=session))
 
-    def ended(self, number: int) -> None:
+    def connection_closed(self, number: int) -> None:
         """Report that a connection is closed."""
         self.channel.send(messages.ConnectionClosed(connection_id(self.protocol, number)))
 
@@ -277,11 +276,11 @@
         number = connection_number(message.connection_id)
         if message.protocol == HTTP:
             since = message.unread_since_us
-            self.gateway.front.adopt(stream, message.unread, since, message.last_received_at_us, number)
+            self.gateway.http_server.adopt(stream, message.unread, since, message.last_received_at_us, number)
         else:
-            self.gateway.resp.adopt(stream, message.unread, message.session, number)
+            self.gateway.resp_server.adopt(stream, message.unread, message.session, number)
 
-    def return_http(self, connection: Connection) -> None:
+    def return_http(self, connection: ClientConnection) -> None:
         """Return an idle HTTP connection."""
         identifier = connection_id(HTTP, connection.number)
         self.channel.send(messages.ConnectionIdle(identifier, True, connection.parser.unread))
@@ -295,6 +294,6 @@
             self.channel.send(messages.ConnectionClosed(identifier))
             session.stream.close()
             return
-        state = RespSessionState(*session.facts)
+        state = session.state
         self.channel.send(messages.ConnectionIdle(identifier, True, unread, state))
         session.stream.release()
--- a/orchidlane/gateway/lifecycle/new_side.py
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -164,7 +164,9 @@
     def _send_heartbeat(self) -> None:
         gateway = self.gateway
         answers = count_answers(gateway.metrics)
-        self.channel.send(messages.Heartbeat(*answers, gateway.sequence, gateway.host.last_request_number))
+        self.channel.send(
+            messages.Heartbeat(*answers, gateway.sequence, gateway.policy_driver.last_request_number)
+        )
 
     # -- messages of the old process
 
@@ -213,7 +215,7 @@
         gateway.load_configuration(offer.generation + 1)
         gateway.build_parts(self.scope)
         self._built = True
-        self.received_tables = ReceivedTables(gateway.limits.token_owner, gateway.limits.grants)
+        self.received_tables = ReceivedTables(gateway.limit_service.token_owner, gateway.limit_service.grants)
         self.feed(new_process.OfferReceived())
 
     def _receive_socket(self, message: messages.InheritedSocket) -> None:
@@ -228,7 +230,7 @@
         missing = [name for name in self.expected_sockets if name not in self.sockets]
         if missing:
             return self._fail(f"these listeners did not come: {', '.join(missing)}")
-        settings = self.gateway.host.settings
+        settings = self.gateway.policy_driver.settings
         gateway = Gateway(settings, 0, self.loop.now())
         deadline = settings.classes[0].deadline_us
         request = policy.RequestArrived(1, 1, 0, 0, 1.0, deadline, 0, 1, False)
@@ -246,10 +248,10 @@
         }
         old_classes = [old_numbers.get(name) for name in names]
         accounts = self.received_tables.accounts
-        rules = restore_policy(gateway.host.settings, final.policy_state, accounts, old_classes)
+        rules = restore_policy(gateway.policy_driver.settings, final.policy_state, accounts, old_classes)
         recording.track_accounts(rules)
-        gateway.host.resume(rules, final.last_request_id)
-        gateway.limits.load_state(final.limits)
+        gateway.policy_driver.resume(rules, final.last_request_id)
+        gateway.limit_service.load_state(final.limits)
         gateway.tracker.import_state(final.endpoints)
         gateway.inbox.load_peer_rows([tuple(row) for row in final.peers])
         gateway.sequence = final.datagram_sequence
@@ -268,12 +270,12 @@
         granted = (
             class_index is not None
             and not self._returning
-            and self.gateway.host.request_quota(customer, request.units, class_index)
+            and self.gateway.policy_driver.request_quota(customer, request.units, class_index)
         )
         self.channel.send(messages.UnitsReply(request.request_id, granted))
 
     def _send_datagram(self, message: messages.SendDatagram) -> None:
-        limits = self.gateway.limits
+        limits = self.gateway.limit_service
         if message.rank == self.gateway.rank:
             limits.receive(message.rank, message.body)
         else:
@@ -285,24 +287,24 @@
 
     def _record_grant(self, grant: messages.GrantRecorded) -> None:
         span = None if grant.reserved_us < 0 else grant.reserved_us
-        grants = self.gateway.limits.grants
+        grants = self.gateway.limit_service.grants
         grants.add_grant(self.loop.now(), grant.name, grant.customer, grant.units, span)
 
     # -- probation
 
     def _start_probation(self) -> None:
         gateway = self.gateway
-        gateway.front.watcher = ConnectionReporter(self.channel, HTTP)
-        gateway.resp.watcher = ConnectionReporter(self.channel, RESP)
-        gateway.host.on_units_spent = self._report_count
-        gateway.limits.queries.on_foreign_reply = self._pass_reply
+        gateway.http_server.observer = ConnectionReporter(self.channel, HTTP)
+        gateway.resp_server.observer = ConnectionReporter(self.channel, RESP)
+        gateway.policy_driver.on_units_spent = self._report_count
+        gateway.limit_service.queries.on_foreign_reply = self._pass_reply
         gateway.sockets.adopt(self.sockets)
         gateway.start_serving(self.scope)
         self.channel.send(messages.Started())
 
     def _report_count(self, customer: int) -> None:
         """Report a count before the counted request is forwarded: the old process may have to go on."""
-        rules = self.gateway.host.gateway
+        rules = self.gateway.policy_driver.gateway
         account = rules.accounts[customer]
         incarnation, value = account.replica_counts[rules.replica]
         self.channel.send(messages.CustomerCount(customer, *account.key, incarnation, value))
@@ -312,9 +314,9 @@
 
     def _stop_reporting(self) -> None:
         gateway = self.gateway
-        gateway.front.watcher = None
-        gateway.resp.watcher = None
-        gateway.host.on_units_spent = None
+        gateway.http_server.observer = None
+        gateway.resp_server.observer = None
+        gateway.policy_driver.on_units_spent = None
 
     def _end_probation(self) -> None:
         self._stop_reporting()
@@ -349,6 +351,6 @@
         self.scope.spawn(self._await_drained, priority=CONTROL, name="returning")
 
     def _await_drained(self) -> None:
-        while self.gateway.front.connections or self.gateway.resp.sessions:
+        while self.gateway.http_server.connections or self.gateway.resp_server.sessions:
             self.loop.sleep(DRAIN_POLL_INTERVAL_US)
         self.feed(new_process.Drained())
--- a/orchidlane/gateway/lifecycle/old_side.py
+++ b/orchidlane/gateway/lifecycle/old_side.py
@@ -221,9 +221,9 @@
                 if self.successor_units is not None:
                     self.successor_units.receive_reply(message)
             case messages.PeerReply():
-                self.gateway.limits.receive(message.sender, message.body)
+                self.gateway.limit_service.receive(message.sender, message.body)
             case messages.CustomerCount():
-                self.gateway.host.feed(
+                self.gateway.policy_driver.feed(
                     policy.CountRecovered(
                         message.customer,
                         message.plan,
@@ -265,7 +265,7 @@
         gateway = self.gateway
         self._handed_over_at_us = self.loop.now()
         self._baseline = self._take_baseline()
-        self.successor_numbers = UsedNumbers(gateway.sequence, gateway.host.last_request_number)
+        self.successor_numbers = UsedNumbers(gateway.sequence, gateway.policy_driver.last_request_number)
         self._state.complete(channel, copy)
         self.successor_units = SuccessorUnits(channel)
         gateway.delegate_units(self.successor_units)
@@ -284,11 +284,11 @@
 
     def _resume_serving(self) -> None:
         gateway = self.gateway
-        forfeit_ceiling_tokens(gateway.host.gateway)
+        forfeit_ceiling_tokens(gateway.policy_driver.gateway)
         used = self.successor_numbers
         gateway.sequence = used.datagram_sequence + NUMBERS_SKIPPED
-        gateway.host.last_request_number = (
-            max(gateway.host.last_request_number, used.last_request_id) + NUMBERS_SKIPPED
+        gateway.policy_driver.last_request_number = (
+            max(gateway.policy_driver.last_request_number, used.last_request_id) + NUMBERS_SKIPPED
         )
         gateway.resume_serving()
         self.successor_units = None
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -30,7 +30,7 @@
 from orchidlane.gateway.peers.token_requests import LimitService
 from orchidlane.gateway.rollout_agent.admin_api import RolloutAdminApi
 from orchidlane.gateway.rollout_agent.agent import RolloutAgent
-from orchidlane.gateway.server.http_server import Connection, HttpServer
+from orchidlane.gateway.server.http_server import ClientConnection, HttpServer
 from orchidlane.gateway.server.resp_server import RespServer, Session
 from orchidlane.gateway.telemetry.admin_api import AdminApi, AdminSources
 from orchidlane.gateway.telemetry.counters import Gauge
@@ -87,8 +87,8 @@
         self.sequence = 0  # of the latest datagram
         self.peers = [parse_host_port(entry.peer) for entry in fleet.gateways]
         self.sockets = GatewaySockets(loop, fleet, self.entry)
-        self.host: PolicyDriver
-        self.front: HttpServer
+        self.policy_driver: PolicyDriver
+        self.http_server: HttpServer
         self.inbox: Inbox
         self.account_store: AccountStore | None = None
         self.tracker = EndpointListTracker(self.entry.zone, fleet.resource_limits.max_endpoints)
@@ -127,19 +127,19 @@
         """Wait for ``stop``, then until all is answered or the time for it is over."""
         while not self.stopping:
             self.loop.sleep(STOP_POLL_INTERVAL_US)
-        self.front.drain()
+        self.http_server.drain()
         if "resp" in self.sockets:
-            self.resp.drain()
+            self.resp_server.drain()
         deadline = self.loop.now() + self.fleet.timeouts.drain_us
-        while (self.front.connections or self.resp.sessions) and self.loop.now() < deadline:
+        while (self.http_server.connections or self.resp_server.sessions) and self.loop.now() < deadline:
             self.loop.sleep(DRAIN_POLL_INTERVAL_US)
-        self.front.lingering.wait(deadline)
-        self.resp.lingering.wait(deadline)
+        self.http_server.lingering.wait(deadline)
+        self.resp_server.lingering.wait(deadline)
 
     def _finish(self) -> None:
         self.old_side.finish()
-        if self.host.recorder is not None:
-            self.host.recorder.finish()
+        if self.policy_driver.recorder is not None:
+            self.policy_driver.recorder.finish()
         if self.account_store is not None and not self.superseded:
             self.account_store.save_final()
 
@@ -205,22 +205,29 @@
         self.inbox = Inbox(self.secret, self.rank, len(self.peers), self.loop.now(), *intakes)
         self._build_forwarding(settings, scope)
         self.metrics.gauges = {
-            "connections": Gauge("Clients' connections", lambda: len(self.front.connections)),
-            "open_requests": Gauge("Requests under way", lambda: len(self.host.requests)),
+            "connections": Gauge("Clients' connections", lambda: len(self.http_server.connections)),
+            "open_requests": Gauge("Requests under way", lambda: len(self.policy_driver.requests)),
             "nodes": Gauge("Nodes on the list", lambda: len(self.tracker.endpoints)),
             "longest_turn_seconds": Gauge(
                 "Longest turn of the loop", lambda: self.loop.longest_turn_us / 1e6
             ),
         }
-        self.limits = LimitService(self.loop, self.fleet, self.rank, self.host, self.send_limits_datagram)
-        self.resp = RespServer(
-            self.loop, self.fleet, self.limits, lambda: self.configuration, scope, self._unready_reason
+        self.limit_service = LimitService(
+            self.loop, self.fleet, self.rank, self.policy_driver, self.send_limits_datagram
+        )
+        self.resp_server = RespServer(
+            self.loop, self.fleet, self.limit_service, lambda: self.configuration, scope, self._unready_reason
         )
         self._build_admin()
         folder = self.fleet.state_directory
         cache = f"{folder}/{self.entry.name}.nodes.json" if folder else ""
         self.watch = EndpointWatch(
-            self.loop, self.fleet, self.tracker, self.entry.name, cache, lambda event: self.host.feed(event)
+            self.loop,
+            self.fleet,
+            self.tracker,
+            self.entry.name,
+            cache,
+            lambda event: self.policy_driver.feed(event),
         )
 
     def _build_forwarding(self, settings: policy.Settings, scope: TaskGroup) -> None:
@@ -229,7 +236,7 @@
         clients = OpenApiClientAdapter(
             self.fleet,
             lambda: self.configuration,
-            lambda: self.host,
+            lambda: self.policy_driver,
             self.metrics,
             self._unready_reason,
             note,
@@ -237,16 +244,16 @@
         rules = Gateway(settings, self.loop.backend.random.getrandbits(64), self.loop.now())
         track_accounts(rules)
         upstream = AttemptStarter(self.loop, self.fleet, scope, nodes)
-        self.host = PolicyDriver(
-            self.loop, settings, rules, self.metrics, clients, upstream.begin, self._send_to_peer
+        self.policy_driver = PolicyDriver(
+            self.loop, settings, rules, self.metrics, clients, upstream.start_attempt, self._send_to_peer
         )
-        upstream.host = self.host
-        self.front = HttpServer(self.loop, self.fleet, self.host, clients, scope)
+        upstream.policy_driver = self.policy_driver
+        self.http_server = HttpServer(self.loop, self.fleet, self.policy_driver, clients, scope)
 
     def _build_admin(self) -> None:
         sources = AdminSources(
             gateway_name=self.entry.name,
-            host=self.host,
+            host=self.policy_driver,
             metrics=self.metrics,
             find_customer=self._find_customer,
             describe_moment=self.describe_state,
@@ -274,7 +281,7 @@
         self._start_account_store(scope)
         for name in ("http", PEER, "resp", "admin"):
             self.sockets.bind(name)
-        self.host.start()
+        self.policy_driver.start()
         if self.record_to:
             self._start_recorder(scope, self.record_to)
         if self.rollout_agent is not None:
@@ -282,9 +289,9 @@
         scope.spawn(self.watch.run, priority=CONTROL, name="node list")
         scope.spawn(self.watch.run_cache_writer, priority=BACKGROUND, name="node list's cache")
         self._receive_from_others()
-        self.front.listen(self.sockets["http"])
+        self.http_server.listen(self.sockets["http"])
         if "resp" in self.sockets:
-            self.resp.listen(self.sockets["resp"])
+            self.resp_server.listen(self.sockets["resp"])
         self.ready = True
         if self.rollout_agent is None:
             self.when_ready()
@@ -303,8 +310,8 @@
     def _start_recorder(self, scope: TaskGroup, folder: str) -> None:
         names = self.state_names()
         name, describe = self.entry.name, self.describe_state
-        recorder = TrafficRecorder(self.loop, folder, name, self.host, names, self.log, describe)
-        self.host.recorder = recorder
+        recorder = TrafficRecorder(self.loop, folder, name, self.policy_driver, names, self.log, describe)
+        self.policy_driver.recorder = recorder
         scope.spawn(recorder.run, priority=BACKGROUND, name="recorder")
 
     def _receive_from_others(self) -> None:
@@ -333,34 +340,34 @@
     def delegate_units(self, units: SuccessorUnits) -> None:
         """Let another process decide on units from here on; requests held here ask it."""
         self.superseded = True
-        self.host.remote_quota = units
-        self.limits.successor = units
-        for exchange in self.host.requests.values():
+        self.policy_driver.remote_quota = units
+        self.limit_service.successor = units
+        for exchange in self.policy_driver.requests.values():
             exchange.was_unsent_at_hand_over = not exchange.attempts
 
     def stop_accepting(
-        self, pass_http: Callable[[Connection], None], pass_resp: Callable[[Session], None]
+        self, hand_over_http: Callable[[ClientConnection], None], hand_over_resp: Callable[[Session], None]
     ) -> None:
         """Accept nothing more on any socket; clients are passed on between two requests."""
         self.loop.cancel(self._receiving)
         if self.rollout_agent is not None:
             self.rollout_agent.stop()
         self.admin.stop_accepting()
-        self.front.hold(pass_http)
+        self.http_server.stop_accepting(hand_over_http)
         if "resp" in self.sockets:
-            self.resp.hold(pass_resp)
+            self.resp_server.stop_accepting(hand_over_resp)
 
     def resume_serving(self) -> None:
         """Serve again: nobody else does."""
         self.superseded = False
-        self.host.remote_quota = None
-        self.limits.reclaim()
+        self.policy_driver.remote_quota = None
+        self.limit_service.reclaim()
         self._receive_from_others()
         if self.rollout_agent is not None:
             self.rollout_agent.start(self.scope)
-        self.front.resume()
+        self.http_server.resume()
         if "resp" in self.sockets:
-            self.resp.resume()
+            self.resp_server.resume()
 
     # -- peers
 
@@ -395,8 +402,8 @@
             self.metrics.datagrams_received += 1
             kind, sender, body = taken
             if kind == DatagramKind.POLICY:
-                self.host.feed(policy.PeerMessageReceived(sender, body))
+                self.policy_driver.feed(policy.PeerMessageReceived(sender, body))
             elif kind == DatagramKind.ROLLOUT and self.rollout_agent is not None:
                 self.rollout_agent.receive(sender, body)
             else:
-                self.limits.receive(sender, body)
+                self.limit_service.receive(sender, body)
--- a/orchidlane/gateway/lifecycle/served_gateway.py
+++ b/orchidlane/gateway/lifecycle/served_gateway.py
@@ -13,7 +13,7 @@
 from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
 from orchidlane.gateway.peers.datagrams import Inbox
 from orchidlane.gateway.peers.token_requests import LimitService
-from orchidlane.gateway.server.http_server import Connection, HttpServer
+from orchidlane.gateway.server.http_server import ClientConnection, HttpServer
 from orchidlane.gateway.server.resp_server import RespServer, Session
 from orchidlane.gateway.telemetry.metrics import MetricsPage
 from orchidlane.hot_restart.probation import AnswerCounts
@@ -30,10 +30,10 @@
     log: Any
     metrics: MetricsPage
     configuration: ConfigurationSnapshot
-    host: PolicyDriver
-    front: HttpServer
-    resp: RespServer
-    limits: LimitService
+    policy_driver: PolicyDriver
+    http_server: HttpServer
+    resp_server: RespServer
+    limit_service: LimitService
     tracker: EndpointListTracker
     inbox: Inbox
     sockets: GatewaySockets
@@ -55,7 +55,7 @@
         """Let another process decide on units from here on."""
 
     def stop_accepting(
-        self, pass_http: Callable[[Connection], None], pass_resp: Callable[[Session], None]
+        self, hand_over_http: Callable[[ClientConnection], None], hand_over_resp: Callable[[Session], None]
     ) -> None:
         """Accept nothing more, and pass each client on between two requests."""
 
@@ -86,7 +86,7 @@
         "sequence": gateway.sequence,
         "generation": gateway.configuration.generation.number,
         "list": [tracker.epoch, tracker.version, len(tracker.endpoints)],
-        "open": len(gateway.host.requests),
+        "open": len(gateway.policy_driver.requests),
         "draining": gateway.stopping,
         "client_margin": int(gateway.fleet.timeouts.response_margin_us),
     }
--- a/orchidlane/gateway/lifecycle/state_handover.py
+++ b/orchidlane/gateway/lifecycle/state_handover.py
@@ -23,10 +23,10 @@
     def offer(self, channel: Channel) -> None:
         """Pass the sockets, then copy the state while traffic goes on. Raises DeadlineExceededError."""
         self._send_offer(channel)
-        limits = self.gateway.limits
+        limits = self.gateway.limit_service
         copy = PreCopy(
             [
-                AccountsTable(self.gateway.host.gateway),
+                AccountsTable(self.gateway.policy_driver.gateway),
                 NamedTable("tokens", limits.token_owner),
                 NamedTable("grants", limits.grants),
             ]
@@ -81,12 +81,12 @@
         self._copy = None
         channel.send(
             messages.FinalState(
-                policy_state=final_policy_state(gateway.host.gateway),
-                limits=gateway.limits.dump_state(),
+                policy_state=final_policy_state(gateway.policy_driver.gateway),
+                limits=gateway.limit_service.dump_state(),
                 endpoints=msgspec.to_builtins(gateway.tracker.export_state()),
                 peers=[list(row) for row in gateway.inbox.peer_rows()],
                 datagram_sequence=gateway.sequence,
-                last_request_id=gateway.host.last_request_number,
+                last_request_id=gateway.policy_driver.last_request_number,
                 class_names=gateway.configuration.generation.class_names,
             )
         )
--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -51,14 +51,14 @@
         loop: EventLoop,
         fleet: FleetSettings,
         rank: int,
-        host: PolicyDriver,
+        policy_driver: PolicyDriver,
         send: Callable[[int, bytes], None],
     ) -> None:
         self.loop = loop
         self.terms = fleet.quotas
         self.gateway_count = len(fleet.gateways)
         self.rank = rank
-        self.host = host
+        self.policy_driver = policy_driver
         self.started_at_us = loop.now()
         self.token_owner = TokenOwner(self.terms.token_lifetime_us, self.terms.max_tokens, self.started_at_us)
         self.grants = GrantStore(
@@ -104,8 +104,8 @@
 
     def remaining_units(self, customer: Customer) -> float:
         """Return the units that the customer has left, as far as this gateway knows; nothing is changed."""
-        plan = self.host.settings.plans[customer.plan]
-        account = self.host.gateway.accounts.get(customer.number)
+        plan = self.policy_driver.settings.plans[customer.plan]
+        account = self.policy_driver.gateway.accounts.get(customer.number)
         if account is None:
             return plan.burst
         elapsed_us = self.loop.now() - account.refilled_at_us
@@ -114,7 +114,7 @@
 
     def retry_after_us(self, customer: Customer, units: float) -> int:
         """Return the time until so many units should be there; 0 where there is no rate."""
-        plan = self.host.settings.plans[customer.plan]
+        plan = self.policy_driver.settings.plans[customer.plan]
         missing = units - self.remaining_units(customer)
         if not plan.rate or missing <= 0:
             return 0
@@ -127,13 +127,13 @@
         if self.successor is None and self._pay_from_credit(customer, units):
             self.granted += 1
             return True
-        admitted = self.host.request_quota(customer, units, request_class)
+        admitted = self.policy_driver.request_quota(customer, units, request_class)
         self.granted += admitted
         self.rejected += not admitted
         return admitted
 
     def _pay_from_credit(self, customer: Customer, units: float) -> bool:
-        burst = self.host.settings.plans[customer.plan].burst
+        burst = self.policy_driver.settings.plans[customer.plan].burst
         remaining = self.remaining_units(customer)
         return self.grants.pay_from_credit(self.loop.now(), customer.number, units, remaining, burst)
 
--- a/orchidlane/gateway/rollout_agent/adoption.py
+++ b/orchidlane/gateway/rollout_agent/adoption.py
@@ -148,7 +148,7 @@
             event = ReplicaSetChanged(
                 number, customer.plan, customer.replica_set_start, customer.replica_set_size
             )
-            self.process.host.feed(event)
+            self.process.policy_driver.feed(event)
 
     # -- disk
 
--- a/orchidlane/gateway/rollout_agent/process_interface.py
+++ b/orchidlane/gateway/rollout_agent/process_interface.py
@@ -50,7 +50,7 @@
         """The process's logger."""
 
     @property
-    def host(self) -> PolicyFeed:
+    def policy_driver(self) -> PolicyFeed:
         """The driver of the policy."""
 
     def send_rollout_datagram(self, rank: int, body: bytes) -> None:
--- a/orchidlane/gateway/server/accept_loop.py
+++ b/orchidlane/gateway/server/accept_loop.py
@@ -1,4 +1,4 @@
-"""Takes clients from a listener: the one loop of every front."""
+"""Accepts clients from a listener: the loop of both servers."""
 
 from __future__ import annotations
 
@@ -6,23 +6,26 @@
 
 from orchidlane.runtime import ConnectionClosedError, ConnectionFailedError, EventLoop, Listener, Stream
 
-NO_DESCRIPTOR_WAIT = 20_000  # microseconds between two tries to accept without descriptors
+ACCEPT_RETRY_DELAY_US = 20_000  # while no descriptor is free
 
 
 def accept_clients(
     loop: EventLoop,
     listener: Listener,
-    take: Callable[[Stream], None],
-    make_room: Callable[[], object] = lambda: None,
+    accept_client: Callable[[Stream], None],
+    free_descriptor: Callable[[], object] = lambda: None,
 ) -> None:
-    """Give each client to ``take`` until the listener closes; out of descriptors, make room and try again."""
+    """Pass each client to ``accept_client`` until the listener closes.
+
+    Where the process is out of descriptors, ``free_descriptor`` is called and accepting retried.
+    """
     while True:
         try:
             stream = listener.accept()
         except ConnectionClosedError:
             return
         except ConnectionFailedError:
-            make_room()
-            loop.sleep(NO_DESCRIPTOR_WAIT)
+            free_descriptor()
+            loop.sleep(ACCEPT_RETRY_DELAY_US)
             continue
-        take(stream)
+        accept_client(stream)
--- a/orchidlane/gateway/server/client_connection.py
+++ b/orchidlane/gateway/server/client_connection.py
@@ -1,61 +1,71 @@
-"""A client's connection as the servers keep it, and who observes it while another process may need it."""
+"""A client's connection as the servers keep it, and its observer while another process may take it over."""
 
 from __future__ import annotations
 
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from orchidlane import http1
 from orchidlane.runtime import Stream, Task
 
+if TYPE_CHECKING:  # the platform serves no hot restarts and does not load their modules
+    from orchidlane.hot_restart.messages import RespSessionState
 
-class Watcher(Protocol):
-    """Is notified of each connection by its number, before what could be lost with this process happens."""
 
-    def opened(self, number: int, stream: Stream) -> None:
-        """A new client was accepted."""
+class ConnectionObserver(Protocol):
+    """Is notified of each connection, by its number, before anything that could be lost with this process.
 
-    def reading(self, number: int) -> None:
-        """Bytes of it are about to be read."""
+    During the probation of a hot restart the old process follows the new one's connections this way.
+    """
 
-    def began(self, number: int) -> None:
-        """A request of it is in flight."""
+    def connection_opened(self, number: int, stream: Stream) -> None:
+        """Note that a client was accepted."""
 
-    def answering(self, number: int) -> None:
-        """Its response is about to be written."""
+    def read_started(self, number: int) -> None:
+        """Note that bytes are about to be read."""
 
-    def idle(self, number: int, unread: bytes, session: tuple[int, bytes, bool] | None = None) -> None:
-        """No request of it is in flight; what was read of its next request, and what a RESP session knows."""
+    def request_started(self, number: int) -> None:
+        """Note that a request is in flight."""
 
-    def ended(self, number: int) -> None:
-        """It is over."""
+    def response_started(self, number: int) -> None:
+        """Note that a response is about to be written."""
 
+    def connection_idle(self, number: int, unread: bytes, session: RespSessionState | None = None) -> None:
+        """Note that no request is in flight, with what was read of the next one and the RESP state."""
 
-class Connection:
-    """An HTTP client: its stream, its parser, and when the bytes arrived that are not used yet."""
+    def connection_closed(self, number: int) -> None:
+        """Note that the connection is closed."""
+
+
+class ClientConnection:
+    """An HTTP client's stream and parser, and when its bytes arrived; times in microseconds.
+
+    ``unread_since_us`` is when the bytes arrived that belong to the next request, or to the present one
+    while it is read.
+    """
 
     __slots__ = (
-        "between",
-        "known",
-        "last_recv",
+        "has_sent_request",
+        "idle_since_us",
+        "is_between_requests",
+        "is_detached",
+        "last_received_at_us",
         "number",
-        "opened",
-        "over",
+        "opened_at_us",
         "parser",
-        "rested",
-        "since",
         "stream",
         "task",
+        "unread_since_us",
     )
 
     def __init__(self, stream: Stream, limits: http1.Limits, now: int, number: int) -> None:
         self.stream = stream
         self.number = number
         self.parser = http1.RequestParser(limits)
-        self.opened = self.rested = self.since = self.last_recv = now
-        self.known = False  # a complete request of it was understood
+        self.opened_at_us = self.idle_since_us = self.unread_since_us = self.last_received_at_us = now
+        self.has_sent_request = False  # a complete one that was understood
         self.task: Task | None = None
-        self.between = False  # two requests: nothing of the next one is decided
-        self.over = False  # ended, or another process's now: nothing more is read or answered here
+        self.is_between_requests = False  # nothing of the next request is decided
+        self.is_detached = False  # closed or handed over: nothing more is read or answered here
 
     def has_more(self) -> bool:
         """Return whether bytes, or the end, have arrived beyond what was used, read by us or not yet."""
@@ -63,14 +73,17 @@
 
 
 def send_all(stream: Stream, data: bytes, deadline: int) -> None:
-    """Send, and return at once where all is taken, so that what follows runs before other tasks do."""
+    """Send all; return without a switch of tasks where the kernel takes it at once.
+
+    Raises ConnectionClosedError, DeadlineExceededError.
+    """
     sent = stream.try_send(data)
     if sent < len(data):
         stream.send(data[sent:], deadline)
 
 
-def recv_watched(stream: Stream, watcher: Watcher, number: int, deadline: int) -> bytes:
-    """Receive; the watcher is notified before, since the bytes may be lost with this process."""
+def receive_observed(stream: Stream, observer: ConnectionObserver, number: int, deadline: int) -> bytes:
+    """Receive bytes; the observer is notified before, since they could be lost with this process."""
     stream.await_input(deadline)
-    watcher.reading(number)
+    observer.read_started(number)
     return stream.recv(deadline=deadline)
--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -1,7 +1,7 @@
-"""The HTTP server: accepts clients, keeps their connections, makes room, drains, hands connections over.
+"""The HTTP server: accepts clients, limits their number, drains, and hands connections over.
 
-``request_handler`` serves what a connection asks. The servers' one way to end a connection is the lingering
-close (RFC 9112 section 9.6).
+``request_handler`` serves the requests of a connection. Connections are closed by a lingering close (RFC 9112
+section 9.6).
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from orchidlane import http1
 from orchidlane.gateway.forwarding.client_response import ClientResponse
 from orchidlane.gateway.forwarding.protocol_adapter import ClientAdapter, GatewayLimits
-from orchidlane.gateway.server.accept_loop import NO_DESCRIPTOR_WAIT, accept_clients
-from orchidlane.gateway.server.client_connection import Connection, Watcher
-from orchidlane.gateway.server.request_handler import Driver, RequestHandler
+from orchidlane.gateway.server.accept_loop import ACCEPT_RETRY_DELAY_US, accept_clients
+from orchidlane.gateway.server.client_connection import ClientConnection, ConnectionObserver
+from orchidlane.gateway.server.request_handler import RequestDriver, RequestHandler
 from orchidlane.runtime import (
     REQUESTS,
     ConnectionClosedError,
@@ -30,216 +30,237 @@
 
 
 class HttpServer:
-    """Accepts clients and serves them."""
+    """Accepts clients and serves them; connections are kept in the order of their age."""
 
     def __init__(
-        self, loop: EventLoop, terms: GatewayLimits, host: Driver, clients: ClientAdapter, scope: TaskGroup
+        self,
+        loop: EventLoop,
+        gateway_limits: GatewayLimits,
+        policy_driver: RequestDriver,
+        clients: ClientAdapter,
+        scope: TaskGroup,
     ) -> None:
         self.loop = loop
-        self.bounds = terms.resource_limits
-        self.times = terms.timeouts
-        self.host = host
+        self.resource_limits = gateway_limits.resource_limits
+        self.timeouts = gateway_limits.timeouts
+        self.policy_driver = policy_driver
         self.clients = clients
         self.scope = scope
-        self.metrics = host.metrics
+        self.metrics = policy_driver.metrics
         self.draining = False
-        self.limits = http1.Limits(
-            line=terms.resource_limits.max_request_line_bytes,
-            head=terms.resource_limits.max_request_head_bytes,
-            headers=terms.resource_limits.max_request_headers,
-            body=terms.resource_limits.max_request_body_bytes,
+        self.parser_limits = http1.Limits(
+            line=gateway_limits.resource_limits.max_request_line_bytes,
+            head=gateway_limits.resource_limits.max_request_head_bytes,
+            headers=gateway_limits.resource_limits.max_request_headers,
+            body=gateway_limits.resource_limits.max_request_body_bytes,
         )
-        self.connections: dict[Connection, None] = {}
-        self.newcomers: dict[Connection, None] = {}  # those that asked nothing yet, the oldest first
-        self.idle: dict[Connection, None] = {}  # those between two requests, the longest idle first
+        self.connections: dict[ClientConnection, None] = {}
+        self.new_connections: dict[ClientConnection, None] = {}  # without a request so far, the oldest first
+        self.idle_connections: dict[
+            ClientConnection, None
+        ] = {}  # between two requests, the longest idle first
         self.lingering = LingeringConnections(
-            loop, scope, terms.timeouts.linger_us, terms.resource_limits.max_lingering_connections
+            loop,
+            scope,
+            gateway_limits.timeouts.linger_us,
+            gateway_limits.resource_limits.max_lingering_connections,
         )
         self.listener: Listener
-        self.pass_on: Callable[[Connection], None] | None = None  # gets each connection between two requests
-        self.contain: Callable[[str, Exception], None] | None = None  # is told of failures, which end there
-        self.watcher: Watcher | None = None  # is told of connections while another process may need them
-        self.last: int | None = None  # no request that comes from now on is waited for longer
+        self.hand_over: Callable[[ClientConnection], None] | None = (
+            None  # takes each connection between two requests
+        )
+        self.on_failure: Callable[[str, Exception], None] | None = None  # None: failures are raised
+        self.observer: ConnectionObserver | None = None  # while another process may take over
+        self.shutdown_deadline: int | None = None  # of all requests, once we shut down
         self._handler = RequestHandler(self)
-        self._accepting: Task
-        self._leaving: Task | None = None  # waits until no connection is left
-        self._numbers = loop.now()  # a later process of this gateway numbers on from later
+        self._accept_task: Task
+        self._drain_waiter: Task | None = None  # in ``wait_until_closed``
+        self._last_number = loop.now()  # later incarnations start from a higher number
 
     # -- connections
 
     def listen(self, listener: Listener) -> None:
-        """Take clients from a listener."""
+        """Begin to accept clients from a listener."""
         self.listener = listener
-        self._accepting = self.scope.spawn(self._accept, priority=REQUESTS, name="accept")
+        self._accept_task = self.scope.spawn(self._accept, priority=REQUESTS, name="accept")
 
-    def hold(self, pass_on: Callable[[Connection], None]) -> None:
-        """Take no more clients, who wait at the listener; each that we have is passed on between requests."""
-        self.loop.cancel(self._accepting)
-        self.pass_on = pass_on
+    def stop_accepting(self, hand_over: Callable[[ClientConnection], None]) -> None:
+        """Accept no more clients, which wait at the listener; hand over connections between two requests."""
+        self.loop.cancel(self._accept_task)
+        self.hand_over = hand_over
         for connection in list(self.connections):
-            if connection.between:
-                self._pass(connection)
+            if connection.is_between_requests:
+                self._hand_over(connection)
 
     def resume(self) -> None:
-        """Take clients again."""
-        self.pass_on = None
-        self._accepting = self.scope.spawn(self._accept, priority=REQUESTS, name="accept")
+        """Accept clients again."""
+        self.hand_over = None
+        self._accept_task = self.scope.spawn(self._accept, priority=REQUESTS, name="accept")
 
-    def _pass(self, connection: Connection) -> None:
-        assert self.pass_on is not None
+    def _hand_over(self, connection: ClientConnection) -> None:
+        assert self.hand_over is not None
         assert connection.task is not None
         self._remove(connection)
-        self.pass_on(connection)
+        self.hand_over(connection)
         self.loop.cancel(connection.task)
 
-    def _remove(self, connection: Connection) -> None:
-        """Take a connection out of all tables: nothing more is read or answered here."""
-        connection.over = True
-        self.newcomers.pop(connection, None)
-        self.idle.pop(connection, None)
+    def _remove(self, connection: ClientConnection) -> None:
+        """Remove a connection from all tables: nothing more is read or answered here."""
+        connection.is_detached = True
+        self.new_connections.pop(connection, None)
+        self.idle_connections.pop(connection, None)
         self.connections.pop(connection, None)
 
-    def adopt(self, stream: Stream, unread: bytes, since: int, last: int, number: int) -> None:
-        """Serve a client that another process passed on between two requests."""
-        connection = Connection(stream, self.limits, since, number)
-        connection.last_recv = last
+    def adopt(
+        self, stream: Stream, unread: bytes, unread_since_us: int, last_received_at_us: int, number: int
+    ) -> None:
+        """Serve a client that another process handed over between two requests."""
+        connection = ClientConnection(stream, self.parser_limits, unread_since_us, number)
+        connection.last_received_at_us = last_received_at_us
         if unread:
             connection.parser.receive(unread)
-        self._begin(connection)
+        self._start_serving(connection)
 
     def next_number(self) -> int:
-        """A number that no other connection of this front has."""
-        self._numbers += 1
-        return self._numbers
+        """Return a number that no other connection of this server has."""
+        self._last_number += 1
+        return self._last_number
 
     def _accept(self) -> None:
-        """Out of descriptors an idle client gives its own up."""
+        """Accept clients; where the process is out of descriptors, close an idle one."""
         while True:
             try:
-                return accept_clients(self.loop, self.listener, self._take, self._evict)
-            except OSError as wrong:  # a client that was reset before we took it
-                if self.contain is None:
+                return accept_clients(self.loop, self.listener, self._accept_client, self._close_idle)
+            except OSError as error:  # the client was reset before it was accepted
+                if self.on_failure is None:
                     raise
-                self.contain("accept", wrong)
-                self.loop.sleep(NO_DESCRIPTOR_WAIT)
+                self.on_failure("accept", error)
+                self.loop.sleep(ACCEPT_RETRY_DELAY_US)
 
-    def _take(self, stream: Stream) -> None:
-        connection = Connection(stream, self.limits, self.loop.now(), self.next_number())
-        if self.watcher is not None:
-            self.watcher.opened(connection.number, connection.stream)
+    def _accept_client(self, stream: Stream) -> None:
+        connection = ClientConnection(stream, self.parser_limits, self.loop.now(), self.next_number())
+        if self.observer is not None:
+            self.observer.connection_opened(connection.number, connection.stream)
         try:
-            self._make_room()
-        except BaseException:  # we shut down, and it has no task yet that would end it
-            self._forget(connection)
+            self._wait_for_capacity()
+        except BaseException:  # cancelled; the connection has no task yet that would close it
+            self._close(connection)
             raise
-        self._begin(connection)
+        self._start_serving(connection)
 
-    def _begin(self, connection: Connection) -> None:
-        connection.known = not self.times.first_request_us
+    def _start_serving(self, connection: ClientConnection) -> None:
+        connection.has_sent_request = not self.timeouts.first_request_us
         self.connections[connection] = None
-        connection.task = self.scope.spawn(self._client, connection, priority=REQUESTS, name="client")
-
-    def _make_room(self) -> None:
-        """At the bound the client that is idle for longest goes; while all are busy, no more are taken."""
-        while len(self.connections) >= self.bounds.max_connections:
-            if not self._evict():
-                self.loop.sleep(NO_DESCRIPTOR_WAIT)
-
-    def _evict(self) -> bool:
-        """End a client that has no request under way: silent newcomers first, then the longest idle one."""
-        least = self.loop.now() - self.times.min_client_idle_us
-        for resting in (self.newcomers, self.idle):
-            connection = next(iter(resting), None)
-            # Guards against a close that crosses a request: what has come already is served.
-            if connection is not None and connection.rested <= least and not connection.stream.has_input():
-                self._forget(connection)
+        connection.task = self.scope.spawn(self._serve, connection, priority=REQUESTS, name="client")
+
+    def _wait_for_capacity(self) -> None:
+        """Wait until there are fewer connections than the limit; close the longest idle one for that."""
+        while len(self.connections) >= self.resource_limits.max_connections:
+            if not self._close_idle():
+                self.loop.sleep(ACCEPT_RETRY_DELAY_US)
+
+    def _close_idle(self) -> bool:
+        """Close a connection without a request in flight, new ones first; return False if there is none."""
+        idle_before = self.loop.now() - self.timeouts.min_client_idle_us
+        for candidates in (self.new_connections, self.idle_connections):
+            connection = next(iter(candidates), None)
+            # A request that has already arrived is served.
+            if (
+                connection is not None
+                and connection.idle_since_us <= idle_before
+                and not connection.stream.has_input()
+            ):
+                self._close(connection)
                 return True
         return False
 
-    def _forget(self, connection: Connection) -> None:
-        """End a connection, from its own task or, where it has none of its own under way, from another."""
-        if connection.over:
+    def _close(self, connection: ClientConnection) -> None:
+        """Close a connection, from its own task or from another."""
+        if connection.is_detached:
             return
         self._remove(connection)
         self.lingering.close(connection.stream)
-        if self.watcher is not None:
-            self.watcher.ended(connection.number)
+        if self.observer is not None:
+            self.observer.connection_closed(connection.number)
         if connection.task is not None and connection.task is not self.loop.current:
             self.loop.cancel(connection.task)
-        if self._leaving is not None and not self.connections:
-            self.loop.wake(self._leaving)
+        if self._drain_waiter is not None and not self.connections:
+            self.loop.wake(self._drain_waiter)
 
-    def wait_left(self, by: int) -> bool:
-        """Wait until all clients have left and their connections have ended; False where some have not."""
-        self._leaving = self.loop.current
+    def wait_until_closed(self, deadline: int) -> bool:
+        """Wait until all connections are closed; return False if some are not at the deadline."""
+        self._drain_waiter = self.loop.current
         try:
             while self.connections:
-                self.loop.park(by)
+                self.loop.park(deadline)
         except DeadlineExceededError:
             return False
         finally:
-            self._leaving = None
-        self.lingering.wait(by)
+            self._drain_waiter = None
+        self.lingering.wait(deadline)
         return True
 
     def drain(self) -> None:
-        """Take no more connections or requests; what is under way, or has come already, goes on.
+        """Accept no more connections; serve the requests that are in flight or have already arrived.
 
-        Clients that wait at the listener are taken before it closes, which would reset them.
+        Clients that wait at the listener are accepted first: its close would reset them.
         """
         self.draining = True
-        self.loop.cancel(self._accepting)
+        self.loop.cancel(self._accept_task)
         with suppress(ConnectionClosedError, ConnectionFailedError):
-            while len(self.connections) < self.bounds.max_connections:
-                if (stream := self._next_waiting()) is None:
+            while len(self.connections) < self.resource_limits.max_connections:
+                if (stream := self._try_accept()) is None:
                     break
-                self._take(stream)
+                self._accept_client(stream)
         self.listener.close()
-        for connection in [*self.newcomers, *self.idle]:
-            if self._is_at_rest(connection):
-                self._forget(connection)
+        for connection in [*self.new_connections, *self.idle_connections]:
+            if self._is_idle(connection):
+                self._close(connection)
 
-    def _next_waiting(self) -> Stream | None:
+    def _try_accept(self) -> Stream | None:
         while True:
-            with suppress(OSError):  # a client that was reset before we took it
+            with suppress(OSError):  # the client was reset before it was accepted
                 return self.listener.try_accept()
 
-    def _is_at_rest(self, connection: Connection) -> bool:
-        """Whether nothing of a next request has come, as far as our machine knows."""
-        return connection.between and not connection.has_more()
+    def _is_idle(self, connection: ClientConnection) -> bool:
+        """Return whether nothing of a next request has arrived at this machine."""
+        return connection.is_between_requests and not connection.has_more()
 
-    def _client(self, connection: Connection) -> None:
+    def _serve(self, connection: ClientConnection) -> None:
         try:
             while self._serve_next(connection):
                 pass
         except (ConnectionClosedError, DeadlineExceededError):
             pass
-        except BaseException as wrong:
-            if isinstance(wrong, Exception) and self.contain is not None:
-                return self._contain(connection, wrong)
-            if self.watcher is not None and not connection.over:
-                connection.over = True
-                connection.stream.release()  # we fail: the client is whoever's who stands by
+        except BaseException as error:
+            if isinstance(error, Exception) and self.on_failure is not None:
+                return self._handle_failure(connection, error)
+            if self.observer is not None and not connection.is_detached:
+                connection.is_detached = True
+                connection.stream.release()  # the connection goes on in the old process
             raise
         finally:
-            self._forget(connection)
+            self._close(connection)
 
-    def _contain(self, connection: Connection, wrong: Exception) -> None:
-        """A failure within one connection ends that connection, with an answer, and nothing else."""
-        assert self.contain is not None
-        self.contain("client", wrong)
+    def _handle_failure(self, connection: ClientConnection, error: Exception) -> None:
+        """Report a failure within one connection, respond and close that connection only."""
+        assert self.on_failure is not None
+        self.on_failure("client", error)
         with suppress(ConnectionClosedError, DeadlineExceededError):
-            self._handler.respond_alone(connection, self.clients.failed())
+            self._handler.write_last(connection, self.clients.failed())
 
-    def _serve_next(self, connection: Connection) -> bool:
-        """Serve one request, or pass the connection on; return whether it goes on here."""
-        connection.between = True
-        if self.pass_on is not None:
-            self._pass(connection)
+    def _serve_next(self, connection: ClientConnection) -> bool:
+        """Serve one request, or hand the connection over; return whether it goes on here."""
+        connection.is_between_requests = True
+        if self.hand_over is not None:
+            self._hand_over(connection)
             return False
         return self._handler.handle(connection)
 
-    def answer_alone(self, stream: Stream, answer: ClientResponse) -> None:
-        """Answer a client whose request another process took and can't answer any more, and end."""
-        self._handler.respond_alone(Connection(stream, self.limits, self.loop.now(), -1), answer)
+    def respond_to_orphan(self, stream: Stream, response: ClientResponse) -> None:
+        """Respond to a client whose process died with its request in flight, and close.
+
+        Raises ConnectionClosedError, DeadlineExceededError.
+        """
+        self._handler.write_last(ClientConnection(stream, self.parser_limits, self.loop.now(), -1), response)
         self.lingering.close(stream)
--- a/orchidlane/gateway/server/request_handler.py
+++ b/orchidlane/gateway/server/request_handler.py
@@ -13,7 +13,7 @@
 from orchidlane.gateway.forwarding.policy_driver import OutcomeCounter
 from orchidlane.gateway.forwarding.protocol_adapter import Call, ClientAdapter, ResourceLimits
 from orchidlane.gateway.forwarding.request_body import RequestBody
-from orchidlane.gateway.server.client_connection import Connection
+from orchidlane.gateway.server.client_connection import ClientConnection
 from orchidlane.gateway.server.request_reader import ReaderState, RequestReader
 from orchidlane.gateway.server.response_writer import CONTINUE, ResponseWriter
 from orchidlane.http1 import Malformed, Request
@@ -23,7 +23,7 @@
 REQUEST_TIMEOUT = 408
 
 
-class Driver(Protocol):
+class RequestDriver(Protocol):
     """Who is notified of requests and answers them by the policy's decisions."""
 
     requests: dict[int, PendingRequest]
@@ -32,7 +32,7 @@
     def next_number(self) -> int:
         """Return the number of a new request."""
 
-    def request_arrived(self, exchange: PendingRequest, left: int) -> None:
+    def request_arrived(self, exchange: PendingRequest, time_left_us: int) -> None:
         """Take a request, so many microseconds before its time is up."""
 
     def client_disconnected(self, exchange: PendingRequest) -> None:
@@ -45,8 +45,8 @@
 class HandlerState(ReaderState, Protocol):
     """What a handler needs to know of its server."""
 
-    bounds: ResourceLimits
-    host: Driver
+    resource_limits: ResourceLimits
+    policy_driver: RequestDriver
     clients: ClientAdapter
     metrics: OutcomeCounter
 
@@ -59,82 +59,82 @@
         self._reader = RequestReader(server)
         self._writer = ResponseWriter(server)
 
-    def handle(self, connection: Connection) -> bool:
+    def handle(self, connection: ClientConnection) -> bool:
         """Serve the next request; return whether the connection goes on."""
         server = self._server
         try:
             head = self._reader.read_head(connection)
         except Malformed as error:
-            connection.between = False
+            connection.is_between_requests = False
             return self._reject_malformed(connection, error)
-        connection.between = False
+        connection.is_between_requests = False
         if head is None:
             return False
-        if server.watcher is not None:
-            server.watcher.began(connection.number)
-        understood = server.clients.parse_request(head, len(server.host.requests))
+        if server.observer is not None:
+            server.observer.request_started(connection.number)
+        understood = server.clients.parse_request(head, len(server.policy_driver.requests))
         if isinstance(understood, ClientResponse):
             if 400 <= understood.status < 500:  # the client's own fault; what is ours is said at once
                 self._pause(connection)
             return self._respond(connection, head, understood, body_read=head.length == 0)
         return self._handle_call(connection, head, understood)
 
-    def _handle_call(self, connection: Connection, head: Request, call: Call) -> bool:
+    def _handle_call(self, connection: ClientConnection, head: Request, call: Call) -> bool:
         server = self._server
         exchange = self._exchange(connection, head, call)
         try:
             if server.clients.needs_complete_request:
                 self._reader.read_complete(connection, exchange)
-            connection.known = True
-            server.newcomers.pop(connection, None)
-            server.host.request_arrived(exchange, max(1, exchange.deadline - server.loop.now()))
+            connection.has_sent_request = True
+            server.new_connections.pop(connection, None)
+            server.policy_driver.request_arrived(exchange, max(1, exchange.deadline - server.loop.now()))
             self._await_answer(connection, exchange)
         except Malformed as error:
-            server.host.client_disconnected(exchange)
+            server.policy_driver.client_disconnected(exchange)
             return self._reject_malformed(connection, error)
         except BaseException:
-            server.host.client_disconnected(exchange)
+            server.policy_driver.client_disconnected(exchange)
             raise
         answer = exchange.response
         assert answer is not None
         server.clients.before_response(exchange, answer, server.loop.now() - exchange.arrived)
         return self._respond(connection, head, answer, body_read=exchange.body.is_complete)
 
-    def _reject_malformed(self, connection: Connection, error: Malformed) -> bool:
+    def _reject_malformed(self, connection: ClientConnection, error: Malformed) -> bool:
         self._server.metrics.malformed += 1
         if error.status != REQUEST_TIMEOUT:  # that took its time
             self._pause(connection)
         self._writer.write_last(connection, self._server.clients.invalid_request(error.status, error.detail))
         return False
 
-    def _pause(self, connection: Connection) -> None:
+    def _pause(self, connection: ClientConnection) -> None:
         """Delay an error: a client that sends the same again at once costs itself time, and us little."""
         server = self._server
-        if server.times.error_delay_us:
-            connection.rested = server.loop.now()
-            server.newcomers[connection] = None
-            server.loop.sleep(server.times.error_delay_us)
-            server.newcomers.pop(connection, None)
+        if server.timeouts.error_delay_us:
+            connection.idle_since_us = server.loop.now()
+            server.new_connections[connection] = None
+            server.loop.sleep(server.timeouts.error_delay_us)
+            server.new_connections.pop(connection, None)
 
-    def _exchange(self, connection: Connection, head: Request, call: Call) -> PendingRequest:
+    def _exchange(self, connection: ClientConnection, head: Request, call: Call) -> PendingRequest:
         server = self._server
         task = server.loop.current
         assert task is not None
         return PendingRequest(
-            number=server.host.next_number(),
+            number=server.policy_driver.next_number(),
             head=head,
             call=call,
-            body=RequestBody(server.loop, server.bounds.max_replay_bytes, head.length),
+            body=RequestBody(server.loop, server.resource_limits.max_replay_bytes, head.length),
             task=task,
-            deadline=connection.since + call.timeout_us - server.times.response_margin_us,
-            arrived=connection.since,
+            deadline=connection.unread_since_us + call.timeout_us - server.timeouts.response_margin_us,
+            arrived=connection.unread_since_us,
             awaits_continue=head.expects_continue,
             has_client_left=connection.stream.is_closed_by_peer,
         )
 
     # -- until the answer is there
 
-    def _await_answer(self, connection: Connection, exchange: PendingRequest) -> None:
+    def _await_answer(self, connection: ClientConnection, exchange: PendingRequest) -> None:
         self._reader.transfer(connection, exchange.body)
         while exchange.response is None:
             if exchange.awaits_continue and exchange.attempts:
@@ -153,19 +153,19 @@
         deadline = (
             exchange.deadline + OVERDUE_US
             if is_settled
-            else server.loop.now() + server.times.body_progress_us
+            else server.loop.now() + server.timeouts.body_progress_us
         )
         try:
             server.loop.park(deadline)
         except DeadlineExceededError:
             if is_settled:
-                server.host.fail_overdue(exchange)
+                server.policy_driver.fail_overdue(exchange)
                 if exchange.response is None:
                     raise ConnectionClosedError("no answer in its time") from None
             elif exchange.response is None:
                 raise Malformed(REQUEST_TIMEOUT, "the body took too long") from None
 
-    def _read_on(self, connection: Connection, exchange: PendingRequest) -> bool:
+    def _read_on(self, connection: ClientConnection, exchange: PendingRequest) -> bool:
         """Take what the client sent; where there is nothing, return False: the task is woken by more."""
         body = exchange.body
         if self._is_at_bound(connection, body):
@@ -183,10 +183,10 @@
         self._reader.transfer(connection, body)
         return True
 
-    def _is_at_bound(self, connection: Connection, body: RequestBody) -> bool:
+    def _is_at_bound(self, connection: ClientConnection, body: RequestBody) -> bool:
         """Return whether no more may be read: then a client's end lies behind bytes that stay unread."""
         if body.is_complete:
-            return connection.parser.pending >= self._server.bounds.max_pipelined_bytes
+            return connection.parser.pending >= self._server.resource_limits.max_pipelined_bytes
         if body.is_full:
             assert self._server.loop.current is not None
             body.wake_when_not_full(self._server.loop.current)
@@ -195,25 +195,25 @@
     # -- responses
 
     def _respond(
-        self, connection: Connection, head: Request, answer: ClientResponse, body_read: bool
+        self, connection: ClientConnection, head: Request, answer: ClientResponse, body_read: bool
     ) -> bool:
         """Write an answer; return whether the connection goes on."""
         server = self._server
-        keep = head.keep_alive and body_read and not self._is_last(connection)
-        if server.watcher is not None:
-            server.watcher.answering(connection.number)
+        keep = head.keep_alive and body_read and not self._is_last_response(connection)
+        if server.observer is not None:
+            server.observer.response_started(connection.number)
         is_intact = self._writer.write(connection, head, answer, keep)
         if not keep or not is_intact:
             return False
-        if server.watcher is not None:
-            server.watcher.idle(connection.number, connection.parser.unread)
+        if server.observer is not None:
+            server.observer.connection_idle(connection.number, connection.parser.unread)
         connection.parser.next_message()
         if connection.parser.pending:
-            connection.since = connection.last_recv
+            connection.unread_since_us = connection.last_received_at_us
         server.loop.yield_sometimes()
         return True
 
-    def _is_last(self, connection: Connection) -> bool:
+    def _is_last_response(self, connection: ClientConnection) -> bool:
         """Return whether the process shuts down and no further request of the client has arrived.
 
         Requests that arrived behind another one are served; those that still arrive when no request is waited
@@ -222,9 +222,9 @@
         server = self._server
         if not server.draining:
             return False
-        is_over = server.last is not None and server.loop.now() >= server.last
+        is_over = server.shutdown_deadline is not None and server.loop.now() >= server.shutdown_deadline
         return is_over or not connection.has_more()
 
-    def respond_alone(self, connection: Connection, answer: ClientResponse) -> None:
+    def write_last(self, connection: ClientConnection, answer: ClientResponse) -> None:
         """Write the only answer of a connection, its last one."""
         self._writer.write_last(connection, answer)
--- a/orchidlane/gateway/server/resp_commands.py
+++ b/orchidlane/gateway/server/resp_commands.py
@@ -58,7 +58,7 @@
             return ErrorReply(f"ERR unknown command '{printable(words[0])}'")
         if not command.min_arguments <= len(words) - 1 <= command.max_arguments:
             return ErrorReply(f"ERR wrong number of arguments for '{printable(name).lower()}' command")
-        if not session.authorized and name not in ALLOWED_BEFORE_AUTH:
+        if not session.is_authenticated and name not in ALLOWED_BEFORE_AUTH:
             return ErrorReply("NOAUTH Authentication required.")
         try:
             return command.execute(session, words[1:])
--- a/orchidlane/gateway/server/resp_connection_commands.py
+++ b/orchidlane/gateway/server/resp_connection_commands.py
@@ -44,7 +44,7 @@
         matches = sum(hmac.compare_digest(digest, known) for known in self._passwords)
         if not matches:
             raise CommandError("WRONGPASS invalid username-password pair")
-        session.authorized = True
+        session.is_authenticated = True
         return OK
 
     def hello(self, session: Session, words: list[bytes]) -> Any:
@@ -63,7 +63,7 @@
                 session.name = rest.pop(0)
             else:
                 raise CommandError("ERR syntax error in HELLO")
-        if not session.authorized:
+        if not session.is_authenticated:
             raise CommandError("NOAUTH HELLO must be called with the client already authenticated")
         session.version = version
         return {
@@ -80,7 +80,7 @@
         """RESET."""
         session.version = DEFAULT_VERSION
         session.name = b""
-        session.authorized = not self._passwords
+        session.is_authenticated = not self._passwords
         return SimpleString("RESET")
 
     def select(self, _session: Session, words: list[bytes]) -> Any:
--- a/orchidlane/gateway/server/resp_quota_commands.py
+++ b/orchidlane/gateway/server/resp_quota_commands.py
@@ -45,7 +45,7 @@
     def throttle(self, _session: Session, words: list[bytes]) -> Any:
         """CL.THROTTLE key max_burst count period [quantity]: limited, limit, remaining, retry, reset."""
         customer = self._customer(words[0])
-        plan = self._service.host.settings.plans[customer.plan]
+        plan = self._service.policy_driver.settings.plans[customer.plan]
         max_burst, count, period = (parse_number(word, "max_burst, count and period") for word in words[1:4])
         quantity = parse_number(words[4], "quantity") if len(words) > 4 else 1
         is_plans_rate = period != 0 and abs(count / period - plan.rate) <= RATE_TOLERANCE
@@ -89,7 +89,7 @@
     def peek(self, _session: Session, words: list[bytes]) -> Any:
         """LIMIT.PEEK key: plan, remaining, burst, rate, credit."""
         customer = self._customer(words[0])
-        plan = self._service.host.settings.plans[customer.plan]
+        plan = self._service.policy_driver.settings.plans[customer.plan]
         remaining = max(0, int(self._service.remaining_units(customer)))
         credit = self._service.grants.credit(self._service.loop.now(), customer.number)
         return {
--- a/orchidlane/gateway/server/resp_session.py
+++ b/orchidlane/gateway/server/resp_session.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from orchidlane import resp
+from orchidlane.hot_restart.messages import RespSessionState
 from orchidlane.runtime import Stream, Task
 
 DEFAULT_VERSION = 2  # of the protocol, until HELLO asks for another
@@ -11,20 +12,30 @@
 class Session:
     """One client between accept and close."""
 
-    __slots__ = ("authorized", "busy", "decoder", "name", "number", "over", "stream", "task", "version")
-
-    def __init__(self, stream: Stream, number: int, limits: resp.Limits, authorized: bool) -> None:
+    __slots__ = (
+        "decoder",
+        "is_authenticated",
+        "is_busy",
+        "is_detached",
+        "name",
+        "number",
+        "stream",
+        "task",
+        "version",
+    )
+
+    def __init__(self, stream: Stream, number: int, limits: resp.Limits, is_authenticated: bool) -> None:
         self.stream = stream
         self.number = number
         self.decoder = resp.Decoder(limits)
         self.version = DEFAULT_VERSION
         self.name = b""
-        self.authorized = authorized
-        self.busy = False  # a command is being carried out
-        self.over = False  # ended, or another process's now
+        self.is_authenticated = is_authenticated
+        self.is_busy = False  # a command is being carried out
+        self.is_detached = False  # closed or handed over
         self.task: Task | None = None
 
     @property
-    def facts(self) -> tuple[int, bytes, bool]:
-        """What another process has to know of it: version, name, whether it has authenticated."""
-        return self.version, self.name, self.authorized
+    def state(self) -> RespSessionState:
+        """Return what another process needs to continue the session."""
+        return RespSessionState(self.version, self.name, self.is_authenticated)
--- a/orchidlane/gateway/server/response_writer.py
+++ b/orchidlane/gateway/server/response_writer.py
@@ -8,7 +8,7 @@
 from orchidlane.gateway.forwarding.client_response import ClientResponse
 from orchidlane.gateway.forwarding.pending_request import PendingRequest
 from orchidlane.gateway.forwarding.protocol_adapter import Timeouts
-from orchidlane.gateway.server.client_connection import Connection, Watcher, send_all
+from orchidlane.gateway.server.client_connection import ClientConnection, ConnectionObserver, send_all
 from orchidlane.http1 import Request
 from orchidlane.runtime import EventLoop
 
@@ -21,8 +21,8 @@
     """What a writer needs to know of its server."""
 
     loop: EventLoop
-    times: Timeouts
-    watcher: Watcher | None
+    timeouts: Timeouts
+    observer: ConnectionObserver | None
 
 
 class ResponseWriter:
@@ -31,7 +31,7 @@
     def __init__(self, server: WriterState) -> None:
         self._server = server
 
-    def write(self, connection: Connection, head: Request, answer: ClientResponse, keep: bool) -> bool:
+    def write(self, connection: ClientConnection, head: Request, answer: ClientResponse, keep: bool) -> bool:
         """Write an answer; return whether the connection can go on.
 
         Raises ConnectionClosedError, DeadlineExceededError.
@@ -43,14 +43,14 @@
         send_all(connection.stream, data + answer.body if has_body else data, self._deadline())
         return True
 
-    def write_last(self, connection: Connection, answer: ClientResponse) -> None:
+    def write_last(self, connection: ClientConnection, answer: ClientResponse) -> None:
         """Write an answer after which nothing of the connection can be understood."""
-        if self._server.watcher is not None:
-            self._server.watcher.answering(connection.number)
+        if self._server.observer is not None:
+            self._server.observer.response_started(connection.number)
         data = _response_head(answer, keep=False, length=len(answer.body)) + answer.body
         connection.stream.send(data, self._deadline())
 
-    def write_hints(self, connection: Connection, exchange: PendingRequest) -> None:
+    def write_hints(self, connection: ClientConnection, exchange: PendingRequest) -> None:
         """Write the interim responses of an endpoint; HTTP/1.0 has none (RFC 9110 section 15.2)."""
         hints, exchange.interim_responses = exchange.interim_responses, []
         if not exchange.head.minor:
@@ -60,13 +60,13 @@
             connection.stream.send(data, self._deadline())
 
     def _write_stream(
-        self, connection: Connection, head: Request, answer: ClientResponse, keep: bool
+        self, connection: ClientConnection, head: Request, answer: ClientResponse, keep: bool
     ) -> bool:
         """Forward a large answer piece by piece; reset where its endpoint failed, so that the cut shows."""
         pieces = answer.stream
         assert pieces is not None
         is_chunked = head.minor == 1
-        loop, times = self._server.loop, self._server.times
+        loop, times = self._server.loop, self._server.timeouts
         headers = answer.headers
         if is_chunked:
             headers = [*headers, (b"transfer-encoding", b"chunked")]
@@ -92,7 +92,7 @@
         return is_chunked
 
     def _deadline(self) -> int:
-        return self._server.loop.now() + self._server.times.client_write_us
+        return self._server.loop.now() + self._server.timeouts.client_write_us
 
 
 def _response_head(answer: ClientResponse, keep: bool, length: int | None) -> bytes:
--- a/orchidlane/platform/lifecycle.py
+++ b/orchidlane/platform/lifecycle.py
@@ -71,8 +71,8 @@
         self.ranks = {peer: rank for rank, peer in enumerate(configuration.peers)}
         self.stopping = False
         self.scope: TaskGroup
-        self.host: PolicyDriver
-        self.front: HttpServer
+        self.policy_driver: PolicyDriver
+        self.http_server: HttpServer
         self.clients: PlatformClientAdapter
         self._datagrams: Any = None
         self._watch_tasks: list[Task] = []  # the newest last
@@ -111,14 +111,20 @@
         gateway = Gateway(self.settings, self.configuration.seed, self.loop.now())
         endpoints = PlatformEndpointAdapter(self.tracker, self.settings.load_report_names)
         attempts = AttemptStarter(self.loop, limits, scope, endpoints)
-        self.host = PolicyDriver(
-            self.loop, self.settings, gateway, self.metrics, self.clients, attempts.begin, self._send_to_peer
+        self.policy_driver = PolicyDriver(
+            self.loop,
+            self.settings,
+            gateway,
+            self.metrics,
+            self.clients,
+            attempts.start_attempt,
+            self._send_to_peer,
         )
-        attempts.host = self.host
+        attempts.policy_driver = self.policy_driver
         self.pool = attempts.pool
-        self.front = HttpServer(self.loop, limits, self.host, self.clients, scope)
-        self.host.on_failure = self.log.write_failure
-        self.front.contain = self.log.write_failure
+        self.http_server = HttpServer(self.loop, limits, self.policy_driver, self.clients, scope)
+        self.policy_driver.on_failure = self.log.write_failure
+        self.http_server.on_failure = self.log.write_failure
 
     def _is_ready(self) -> bool:
         """Return what the readiness check reports."""
@@ -133,10 +139,10 @@
         if self.configuration.peer_listen is not None:
             self._datagrams = self._bind(self.loop.backend.bind_datagrams, self.configuration.peer_listen)
             self._spawn(self._receive_from_peers, priority=PEERS, name="peers")
-        self.host.start()
+        self.policy_driver.start()
         self._watch(self._discovery_address)
         self._await_discovery()
-        self.front.listen(self._bind(self.loop.backend.listen, self.configuration.listen))
+        self.http_server.listen(self._bind(self.loop.backend.listen, self.configuration.listen))
         self._spawn(self._report, priority=BACKGROUND, name="report")
         self.log.write(f"serves, {len(self.tracker.endpoints)} endpoints known")
         self._check_peer_count()
@@ -149,7 +155,7 @@
             return
         self.tracker.generation = -1  # it may be old: discovery's first list counts, whatever its generation
         if listed is not None:
-            self.host.feed(listed)
+            self.policy_driver.feed(listed)
 
     def _await_discovery(self) -> None:
         """Wait a moment for discovery, which responds at once, so that the first check finds us ready."""
@@ -204,7 +210,9 @@
         """Write what was served so far to the log."""
         responses = _format_counts(self.clients.response_counts)
         attempts = _format_counts(self.metrics.outcomes)
-        connections = f"{len(self.front.connections)} of clients, {self.pool.open_connections} of endpoints"
+        connections = (
+            f"{len(self.http_server.connections)} of clients, {self.pool.open_connections} of endpoints"
+        )
         self.log.write(f"responses: {responses}; attempts: {attempts}; connections: {connections}")
 
     # -- discovery
@@ -229,7 +237,7 @@
             self._discovery_responded = True
             if self._main is not None:
                 self.loop.wake(self._main)
-        self.host.feed(listed)
+        self.policy_driver.feed(listed)
         for entry in listed.entries:
             if entry.state is policy.EndpointState.GONE:
                 self.pool.retire_idle(entry.endpoint)
@@ -247,7 +255,7 @@
             body, sender = self._datagrams.recv()
             rank = self.ranks.get(sender)
             if rank is not None and rank != self.settings.replica and len(body) <= MAX_DATAGRAM_BYTES:
-                self.host.feed(policy.PeerMessageReceived(rank, body))
+                self.policy_driver.feed(policy.PeerMessageReceived(rank, body))
 
     # -- signals
 
@@ -289,13 +297,13 @@
     def _shut_down(self) -> None:
         self.log.write("ends")
         times = self._shutdown
-        self.front.last = times.stop_waiting
+        self.http_server.shutdown_deadline = times.stop_waiting
         self.loop.sleep(times.stop_accepting - self.loop.now())
-        self.front.drain()
-        if not self.front.wait_left(times.stop_waiting):
-            for request in list(self.host.requests.values()):
-                self.host.fail_overdue(request)
-            self.front.wait_left(times.end)
+        self.http_server.drain()
+        if not self.http_server.wait_until_closed(times.stop_waiting):
+            for request in list(self.policy_driver.requests.values()):
+                self.policy_driver.fail_overdue(request)
+            self.http_server.wait_until_closed(times.end)
         self._write_report()
 
 
--- a/orchidlane/simulation/backends.py
+++ b/orchidlane/simulation/backends.py
@@ -126,7 +126,7 @@
     def check(self) -> None:
         """Nothing may be left behind once all is answered: what leaks makes a gateway refuse for ever."""
         for rank, program in self.programs.items():
-            host = program.host
+            host = program.policy_driver
             left = (
                 len(host.requests),
                 len(host.attempts),
--- a/tests/harness/golden_writers.py
+++ b/tests/harness/golden_writers.py
@@ -125,7 +125,7 @@
     }
     program = SimpleNamespace(
         loop=disk,
-        host=SimpleNamespace(loop=disk, gateway=gateway, settings=SETTINGS),
+        policy_driver=SimpleNamespace(loop=disk, gateway=gateway, settings=SETTINGS),
         fleet=SimpleNamespace(
             account_store=SimpleNamespace(write_interval_us=2_000_000),
             plans=dict.fromkeys(PLAN_NAMES),
@@ -146,7 +146,7 @@
     """As the program writes its accounts down at its end."""
     disk = Disk()
     store = account_store(disk)
-    store.gateway.host.gateway.accounts.update({one.customer: one for one in golden_accounts()})
+    store.gateway.policy_driver.gateway.accounts.update({one.customer: one for one in golden_accounts()})
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(recording, "build_name", lambda: BUILD)
         store.save_final()
--- a/tests/harness/hot_restart_harness.py
+++ b/tests/harness/hot_restart_harness.py
@@ -153,7 +153,7 @@
             if not process.is_dead
             and process.tasks
             and program.ready
-            and program.front.pass_on is None
+            and program.http_server.hand_over is None
             and not program.stopping
         ]
 
@@ -190,5 +190,5 @@
 
 def counted_units(program: GatewayProcess) -> float:
     """Return the units that a gateway has counted for the one customer."""
-    account = program.host.gateway.accounts[1]
+    account = program.policy_driver.gateway.accounts[1]
     return account.replica_counts[0][1]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -270,7 +270,7 @@
     def test(harness: PlatformHarness) -> None:
         harness.loop.sleep(3 * polling.HEARTBEAT_INTERVAL_US)
         assert len(harness.discovery.asked) == 1
-        assert len(harness.gateway.front.connections) == 0
+        assert len(harness.gateway.http_server.connections) == 0
 
     run(backend, test)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -265,8 +265,8 @@
         stream.close()
         house.loop.sleep(200 * MS)
         assert ended == [b""]
-        assert not house.program.host.requests
-        assert not house.program.host.attempts
+        assert not house.program.policy_driver.requests
+        assert not house.program.policy_driver.attempts
 
     run(slow, test=test)
 
@@ -284,8 +284,8 @@
             house.loop.sleep(wait * MS)
             stream.close()
         house.loop.sleep(SECOND)
-        assert not house.program.host.requests
-        assert not house.program.host.attempts
+        assert not house.program.policy_driver.requests
+        assert not house.program.policy_driver.attempts
         assert house.ask(GET)[0] in (200, 503)  # cancelled attempts may make the node look slow
 
     run(timed, test=test)
@@ -378,7 +378,7 @@
         got, _, _ = house.answer(stream, wait=20 * SECOND)
         assert got in (status, 503)
         house.loop.sleep(2 * SECOND)
-        assert not house.program.front.connections
+        assert not house.program.http_server.connections
 
     run(good, test=test, times={"head": 2 * SECOND, "body": 2 * SECOND})
 
@@ -402,7 +402,7 @@
     def test(house):
         streams = [house.connect() for _ in range(12)]
         house.loop.sleep(SECOND)
-        assert len(house.program.front.connections) == 10
+        assert len(house.program.http_server.connections) == 10
         assert house.ask(GET)[0] == 200
         assert streams[0].try_recv() == b""
 
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -155,7 +155,7 @@
     assert [recording.account_from_row(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
     store = account_store(Disk(accounts=golden("account-store.olr")))
     assert store.load() == len(golden_accounts())
-    accounts = store.gateway.host.gateway.accounts
+    accounts = store.gateway.policy_driver.gateway.accounts
     for one in golden_accounts():
         found = accounts[one.customer]
         assert (found.key, found.spent_total, found.counted_total) == (
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -106,7 +106,7 @@
     go_on = NewSide._start_probation
 
     def spoilt(self) -> None:
-        broken.append(self.gateway.host.gateway)
+        broken.append(self.gateway.policy_driver.gateway)
         go_on(self)
 
     monkeypatch.setattr(NewSide, "_start_probation", spoilt)
@@ -185,7 +185,7 @@
 
 def test_hundred_thousand_accounts_are_handed_over_under_traffic():
     def test(harness: HotRestartHarness) -> None:
-        rules = harness.program.host.gateway
+        rules = harness.program.policy_driver.gateway
         for customer in range(100_000):
             account = quota.update_account_key(rules, customer + 10, 0, 0, 3)
             account.spent_total, account.unconfirmed = 1.0, True  # unheard: none is forgotten on the way
@@ -194,7 +194,7 @@
         program = harness.settle()
         assert program is harness.programs[1]
         assert set(harness.statuses) == {200}
-        assert len(program.host.gateway.accounts) == 100_001
+        assert len(program.policy_driver.gateway.accounts) == 100_001
         assert counted_units(program) == harness.forwarded_units()
 
     HotRestartHarness(slow, slow, slow, slow, single_gateway=True).run(test)
--- a/tests/test_hot_restart_clients.py
+++ b/tests/test_hot_restart_clients.py
@@ -125,7 +125,7 @@
         assert counted_units(new) == 5
         stream.send(resp_command(b"LIMIT.GIVEBACK", b"a-key", b"t1"))
         assert reply(stream) == b":1\r\n"
-        assert new.limits.grants.credits()[0][:2] == (1, 5.0)
+        assert new.limit_service.grants.credits()[0][:2] == (1, 5.0)
 
     HotRestartHarness(good, single_gateway=True).run(test)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -82,7 +82,7 @@
         raw, stream = call("bill", body=b"12345678", left="0.300"), harness.connect()
         stream.send(raw[:-4])
         harness.loop.sleep(600 * MS)
-        assert not harness.gateway.host.gateway.accounts
+        assert not harness.gateway.policy_driver.gateway.accounts
         stream.send(raw[-4:])
         assert harness.answer(stream, "POST")[0] == 200
 
@@ -126,7 +126,7 @@
         status, _, _ = harness.ask(raw)
         assert 400 <= status < 500 or status == 501
         assert harness.loop.now() - began < 2 * SECOND
-        assert not harness.gateway.host.gateway.accounts
+        assert not harness.gateway.policy_driver.gateway.accounts
         assert not harness.gateway.clients.in_flight
         assert harness.ask(call())[0] == 200
 
@@ -140,8 +140,8 @@
         stream = harness.connect()
         stream.send(raw) if raw else None
         assert harness.answer(stream, wait=2_900 * MS)[0] in (0, 408)
-        harness.until(lambda: not harness.gateway.front.connections, 400 * MS)
-        assert not harness.gateway.host.gateway.accounts
+        harness.until(lambda: not harness.gateway.http_server.connections, 400 * MS)
+        assert not harness.gateway.policy_driver.gateway.accounts
 
     assert not run(serves, test=test).seen
 
@@ -168,7 +168,10 @@
         crowd = [harness.connect() for _ in range(300)]
         harness.loop.sleep(200 * MS)
         assert harness.ask(call())[0] == 200
-        assert len(harness.gateway.front.connections) <= harness.gateway.front.bounds.max_connections
+        assert (
+            len(harness.gateway.http_server.connections)
+            <= harness.gateway.http_server.resource_limits.max_connections
+        )
         assert crowd
 
     run(serves, test=test)
@@ -291,7 +294,9 @@
         for client in clients:
             client.send(call())
         assert sorted(harness.answer(client)[0] for client in clients) == [200, 200, 503]
-        assert all(host.failure_score == 0 for host in harness.gateway.host.gateway.endpoints.values())
+        assert all(
+            host.failure_score == 0 for host in harness.gateway.policy_driver.gateway.endpoints.values()
+        )
 
     run(slow, slow, test=test)
 
@@ -356,7 +361,7 @@
             client = f"{generation:016x}"
             assert harness.ask(call(client=client))[0] == 200
         harness.loop.sleep(3 * SECOND)
-        gateway, rules = harness.gateway, harness.gateway.host.gateway
+        gateway, rules = harness.gateway, harness.gateway.policy_driver.gateway
         assert (
             len(gateway.tracker.endpoints),
             len(gateway.tracker.addresses),
@@ -443,7 +448,7 @@
         process = harness.backend.start("n0", harness._gateway)
         harness.loop.sleep(500 * MS)
         listener.close()
-        harness.until(lambda: hasattr(harness.gateway.front, "listener"), SECOND)
+        harness.until(lambda: hasattr(harness.gateway.http_server, "listener"), SECOND)
         harness.gateway.stop()
         harness.until(lambda: harness.ended, 2 * SECOND)
         harness.backend.kill(process)
@@ -482,19 +487,19 @@
 
 def test_a_failure_in_one_task_is_contained():
     def test(harness: PlatformHarness) -> None:
-        rules = harness.gateway.host.gateway
+        rules = harness.gateway.policy_driver.gateway
         before, rules.handle = rules.handle, lambda *_: 1 / 0
         assert harness.ask(call())[0] == 500
         rules.handle = before
         harness.gateway.clients.before_response = lambda *_: 1 / 0
         assert harness.ask(call())[0] == 500
         del harness.gateway.clients.before_response
-        endpoints = harness.gateway.host.begin.__self__.endpoints
+        endpoints = harness.gateway.policy_driver.start_attempt.__self__.endpoints
         endpoints.request_head = lambda *_: 1 / 0
         assert harness.ask(call(left="0.300"))[0] in (500, 503)
         del endpoints.request_head
         assert harness.ask(call())[0] == 200
-        assert not harness.gateway.host.requests
+        assert not harness.gateway.policy_driver.requests
         assert not harness.gateway.clients.in_flight
 
     run(serves, test=test)
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -127,16 +127,16 @@
     client = harness.connect()
     client.send(call())
     assert harness.answer(client)[0] == 200
-    harness.until(lambda: harness.gateway.front.idle)
-    next(iter(harness.gateway.front.idle)).rested -= SECOND
+    harness.until(lambda: harness.gateway.http_server.idle_connections)
+    next(iter(harness.gateway.http_server.idle_connections)).idle_since_us -= SECOND
     return client
 
 
 def test_a_request_that_came_just_before_eviction_is_served():
     def test(harness: RealPlatformHarness) -> None:
-        client, front = idle_client(harness), harness.gateway.front
+        client, front = idle_client(harness), harness.gateway.http_server
         client.send(call())
-        assert not front._evict()
+        assert not front._close_idle()
         assert harness.answer(client)[0] == 200
 
     run(serves, test=test)
@@ -144,8 +144,8 @@
 
 def test_a_request_just_after_eviction_finds_a_closed_connection_and_is_not_forwarded():
     def test(harness: RealPlatformHarness) -> None:
-        client, front = idle_client(harness), harness.gateway.front
-        assert front._evict()
+        client, front = idle_client(harness), harness.gateway.http_server
+        assert front._close_idle()
         client.send(call())
         assert to_the_end(harness, client) == b""
         assert not front.connections
@@ -155,8 +155,8 @@
 
 def test_a_request_that_came_as_the_idle_timeout_expired_is_served():
     def test(harness: RealPlatformHarness) -> None:
-        front = harness.gateway.front
-        front.times = dataclasses.replace(front.times, client_idle_us=30 * MS)
+        front = harness.gateway.http_server
+        front.timeouts = dataclasses.replace(front.timeouts, client_idle_us=30 * MS)
         client = idle_client(harness)
         by = harness.loop.now() + 40 * MS
         client.send(call())
@@ -169,8 +169,8 @@
 
 def test_an_idle_timeout_closes_without_a_reset():
     def test(harness: RealPlatformHarness) -> None:
-        front = harness.gateway.front
-        front.times = dataclasses.replace(front.times, client_idle_us=30 * MS)
+        front = harness.gateway.http_server
+        front.timeouts = dataclasses.replace(front.timeouts, client_idle_us=30 * MS)
         client = idle_client(harness)
         harness.until(lambda: not front.connections)
         client.send(call())  # crosses the end
@@ -184,8 +184,8 @@
 
     def test(harness: RealPlatformHarness) -> None:
         harness.answer_now = False
-        front = harness.gateway.front
-        front.times = dataclasses.replace(front.times, error_delay_us=60 * SECOND)
+        front = harness.gateway.http_server
+        front.timeouts = dataclasses.replace(front.timeouts, error_delay_us=60 * SECOND)
         busy = harness.connect()
         busy.send(call())
         harness.until(lambda: harness.seen)
@@ -209,7 +209,7 @@
 
 def test_requests_that_came_before_the_drain_are_served_and_later_ones_are_not():
     def test(harness: RealPlatformHarness) -> None:
-        front = harness.gateway.front
+        front = harness.gateway.http_server
         resting, asking, half = (idle_client(harness) for _ in range(3))
         newcomer, new_half = harness.connect(), harness.connect()
         raw = call()
@@ -243,13 +243,13 @@
 
     def test(harness: RealPlatformHarness) -> None:
         harness.answer_now = False
-        front = harness.gateway.front
+        front = harness.gateway.http_server
         if not read:  # the bound of what is read ahead is reached with the first of them
-            front.bounds = dataclasses.replace(front.bounds, max_pipelined_bytes=1)
+            front.resource_limits = dataclasses.replace(front.resource_limits, max_pipelined_bytes=1)
         client = harness.connect()
         for _ in range(3):
             client.send(call())
-        harness.until(lambda: harness.seen and client.sent_bytes and harness.gateway.host.requests)
+        harness.until(lambda: harness.seen and client.sent_bytes and harness.gateway.policy_driver.requests)
         harness.gateway.stopping = True
         front.drain()
         harness.answer_now = True
@@ -266,7 +266,7 @@
     """However many requests wait behind one another, the last answer says that it is the last."""
 
     def test(harness: RealPlatformHarness) -> None:
-        front = harness.gateway.front
+        front = harness.gateway.http_server
         client = harness.connect()
         said, unsent = b"", b""
 
@@ -278,14 +278,14 @@
                 unsent = unsent[client.try_send(unsent) :]
 
         send_more()
-        harness.until(lambda: harness.gateway.host.last_request_number)
+        harness.until(lambda: harness.gateway.policy_driver.last_request_number)
         harness.gateway.stopping = True
-        front.last = harness.loop.now() + 200 * MS
+        front.shutdown_deadline = harness.loop.now() + 200 * MS
         front.drain()
         while data := client.recv(deadline=harness.loop.now() + 5 * SECOND):
             said += data
             send_more()
-        assert front.last <= harness.loop.now() < front.last + SECOND
+        assert front.shutdown_deadline <= harness.loop.now() < front.shutdown_deadline + SECOND
         assert said.count(b"connection: close") == 1
         assert not front.connections
 
@@ -295,8 +295,8 @@
 def test_a_client_that_waits_for_capacity_at_the_drain_is_closed_without_a_reset():
     def test(harness: RealPlatformHarness) -> None:
         harness.answer_now = False
-        front = harness.gateway.front
-        front.bounds = dataclasses.replace(front.bounds, max_connections=1)
+        front = harness.gateway.http_server
+        front.resource_limits = dataclasses.replace(front.resource_limits, max_connections=1)
         busy, crowded = harness.connect(), harness.connect()
         busy.send(call())
         harness.until(lambda: harness.seen)
@@ -358,7 +358,7 @@
 
     def test(harness: RealPlatformHarness) -> None:
         client = harness.connect()
-        harness.until(lambda: harness.gateway.front.connections)
+        harness.until(lambda: harness.gateway.http_server.connections)
         harness.gateway.stop()
         served = 0
         while True:
@@ -389,10 +389,10 @@
         client = harness.connect()
         client.send(call("bill", body=b"1"))
         getattr(client, leave)()
-        harness.until(lambda: harness.gateway.host.last_request_number or leave == "abort")
-        harness.until(lambda: not harness.gateway.front.connections)
-        assert not harness.gateway.host.requests
-        assert not harness.gateway.host.gateway.attempts
+        harness.until(lambda: harness.gateway.policy_driver.last_request_number or leave == "abort")
+        harness.until(lambda: not harness.gateway.http_server.connections)
+        assert not harness.gateway.policy_driver.requests
+        assert not harness.gateway.policy_driver.gateway.attempts
 
     assert not run(serves, test=test).seen
 
@@ -411,8 +411,8 @@
         harness.until(lambda: gate.waiting)
         getattr(client, leave)()
         gate.open()  # the attempt goes on before its front hears of the end
-        harness.until(lambda: not harness.gateway.host.requests)
-        harness.until(lambda: not harness.gateway.host.gateway.attempts)
+        harness.until(lambda: not harness.gateway.policy_driver.requests)
+        harness.until(lambda: not harness.gateway.policy_driver.gateway.attempts)
         assert not harness.gateway.clients.in_flight
 
     assert len(run(full, full, test=test).seen) == attempt - 1
@@ -427,10 +427,12 @@
         harness.until(lambda: harness.seen)
         turns = harness.loop.turns
         harness.loop.sleep(20 * MS)
-        assert harness.gateway.host.requests
+        assert harness.gateway.policy_driver.requests
         assert harness.loop.turns - turns < 50
         getattr(client, leave)()
-        harness.until(lambda: not harness.gateway.host.requests, 1_500 * MS)  # before its time is over
+        harness.until(
+            lambda: not harness.gateway.policy_driver.requests, 1_500 * MS
+        )  # before its time is over
         harness.until(lambda: harness.host_saw_end)
 
     run(silent, test=test)
@@ -444,7 +446,12 @@
         harness.until(lambda: gate.waiting)
         client.abort()
         gate.open()
-        harness.until(lambda: not harness.gateway.host.requests and not harness.gateway.host.gateway.attempts)
+        harness.until(
+            lambda: (
+                not harness.gateway.policy_driver.requests
+                and not harness.gateway.policy_driver.gateway.attempts
+            )
+        )
 
     assert not run(serves, test=test).seen
 
@@ -505,9 +512,12 @@
         client.send(call())
         client.half_close()  # the attempt has its connection when that is seen
         harness.until(
-            lambda: harness.gateway.host.last_request_number == 2 and not harness.gateway.host.requests
+            lambda: (
+                harness.gateway.policy_driver.last_request_number == 2
+                and not harness.gateway.policy_driver.requests
+            )
         )
-        harness.until(lambda: not harness.gateway.host.gateway.attempts)
+        harness.until(lambda: not harness.gateway.policy_driver.gateway.attempts)
         assert harness.gateway.pool._idle[b"s-0"][0].idle_since == before
         harness.loop.sleep(200 * MS)
         assert harness.ask(call())[0] == 200
--- a/tests/test_respfront.py
+++ b/tests/test_respfront.py
@@ -72,7 +72,7 @@
             pass
         assert sent < 20_000
         house.loop.sleep(3 * SECOND)
-        assert not house.program.resp.sessions
+        assert not house.program.resp_server.sessions
 
     run(test, times={"write": 2 * SECOND})
 
@@ -159,9 +159,9 @@
     def test(house):
         for _ in range(3):
             assert call(house, "LIMIT.RESERVE", KEY, 1, "FOR", 5_000)
-        before = house.program.limits.granted
+        before = house.program.limit_service.granted
         assert call(house, "LIMIT.RESERVE", KEY, 1, "FOR", 5_000).text.startswith("BUSY")
-        assert house.program.limits.granted == before
+        assert house.program.limit_service.granted == before
 
     run(test, limits={"grants": 3})
 
@@ -199,7 +199,7 @@
         stream = house.backend.connect(DOOR)
         stream.send(raw + STRAY)
         assert to_the_end(house, stream).startswith(reply)
-        assert not house.program.resp.sessions
+        assert not house.program.resp_server.sessions
 
     run(test)
 
@@ -222,7 +222,7 @@
         for stream in (asking, resting):
             stream.send(encode(["PING"]))
             assert replies(house, stream, 1)
-        front = house.program.resp
+        front = house.program.resp_server
         house.loop.freeze(house.process)  # the command is there, and no task of the gateway has run since
         asking.send(take())
         house.loop.sleep(50 * MS)
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -41,7 +41,7 @@
     """Admit nothing from the start."""
     while not program.ready:
         program.loop.sleep(MS)
-    REJECTING.append(program.host.gateway)
+    REJECTING.append(program.policy_driver.gateway)
 
 
 def hang_before_hello(program) -> None:
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -117,7 +117,7 @@
     monkeypatch.setattr("orchidlane.runtime.simulated_backend.WINDOW", 4096)
 
     def test(harness: GatewayHarness) -> None:
-        rules = harness.program.host.gateway
+        rules = harness.program.policy_driver.gateway
         for customer in range(2_000):
             quota.update_account_key(rules, customer + 10, 0, 0, 3)
         hung = harness.backend.connect(("127.0.0.1", 8280))
