--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -303,7 +303,7 @@
         busy.send(call())
         harness.until(lambda: harness.seen)
         crowded.send(call())
-        harness.until(lambda: not harness.backend.glance(front.listener, select.POLLIN))  # it was taken
+        harness.until(lambda: not harness.backend.poll_once(front.listener, select.POLLIN))  # it was taken
         front.drain()
         assert to_the_end(harness, crowded) == b""
         harness.answer_now = True
