--- a/orchidlane/http1/__init__.py
+++ b/orchidlane/http1/__init__.py
@@ -5,14 +5,14 @@
     End,
     Event,
     Headers,
-    Limits,
-    Malformed,
+    ParserLimits,
+    ProtocolError,
     Request,
     Response,
     header,
     header_tokens,
 )
-from orchidlane.http1.parser import RequestParser, ResponseParser
+from orchidlane.http1.message_parser import RequestParser, ResponseParser
 from orchidlane.http1.writer import chunk, end_to_end, last_chunk, request_head, response_head
 
 __all__ = [
@@ -20,8 +20,8 @@
     "End",
     "Event",
     "Headers",
-    "Limits",
-    "Malformed",
+    "ParserLimits",
+    "ProtocolError",
     "Request",
     "RequestParser",
     "Response",
