--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -1,106 +1,147 @@
-"""Timers: a hierarchical wheel beside the heap that the loop uses, mostly cancelled, at growing sizes.
+"""Compare the event loop's timer heap with a hierarchical timing wheel, at growing numbers of timers.
 
-Each run adds so many timers as are to be pending, then goes through as many steps: add one, cancel one that
-was added before (nine of ten times) and take out what is due. ``python -m benchmarks.timers``.
+Each run adds the timers that are to be pending, then goes through the steps: add a timer, cancel an earlier
+one (in nine of ten steps), take out what is due. Run it by ``python -m benchmarks.timers``.
 """
 
 from __future__ import annotations
 
 import random
+import statistics
 import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
 
 from orchidlane.runtime.timers import Timers
 
-SLOT_BITS, LEVELS, TICK = 8, 5, 1_000  # 256 slots a level, 1 ms a tick
+SLOT_BITS = 8
+SLOTS_PER_LEVEL = 1 << SLOT_BITS
+SLOT_MASK = SLOTS_PER_LEVEL - 1
+LEVELS = 5
+TICK_US = 1_000
 
+STEPS = 100_000
+STEP_US = 100
+MAX_DELAY_US = 60_000_000
+PENDING_TIMERS = (100, 1_000, 10_000, 100_000, 1_000_000)
+RUNS = 3
+CANCEL_ALL_BUT_EACH = 10
 
-class Wheel:
-    """A hierarchical timing wheel (Varghese and Lauck): slots of a level hold what one slot above spans."""
+
+@dataclass(slots=True)
+class WheelTimer:
+    """A timer of the wheel."""
+
+    tick: int
+    call: Callable[[Any], None] | None  # None once cancelled
+    argument: Any
+
+
+class TimingWheel:
+    """A hierarchical timing wheel (Varghese and Lauck, 1987).
+
+    A slot of one level spans as much time as all slots of the level below.
+    """
 
     def __init__(self) -> None:
-        self.now = 0
-        self.slots: list[list[list[list]]] = [[[] for _ in range(1 << SLOT_BITS)] for _ in range(LEVELS)]
-        self.bits = [0] * LEVELS
+        self.tick = 0
+        self.levels: list[list[list[WheelTimer]]] = [
+            [[] for _ in range(SLOTS_PER_LEVEL)] for _ in range(LEVELS)
+        ]
+        self.occupied_slots = [0] * LEVELS  # a bit for each slot
 
-    def add(self, when: int, call, argument=None) -> list:
-        entry = [max(self.now + 1, -(-when // TICK)), call, argument]
-        self._place(entry)
-        return entry
+    def add(self, when: int, call: Callable[[Any], None], argument: Any = None) -> WheelTimer:
+        """Add a timer for ``call(argument)`` at ``when`` in microseconds and return it."""
+        timer = WheelTimer(max(self.tick + 1, -(-when // TICK_US)), call, argument)
+        self._insert(timer)
+        return timer
 
-    def _place(self, entry: list) -> None:
-        tick = entry[0]
+    def _insert(self, timer: WheelTimer) -> None:
         for level in range(LEVELS):
             shift = SLOT_BITS * level
-            if (tick >> shift) - (self.now >> shift) < 1 << SLOT_BITS:
-                slot = tick >> shift & 255
-                self.slots[level][slot].append(entry)
-                self.bits[level] |= 1 << slot
+            if (timer.tick >> shift) - (self.tick >> shift) < SLOTS_PER_LEVEL:
+                slot = timer.tick >> shift & SLOT_MASK
+                self.levels[level][slot].append(timer)
+                self.occupied_slots[level] |= 1 << slot
                 return
         raise ValueError("too far ahead")
 
-    def cancel(self, entry: list) -> None:
-        entry[1] = None
+    def cancel(self, timer: WheelTimer) -> None:
+        """Cancel a timer; its entry stays until its slot is emptied."""
+        timer.call = None
 
-    def advance(self, now: int) -> list[list]:
-        """All that is due by ``now``, in order of ticks."""
-        due, end = [], now // TICK
-        while self.now < end:
-            self.now += 1
+    def advance(self, now: int) -> list[WheelTimer]:
+        """Remove and return all timers that are due, in the order of their ticks."""
+        due: list[WheelTimer] = []
+        end = now // TICK_US
+        while self.tick < end:
+            self.tick += 1
             for level in range(1, LEVELS):
-                if self.now & ((1 << SLOT_BITS * level) - 1):
+                shift = SLOT_BITS * level
+                if self.tick & ((1 << shift) - 1):
                     break
-                self._empty(level, self.now >> SLOT_BITS * level & 255, self._place)
-            self._empty(0, self.now & 255, due.append)
+                self._empty_slot(level, self.tick >> shift & SLOT_MASK, self._insert)
+            self._empty_slot(0, self.tick & SLOT_MASK, due.append)
         return due
 
-    def _empty(self, level: int, slot: int, take) -> None:
-        entries, self.slots[level][slot] = self.slots[level][slot], []
-        self.bits[level] &= ~(1 << slot)
-        for entry in entries:
-            if entry[1] is not None:
-                take(entry)
+    def _empty_slot(self, level: int, slot: int, handle: Callable[[WheelTimer], None]) -> None:
+        timers, self.levels[level][slot] = self.levels[level][slot], []
+        self.occupied_slots[level] &= ~(1 << slot)
+        for timer in timers:
+            if timer.call is not None:
+                handle(timer)
 
 
-def run_heap(pending: int, steps: int, rng: random.Random) -> float:
+def ignore(_argument: Any) -> None:
+    """Do nothing: the call of every timer here."""
+
+
+def time_heap(pending: int, rng: random.Random) -> float:
+    """Return how many seconds the steps take with the heap."""
     timers, now = Timers(), 0
-    held = [timers.add(rng.randrange(1, 60_000_000), print) for _ in range(pending)]
-    began = time.perf_counter()
-    for step in range(steps):
-        now += 100
-        held[step % pending], old = (
-            timers.add(now + rng.randrange(1, 60_000_000), print),
-            held[step % pending],
-        )
-        if step % 10:
-            timers.cancel(old)
+    added = [timers.add(rng.randrange(1, MAX_DELAY_US), ignore) for _ in range(pending)]
+    started_at = time.perf_counter()
+    for step in range(STEPS):
+        now += STEP_US
+        index = step % pending
+        earlier, added[index] = added[index], timers.add(now + rng.randrange(1, MAX_DELAY_US), ignore)
+        if step % CANCEL_ALL_BUT_EACH:
+            timers.cancel(earlier)
         while timers.pop_due(now):
             pass
-    return time.perf_counter() - began
-
-
-def run_wheel(pending: int, steps: int, rng: random.Random) -> float:
-    wheel, now = Wheel(), 0
-    held = [wheel.add(rng.randrange(1, 60_000_000), print) for _ in range(pending)]
-    began = time.perf_counter()
-    for step in range(steps):
-        now += 100
-        place = step % pending
-        held[place], old = wheel.add(now + rng.randrange(1, 60_000_000), print), held[place]
-        if step % 10:
-            wheel.cancel(old)
+    return time.perf_counter() - started_at
+
+
+def time_wheel(pending: int, rng: random.Random) -> float:
+    """Return how many seconds the steps take with the wheel."""
+    wheel, now = TimingWheel(), 0
+    added = [wheel.add(rng.randrange(1, MAX_DELAY_US), ignore) for _ in range(pending)]
+    started_at = time.perf_counter()
+    for step in range(STEPS):
+        now += STEP_US
+        index = step % pending
+        earlier, added[index] = added[index], wheel.add(now + rng.randrange(1, MAX_DELAY_US), ignore)
+        if step % CANCEL_ALL_BUT_EACH:
+            wheel.cancel(earlier)
         wheel.advance(now)
-    return time.perf_counter() - began
+    return time.perf_counter() - started_at
+
+
+def us_per_step(durations: list[float]) -> float:
+    """Return the median of several runs' durations in seconds as microseconds a step."""
+    return statistics.median(durations) / STEPS * 1e6
 
 
 def main() -> None:
-    steps = 100_000
+    """Print a row for each number of pending timers."""
     print("pending    heap us/step   wheel us/step   wheel/heap")
-    for pending in (100, 1_000, 10_000, 100_000, 1_000_000):
-        pairs = [
-            (run_heap(pending, steps, random.Random(n)), run_wheel(pending, steps, random.Random(n)))
-            for n in range(3)
-        ]
-        heap, wheel = (sorted(column)[1] / steps * 1e6 for column in zip(*pairs, strict=True))
+    for pending in PENDING_TIMERS:
+        heap_durations, wheel_durations = [], []
+        for seed in range(RUNS):  # in alternation, so that drift of the machine meets both alike
+            heap_durations.append(time_heap(pending, random.Random(seed)))
+            wheel_durations.append(time_wheel(pending, random.Random(seed)))
+        heap, wheel = us_per_step(heap_durations), us_per_step(wheel_durations)
         print(f"{pending:8} {heap:13.2f} {wheel:15.2f} {wheel / heap:12.2f}", flush=True)
 
 
