--- a/orchidlane/gateway/lifecycle/new_side.py
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -351,6 +351,6 @@
         self.scope.spawn(self._await_drained, priority=CONTROL, name="returning")
 
     def _await_drained(self) -> None:
-        while self.gateway.http_server.connections or self.gateway.resp_server.sessions:
+        while self.gateway.http_server.connections or self.gateway.resp_server.connections:
             self.loop.sleep(DRAIN_POLL_INTERVAL_US)
         self.feed(new_process.Drained())
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -131,7 +131,7 @@
         if "resp" in self.sockets:
             self.resp_server.drain()
         deadline = self.loop.now() + self.fleet.timeouts.drain_us
-        while (self.http_server.connections or self.resp_server.sessions) and self.loop.now() < deadline:
+        while (self.http_server.connections or self.resp_server.connections) and self.loop.now() < deadline:
             self.loop.sleep(DRAIN_POLL_INTERVAL_US)
         self.http_server.lingering.wait(deadline)
         self.resp_server.lingering.wait(deadline)
--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -1,7 +1,6 @@
-"""The HTTP server: accepts clients, limits their number, drains, and hands connections over.
+"""The HTTP server: accepts clients, limits their number and drains.
 
-``request_handler`` serves the requests of a connection. Connections are closed by a lingering close (RFC 9112
-section 9.6).
+``connection_server`` keeps the connections, ``request_handler`` serves the requests of one.
 """
 
 from __future__ import annotations
@@ -13,24 +12,28 @@
 from orchidlane.gateway.forwarding.client_response import ClientResponse
 from orchidlane.gateway.forwarding.protocol_adapter import ClientAdapter, GatewayLimits
 from orchidlane.gateway.server.accept_loop import ACCEPT_RETRY_DELAY_US, accept_clients
-from orchidlane.gateway.server.client_connection import ClientConnection, ConnectionObserver
+from orchidlane.gateway.server.client_connection import ClientConnection
+from orchidlane.gateway.server.connection_server import ConnectionServer
 from orchidlane.gateway.server.request_handler import RequestDriver, RequestHandler
 from orchidlane.runtime import (
-    REQUESTS,
     ConnectionClosedError,
     ConnectionFailedError,
     DeadlineExceededError,
     EventLoop,
-    LingeringConnections,
-    Listener,
     Stream,
-    Task,
     TaskGroup,
 )
 
 
-class HttpServer:
-    """Accepts clients and serves them; connections are kept in the order of their age."""
+class HttpServer(ConnectionServer[ClientConnection]):
+    """Accepts clients and serves their requests.
+
+    ``on_failure`` is called with each failure within one connection; without it they are raised. Once
+    ``shutdown_deadline`` is set, no request is waited for beyond it.
+    """
+
+    accept_task_name = "accept"
+    client_task_name = "client"
 
     def __init__(
         self,
@@ -40,76 +43,32 @@
         clients: ClientAdapter,
         scope: TaskGroup,
     ) -> None:
-        self.loop = loop
+        super().__init__(loop, gateway_limits, scope)
         self.resource_limits = gateway_limits.resource_limits
         self.timeouts = gateway_limits.timeouts
         self.policy_driver = policy_driver
         self.clients = clients
-        self.scope = scope
         self.metrics = policy_driver.metrics
-        self.draining = False
         self.parser_limits = http1.Limits(
-            line=gateway_limits.resource_limits.max_request_line_bytes,
-            head=gateway_limits.resource_limits.max_request_head_bytes,
-            headers=gateway_limits.resource_limits.max_request_headers,
-            body=gateway_limits.resource_limits.max_request_body_bytes,
-        )
-        self.connections: dict[ClientConnection, None] = {}
-        self.new_connections: dict[ClientConnection, None] = {}  # without a request so far, the oldest first
-        self.idle_connections: dict[
-            ClientConnection, None
-        ] = {}  # between two requests, the longest idle first
-        self.lingering = LingeringConnections(
-            loop,
-            scope,
-            gateway_limits.timeouts.linger_us,
-            gateway_limits.resource_limits.max_lingering_connections,
-        )
-        self.listener: Listener
-        self.hand_over: Callable[[ClientConnection], None] | None = (
-            None  # takes each connection between two requests
+            line=self.resource_limits.max_request_line_bytes,
+            head=self.resource_limits.max_request_head_bytes,
+            headers=self.resource_limits.max_request_headers,
+            body=self.resource_limits.max_request_body_bytes,
         )
-        self.on_failure: Callable[[str, Exception], None] | None = None  # None: failures are raised
-        self.observer: ConnectionObserver | None = None  # while another process may take over
-        self.shutdown_deadline: int | None = None  # of all requests, once we shut down
+        # Without a request so far, the oldest first; and between two requests, the longest idle first.
+        self.new_connections: dict[ClientConnection, None] = {}
+        self.idle_connections: dict[ClientConnection, None] = {}
+        self.on_failure: Callable[[str, Exception], None] | None = None
+        self.shutdown_deadline: int | None = None
         self._handler = RequestHandler(self)
-        self._accept_task: Task
-        self._drain_waiter: Task | None = None  # in ``wait_until_closed``
-        self._last_number = loop.now()  # later incarnations start from a higher number
-
-    # -- connections
-
-    def listen(self, listener: Listener) -> None:
-        """Begin to accept clients from a listener."""
-        self.listener = listener
-        self._accept_task = self.scope.spawn(self._accept, priority=REQUESTS, name="accept")
-
-    def stop_accepting(self, hand_over: Callable[[ClientConnection], None]) -> None:
-        """Accept no more clients, which wait at the listener; hand over connections between two requests."""
-        self.loop.cancel(self._accept_task)
-        self.hand_over = hand_over
-        for connection in list(self.connections):
-            if connection.is_between_requests:
-                self._hand_over(connection)
 
-    def resume(self) -> None:
-        """Accept clients again."""
-        self.hand_over = None
-        self._accept_task = self.scope.spawn(self._accept, priority=REQUESTS, name="accept")
-
-    def _hand_over(self, connection: ClientConnection) -> None:
-        assert self.hand_over is not None
-        assert connection.task is not None
-        self._remove(connection)
-        self.hand_over(connection)
-        self.loop.cancel(connection.task)
+    def _can_hand_over(self, connection: ClientConnection) -> bool:
+        return connection.is_between_requests
 
     def _remove(self, connection: ClientConnection) -> None:
-        """Remove a connection from all tables: nothing more is read or answered here."""
-        connection.is_detached = True
+        super()._remove(connection)
         self.new_connections.pop(connection, None)
         self.idle_connections.pop(connection, None)
-        self.connections.pop(connection, None)
 
     def adopt(
         self, stream: Stream, unread: bytes, unread_since_us: int, last_received_at_us: int, number: int
@@ -121,11 +80,6 @@
             connection.parser.receive(unread)
         self._start_serving(connection)
 
-    def next_number(self) -> int:
-        """Return a number that no other connection of this server has."""
-        self._last_number += 1
-        return self._last_number
-
     def _accept(self) -> None:
         """Accept clients; where the process is out of descriptors, close an idle one."""
         while True:
@@ -150,8 +104,7 @@
 
     def _start_serving(self, connection: ClientConnection) -> None:
         connection.has_sent_request = not self.timeouts.first_request_us
-        self.connections[connection] = None
-        connection.task = self.scope.spawn(self._serve, connection, priority=REQUESTS, name="client")
+        super()._start_serving(connection)
 
     def _wait_for_capacity(self) -> None:
         """Wait until there are fewer connections than the limit; close the longest idle one for that."""
@@ -174,32 +127,6 @@
                 return True
         return False
 
-    def _close(self, connection: ClientConnection) -> None:
-        """Close a connection, from its own task or from another."""
-        if connection.is_detached:
-            return
-        self._remove(connection)
-        self.lingering.close(connection.stream)
-        if self.observer is not None:
-            self.observer.connection_closed(connection.number)
-        if connection.task is not None and connection.task is not self.loop.current:
-            self.loop.cancel(connection.task)
-        if self._drain_waiter is not None and not self.connections:
-            self.loop.wake(self._drain_waiter)
-
-    def wait_until_closed(self, deadline: int) -> bool:
-        """Wait until all connections are closed; return False if some are not at the deadline."""
-        self._drain_waiter = self.loop.current
-        try:
-            while self.connections:
-                self.loop.park(deadline)
-        except DeadlineExceededError:
-            return False
-        finally:
-            self._drain_waiter = None
-        self.lingering.wait(deadline)
-        return True
-
     def drain(self) -> None:
         """Accept no more connections; serve the requests that are in flight or have already arrived.
 
@@ -235,9 +162,7 @@
         except BaseException as error:
             if isinstance(error, Exception) and self.on_failure is not None:
                 return self._handle_failure(connection, error)
-            if self.observer is not None and not connection.is_detached:
-                connection.is_detached = True
-                connection.stream.release()  # the connection goes on in the old process
+            self._release_if_observed(connection)
             raise
         finally:
             self._close(connection)
--- a/orchidlane/gateway/server/resp_server.py
+++ b/orchidlane/gateway/server/resp_server.py
@@ -14,7 +14,8 @@
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.peers.token_requests import LimitService
 from orchidlane.gateway.server.accept_loop import accept_clients
-from orchidlane.gateway.server.client_connection import ConnectionObserver, receive_observed, send_all
+from orchidlane.gateway.server.client_connection import receive_observed, send_all
+from orchidlane.gateway.server.connection_server import ConnectionServer
 from orchidlane.gateway.server.resp_commands import CommandTable
 from orchidlane.gateway.server.resp_connection_commands import ConnectionCommands
 from orchidlane.gateway.server.resp_quota_commands import QuotaCommands
@@ -26,10 +27,7 @@
     ConnectionClosedError,
     DeadlineExceededError,
     EventLoop,
-    LingeringConnections,
-    Listener,
     Stream,
-    Task,
     TaskGroup,
 )
 
@@ -41,9 +39,12 @@
 )
 
 
-class RespServer:
+class RespServer(ConnectionServer[Session]):
     """Accepts clients and executes their commands."""
 
+    accept_task_name = "accept resp"
+    client_task_name = "resp client"
+
     def __init__(
         self,
         loop: EventLoop,
@@ -53,59 +54,25 @@
         scope: TaskGroup,
         unready_reason: Callable[[], str] = str,
     ) -> None:
-        self.loop = loop
+        super().__init__(loop, fleet, scope)
         self.fleet = fleet
         self.quotas = fleet.quotas
         self.service = service
-        self.scope = scope
         self.decoder_limits = resp.Limits(
             max_bulk_bytes=self.quotas.max_bulk_bytes,
             max_items=self.quotas.max_command_words,
             max_total_items=self.quotas.max_command_words,
             max_depth=MAX_NESTING,
         )
-        self.sessions: dict[Session, None] = {}
-        self.lingering = LingeringConnections(
-            loop, scope, fleet.timeouts.linger_us, fleet.resource_limits.max_lingering_connections
-        )
-        self.draining = False
-        self.listener: Listener
-        self.hand_over: Callable[[Session], None] | None = None  # takes each session between two commands
-        self.observer: ConnectionObserver | None = None  # while another process may take over
-        self._accept_task: Task
-        self._last_number = loop.now()  # later incarnations start from a higher number
         self._commands = CommandTable(
             ConnectionCommands(fleet.quotas.passwords),
-            QuotaCommands(fleet.quotas, service, configuration, unready_reason, lambda: len(self.sessions)),
+            QuotaCommands(
+                fleet.quotas, service, configuration, unready_reason, lambda: len(self.connections)
+            ),
         )
 
-    # -- connections
-
-    def listen(self, listener: Listener) -> None:
-        """Begin to accept clients from a listener."""
-        self.listener = listener
-        self._accept_task = self.scope.spawn(self._accept, priority=REQUESTS, name="accept resp")
-
-    def stop_accepting(self, hand_over: Callable[[Session], None]) -> None:
-        """Accept no more clients, which wait at the listener; hand over each session between two commands."""
-        self.loop.cancel(self._accept_task)
-        self.hand_over = hand_over
-        for session in list(self.sessions):
-            if not session.is_busy:
-                self._hand_over(session)
-
-    def resume(self) -> None:
-        """Accept clients again."""
-        self.hand_over = None
-        self._accept_task = self.scope.spawn(self._accept, priority=REQUESTS, name="accept resp")
-
-    def _hand_over(self, session: Session) -> None:
-        assert self.hand_over is not None
-        assert session.task is not None
-        session.is_detached = True
-        self.sessions.pop(session, None)
-        self.hand_over(session)
-        self.loop.cancel(session.task)
+    def _can_hand_over(self, session: Session) -> bool:
+        return not session.is_busy
 
     def adopt(self, stream: Stream, unread: bytes, state: RespSessionState, number: int) -> None:
         """Serve a client that another process handed over between two commands."""
@@ -135,16 +102,11 @@
         else:
             self._start_serving(session)
 
-    def next_number(self) -> int:
-        """Return a number that no other session has."""
-        self._last_number += 1
-        return self._last_number
-
     def _accept(self) -> None:
         accept_clients(self.loop, self.listener, self._accept_client)
 
     def _accept_client(self, stream: Stream) -> None:
-        if len(self.sessions) >= self.quotas.max_connections:
+        if len(self.connections) >= self.quotas.max_connections:
             self.scope.spawn(self._reject_client, stream, priority=REQUESTS, name="reject resp client")
             return
         session = Session(stream, self.next_number(), self.decoder_limits, not self.quotas.passwords)
@@ -152,10 +114,6 @@
             self.observer.connection_opened(session.number, stream)
         self._start_serving(session)
 
-    def _start_serving(self, session: Session) -> None:
-        self.sessions[session] = None
-        session.task = self.scope.spawn(self._serve, session, priority=REQUESTS, name="resp client")
-
     def _reject_client(self, stream: Stream) -> None:
         try:
             reply = ErrorReply("ERR max number of clients reached")
@@ -169,22 +127,10 @@
         """Accept no more clients; close the idle ones now and the others once they were answered."""
         self.draining = True
         self.listener.close()
-        for session in list(self.sessions):
+        for session in list(self.connections):
             if not (session.decoder.pending_bytes or session.is_busy or session.stream.has_input()):
                 self._close(session)
 
-    def _close(self, session: Session) -> None:
-        """Close a session, from its own task or from another."""
-        if session.is_detached:
-            return
-        session.is_detached = True
-        self.sessions.pop(session, None)
-        self.lingering.close(session.stream)
-        if self.observer is not None:
-            self.observer.connection_closed(session.number)
-        if session.task is not None and session.task is not self.loop.current:
-            self.loop.cancel(session.task)
-
     def _serve(self, session: Session) -> None:
         try:
             session.is_busy = True  # commands that came with a handed over session are first
@@ -198,11 +144,8 @@
                 self._hand_over(session)
         except (ConnectionClosedError, DeadlineExceededError):
             pass
-        except BaseException:  # the connection goes on in the old process
-            if self.observer is not None and not session.is_detached:
-                session.is_detached = True
-                self.sessions.pop(session, None)
-                session.stream.release()
+        except BaseException:
+            self._release_if_observed(session)
             raise
         finally:
             self._close(session)
--- a/tests/test_respfront.py
+++ b/tests/test_respfront.py
@@ -72,7 +72,7 @@
             pass
         assert sent < 20_000
         house.loop.sleep(3 * SECOND)
-        assert not house.program.resp_server.sessions
+        assert not house.program.resp_server.connections
 
     run(test, times={"write": 2 * SECOND})
 
@@ -199,7 +199,7 @@
         stream = house.backend.connect(DOOR)
         stream.send(raw + STRAY)
         assert to_the_end(house, stream).startswith(reply)
-        assert not house.program.resp_server.sessions
+        assert not house.program.resp_server.connections
 
     run(test)
 
