--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -143,7 +143,7 @@
         return b"".join(parts)
 
     def _log_error(self, event: str, error: Exception) -> None:
-        self.gateway.log.error(event, file=self.path, why=str(error))
+        self.gateway.log.error(event, file=self.path, reason=str(error))
 
     def _expire(self, valid_until_us: int) -> None:
         """Remove a file that was not renewed in time: it would be trusted too long."""
--- a/orchidlane/gateway/lifecycle/new_side.py
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -138,7 +138,7 @@
 
     def _exit(self, reason: str) -> None:
         self.failure = reason
-        self.gateway.log.error("take-over ended", why=reason)
+        self.gateway.log.error("take-over ended", reason=reason)
         self.channel.send(messages.Failure(reason))
         self.gateway.stopping = True
         self.scope.spawn(self._close, priority=CONTROL, name="take-over ends")
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -1,4 +1,8 @@
-"""The gateway process: builds its parts, starts, reloads, takes part in hot restarts, drains and exits."""
+"""The gateway process: starts, serves, takes part in hot restarts, drains and exits.
+
+``gateway_parts`` builds its parts, ``configuration_loader`` reads and reloads its configuration and
+``peer_datagrams`` exchanges datagrams with the other gateways.
+"""
 
 from __future__ import annotations
 
@@ -8,39 +12,29 @@
 
 import structlog
 
-from orchidlane import policy
-from orchidlane.gateway.control.configuration import ConfigurationSnapshot, build_snapshot, read_source_files
-from orchidlane.gateway.control.customers import Customer
+from orchidlane.gateway.control.configuration import ConfigurationSnapshot
 from orchidlane.gateway.control.endpoint_list import EndpointListTracker
-from orchidlane.gateway.control.endpoint_watch import EndpointWatch
 from orchidlane.gateway.control.policy_settings import policy_settings
 from orchidlane.gateway.control.settings import FleetSettings
-from orchidlane.gateway.control.settings_loader import parse_host_port
-from orchidlane.gateway.forwarding.attempt import AttemptStarter
-from orchidlane.gateway.forwarding.openapi_clients import OpenApiClientAdapter
-from orchidlane.gateway.forwarding.openapi_endpoints import OpenApiEndpointAdapter
 from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
+from orchidlane.gateway.lifecycle import gateway_parts
 from orchidlane.gateway.lifecycle.account_store import AccountStore
+from orchidlane.gateway.lifecycle.configuration_loader import ConfigurationLoader
 from orchidlane.gateway.lifecycle.new_side import NewSide
 from orchidlane.gateway.lifecycle.old_side import OldSide
+from orchidlane.gateway.lifecycle.peer_datagrams import PeerDatagrams
 from orchidlane.gateway.lifecycle.served_gateway import describe_moment
 from orchidlane.gateway.lifecycle.sockets import PEER, GatewaySockets
 from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
-from orchidlane.gateway.peers.datagrams import MAX_DATAGRAM_BYTES, DatagramKind, Inbox, encode_datagram
+from orchidlane.gateway.peers.datagrams import DatagramKind, Inbox
 from orchidlane.gateway.peers.token_requests import LimitService
-from orchidlane.gateway.rollout_agent.admin_api import RolloutAdminApi
 from orchidlane.gateway.rollout_agent.agent import RolloutAgent
 from orchidlane.gateway.server.http_server import ClientConnection, HttpServer
-from orchidlane.gateway.server.resp_server import RespServer, Session
-from orchidlane.gateway.telemetry.admin_api import AdminApi, AdminSources
-from orchidlane.gateway.telemetry.counters import Gauge
+from orchidlane.gateway.server.resp_server import Session
 from orchidlane.gateway.telemetry.metrics import MetricsPage
 from orchidlane.gateway.telemetry.policy_host import PolicyNames
 from orchidlane.gateway.telemetry.traffic_recorder import TrafficRecorder
 from orchidlane.hot_restart import new_process, old_process
-from orchidlane.policy.gateway import Gateway
-from orchidlane.recording import track_accounts
-from orchidlane.routes import DescriptionError, DescriptionProblem
 from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, EventLoop, Task, TaskGroup
 
 DRAIN_POLL_INTERVAL_US = 10_000
@@ -73,10 +67,11 @@
         self.record_to = record_to
         self.takes_over = take_over
         self.log = structlog.get_logger().bind(gateway=self.entry.name)
-        self.configuration_given = configuration is not None
         self.sources: tuple[bytes, bytes] | None = None  # contents of the description and customers files
         self.rollout_agent = RolloutAgent(self) if fleet.rollout.voting_members else None
-        self.configuration = configuration or self._initial_configuration(1)
+        self._configuration_loader = ConfigurationLoader(self)
+        self._is_configuration_given = configuration is not None
+        self.configuration = configuration or self._configuration_loader.load(1)
         self.metrics = MetricsPage()
         self.stopping = False
         self.ready = False
@@ -85,8 +80,8 @@
         self.when_ready: Callable[[], None] = lambda: None  # called once, when requests are served
         self.incarnation = loop.now()
         self.sequence = 0  # of the latest datagram
-        self.peers = [parse_host_port(entry.peer) for entry in fleet.gateways]
         self.sockets = GatewaySockets(loop, fleet, self.entry)
+        self.peer_datagrams = PeerDatagrams(self)
         self.policy_driver: PolicyDriver
         self.http_server: HttpServer
         self.inbox: Inbox
@@ -94,10 +89,8 @@
         self.tracker = EndpointListTracker(self.entry.zone, fleet.resource_limits.max_endpoints)
         self._receiving: Task
 
-    # -- life
-
     def run(self) -> None:
-        """Serve from start to the end of a drain."""
+        """Serve from the start, or the hand-over from another process, to the end of a drain."""
         with TaskGroup(self.loop) as scope:
             self.old_side = OldSide(self, scope)
             if self.takes_over:
@@ -114,7 +107,7 @@
         self.sockets.close()
         if self.takes_over:
             self.failure = self.new_side.failure
-        self.log.info("ended", why=self.failure)
+        self.log.info("ended", reason=self.failure)
 
     def _start(self, scope: TaskGroup) -> None:
         for name in ("http", PEER):
@@ -124,7 +117,7 @@
         self.accept_successors()
 
     def _run_until_drained(self) -> None:
-        """Wait for ``stop``, then until all is answered or the time for it is over."""
+        """Wait for ``stop``, then until all requests are answered or the drain's timeout is over."""
         while not self.stopping:
             self.loop.sleep(STOP_POLL_INTERVAL_US)
         self.http_server.drain()
@@ -153,45 +146,17 @@
 
     # -- configuration
 
-    def _initial_configuration(self, number: int) -> ConfigurationSnapshot:
-        """Return what an earlier incarnation ran with, or what the files say. Raises as the reading does."""
-        restored = self.rollout_agent.restore(number) if self.rollout_agent is not None else None
-        return restored or self._read_configuration(number)
-
-    def _read_configuration(self, number: int) -> ConfigurationSnapshot:
-        """Read description and customers. Raises DescriptionError, CustomersError, OSError."""
-        sources = read_source_files(self.loop.backend, self.fleet)
-        snapshot = build_snapshot(*sources, self.fleet, number, self.log)
-        self.sources = sources
-        return snapshot
-
     def load_configuration(self, number: int) -> None:
-        """Read the configuration in a thread of its own. Raises as ``_read_configuration``."""
-        if not self.configuration_given:
-            self.configuration = self.loop.backend.run_in_thread(lambda: self._initial_configuration(number))
+        """Read the configuration in a thread of its own.
+
+        Raises DescriptionError, CustomersError, OSError.
+        """
+        if not self._is_configuration_given:
+            self.configuration = self._configuration_loader.load_in_thread(number)
 
     def reload(self) -> None:
         """Read description and customers anew while serving; what is invalid changes nothing."""
-        number = self.configuration.generation.number + 1
-        if self.rollout_agent is not None and self.rollout_agent.state is not None:
-            self._refuse_reload("the fleet goes by its ledger: propose the change")
-            return
-        try:
-            snapshot = self.loop.backend.run_in_thread(lambda: self._read_configuration(number))
-            self._check_classes(snapshot)
-        except Exception as error:
-            self._refuse_reload(str(error))
-            return
-        self.configuration = snapshot
-        self.log.info("reloaded", generation=snapshot.generation.number)
-
-    def _refuse_reload(self, reason: str) -> None:
-        self.log.error("reload refused", why=reason)
-
-    def _check_classes(self, snapshot: ConfigurationSnapshot) -> None:
-        if snapshot.generation.classes != self.configuration.generation.classes:
-            problem = DescriptionProblem("x-orchidlane", "other classes need a restart of the gateway")
-            raise DescriptionError(self.fleet.description, [problem])
+        self._configuration_loader.reload()
 
     # -- parts
 
@@ -199,76 +164,17 @@
         """Make all parts; none of them does anything yet."""
         self.scope = scope
         settings = policy_settings(self.fleet, self.rank, self.configuration.generation)
-        intakes = [self.fleet.peers.messages_per_second, self.fleet.quotas.messages_per_second]
-        if self.rollout_agent is not None:
-            intakes.append(self.fleet.rollout.messages_per_second)
-        self.inbox = Inbox(self.secret, self.rank, len(self.peers), self.loop.now(), *intakes)
-        self._build_forwarding(settings, scope)
-        self.metrics.gauges = {
-            "connections": Gauge("Clients' connections", lambda: len(self.http_server.connections)),
-            "open_requests": Gauge("Requests under way", lambda: len(self.policy_driver.requests)),
-            "nodes": Gauge("Nodes on the list", lambda: len(self.tracker.endpoints)),
-            "longest_turn_seconds": Gauge(
-                "Longest turn of the loop", lambda: self.loop.longest_turn_us / 1e6
-            ),
-        }
+        self.inbox = gateway_parts.build_inbox(self)
+        self.policy_driver, self.http_server = gateway_parts.build_forwarding(self, settings, scope)
+        self.metrics.gauges = gateway_parts.build_gauges(self)
         self.limit_service = LimitService(
             self.loop, self.fleet, self.rank, self.policy_driver, self.send_limits_datagram
         )
-        self.resp_server = RespServer(
-            self.loop, self.fleet, self.limit_service, lambda: self.configuration, scope, self._unready_reason
-        )
-        self._build_admin()
-        folder = self.fleet.state_directory
-        cache = f"{folder}/{self.entry.name}.nodes.json" if folder else ""
-        self.watch = EndpointWatch(
-            self.loop,
-            self.fleet,
-            self.tracker,
-            self.entry.name,
-            cache,
-            lambda event: self.policy_driver.feed(event),
-        )
-
-    def _build_forwarding(self, settings: policy.Settings, scope: TaskGroup) -> None:
-        nodes = OpenApiEndpointAdapter(self.fleet, self.entry.name, self.incarnation, self.tracker)
-        note = self.rollout_agent.record_answer if self.rollout_agent is not None else None
-        clients = OpenApiClientAdapter(
-            self.fleet,
-            lambda: self.configuration,
-            lambda: self.policy_driver,
-            self.metrics,
-            self._unready_reason,
-            note,
-        )
-        rules = Gateway(settings, self.loop.backend.random.getrandbits(64), self.loop.now())
-        track_accounts(rules)
-        upstream = AttemptStarter(self.loop, self.fleet, scope, nodes)
-        self.policy_driver = PolicyDriver(
-            self.loop, settings, rules, self.metrics, clients, upstream.start_attempt, self._send_to_peer
-        )
-        upstream.policy_driver = self.policy_driver
-        self.http_server = HttpServer(self.loop, self.fleet, self.policy_driver, clients, scope)
-
-    def _build_admin(self) -> None:
-        sources = AdminSources(
-            gateway_name=self.entry.name,
-            host=self.policy_driver,
-            metrics=self.metrics,
-            find_customer=self._find_customer,
-            describe_moment=self.describe_state,
-            is_healthy=lambda: self.ready and not self.stopping and not self._unready_reason(),
-            names=self.state_names,
-        )
-        rollout = RolloutAdminApi(self.rollout_agent) if self.rollout_agent is not None else None
-        self.admin = AdminApi(self.loop, sources, rollout)
-
-    def _find_customer(self, word: bytes) -> Customer | None:
-        """Return the customer of a name, a number or a key."""
-        customers = self.configuration.customers
-        return customers.by_name_or_key(word) or customers.by_number(word)
+        self.resp_server = gateway_parts.build_resp_server(self, scope)
+        self.admin = gateway_parts.build_admin_api(self)
+        self.watch = gateway_parts.build_endpoint_watch(self)
 
-    def _unready_reason(self) -> str:
+    def unready_reason(self) -> str:
         """Return why requests must not be served yet; empty if they may."""
         return self.rollout_agent.rejection_reason() if self.rollout_agent is not None else ""
 
@@ -286,8 +192,8 @@
             self._start_recorder(scope, self.record_to)
         if self.rollout_agent is not None:
             self.rollout_agent.start(scope)
-        scope.spawn(self.watch.run, priority=CONTROL, name="node list")
-        scope.spawn(self.watch.run_cache_writer, priority=BACKGROUND, name="node list's cache")
+        scope.spawn(self.watch.run, priority=CONTROL, name="endpoint list")
+        scope.spawn(self.watch.run_cache_writer, priority=BACKGROUND, name="endpoint list cache")
         self._receive_from_others()
         self.http_server.listen(self.sockets["http"])
         if "resp" in self.sockets:
@@ -298,14 +204,14 @@
         self.log.info("started", listen=self.entry.listen, rank=self.rank, pid=os.getpid())
 
     def _start_account_store(self, scope: TaskGroup) -> None:
-        """Go on with the accounts of an earlier incarnation, unless another process sent its own."""
+        """Restore the accounts of an earlier incarnation, unless another process sent its own."""
         if not self.fleet.state_directory or not self.fleet.account_store.write_interval_us:
             return
         self.account_store = AccountStore(self, f"{self.fleet.state_directory}/{self.entry.name}.accounts")
         if not self.takes_over:
-            self.log.info("remembered", accounts=self.account_store.load())
+            self.log.info("accounts restored", accounts=self.account_store.load())
             self.account_store.save_before_serving()
-        scope.spawn(self.account_store.save_periodically, priority=BACKGROUND, name="memory")
+        scope.spawn(self.account_store.save_periodically, priority=BACKGROUND, name="account store")
 
     def _start_recorder(self, scope: TaskGroup, folder: str) -> None:
         names = self.state_names()
@@ -316,7 +222,7 @@
 
     def _receive_from_others(self) -> None:
         """Receive datagrams of peers, and requests of the admin API."""
-        self._receiving = self.scope.spawn(self._receive_datagrams, priority=PEERS, name="peers")
+        self._receiving = self.scope.spawn(self.peer_datagrams.receive_all, priority=PEERS, name="peers")
         if "admin" in self.sockets:
             self.admin.listen(self.sockets["admin"], self.scope)
 
@@ -348,7 +254,7 @@
     def stop_accepting(
         self, hand_over_http: Callable[[ClientConnection], None], hand_over_resp: Callable[[Session], None]
     ) -> None:
-        """Accept nothing more on any socket; clients are passed on between two requests."""
+        """Accept nothing more on any socket; clients are handed over between two requests."""
         self.loop.cancel(self._receiving)
         if self.rollout_agent is not None:
             self.rollout_agent.stop()
@@ -358,7 +264,7 @@
             self.resp_server.stop_accepting(hand_over_resp)
 
     def resume_serving(self) -> None:
-        """Serve again: nobody else does."""
+        """Serve again after another process did."""
         self.superseded = False
         self.policy_driver.remote_quota = None
         self.limit_service.reclaim()
@@ -378,32 +284,8 @@
         elif rank == self.rank:
             self.new_side.send_own_reply(body)  # to a request of the process before us
         else:
-            self._send_to_peer(rank, body, DatagramKind.LIMITS)
+            self.peer_datagrams.send(rank, body, DatagramKind.LIMITS)
 
     def send_rollout_datagram(self, rank: int, body: bytes) -> None:
         """Send a datagram about the fleet's versions."""
-        self._send_to_peer(rank, body, DatagramKind.ROLLOUT)
-
-    def _send_to_peer(self, rank: int, body: bytes, kind: int = DatagramKind.POLICY) -> None:
-        if self.superseded:
-            return
-        self.sequence += 1
-        self.metrics.datagrams_sent += 1
-        sealed = encode_datagram(self.secret, self.rank, rank, self.incarnation, self.sequence, body, kind)
-        self.sockets[PEER].send(sealed, self.peers[rank])
-
-    def _receive_datagrams(self) -> None:
-        datagrams = self.sockets[PEER]
-        while True:
-            data, _ = datagrams.recv()
-            taken = self.inbox.accept(self.loop.now(), data[: MAX_DATAGRAM_BYTES + 1])
-            if taken is None:
-                continue
-            self.metrics.datagrams_received += 1
-            kind, sender, body = taken
-            if kind == DatagramKind.POLICY:
-                self.policy_driver.feed(policy.PeerMessageReceived(sender, body))
-            elif kind == DatagramKind.ROLLOUT and self.rollout_agent is not None:
-                self.rollout_agent.receive(sender, body)
-            else:
-                self.limit_service.receive(sender, body)
+        self.peer_datagrams.send(rank, body, DatagramKind.ROLLOUT)
