--- a/orchidlane/gateway/lifecycle/new_side.py
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -138,7 +138,7 @@
 
     def _exit(self, reason: str) -> None:
         self.failure = reason
-        self.gateway.log.error("take-over ended", why=reason)
+        self.gateway.log.error("take-over ended", reason=reason)
         self.channel.send(messages.Failure(reason))
         self.gateway.stopping = True
         self.scope.spawn(self._close, priority=CONTROL, name="take-over ends")
@@ -351,6 +351,6 @@
         self.scope.spawn(self._await_drained, priority=CONTROL, name="returning")
 
     def _await_drained(self) -> None:
-        while self.gateway.http_server.connections or self.gateway.resp_server.sessions:
+        while self.gateway.http_server.connections or self.gateway.resp_server.connections:
             self.loop.sleep(DRAIN_POLL_INTERVAL_US)
         self.feed(new_process.Drained())
