--- a/orchidlane/http1/__init__.py
+++ b/orchidlane/http1/__init__.py
@@ -1,19 +1,13 @@
-"""HTTP/1.1 without I/O: bytes in, events out, for both sides (RFC 9110, RFC 9112)."""
+"""HTTP/1.1 without I/O, for both sides: bytes in, events out (RFC 9110, RFC 9112)."""
 
-from orchidlane.http1.events import (
-    Data,
-    End,
-    Event,
-    Headers,
-    ParserLimits,
-    ProtocolError,
-    Request,
-    Response,
-    header,
-    header_tokens,
-)
-from orchidlane.http1.message_parser import RequestParser, ResponseParser
-from orchidlane.http1.writer import chunk, end_to_end, last_chunk, request_head, response_head
+from orchidlane.http1.connection_options import end_to_end
+from orchidlane.http1.errors import ProtocolError
+from orchidlane.http1.events import Data, End, Event, Request, Response
+from orchidlane.http1.header_fields import Headers, header, header_tokens
+from orchidlane.http1.limits import ParserLimits
+from orchidlane.http1.request_parser import RequestParser
+from orchidlane.http1.response_parser import ResponseParser
+from orchidlane.http1.writer import chunk, last_chunk, request_head, response_head
 
 __all__ = [
     "Data",
--- /dev/null
+++ b/orchidlane/http1/errors.py
@@ -0,0 +1,16 @@
+"""The error that the parsers raise."""
+
+from __future__ import annotations
+
+
+class ProtocolError(Exception):
+    """The peer broke HTTP/1.1 or a limit.
+
+    ``status`` is the status code that a server answers with (RFC 9110 section 15); ``detail`` quotes nothing
+    of the message, as header values may be secrets.
+    """
+
+    def __init__(self, status: int, detail: str) -> None:
+        super().__init__(detail)
+        self.status = status
+        self.detail = detail
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -10,12 +10,14 @@
 from orchidlane import http1
 
 
-def read(data: bytes, parser=None, step: int | None = None):
-    """All events of some bytes, fed in steps; a ProtocolError one ends them."""
+def read_events(
+    data: bytes, parser: http1.RequestParser | None = None, step: int | None = None
+) -> list[http1.Event | int]:
+    """Return all events of some input fed in steps; a ProtocolError ends them with its status."""
     parser = parser or http1.RequestParser(
         http1.ParserLimits(max_line_bytes=200, max_head_bytes=600, max_header_lines=8, max_body_bytes=1000)
     )
-    events = []
+    events: list[http1.Event | int] = []
     pieces = [data] if step is None else [data[i : i + step] for i in range(0, len(data), step)]
     for piece in pieces:
         parser.receive(piece)
@@ -24,17 +26,18 @@
                 events.append(event)
                 if isinstance(event, http1.End):
                     parser.next_message()
-        except http1.ProtocolError as wrong:
-            return [*events, wrong.status]
+        except http1.ProtocolError as error:
+            return [*events, error.status]
     return events
 
 
-def body(events) -> bytes:
-    return b"".join(e.data for e in events if isinstance(e, http1.Data))
+def joined_body(events: list[http1.Event | int]) -> bytes:
+    """Return the body that the events carry."""
+    return b"".join(event.data for event in events if isinstance(event, http1.Data))
 
 
 HOST = b"Host: a\r\n"
-BAD = [
+INVALID_REQUESTS = [
     (400, b"GET / HTTP/1.1\r\n\r\n"),
     (400, b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n"),
     (400, b"GET / HTTP/1.1\r\nHost: a/b\r\n\r\n"),
@@ -64,8 +67,8 @@
     (431, b"GET / HTTP/1.1\r\n" + HOST + b"X: 1\r\n" * 9 + b"\r\n"),
     (400, b"\r\n\r\n\r\nGET"),
 ]
-CHUNKED = b"POST / HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n"
-BAD_CHUNKS = [
+CHUNKED_HEAD = b"POST / HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n"
+INVALID_CHUNKS = [
     (400, b"z\r\n"),
     (400, b"-1\r\n"),
     (400, b"0x1\r\n"),
@@ -80,29 +83,29 @@
 ]
 
 
-@pytest.mark.parametrize(("status", "data"), BAD)
+@pytest.mark.parametrize(("status", "data"), INVALID_REQUESTS)
 @pytest.mark.parametrize("step", [None, 1, 7])
-def test_what_smuggles_or_exceeds_bounds_is_refused(status, data, step):
-    assert read(data, step=step)[-1] == status
+def test_request_that_may_smuggle_or_exceeds_a_limit_is_rejected(status, data, step):
+    assert read_events(data, step=step)[-1] == status
 
 
-@pytest.mark.parametrize(("status", "data"), BAD_CHUNKS)
+@pytest.mark.parametrize(("status", "data"), INVALID_CHUNKS)
 @pytest.mark.parametrize("step", [None, 1])
-def test_bad_chunks_are_refused(status, data, step):
-    assert read(CHUNKED + data, step=step)[-1] == status
+def test_invalid_chunk_is_rejected(status, data, step):
+    assert read_events(CHUNKED_HEAD + data, step=step)[-1] == status
 
 
-def test_pipelined_requests_with_bodies_keep_apart():
-    data = CHUNKED + b"3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: x\r\n\r\n" + b"GET /2 HTTP/1.1\r\n" + HOST + b"\r\n"
-    for step in (None, 1, 5):
-        events = read(data, step=step)
-        heads = [e for e in events if isinstance(e, http1.Request)]
-        assert [h.target for h in heads] == [b"/", b"/2"]
-        assert body(events) == b"abcde"
-        assert [e.trailers for e in events if isinstance(e, http1.End)] == [((b"t", b"x"),), ()]
+@pytest.mark.parametrize("step", [None, 1, 5])
+def test_pipelined_requests_with_bodies_are_separated(step):
+    chunks = b"3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: x\r\n\r\n"
+    second_request = b"GET /2 HTTP/1.1\r\n" + HOST + b"\r\n"
+    events = read_events(CHUNKED_HEAD + chunks + second_request, step=step)
+    assert [event.target for event in events if isinstance(event, http1.Request)] == [b"/", b"/2"]
+    assert joined_body(events) == b"abcde"
+    assert [event.trailers for event in events if isinstance(event, http1.End)] == [((b"t", b"x"),), ()]
 
 
-def test_after_a_breach_nothing_more_is_read():
+def test_parser_reads_nothing_after_a_protocol_error():
     parser = http1.RequestParser()
     with pytest.raises(http1.ProtocolError):
         parser.receive(b"nonsense\r\n\r\n")
@@ -113,7 +116,7 @@
 
 
 @pytest.mark.parametrize("cut", range(1, 60))
-def test_an_input_that_ends_early_is_never_a_whole_message(cut):
+def test_truncated_response_never_ends_as_complete(cut):
     data = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX: y\r\n\r\nabcde"
     parser = http1.ResponseParser()
     parser.receive(data[: min(cut, len(data) - 1)])
@@ -122,17 +125,17 @@
     with pytest.raises(http1.ProtocolError):
         while (event := parser.next_event()) is not None:
             events.append(event)
-    assert not any(isinstance(e, http1.End) for e in events)
+    assert not any(isinstance(event, http1.End) for event in events)
 
 
-def test_interim_answers_come_before_the_final_one():
+def test_interim_responses_come_before_the_final_one():
     parser = http1.ResponseParser()
     parser.receive(b"HTTP/1.1 103 Hints\r\nLink: a\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n")
     assert [parser.next_event().status for _ in range(2)] == [103, 204]
     assert parser.next_event() == http1.End()
 
 
-def test_an_answer_to_head_has_no_body_whatever_its_length_says():
+def test_response_to_head_has_no_body_whatever_its_content_length():
     parser = http1.ResponseParser()
     parser.expect_response_to("HEAD")
     parser.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
@@ -140,46 +143,51 @@
     assert parser.next_event() == http1.End()
 
 
-def test_hop_by_hop_headers_stay_behind():
+def test_hop_by_hop_headers_are_not_forwarded():
     headers = ((b"connection", b"X-A, close"), (b"x-a", b"1"), (b"x-b", b"2"), (b"te", b"trailers"))
     assert http1.end_to_end(headers) == [(b"x-b", b"2")]
 
 
-def test_nothing_that_breaks_the_framing_is_written():
+def test_head_that_would_break_the_framing_is_not_written():
     with pytest.raises(ValueError, match="control"):
         http1.response_head(200, [(b"x", b"a\r\nb: c")])
     with pytest.raises(ValueError, match="blank"):
         http1.request_head("GET", b"/a b", [])
 
 
-names = st.sampled_from([b"X-A", b"x-b", b"Accept", b"Content-Length", b"Transfer-Encoding", b"Connection"])
-values = st.one_of(
+header_names = st.sampled_from(
+    [b"X-A", b"x-b", b"Accept", b"Content-Length", b"Transfer-Encoding", b"Connection"]
+)
+header_values = st.one_of(
     st.sampled_from([b"chunked", b"5", b"0", b"close", b"a, b", b"", b" a ", b"5, 5", b"\x80"]),
     st.binary(max_size=6),
 )
-lines = st.lists(st.tuples(names, st.sampled_from([b": ", b":", b" :", b":\t"]), values), max_size=4)
+colons = st.sampled_from([b": ", b":", b" :", b":\t"])
+header_lines = st.lists(st.tuples(header_names, colons, header_values), max_size=4)
 
 
 @settings(max_examples=400, deadline=None)
-@given(lines, st.binary(max_size=30), st.integers(1, 40))
-def test_what_is_accepted_means_the_same_to_h11(fields, rest, step):
-    head = b"POST /x HTTP/1.1\r\nHost: a\r\n" + b"".join(n + c + v + b"\r\n" for n, c, v in fields) + b"\r\n"
-    parser = http1.RequestParser()
-    ours = read(head + rest, parser, step=step)
-    first = ours[0] if ours and isinstance(ours[0], http1.Request) else None
-    if first is None:
-        return  # we may be stricter
-    other = h11.Connection(h11.SERVER)
-    other.receive_data(head + rest)
-    request = other.next_event()
-    assert isinstance(request, h11.Request)
-    assert (request.method, request.target) == (first.method.encode(), first.target)
-    assert list(first.headers) == [(n, v) for n, v in request.headers]
-    theirs = b""
+@given(header_lines, st.binary(max_size=30), st.integers(1, 40))
+def test_accepted_request_means_the_same_to_h11(
+    fields: list[tuple[bytes, bytes, bytes]], rest: bytes, step: int
+) -> None:
+    field_lines = b"".join(name + colon + value + b"\r\n" for name, colon, value in fields)
+    data = b"POST /x HTTP/1.1\r\nHost: a\r\n" + field_lines + b"\r\n" + rest
+    events = read_events(data, http1.RequestParser(), step=step)
+    if not events or not isinstance(events[0], http1.Request):
+        return  # this parser may be stricter
+    head = events[0]
+    reference = h11.Connection(h11.SERVER)
+    reference.receive_data(data)
+    reference_head = reference.next_event()
+    assert isinstance(reference_head, h11.Request)
+    assert (reference_head.method, reference_head.target) == (head.method.encode(), head.target)
+    assert list(reference_head.headers) == list(head.headers)
+    reference_body = b""
     try:
-        while isinstance(event := other.next_event(), h11.Data):
-            theirs += bytes(event.data)
+        while isinstance(event := reference.next_event(), h11.Data):
+            reference_body += bytes(event.data)
     except h11.RemoteProtocolError:
         return
-    second = next((i for i, e in enumerate(ours) if isinstance(e, http1.End)), len(ours))
-    assert body(ours[:second]) == theirs
+    end = next((i for i, event in enumerate(events) if isinstance(event, http1.End)), len(events))
+    assert joined_body(events[:end]) == reference_body
