--- a/orchidlane/cli/audit_command.py
+++ b/orchidlane/cli/audit_command.py
@@ -9,7 +9,7 @@
 import click
 
 from orchidlane import recording
-from orchidlane.cli.errors import UNCHECKED, clear_errors
+from orchidlane.cli.errors import EXIT_INCOMPLETE_CHECK, report_input_errors
 from orchidlane.cli.output import print_result
 from orchidlane.recording.segments import SEGMENT_SUFFIX
 from orchidlane.simulation.audit import audit_folder
@@ -25,7 +25,7 @@
 
     Exit 0: held; 1: a rule was broken; 3: held, but part of a record could not be read.
     """
-    with clear_errors():
+    with report_input_errors():
         socket_audit = audit_folder(folder)
         paths = sorted(str(path) for path in Path(folder).glob(f"*{SEGMENT_SUFFIX}"))
         if socket_audit is None and not paths:
@@ -43,7 +43,7 @@
     print_result(value, _format_lines(value), as_json)
     if not all(rules_held):
         sys.exit(1)
-    sys.exit(UNCHECKED if findings is not None and findings.damaged else 0)
+    sys.exit(EXIT_INCOMPLETE_CHECK if findings is not None and findings.damaged else 0)
 
 
 def _format_lines(value: dict[str, Any]) -> list[str]:
--- a/orchidlane/cli/change.py
+++ b/orchidlane/cli/change.py
@@ -13,7 +13,7 @@
 import msgspec
 import structlog
 
-from orchidlane.cli.errors import clear_errors
+from orchidlane.cli.errors import report_input_errors
 from orchidlane.cli.rollout_client import RolloutClient
 from orchidlane.cli.rollout_text import MICROSECONDS, history_line, proposal_progress, status_lines
 from orchidlane.gateway.control.configuration import build_snapshot, read_source_files
@@ -66,10 +66,10 @@
     """Versions of the rules that the whole fleet goes by, approved by a quorum of its voters."""
 
 
-def _with_clear_errors(work: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
+def _with_input_errors_reported(work: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
     @wraps(work)
     def run(*args: Parameters.args, **options: Parameters.kwargs) -> Result:
-        with clear_errors():
+        with report_input_errors():
             return work(*args, **options)
 
     return run
@@ -86,7 +86,7 @@
 @REASON
 @AUTHOR
 @WAIT
-@_with_clear_errors
+@_with_input_errors_reported
 def propose(settings: str, reason: str, author: str | None, wait: bool) -> None:
     """Have the fleet go by the description and the customers that the settings' files have now.
 
@@ -115,7 +115,7 @@
 @REASON
 @AUTHOR
 @WAIT
-@_with_clear_errors
+@_with_input_errors_reported
 def undo(settings: str, number: int | None, reason: str, author: str | None, wait: bool) -> None:
     """Take a version's edit back, by a new version; the latest one if no number is given.
 
@@ -205,7 +205,7 @@
 @SETTINGS
 @REASON
 @AUTHOR
-@_with_clear_errors
+@_with_input_errors_reported
 def stop(settings: str, reason: str, author: str | None) -> None:
     """Stop the change on its way: one that is asked about ends, one that is adopted goes no further."""
     _command_on_rollout(settings, "stop", reason, author)
@@ -214,7 +214,7 @@
 @change.command()
 @SETTINGS
 @AUTHOR
-@_with_clear_errors
+@_with_input_errors_reported
 def resume(settings: str, author: str | None) -> None:
     """Let a stopped change go on."""
     _command_on_rollout(settings, "resume", "", author)
@@ -279,7 +279,7 @@
 @change.command("status")
 @SETTINGS
 @click.option("--json", "as_json", is_flag=True)
-@_with_clear_errors
+@_with_input_errors_reported
 def status_command(settings: str, as_json: bool) -> None:
     """How the fleet's versions stand: who leads, what is on its way, which gateways run what.
 
@@ -300,7 +300,7 @@
 @change.command()
 @SETTINGS
 @click.option("--json", "as_json", is_flag=True)
-@_with_clear_errors
+@_with_input_errors_reported
 def history(settings: str, as_json: bool) -> None:
     """The versions that are remembered, the latest last."""
     entries = RolloutClient(settings).status().history
--- a/orchidlane/cli/customer_commands.py
+++ b/orchidlane/cli/customer_commands.py
@@ -7,7 +7,7 @@
 
 import click
 
-from orchidlane.cli.errors import clear_errors
+from orchidlane.cli.errors import report_input_errors
 from orchidlane.cli.output import print_result
 from orchidlane.cli.views import find_sources, load_customer_view, open_state, request_class_number
 from orchidlane.gateway.telemetry.plan_counts import count_by_plan
@@ -34,7 +34,7 @@
     WHERE is a gateway's admin address, a state saved by `state`, or a settings file for all its gateways.
     CUSTOMER is a name, a number or a key.
     """
-    with clear_errors():
+    with report_input_errors():
         if (customer is None) == (plan is None):
             raise ValueError("either CUSTOMER or --plan is wanted")
         if plan is not None:
@@ -95,7 +95,7 @@
 @click.option("--json", "as_json", is_flag=True)
 def diff(admins: tuple[str, str], customer: str, as_json: bool) -> None:
     """Two gateways' views of one customer, and when they would agree; exit 1 where decisions differ."""
-    with clear_errors():
+    with report_input_errors():
         views = [load_customer_view(admin, customer) for admin in admins]
         predictions = [predict_request(view, 0, 1.0) for view in views]
     different_counts = _different_counts(predictions)
--- a/orchidlane/cli/errors.py
+++ b/orchidlane/cli/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with the input, one problem a line, and no traceback."""
+"""Exit codes, and errors of the input as messages in place of tracebacks."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from orchidlane.recording import FormatError
 from orchidlane.routes import DescriptionError
 
-UNUSABLE = 2
-UNCHECKED = 3  # no, but not all of it could be checked
+EXIT_FAILED_CHECK = 1  # the answer is no: a rule broken, a check failed
+EXIT_UNUSABLE_INPUT = 2
+EXIT_INCOMPLETE_CHECK = 3  # no fault found, but not all could be checked
 
-
-UNREADABLE = (ConfigError, DescriptionError, CustomersError, FormatError, ViewError, ValueError)
+INPUT_ERRORS = (ConfigError, DescriptionError, CustomersError, FormatError, ViewError, ValueError)
 
 
 @contextmanager
-def clear_errors() -> Iterator[None]:
-    """What is wrong with the input, one problem a line, and no traceback."""
+def report_input_errors() -> Iterator[None]:
+    """Print an error of the input, one problem a line and without a traceback, and exit."""
     try:
         yield
-    except UNREADABLE as wrong:
-        click.echo(str(wrong), err=True)
-        sys.exit(UNUSABLE)
-    except OSError as wrong:
-        click.echo(f"{wrong.filename or ''}: {wrong.strerror or wrong}".lstrip(": "), err=True)
-        sys.exit(UNUSABLE)
+    except INPUT_ERRORS as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_UNUSABLE_INPUT)
+    except OSError as error:
+        click.echo(f"{error.filename or ''}: {error.strerror or error}".lstrip(": "), err=True)
+        sys.exit(EXIT_UNUSABLE_INPUT)
--- a/orchidlane/cli/gateway_commands.py
+++ b/orchidlane/cli/gateway_commands.py
@@ -8,9 +8,10 @@
 
 import click
 
-from orchidlane.cli.errors import clear_errors
+from orchidlane.cli.errors import report_input_errors
+from orchidlane.cli.gateway_figures import Figures
 from orchidlane.cli.output import print_result
-from orchidlane.cli.screen import EVERY, Screen, as_rows
+from orchidlane.cli.screen import REFRESH_INTERVAL_US, Screen, rates_as_json
 from orchidlane.cli.views import (
     SETTINGS_SUFFIX,
     find_sources,
@@ -43,7 +44,7 @@
 @click.option("--json", "as_json", is_flag=True)
 def state(admin: str, out: str | None, as_json: bool) -> None:
     """All that a gateway knows at one moment (or a saved state), in short; it goes on serving meanwhile."""
-    with clear_errors():
+    with report_input_errors():
         if out:
             save_state(admin, out)
         with open_state(out or admin) as reader:
@@ -72,7 +73,7 @@
 @click.option("--json", "as_json", is_flag=True)
 def nodes(admin: str, class_name: str, as_json: bool) -> None:
     """A gateway's view of each node, and where its next request would go."""
-    with clear_errors():
+    with report_input_errors():
         view = load_endpoint_view(admin)
         forwarded = predict_endpoints(view, request_class_number(view, class_name))
         rows = [_endpoint_row(view, endpoint, forwarded) for endpoint in listed_endpoints(view.state)]
@@ -106,7 +107,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Implies --once.")
 def top(where: str, once: bool, as_json: bool) -> None:
     """A live screen of a fleet: WHERE is a settings file or one gateway's admin address."""
-    with clear_errors():
+    with report_input_errors():
         admins = _admin_addresses(where)
     loop = EventLoop(RealBackend())
     screen = Screen(loop, "orchidlane top", admins)
@@ -114,15 +115,15 @@
         if not as_json:
             loop.run(screen.show, 2 if once else 0)
             return
-        rows: list[dict[str, float]] = []
+        rows: list[Figures] = []
 
         def read_twice() -> None:
-            screen.look()
-            loop.sleep(EVERY)
-            rows.extend(screen.look())
+            screen.read_rates()
+            loop.sleep(REFRESH_INTERVAL_US)
+            rows.extend(screen.read_rates())
 
         loop.run(read_twice)
-        print_result(as_rows(admins, rows), [], as_json)
+        print_result(rates_as_json(admins, rows), [], as_json)
         sys.exit(0 if all(rows) else 1)
 
 
--- a/orchidlane/cli/record_commands.py
+++ b/orchidlane/cli/record_commands.py
@@ -9,7 +9,7 @@
 import click
 
 from orchidlane import recording
-from orchidlane.cli.errors import UNCHECKED, clear_errors
+from orchidlane.cli.errors import EXIT_INCOMPLETE_CHECK, report_input_errors
 from orchidlane.cli.output import print_result
 from orchidlane.gateway.control.policy_settings import policy_settings
 from orchidlane.gateway.control.settings_loader import load_settings
@@ -29,7 +29,7 @@
 
     Exit 0: no difference; 1: the first one is shown; 3: none, but a broken part could not be checked.
     """
-    with clear_errors():
+    with report_input_errors():
         paths = recording.list_segments(folder)
         if other_settings:
             _simulate_settings(paths, other_settings, as_json)
@@ -59,7 +59,7 @@
     print_result(value, lines, as_json)
     if differences:
         sys.exit(1)
-    sys.exit(UNCHECKED if incomplete else 0)
+    sys.exit(EXIT_INCOMPLETE_CHECK if incomplete else 0)
 
 
 def _describe_unchecked(part: recording.UncheckedPart) -> str:
@@ -107,7 +107,7 @@
     as_json: bool,
 ) -> None:
     """One request's life, step by step, or the requests of a customer, from a traffic record."""
-    with clear_errors():
+    with report_input_errors():
         if (request is None) == (customer is None):
             raise ValueError("either REQUEST or --customer is wanted")
         paths = recording.list_segments(folder)
--- a/orchidlane/cli/roll.py
+++ b/orchidlane/cli/roll.py
@@ -14,7 +14,7 @@
 
 import click
 
-from orchidlane.cli.errors import UNUSABLE, clear_errors
+from orchidlane.cli.errors import EXIT_UNUSABLE_INPUT, report_input_errors
 from orchidlane.cli.upgrade import THIS_PROGRAM, successor_command
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import load_settings
@@ -119,7 +119,7 @@
     Exit 0: all run the new build; 1: harm was seen, and all run the old build again; 4: some could not be
     brought back. It may be killed at any time and resumed.
     """
-    with clear_errors():
+    with report_input_errors():
         fleet = load_settings(settings)
         if not fleet.state_directory:
             raise ValueError(f"{settings}: state: a folder is wanted, where the gateways take the call")
@@ -173,7 +173,7 @@
     """Print how the latest roll stands."""
     if stored is None:
         click.echo("no roll so far")
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE_INPUT)
     old_command, new_command = stored.commands
     click.echo(_summary(stored.state))
     click.echo(f"old  {old_command}\nnew  {new_command}")
--- a/orchidlane/cli/run.py
+++ b/orchidlane/cli/run.py
@@ -1,4 +1,4 @@
-"""The processes: a gateway and a stand-in node, with their signals."""
+"""The processes that the command runs: a gateway and a fake endpoint, with their signals."""
 
 from __future__ import annotations
 
@@ -18,12 +18,17 @@
 
 
 def run_gateway(
-    fleet: FleetSettings, rank: int, folder: str | None = None, take_over: bool = False, ready_fd: int = -1
+    fleet: FleetSettings,
+    rank: int,
+    record_folder: str | None = None,
+    take_over: bool = False,
+    ready_descriptor: int = -1,
 ) -> str:
     """Run one gateway: SIGTERM and SIGINT drain it, SIGHUP reloads description and customers.
 
-    With ``take_over`` from the process that runs now; says why nothing became of that, empty if all went
-    well. A line "ready" is written to ``ready_fd`` once requests are served.
+    With ``take_over`` it replaces the process that runs now; the result is the reason why it did not, or
+    empty. A line "ready" is written to ``ready_descriptor``, if not negative, once requests are served.
+    Raises ValueError for a rank that the fleet does not have.
     """
     if not 0 <= rank < len(fleet.gateways):
         raise ValueError(f"--rank: found {rank}, allowed: 0 to {len(fleet.gateways) - 1}")
@@ -31,22 +36,22 @@
     backend = RealBackend()
     loop = EventLoop(backend)
     check_rollout_settings(fleet)
-    program = GatewayProcess(loop, fleet, rank, secret, record_to=folder, take_over=take_over)
-    if ready_fd >= 0:
-        program.when_ready = lambda: _say_ready(ready_fd)
-    serve(loop, backend, program.run, program.stop, program.reload)
-    return program.failure
+    gateway = GatewayProcess(loop, fleet, rank, secret, record_to=record_folder, take_over=take_over)
+    if ready_descriptor >= 0:
+        gateway.when_ready = lambda: _write_ready(ready_descriptor)
+    serve(loop, backend, gateway.run, gateway.stop, gateway.reload)
+    return gateway.failure
 
 
-def _say_ready(number: int) -> None:
-    with contextlib.suppress(OSError):  # whoever waited is gone
-        os.write(number, b"ready\n")
-        os.close(number)
+def _write_ready(descriptor: int) -> None:
+    with contextlib.suppress(OSError):  # the reader has gone
+        os.write(descriptor, b"ready\n")
+        os.close(descriptor)
 
 
-def run_node(path: str) -> None:
-    """Run one stand-in node until it is killed."""
-    spec = msgspec.json.decode(Path(path).read_bytes(), type=NodeSpec)
+def run_node(spec_path: str) -> None:
+    """Run one fake endpoint by a file with its parameters, until it is killed."""
+    spec = msgspec.json.decode(Path(spec_path).read_bytes(), type=NodeSpec)
     loop = EventLoop(RealBackend())
     with contextlib.suppress(KeyboardInterrupt):
         loop.run(Node(loop, spec).run)
--- a/orchidlane/cli/screen.py
+++ b/orchidlane/cli/screen.py
@@ -1,4 +1,4 @@
-"""One screen of a fleet: what its gateways' metrics say happened since the last look."""
+"""One screen of a fleet: what its gateways' metrics say happened since the last refresh."""
 
 from __future__ import annotations
 
@@ -9,134 +9,106 @@
 from rich.live import Live
 from rich.table import Table
 
-from orchidlane import http1
-from orchidlane.runtime import DeadlineExceededError, EventLoop, EventLoopError
+from orchidlane.cli.gateway_figures import Figure, Figures, Reading, rates_between, read_figures
+from orchidlane.runtime import EventLoop
 from orchidlane.runtime.backend import Address
 
-EVERY = 1_000_000  # microseconds between two looks
-COLUMNS = {
-    "served/s": "served",
-    "refused/s": "refused",
-    "failed/s": "failed",
-    "sent/s": "sent",
-    "not ok/s": "bad",
-    "open": "open",
-    "peers/s": "peers",
-    "nodes": "nodes",
-    "turn ms": "turn",
+REFRESH_INTERVAL_US = 1_000_000
+READ_TIMEOUT_US = REFRESH_INTERVAL_US // 2
+LINE_INTERVAL_US = 5 * REFRESH_INTERVAL_US  # without a terminal
+COLUMN_TITLES = {
+    Figure.SERVED: "served/s",
+    Figure.REJECTED: "refused/s",
+    Figure.FAILED: "failed/s",
+    Figure.FORWARDED: "sent/s",
+    Figure.NOT_SERVED_ATTEMPTS: "not ok/s",
+    Figure.OPEN_REQUESTS: "open",
+    Figure.PEER_DATAGRAMS: "peers/s",
+    Figure.ENDPOINTS: "nodes",
+    Figure.LONGEST_TURN_MS: "turn ms",
 }
-LEVELS = ("open", "nodes", "turn")  # figures that are as they are; the others are counts, shown by the second
+WITHOUT_TOTAL = (Figure.ENDPOINTS, Figure.LONGEST_TURN_MS)
 
 
 class Screen:
-    """Reads the gateways' metrics once a second and draws them; one that does not answer is shown so."""
+    """Reads the gateways' metrics once a second and draws their rates."""
 
     def __init__(
         self, loop: EventLoop, title: str, gateways: list[tuple[str, Address]], hint: str = ""
     ) -> None:
         self.loop = loop
         self.title = title
-        self.gateways = gateways
+        self.gateways = gateways  # name and admin address of each
         self.hint = hint
-        self.before: list[dict[str, float]] = [{} for _ in gateways]
+        self._readings: list[Reading | None] = [None] * len(gateways)
 
-    def show(self, looks: int = 0) -> None:
-        """Draw so many times, or for ever; without a terminal a line now and then."""
+    def show(self, refresh_count: int = 0) -> None:
+        """Draw so many times, or without end for 0; without a terminal, print a line now and then."""
         console = Console()
-        if not console.is_terminal:
-            return self._lines(looks)
-        with Live(self.table([{} for _ in self.gateways]), console=console, auto_refresh=False) as live:
+        if console.is_terminal:
+            self._show_table(console, refresh_count)
+        else:
+            self._show_lines(refresh_count)
+
+    def _show_table(self, console: Console, remaining: int) -> None:
+        nothing_yet: list[Figures] = [{} for _ in self.gateways]
+        with Live(self.table(nothing_yet), console=console, auto_refresh=False) as live:
             live.refresh()
             while True:
-                live.update(self.table(self.look()), refresh=True)
-                if (looks := looks - 1) == 0:
+                live.update(self.table(self.read_rates()), refresh=True)
+                remaining -= 1
+                if remaining == 0:
                     return
-                self.loop.sleep(EVERY)
+                self.loop.sleep(REFRESH_INTERVAL_US)
 
-    def _lines(self, looks: int) -> None:
+    def _show_lines(self, remaining: int) -> None:
         print(f"{self.title}  {self.hint}".rstrip(), flush=True)
         while True:
-            rows = self.look()
-            served, refused = (sum(row.get(name, 0) for row in rows) for name in ("served", "refused"))
-            silent = sum(not row for row in rows)
-            told = f"served {served:.0f}/s, refused {refused:.0f}/s, gateways silent {silent}"
-            print(told, file=sys.stdout, flush=True)
-            if (looks := looks - 1) == 0:
+            print(self._summary(self.read_rates()), file=sys.stdout, flush=True)
+            remaining -= 1
+            if remaining == 0:
                 return
-            self.loop.sleep(5 * EVERY)
-
-    def look(self) -> list[dict[str, float]]:
-        """Each gateway's figures since the last look; none where it does not answer."""
-        return [self._rates(index, at) for index, (_, at) in enumerate(self.gateways)]
-
-    def table(self, rows: list[dict[str, float]]) -> Table:
-        """One screen."""
-        table = Table("gateway", *COLUMNS, title=self.title, caption=self.hint, caption_justify="left")
+            self.loop.sleep(LINE_INTERVAL_US)
+
+    def _summary(self, rows: list[Figures]) -> str:
+        served = _total(rows, Figure.SERVED)
+        rejected = _total(rows, Figure.REJECTED)
+        silent = sum(not row for row in rows)
+        return f"served {served:.0f}/s, refused {rejected:.0f}/s, gateways silent {silent}"
+
+    def read_rates(self) -> list[Figures]:
+        """Return each gateway's rates since the last call; an empty row for one that does not answer."""
+        return [self._read_rates_of(index) for index in range(len(self.gateways))]
+
+    def _read_rates_of(self, index: int) -> Figures:
+        _, admin = self.gateways[index]
+        now = read_figures(self.loop, admin, READ_TIMEOUT_US)
+        before = self._readings[index]
+        self._readings[index] = now
+        return {} if now is None else rates_between(before, now)
+
+    def table(self, rows: list[Figures]) -> Table:
+        """Return one screen: a row for each gateway, and their totals."""
+        titles = COLUMN_TITLES.values()
+        table = Table("gateway", *titles, title=self.title, caption=self.hint, caption_justify="left")
         for (name, _), row in zip(self.gateways, rows, strict=True):
-            cells = [f"{row[key]:.0f}" if key in row else "-" for key in COLUMNS.values()]
+            cells = [f"{row[figure]:.0f}" if figure in row else "-" for figure in COLUMN_TITLES]
             table.add_row(name, *cells)
-        total = {key: sum(row.get(key, 0) for row in rows) for key in COLUMNS.values()}
         table.add_section()
-        sums = [f"{total[key]:.0f}" if key not in ("nodes", "turn") else "" for key in COLUMNS.values()]
-        table.add_row("all", *sums)
+        totals = [
+            "" if figure in WITHOUT_TOTAL else f"{_total(rows, figure):.0f}" for figure in COLUMN_TITLES
+        ]
+        table.add_row("all", *totals)
         return table
 
-    def _rates(self, index: int, at: Address) -> dict[str, float]:
-        """What happened a second since the last look."""
-        now = self._read(at)
-        if not now:
-            self.before[index] = {}
-            return {}
-        before, self.before[index] = self.before[index], now
-        if not before:
-            return {key: now[key] if key in LEVELS else 0.0 for key in COLUMNS.values()}
-        span = max(1e-3, now["clock"] - before["clock"])
-        rates = {key: (now[key] - before[key]) / span for key in COLUMNS.values() if key not in LEVELS}
-        if any(rate < 0 for rate in rates.values()):  # it was started anew meanwhile
-            rates = dict.fromkeys(rates, 0.0)
-        return rates | {key: now[key] for key in LEVELS}
-
-    def _read(self, at: Address) -> dict[str, float]:
-        by = self.loop.now() + EVERY // 2
-        try:
-            stream = self.loop.backend.connect(at, by)
-            try:
-                stream.send(http1.request_head("GET", b"/metrics", [(b"host", b"admin")]), by)
-                text = b""
-                while data := stream.recv(deadline=by):
-                    text += data
-            finally:
-                stream.close()
-        except (EventLoopError, DeadlineExceededError):
-            return {}
-        return sums(text.decode("utf-8", "replace")) | {"clock": self.loop.now() / 1e6}
-
-
-def sums(text: str) -> dict[str, float]:
-    """The figures of one page that the screen shows."""
-    found = dict.fromkeys(COLUMNS.values(), 0.0)
-    for line in text.splitlines():
-        name, _, value = line.rpartition(" ")
-        for kind in ("served", "refused", "failed"):
-            if name.startswith("orchidlane_answers_total") and f'kind="{kind}"' in name:
-                found[kind] += float(value)
-        if name.startswith("orchidlane_attempts_total"):
-            found["sent"] += float(value)
-            found["bad"] += float(value) * ('"served"' not in name)
-        elif name.startswith("orchidlane_datagrams_total"):
-            found["peers"] += float(value)
-        elif name == "orchidlane_open_requests":
-            found["open"] = float(value)
-        elif name == "orchidlane_nodes":
-            found["nodes"] = float(value)
-        elif name == "orchidlane_longest_turn_seconds":
-            found["turn"] = float(value) * 1e3
-    return found
-
-
-def as_rows(gateways: list[tuple[str, Address]], rows: list[dict[str, float]]) -> list[dict[str, Any]]:
-    """One look for programs: a gateway that does not answer has ``up`` false and no figures."""
+
+def _total(rows: list[Figures], figure: Figure) -> float:
+    return sum(row.get(figure, 0) for row in rows)
+
+
+def rates_as_json(gateways: list[tuple[str, Address]], rows: list[Figures]) -> list[dict[str, Any]]:
+    """Return rows for JSON output: a gateway that does not answer has ``up`` false and no figures."""
     return [
-        {"gateway": name, "up": bool(row), **{key: round(value, 3) for key, value in row.items()}}
+        {"gateway": name, "up": bool(row), **{figure.value: round(value, 3) for figure, value in row.items()}}
         for (name, _), row in zip(gateways, rows, strict=True)
     ]
--- a/orchidlane/cli/up.py
+++ b/orchidlane/cli/up.py
@@ -1,4 +1,4 @@
-"""``orchidlane up``: a fleet with its stand-ins, and one screen of what it does."""
+"""``orchidlane up``: a fleet with fake endpoints and clients, and one screen of what it does."""
 
 from __future__ import annotations
 
@@ -17,24 +17,48 @@
 from orchidlane.gateway.control.settings_loader import load_settings, parse_host_port
 from orchidlane.runtime import BACKGROUND, EventLoop, RealBackend
 from orchidlane.simulation.backends import RealBacking
-from orchidlane.simulation.scenario import Day, KindEntry, Runner, make_plan
+from orchidlane.simulation.scenario import Day, KindEntry, Plan, Runner, make_plan
 
-PLACES = ("listen", "peer", "admin", "resp")
-KEPT = 100_000  # tries remembered for the closing line
-FOR_EVER = 365 * 24 * 3600
-KINDS = (
+MICROSECONDS_PER_SECOND = 1_000_000
+ADDRESS_FIELDS = ("listen", "peer", "admin", "resp")
+DATAGRAM_ADDRESS_FIELD = "peer"
+MAX_OBSERVATIONS = 100_000  # kept for the closing line
+UNLIMITED_SECONDS = 365 * 24 * 3600
+REQUEST_KINDS = (
     KindEntry("sheet-read", 0.7, "GET", "/v1/sheets/{}", Duration(15_000)),
     KindEntry("test-upload", 0.2, "PUT", "/v1/tests/{}", Duration(30_000), 2_000),
     KindEntry("report-issue", 0.1, "POST", "/v1/reports", Duration(50_000), 200),
 )
 
 
-def run_fleet(settings: str, rate: float, nodes: int, seconds: int) -> None:
-    """Start everything at the addresses of the settings, and show it until Ctrl-C."""
+def run_demo_fleet(settings: str, rate: float, nodes: int, seconds: int) -> None:
+    """Start gateways, fake endpoints and clients at the addresses of the settings; show them until Ctrl-C.
+
+    ``rate`` is in requests a second; 0 ``seconds`` means no end. Raises ValueError for an address in use.
+    """
     fleet = load_settings(settings)
-    _refuse_taken(settings, fleet)
+    _check_addresses_are_free(settings, fleet)
     click.echo(f"starting {len(fleet.gateways)} gateways and {nodes} stand-in nodes: the screen follows")
-    day = Day(
+    day = _demo_day(settings, fleet, rate, nodes, seconds)
+    with tempfile.TemporaryDirectory(prefix="orchidlane-") as folder:
+        backing = RealBacking(folder)
+        plan = make_plan(day, folder, backing.free_addresses, as_written=True)
+        backing.prepare(plan)
+        loop = EventLoop(RealBackend())
+        plan.nodes = [msgspec.structs.replace(spec, records="") for spec in plan.nodes]
+        runner = Runner(loop, plan, backing, deque(maxlen=MAX_OBSERVATIONS))
+        screen = _screen(loop, plan)
+        signal.signal(signal.SIGTERM, signal.default_int_handler)
+        with contextlib.suppress(KeyboardInterrupt):
+            try:
+                loop.run(_run, loop, runner, screen)
+            finally:
+                backing.end()
+
+
+def _demo_day(settings: str, fleet: FleetSettings, rate: float, nodes: int, seconds: int) -> Day:
+    """Return a scenario with a steady load and without faults."""
+    return Day(
         fleet=settings,
         gateways=len(fleet.gateways),
         racks=max(1, nodes // 2),
@@ -42,8 +66,8 @@
         cores=2.0,
         customers=20,
         rate=rate,
-        span=Duration((seconds or FOR_EVER) * 1_000_000),
-        kinds=KINDS,
+        span=Duration((seconds or UNLIMITED_SECONDS) * MICROSECONDS_PER_SECOND),
+        kinds=REQUEST_KINDS,
         list_delay=(Duration(200_000), Duration(900_000)),
         peer_loss=0.0,
         takes=rate / 5,
@@ -52,45 +76,38 @@
         arrival_slack=Duration(100_000),
         steps=(),
     )
-    with tempfile.TemporaryDirectory(prefix="orchidlane-") as folder:
-        backing = RealBacking(folder)
-        plan = make_plan(day, folder, backing.free_addresses, as_written=True)
-        backing.prepare(plan)
-        loop = EventLoop(RealBackend())
-        plan.nodes = [msgspec.structs.replace(spec, records="") for spec in plan.nodes]
-        runner = Runner(loop, plan, backing, deque(maxlen=KEPT))
-        door = plan.gateways[0]
-        hint = f"curl -i -H 'X-Api-Key: key-of-1' http://{door[0]}:{door[1]}/v1/sheets/steel"
-        admins = [(entry.name, parse_host_port(entry.admin)) for entry in plan.fleet.gateways]
-        screen = Screen(loop, "orchidlane up", admins, hint)
-        signal.signal(signal.SIGTERM, signal.default_int_handler)
-        with contextlib.suppress(KeyboardInterrupt):
-            try:
-                loop.run(_run, loop, runner, screen)
-            finally:
-                backing.end()
 
 
-def _refuse_taken(settings: str, fleet: FleetSettings) -> None:
-    """Say whose address something else has, before anything is started. Raises ValueError."""
-    wanted = [("nodes.list", fleet.endpoints.list_address)]
+def _screen(loop: EventLoop, plan: Plan) -> Screen:
+    host, port = plan.gateways[0]
+    hint = f"curl -i -H 'X-Api-Key: key-of-1' http://{host}:{port}/v1/sheets/steel"
+    admins = [(entry.name, parse_host_port(entry.admin)) for entry in plan.fleet.gateways]
+    return Screen(loop, "orchidlane up", admins, hint)
+
+
+def _check_addresses_are_free(settings: str, fleet: FleetSettings) -> None:
+    """Raise ValueError for the first address that another process has, before anything is started."""
+    _check_address_is_free(settings, "nodes.list", fleet.endpoints.list_address, socket.SOCK_STREAM)
     for rank, entry in enumerate(fleet.gateways):
-        wanted += [(f"gateways.{rank}.{name}", getattr(entry, name)) for name in PLACES]
-    for where, at in wanted:
-        datagrams = where.endswith(".peer")
-        with socket.socket(type=socket.SOCK_DGRAM if datagrams else socket.SOCK_STREAM) as probe:
-            if not datagrams:  # connections of an earlier run that fade away are no hindrance
-                probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            try:
-                probe.bind(parse_host_port(at))
-            except OSError as wrong:
-                raise ValueError(
-                    f"{settings}: {where}: {at}: {wrong.strerror}; does it run already?"
-                ) from None
+        for field in ADDRESS_FIELDS:
+            kind = socket.SOCK_DGRAM if field == DATAGRAM_ADDRESS_FIELD else socket.SOCK_STREAM
+            _check_address_is_free(settings, f"gateways.{rank}.{field}", getattr(entry, field), kind)
+
+
+def _check_address_is_free(settings: str, path: str, address: str, kind: socket.SocketKind) -> None:
+    with socket.socket(type=kind) as probe:
+        if kind == socket.SOCK_STREAM:  # connections of an earlier run may still be in TIME_WAIT
+            probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        try:
+            probe.bind(parse_host_port(address))
+        except OSError as error:
+            raise ValueError(
+                f"{settings}: {path}: {address}: {error.strerror}; does it run already?"
+            ) from None
 
 
 def _run(loop: EventLoop, runner: Runner, screen: Screen) -> None:
     loop.spawn(screen.show, priority=BACKGROUND, name="screen")
     verdict = runner.run()
-    held = all(verdict.rules.values())
-    print(f"{verdict.requests} requests; rules held: {'all' if held else verdict.rules}")
+    all_held = all(verdict.rules.values())
+    print(f"{verdict.requests} requests; rules held: {'all' if all_held else verdict.rules}")
--- a/orchidlane/cli/upgrade.py
+++ b/orchidlane/cli/upgrade.py
@@ -12,7 +12,7 @@
 
 import click
 
-from orchidlane.cli.errors import clear_errors
+from orchidlane.cli.errors import report_input_errors
 from orchidlane.gateway.control.settings_loader import hot_restart_address, load_settings
 from orchidlane.gateway.lifecycle.status_query import request_status
 from orchidlane.hot_restart.messages import Status
@@ -58,7 +58,7 @@
 
     Exit 0: the successor passed its trial and serves; 1: the old process goes on, and why.
     """
-    with clear_errors():
+    with report_input_errors():
         fleet = load_settings(settings)
         if not 0 <= rank < len(fleet.gateways):
             raise ValueError(f"--rank: found {rank}, allowed: 0 to {len(fleet.gateways) - 1}")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,8 +17,8 @@
 import pytest
 from click.testing import CliRunner
 
+from orchidlane.cli.gateway_figures import Figure, parse_figures
 from orchidlane.cli.main import main
-from orchidlane.cli.screen import sums
 from orchidlane.simulation.bench_day import map_bench_day
 from orchidlane.simulation.scenario import load_day
 
@@ -100,15 +100,18 @@
     assert {step.do for step in mapped.day.steps} == {"freeze_gateway", "drain_node"}
 
 
-def test_the_screens_sums():
+def test_figures_are_summed_over_the_labels_of_a_metrics_page():
     page = (
         'orchidlane_answers_total{class="a",kind="served"} 3.0\n'
         'orchidlane_answers_total{class="b",kind="served"} 4.0\n'
         'orchidlane_attempts_total{outcome="served"} 7.0\norchidlane_attempts_total{outcome="full"} 2.0\n'
         "orchidlane_open_requests 5.0\n"
     )
-    found = sums(page)
-    assert (found["served"], found["sent"], found["bad"], found["open"]) == (7, 9, 2, 5)
+    figures = parse_figures(page)
+    assert figures[Figure.SERVED] == 7
+    assert figures[Figure.FORWARDED] == 9
+    assert figures[Figure.NOT_SERVED_ATTEMPTS] == 2
+    assert figures[Figure.OPEN_REQUESTS] == 5
 
 
 # A real process
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -82,19 +82,19 @@
 
 
 def test_top_shows_which_gateways_answer():
-    from orchidlane.cli.screen import Screen, as_rows
+    from orchidlane.cli.screen import Screen, rates_as_json
 
     def test(harness: GatewayHarness) -> None:
         screen = Screen(harness.loop, "t", [("gw-0", ("127.0.0.1", 8280)), ("gw-1", ("127.0.0.1", 8281))])
-        screen.look()
+        screen.read_rates()
         for _ in range(10):
             harness.ask(GET)
         harness.loop.sleep(SECOND)
-        rows = as_rows(screen.gateways, screen.look())
+        rows = rates_as_json(screen.gateways, screen.read_rates())
         assert rows[0]["served"] == pytest.approx(10, abs=1)
         assert rows[0]["nodes"] == 1
         assert rows[1] == {"gateway": "gw-1", "up": False}
-        assert len(screen.table(screen.look()).columns) == 10
+        assert len(screen.table(screen.read_rates()).columns) == 10
 
     GatewayHarness(good).run(test)
 
