--- /dev/null
+++ b/benchmarks/example_policy.py
@@ -0,0 +1,47 @@
+"""The policy of the example fleet, with endpoints to select from."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from orchidlane import policy
+from orchidlane.gateway.control.policy_settings import policy_settings
+from orchidlane.gateway.control.settings_loader import parse_settings
+from orchidlane.policy.gateway import Gateway
+from orchidlane.routes import Generation, build, load_description
+
+MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
+START_US = 10**15  # time of the policy's first event
+ENDPOINT_COUNT = 24
+
+
+def example_generation() -> Generation:
+    """Return the routes of the example description."""
+    file = MATERIALS / "openapi.yaml"
+    return build(load_description(file.read_bytes(), str(file)), str(file))
+
+
+def example_gateway() -> Gateway:
+    """Return the policy of the example fleet's first gateway, without endpoints."""
+    fleet = parse_settings((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
+    return Gateway(policy_settings(fleet, 0, example_generation()), 1, START_US)
+
+
+def list_endpoints(gateway: Gateway) -> None:
+    """Give the policy a complete list of ready endpoints."""
+    entries = tuple(
+        policy.EndpointEntry(b"s%d" % number, policy.EndpointState.READY, 0, 0, 0, 1.0)
+        for number in range(ENDPOINT_COUNT)
+    )
+    complete_list = policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 1, entries)
+    gateway.handle(START_US, complete_list)
+
+
+def cheap_request(number: int, customer: int) -> policy.RequestArrived:
+    """Return the arrival of a request of the first class, for one unit and within two seconds."""
+    return policy.RequestArrived(number, customer, 0, 0, 1.0, 2_000_000, 0, 3, False)
+
+
+def served_attempt(number: int, endpoint: bytes, duration_us: int) -> policy.AttemptEnded:
+    """Return the end of a request's first attempt, served after so long."""
+    return policy.AttemptEnded(number, 0, endpoint, policy.Outcome.SERVED, duration_us, True, 0, 0.0, ())
--- a/benchmarks/index.py
+++ b/benchmarks/index.py
@@ -5,106 +5,152 @@
 
 from __future__ import annotations
 
+import argparse
 import sys
 import tempfile
-import time
 from bisect import bisect_left
-from collections.abc import Callable
+from dataclasses import astuple, dataclass
 from pathlib import Path
 
-from benchmarks.layers import MATERIALS
+from benchmarks.example_policy import (
+    START_US,
+    cheap_request,
+    example_gateway,
+    list_endpoints,
+    served_attempt,
+)
+from benchmarks.timing import measure_seconds, timed_result
 from orchidlane import policy, recording
-from orchidlane.gateway.control.policy_settings import policy_settings
-from orchidlane.gateway.control.settings_loader import parse_settings
-from orchidlane.policy.gateway import Gateway
 from orchidlane.recording.index import request_number
-from orchidlane.routes import build, load_description
 
 LOOKUPS = 50
+REQUEST_INTERVAL_US = 5_000
+RESPONSE_TIME_US = 900
+CUSTOMERS = 997
+WINDOW_US = 100_000  # of a look by time
 
+Pair = tuple[int, int, recording.Entry]  # request number, offset, entry
 
-def write_segment(path: Path, requests: int) -> None:
+
+def write_segment(path: Path, request_count: int) -> None:
     """Write a segment with so many requests, each rejected or served."""
-    file = MATERIALS / "openapi.yaml"
-    generation = build(load_description(file.read_bytes(), str(file)), str(file))
-    fleet = parse_settings((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
-    settings = policy_settings(fleet, 0, generation)
-    gateway, now = Gateway(settings, 1, 10**15), 10**15
-    entries = tuple(
-        policy.EndpointEntry(b"s%d" % n, policy.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24)
-    )
-    gateway.handle(now, policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 1, entries))
-    stored_settings = recording.settings_to_stored(settings)
+    gateway = example_gateway()
+    list_endpoints(gateway)
     header = recording.Header(
-        recording.FORMAT_VERSION, "b", "g", now, 0, stored_settings, recording.dump_state(gateway)
+        recording.FORMAT_VERSION,
+        "b",
+        "g",
+        START_US,
+        0,
+        recording.settings_to_stored(gateway.settings),
+        recording.dump_state(gateway),
     )
+    now = START_US
     with path.open("wb") as out:
         out.write(recording.pack_header(header))
-        for number in range(requests):
-            now += 5_000
-            arrived = policy.RequestArrived(number, number % 997, 0, 0, 1.0, 2_000_000, 0, 3, False)
+        for number in range(request_count):
+            now += REQUEST_INTERVAL_US
+            arrived = cheap_request(number, number % CUSTOMERS)
             actions = gateway.handle(now, arrived)
             out.write(recording.pack_entry(now, arrived, actions))
-            for send in (action for action in actions if isinstance(action, policy.SendAttempt)):
-                ended = policy.AttemptEnded(
-                    number, 0, send.endpoint, policy.Outcome.SERVED, 900, True, 0, 0.0, ()
-                )
-                out.write(recording.pack_entry(now + 900, ended, gateway.handle(now + 900, ended)))
+            for action in actions:
+                if isinstance(action, policy.SendAttempt):
+                    ended_at = now + RESPONSE_TIME_US
+                    ended = served_attempt(number, action.endpoint, RESPONSE_TIME_US)
+                    out.write(recording.pack_entry(ended_at, ended, gateway.handle(ended_at, ended)))
+
+
+@dataclass(frozen=True, slots=True)
+class KeyLookup:
+    """Times of one way to look up a request, and the bytes that it holds in memory."""
+
+    build_seconds: float
+    lookup_seconds: float
+    size_bytes: int
+
+
+def measure_index(path: Path, wanted: list[int]) -> KeyLookup:
+    """Measure the index by request number."""
+    reader = recording.SegmentReader(str(path))
+    build_seconds, index = timed_result(lambda: recording.KeyIndex(reader, request_number))
+    seconds = measure_seconds(lambda: [index.entries(number) for number in wanted])
+    size_bytes = sys.getsizeof(index.keys) + sys.getsizeof(index.offsets)
+    return KeyLookup(build_seconds, seconds / len(wanted), size_bytes)
+
+
+def measure_sorted_list(path: Path, wanted: list[int]) -> KeyLookup:
+    """Measure a sorted list of all entries."""
+    reader = recording.SegmentReader(str(path))
+
+    def build() -> list[Pair]:
+        return sorted((request_number(entry) or 0, entry.offset, entry) for entry in reader if entry.event)
 
+    build_seconds, pairs = timed_result(build)
+    seconds = measure_seconds(lambda: [pairs[bisect_left(pairs, (number, 0))] for number in wanted])
+    size_bytes = sum(
+        sys.getsizeof(pair) + sys.getsizeof(pair[2]) + sys.getsizeof(pair[2].event) for pair in pairs
+    )
+    return KeyLookup(build_seconds, seconds / len(wanted), size_bytes)
+
+
+def measure_scan(path: Path, number: int) -> float:
+    """Return the seconds of a scan for one request."""
+    reader = recording.SegmentReader(str(path))
+    return measure_seconds(lambda: [entry for entry in reader if request_number(entry) == number])
+
+
+@dataclass(frozen=True, slots=True)
+class TimeLookup:
+    """Times of the index by time, and of a scan for the same entries."""
 
-def measure_seconds(work: Callable[[], object]) -> float:
-    """Return the time of a call."""
-    began = time.perf_counter()
-    work()
-    return time.perf_counter() - began
+    build_seconds: float
+    lookup_seconds: float
+    scan_seconds: float
 
 
-def print_line(requests: int) -> None:
+def measure_time_index(path: Path) -> TimeLookup:
+    """Measure a look at a short window in the middle of a segment."""
+    reader = recording.SegmentReader(str(path))
+    build_seconds, index = timed_result(lambda: recording.TimeIndex(reader))
+    start = index.times[len(index.times) // 2]
+    end = start + WINDOW_US
+    lookup_seconds = measure_seconds(lambda: list(index.between(start, end)))
+    scanner = recording.SegmentReader(str(path))
+    scan_seconds = measure_seconds(
+        lambda: [entry for entry in scanner.entries() if start <= entry.at_us < end]
+    )
+    return TimeLookup(build_seconds, lookup_seconds, scan_seconds)
+
+
+def print_line(request_count: int) -> None:
     """Print one line of the table."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "a.olr"
-        write_segment(path, requests)
-        reader = recording.SegmentReader(str(path))
-        indexes: list = []
-        built = measure_seconds(lambda: indexes.append(recording.KeyIndex(reader, recording.request_number)))
-        index = indexes.pop()
-        wanted = [n * (requests // LOOKUPS) for n in range(LOOKUPS)]
-        lookup = measure_seconds(lambda: [index.entries(n) for n in wanted]) / LOOKUPS
-        list_reader = recording.SegmentReader(str(path))
-        pairs: list = []
-        list_built = measure_seconds(
-            lambda: pairs.extend(
-                sorted((request_number(e) or 0, e.offset, e) for e in list_reader if e.event)
-            )
-        )
-        list_look = measure_seconds(lambda: [pairs[bisect_left(pairs, (n, 0))] for n in wanted]) / LOOKUPS
-        scanner = recording.SegmentReader(str(path))
-        scan = measure_seconds(lambda: [e for e in scanner if request_number(e) == wanted[-1]])
-        small = sys.getsizeof(index.keys) + sys.getsizeof(index.offsets)
-        large = sum(sys.getsizeof(p) + sys.getsizeof(p[2]) + sys.getsizeof(p[2].event) for p in pairs)
-        times: list = []
-        by_time = measure_seconds(lambda: times.append(recording.TimeIndex(reader)))
-        middle = times[0].times[len(times[0].times) // 2]
-        span = measure_seconds(lambda: list(times[0].between(middle, middle + 100_000)))
-        spanned = measure_seconds(
-            lambda: [e for e in scanner.entries() if middle <= e.at_us < middle + 100_000]
-        )
-        print(
-            f"{requests:8} {built * 1e3:10.0f} {lookup * 1e6:9.0f} {list_built * 1e3:15.0f} "
-            f"{list_look * 1e6:14.1f} {scan * 1e3:9.0f} {small:9} {large:8}"
-            f" {by_time * 1e3:12.0f} {span * 1e6:11.0f} {spanned * 1e6:11.0f}",
-            flush=True,
-        )
+        write_segment(path, request_count)
+        wanted = [number * (request_count // LOOKUPS) for number in range(LOOKUPS)]
+        index_build, index_lookup, index_bytes = astuple(measure_index(path, wanted))
+        list_build, list_lookup, list_bytes = astuple(measure_sorted_list(path, wanted))
+        scan = measure_scan(path, wanted[-1])
+        time_build, time_lookup, time_scan = astuple(measure_time_index(path))
+    print(
+        f"{request_count:8} {index_build * 1e3:10.0f} {index_lookup * 1e6:9.0f} {list_build * 1e3:15.0f} "
+        f"{list_lookup * 1e6:14.1f} {scan * 1e3:9.0f} {index_bytes:9} {list_bytes:8}"
+        f" {time_build * 1e3:12.0f} {time_lookup * 1e6:11.0f} {time_scan * 1e6:11.0f}",
+        flush=True,
+    )
 
 
 def main() -> None:
     """Print the table."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--requests", type=int, nargs="*", default=[1_000, 10_000, 100_000])
+    request_counts = parser.parse_args().requests
     print(
         "requests   build ms   look us   list build ms   list look us   scan ms"
         "   index B   list B  by time ms  its look us  its scan us"
     )
-    for requests in (1_000, 10_000, 100_000):
-        print_line(requests)
+    for request_count in request_counts:
+        print_line(request_count)
 
 
 if __name__ == "__main__":
--- a/benchmarks/recording.py
+++ b/benchmarks/recording.py
@@ -5,53 +5,66 @@
 
 from __future__ import annotations
 
-import os
+import argparse
 import statistics
 import tempfile
 import time
 from pathlib import Path
 
-from benchmarks.gateway import ROUND, free_ports, load, settings, start, until_up
+from benchmarks.comparison import load_alternately
+from benchmarks.gateway import load_http
+from benchmarks.processes import (
+    SERVER_ROLES,
+    free_ports,
+    pinned_processes,
+    wait_until_listening,
+    write_settings,
+)
 
-ROUNDS = 8
-CONNECTIONS = 32
-HERE = "benchmarks.gateway"
+CONNECTION_COUNT = 32
+WRITE_DELAY_SECONDS = 0.5  # the last entries are on disk then
+
+
+def measure(rounds: int) -> None:
+    """Print the ratio of each round's rates, and the bytes of a request."""
+    endpoint, endpoint_list, *ports = free_ports(6)
+    plain, plain_peer, recording, recording_peer = ports
+    with (
+        tempfile.TemporaryDirectory() as plain_folder,
+        tempfile.TemporaryDirectory() as record_folder,
+        pinned_processes() as processes,
+    ):
+        plain_settings = write_settings(Path(plain_folder), plain, plain_peer, endpoint_list)
+        recording_settings = write_settings(Path(record_folder), recording, recording_peer, endpoint_list)
+        processes.start_server(SERVER_ROLES, "endpoint", endpoint)
+        processes.start_server(SERVER_ROLES, "endpoint-list", endpoint_list, endpoint)
+        processes.start_measured("orchidlane", "gateway", str(plain_settings))
+        processes.start_measured("orchidlane", "gateway", str(recording_settings), "--record", record_folder)
+        processes.pin_load()
+        wait_until_listening(endpoint, endpoint_list, plain, recording)
+        time.sleep(1)  # the gateways have their endpoint
+        gateways = {"plain": plain, "recording": recording}
+        series = load_alternately(rounds, gateways, lambda port: load_http(port, CONNECTION_COUNT))
+        time.sleep(WRITE_DELAY_SECONDS)
+        record_bytes = sum(path.stat().st_size for path in Path(record_folder).glob("*.olr"))
+    pairs = zip(series["recording"].rates, series["plain"].rates, strict=True)
+    ratios = [rate / without for rate, without in pairs]
+    print_ratios(ratios)
+    print(f"{record_bytes / len(series['recording'].latencies_ms):.0f} bytes a request")
+
+
+def print_ratios(ratios: list[float]) -> None:
+    """Print all ratios and their median."""
+    listed = ", ".join(f"{ratio:.2f}" for ratio in ratios)
+    print(f"requests/s recording beside not: {listed}; median {statistics.median(ratios):.2f}")
 
 
 def main() -> None:
-    """Print the ratio of each pair, and the bytes."""
-    cores = sorted(os.sched_getaffinity(0))
-    node, listed, *ports = free_ports(6)
-    with tempfile.TemporaryDirectory() as first, tempfile.TemporaryDirectory() as second:
-        plain = settings(Path(first), ports[0], ports[1], listed)
-        taped = settings(Path(second), ports[2], ports[3], listed)
-        core = cores[2 % len(cores)]
-        processes = [
-            start(cores[0], "-m", HERE, "--node", str(node)),
-            start(cores[0], "-m", HERE, "--list", str(listed), str(node)),
-            start(core, "-m", "orchidlane", "gateway", str(plain)),
-            start(core, "-m", "orchidlane", "gateway", str(taped), "--record", second),
-        ]
-        os.sched_setaffinity(0, {cores[4 % len(cores)]})
-        try:
-            for port in (node, listed, ports[0], ports[2]):
-                until_up(port)
-            time.sleep(1)
-            ratios, requests = [], 0
-            for _ in range(ROUNDS):
-                without, _, _ = load(ports[0], CONNECTIONS, ROUND)
-                rate, times, _ = load(ports[2], CONNECTIONS, ROUND)
-                requests += len(times)
-                ratios.append(rate / without)
-            time.sleep(0.5)
-            size = sum(path.stat().st_size for path in Path(second).glob("*.olr"))
-        finally:
-            for process in processes:
-                process.kill()
-                process.wait()
-    shown = ", ".join(f"{ratio:.2f}" for ratio in ratios)
-    print(f"requests/s recording beside not: {shown}; median {statistics.median(ratios):.2f}")
-    print(f"{size / requests:.0f} bytes a request")
+    """Measure as the arguments say."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--rounds", type=int, default=8)
+    arguments = parser.parse_args()
+    measure(arguments.rounds)
 
 
 if __name__ == "__main__":
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -5,54 +5,87 @@
 
 from __future__ import annotations
 
+import argparse
 import random
 import re
-import time
 
+from benchmarks.timing import measure_seconds
 from orchidlane.routes import Tree
 
-WORDS = [f"w{number}" for number in range(400)]
+SEGMENTS = [f"w{number}" for number in range(400)]
+CONCRETE_SEGMENT_SHARE = 0.7
+PATH_COUNT = 200
+TREE_REPEATS = 50  # a pass over all paths is too short to be timed alone
 
 
-def templates(count: int, rng: random.Random) -> list[str]:
-    found: dict[str, None] = {}
-    while len(found) < count:
-        parts = [rng.choice(WORDS) if rng.random() < 0.7 else f"{{p{i}}}" for i in range(rng.randint(2, 5))]
-        found["/" + "/".join([rng.choice(WORDS), *parts])] = None
-    return list(found)
+def random_templates(count: int, rng: random.Random) -> list[str]:
+    """Draw so many distinct path templates."""
+    templates: dict[str, None] = {}
+    while len(templates) < count:
+        parts = [
+            rng.choice(SEGMENTS) if rng.random() < CONCRETE_SEGMENT_SHARE else f"{{p{index}}}"
+            for index in range(rng.randint(2, 5))
+        ]
+        templates["/" + "/".join([rng.choice(SEGMENTS), *parts])] = None
+    return list(templates)
 
 
-def paths_of(chosen: list[str], rng: random.Random) -> list[str]:
-    return [re.sub(r"\{\w+\}", lambda _: f"v{rng.randrange(1000)}", rng.choice(chosen)) for _ in range(200)]
+def random_paths(templates: list[str], rng: random.Random) -> list[str]:
+    """Draw paths that match some of the templates."""
+    return [
+        re.sub(r"\{\w+\}", lambda _: f"v{rng.randrange(1000)}", rng.choice(templates))
+        for _ in range(PATH_COUNT)
+    ]
 
 
-def main() -> None:
+def build_tree(templates: list[str]) -> tuple[Tree[str], list[str]]:
+    """Return a tree and the templates that it takes, which don't contradict each other."""
+    tree: Tree[str] = Tree()
+    taken = []
+    for template in templates:
+        try:
+            tree.add(template, template)
+        except ValueError:
+            continue
+        taken.append(template)
+    return tree, taken
+
+
+def build_patterns(templates: list[str]) -> list[re.Pattern[str]]:
+    """Return one expression for each template."""
+    return [re.compile(re.sub(r"\\{\w+\\}", "[^/]+", re.escape(template))) for template in templates]
+
+
+def print_line(route_count: int) -> None:
+    """Print one line of the table."""
     rng = random.Random(1)
-    print("routes    tree us    list us   list/tree")
-    for count in (10, 100, 1_000, 20_000):
-        chosen = templates(count, rng)
-        tree: Tree[str] = Tree()
-        kept = []
-        for one in chosen:
-            try:
-                tree.add(one, one)
-                kept.append(one)
-            except ValueError:
-                continue
-        kept.sort(key=lambda one: one.count("{"))
-        plain = [(re.compile(re.sub(r"\\{\w+\\}", "[^/]+", re.escape(one))), one) for one in kept]
-        paths = paths_of(kept, rng)
-        began = time.perf_counter()
-        repeats = 50
-        for _ in range(repeats):
+    tree, templates = build_tree(random_templates(route_count, rng))
+    templates.sort(key=lambda template: template.count("{"))
+    patterns = build_patterns(templates)
+    paths = random_paths(templates, rng)
+
+    def match_by_tree() -> None:
+        for _ in range(TREE_REPEATS):
             for path in paths:
                 assert tree.match(path)
-        by_tree = (time.perf_counter() - began) / repeats / len(paths) * 1e6
-        began = time.perf_counter()
+
+    def match_by_list() -> None:
         for path in paths:
-            assert next(one for pattern, one in plain if pattern.fullmatch(path))
-        by_list = (time.perf_counter() - began) / len(paths) * 1e6
-        print(f"{count:6} {by_tree:10.2f} {by_list:10.2f} {by_list / by_tree:11.1f}", flush=True)
+            assert next(pattern for pattern in patterns if pattern.fullmatch(path))
+
+    tree_us = measure_seconds(match_by_tree) / TREE_REPEATS / len(paths) * 1e6
+    list_us = measure_seconds(match_by_list) / len(paths) * 1e6
+    print(f"{route_count:6} {tree_us:10.2f} {list_us:10.2f} {list_us / tree_us:11.1f}", flush=True)
+
+
+def main() -> None:
+    """Print the table."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--routes", type=int, nargs="*", default=[10, 100, 1_000, 20_000])
+    route_counts = parser.parse_args().routes
+    print("routes    tree us    list us   list/tree")
+    for route_count in route_counts:
+        print_line(route_count)
 
 
 if __name__ == "__main__":
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -7,133 +7,163 @@
 
 from __future__ import annotations
 
+import argparse
+import contextlib
 import gc
 import resource
 import subprocess
 import sys
 import tempfile
-import time
-from collections.abc import Callable
+from collections.abc import Iterator
 from pathlib import Path
 
 import msgspec
 
-from benchmarks.layers import MATERIALS
+from benchmarks.example_policy import START_US, example_gateway, list_endpoints
+from benchmarks.timing import measure_ms, timed_result
 from orchidlane import policy, recording
-from orchidlane.gateway.control.policy_settings import policy_settings
-from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.policy.gateway import Gateway
-from orchidlane.routes import build, load_description
 
 EVENTS = 4_000
-START = 10**15
+EVENTS_START_US = START_US + 10**7
+PLAN_NAMES = ("basico", "amplio")
+KIB_PER_MIB = 1024
+COUNT_PROGRAM = """
+import resource, sys
+from orchidlane import recording
+from orchidlane.gateway.telemetry.plan_counts import count_by_plan
+count_by_plan(recording.SegmentReader(sys.argv[1]), 10)
+print(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss)
+"""
 
 
 def make_gateway(customers: int) -> Gateway:
     """Return a policy that knows so many customers."""
-    file = MATERIALS / "openapi.yaml"
-    generation = build(load_description(file.read_bytes(), str(file)), str(file))
-    fleet = parse_settings((MATERIALS / "fleet.cue").read_text(), "fleet.cue")
-    gateway = Gateway(policy_settings(fleet, 0, generation), 1, START)
+    gateway = example_gateway()
     recording.track_accounts(gateway)
-    entries = tuple(
-        policy.EndpointEntry(b"s%d" % n, policy.EndpointState.READY, 0, 0, 0, 1.0) for n in range(24)
-    )
-    gateway.handle(START, policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 1, entries))
+    list_endpoints(gateway)
     for number in range(customers):
-        gateway.handle(START + number, policy.QuotaRequested(number, number, number % 2, 0, 1.0, 0, 3))
+        requested = policy.QuotaRequested(number, number, number % 2, 0, 1.0, 0, 3)
+        gateway.handle(START_US + number, requested)
     return gateway
 
 
-def measure_ms(work: Callable[[], object]) -> float:
-    """Return the time of a call in milliseconds."""
-    began = time.perf_counter()
-    work()
-    return (time.perf_counter() - began) * 1e3
+@contextlib.contextmanager
+def garbage_collection_paused() -> Iterator[None]:
+    """Collect garbage now, and not again until the end."""
+    gc.collect()
+    gc.disable()
+    try:
+        yield
+    finally:
+        gc.enable()
+
+
+def measure_pages_ms(snapshot: recording.Snapshot) -> list[float]:
+    """Return the milliseconds of each page of a snapshot."""
+    pages = snapshot.pages()
+    times_ms: list[float] = []
+
+    def pack_next() -> bool:
+        rows = next(pages, None)
+        if rows is None:
+            return False
+        recording.pack_account_page(0, rows, last=False)
+        return True
+
+    while True:
+        seconds, is_packed = timed_result(pack_next)
+        if not is_packed:
+            return times_ms
+        times_ms.append(seconds * 1e3)
 
 
-def measure_events_ms(gateway: Gateway, customers: int, first: int) -> float:
-    """Return the time of some events, spread over all customers."""
-    now, step = START + 10**7, max(1, customers // EVENTS)
+def measure_events_ms(gateway: Gateway, customers: int, first_number: int) -> float:
+    """Return the milliseconds of some events, spread over all customers."""
+    step = max(1, customers // EVENTS)
 
-    def work() -> None:
-        for n in range(EVENTS):
-            gateway.handle(now + n, policy.QuotaRequested(first + n, n * step % customers, 0, 0, 1.0, 0, 3))
+    def handle_events() -> None:
+        for index in range(EVENTS):
+            customer = index * step % customers
+            requested = policy.QuotaRequested(first_number + index, customer, 0, 0, 1.0, 0, 3)
+            gateway.handle(EVENTS_START_US + index, requested)
 
-    return measure_ms(work)
+    return measure_ms(handle_events)
 
 
-def print_pauses(customers: int) -> None:
+def measure_events_ratio(gateway: Gateway, customers: int) -> float:
+    """Return the time of events during a snapshot over their time before it."""
+    before_ms = measure_events_ms(gateway, customers, 10**7)
+    snapshot = recording.Snapshot(gateway)
+    during_ms = measure_events_ms(gateway, customers, 2 * 10**7)
+    snapshot.close()
+    return during_ms / before_ms
+
+
+def print_line(customers: int) -> None:
     """Print one line of the table."""
     gateway = make_gateway(customers)
-    gc.collect()
-    gc.disable()
-    complete_dump_ms = measure_ms(lambda: msgspec.msgpack.encode(recording.dump_state(gateway)))
-    snapshots: list[recording.Snapshot] = []
-    begin_ms = measure_ms(lambda: snapshots.append(recording.Snapshot(gateway)))
-    encode_ms = measure_ms(lambda: msgspec.msgpack.encode(snapshots[0].state))
-    pages = snapshots[0].pages()
-    page_times_ms = []
-    while True:
-        began = time.perf_counter()
-        rows = next(pages, None)
-        if rows is None:
-            break
-        recording.pack_account_page(0, rows, last=False)
-        page_times_ms.append((time.perf_counter() - began) * 1e3)
-    before = measure_events_ms(gateway, customers, 10**7)
-    snapshots.append(recording.Snapshot(gateway))
-    during = measure_events_ms(gateway, customers, 2 * 10**7)
-    snapshots[1].close()
-    gc.enable()
+    with garbage_collection_paused():
+        dump_ms = measure_ms(lambda: msgspec.msgpack.encode(recording.dump_state(gateway)))
+        begin_seconds, snapshot = timed_result(lambda: recording.Snapshot(gateway))
+        head_ms = measure_ms(lambda: msgspec.msgpack.encode(snapshot.state))
+        pages_ms = measure_pages_ms(snapshot)
+        events_ratio = measure_events_ratio(gateway, customers)
     print(
-        f"{customers:9} {complete_dump_ms:12.1f} {begin_ms:9.2f} {encode_ms:9.2f} {max(page_times_ms):10.2f}"
-        f" {sum(page_times_ms):9.0f} {during / before:12.2f} {measure_tool_mib(gateway):12.1f}"
+        f"{customers:9} {dump_ms:12.1f} {begin_seconds * 1e3:9.2f} {head_ms:9.2f} {max(pages_ms):10.2f}"
+        f" {sum(pages_ms):9.0f} {events_ratio:12.2f} {measure_tool_mib(gateway):12.1f}"
     )
 
 
 def measure_tool_mib(gateway: Gateway) -> float:
     """Return the MiB that a tool's process takes to count a plan, beyond those for an empty state."""
     with tempfile.TemporaryDirectory() as folder:
-        sizes = []
-        for name, counted in (("empty", False), ("complete", True)):
-            path = Path(folder) / f"{name}.olr"
-            snapshot = recording.Snapshot(gateway)
-            header = recording.Header(
-                recording.FORMAT_VERSION,
-                recording.build_name(),
-                "g",
-                START,
-                0,
-                recording.settings_to_stored(gateway.settings),
-                snapshot.state,
-                tuple("abc"),
-                ("basico", "amplio"),
-                {"now": START + 10**7},
-            )
-            with path.open("wb") as out:
-                out.write(recording.pack_header(header))
-                for rows in snapshot.pages() if counted else ():
-                    out.write(recording.pack_account_page(0, rows, last=False))
-                out.write(recording.pack_account_page(0, [], last=True))
-            snapshot.close()
-            program = (
-                "import resource; from orchidlane import recording;"
-                "from orchidlane.gateway.telemetry.plan_counts import count_by_plan;"
-                f"count_by_plan(recording.SegmentReader({str(path)!r}), 10);"
-                "print(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss)"
-            )
-            done = subprocess.run([sys.executable, "-c", program], capture_output=True, check=True)
-            sizes.append(int(done.stdout) / 1024)
-    return sizes[1] - sizes[0]
+        path = Path(folder) / "state.olr"
+        write_state(gateway, path, with_accounts=False)
+        empty_mib = count_plan_mib(path)
+        write_state(gateway, path, with_accounts=True)
+        return count_plan_mib(path) - empty_mib
+
+
+def write_state(gateway: Gateway, path: Path, with_accounts: bool) -> None:
+    """Write a saved state, with the accounts or without."""
+    snapshot = recording.Snapshot(gateway)
+    header = recording.Header(
+        recording.FORMAT_VERSION,
+        recording.build_name(),
+        "g",
+        START_US,
+        0,
+        recording.settings_to_stored(gateway.settings),
+        snapshot.state,
+        tuple("abc"),
+        PLAN_NAMES,
+        {"now": EVENTS_START_US},
+    )
+    with path.open("wb") as out:
+        out.write(recording.pack_header(header))
+        for rows in snapshot.pages() if with_accounts else ():
+            out.write(recording.pack_account_page(0, rows, last=False))
+        out.write(recording.pack_account_page(0, [], last=True))
+    snapshot.close()
+
+
+def count_plan_mib(path: Path) -> float:
+    """Return the largest size in MiB of a process that counts the plans of a saved state."""
+    command = [sys.executable, "-c", COUNT_PROGRAM, str(path)]
+    done = subprocess.run(command, capture_output=True, check=True)
+    return int(done.stdout) / KIB_PER_MIB
 
 
 def main() -> None:
     """Print the table."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--customers", type=int, nargs="*", default=[1_000, 10_000, 100_000])
+    customer_counts = parser.parse_args().customers
     print("customers  whole dump      begin      head slowest page  all pages  events during  tool MiB")
-    for customers in (1_000, 10_000, 100_000):
-        print_pauses(customers)
-    print(f"this process: {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024} MiB")
+    for customers in customer_counts:
+        print_line(customers)
+    print(f"this process: {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // KIB_PER_MIB} MiB")
 
 
 if __name__ == "__main__":
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from benchmarks.layers import MATERIALS
+from benchmarks.example_policy import MATERIALS
 from orchidlane import recording
 from orchidlane.cli.views import open_state
 from orchidlane.config import Duration
