--- a/orchidlane/gateway/lifecycle/gateway_parts.py
+++ b/orchidlane/gateway/lifecycle/gateway_parts.py
@@ -124,7 +124,7 @@
         "open_requests": Gauge("Requests under way", lambda: len(gateway.policy_driver.requests)),
         "nodes": Gauge("Nodes on the list", lambda: len(gateway.tracker.endpoints)),
         "longest_turn_seconds": Gauge(
-            "Longest turn of the loop", lambda: gateway.loop.longest_turn_us / MICROSECONDS_PER_SECOND
+            "Longest turn of the loop", lambda: gateway.loop.longest_iteration_us / MICROSECONDS_PER_SECOND
         ),
     }
 
