--- a/tests/harness/event_story.py
+++ b/tests/harness/event_story.py
@@ -1,8 +1,10 @@
-"""Random events for a policy, and what a gateway would record of them."""
+"""Random events for a policy, and the record that a gateway would write of them."""
 
 from __future__ import annotations
 
 import random
+from pathlib import Path
+from typing import NamedTuple
 
 from click.testing import CliRunner
 
@@ -12,98 +14,130 @@
 from orchidlane.policy import EndpointState, Outcome
 from orchidlane.policy.gossip_codec import CustomerRow, encode_message, encode_row
 
-DELTA = policy.EndpointListKind.DELTA
+COUNT_TICK_US = 62_500  # about one tick of the counts in messages
+
+
+class LoggedEvent(NamedTuple):
+    """An event, when it was fed, and the actions that it led to."""
+
+    at_us: int
+    event: policy.Event
+    actions: list[policy.Action]
+
+
+class AttemptInFlight(NamedTuple):
+    """An attempt without an outcome yet."""
+
+    request: int
+    number: int
+    endpoint: bytes
 
 
 class EventStory:
-    """Random events for a module: requests, takes, outcomes, timers, lists and peers' messages."""
+    """Random events for a policy: requests, outcomes, timers, endpoint lists and peers' messages."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.bench = PolicyHarness(endpoints=5, seed=seed)
         self.number = 0
-        self.attempts_in_flight: list[tuple[int, int, bytes]] = []
-        self.last_attempts: dict[int, int] = {}
-        self.log: list[tuple[int, policy.Event, list[policy.Action]]] = []
+        self.attempts_in_flight: list[AttemptInFlight] = []
+        self.last_attempts: dict[int, int] = {}  # number of the last attempt, by request
+        self.log: list[LoggedEvent] = []
 
     def feed(self, event: policy.Event) -> None:
+        """Feed one event, and log it with its actions."""
         actions = self.bench.feed(event)
-        self.log.append((self.bench.now, event, actions))
+        self.log.append(LoggedEvent(self.bench.now, event, actions))
         for send in actions_of(actions, policy.SendAttempt):
             number = self.last_attempts[send.request] = self.last_attempts.get(send.request, -1) + 1
-            self.attempts_in_flight.append((send.request, number, send.endpoint))
+            self.attempts_in_flight.append(AttemptInFlight(send.request, number, send.endpoint))
 
     def step(self) -> None:
-        rng, bench = self.rng, self.bench
-        bench.now += rng.randrange(40_000)
-        due = sorted(t for t in bench.timers if t[0] <= bench.now)
+        """Let a random time pass; feed the timer that is due, else a random event."""
+        self.bench.now += self.rng.randrange(40_000)
+        due = sorted(timer for timer in self.bench.timers if timer[0] <= self.bench.now)
         if due:
-            bench.timers.remove(due[0])
-            return self.feed(policy.TimerFired(due[0][1]))
-        what = rng.random()
-        if what < 0.4:
-            self.number += 1
-            customer, plan = rng.randrange(6), rng.randrange(4)
-            args = (self.number, customer, plan, rng.randrange(5), 1.0, 2 * SECOND, 0, 3, False)
-            self.feed(policy.RequestArrived(*args))
-        elif what < 0.5:
-            self.number += 1
-            self.feed(policy.QuotaRequested(self.number, rng.randrange(6), 0, 0, 1.0, 0, 3))
-        elif what < 0.8 and self.attempts_in_flight:
-            request, attempt, server = self.attempts_in_flight.pop(
-                rng.randrange(len(self.attempts_in_flight))
-            )
-            outcome = rng.choice(list(Outcome))
-            served = outcome is Outcome.SERVED
-            self.feed(policy.AttemptEnded(request, attempt, server, outcome, 50_000, served, 0, 0.0, ()))
-        elif what < 0.85:
-            self.feed(policy.ClientDisconnected(rng.randrange(1, self.number + 2)))
-        elif what < 0.92:
-            phase = rng.choice(list(EndpointState))
-            launched = rng.choice((0, bench.now))
-            self.feed(
-                endpoint_list(
-                    endpoint_entry(rng.randrange(5), phase, started_at_us=launched),
-                    kind=policy.EndpointListKind.DELTA,
-                )
-            )
+            self.bench.timers.remove(due[0])
+            self.feed(policy.TimerFired(due[0][1]))
         else:
-            counts = ((1, bench.now // 62_500, float(rng.randrange(9))),)
-            row = CustomerRow(rng.randrange(6), 0, 0, 3, 0, 4.0, float(rng.randrange(30)), 0.0, counts)
-            body = encode_message(
-                bench.now // 1000,
-                rng.random() < 0.5,
-                rng.random() < 0.5,
-                [encode_row(row, bench.now // 1000, 3)],
-            )
-            self.feed(policy.PeerMessageReceived(1, body))
+            self.feed(self._random_event())
+
+    def _random_event(self) -> policy.Event:
+        draw = self.rng.random()
+        if draw < 0.4:
+            return self._request()
+        if draw < 0.5:
+            return self._quota_request()
+        if draw < 0.8 and self.attempts_in_flight:
+            return self._attempt_outcome()
+        if draw < 0.85:
+            return policy.ClientDisconnected(self.rng.randrange(1, self.number + 2))
+        if draw < 0.92:
+            return self._endpoint_change()
+        return self._peer_message()
+
+    def _request(self) -> policy.RequestArrived:
+        self.number += 1
+        customer, plan = self.rng.randrange(6), self.rng.randrange(4)
+        request_class = self.rng.randrange(5)
+        return policy.RequestArrived(
+            self.number, customer, plan, request_class, 1.0, 2 * SECOND, 0, 3, is_retry=False
+        )
+
+    def _quota_request(self) -> policy.QuotaRequested:
+        self.number += 1
+        return policy.QuotaRequested(self.number, self.rng.randrange(6), 0, 0, 1.0, 0, 3)
+
+    def _attempt_outcome(self) -> policy.AttemptEnded:
+        index = self.rng.randrange(len(self.attempts_in_flight))
+        attempt = self.attempts_in_flight.pop(index)
+        outcome = self.rng.choice(list(Outcome))
+        served = outcome is Outcome.SERVED
+        return policy.AttemptEnded(*attempt, outcome, 50_000, served, 0, 0.0, ())
+
+    def _endpoint_change(self) -> policy.EndpointListReceived:
+        state = self.rng.choice(list(EndpointState))
+        started_at_us = self.rng.choice((0, self.bench.now))
+        entry = endpoint_entry(self.rng.randrange(5), state, started_at_us=started_at_us)
+        return endpoint_list(entry, kind=policy.EndpointListKind.DELTA)
+
+    def _peer_message(self) -> policy.PeerMessageReceived:
+        rng, now_us = self.rng, self.bench.now
+        counts = ((1, now_us // COUNT_TICK_US, float(rng.randrange(9))),)
+        row = CustomerRow(rng.randrange(6), 0, 0, 3, 0, 4.0, float(rng.randrange(30)), 0.0, counts)
+        wants_reply, to_token_owner = rng.random() < 0.5, rng.random() < 0.5
+        now_ms = now_us // 1000
+        rows = [encode_row(row, now_ms, 3)]
+        return policy.PeerMessageReceived(1, encode_message(now_ms, wants_reply, to_token_owner, rows))
 
 
 def write_segment(
-    story: EventStory, steps: int, path, number=0, life=1
-) -> list[tuple[int, policy.Event, list[policy.Action]]]:
+    story: EventStory, steps: int, path: Path, number: int = 0, started_at_us: int = 1
+) -> list[LoggedEvent]:
+    """Write a segment with so many further steps of the story; return their events."""
     header = recording.Header(
         format=recording.FORMAT_VERSION,
         build="x",
         gateway="gw",
-        started_at_us=life,
+        started_at_us=started_at_us,
         number=number,
         settings=recording.settings_to_stored(story.bench.settings),
         state=recording.dump_state(story.bench.gateway),
         class_names=("a", "b", "c", "d", "e"),
         plan_names=("p", "q", "r", "s"),
     )
-    begun = len(story.log)
+    first = len(story.log)
     for _ in range(steps):
         story.step()
     data = recording.pack_header(header) + recording.pack_account_page(1, [], last=True)
-    for now, event, actions in story.log[begun:]:
-        data += recording.pack_entry(now, event, actions)
+    for logged in story.log[first:]:
+        data += recording.pack_entry(logged.at_us, logged.event, logged.actions)
     path.write_bytes(data)
-    return story.log[begun:]
+    return story.log[first:]
 
 
 def run_command(*arguments: str) -> tuple[int, str]:
+    """Run the command with arguments; return its exit code and output."""
     result = CliRunner().invoke(main, arguments)
     assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
     return result.exit_code, result.output
--- a/tests/harness/golden_admin.py
+++ b/tests/harness/golden_admin.py
@@ -1,16 +1,14 @@
-"""Responses of the admin address for the golden tests."""
+"""Responses of the admin API for the golden tests."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from harness.gateway_harness import (
-    GatewayHarness,
-)
+from harness.gateway_harness import GatewayHarness
 
 
 def without_build(value: Any) -> Any:
-    """Bytes as text, and the build left out: each build has a name of its own."""
+    """Return a value with bytes as text and without the build: each build has a name of its own."""
     if isinstance(value, dict):
         return {str(key): "" if key == "build" else without_build(part) for key, part in value.items()}
     if isinstance(value, (list, tuple)):
@@ -18,8 +16,8 @@
     return value.hex() if isinstance(value, bytes) else value
 
 
-def ask_admin(harness: GatewayHarness, target: str) -> tuple[int, dict[str, str], bytes]:
-    """Status, headers and body of an answer at the admin address."""
+def request_admin(harness: GatewayHarness, target: str) -> tuple[int, dict[str, str], bytes]:
+    """Send a GET to the admin API; return status, headers and body of the response."""
     stream = harness.backend.connect(("127.0.0.1", 8280))
     stream.send(f"GET {target} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
     status, headers, body = harness.answer(stream)
--- a/tests/harness/golden_events.py
+++ b/tests/harness/golden_events.py
@@ -11,33 +11,45 @@
 from orchidlane.simulator_protocol import codec
 
 MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
-
-
 SECOND = 1_000_000
-
-
-SERVER = bytes.fromhex("0a124a072b23")
-
-
-OTHER_SERVER = bytes.fromhex("0a9011f25423")
-
-
+ENDPOINT = bytes.fromhex("0a124a072b23")
+OTHER_ENDPOINT = bytes.fromhex("0a9011f25423")
 SECRET = b"0123456789abcdef"
 
 
-def counts_row(customer, plan, first, size, reach, room, total, rights, counts) -> gossip_codec.CustomerRow:
-    """What a message tells of one customer."""
-    return gossip_codec.CustomerRow(customer, plan, first, size, reach, room, total, rights, counts)
+def customer_row(
+    customer: int,
+    plan: int,
+    replica_set_start: int,
+    replica_set_size: int,
+    forward_count: int,
+    remaining: float,
+    spent_total: float,
+    tokens: float,
+    counts: tuple,
+) -> gossip_codec.CustomerRow:
+    """Return a row of a gossip message on one customer."""
+    return gossip_codec.CustomerRow(
+        customer,
+        plan,
+        replica_set_start,
+        replica_set_size,
+        forward_count,
+        remaining,
+        spent_total,
+        tokens,
+        counts,
+    )
 
 
 def row_values(row: gossip_codec.CustomerRow) -> list:
-    """The same as plain values."""
+    """Return a row as plain values."""
     amounts = [row.remaining, row.spent_total, row.tokens, [list(count) for count in row.replica_counts]]
     return [row.customer, row.plan, row.replica_set_start, row.replica_set_size, row.forward_count, *amounts]
 
 
 def message_values(message: gossip_codec.GossipMessage | None) -> list | None:
-    """A decoded message as plain values."""
+    """Return a decoded message as plain values."""
     if message is None:
         return None
     return [
@@ -49,7 +61,7 @@
 
 
 def request_values(event: policy.RequestArrived) -> list:
-    """A client's request as plain values."""
+    """Return a client's request as plain values."""
     counts = [
         event.units,
         event.time_left_us,
@@ -61,22 +73,29 @@
 
 
 def outcome_values(event: policy.AttemptEnded) -> list:
-    """How an attempt ended as plain values."""
+    """Return an attempt's outcome as plain values."""
     ended = [event.outcome.value, event.duration_us, event.answered, event.use, event.true_units]
     return [event.request, event.attempt, event.endpoint.hex(), *ended, list(event.load_report)]
 
 
 def list_values(event: policy.EndpointListReceived) -> list:
-    """News of discovery as plain values."""
+    """Return an endpoint list as plain values."""
     entries = [
-        [one.endpoint.hex(), one.state.value, one.zone, one.cell, one.started_at_us, one.capacity_share]
-        for one in event.entries
+        [
+            entry.endpoint.hex(),
+            entry.state.value,
+            entry.zone,
+            entry.cell,
+            entry.started_at_us,
+            entry.capacity_share,
+        ]
+        for entry in event.entries
     ]
     return [event.kind.value, event.version, entries]
 
 
 def start_values(event: codec.StartGateway) -> list:
-    """A gateway's start as plain values."""
+    """Return a gateway's start as plain values."""
     return [event.seed, settings_values(event.settings)]
 
 
@@ -101,30 +120,30 @@
         list(event.load_report),
     ],
     codec.StartGateway: start_values,
-    codec.StopGateway: lambda event: [],
+    codec.StopGateway: lambda _: [],
 }
 
 
 ACTIONS: dict[int, list[policy.Action]] = {  # by the code of its record
-    65: [policy.SendAttempt(0x5D3A91C4, SERVER, 0x8194DA), policy.SendAttempt(7, SERVER, 0)],
+    65: [policy.SendAttempt(0x5D3A91C4, ENDPOINT, 0x8194DA), policy.SendAttempt(7, ENDPOINT, 0)],
     66: [policy.RejectRequest(7, 9), policy.RejectRequest(7, 0, True)],
     67: [policy.FailRequest(7)],
     68: [policy.CancelAttempt(7, 2)],
     69: [policy.SetTimer(500_000, 77)],
-    70: [policy.CheckHealth(SERVER)],
+    70: [policy.CheckHealth(ENDPOINT)],
     72: [policy.SendPeerMessage(0xFFFF, b"hi 7"), policy.SendPeerMessage(2, b"")],
     75: [policy.WatchEndpoints()],
     76: [policy.FetchEndpoints()],
 }
 
 
-NOT_OF_THE_WIRE = {policy.GrantQuota}
+NOT_ON_THE_WIRE = {policy.GrantQuota}
 
 
-def settings_values(s: policy.Settings) -> dict:
-    """Settings as plain values under names of their own."""
+def settings_values(settings: policy.Settings) -> dict:
+    """Return settings as plain values, under names of the golden file."""
     return {
-        "rank and fleet": [s.replica, s.replica_count, s.zone],
+        "rank and fleet": [settings.replica, settings.replica_count, settings.zone],
         "classes": [
             [
                 c.latency_objective_us,
@@ -135,34 +154,43 @@
                 c.deduplication_scope.value,
                 c.deduplication_window_us,
             ]
-            for c in s.classes
+            for c in settings.classes
         ],
         "plans": [
             [p.rate, p.burst, p.max_in_flight, p.price, p.over_quota_credit, p.over_quota_charge]
-            for p in s.plans
+            for p in settings.plans
         ],
-        "ceilings": [[p.ceiling_rate, p.ceiling_burst, p.ceiling_slack] for p in s.plans],
-        "permissions": [s.may_gossip, s.may_check_health, s.may_cancel, s.may_hedge],
-        "attempts": [s.max_attempts, s.max_retry_after_us],
+        "ceilings": [[p.ceiling_rate, p.ceiling_burst, p.ceiling_slack] for p in settings.plans],
+        "permissions": [
+            settings.may_gossip,
+            settings.may_check_health,
+            settings.may_cancel,
+            settings.may_hedge,
+        ],
+        "attempts": [settings.max_attempts, settings.max_retry_after_us],
         "charges": [
-            s.peer_messages_per_second,
-            s.peer_charge,
-            s.health_check_charge,
-            s.waste_charge,
-            s.cross_zone_charge,
+            settings.peer_messages_per_second,
+            settings.peer_charge,
+            settings.health_check_charge,
+            settings.waste_charge,
+            settings.cross_zone_charge,
+        ],
+        "counter and list": [
+            settings.has_shared_counter,
+            settings.polls_endpoint_list,
+            settings.poll_timeout_us,
         ],
-        "counter and list": [s.has_shared_counter, s.polls_endpoint_list, s.poll_timeout_us],
-        "reports": [s.load_report_source.value, list(s.load_report_names)],
+        "reports": [settings.load_report_source.value, list(settings.load_report_names)],
         "nodes": [
-            s.slow_start_initial_share,
-            s.slow_start_duration_us,
-            s.overload_multiple,
-            s.overload_duration_us,
-            s.drain_grace_us,
+            settings.slow_start_initial_share,
+            settings.slow_start_duration_us,
+            settings.overload_multiple,
+            settings.overload_duration_us,
+            settings.drain_grace_us,
         ],
     }
 
 
-def sealed(kind: int, body: bytes, sequence: int = 5, incarnation: int = 900) -> bytes:
-    """A datagram from gateway 1 to gateway 2."""
+def seal_datagram(kind: int, body: bytes, sequence: int = 5, incarnation: int = 900) -> bytes:
+    """Return a datagram from gateway 1 to gateway 2."""
     return datagrams.encode_datagram(SECRET, 1, 2, incarnation, sequence, body, kind)
--- a/tests/harness/golden_files.py
+++ b/tests/harness/golden_files.py
@@ -16,7 +16,7 @@
 
 
 def check_golden(name: str, found: Any) -> None:
-    """Whether plain values are those of the golden file of this name."""
+    """Assert that plain values are those of the golden file of this name."""
     path = FOLDER / f"{name}.json"
     text = json.dumps(found, indent=1, sort_keys=True) + "\n"
     if os.environ.get("GOLDEN_WRITE") == "1":
--- a/tests/harness/golden_gateways.py
+++ b/tests/harness/golden_gateways.py
@@ -1,4 +1,4 @@
-"""Golden values of node lists, hot restarts, rolls and messages between gateways."""
+"""Golden values of endpoint lists, hot restarts, rolling upgrades and messages between gateways."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from orchidlane.limits import GrantOutcome
 
 
-def golden_node_list() -> bytes:
-    """A line of the watch for nodes, as a discovery service writes it."""
+def golden_endpoint_list_line() -> bytes:
+    """Return a line of the endpoint watch, as a discovery service writes it."""
     nodes = [
         {"address": "10.0.0.1:80", "phase": "ready", "zone": "z1", "cell": "c1", "launched": 55, "size": 1.5},
         {
@@ -36,17 +36,17 @@
 
 
 def golden_tracker() -> endpoint_list.EndpointListTracker:
-    """The list of nodes as one gateway knows it."""
+    """Return the endpoint list as one gateway knows it."""
     tracker = endpoint_list.EndpointListTracker("z1", 100)
-    tracker.apply_line(golden_node_list())
+    tracker.apply_line(golden_endpoint_list_line())
     return tracker
 
 
 def golden_roll(phase: rolling_upgrade.Phase) -> StoredRoll:
-    """A roll's state in some phase, with one gateway in each place."""
-    ones = [
+    """Return the state of a rolling upgrade in a phase, with one gateway in each phase of its own."""
+    gateways = [
         rolling_upgrade.GatewayState(
-            place,
+            gateway_phase,
             4_000 + number,
             START_US + number,
             2,
@@ -56,19 +56,19 @@
             "done",
             True,
         )
-        for number, place in enumerate(rolling_upgrade.GatewayPhase)
+        for number, gateway_phase in enumerate(rolling_upgrade.GatewayPhase)
     ]
     state = rolling_upgrade.RollState(
-        ones, phase, START_US + 99, True, 4, [3, 1, 2], "gateway-2: it serves less"
+        gateways, phase, START_US + 99, True, 4, [3, 1, 2], "gateway-2: it serves less"
     )
-    names = [f"gateway-{number}" for number in range(len(ones))]
+    names = [f"gateway-{number}" for number in range(len(gateways))]
     return StoredRoll(
         names, ("orchidlane-old serve", "orchidlane-new serve"), [1.5, 2.5, 3.5, 0.5, 9.0], state
     )
 
 
-def golden_limits_carried() -> dict[str, Any]:
-    """What a successor is told of takes, tokens and reservations, beside the tables' rows."""
+def golden_limits_state() -> dict[str, Any]:
+    """Return what a new process gets of grants, tokens and reservations, beside the tables' rows."""
     return {
         "life": START_US - 1_000_000,
         "numbers": START_US - 999_000,
@@ -78,9 +78,9 @@
     }
 
 
-def golden_rows() -> dict[str, list[Any]]:
-    """Rows of each table that a successor is told of."""
-    ends = [outcome.value for outcome in GrantOutcome]
+def golden_table_rows() -> dict[str, list[Any]]:
+    """Return rows of each table that is handed over to a new process."""
+    outcomes = [outcome.value for outcome in GrantOutcome]
     return {
         "accounts": [
             [
@@ -99,68 +99,77 @@
         ],
         "tokens": [[b"token-1", 1, 55, START_US + 5_000_000, True, 2.5]],
         "grants": [
-            [b"grant-%d" % number, 7, 2.5, START_US + 6_000_000, True, end]
-            for number, end in enumerate(["", *ends])
+            [b"grant-%d" % number, 7, 2.5, START_US + 6_000_000, True, outcome]
+            for number, outcome in enumerate(["", *outcomes])
         ],
     }
 
 
 def golden_peers() -> list[Any]:
-    """What came of each peer: rank, incarnation, latest number, which of those before it came."""
+    """Return what was received of each peer: rank, incarnation, sequence number, bits of earlier ones."""
     return [[1, START_US - 70, 900, bytes(range(128))], [2, START_US - 60, 800, bytes(range(127, -1, -1))]]
 
 
 def golden_restart_messages() -> dict[str, Any]:
-    """One of each message of a hot restart; every field is other than its default."""
-    told = restart_messages
+    """Return one of each message of a hot restart; every field is other than its default."""
+    return {**_messages_of_new_process(), **_messages_of_old_process()}
+
+
+def _messages_of_new_process() -> dict[str, Any]:
+    return {
+        "hello": restart_messages.Hello(1, BUILD, "gateway-1", 1, 3, PLAN_NAMES),
+        "warm": restart_messages.Ready(),
+        "started": restart_messages.Started(),
+        "pulse": restart_messages.Heartbeat(900, 30, 4, 5_000, 6_000),
+        "unfit": restart_messages.Failure("its settings are another fleet's"),
+        "taken": restart_messages.UnitsReply(55, True),
+        "heard": restart_messages.PeerReply(2, b"\x01an answer"),
+        "count": restart_messages.CustomerCount(7, 2, 1, 3, 15_900, 3.25),
+        "reading": restart_messages.ReadStarted(81),
+        "began": restart_messages.RequestStarted(82),
+        "answering": restart_messages.ResponseStarted(83),
+        "idle": restart_messages.ConnectionIdle(84, True, b"GET / HT", (3, b"client", False)),
+        "opened": restart_messages.ConnectionOpened(85, "resp"),
+        "ended": restart_messages.ConnectionClosed(86),
+        "took": restart_messages.ConnectionAdopted(87, True),
+        "returned": restart_messages.ServingStopped(),
+    }
+
+
+def _messages_of_old_process() -> dict[str, Any]:
+    table_rows = golden_table_rows()
     return {
-        "hello": told.Hello(1, BUILD, "gateway-1", 1, 3, PLAN_NAMES),
-        "warm": told.Ready(),
-        "started": told.Started(),
-        "pulse": told.Heartbeat(900, 30, 4, 5_000, 6_000),
-        "unfit": told.Failure("its settings are another fleet's"),
-        "taken": told.UnitsReply(55, True),
-        "heard": told.PeerReply(2, b"\x01an answer"),
-        "count": told.CustomerCount(7, 2, 1, 3, 15_900, 3.25),
-        "reading": told.ReadStarted(81),
-        "began": told.RequestStarted(82),
-        "answering": told.ResponseStarted(83),
-        "idle": told.ConnectionIdle(84, True, b"GET / HT", (3, b"client", False)),
-        "opened": told.ConnectionOpened(85, "resp"),
-        "ended": told.ConnectionClosed(86),
-        "took": told.ConnectionAdopted(87, True),
-        "returned": told.ServingStopped(),
-        "offer": told.Offer(BUILD, START_US, START_US - 1_000_000, 4, ("http", "resp", "peers")),
-        "place": told.InheritedSocket("http"),
-        "rows of accounts": told.TableRows("accounts", golden_rows()["accounts"], [8, 9]),
-        "rows of tokens": told.TableRows("tokens", golden_rows()["tokens"], [b"token-2"]),
-        "rows of grants": told.TableRows("grants", golden_rows()["grants"], [b"grant-9"]),
-        "whole": told.CopyComplete(),
-        "final": told.FinalState(
+        "offer": restart_messages.Offer(BUILD, START_US, START_US - 1_000_000, 4, ("http", "resp", "peers")),
+        "place": restart_messages.InheritedSocket("http"),
+        "rows of accounts": restart_messages.TableRows("accounts", table_rows["accounts"], [8, 9]),
+        "rows of tokens": restart_messages.TableRows("tokens", table_rows["tokens"], [b"token-2"]),
+        "rows of grants": restart_messages.TableRows("grants", table_rows["grants"], [b"grant-9"]),
+        "whole": restart_messages.CopyComplete(),
+        "final": restart_messages.FinalState(
             msgspec.structs.replace(golden_state(), accounts=[]),
-            golden_limits_carried(),
+            golden_limits_state(),
             msgspec.to_builtins(golden_tracker().export_state()),
             golden_peers(),
             5_000,
             6_000,
             CLASS_NAMES,
         ),
-        "connection": told.ConnectionHandover(
+        "connection": restart_messages.ConnectionHandover(
             88, "resp", b"*1\r\n", START_US - 30, START_US - 20, (3, b"client", False)
         ),
-        "take": told.UnitsRequest(56, 7, 2, 1, 2.5, 1, 3),
-        "tell": told.SendDatagram(2, b"\x02a datagram's body"),
-        "granted": told.GrantRecorded(b"grant-1", 7, 2.5, 60_000_000),
-        "abort": told.Abort("it does not read"),
-        "recall": told.Reclaim("it serves less"),
-        "release": told.Release(),
-        "ask": told.StatusRequest(),
-        "status": told.Status("trial", BUILD, 4_001, "done", 900, 30, 4),
+        "take": restart_messages.UnitsRequest(56, 7, 2, 1, 2.5, 1, 3),
+        "tell": restart_messages.SendDatagram(2, b"\x02a datagram's body"),
+        "granted": restart_messages.GrantRecorded(b"grant-1", 7, 2.5, 60_000_000),
+        "abort": restart_messages.Abort("it does not read"),
+        "recall": restart_messages.Reclaim("it serves less"),
+        "release": restart_messages.Release(),
+        "ask": restart_messages.StatusRequest(),
+        "status": restart_messages.Status("trial", BUILD, 4_001, "done", 900, 30, 4),
     }
 
 
-def golden_limit_messages() -> dict[str, Any]:
-    """One of each message of the limits between gateways."""
+def golden_token_messages() -> dict[str, Any]:
+    """Return one of each message of token requests between gateways."""
     return {
         "question": token_messages.TokenQuery(55, 1, b"token-1", 7, 66, 2.5),
         "reply": token_messages.TokenReply(55, 2, 1, 2.5, "done before"),
--- a/tests/harness/golden_policy.py
+++ b/tests/harness/golden_policy.py
@@ -11,27 +11,19 @@
 from harness.policy_harness import SETTINGS, START_US
 from orchidlane import policy, recording
 from orchidlane.gateway.telemetry import policy_views
-from orchidlane.policy import gossip_codec as module_messages
+from orchidlane.policy import gossip_codec
 from orchidlane.policy.accounts import Account, AccountKey, ReplicaCount
 from orchidlane.policy.gateway import Gateway
 
-GOLDEN = Path(__file__).parent.parent / "corpus" / "golden"
-
-
+GOLDEN_DIRECTORY = Path(__file__).parent.parent / "corpus" / "golden"
 SECRET = b"the golden fleet's key"
-
-
 BUILD = "1.2.3+0123456789ab"  # fixed: the real name changes with the sources
-
-
 CLASS_NAMES = ("safe", "keyed in a cell", "unsafe", "keyed", "keyed in a zone")
-
-
 PLAN_NAMES = ("plain", "capped", "with a ceiling", "idle earns")
 
 
 def golden_accounts() -> list[Account]:
-    """Two accounts; all fields of the first are other than a new account's."""
+    """Return two accounts; all fields of the first differ from a new account's."""
     first = Account(
         customer=7,
         key=AccountKey(2, 1, 3),
@@ -56,28 +48,28 @@
 
 
 def golden_state() -> recording.StateDump:
-    """The state of a module with servers, accounts, requests under way and all else that a state holds."""
+    """Return a state with endpoints, accounts, requests in flight and all else that a state holds."""
     return msgspec.msgpack.decode(golden("module-state.msgpack"), type=recording.StateDump)
 
 
-def golden_module() -> Gateway:
-    """The module that the golden state makes, with whole numbers for times as in one that was never read."""
-    module = recording.restore_gateway(SETTINGS, golden_state())
-    for known in (module.fleet_health, *module.zone_health.values()):
-        known.updated_at_us = int(known.updated_at_us)
-    return module
+def golden_gateway() -> Gateway:
+    """Return the policy restored from the golden state, its times whole numbers as before storing."""
+    gateway = recording.restore_gateway(SETTINGS, golden_state())
+    for estimate in (gateway.fleet_health, *gateway.zone_health.values()):
+        estimate.updated_at_us = int(estimate.updated_at_us)
+    return gateway
 
 
 def golden_settings() -> dict[str, Any]:
-    """A module's settings as plain values, the way they are read."""
+    """Return a policy's settings as plain values, the way they are read."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(recording.settings_to_stored(SETTINGS)))
 
 
 def golden_events() -> list[policy.Event]:
-    """Each type of event at least once, with each value of the enumerations that an event holds."""
+    """Return each type of event at least once, with each value of the enumerations that an event holds."""
     entries = tuple(
-        policy.EndpointEntry(b"10.0.0.%d:80" % phase.value, phase, 1, 2, START_US - 90, 1.5)
-        for phase in policy.EndpointState
+        policy.EndpointEntry(b"10.0.0.%d:80" % state.value, state, 1, 2, START_US - 90, 1.5)
+        for state in policy.EndpointState
     )
     return [
         *(policy.EndpointListReceived(kind, 12, entries) for kind in policy.EndpointListKind),
@@ -99,7 +91,7 @@
 
 
 def golden_actions() -> list[policy.Action]:
-    """Each type of action once."""
+    """Return each type of action once."""
     return [
         policy.SendAttempt(1, b"10.0.0.1:80", START_US + 5_000),
         policy.CancelAttempt(1, 4),
@@ -115,7 +107,7 @@
 
 
 def golden_header() -> recording.Header:
-    """The head of a traffic record."""
+    """Return the header of a traffic record."""
     return recording.Header(
         format=2,
         build=BUILD,
@@ -136,7 +128,7 @@
 
 
 def golden_view() -> policy_views.PolicyView:
-    """What a gateway tells tools of itself and one customer."""
+    """Return the view that a gateway gives tools of itself and one customer."""
     return policy_views.PolicyView(
         format=1,
         build=BUILD,
@@ -150,17 +142,17 @@
     )
 
 
-def golden_module_row() -> module_messages.CustomerRow:
-    """What one gateway's module tells another of one customer."""
-    return module_messages.CustomerRow(7, 2, 1, 3, 2, 15.25, 9.25, 1.5, ((1, 15_900, 3.25), (2, 15_950, 4.5)))
+def golden_customer_row() -> gossip_codec.CustomerRow:
+    """Return a row of a gossip message on one customer."""
+    return gossip_codec.CustomerRow(7, 2, 1, 3, 2, 15.25, 9.25, 1.5, ((1, 15_900, 3.25), (2, 15_950, 4.5)))
 
 
-def as_hex(encoded: dict[Any, bytes]) -> bytes:
-    """Several small examples as one file: a name for each, and its bytes in hexadecimal."""
+def encode_as_hex(encoded: dict[Any, bytes]) -> bytes:
+    """Return several small examples as one file: a name for each, and its bytes in hexadecimal."""
     return (json.dumps({name: data.hex() for name, data in encoded.items()}, indent=1) + "\n").encode()
 
 
-NO_ACCOUNTS: dict[str, list[Any]] = {
+EMPTY_TABLES: dict[str, list[Any]] = {
     name: []
     for name in (
         "idle_queue",
@@ -175,24 +167,24 @@
 }
 
 
-PACK = msgspec.msgpack.encode
+pack = msgspec.msgpack.encode
 
 
 def golden(name: str) -> bytes:
-    """The golden bytes of a form."""
-    return (GOLDEN / name).read_bytes()
+    """Return the bytes of a golden file."""
+    return (GOLDEN_DIRECTORY / name).read_bytes()
 
 
 def golden_examples(name: str) -> dict[str, bytes]:
-    """The golden bytes of a file with several examples."""
+    """Return the golden bytes of a file with several examples, by name."""
     return {label: bytes.fromhex(data) for label, data in json.loads(golden(name)).items()}
 
 
-def has_default(message: msgspec.Struct) -> list[str]:
-    """The fields of a message that have their default."""
-    found = []
+def fields_with_default(message: msgspec.Struct) -> list[str]:
+    """Return the names of the fields of a message that have their default."""
+    names = []
     for field in msgspec.structs.fields(message):
-        made = field.default if field.default_factory is msgspec.NODEFAULT else field.default_factory()
-        if getattr(message, field.name) == made:
-            found.append(field.name)
-    return found
+        default = field.default if field.default_factory is msgspec.NODEFAULT else field.default_factory()
+        if getattr(message, field.name) == default:
+            names.append(field.name)
+    return names
--- a/tests/harness/golden_writers.py
+++ b/tests/harness/golden_writers.py
@@ -1,8 +1,8 @@
-"""How the program writes the golden values today, and how files of new forms are written.
+"""How the golden values are written today, and how files of new formats are written.
 
-A form that is added gets its file by ``GOLDEN_WRITE=1 python -m pytest -n 0 tests/test_golden_stored.py``.
-Files that are there are never replaced, and without the variable nothing is written: a file that is missing
-is a failure. The variable is set by hand only, never in a test run that is to judge anything.
+A format that is added gets its file by ``GOLDEN_WRITE=1 python -m pytest -n 0 tests/test_golden_stored.py``.
+Files that exist are never replaced, and without the variable nothing is written: a file that is missing
+is a failure. The variable is set by hand only, never in a test run that checks anything.
 """
 
 from __future__ import annotations
@@ -16,39 +16,39 @@
 import pytest
 
 from harness.golden_gateways import (
-    golden_limit_messages,
     golden_restart_messages,
     golden_roll,
+    golden_token_messages,
     golden_tracker,
 )
 from harness.golden_policy import (
     BUILD,
     CLASS_NAMES,
-    GOLDEN,
-    NO_ACCOUNTS,
-    PACK,
+    EMPTY_TABLES,
+    GOLDEN_DIRECTORY,
     PLAN_NAMES,
     SECRET,
-    as_hex,
+    encode_as_hex,
     golden_accounts,
     golden_actions,
+    golden_customer_row,
     golden_events,
     golden_examples,
+    golden_gateway,
     golden_header,
-    golden_module,
-    golden_module_row,
     golden_state,
     golden_view,
+    pack,
 )
 from harness.golden_rollouts import (
-    golden_ledger,
-    golden_order,
-    golden_outcome,
-    golden_parts,
+    golden_answer_counts,
+    golden_command_outcome,
+    golden_command_request,
+    golden_contents,
+    golden_replicated_state,
+    golden_rollout_messages,
     golden_running_file,
     golden_status,
-    golden_tallies,
-    golden_version_messages,
     golden_voter_file,
 )
 from harness.policy_harness import SETTINGS, START_US
@@ -60,44 +60,47 @@
 from orchidlane.gateway.telemetry.policy_host import PolicyNames
 from orchidlane.hot_restart import messages as restart_messages
 from orchidlane.hot_restart import rolling_upgrade
-from orchidlane.policy import gossip_codec as module_messages
+from orchidlane.policy import gossip_codec
 from orchidlane.recording import segments
 from orchidlane.recording.state_dump import account_to_row
-from orchidlane.rollout import messages as version_messages
-from orchidlane.rollout import replicated_state as fleet_ledger
-from orchidlane.rollout import version
+from orchidlane.rollout import messages as rollout_messages
+from orchidlane.rollout import replicated_state, version
 
 
-class Disk:
-    """A clock that stands still, and files in memory, for the parts of the program that keep files."""
+class FakeEventLoop:
+    """An event loop and backend with a clock that stands still and files in memory."""
 
-    def __init__(self, **kept: bytes) -> None:
-        self.files: dict[str, bytes] = kept
+    def __init__(self, **files: bytes) -> None:
+        self.files: dict[str, bytes] = files
         self.backend = self
 
     def now(self) -> int:
+        """Return the one time of this clock."""
         return START_US
 
     def call_at(self, *_: Any) -> None:
-        """No file grows too old here."""
+        """Ignore timers: time doesn't pass."""
 
     def run_in_thread(self, work: Callable[[], Any]) -> Any:
+        """Run the work at once."""
         return work()
 
     def read_file(self, path: str) -> bytes | None:
+        """Return the content of a file, None where there is none."""
         return self.files.get(path)
 
     def write_file(self, path: str, data: bytes) -> None:
+        """Replace the content of a file."""
         self.files[path] = data
 
 
 def write_state() -> bytes:
-    """The state of the golden module."""
-    return msgspec.msgpack.encode(recording.dump_state(golden_module()))
+    """Encode the state of the golden policy."""
+    return msgspec.msgpack.encode(recording.dump_state(golden_gateway()))
 
 
 def write_record() -> bytes:
-    """A segment with its accounts in two pages, each event, all actions with the first, and an answer."""
+    """Encode a segment: accounts in two pages, each event, all actions with the first, and a response."""
     rows = [account_to_row(account) for account in golden_accounts()]
     parts = [
         recording.pack_header(golden_header()),
@@ -110,22 +113,22 @@
     return b"".join(parts)
 
 
-def account_store(disk: Disk) -> AccountStore:
-    """The account store of a gateway whose module holds the golden accounts, or none where they are read."""
+def account_store(loop: FakeEventLoop) -> AccountStore:
+    """Return the account store of a gateway without accounts."""
     gateway = recording.restore_gateway(
-        SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **NO_ACCOUNTS)
+        SETTINGS, msgspec.structs.replace(golden_state(), accounts=[], **EMPTY_TABLES)
     )
     recording.track_accounts(gateway)
-    about = {
+    description = {
         "now": START_US,
         "incarnation": START_US - 1_000_000,
         "sequence": 5_000,
         "generation": 4,
         "open": 2,
     }
-    program = SimpleNamespace(
-        loop=disk,
-        host=SimpleNamespace(loop=disk, gateway=gateway, settings=SETTINGS),
+    process = SimpleNamespace(
+        loop=loop,
+        host=SimpleNamespace(loop=loop, gateway=gateway, settings=SETTINGS),
         fleet=SimpleNamespace(
             account_store=SimpleNamespace(write_interval_us=2_000_000),
             plans=dict.fromkeys(PLAN_NAMES),
@@ -134,62 +137,77 @@
         entry=SimpleNamespace(name="gateway-1"),
         incarnation=START_US - 1_000_000,
         state_names=lambda: PolicyNames(CLASS_NAMES, PLAN_NAMES),
-        describe_state=lambda: about,
+        describe_state=lambda: description,
         superseded=False,
         stopping=False,
-        log=SimpleNamespace(error=lambda what, **why: pytest.fail(f"{what}: {why}")),
+        log=SimpleNamespace(error=lambda event, **fields: pytest.fail(f"{event}: {fields}")),
     )
-    return AccountStore(program, "accounts")  # type: ignore[arg-type]
+    return AccountStore(process, "accounts")  # type: ignore[arg-type]
 
 
 def write_account_store() -> bytes:
-    """As the program writes its accounts down at its end."""
-    disk = Disk()
-    store = account_store(disk)
-    store.gateway.host.gateway.accounts.update({one.customer: one for one in golden_accounts()})
+    """Return the account store's file that a process writes when it exits."""
+    loop = FakeEventLoop()
+    store = account_store(loop)
+    store.gateway.host.gateway.accounts.update({account.customer: account for account in golden_accounts()})
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(recording, "build_name", lambda: BUILD)
         store.save_final()
-    return disk.files["accounts"]
+    return loop.files["accounts"]
 
 
-def rolling_of(disk: Disk) -> RollDriver:
-    """What carries out a roll of the golden gateways."""
+def make_roll_driver(loop: FakeEventLoop) -> RollDriver:
+    """Return the driver of a rolling upgrade of the golden gateways."""
     gateways = [SimpleNamespace(name=name) for name in golden_roll(rolling_upgrade.Phase.ROLLING).names]
     fleet = SimpleNamespace(state_directory="state", gateways=gateways)
-    return RollDriver(disk, fleet, None, print)  # type: ignore[arg-type]
+    return RollDriver(loop, fleet, None, print)  # type: ignore[arg-type]
 
 
 def write_roll(phase: rolling_upgrade.Phase) -> bytes:
-    """As a roll writes its state down."""
-    disk = Disk()
-    written = rolling_of(disk)
-    written.stored = golden_roll(phase)
-    written._store()
-    return disk.files["state/roll.json"]
-
-
-def write_version_file(kind: str) -> bytes:
-    """As a gateway writes its voter's file or the one of the version that runs."""
-    disk = Disk()
-    kept = storage.RolloutStorage(disk, "gateway-1")  # type: ignore[arg-type]
+    """Return the state file of a rolling upgrade in a phase."""
+    loop = FakeEventLoop()
+    driver = make_roll_driver(loop)
+    driver.stored = golden_roll(phase)
+    driver._store()
+    return loop.files["state/roll.json"]
+
+
+def write_rolls() -> bytes:
+    """Return the state files of a rolling upgrade in each phase, as one file."""
+    return encode_as_hex({phase.value: write_roll(phase) for phase in rolling_upgrade.Phase})
+
+
+def write_rollout_file(kind: str) -> bytes:
+    """Return a gateway's file of its voter, or of the version that it runs."""
+    loop = FakeEventLoop()
+    rollout_storage = storage.RolloutStorage(loop, "gateway-1")  # type: ignore[arg-type]
     if kind == "voter":
-        kept.write_voter(golden_voter_file())
+        rollout_storage.write_voter(golden_voter_file())
     else:
-        kept.write_running(golden_running_file())
-    return disk.files[f"gateway-1.{kind}"]
+        rollout_storage.write_running(golden_running_file())
+    return loop.files[f"gateway-1.{kind}"]
+
+
+def write_replicated_state() -> bytes:
+    """Encode the golden replicated state."""
+    return replicated_state.encode(golden_replicated_state())
+
+
+def write_replicated_state_hash() -> bytes:
+    """Return the hash of the golden replicated state as text."""
+    return version.content_hash(write_replicated_state()).encode()
 
 
-def write_module_message() -> bytes:
-    """As the module tells its peers."""
-    sent = START_US // 1000
-    return module_messages.encode_message(
-        sent, True, True, [module_messages.encode_row(golden_module_row(), sent, 3)]
+def write_gossip_message() -> bytes:
+    """Encode a gossip message."""
+    sent_at_ms = START_US // 1000
+    return gossip_codec.encode_message(
+        sent_at_ms, True, True, [gossip_codec.encode_row(golden_customer_row(), sent_at_ms, 3)]
     )
 
 
 def write_datagrams() -> dict[str, bytes]:
-    """One sealed datagram of each kind."""
+    """Encode one datagram of each kind."""
     kinds = {
         "module": datagrams.DatagramKind.POLICY,
         "limits": datagrams.DatagramKind.LIMITS,
@@ -202,38 +220,42 @@
 
 
 def write_messages(messages: dict[str, Any], encode: Callable[[Any], bytes]) -> bytes:
-    """Each of some messages."""
-    return as_hex({name: encode(message) for name, message in messages.items()})
+    """Encode some messages as one file."""
+    return encode_as_hex({name: encode(message) for name, message in messages.items()})
 
 
-WRITERS: dict[str, Callable[[], bytes]] = {  # file -> what the program writes today
+WRITERS: dict[str, Callable[[], bytes]] = {  # file name -> what is written today
     "module-state.msgpack": write_state,
     "traffic-record.olr": write_record,
     "account-store.olr": write_account_store,
-    "view.msgpack": lambda: PACK(golden_view()),
+    "view.msgpack": lambda: pack(golden_view()),
     "node-list-cache.json": lambda: golden_tracker().encode_cache(),
-    "roll-states.json": lambda: as_hex({phase.value: write_roll(phase) for phase in rolling_upgrade.Phase}),
+    "roll-states.json": lambda: encode_as_hex(
+        {phase.value: write_roll(phase) for phase in rolling_upgrade.Phase}
+    ),
     "hot-restart-messages.json": lambda: write_messages(golden_restart_messages(), restart_messages.encode),
-    "limit-messages.json": lambda: write_messages(golden_limit_messages(), PACK),
-    "module-message.bin": write_module_message,
-    "datagrams.json": lambda: as_hex(write_datagrams()),
-    "ledger.msgpack": lambda: fleet_ledger.encode(golden_ledger()),
-    "ledger-name.txt": lambda: version.content_hash(fleet_ledger.encode(golden_ledger())).encode(),
-    "content-name.txt": lambda: golden_parts("a").combined_hash.encode(),
-    "voter-file.bin": lambda: write_version_file("voter"),
-    "running-file.bin": lambda: write_version_file("running"),
-    "version-messages.json": lambda: write_messages(golden_version_messages(), version_messages.encode),
-    "admin-order.msgpack": lambda: PACK(golden_order()),
-    "admin-outcome.msgpack": lambda: PACK(golden_outcome()),
-    "admin-status.msgpack": lambda: PACK(golden_status()),
+    "limit-messages.json": lambda: write_messages(golden_token_messages(), pack),
+    "module-message.bin": write_gossip_message,
+    "datagrams.json": lambda: encode_as_hex(write_datagrams()),
+    "ledger.msgpack": write_replicated_state,
+    "ledger-name.txt": lambda: version.content_hash(
+        replicated_state.encode(golden_replicated_state())
+    ).encode(),
+    "content-name.txt": lambda: golden_contents("a").combined_hash.encode(),
+    "voter-file.bin": lambda: write_rollout_file("voter"),
+    "running-file.bin": lambda: write_rollout_file("running"),
+    "version-messages.json": lambda: write_messages(golden_rollout_messages(), rollout_messages.encode),
+    "admin-order.msgpack": lambda: pack(golden_command_request()),
+    "admin-outcome.msgpack": lambda: pack(golden_command_outcome()),
+    "admin-status.msgpack": lambda: pack(golden_status()),
     "admin-status.json": lambda: msgspec.json.encode(golden_status()),
     "admin-history.json": lambda: msgspec.json.encode(golden_status().history),
-    "admin-counts.msgpack": lambda: PACK(golden_tallies()),
+    "admin-counts.msgpack": lambda: pack(golden_answer_counts()),
 }
 
 
 def read_restart_message(name: str) -> Any:
-    """A golden message of a hot restart, as the other side reads it."""
+    """Return a golden message of a hot restart as the other process reads it."""
     parser = restart_messages.Parser()
     parser.receive(golden_examples("hot-restart-messages.json")[name])
     message = parser.next_message()
@@ -246,13 +268,13 @@
     if os.environ.get("GOLDEN_WRITE") != "1":
         return
     for name, write in WRITERS.items():
-        path = GOLDEN / name
+        path = GOLDEN_DIRECTORY / name
         if not path.exists():
             path.write_bytes(first_state() if name == "module-state.msgpack" else write())
 
 
 def first_state() -> bytes:
-    """A state to begin with: that of a module that lived through random events, all of its fields filled."""
+    """Return the state of a policy after random events, all of its fields filled."""
     from harness.event_story import EventStory
 
     story = EventStory(20)
--- a/tests/harness/saved_states.py
+++ b/tests/harness/saved_states.py
@@ -1,4 +1,4 @@
-"""Complete states in files, as a gateway's admin address gives them."""
+"""Complete states in files, as a gateway's admin API gives them."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 NAMES = tuple("abcde"), tuple("pqrs")
 
 
-def write_state(story: EventStory, path: Path, touch: int = 0, build: str = "") -> None:
-    """A complete state as a gateway tells it; so many more events happen between its pages."""
+def write_state(story: EventStory, path: Path, events_between_pages: int = 0, build: str = "") -> None:
+    """Write a complete state as a gateway sends it; so many more events happen between its pages."""
     gateway = story.bench.gateway
     recording.track_accounts(gateway)
     snapshot = recording.Snapshot(gateway)
@@ -30,6 +30,6 @@
     data = recording.pack_header(header)
     for rows in snapshot.pages():
         data += recording.pack_account_page(0, rows, last=False)
-        for _ in range(touch):
+        for _ in range(events_between_pages):
             story.step()
     path.write_bytes(data + recording.pack_account_page(0, [], last=True))
--- a/tests/test_golden_command.py
+++ b/tests/test_golden_command.py
@@ -21,7 +21,7 @@
     good,
     resets_after,
 )
-from harness.golden_admin import ask_admin
+from harness.golden_admin import request_admin
 from harness.golden_events import MATERIALS
 from harness.golden_files import check_golden
 
@@ -106,7 +106,7 @@
     def test(harness):
         for raw in (GET, REPORT, UPLOAD, GET, GET):
             harness.ask(raw)
-        path.write_bytes(ask_admin(harness, "/state")[2])
+        path.write_bytes(request_admin(harness, "/state")[2])
 
     GatewayHarness(good, resets_after, good, seed=5).run(test)
     calls = {
--- a/tests/test_golden_gateways.py
+++ b/tests/test_golden_gateways.py
@@ -8,23 +8,23 @@
 import msgspec
 import pytest
 from harness.golden_gateways import (
-    golden_limit_messages,
     golden_restart_messages,
     golden_roll,
+    golden_token_messages,
     golden_tracker,
 )
 from harness.golden_policy import (
-    PACK,
     PLAN_NAMES,
     SECRET,
+    fields_with_default,
     golden,
     golden_accounts,
+    golden_customer_row,
     golden_examples,
-    golden_module_row,
     golden_state,
-    has_default,
+    pack,
 )
-from harness.golden_writers import Disk, read_restart_message, rolling_of
+from harness.golden_writers import FakeEventLoop, make_roll_driver, read_restart_message
 from harness.policy_harness import START_US
 
 from orchidlane import policy, recording
@@ -33,7 +33,7 @@
 from orchidlane.hot_restart import messages as restart_messages
 from orchidlane.hot_restart import rolling_upgrade
 from orchidlane.limits import GrantStore, TokenOwner
-from orchidlane.policy import gossip_codec as module_messages
+from orchidlane.policy import gossip_codec
 from orchidlane.recording.state_dump import account_to_row
 
 
@@ -54,7 +54,7 @@
     examples = golden_examples("roll-states.json")
     assert set(examples) == {phase.value for phase in rolling_upgrade.Phase}
     for name, data in examples.items():
-        kept = rolling_of(Disk(**{"state/roll.json": data})).load_stored()
+        kept = make_roll_driver(FakeEventLoop(**{"state/roll.json": data})).load_stored()
         assert kept == golden_roll(rolling_upgrade.Phase(name))
         assert {one.phase for one in kept.state.gateways} == set(rolling_upgrade.GatewayPhase)
 
@@ -63,7 +63,9 @@
     messages = golden_restart_messages()
     assert {type(one) for one in messages.values()} == set(get_args(restart_messages.AnyMessage))
     assert set(golden_examples("hot-restart-messages.json")) == set(messages)
-    assert {name: has_default(one) for name, one in messages.items() if has_default(one)} == {}
+    assert {
+        name: fields_with_default(one) for name, one in messages.items() if fields_with_default(one)
+    } == {}
 
 
 @pytest.mark.parametrize("name", golden_restart_messages())
@@ -74,13 +76,13 @@
 def test_rows_of_every_table_are_loaded_and_dumped_again():
     accounts = read_restart_message("rows of accounts").rows
     assert [recording.account_from_row(row) for row in accounts] == golden_accounts()[:1]
-    assert PACK([account_to_row(recording.account_from_row(row)) for row in accounts]) == PACK(accounts)
+    assert pack([account_to_row(recording.account_from_row(row)) for row in accounts]) == pack(accounts)
     holder, grants = TokenOwner(1, 10, START_US), GrantStore(100, 1, 1)
     for kept, name in ((holder, "rows of tokens"), (grants, "rows of grants")):
         rows = read_restart_message(name).rows
         for row in rows:
             kept.load(row)
-        assert PACK([kept.row(row[0]) for row in rows]) == PACK(rows)
+        assert pack([kept.row(row[0]) for row in rows]) == pack(rows)
 
 
 def test_the_state_in_the_last_message_of_a_hot_restart_is_loaded_and_dumped_again():
@@ -89,16 +91,16 @@
         token_lifetime_us=1, max_tokens=10, max_grants=10, grant_lifetime_us=1, credit_lifetime_us=1
     )
     fleet = SimpleNamespace(quotas=quotas, gateways=[None] * 3)
-    service = token_requests.LimitService(Disk(), fleet, 0, None, print)  # type: ignore[arg-type]
+    service = token_requests.LimitService(FakeEventLoop(), fleet, 0, None, print)  # type: ignore[arg-type]
     service.load_state(final.limits)
     again = {**final.limits, "numbers": final.limits["numbers"] + query_exchange.QUERY_IDS_PER_PROCESS}
-    assert PACK(service.dump_state()) == PACK(again)
+    assert pack(service.dump_state()) == pack(again)
     inbox = datagrams.Inbox(SECRET, 0, 3, START_US, 9.0)
     inbox.load_peer_rows(final.peers)
-    assert PACK(inbox.peer_rows()) == PACK(final.peers)
+    assert pack(inbox.peer_rows()) == pack(final.peers)
     tracker = endpoint_list.EndpointListTracker("z1", 100)
     tracker.import_state(final.endpoints)
-    assert PACK(tracker.export_state()) == PACK(final.endpoints) == PACK(golden_tracker().export_state())
+    assert pack(tracker.export_state()) == pack(final.endpoints) == pack(golden_tracker().export_state())
     head = msgspec.structs.replace(golden_state(), accounts=[])
     assert final.policy_state == head
 
@@ -110,9 +112,9 @@
         if getattr(one, "__module__", "") == token_messages.__name__
     ]
     structs = {one for one in here if isinstance(one, type) and issubclass(one, msgspec.Struct)}
-    assert {type(one) for one in golden_limit_messages().values()} == structs
-    for name, message in golden_limit_messages().items():
-        assert has_default(message) == []
+    assert {type(one) for one in golden_token_messages().values()} == structs
+    for name, message in golden_token_messages().items():
+        assert fields_with_default(message) == []
         data = golden_examples("limit-messages.json")[name]
         assert (
             msgspec.msgpack.decode(data, type=token_messages.TokenQuery | token_messages.TokenReply)
@@ -121,8 +123,8 @@
 
 
 def test_a_golden_gossip_message_is_decoded_to_its_values():
-    found = module_messages.decode_message(golden("module-message.bin"), START_US // 1000, 3, len(PLAN_NAMES))
-    assert found == module_messages.GossipMessage(START_US // 1000, True, True, (golden_module_row(),))
+    found = gossip_codec.decode_message(golden("module-message.bin"), START_US // 1000, 3, len(PLAN_NAMES))
+    assert found == gossip_codec.GossipMessage(START_US // 1000, True, True, (golden_customer_row(),))
 
 
 def test_golden_datagrams_of_every_kind_are_accepted():
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -11,27 +11,27 @@
 from harness.golden_samples import sample_struct, samples
 
 from orchidlane.gateway.rollout_agent import admin_messages
-from orchidlane.hot_restart import messages as upgrade_messages
+from orchidlane.hot_restart import messages as restart_messages
 from orchidlane.rollout import canary_analysis, commands, replicated_state, version
-from orchidlane.rollout import messages as change_messages
+from orchidlane.rollout import messages as rollout_messages
 
 
 def test_messages_of_a_rollout_have_the_golden_bytes():
-    found = samples(change_messages.Message)
-    bodies = {tag: change_messages.encode(message) for tag, message in found.items()}
-    assert {tag: change_messages.decode(body) for tag, body in bodies.items()} == found
+    found = samples(rollout_messages.Message)
+    bodies = {tag: rollout_messages.encode(message) for tag, message in found.items()}
+    assert {tag: rollout_messages.decode(body) for tag, body in bodies.items()} == found
     check_golden("change-messages", {tag: body.hex() for tag, body in bodies.items()})
 
 
 def test_messages_of_a_hot_restart_have_the_golden_bytes():
     """An old process and a new one talk to each other across builds."""
-    found = samples(upgrade_messages.AnyMessage)
-    frames = {tag: upgrade_messages.encode(message) for tag, message in found.items()}
+    found = samples(restart_messages.AnyMessage)
+    frames = {tag: restart_messages.encode(message) for tag, message in found.items()}
     check_golden("upgrade-messages", {tag: data.hex() for tag, data in frames.items()})
     for tag, data in frames.items():
-        parser = upgrade_messages.Parser()
+        parser = restart_messages.Parser()
         parser.receive(data)
-        assert upgrade_messages.encode(parser.next_message()) == data, tag
+        assert restart_messages.encode(parser.next_message()) == data, tag
 
 
 def test_ledgers_commands_and_states_of_versions_have_the_golden_names_and_values():
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -9,7 +9,7 @@
 from harness.gateway_harness import (
     good,
 )
-from harness.golden_events import SECOND, SECRET, counts_row, message_values, sealed
+from harness.golden_events import SECOND, SECRET, customer_row, message_values, seal_datagram
 from harness.golden_files import check_golden
 from harness.golden_samples import samples
 from harness.platform_harness import PlatformHarness, call, settings
@@ -18,12 +18,12 @@
 from orchidlane.policy import gossip_codec
 
 ROWS = {
-    "one row": [counts_row(7, 0, 0, 3, 0, 4.5, 11.25, 0.0, ((0, 1_000, 6.0), (2, 990, 5.25)))],
-    "a brief row": [counts_row(1 << 33, 1, 2, 3, 2, 0.0, 300.0625, 0.0, ())],
-    "rights of a ceiling": [counts_row(9, 2, 1, 2, 1, 0.0, 0.0, 12.75, ((1, 15_000, 0.0625),))],
-    "a set of all, wrapped": [counts_row(8, 0, 2, 3, 0, 2.0, 9.0, 0.0, ((1, 16_000, 1.0), (2, 0, 8.0)))],
+    "one row": [customer_row(7, 0, 0, 3, 0, 4.5, 11.25, 0.0, ((0, 1_000, 6.0), (2, 990, 5.25)))],
+    "a brief row": [customer_row(1 << 33, 1, 2, 3, 2, 0.0, 300.0625, 0.0, ())],
+    "rights of a ceiling": [customer_row(9, 2, 1, 2, 1, 0.0, 0.0, 12.75, ((1, 15_000, 0.0625),))],
+    "a set of all, wrapped": [customer_row(8, 0, 2, 3, 0, 2.0, 9.0, 0.0, ((1, 16_000, 1.0), (2, 0, 8.0)))],
     "no row": [],
-    "several": [counts_row(one, one % 3, one % 3, 1 + one % 3, 0, one, one, 0.0, ()) for one in range(9)],
+    "several": [customer_row(one, one % 3, one % 3, 1 + one % 3, 0, one, one, 0.0, ()) for one in range(9)],
 }
 
 
@@ -70,37 +70,38 @@
 
 
 def test_rows_beyond_the_size_of_a_message_are_left_out():
-    rows = [counts_row(1 << 30, 0, 0, 3, 0, 1.0, one, 0.0, ((0, 0, one),)) for one in range(60)]
+    rows = [customer_row(1 << 30, 0, 0, 3, 0, 1.0, one, 0.0, ((0, 0, one),)) for one in range(60)]
     parts = gossip_codec.take_fitting(gossip_codec.encode_row(row, 1_000_000, 3) for row in rows)
     check_golden("peer-messages-full", {"rows": len(parts), "bytes": b"".join(parts).hex()})
 
 
 def test_datagrams_are_encoded_to_the_golden_bytes_and_accepted():
     kinds = {"module": 0, "limits": 1, "versions": 2}
-    found = {what: sealed(kind, b"body of " + what.encode()).hex() for what, kind in kinds.items()}
-    found["empty"] = sealed(0, b"").hex()
-    found["largest"] = sealed(1, bytes(range(256))).hex()
+    found = {what: seal_datagram(kind, b"body of " + what.encode()).hex() for what, kind in kinds.items()}
+    found["empty"] = seal_datagram(0, b"").hex()
+    found["largest"] = seal_datagram(1, bytes(range(256))).hex()
     check_golden("sealed-datagrams", found)
     inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
     assert [
-        inbox.accept(1_000, sealed(kind, b"x", sequence)) for sequence, kind in enumerate(kinds.values(), 1)
+        inbox.accept(1_000, seal_datagram(kind, b"x", sequence))
+        for sequence, kind in enumerate(kinds.values(), 1)
     ] == [(kind, 1, b"x") for kind in kinds.values()]
 
 
 def test_datagrams_for_others_are_rejected_for_the_golden_reasons():
-    good_one = sealed(0, b"x")
+    good_one = seal_datagram(0, b"x")
     wrong = {
         "short": good_one[:20],
         "too long": good_one + bytes(300),
         "another magic": b"XX" + good_one[2:],
         "another format": good_one[:2] + b"\2" + good_one[3:],
-        "an unknown kind": sealed(9, b"x"),
+        "an unknown kind": seal_datagram(9, b"x"),
         "to another": datagrams.encode_datagram(SECRET, 1, 0, 900, 5, b"x"),
         "of our own rank": datagrams.encode_datagram(SECRET, 2, 2, 900, 5, b"x"),
         "of no gateway": datagrams.encode_datagram(SECRET, 9, 2, 900, 5, b"x"),
         "of another key": datagrams.encode_datagram(b"another key, long enough", 1, 2, 900, 5, b"x"),
         "changed": good_one[:-1] + bytes((good_one[-1] ^ 1,)),
-        "a life far ahead": sealed(0, b"x", incarnation=61_000_000_000),
+        "a life far ahead": seal_datagram(0, b"x", incarnation=61_000_000_000),
     }
     found = {}
     for what, data in wrong.items():
@@ -108,7 +109,7 @@
         assert inbox.accept(1_000, data) is None
         found[what] = inbox.rejected
     inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 2.0)
-    taken = [inbox.accept(1_000, sealed(0, b"x", number)) is not None for number in (7, 7, 6, 8)]
+    taken = [inbox.accept(1_000, seal_datagram(0, b"x", number)) is not None for number in (7, 7, 6, 8)]
     found["7, 7, 6, 8 with an intake of two"] = [taken, inbox.rejected]
     found["carried to a successor"] = [[*row[:3], row[3].hex()] for row in inbox.peer_rows()]
     check_golden("refused-datagrams", found)
--- a/tests/test_golden_responses.py
+++ b/tests/test_golden_responses.py
@@ -18,7 +18,7 @@
     request,
     resets_after,
 )
-from harness.golden_admin import ask_admin, without_build
+from harness.golden_admin import request_admin, without_build
 from harness.golden_events import SECOND
 from harness.golden_files import check_golden
 
@@ -39,15 +39,15 @@
         for raw in (GET, REPORT, UPLOAD, GET, GET, b"nonsense\r\n\r\n"):
             harness.ask(raw)
         for target in ("/health", "/nothing", "/view?customer=nobody", "/change/status", "/change/content/x"):
-            status, headers, body = ask_admin(harness, target)
+            status, headers, body = request_admin(harness, target)
             found[target] = [status, headers, body.decode()]
-        status, headers, body = ask_admin(harness, "/metrics")
+        status, headers, body = request_admin(harness, "/metrics")
         del headers["content-length"]
         found["/metrics"] = [status, headers, samples_of(body)]
         for target in ("/view", "/view?customer=1"):
-            body = ask_admin(harness, target)[2]
+            body = request_admin(harness, target)[2]
             found[target] = without_build(msgspec.msgpack.decode(body))
-        body, at, frames = ask_admin(harness, "/state")[2], 7, []
+        body, at, frames = request_admin(harness, "/state")[2], 7, []
         found["/state"] = [body[:at].decode(), frames]
         while at < len(body):
             length, _ = struct.unpack_from("<II", body, at)
--- a/tests/test_golden_simulator_protocol.py
+++ b/tests/test_golden_simulator_protocol.py
@@ -8,10 +8,10 @@
 
 from harness.golden_events import (
     ACTIONS,
+    ENDPOINT,
     EVENT_VALUES,
-    NOT_OF_THE_WIRE,
-    OTHER_SERVER,
-    SERVER,
+    NOT_ON_THE_WIRE,
+    OTHER_ENDPOINT,
     settings_values,
 )
 from harness.golden_files import check_golden
@@ -29,21 +29,21 @@
 def frames_of_the_wire() -> dict[str, list[tuple[list[bytes], bytes]]]:
     """Batches by the record code that they are about: records and tail."""
     text = json.dumps(settings()).encode()
-    entries = struct.pack("<fB6sBQBH", 1.5, 0, SERVER, 2, 77, 1, 9)
-    entries += struct.pack("<fB6sBQBH", 1.0, 1, OTHER_SERVER, 0, 0, 2, 300)
-    entries += struct.pack("<fB6sBQBH", 1.0, 0, OTHER_SERVER, 0, 0, 0, 300)
+    entries = struct.pack("<fB6sBQBH", 1.5, 0, ENDPOINT, 2, 77, 1, 9)
+    entries += struct.pack("<fB6sBQBH", 1.0, 1, OTHER_ENDPOINT, 0, 0, 2, 300)
+    entries += struct.pack("<fB6sBQBH", 1.0, 0, OTHER_ENDPOINT, 0, 0, 0, 300)
     listed = record(12, "HII", 4, 0, 3)
     outcomes = (100, 301, 302, 303, 304, 305, 306, 307)
     report = 3, 0.5, 14.5, 7.0, 0.0
     ended = [
-        record(6, "HIH6sHIBHHB4f", 3, 9, 1, SERVER, outcome, 18_500, outcome == 100, 86, 3, *report)
+        record(6, "HIH6sHIBHHB4f", 3, 9, 1, ENDPOINT, outcome, 18_500, outcome == 100, 86, 3, *report)
         for outcome in outcomes
     ]
     return {
         "1": [([record(1, "HQ", 3, 1 << 40)], b"")],
         "2": [([record(2, "HHII", 3, 1, 2, 5)], b"..hello..")],
         "3": [([record(3, "HI", 5, 0x0E6F2B19)], b"")],
-        "4": [([record(4, "HIH6sI", 3, 9, 1, SERVER, 2_150)], b"")],
+        "4": [([record(4, "HIH6sI", 3, 9, 1, ENDPOINT, 2_150)], b"")],
         "5": [
             ([record(5, "HIBHQIfffH", 3, 9, 2, 1, 1 << 40, 240_000, 2.5, 3.0, 1.0, bits)], b"")
             for bits in (0, 2, 3)
@@ -54,7 +54,7 @@
         "9": [([listed, record(9, "HBHQ", 3, kind, 4, 41)], entries) for kind in range(4)],
         "10": [([record(10, "HfIHQ", 3, 38.0, 2_150, outcome, 77)], b"") for outcome in outcomes],
         "11": [
-            ([record(11, "HIH6sB4f", 3, 900, outcome, SERVER, 2, 0.25, 2.0, 3.0, 4.0)], b"")
+            ([record(11, "HIH6sB4f", 3, 900, outcome, ENDPOINT, 2, 0.25, 2.0, 3.0, 4.0)], b"")
             for outcome in outcomes
         ],
         "12": [([listed], entries)],
@@ -93,7 +93,7 @@
     encoder.add_failure(3, "ValueError: what happened")
     found["74"] = encoder.encode_reply().hex()
     covered = {type(action) for actions in ACTIONS.values() for action in actions}
-    assert covered | NOT_OF_THE_WIRE == set(get_args(policy.Action))
+    assert covered | NOT_ON_THE_WIRE == set(get_args(policy.Action))
     check_golden("wire-actions", found)
 
 
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -13,17 +13,17 @@
 import pytest
 from harness.golden_policy import (
     BUILD,
-    GOLDEN,
+    GOLDEN_DIRECTORY,
     golden,
     golden_accounts,
     golden_actions,
     golden_events,
+    golden_gateway,
     golden_header,
-    golden_module,
     golden_state,
     golden_view,
 )
-from harness.golden_writers import WRITERS, Disk, account_store
+from harness.golden_writers import WRITERS, FakeEventLoop, account_store
 from harness.policy_harness import SETTINGS, START_US
 
 from orchidlane import policy, recording
@@ -31,7 +31,7 @@
 
 
 def test_every_golden_file_has_its_form_and_every_form_its_file():
-    assert {path.name for path in GOLDEN.iterdir()} == set(WRITERS)
+    assert {path.name for path in GOLDEN_DIRECTORY.iterdir()} == set(WRITERS)
 
 
 @pytest.mark.parametrize("name", WRITERS)
@@ -45,13 +45,13 @@
 
 
 def test_a_policy_restored_from_the_golden_state_is_dumped_to_the_same_bytes():
-    module = golden_module()
+    module = golden_gateway()
     assert msgspec.msgpack.encode(recording.dump_state(module)) == golden("module-state.msgpack")
     assert module.accounts and module.endpoints and module.requests and module.attempts
 
 
 def test_every_value_of_the_golden_state_is_restored_to_its_place_in_the_policy():
-    module, state = golden_module(), golden_state()
+    module, state = golden_gateway(), golden_state()
     assert [module.now, module.allowance_refilled_at_us, module.started_at_us] == [
         1_000_549_025,
         1_000_470_794,
@@ -106,7 +106,7 @@
 
 
 def test_a_snapshot_of_the_golden_policy_holds_the_golden_state():
-    module = golden_module()
+    module = golden_gateway()
     recording.track_accounts(module)
     snapshot = recording.Snapshot(module)
     rows = [row for page in snapshot.pages() for row in page]
@@ -153,7 +153,7 @@
     reader = recording.SegmentReader("golden", golden("account-store.olr"))
     rows = {row[0]: row for row in reader.read_state().accounts}
     assert [recording.account_from_row(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
-    store = account_store(Disk(accounts=golden("account-store.olr")))
+    store = account_store(FakeEventLoop(accounts=golden("account-store.olr")))
     assert store.load() == len(golden_accounts())
     accounts = store.gateway.host.gateway.accounts
     for one in golden_accounts():
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -72,7 +72,7 @@
     for _ in range(200):
         story.step()
     path = tmp_path / "s.olr"
-    write_state(story, path, touch=0)
+    write_state(story, path, events_between_pages=0)
     now, gateway = story.bench.now, story.bench.gateway
     gateway.now = now
     found = count_by_plan(recording.SegmentReader(str(path)), 2)
@@ -88,7 +88,7 @@
             assert found[name].nearest_to_limit == [pytest.approx(pair) for pair in shares[:2]]
 
 
-def ask_admin(harness: GatewayHarness, target: bytes):
+def request_admin(harness: GatewayHarness, target: bytes):
     stream = harness.backend.connect(("127.0.0.1", 8280))
     stream.send(b"GET %s HTTP/1.1\r\nHost: a\r\n\r\n" % target)
     return harness.answer(stream)
@@ -97,7 +97,7 @@
 def test_a_gateway_serves_its_complete_state_and_views_of_known_customers_only(tmp_path):
     def test(harness: GatewayHarness) -> None:
         assert harness.ask(GET)[0] == 200
-        status, _, body = ask_admin(harness, b"/state")
+        status, _, body = request_admin(harness, b"/state")
         assert status == 200
         path = tmp_path / "s.olr"
         path.write_bytes(body)
@@ -107,8 +107,8 @@
         assert [row[0] for row in reader.account_rows()] == [1]
         assert run_command("counts", str(path), "1")[0] == 0
         assert run_command("counts", str(path), "2")[0] == 2
-        assert ask_admin(harness, b"/view?customer=1")[0] == 200
-        assert ask_admin(harness, b"/view?customer=%ff%00")[0] == 404
+        assert request_admin(harness, b"/view?customer=1")[0] == 200
+        assert request_admin(harness, b"/view?customer=%ff%00")[0] == 404
 
     GatewayHarness(good).run(test)
 
@@ -124,8 +124,8 @@
         hung.send(b"GET /state HTTP/1.1\r\nHost: a\r\n\r\n")
         harness.loop.sleep(100 * MS)
         assert harness.program.admin.is_sending_state
-        assert ask_admin(harness, b"/state")[0] == 503
-        assert ask_admin(harness, b"/health")[0] == 200
+        assert request_admin(harness, b"/state")[0] == 503
+        assert request_admin(harness, b"/health")[0] == 200
         for _ in range(20):
             began = harness.loop.now()
             assert harness.ask(GET)[0] == 200
