--- a/tests/test_fleet_totals.py
+++ b/tests/test_fleet_totals.py
@@ -6,7 +6,8 @@
 from typing import NamedTuple
 
 import pytest
-from harness.fleet_harness import FleetTerms, SimulatedFleet
+from harness.fleet_harness import Customer, SimulatedFleet
+from harness.fleet_hosts import FleetTerms
 from harness.platform_harness import MS, SECOND
 
 from orchidlane.policy import admission, endpoint_registry, gossip, quota, token_owner
@@ -22,22 +23,23 @@
     "pays": 1,
 }
 LARGE_PLANS = [{**PLAN, "name": "roomy", "perSecond": 1_000.0, "peakUnits": 4_000.0}]
-EQUAL_CUSTOMERS = [(0, 1.0)] * 50
+EQUAL_CUSTOMERS = [Customer(0, 1.0)] * 50
 
 
 def replace_hosts(fleet: SimulatedFleet) -> None:
     """Replace six in ten hosts within two seconds, and kill and restart gateways meanwhile."""
-    going = fleet.hosts[: fleet.terms.hosts * 6 // 10]
-    for number, host in enumerate(going):
-        fleet.add()
-        fleet.loop.sleep(2 * SECOND // len(going))
-        fleet.remove(host)
+    leaving = fleet.hosts[: fleet.terms.hosts * 6 // 10]
+    for number, host in enumerate(leaving):
+        fleet.add_host()
+        fleet.loop.sleep(2 * SECOND // len(leaving))
+        fleet.remove_host(host)
         if number % 2:
-            fleet.restart(number % fleet.terms.gateways)
+            fleet.restart_gateway(number % fleet.terms.gateways)
 
 
 def worst_excess(fleet: SimulatedFleet) -> float:
-    return max(fleet.worst_excess(host) for host in fleet.hosts if host.started_at_us)
+    """Return the worst excess of requests over the budget of any host in slow start."""
+    return max(fleet.terms.worst_excess(host) for host in fleet.hosts if host.started_at_us)
 
 
 @pytest.mark.parametrize("load", [0.6, 0.9])
@@ -55,7 +57,7 @@
 
 def test_the_check_detects_a_fleet_without_slow_start(monkeypatch):
     """Without the ramp the same run fails the check."""
-    monkeypatch.setattr(endpoint_registry, "is_warm", lambda state, endpoint: True)
+    monkeypatch.setattr(endpoint_registry, "is_warm", lambda _state, _endpoint: True)
     terms = FleetTerms(gateways=20, hosts=10, load=0.9, overload_multiple=1.0)
     assert worst_excess(SimulatedFleet(terms, LARGE_PLANS, EQUAL_CUSTOMERS, seed=20).run(replace_hosts)) > 1.0
 
@@ -64,16 +66,19 @@
 def test_no_host_is_overloaded_when_all_are_in_slow_start(load):
     """As when a zone returns: no warm host takes what the others cannot serve."""
 
-    def all_new(fleet: SimulatedFleet) -> None:
-        old = list(fleet.hosts)
-        for _ in old:
-            fleet.add()
+    def replace_all_hosts(fleet: SimulatedFleet) -> None:
+        old_hosts = list(fleet.hosts)
+        for _ in old_hosts:
+            fleet.add_host()
         fleet.loop.sleep(100 * MS)
-        for host in old:
-            fleet.remove(host)
+        for host in old_hosts:
+            fleet.remove_host(host)
 
     terms = FleetTerms(gateways=20, hosts=6, load=load)
-    assert worst_excess(SimulatedFleet(terms, LARGE_PLANS, EQUAL_CUSTOMERS, seed=3).run(all_new)) <= 1.0
+    assert (
+        worst_excess(SimulatedFleet(terms, LARGE_PLANS, EQUAL_CUSTOMERS, seed=3).run(replace_all_hosts))
+        <= 1.0
+    )
 
 
 SMALL_PLANS = [
@@ -81,9 +86,14 @@
     {**PLAN, "name": "large", "perSecond": 6.0, "peakUnits": 12.0, "overrunCost": 0.8, "pays": 1.6},
 ]
 # Customers by plan and requests a second: most use under half of their quota, some nearly all, some far more
-UNEQUAL_CUSTOMERS = (
-    [(0, 0.4)] * 30 + [(0, 0.95)] * 6 + [(0, 3.0)] * 4 + [(1, 2.4)] * 8 + [(1, 5.6)] * 2 + [(1, 18.0)]
-)
+UNEQUAL_CUSTOMERS = [
+    *[Customer(0, 0.4)] * 30,
+    *[Customer(0, 0.95)] * 6,
+    *[Customer(0, 3.0)] * 4,
+    *[Customer(1, 2.4)] * 8,
+    *[Customer(1, 5.6)] * 2,
+    Customer(1, 18.0),
+]
 POLICY_DELAY_US = SECOND  # after it the reference policy sees the exact state
 
 
@@ -92,17 +102,17 @@
 
     def __init__(self, rate: float, burst: float, now: int) -> None:
         self.seen, self.true = ReferenceQuota(rate, burst, now), ReferenceQuota(rate, burst, now)
-        self._taken: deque[int] = deque()
+        self._admitted_at_us: deque[int] = deque()
 
     def is_over_quota(self, now: int) -> bool | None:
-        """Whether it admits a request over quota; None where it rejects the request."""
-        while self._taken and self._taken[0] <= now - POLICY_DELAY_US:
-            self.seen.draw(self._taken.popleft(), 1.0)
+        """Return whether a request is admitted over quota; None where it is rejected."""
+        while self._admitted_at_us and self._admitted_at_us[0] <= now - POLICY_DELAY_US:
+            self.seen.draw(self._admitted_at_us.popleft(), 1.0)
         if self.seen.available_at(now - POLICY_DELAY_US) < 1.0:
             return None
         if not self.true.try_draw(now, 1.0):
             return True
-        self._taken.append(now)
+        self._admitted_at_us.append(now)
         return False
 
 
@@ -114,31 +124,30 @@
 
 
 def over_quota_costs(fleet: SimulatedFleet, start_us: int) -> OverQuotaCosts:
-    """The costs of a fleet that has run."""
+    """Return the costs of a fleet that has run."""
     income = measured = delayed = 0.0
-    stores, policies, offered = {}, {}, {}
-    for number, (plan, _) in enumerate(fleet.customers):
-        rate, burst = fleet.plans[plan]["perSecond"], fleet.plans[plan]["peakUnits"]
-        stores[number] = ReferenceQuota(rate, burst, start_us)
-        offered[number] = ReferenceQuota(rate, burst, start_us)
-        policies[number] = DelayedExactPolicy(rate, burst, start_us)
+    plans = [fleet.plans[customer.plan] for customer in fleet.customers]
+    limits = [(plan["perSecond"], plan["peakUnits"], start_us) for plan in plans]
+    admitted = [ReferenceQuota(*limit) for limit in limits]
+    offered = [ReferenceQuota(*limit) for limit in limits]
+    policies = [DelayedExactPolicy(*limit) for limit in limits]
     for now, customer in fleet.requests:
-        plan = fleet.plans[fleet.customers[customer][0]]
-        price = plan["pays"]
+        price, charge = plans[customer]["pays"], plans[customer]["overrunCost"]
         income += price * offered[customer].try_draw(now, 1.0)
-        delayed += price * plan["overrunCost"] * (policies[customer].is_over_quota(now) is True)
-    for now, customer in fleet.first_attempts:
-        plan = fleet.plans[fleet.customers[customer][0]]
-        measured += plan["pays"] * plan["overrunCost"] * (not stores[customer].try_draw(now, 1.0))
+        delayed += price * charge * (policies[customer].is_over_quota(now) is True)
+    for now, customer in fleet.servers.first_attempts:
+        price, charge = plans[customer]["pays"], plans[customer]["overrunCost"]
+        measured += price * charge * (not admitted[customer].try_draw(now, 1.0))
     return OverQuotaCosts(measured / income, delayed / income)
 
 
 def run_without_faults(gateways: int) -> tuple[SimulatedFleet, OverQuotaCosts]:
+    """Run a fleet of unequal customers; return it with its costs."""
     rate = sum(share for _, share in UNEQUAL_CUSTOMERS)
     terms = FleetTerms(gateways=gateways, hosts=10, load=rate / 800, duration_us=20 * SECOND)
     fleet = SimulatedFleet(terms, SMALL_PLANS, UNEQUAL_CUSTOMERS, seed=gateways)
     start_us = fleet.loop.now()
-    fleet.run(lambda fleet: None)
+    fleet.run(lambda _: None)
     return fleet, over_quota_costs(fleet, start_us)
 
 
@@ -151,13 +160,14 @@
 
 def test_the_check_detects_a_fleet_without_gossip(monkeypatch):
     """Without gossip each gateway admits the whole quota."""
-    monkeypatch.setattr(gossip, "peer_message_received", lambda state, event: None)
+    monkeypatch.setattr(gossip, "peer_message_received", lambda _state, _event: None)
     monkeypatch.setattr(admission, "admits", admits_by_own_count)
-    monkeypatch.setattr(token_owner, "UNREACHABLE_SMOOTHING", 0.0)  # nor detects unreachable peers
+    monkeypatch.setattr(token_owner, "UNREACHABLE_SMOOTHING", 0.0)  # nor are unreachable peers detected
     _, costs = run_without_faults(20)
     assert costs.measured > costs.delayed + 0.1, costs
 
 
 def admits_by_own_count(state, event, account) -> bool:
+    """Admit by the account alone, as a gateway without peers."""
     quota.refill(state, account)
     return account.remaining >= event.units
