--- a/tests/harness/descriptions.py
+++ b/tests/harness/descriptions.py
@@ -1,11 +1,11 @@
-"""Descriptions with other costs of operations."""
+"""API descriptions with changed costs of operations."""
 
 from __future__ import annotations
 
 from harness.gateway_harness import MATERIALS
 from orchidlane.routes import build, load_description
 
-RULES = (MATERIALS / "openapi.yaml").read_bytes()
+DESCRIPTION = (MATERIALS / "openapi.yaml").read_bytes()
 
 
 def with_cost(data: bytes, operation: bytes, cost: int) -> bytes:
@@ -16,7 +16,7 @@
     return data[:start] + without_cost + b", cost: %d" % cost + data[end:]
 
 
-def costs(data: bytes) -> dict[str, float]:
+def operation_costs(data: bytes) -> dict[str, float]:
     """Return the costs by operation."""
     generation = build(load_description(data, "o"), "o")
     return {operation.name: operation.cost for operation in generation.operations}
--- a/tests/harness/gossip_harness.py
+++ b/tests/harness/gossip_harness.py
@@ -1,7 +1,10 @@
-"""Messages between gateways for tests of the policy: what a peer reports, and what is sent to peers."""
+"""Gossip messages for tests of the policy: what a peer reports, and what is sent to peers."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+from typing import Any
+
 from harness.policy_harness import START_US, PolicyHarness, actions_of
 from orchidlane import policy
 from orchidlane.policy import gossip_codec
@@ -11,12 +14,25 @@
 NOW_TICKS = NOW_MS // gossip_codec.TICK_MS
 
 
-def receive(harness: PolicyHarness, sender: int, *rows: CustomerRow, wants_reply=False, to_token_owner=False):
+def receive(
+    harness: PolicyHarness,
+    sender: int,
+    *rows: CustomerRow,
+    wants_reply: bool = False,
+    to_token_owner: bool = False,
+) -> list[policy.Action]:
     """Feed a peer's message that is sent now; return the actions."""
     return receive_at(harness, sender, harness.now // 1_000, rows, wants_reply, to_token_owner)
 
 
-def receive_at(harness, sender, sent_at_ms, rows, wants_reply=False, to_token_owner=False) -> list:
+def receive_at(
+    harness: PolicyHarness,
+    sender: int,
+    sent_at_ms: int,
+    rows: Iterable[CustomerRow],
+    wants_reply: bool = False,
+    to_token_owner: bool = False,
+) -> list[policy.Action]:
     """Feed a peer's message with a send time of its own; return the actions."""
     encoded = [gossip_codec.encode_row(row, sent_at_ms, harness.settings.replica_count) for row in rows]
     body = gossip_codec.encode_message(sent_at_ms, wants_reply, to_token_owner, encoded)
@@ -24,17 +40,17 @@
 
 
 def customer_row(
-    counts=(),
-    remaining=10.0,
-    spent_total=0.0,
-    customer=7,
-    forward_count=0,
-    replica_set_start=0,
-    replica_set_size=3,
-    plan=0,
-    tokens=0.0,
+    counts: Iterable[tuple[int, int, float]] = (),
+    remaining: float = 10.0,
+    spent_total: float = 0.0,
+    customer: int = 7,
+    forward_count: int = 0,
+    replica_set_start: int = 0,
+    replica_set_size: int = 3,
+    plan: int = 0,
+    tokens: float = 0.0,
 ) -> CustomerRow:
-    """What a peer reports of a customer."""
+    """Return a row that a peer sends of a customer; a count is a replica, its start in ticks, and a value."""
     return CustomerRow(
         customer,
         plan,
@@ -48,14 +64,14 @@
     )
 
 
-def confirmed(**changes) -> PolicyHarness:
-    """A gateway to which a peer reported on the customer."""
+def confirmed(**changes: Any) -> PolicyHarness:
+    """Return a gateway to which a peer has sent a row of the customer."""
     harness = PolicyHarness(**changes)
     receive(harness, 1, customer_row())
     return harness
 
 
-def send_requests(harness: PolicyHarness, count: int, first_request=1, **request) -> int:
+def send_requests(harness: PolicyHarness, count: int, first_request: int = 1, **request: Any) -> int:
     """Feed so many requests, each served at once; return how many were sent to an endpoint."""
     sent = 0
     for number in range(first_request, first_request + count):
@@ -65,9 +81,9 @@
     return sent
 
 
-def peer_messages(actions) -> list:
-    """The decoded messages among the actions, with their receivers."""
-    now_ms = START_US // 1_000 + 60_000
+def peer_messages(actions: Iterable[policy.Action]) -> list[tuple[int, Any]]:
+    """Return the decoded messages among the actions, each with its receiver."""
+    now_ms = NOW_MS + 60_000
     return [
         (send.peer, gossip_codec.decode_message(send.body, now_ms, 10**6, 9))
         for send in actions_of(actions, policy.SendPeerMessage)
--- a/tests/harness/hot_restart_harness.py
+++ b/tests/harness/hot_restart_harness.py
@@ -1,4 +1,4 @@
-"""A gateway in the simulated world that is upgraded under load, by new processes that may be broken."""
+"""A gateway in the simulated backend that is hot restarted under load; new processes may be broken."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Any
 
 import structlog
 
@@ -17,33 +18,38 @@
 from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.hot_restart import old_process
-from orchidlane.runtime import EventLoopError
+from orchidlane.runtime import EventLoopError, Stream
 from orchidlane.runtime.scheduler import Process
 
 WARM_UP_REQUESTS = 40
 SETTLED_PHASES = (old_process.Phase.SERVING, old_process.Phase.ENDED)
 
 Sabotage = Callable[[GatewayProcess], None]
+Handler = Callable[[GatewayHarness, int, Stream], None]  # serves a connection of an endpoint
 
 
 @dataclass
 class ClientAnswer:
-    """What a client got: status 0 where its connection ended without an answer."""
+    """The response that a client got: status 0 where its connection ended without one."""
 
     status: int
     closes: bool
 
 
 class HotRestartHarness(GatewayHarness):
-    """``programs`` are all processes of the gateway in the order of their start, ``processes`` likewise."""
+    """One gateway, its hot restarts, and clients that count their responses.
+
+    ``gateways`` are the incarnations of the gateway in the order of their start, ``processes`` the processes
+    of the event loop that run them.
+    """
 
     def __init__(
         self,
-        *handlers,
+        *handlers: Handler,
         probation: int = SECOND,
         single_gateway: bool = False,
         record_to: str | None = None,
-        **changes,
+        **changes: Any,
     ) -> None:
         self.record_to = record_to
         if single_gateway:  # tokens have no other owners
@@ -54,19 +60,19 @@
             "warm": Duration(2 * SECOND),
         }
         super().__init__(*handlers, state="/sim", upgrade=upgrade, **changes)
-        self.programs: list[GatewayProcess] = []
+        self.gateways: list[GatewayProcess] = []
         self.processes: list[Process] = []
         self.statuses: Counter[int] = Counter()
-        self.longest = 0  # answer time in microseconds
+        self.longest_answer_us = 0
         self.running_clients = 0
 
     def _gateway(self, rank: int, take_over: bool = False, sabotage: Sabotage | None = None) -> None:
-        knowledge = ConfigurationSnapshot(GENERATION, self.customers, structlog.get_logger(), False)
+        configuration = ConfigurationSnapshot(GENERATION, self.customers, structlog.get_logger(), False)
         secret = b"0123456789abcdef"
         self.program = GatewayProcess(
-            self.loop, self.fleet, rank, secret, knowledge, self.record_to, take_over
+            self.loop, self.fleet, rank, secret, configuration, self.record_to, take_over
         )
-        self.programs.append(self.program)
+        self.gateways.append(self.program)
         if sabotage is not None:
             sabotage(self.program)
         try:
@@ -86,15 +92,15 @@
 
     def upgrade(self) -> GatewayProcess:
         """Start a new process, wait until it serves, and return it."""
-        number = len(self.programs)
+        number = len(self.gateways)
         self.start_upgrade()
-        self.until(lambda: len(self.programs) > number and self.programs[number] in self.serving())
-        return self.programs[number]
+        self.until(lambda: len(self.gateways) > number and self.gateways[number] in self.serving())
+        return self.gateways[number]
 
     # -- load
 
     def load(self, duration: int, clients: int = 3) -> None:
-        """Start clients that keep their connections and others that don't, after a few calm requests."""
+        """Start clients, half of which keep their connections, after some requests one by one."""
         for _ in range(WARM_UP_REQUESTS):
             assert self.ask(GET)[0] == 200
         for number in range(clients):
@@ -115,7 +121,7 @@
                 stream.send(raw)
                 answer = self._read_answer(stream, raw, parser)
             self.statuses[answer.status] += 1
-            self.longest = max(self.longest, self.loop.now() - began)
+            self.longest_answer_us = max(self.longest_answer_us, self.loop.now() - began)
             if answer.status and keeps_connection and not answer.closes:
                 parser.next_message()
             elif stream is not None:
@@ -124,16 +130,16 @@
             self.loop.sleep(self.backend.random.randint(5 * MS, 25 * MS))
         self.running_clients -= 1
 
-    def _read_answer(self, stream, raw: bytes, parser: http1.ResponseParser) -> ClientAnswer:
+    def _read_answer(self, stream: Stream, raw: bytes, parser: http1.ResponseParser) -> ClientAnswer:
         status, headers, _ = self.answer(stream, raw.split(b" ")[0].decode(), parser=parser)
         return ClientAnswer(status, (b"connection", b"close") in headers)
 
-    def _close(self, stream, status: int) -> None:
-        """Close a connection; nothing may come after the last answer."""
+    def _close(self, stream: Stream, status: int) -> None:
+        """Close a connection; nothing may come after the last response."""
         if status:
             with contextlib.suppress(EventLoopError):
                 data = stream.recv(deadline=self.loop.now() + 20 * MS)
-                assert data == b"", "bytes after the answer"
+                assert data == b"", "bytes after the response"
         stream.close()
 
     # -- observations
@@ -142,19 +148,15 @@
         """Wait for a condition."""
         deadline = self.loop.now() + timeout
         while not condition():
-            assert self.loop.now() < deadline, "it never came"
+            assert self.loop.now() < deadline, "the condition never held"
             self.loop.sleep(10 * MS)
 
     def serving(self) -> list[GatewayProcess]:
         """Return the processes that accept requests now."""
         return [
-            program
-            for program, process in zip(self.programs, self.processes, strict=True)
-            if not process.is_dead
-            and process.tasks
-            and program.ready
-            and program.front.pass_on is None
-            and not program.stopping
+            gateway
+            for gateway, process in zip(self.gateways, self.processes, strict=True)
+            if not process.is_dead and process.tasks and _accepts_requests(gateway)
         ]
 
     def settle(self) -> GatewayProcess:
@@ -163,24 +165,28 @@
         self.until(self._is_settled)
         self.until(lambda: len(self.serving()) == 1)
         self.loop.sleep(500 * MS)
-        (program,) = self.serving()
+        (gateway,) = self.serving()
         assert self.ask(GET)[0] == 200
         self.loop.sleep(100 * MS)
-        return program
+        return gateway
 
     def _is_settled(self) -> bool:
-        pairs = zip(self.programs, self.processes, strict=False)
-        living = [program for program, process in pairs if not process.is_dead]
-        return all(program.old_side.machine.phase in SETTLED_PHASES for program in living)
+        pairs = zip(self.gateways, self.processes, strict=False)
+        living = [gateway for gateway, process in pairs if not process.is_dead]
+        return all(gateway.old_side.machine.phase in SETTLED_PHASES for gateway in living)
 
     def forwarded_units(self) -> int:
-        """Return the units that the endpoints saw: a sheet costs 1, a report 3."""
+        """Return the units of the requests that the endpoints read."""
         costs = {operation.path: operation.cost for operation in GENERATION.operations}
         report_cost = next(cost for path, cost in costs.items() if path.endswith("/reports"))
         return sum(report_cost if line.startswith(b"POST") else 1 for _, line in self.seen)
 
 
-def slow(harness: GatewayHarness, index: int, stream) -> None:
+def _accepts_requests(gateway: GatewayProcess) -> bool:
+    return gateway.ready and gateway.front.pass_on is None and not gateway.stopping
+
+
+def slow(harness: GatewayHarness, index: int, stream: Stream) -> None:
     """Serve each request after 8 ms."""
     while True:
         harness.read_request(index, stream)
@@ -188,7 +194,7 @@
         stream.send(OK)
 
 
-def counted_units(program: GatewayProcess) -> float:
+def counted_units(gateway: GatewayProcess) -> float:
     """Return the units that a gateway has counted for the one customer."""
-    account = program.host.gateway.accounts[1]
+    account = gateway.host.gateway.accounts[1]
     return account.replica_counts[0][1]
--- a/tests/harness/known_red.py
+++ b/tests/harness/known_red.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from pathlib import Path
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import pytest
 
@@ -82,7 +82,7 @@
 
 
 @pytest.hookimpl(optionalhook=True)
-def pytest_xdist_node_collection_finished(node, ids: list[str]) -> None:
+def pytest_xdist_node_collection_finished(node: Any, ids: list[str]) -> None:
     """Collect the ids of all tests, where several processes do; those of a group end with ``@group``."""
     node.config.stash[COLLECTED_IDS].update(ids)
 
--- a/tests/harness/policy_harness.py
+++ b/tests/harness/policy_harness.py
@@ -4,6 +4,7 @@
 
 import dataclasses
 from collections.abc import Iterable
+from typing import Any
 
 from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
@@ -65,29 +66,33 @@
 
 
 def endpoint_entry(
-    number: int, state=policy.EndpointState.READY, cell=0, zone=0, started_at_us=0
+    number: int,
+    state: policy.EndpointState = policy.EndpointState.READY,
+    cell: int = 0,
+    zone: int = 0,
+    started_at_us: int = 0,
 ) -> policy.EndpointEntry:
-    """An entry of an endpoint list."""
+    """Return an entry of an endpoint list."""
     endpoint = bytes((10, 0, 0, number, 0, 80))
     return policy.EndpointEntry(endpoint, state, zone, cell, started_at_us, 1.0)
 
 
 def endpoint_list(
-    *entries: policy.EndpointEntry, kind=policy.EndpointListKind.COMPLETE
+    *entries: policy.EndpointEntry, kind: policy.EndpointListKind = policy.EndpointListKind.COMPLETE
 ) -> policy.EndpointListReceived:
-    """An endpoint list from discovery."""
+    """Return an endpoint list from discovery."""
     return policy.EndpointListReceived(kind, 1, tuple(entries))
 
 
-def actions_of(actions: Iterable[policy.Action], kind) -> list:
-    """The actions of one type, or of several."""
+def actions_of(actions: Iterable[policy.Action], kind: type | tuple[type, ...]) -> list:
+    """Return the actions of one type, or of several."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 class PolicyHarness:
     """One gateway with a clock; its timers fire while ``advance`` lets time pass."""
 
-    def __init__(self, endpoints=4, now=START_US, seed=1, **changes) -> None:
+    def __init__(self, endpoints: int = 4, now: int = START_US, seed: int = 1, **changes: Any) -> None:
         self.now = now
         self.settings = dataclasses.replace(SETTINGS, **changes)
         self.gateway = Gateway(self.settings, seed, now)
@@ -123,15 +128,15 @@
     def request(
         self,
         request: int,
-        request_class=0,
-        customer=7,
-        plan=0,
-        units=1.0,
-        time_left_us=2 * SECOND,
-        replica_set_start=0,
-        replica_set_size=3,
+        request_class: int = 0,
+        customer: int = 7,
+        plan: int = 0,
+        units: float = 1.0,
+        time_left_us: int = 2 * SECOND,
+        replica_set_start: int = 0,
+        replica_set_size: int = 3,
     ) -> list[policy.Action]:
-        """Feed a client's request."""
+        """Feed a client's request; return the actions."""
         return self.feed(
             policy.RequestArrived(
                 request,
@@ -151,11 +156,11 @@
         request: int,
         endpoint: bytes,
         outcome: policy.Outcome,
-        attempt=0,
-        duration_us=50_000,
-        answered=None,
+        attempt: int = 0,
+        duration_us: int = 50_000,
+        answered: bool | None = None,
     ) -> list[policy.Action]:
-        """Feed an attempt's outcome."""
+        """Feed an attempt's outcome, answered if it was served unless told otherwise; return the actions."""
         if answered is None:
             answered = outcome is policy.Outcome.SERVED
         return self.feed(
--- a/tests/harness/roll_harness.py
+++ b/tests/harness/roll_harness.py
@@ -1,4 +1,4 @@
-"""A simulated fleet of eight gateways under load that is rolled, by successors that may be broken."""
+"""A rolling upgrade of a simulated fleet under load, by new processes that may be broken."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class SimulatedSuccessors:
-    """Starts successors in the simulated world; those of the new build with these numbers are broken."""
+    """Starts new processes in the simulated backend; those of the new build in ``broken`` are broken."""
 
     def __init__(self, backing: SimulatedBacking, broken: dict[int, Sabotage]) -> None:
         self.backing = backing
@@ -48,11 +48,11 @@
         backing = self.backing
         while backing.backend.process_id() not in self.released:
             backing.loop.sleep(MS)
-        program = backing.program(backing.own_fleet(rank), rank, True)
+        gateway = backing.program(backing.own_fleet(rank), rank, True)
         if sabotage is not None:
-            backing.loop.spawn(sabotage, program, priority=CONTROL)
-        program.run()
-        if not program.failure:
+            backing.loop.spawn(sabotage, gateway, priority=CONTROL)
+        gateway.run()
+        if not gateway.failure:
             backing.backend.kill(backing.loop.process)
 
     def release(self, pid: int) -> None:
@@ -68,16 +68,16 @@
         self.backing.backend.kill(self.processes[pid])
 
     def kill_unreleased(self) -> None:
-        """Kill the processes that wait for the word of a roll that is dead."""
+        """Kill the processes that wait for a driver that is dead."""
         for pid, process in self.processes.items():
             if pid not in self.released:
                 self.backing.backend.kill(process)
 
 
 class RollHarness:
-    """The fleet under load, with the audit's verdict at the end."""
+    """The fleet under load; an audit of all responses follows."""
 
-    def __init__(self, scenario, broken: dict[int, Sabotage] | None = None) -> None:
+    def __init__(self, scenario: Any, broken: dict[int, Sabotage] | None = None) -> None:
         self.backend = SimulatedBackend(7)
         self.loop = EventLoop(self.backend)
         self.backing = SimulatedBacking(self.loop, self.backend)
@@ -94,24 +94,24 @@
         self.reports: list[str] = []
 
     def make_driver(self) -> RollDriver:
-        """Return a driver that has not begun."""
+        """Return a driver of a rolling upgrade that has not begun."""
         return RollDriver(self.loop, self.plan.fleet, self.starter, self.reports.append)
 
     def begin(self) -> RollDriver:
-        """Return a driver that has begun a roll to the new build."""
+        """Return a driver that has begun a rolling upgrade to the new build."""
         driver = self.make_driver()
         driver.begin(COMMANDS)
         return driver
 
     def builds(self) -> list[bool]:
-        """Return whether each gateway runs the new build, by the processes themselves."""
+        """Return whether each gateway runs the new build, by the processes' own status."""
         started = zip(self.starter.processes, self.starter.started, strict=True)
         new_pids = {pid for pid, (_, new_build) in started if new_build}
         ranks = range(len(self.plan.fleet.gateways))
         return [self.make_driver()._request_status(rank).pid in new_pids for rank in ranks]
 
     def run(self, drive: Callable[[RollHarness], None]) -> Any:
-        """Run ``drive(harness)`` under load, and return the verdict: no rule may be broken."""
+        """Run ``drive(harness)`` under load, and return the audit's verdict: no rule may be violated."""
         runner = Runner(self.loop, self.plan, self.backing)
         verdicts: list[Any] = []
 
--- a/tests/processes/test_platform_processes.py
+++ b/tests/processes/test_platform_processes.py
@@ -19,49 +19,48 @@
 import pytest
 from harness.platform_harness import OK, call, file, settings
 from harness.platform_processes import (
-    UP,
-    WAIT,
+    READINESS_CHECK,
+    TIMEOUT_S,
     DiscoveryAgent,
     PlatformProcess,
     ServingEndpoints,
+    accept_request,
     free_port,
     listener,
-    request_at,
-    to_the_end,
+    read_to_end,
     until,
 )
 
 from orchidlane.runtime.backend import format_address
 
 ROOT = Path(__file__).parent.parent.parent
-LAST = OK.replace(
-    b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"
-)  # each request comes on a connection of its own
+# Each request comes on a connection of its own
+RESPONSE_AND_CLOSE = OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
 
 
-def answer_at(host: socket.socket) -> None:
-    """Answer the next request of a host."""
-    stream, _ = request_at(host)
+def answer_next_request(host: socket.socket) -> None:
+    """Answer the next request at an endpoint, and close its connection."""
+    stream, _ = accept_request(host)
     with stream:
-        stream.sendall(LAST)
+        stream.sendall(RESPONSE_AND_CLOSE)
 
 
 def hosts_with_requests(gateway: PlatformProcess) -> list[socket.socket]:
-    """Wait for a connection at any of the hosts."""
-    ready, _, _ = select.select(gateway.hosts, [], [], WAIT)
+    """Wait for a connection at any of the endpoints."""
+    ready, _, _ = select.select(gateway.hosts, [], [], TIMEOUT_S)
     assert ready, "no request came"
     return ready
 
 
-def got_by(*hosts: socket.socket) -> bytes:
-    """What has come at hosts on connections that nobody took yet; one without a request is no harm."""
-    found = b""
+def unaccepted_bytes(*hosts: socket.socket) -> bytes:
+    """Return what was received on connections not accepted yet; those without a request are ignored."""
+    received = b""
     while ready := select.select(hosts, [], [], 0)[0]:
         for host in ready:
             stream, _ = host.accept()
             with stream:
-                found += stream.recv(65_536) if select.select([stream], [], [], 0)[0] else b""
-    return found
+                received += stream.recv(65_536) if select.select([stream], [], [], 0)[0] else b""
+    return received
 
 
 # -- SIGTERM
@@ -76,8 +75,8 @@
             client[name].sendall(call(left="1.900"))
         out = []
         while len(out) < 2:
-            out += [request_at(host) for host in hosts_with_requests(gateway)]
-        out[0][0].sendall(LAST[:-1])
+            out += [accept_request(host) for host in hosts_with_requests(gateway)]
+        out[0][0].sendall(RESPONSE_AND_CLOSE[:-1])
         client["half a head"].sendall(raw[:30])
         client["half a body"].sendall(raw[:-10])
         gateway.signal(signal.SIGSTOP)  # it finds all of this at once
@@ -86,49 +85,53 @@
         client["half a body"].sendall(raw[-10:])
         client["half a head"].sendall(call("put", body=b"x" * 50, left="1.900")[30:])
         gateway.signal(signal.SIGCONT)
-        out[0][0].sendall(LAST[-1:])
-        out[1][0].sendall(LAST)
+        out[0][0].sendall(RESPONSE_AND_CLOSE[-1:])
+        out[1][0].sendall(RESPONSE_AND_CLOSE)
         served = 0
         while served < 3:
             for host in hosts_with_requests(gateway):
-                answer_at(host)
+                answer_next_request(host)
                 served += 1
-        found = {name: to_the_end(stream) for name, stream in client.items()}
+        found = {name: read_to_end(stream) for name, stream in client.items()}
         assert {name: said.count(b"HTTP/1.1 200") for name, said in found.items()} == {
             name: int(name != "at rest") for name in names
         }
-        gateway.ended()
-        assert not got_by(*gateway.hosts)
+        gateway.wait_for_exit()
+        assert not unaccepted_bytes(*gateway.hosts)
 
 
 def test_sigterm_with_a_request_that_waits_for_an_endpoint_serves_it_once_there_is_one(tmp_path):
     with PlatformProcess(tmp_path, hosts=1) as gateway, gateway.connect() as client:
-        gateway.agent.tell(gateway.instance(0, "leaving"))
-        until(lambda: gateway.says(call(left="0.100", client="0000000000000009")).startswith(b"HTTP/1.1 503"))
-        got_by(*gateway.hosts)
+        gateway.agent.send_list(gateway.instance(0, "leaving"))
+        until(
+            lambda: gateway.request(call(left="0.100", client="0000000000000009")).startswith(b"HTTP/1.1 503")
+        )
+        unaccepted_bytes(*gateway.hosts)
         client.sendall(call(left="1.900"))
         until(lambda: unread_at(gateway, client) == 0)
         gateway.signal(signal.SIGTERM)
         assert not select.select([client], [], [], 0.1)[0]  # neither refused nor ended
-        gateway.agent.tell(gateway.instance(0))
-        answer_at(gateway.hosts[0])
-        answer = to_the_end(client)
+        gateway.agent.send_list(gateway.instance(0))
+        answer_next_request(gateway.hosts[0])
+        answer = read_to_end(client)
         assert answer.startswith(b"HTTP/1.1 200")
         assert answer.count(b"HTTP/1.1") == 1
-        gateway.ended()
-        assert not got_by(*gateway.hosts)
+        gateway.wait_for_exit()
+        assert not unaccepted_bytes(*gateway.hosts)
+
 
+def unread_bytes(state: int | None, local_port: int, remote_port: int, kind: str = "tcp") -> list[int]:
+    """Return the unread bytes of each socket of this machine between two ports, of which 0 is any.
 
-def sockets_in(state: int | None, ours: int, theirs: int, kind: str = "tcp") -> list[int]:
-    """Bytes unread at each socket of this machine between two ports, 0 for any, in a state or, with None, in
-    any (proc(5), net/tcp and net/udp).
+    The sockets are those in a state of the kernel or, with None, in any (proc(5), net/tcp and net/udp).
     """
     rows = [row.split() for row in Path(f"/proc/net/{kind}").read_text().splitlines()[1:]]
     found = [row for row in rows if state in (None, int(row[3], 16))]
     return [
         int(row[4].split(":")[1], 16)
         for row in found
-        if ours in (0, int(row[1].split(":")[1], 16)) and theirs in (0, int(row[2].split(":")[1], 16))
+        if local_port in (0, int(row[1].split(":")[1], 16))
+        and remote_port in (0, int(row[2].split(":")[1], 16))
     ]
 
 
@@ -137,7 +140,7 @@
 
 def unread_at(gateway: PlatformProcess, client: socket.socket) -> int:
     """What the gateway has not read of a client's bytes."""
-    return sum(sockets_in(ESTABLISHED, gateway.port, client.getsockname()[1]))
+    return sum(unread_bytes(ESTABLISHED, gateway.port, client.getsockname()[1]))
 
 
 def test_a_late_connection_carries_a_request_once_within_its_deadline_or_not_at_all(tmp_path):
@@ -149,25 +152,25 @@
             waits = streams.enter_context(socket.socket())
             waits.setblocking(False)
             waits.connect_ex(host.getsockname())
-        until(lambda: len(sockets_in(ESTABLISHED, 0, port)) >= 1)
+        until(lambda: len(unread_bytes(ESTABLISHED, 0, port)) >= 1)
         too_late, in_time = streams.enter_context(gateway.connect()), streams.enter_context(gateway.connect())
         too_late.sendall(call("bill", body=b"1", left="0.300"))
-        until(lambda: sockets_in(SYN_SENT, 0, port))
+        until(lambda: unread_bytes(SYN_SENT, 0, port))
         assert too_late.recv(65_536).startswith((b"HTTP/1.1 503", b"HTTP/1.1 500"))
         in_time.sendall(call("bill", body=b"2", left="2.000"))
-        until(lambda: sockets_in(SYN_SENT, 0, port))
+        until(lambda: unread_bytes(SYN_SENT, 0, port))
         host.listen(64)
         found = b""
         while b"\r\n\r\n2" not in found:
             stream = streams.enter_context(host.accept()[0])
             if select.select([stream], [], [], 0.5)[0]:
                 found += stream.recv(65_536)
-        stream.sendall(LAST)
+        stream.sendall(RESPONSE_AND_CLOSE)
         assert in_time.recv(65_536).startswith(b"HTTP/1.1 200")
         assert found.count(b"POST /bill") == 1
         gateway.signal(signal.SIGTERM)
-        gateway.ended()
-        assert not got_by(host)
+        gateway.wait_for_exit()
+        assert not unaccepted_bytes(host)
 
 
 def test_requests_on_open_connections_during_the_shutdown_are_answered_or_closed(tmp_path):
@@ -175,7 +178,7 @@
     unanswered.
     """
     with PlatformProcess(tmp_path, hosts=3) as gateway, ExitStack() as streams:
-        served = ServingEndpoints(gateway.hosts).got
+        served = ServingEndpoints(gateway.hosts).served
         clients = [streams.enter_context(gateway.connect()) for _ in range(8)]
         gateway.signal(signal.SIGTERM)
         gateway.signal(signal.SIGTERM)  # twice changes nothing
@@ -191,7 +194,7 @@
                 else:
                     ends += 1
                     clients.remove(stream)
-        gateway.ended()
+        gateway.wait_for_exit()
         assert ends == 8
         assert answers >= len(served) > 0
 
@@ -199,10 +202,10 @@
 def test_sigterm_while_the_address_is_still_held_ends_the_process_at_once(tmp_path):
     with listener() as holder:
         port = holder.getsockname()[1]
-        with PlatformProcess(tmp_path, wait_up=False, listen=f"127.0.0.1:{port}") as gateway:
-            until(lambda: gateway.agent.calls)  # it has begun
+        with PlatformProcess(tmp_path, wait_until_ready=False, listen=f"127.0.0.1:{port}") as gateway:
+            until(lambda: gateway.agent.polls)  # it has begun
             gateway.signal(signal.SIGTERM)
-            gateway.ended()
+            gateway.wait_for_exit()
 
 
 # -- SIGHUP while it starts
@@ -218,13 +221,13 @@
 
 def follows(gateway: PlatformProcess, agent: DiscoveryAgent) -> None:
     """The gateway goes by what that agent says, and ends in order."""
-    served = ServingEndpoints(gateway.hosts).got
-    until(lambda: agent.told and gateway.says(UP).startswith(b"HTTP/1.1 200"))
+    served = ServingEndpoints(gateway.hosts).served
+    until(lambda: agent.lists_sent and gateway.request(READINESS_CHECK).startswith(b"HTTP/1.1 200"))
     for customer in range(8):
-        assert gateway.says(call(client=f"{customer:016x}")).startswith(b"HTTP/1.1 200")
+        assert gateway.request(call(client=f"{customer:016x}")).startswith(b"HTTP/1.1 200")
     assert served == [len(gateway.hosts) - 1] * 8
     gateway.signal(signal.SIGTERM)
-    assert "reloaded" in gateway.ended()
+    assert "reloaded" in gateway.wait_for_exit()
 
 
 def writing_to_reader(fifo: Path) -> io.FileIO:
@@ -243,13 +246,13 @@
 def test_a_reload_between_reading_the_configuration_and_handling_signals_is_applied(tmp_path):
     """The file is a pipe that the test holds open: it is being read when the signal comes."""
     with ExitStack() as streams:
-        gateway = PlatformProcess(tmp_path, hosts=2, wait_up=False)
+        gateway = PlatformProcess(tmp_path, hosts=2, wait_until_ready=False)
         agent = other_discovery(gateway, streams)
         gateway.path.unlink()
         os.mkfifo(gateway.path)
         streams.enter_context(gateway)
         with writing_to_reader(gateway.path) as pipe:
-            pipe.write(json.dumps(gateway.told).encode())
+            pipe.write(json.dumps(gateway.configuration).encode())
             gateway.path.unlink()
             gateway.move_discovery(agent)
             gateway.signal(signal.SIGHUP)
@@ -262,7 +265,7 @@
         holder = streams.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
         holder.bind(("127.0.0.1", 0))
         here = format_address(holder.getsockname())
-        gateway = PlatformProcess(tmp_path, hosts=2, wait_up=False, peer_listen=here, peers=[here])
+        gateway = PlatformProcess(tmp_path, hosts=2, wait_until_ready=False, peer_listen=here, peers=[here])
         agent = other_discovery(gateway, streams)
         streams.enter_context(gateway)
         until(lambda: hears_signals(gateway))
@@ -271,10 +274,10 @@
         assert gateway.process.stdout is not None
         assert "reloaded" in gateway.process.stdout.readline()
         holder.close()
-        until(lambda: agent.told and gateway.says(UP).startswith(b"HTTP/1.1 200"))
-        assert not gateway.agent.calls
+        until(lambda: agent.lists_sent and gateway.request(READINESS_CHECK).startswith(b"HTTP/1.1 200"))
+        assert not gateway.agent.polls
         gateway.signal(signal.SIGTERM)
-        gateway.ended()
+        gateway.wait_for_exit()
 
 
 def hears_signals(gateway: PlatformProcess) -> bool:
@@ -291,15 +294,15 @@
     go_on = tmp_path / "go_on"
     os.mkfifo(go_on)
     (tmp_path / "sitecustomize.py").write_text(f"open({str(go_on)!r}).read()\n")
-    prepared = PlatformProcess(tmp_path, hosts=2, wait_up=False)
+    prepared = PlatformProcess(tmp_path, hosts=2, wait_until_ready=False)
     prepared.command = ["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)]
     prepared.environment = {"PYTHONPATH": f"{tmp_path}:{ROOT}"}
     with prepared as gateway:
         with writing_to_reader(go_on):
             gateway.signal(signal.SIGHUP)
-        until(lambda: gateway.says(UP).startswith(b"HTTP/1.1 200"))
+        until(lambda: gateway.request(READINESS_CHECK).startswith(b"HTTP/1.1 200"))
         gateway.signal(signal.SIGTERM)
-        gateway.ended()
+        gateway.wait_for_exit()
 
 
 # -- pauses
@@ -315,21 +318,21 @@
                 stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             stream.close()
         gateway.signal(signal.SIGCONT)
-        until(lambda: gateway.says(UP))
+        until(lambda: gateway.request(READINESS_CHECK))
         gateway.signal(signal.SIGTERM)
-        gateway.ended()
-        assert not got_by(*gateway.hosts)
+        gateway.wait_for_exit()
+        assert not unaccepted_bytes(*gateway.hosts)
 
 
 def test_a_paused_gateway_learns_of_drains_before_it_sends_attempts(tmp_path):
     with PlatformProcess(tmp_path, hosts=2) as gateway, gateway.connect() as client:
         gateway.signal(signal.SIGSTOP)
         client.sendall(call(left="2.000"))
-        gateway.agent.tell(gateway.instance(0, "leaving"), gateway.instance(1))
+        gateway.agent.send_list(gateway.instance(0, "leaving"), gateway.instance(1))
         gateway.signal(signal.SIGCONT)
-        answer_at(gateway.hosts[1])
+        answer_next_request(gateway.hosts[1])
         assert client.recv(65_536).startswith(b"HTTP/1.1 200")
-        assert not got_by(gateway.hosts[0])
+        assert not unaccepted_bytes(gateway.hosts[0])
 
 
 # -- descriptors
@@ -337,7 +340,7 @@
 
 def unread_datagrams(port: int) -> int:
     """Bytes that wait at a bound UDP port of this machine."""
-    return sum(sockets_in(None, port, 0, "udp"))
+    return sum(unread_bytes(None, port, 0, "udp"))
 
 
 @pytest.mark.parametrize("sockets", [64, 256])
@@ -349,7 +352,7 @@
     with ExitStack() as streams:
         peer = streams.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
         peer.bind(("127.0.0.1", 0))
-        peer.settimeout(WAIT)
+        peer.settimeout(TIMEOUT_S)
         here = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
         gateway = streams.enter_context(
             PlatformProcess(
@@ -361,19 +364,19 @@
                 settings=settings(balancers=2, permissions={**settings()["permissions"], "peers": True}),
             )
         )
-        served = ServingEndpoints(gateway.hosts).got
+        served = ServingEndpoints(gateway.hosts).served
 
         def ask() -> None:
             """Of a customer of its own: none goes beyond its quota, each is one that peers are told of."""
             customer = f"{next(customers):016x}"
-            said = gateway.says(call(left="2.000", client=customer, extras="units=1,spread=2,first=0"))
+            said = gateway.request(call(left="2.000", client=customer, extras="units=1,spread=2,first=0"))
             assert said.startswith(b"HTTP/1.1 200"), said
 
         for _ in range(sockets):
             streams.enter_context(gateway.connect())
         gateway.agent.go_down()
-        calls, told = gateway.agent.calls, gateway.agent.told
-        until(lambda: gateway.agent.calls >= calls + 4)
+        polls_before, lists_before = gateway.agent.polls, gateway.agent.lists_sent
+        until(lambda: gateway.agent.polls >= polls_before + 4)
         for _ in range(sockets):
             streams.enter_context(gateway.connect())
         for _ in range(4):
@@ -381,7 +384,8 @@
         gateway.agent.instances = [gateway.instance(0, "leaving"), gateway.instance(1)]
         gateway.agent.generation += 1
         gateway.agent.come_back()
-        until(lambda: gateway.agent.told > told)  # what is sent from now on finds that the list has come
+        # What is sent from now on finds that the list has arrived
+        until(lambda: gateway.agent.lists_sent > lists_before)
         until(lambda: len(os.listdir(f"/proc/{gateway.process.pid}/fd")) <= sockets)
         before = len(served)
         for _ in range(8):
@@ -398,7 +402,7 @@
         until(lambda: unread_datagrams(here[1]) == 0)
         gateway.signal(signal.SIGHUP)
         gateway.signal(signal.SIGTERM)
-        log = gateway.ended()
+        log = gateway.wait_for_exit()
         assert "reloaded" in log
         assert "Too many open files" not in log
 
@@ -426,7 +430,7 @@
         env={**os.environ, "PROXY_CONFIG": str(path)},
         capture_output=True,
         text=True,
-        timeout=WAIT,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == 2
     assert not done.stdout
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -21,18 +21,18 @@
         harness.load(5 * SECOND, clients=6)
         harness.loop.sleep(SECOND)
         harness.start_upgrade()
-        program = harness.settle()
+        gateway = harness.settle()
         assert set(harness.statuses) == {200}
         assert harness.statuses[200] > 400
-        assert harness.longest < 60 * MS
-        assert counted_units(program) == harness.forwarded_units()
-        old, new = harness.programs
+        assert harness.longest_answer_us < 60 * MS
+        assert counted_units(gateway) == harness.forwarded_units()
+        old, new = harness.gateways
         assert (old.old_side.machine.phase, old.old_side.machine.last_outcome) == (
             old_process.Phase.ENDED,
             "passed",
         )
         assert new.new_side.machine.phase is new_process.Phase.INDEPENDENT
-        assert new is program
+        assert new is gateway
         assert not harness.processes[0].tasks
         assert new.incarnation == old.incarnation
         assert old.old_side.handover_pause_us < 10 * MS
@@ -47,10 +47,10 @@
             harness.loop.sleep(200 * MS)
             harness.upgrade()
             harness.until(lambda n=number: not harness.processes[n - 1].tasks)
-        program = harness.settle()
-        assert program is harness.programs[-1]
+        gateway = harness.settle()
+        assert gateway is harness.gateways[-1]
         assert set(harness.statuses) == {200}
-        assert counted_units(program) == harness.forwarded_units()
+        assert counted_units(gateway) == harness.forwarded_units()
 
     HotRestartHarness(slow, slow, slow, slow, probation=300 * MS).run(test)
 
@@ -60,11 +60,11 @@
         harness.load(3 * SECOND)
         harness.start_upgrade()
         harness.start_upgrade()
-        program = harness.settle()
+        gateway = harness.settle()
         assert set(harness.statuses) == {200}
-        first, second = sorted(harness.programs[1:], key=lambda one: bool(one.failure))
+        first, second = sorted(harness.gateways[1:], key=lambda one: bool(one.failure))
         assert "another upgrade is under way" in second.failure
-        assert program is first
+        assert gateway is first
 
     HotRestartHarness(slow, slow, slow, slow).run(test)
 
@@ -89,8 +89,8 @@
     def test(harness: HotRestartHarness) -> None:
         harness.start_upgrade()
         harness.loop.sleep(SECOND)
-        assert why in harness.programs[1].failure
-        assert harness.serving() == [harness.programs[0]]
+        assert why in harness.gateways[1].failure
+        assert harness.serving() == [harness.gateways[0]]
 
     HotRestartHarness(good).run(test)
 
@@ -115,13 +115,13 @@
         harness.load(6 * SECOND, clients=4)
         harness.loop.sleep(SECOND)
         harness.start_upgrade()
-        program = harness.settle()
-        assert program is harness.programs[0]
-        assert program.old_side.machine.last_outcome.startswith("recalled: served 0 of")
-        assert harness.programs[1].failure == "recalled"
+        gateway = harness.settle()
+        assert gateway is harness.gateways[0]
+        assert gateway.old_side.machine.last_outcome.startswith("recalled: served 0 of")
+        assert harness.gateways[1].failure == "recalled"
         assert set(harness.statuses) == {200, 429}
         assert harness.statuses[429] < 60
-        assert counted_units(program) == harness.forwarded_units()
+        assert counted_units(gateway) == harness.forwarded_units()
 
     HotRestartHarness(slow, slow, slow, slow, probation=3 * SECOND).run(test)
 
@@ -139,12 +139,12 @@
             harness.loop.thaw(harness.processes[0])
             harness.until(lambda: not harness.running_clients, 90 * SECOND)
             harness.loop.sleep(4 * SECOND)
-            (program,) = harness.serving()
+            (gateway,) = harness.serving()
             harness.until(lambda: harness.ask(GET)[0] == 200)
             assert (
-                counted_units(program) >= harness.forwarded_units()
+                counted_units(gateway) >= harness.forwarded_units()
             )  # what it decided on and could not send any more
-            found.append(program.old_side.machine.last_outcome + (" new" if program.takes_over else " old"))
+            found.append(gateway.old_side.machine.last_outcome + (" new" if gateway.takes_over else " old"))
 
         found: list[str] = []
         harness.run(test)
@@ -160,12 +160,12 @@
         harness.load(4 * SECOND)
         harness.upgrade()
         harness.loop.sleep(100 * MS)
-        asked = harness.programs[0 if who == "old" else 1]
+        asked = harness.gateways[0 if who == "old" else 1]
         asked.stop()
-        program = harness.settle()
-        assert program is not asked
+        gateway = harness.settle()
+        assert gateway is not asked
         assert set(harness.statuses) == {200}
-        assert counted_units(program) == harness.forwarded_units()
+        assert counted_units(gateway) == harness.forwarded_units()
 
     HotRestartHarness(slow, slow, slow, slow).run(test)
 
@@ -175,9 +175,9 @@
         harness.load(3 * SECOND)
         harness.backend.is_out_of_descriptors = True
         harness.start_upgrade()
-        program = harness.settle()
-        assert program is harness.programs[0]
-        assert "no descriptor left" in program.old_side.machine.last_outcome
+        gateway = harness.settle()
+        assert gateway is harness.gateways[0]
+        assert "no descriptor left" in gateway.old_side.machine.last_outcome
         assert set(harness.statuses) == {200}
 
     HotRestartHarness(slow, slow, slow, slow).run(test)
@@ -191,11 +191,11 @@
             account.spent_total, account.unconfirmed = 1.0, True  # unheard: none is forgotten on the way
         harness.load(2 * SECOND)
         harness.start_upgrade()
-        program = harness.settle()
-        assert program is harness.programs[1]
+        gateway = harness.settle()
+        assert gateway is harness.gateways[1]
         assert set(harness.statuses) == {200}
-        assert len(program.host.gateway.accounts) == 100_001
-        assert counted_units(program) == harness.forwarded_units()
+        assert len(gateway.host.gateway.accounts) == 100_001
+        assert counted_units(gateway) == harness.forwarded_units()
 
     HotRestartHarness(slow, slow, slow, slow, single_gateway=True).run(test)
 
--- a/tests/test_hot_restart_clients.py
+++ b/tests/test_hot_restart_clients.py
@@ -54,7 +54,7 @@
             assert harness.answer(stream)[0] == 200, name
         seen = Counter(line.split(b" ")[0] for _, line in harness.seen)
         assert (seen[b"PUT"], seen[b"POST"]) == (1, 1)
-        assert counted_units(harness.programs[1]) == 2 + 1 + 3 + 3 + 1 + 5
+        assert counted_units(harness.gateways[1]) == 2 + 1 + 3 + 3 + 1 + 5
 
     HotRestartHarness(late, late, late, late, late, late).run(test)
 
@@ -70,7 +70,7 @@
         harness.upgrade()
         harness.set_phase(0, "ready")
         assert harness.answer(stream)[0] == 200
-        assert counted_units(harness.programs[1]) == harness.forwarded_units() == 2
+        assert counted_units(harness.gateways[1]) == harness.forwarded_units() == 2
 
     HotRestartHarness(good).run(test)
 
@@ -121,7 +121,7 @@
         assert reply(idle).startswith(b"*3\r\n:1\r\n")
         idle.send(resp_command(b"CLIENT", b"GETNAME"))
         assert reply(idle) == b"$2\r\nme\r\n"
-        new = harness.programs[1]
+        new = harness.gateways[1]
         assert counted_units(new) == 5
         stream.send(resp_command(b"LIMIT.GIVEBACK", b"a-key", b"t1"))
         assert reply(stream) == b":1\r\n"
@@ -146,7 +146,7 @@
         client.send(wait + resp_command(b"PING")[:9])
         harness.loop.sleep(20 * MS)
         harness.backend.kill(harness.processes[1])
-        harness.until(lambda: harness.programs[0] in harness.serving())
+        harness.until(lambda: harness.gateways[0] in harness.serving())
         assert client.recv(deadline=harness.loop.now() + SECOND).startswith(b"-ERR the process that took")
         for stream in (client, stranger):
             stream.send(resp_command(b"PING")[9:])
@@ -169,6 +169,6 @@
         harness.upgrade()
         data = stream.recv(deadline=harness.loop.now() + 9 * SECOND)
         assert data.startswith(b"*3\r\n:1\r\n"), data
-        assert counted_units(harness.programs[1]) == 4_400
+        assert counted_units(harness.gateways[1]) == 4_400
 
     HotRestartHarness(good, single_gateway=True).run(test)
--- a/tests/test_hot_restart_faults.py
+++ b/tests/test_hot_restart_faults.py
@@ -53,7 +53,7 @@
             feed(side, event)
 
     def break_process(event: type, fault: str) -> Sabotage:
-        return lambda program: faults.update({program: (event, fault)})
+        return lambda gateway: faults.update({gateway: (event, fault)})
 
     monkeypatch.setattr(NewSide, "feed", feed_or_misbehave)
     return break_process
@@ -68,14 +68,14 @@
         harness.load(6 * SECOND, clients=4)
         harness.loop.sleep(500 * MS)
         harness.start_upgrade(break_at(event, fault))
-        harness.until(lambda: len(harness.programs) == 2)
-        program = harness.settle()
-        assert program is harness.programs[0]
+        harness.until(lambda: len(harness.gateways) == 2)
+        gateway = harness.settle()
+        assert gateway is harness.gateways[0]
         assert 0 not in harness.statuses, harness.statuses
         assert set(harness.statuses) <= {200, 502}
         assert harness.statuses[502] <= 4  # owed by the new process when it ended
-        assert counted_units(program) == harness.forwarded_units()
-        assert harness.longest < 1_500 * MS
+        assert counted_units(gateway) == harness.forwarded_units()
+        assert harness.longest_answer_us < 1_500 * MS
 
     HotRestartHarness(slow, slow, slow, slow).run(test)
 
@@ -85,9 +85,9 @@
     """Accepted, half of a head read, an attempt out: a crash, or an error that ends all tasks in order."""
 
     def test(harness: HotRestartHarness) -> None:
-        def die(program: GatewayProcess) -> None:
+        def die(gateway: GatewayProcess) -> None:
             if end == "crash":
-                return harness.backend.kill(program.loop.process)
+                return harness.backend.kill(gateway.loop.process)
             raise RuntimeError("a broken build")
 
         harness.upgrade()
@@ -96,16 +96,16 @@
         out.send(REPORT)
         read.send(GET[:10])
         harness.loop.sleep(4 * MS)
-        successor = harness.programs[1]
+        successor = harness.gateways[1]
         successor.scope.spawn(die, successor)
-        harness.until(lambda: harness.programs[0] in harness.serving())
+        harness.until(lambda: harness.gateways[0] in harness.serving())
         fresh.send(GET)
         half.send(GET[20:])
         assert [harness.answer(stream)[0] for stream in (fresh, half, out)] == [200, 200, 502]
         read.close()
         harness.loop.sleep(SECOND)
         assert harness.ask(GET)[0] == 200
-        assert not harness.programs[0].old_side.clients.retained
+        assert not harness.gateways[0].old_side.clients.retained
 
     HotRestartHarness(slow, slow, slow, slow).run(test)
 
@@ -117,7 +117,7 @@
     def test(harness: HotRestartHarness) -> None:
         def dying(self, message, handle=None) -> None:
             send(self, message, handle)
-            returning = harness.programs[-1].new_side.machine.phase is new_process.Phase.RETURNING
+            returning = harness.gateways[-1].new_side.machine.phase is new_process.Phase.RETURNING
             if returning and isinstance(message, messages.ConnectionIdle) and not message.returned:
                 harness.backend.kill(harness.processes[1])
                 harness.loop.park()
@@ -127,9 +127,9 @@
         client = harness.connect()
         client.send(GET)
         harness.loop.sleep(4 * MS)
-        harness.programs[1].stop()
+        harness.gateways[1].stop()
         assert harness.answer(client)[0] == 200
-        harness.until(lambda: harness.processes[1].is_dead and harness.programs[0] in harness.serving())
+        harness.until(lambda: harness.processes[1].is_dead and harness.gateways[0] in harness.serving())
         with pytest.raises(DeadlineExceededError):
             client.recv(deadline=harness.loop.now() + 200 * MS)
         client.send(GET)
@@ -199,13 +199,13 @@
         serving = harness.serving()
         if self.side == "old" and not serving:
             # it died before it had passed its listeners: there is nothing to serve alone with
-            assert harness.programs[1].failure
+            assert harness.gateways[1].failure
             assert not harness.processes[1].tasks
             return
-        (program,) = serving
+        (gateway,) = serving
         assert harness.ask(GET)[0] == 200
         self.check_answers()
-        self.check_count(program)
+        self.check_count(gateway)
 
     def check_answers(self) -> None:
         """Few clients may be without an answer."""
@@ -214,17 +214,17 @@
         assert statuses[0] <= max_unanswered, (self.point, self.killed_at, statuses)
         assert statuses[502] <= 3
 
-    def check_count(self, program: GatewayProcess) -> None:
+    def check_count(self, gateway: GatewayProcess) -> None:
         """What was counted may not have been forwarded any more: the requests that were on their way."""
-        first = self.harness.programs[0]
+        first = self.harness.gateways[0]
         took_over = (
-            program is not first
-            and program.new_side.machine.phase is new_process.Phase.INDEPENDENT
-            and program.incarnation == first.incarnation
+            gateway is not first
+            and gateway.new_side.machine.phase is new_process.Phase.INDEPENDENT
+            and gateway.incarnation == first.incarnation
         )
         if self.side == "new" or took_over:
             max_unforwarded = 3 if self.point == "CustomerCount" else 1
-            unforwarded = counted_units(program) - self.harness.forwarded_units()
+            unforwarded = counted_units(gateway) - self.harness.forwarded_units()
             assert 0 <= unforwarded <= max_unforwarded, (self.point, self.killed_at)
 
 
--- a/tests/test_rollback.py
+++ b/tests/test_rollback.py
@@ -4,47 +4,47 @@
 
 import msgspec
 import pytest
-from harness.descriptions import RULES, costs, with_cost
+from harness.descriptions import DESCRIPTION, operation_costs, with_cost
 
 from orchidlane.rollout.errors import RollbackConflictError
 from orchidlane.rollout.rollback import revert_customers_edit, revert_description_edit
 
 
 def test_reverting_the_latest_edit_returns_the_same_bytes():
-    edited = with_cost(RULES, b"readCurve", 7)
-    assert costs(edited)["readCurve"] == 7
-    assert revert_description_edit(RULES, edited, edited) is RULES
+    edited = with_cost(DESCRIPTION, b"readCurve", 7)
+    assert operation_costs(edited)["readCurve"] == 7
+    assert revert_description_edit(DESCRIPTION, edited, edited) is DESCRIPTION
 
 
 def test_reverting_an_older_edit_keeps_later_edits_of_other_operations():
-    first = with_cost(RULES, b"readCurve", 7)
+    first = with_cost(DESCRIPTION, b"readCurve", 7)
     second = with_cost(first, b"readSheet", 5)
     third = with_cost(second, b"issueReport", 9)
-    reverted = costs(revert_description_edit(first, second, third))
+    reverted = operation_costs(revert_description_edit(first, second, third))
     assert (reverted["readCurve"], reverted["readSheet"], reverted["issueReport"]) == (
         7,
-        costs(RULES)["readSheet"],
+        operation_costs(DESCRIPTION)["readSheet"],
         9,
     )
 
 
 def test_reverting_an_edit_that_was_edited_again_is_a_conflict():
-    first = with_cost(RULES, b"readCurve", 7)
+    first = with_cost(DESCRIPTION, b"readCurve", 7)
     second = with_cost(first, b"readCurve", 8)
     with pytest.raises(
         RollbackConflictError, match=r"edited again since: paths /sheets/\{material\}/curves.* get"
     ):
-        revert_description_edit(RULES, first, second)
+        revert_description_edit(DESCRIPTION, first, second)
 
 
 def test_reverting_removes_added_operations_and_restores_removed_ones():
-    start = RULES.index(b"  /sheets/latest:")
-    without = RULES[:start] + RULES[RULES.index(b"  /tests/{test}:") :]
+    start = DESCRIPTION.index(b"  /sheets/latest:")
+    without = DESCRIPTION[:start] + DESCRIPTION[DESCRIPTION.index(b"  /tests/{test}:") :]
     later = with_cost(without, b"readSheet", 5)
-    again = costs(revert_description_edit(RULES, without, later))
-    assert again["readLatest"] == costs(RULES)["readLatest"] and again["readSheet"] == 5
-    later = with_cost(RULES, b"readSheet", 5)
-    assert "readLatest" not in costs(revert_description_edit(without, RULES, later))
+    again = operation_costs(revert_description_edit(DESCRIPTION, without, later))
+    assert again["readLatest"] == operation_costs(DESCRIPTION)["readLatest"] and again["readSheet"] == 5
+    later = with_cost(DESCRIPTION, b"readSheet", 5)
+    assert "readLatest" not in operation_costs(revert_description_edit(without, DESCRIPTION, later))
 
 
 def customers(**plans: str) -> bytes:
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -29,24 +29,24 @@
     REJECTING.clear()
 
 
-def crash(program) -> None:
+def crash(gateway) -> None:
     """Crash 100 ms after it began to serve."""
-    while not program.ready:
-        program.loop.sleep(10 * MS)
-    program.loop.sleep(100 * MS)
-    program.loop.backend.kill(program.loop.process)
+    while not gateway.ready:
+        gateway.loop.sleep(10 * MS)
+    gateway.loop.sleep(100 * MS)
+    gateway.loop.backend.kill(gateway.loop.process)
 
 
-def reject_everything(program) -> None:
+def reject_everything(gateway) -> None:
     """Admit nothing from the start."""
-    while not program.ready:
-        program.loop.sleep(MS)
-    REJECTING.append(program.host.gateway)
+    while not gateway.ready:
+        gateway.loop.sleep(MS)
+    REJECTING.append(gateway.host.gateway)
 
 
-def hang_before_hello(program) -> None:
+def hang_before_hello(gateway) -> None:
     """Never connect to the old process."""
-    program.loop.freeze(program.loop.process)
+    gateway.loop.freeze(gateway.loop.process)
 
 
 def make_fleet(broken: dict[int, Sabotage] | None = None) -> RollHarness:
