--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -28,7 +28,7 @@
 EACH_BY_ITSELF = ("consensus_model", "fleet_totals")  # long, and they share nothing
 # Each starts up to ten processes: two at a time take each other's cores, and a leader that is held up is
 # replaced
-PROCESSES = ("rollout_processes", "platform_processes")
+PROCESSES = ("rollout_processes", "platform_processes", "platform_reload", "platform_shutdown")
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
--- /dev/null
+++ b/tests/harness/hot_restart_model.py
@@ -0,0 +1,257 @@
+"""The two machines of a hot restart and the channel between them, explored over all states.
+
+Crashes, hangs and garbage may happen anywhere. Invariants: at most one of the two serves, and from every
+state one that serves is reached, unless both are dead. A machine broken on purpose is found.
+"""
+
+from __future__ import annotations
+
+import copy
+from collections.abc import Iterable
+from typing import Any
+
+from orchidlane.hot_restart import new_process, old_process
+from orchidlane.hot_restart.handshake import GatewayIdentity
+from orchidlane.hot_restart.messages import PROTOCOL_VERSION, Hello
+from orchidlane.hot_restart.probation import AnswerCounts
+
+LAYOUT = GatewayIdentity("gw", 0, 3, ("p",))
+HELLO = Hello(PROTOCOL_VERSION, "b", "gw", 0, 3, ("p",))
+LATE = 10**12  # a clock at which every deadline is over
+HEALTHY, DEGRADED = AnswerCounts(50, 1, 0), AnswerCounts(0, 50, 0)
+
+
+class Model:
+    """Both processes and the two directions of their channel; index 0 is the old process, 1 the new one."""
+
+    def __init__(self, faults: int = 2) -> None:
+        self.old = old_process.OldProcess(LAYOUT)
+        self.new = new_process.NewProcess()
+        self.to_new: tuple[str, ...] = ()
+        self.to_old: tuple[str, ...] = ()
+        self.alive = [True, True]
+        self.hanging = [False, False]
+        self.closed = [False, False]  # whose end of the channel
+        self.noticed = [False, False]  # that the other's end is closed
+        self.serves = [True, False]
+        self.waits = [False, False]  # for a tick
+        self.checking = False
+        self.stopped = False
+        self.faults = faults
+
+    def key(self):
+        old, new = self.old, self.new
+        return (
+            old.phase,
+            old.channel,
+            bool(old.probation_ends_us),
+            new.phase,
+            self.to_new,
+            self.to_old,
+            *self.alive,
+            *self.hanging,
+            *self.closed,
+            *self.noticed,
+            *self.serves,
+            *self.waits,
+            self.checking,
+            self.stopped,
+            self.faults,
+        )
+
+    def broken_invariant(self) -> str | None:
+        if all(self.serves):
+            return "both serve"
+        return None
+
+    def is_good(self) -> bool:
+        """One serves and has nothing more to do with the other; or both are dead."""
+        alone = self.old.phase is old_process.Phase.SERVING and self.serves[0]
+        free = self.new.phase is new_process.Phase.INDEPENDENT and self.serves[1]
+        return alone or free or not any(self.alive)
+
+    def moves(self) -> Iterable[tuple[str, Model]]:
+        for name, change in (*self._steps(), *self._mishaps()):
+            after = copy.copy(self)
+            after.old, after.new = copy.copy(self.old), copy.copy(self.new)
+            for list_ in ("alive", "hanging", "closed", "noticed", "serves", "waits"):
+                setattr(after, list_, list(getattr(self, list_)))
+            change(after)
+            yield name, after
+
+    def _runs(self, side: int) -> bool:
+        return self.alive[side] and not self.hanging[side]
+
+    def _steps(self):
+        if self._runs(0):
+            if self.to_old:
+                yield f"old receives {self.to_old[0]}", Model.old_receives
+            elif self.closed[1] and not self.noticed[0] and not self.closed[0]:
+                yield "old receives the close", lambda m: m.notice_closed(0)
+            if self.waits[0]:
+                yield "old's timer fires", lambda m: m.feed_old(m.old.deadline_us, old_process.TimerFired())
+                yield "old's timer fires late", lambda m: m.feed_old(LATE, old_process.TimerFired())
+            if self.old.phase is old_process.Phase.DRAINING:
+                yield "old is drained", lambda m: m.feed_old(0, old_process.Drained())
+        if self._runs(1):
+            if self.to_new:
+                yield f"new receives {self.to_new[0]}", Model.new_receives
+            elif self.closed[0] and not self.noticed[1] and not self.closed[1]:
+                yield "new receives the close", lambda m: m.notice_closed(1)
+            if self.waits[1]:
+                yield "new's timer fires", lambda m: m.feed_new(LATE, new_process.TimerFired())
+            if self.checking:
+                yield "new passes its check", lambda m: m.checked(new_process.SelfCheckPassed())
+                yield "new fails its check", lambda m: m.checked(new_process.FailureDetected("no"))
+            if self.new.phase is new_process.Phase.RETURNING:
+                yield "new is drained", lambda m: m.feed_new(0, new_process.Drained())
+            if self.new.phase is new_process.Phase.PROBATION and len(self.to_old) < 3:
+                yield "new is degraded", lambda m: m.send(1, "degraded")
+
+    def _mishaps(self):
+        for side, name in enumerate(("old", "new")):
+            if self.hanging[side] and self.alive[side]:
+                yield f"{name} wakes", lambda m, s=side: m.hanging.__setitem__(s, False)
+        if not self.faults:
+            return
+        for side, name in enumerate(("old", "new")):
+            if self.alive[side]:
+                yield f"!{name} is killed", lambda m, s=side: m.fault(lambda: m.die(s))
+                if not self.hanging[side]:
+                    yield f"!{name} hangs", lambda m, s=side: m.fault(lambda: m.hanging.__setitem__(s, True))
+            if self._runs(side) and not self.closed[side]:
+                yield f"!{name} sends garbage", lambda m, s=side: m.fault(lambda: m.send(s, "garbage"))
+        if self._runs(0) and not self.stopped:
+            yield (
+                "!old is asked to stop",
+                lambda m: m.fault(lambda: m.feed_old(0, old_process.StopRequested())),
+            )
+        if self._runs(1) and not self.stopped:
+            yield (
+                "!new is asked to stop",
+                lambda m: m.fault(lambda: m.feed_new(0, new_process.StopRequested())),
+            )
+
+    # -- what happens
+
+    def fault(self, change) -> None:
+        self.faults -= 1
+        change()
+
+    def send(self, side: int, message: str) -> None:
+        if self.closed[side]:
+            return
+        if side:
+            self.to_old = (*self.to_old, message)
+        else:
+            self.to_new = (*self.to_new, message)
+
+    def die(self, side: int) -> None:
+        self.alive[side] = self.serves[side] = False
+        self.closed[side] = True
+        self.checking = self.checking and side == 0
+
+    def notice_closed(self, side: int) -> None:
+        self.noticed[side] = True
+        if side:
+            self.feed_new(0, new_process.ChannelClosed())
+        else:
+            self.feed_old(0, old_process.ChannelClosed(1))
+
+    def old_receives(self) -> None:
+        message, self.to_old = self.to_old[0], self.to_old[1:]
+        events: dict[str, Any] = {
+            "hello": old_process.HelloReceived(1, HELLO),
+            "ready": old_process.ReadyReceived(1),
+            "started": old_process.StartedReceived(1),
+            "heartbeat": old_process.HeartbeatReceived(1, HEALTHY, HEALTHY),
+            "degraded": old_process.HeartbeatReceived(1, DEGRADED, HEALTHY),
+            "failure": old_process.FailureDetected(1, "no"),
+            "garbage": old_process.FailureDetected(1, "garbage"),
+            "serving stopped": old_process.ServingStoppedReceived(1),
+        }
+        self.feed_old(LATE if message == "heartbeat" else 0, events[message])
+
+    def new_receives(self) -> None:
+        message, self.to_new = self.to_new[0], self.to_new[1:]
+        events: dict[str, Any] = {
+            "offer": new_process.OfferReceived(),
+            "copy complete": new_process.CopyCompleteReceived(),
+            "final state": new_process.FinalStateReceived(),
+            "reclaim": new_process.ReclaimReceived("degraded"),
+            "release": new_process.ReleaseReceived(),
+            "abort": new_process.AbortReceived("no"),
+            "garbage": new_process.FailureDetected("garbage"),
+        }
+        self.feed_new(0, events[message])
+
+    def feed_old(self, now: int, event) -> None:
+        self.waits[0] = False if isinstance(event, old_process.TimerFired) else self.waits[0]
+        self.old.deadline_us = min(self.old.deadline_us, 1)  # the clock's figure makes no other state
+        for action in self.old.handle(now, event):
+            match action:
+                case old_process.SendOffer():
+                    self.send(0, "offer")
+                    self.send(0, "copy complete")
+                case old_process.Reject():
+                    self.send(0, "abort")
+                    self.closed[0] = True
+                case old_process.HandOver():
+                    self.serves[0] = False
+                    self.send(0, "final state")
+                case old_process.SendReclaim():
+                    self.send(0, "reclaim")
+                case old_process.KillNewProcess():
+                    self.die(1)
+                case old_process.ResumeServing():
+                    self.serves[0] = True
+                case old_process.AnswerOrphanedClients():
+                    self.closed[0] = True
+                case old_process.Release():
+                    self.send(0, "release")
+                case old_process.Exit():
+                    self.die(0)
+                case old_process.SetTimer():
+                    self.waits[0] = True
+
+    def checked(self, event) -> None:
+        self.checking = False
+        self.feed_new(0, event)
+
+    def feed_new(self, now: int, event) -> None:
+        self.waits[1] = False if isinstance(event, new_process.TimerFired) else self.waits[1]
+        self.carry_out(self.new.handle(now, event))
+
+    def carry_out(self, actions) -> None:
+        for action in actions:
+            match action:
+                case new_process.SendHello():
+                    self.send(1, "hello")
+                case new_process.RunSelfCheck():
+                    self.checking = True
+                case new_process.SendReady():
+                    self.send(1, "ready")
+                case new_process.StartServing():
+                    self.serves[1] = True
+                    self.send(1, "started")
+                case new_process.SendHeartbeat():
+                    if len(self.to_old) < 3:
+                        self.send(1, "heartbeat")
+                case new_process.ServeAlone():
+                    if self.alive[0]:
+                        self.die(0)
+                    self.serves[1] = True
+                case new_process.StopServing():
+                    self.serves[1] = False
+                    self.send(1, "serving stopped")
+                case new_process.Exit():
+                    self.send(1, "failure")
+                    self.die(1)
+                case new_process.SetTimer():
+                    self.waits[1] = True
+
+
+def initial_state(faults: int = 2) -> Model:
+    model = Model(faults)
+    model.carry_out(model.new.start(0))
+    return model
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -5,6 +5,7 @@
 import json
 
 import pytest
+from harness.discovery_harness import drains, is_drain_known, run, trickle, within
 from harness.platform_harness import (
     MS,
     SECOND,
@@ -16,129 +17,17 @@
     instance,
     settings,
 )
-from hypothesis import given
-from hypothesis import strategies as st
 
 from orchidlane.gateway.control.endpoint_list import WatchEventError
-from orchidlane.gateway.control.json_stream import JsonObjectSplitter, LineTooLongError
 from orchidlane.platform import polling
 from orchidlane.platform.discovery import MAX_ENDPOINTS, MIN_DEPARTED_REMEMBERED, DiscoveryTracker
-from orchidlane.platform.polling import PollSchedule, retry_interval_us
+from orchidlane.platform.polling import retry_interval_us
 from orchidlane.runtime import CONTROL, ConnectionClosedError, ConnectionFailedError
 
 BACKENDS = pytest.mark.parametrize("backend", [PlatformHarness, RealPlatformHarness])
 GRACE = SECOND  # of drains, in the settings of these tests
 
 
-# -- when to ask
-
-
-def test_a_silent_watch_is_replaced_before_its_notification_deadline():
-    assert (
-        polling.SILENCE_TIMEOUT_US >= polling.HEARTBEAT_INTERVAL_US + 100 * MS
-    )  # else a healthy one is broken
-    for grace in (1, 300 * MS, 500 * MS, SECOND, 5 * SECOND):
-        again = retry_interval_us(grace)
-        assert polling.SILENCE_TIMEOUT_US + 7 * again <= polling.NOTIFICATION_DEADLINE_US
-        assert again <= max(
-            polling.MIN_RETRY_INTERVAL_US, grace // 2
-        )  # after an outage two calls fit into the grace
-    assert polling.SILENCE_TIMEOUT_US + 2 * polling.MAX_BACKOFF_US < polling.NOTIFICATION_DEADLINE_US
-
-
-EVENTS = st.lists(
-    st.tuples(
-        st.sampled_from(["wait", "spoke", "ended", "ended"]), st.integers(0, 3), st.integers(0, 3 * SECOND)
-    )
-)
-
-
-@given(EVENTS)
-def test_polls_are_bounded_and_one_is_always_active_or_due_soon(events):
-    clock, now, open_calls = PollSchedule(500 * MS), 0, []
-    for what, place, span in events:
-        now += span if what == "wait" else 0
-        if what != "wait" and open_calls:
-            number = open_calls[place % len(open_calls)]
-            if what == "spoke":
-                replaced = clock.response_received(number)
-                open_calls = [one for one in open_calls if one not in replaced]
-            else:
-                open_calls.remove(number)
-                clock.poll_ended(number, now)
-        number, given_up = clock.next_poll(now)
-        open_calls = [one for one in open_calls if one not in given_up]
-        open_calls += [number] if number is not None else []
-        assert len(open_calls) <= polling.MAX_PENDING_POLLS
-        assert set(open_calls) == {*clock.pending, *([clock.active] if clock.active else [])}
-        if clock.active is None:
-            assert clock.next_deadline() <= now + polling.MAX_BACKOFF_US
-        else:
-            assert clock.next_deadline() is None
-            assert number is None
-            assert not clock.pending
-
-
-def test_a_long_watch_is_replaced_at_once():
-    clock = PollSchedule(500 * MS)
-    number, _ = clock.next_poll(0)
-    clock.response_received(number)
-    clock.poll_ended(number, 10 * SECOND)
-    assert clock.next_poll(10 * SECOND)[0] is not None
-
-
-def test_short_watches_are_replaced_with_backoff():
-    clock, now, apart = PollSchedule(250 * MS), 0, []
-    for _ in range(7):
-        began = now
-        number, _ = clock.next_poll(now)
-        clock.response_received(number)
-        clock.poll_ended(number, now)
-        now = clock.next_deadline()
-        apart.append((now - began) // MS)
-    assert apart == [250, 500, 1_000, 1_600, 1_600, 1_600, 1_600]
-
-
-# -- lines
-
-
-LINES = [
-    {"generation": 41, "reset": True, "instances": [instance(1), instance(2, "leaving")]},
-    {"generation": 42, "reset": False, "instances": [{**instance(3), "zone": 'a "}{" \\ b'}]},
-    {"generation": 43, "reset": False, "instances": []},
-]
-
-
-@given(
-    st.lists(st.sampled_from([None, 0, 1, 4]), min_size=3, max_size=3),
-    st.lists(st.integers(1, 60)),
-    st.data(),
-)
-def test_objects_are_split_however_their_bytes_arrive(indents, sizes, data):
-    text = b""
-    for line, indent in zip(LINES, indents, strict=True):
-        text += json.dumps(line, indent=indent).encode() + data.draw(
-            st.sampled_from([b"\n", b"\r\n", b"\n\n"])
-        )
-    split, found = JsonObjectSplitter(1 << 20), []
-    for size in [*sizes, len(text)]:
-        found += split.feed(text[:size])
-        text = text[size:]
-    assert [json.loads(one) for one in found if one.strip()] == LINES
-
-
-def test_blank_lines_are_reported_between_objects_and_not_within():
-    assert JsonObjectSplitter(100).feed(b'\n{"a":\n\n1}\n\r\n') == [b"", b'{"a":\n\n1}', b""]
-
-
-@pytest.mark.parametrize("piece", [b"x", b"{\n"])
-def test_input_without_an_end_is_too_long(piece):
-    split = JsonObjectSplitter(100)
-    with pytest.raises(LineTooLongError):
-        for _ in range(200):
-            split.feed(piece)
-
-
 # -- old news
 
 
@@ -197,43 +86,6 @@
 # -- watches that go wrong
 
 
-def serves(harness, index, stream):
-    while True:
-        harness.read_request(index, stream)
-        stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-
-
-def run(backend, test, *handlers, **changes):
-    harness = backend(*(handlers or (serves,)), **changes)
-    harness.run(test)
-    return harness
-
-
-def drains(harness, generation=2) -> None:
-    """Discovery knows from now on that host 0 drains; whoever asks is told."""
-    entry = harness.instance(0, "leaving")
-    harness.discovery.hello = [{"generation": generation, "reset": False, "instances": [entry]}]
-
-
-def is_drain_known(harness) -> bool:
-    return harness.gateway.tracker.state(b"s-0") == "draining"
-
-
-def within(harness, span: int) -> int:
-    """Exact times are the simulated world's; over real connections a busy machine may take longer."""
-    return 20 * SECOND if isinstance(harness, RealPlatformHarness) else span
-
-
-def trickle(harness, piece: bytes) -> None:
-    """Bytes that end no line, ever."""
-    try:
-        while True:
-            harness.discovery.send(harness.discovery.streams[0], piece)
-            harness.loop.sleep(200 * MS)
-    except ConnectionClosedError:
-        pass
-
-
 @BACKENDS
 @pytest.mark.parametrize("kind", ["silent", "trickles", "trickles an object", "trickles lines of an object"])
 def test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline(backend, kind):
