--- a/tests/harness/consensus_model.py
+++ b/tests/harness/consensus_model.py
@@ -1,8 +1,8 @@
-"""Model checking of three voters: two commands at once, up to two faults, datagrams in any order.
+"""A model of three voters: two commands at once, up to two faults, datagrams in any order.
 
 Faults: a voter dies and restarts with its disk, an old copy or an empty one; a write fails; a datagram is
 duplicated. A lost datagram is one that is never delivered. Invariants: two states of one index are never both
-chosen, and a command is carried out in its own term alone.
+chosen, and a command is applied in its own term alone.
 """
 
 from __future__ import annotations
@@ -10,12 +10,13 @@
 import copy
 import random
 from collections import deque
+from collections.abc import Iterator
 from typing import Any, NamedTuple
 
 import msgspec
 
 from orchidlane.rollout import replicated_state
-from orchidlane.rollout.commands import ClaimLeadership
+from orchidlane.rollout.commands import ClaimLeadership, Command
 from orchidlane.rollout.consensus import Voter
 from orchidlane.rollout.messages import Accept, Accepted, Nack, Promise, VoteCountResponse
 from orchidlane.rollout.replicated_state import ReplicatedState
@@ -34,25 +35,26 @@
 
 
 class InvariantViolationError(AssertionError):
-    """What must never be."""
+    """A state that must never be reached."""
 
 
 class Datagram(NamedTuple):
+    """A message in flight."""
+
     sender: int
     receiver: int
     message: Any
 
 
 class ModelState:
-    """One state: the voters, their disks, what is on its way, what was chosen."""
+    """One state: the voters, their disks, the datagrams in flight, and what was chosen."""
 
     def __init__(self, voter_type: type[Voter]) -> None:
         self.voter_type = voter_type
-        self.states_by_hash = {
-            content_hash(replicated_state.encode(FIRST)): FIRST
-        }  # shared by all states: names say it all
+        # Shared by all states: a hash determines its content
+        self.states_by_hash = {content_hash(replicated_state.encode(FIRST)): FIRST}
         self.disks = {rank: VoterState(100 + rank) for rank in VOTERS}
-        self.old = dict(self.disks)
+        self.old_disks = dict(self.disks)
         self.voters = {
             rank: voter_type(rank, self.disks[rank], None, FIRST, FixedRandom(), 0) for rank in VOTERS
         }
@@ -62,12 +64,14 @@
         self.started: frozenset[int] = frozenset()
 
     def copy(self) -> ModelState:
+        """Return a state that can change by itself."""
         other = copy.copy(self)
-        other.disks, other.old, other.chosen = dict(self.disks), dict(self.old), dict(self.chosen)
+        other.disks, other.old_disks, other.chosen = dict(self.disks), dict(self.old_disks), dict(self.chosen)
         other.voters = {rank: _copy(voter) for rank, voter in self.voters.items()}
         return other
 
     def key(self) -> Any:
+        """Return what distinguishes this state from others."""
         return (
             tuple(_key(voter) for voter in self.voters.values()),
             self.datagrams,
@@ -77,6 +81,7 @@
         )
 
     def carry_out(self, rank: int, actions: list[Any], write_fails: bool = False) -> None:
+        """Carry out a voter's actions; where a write fails, those after it are dropped."""
         voter = self.voters[rank]
         for action in actions:
             match action:
@@ -96,34 +101,39 @@
     def _choose(self, chosen: StateChosen) -> None:
         index = chosen.state.index
         if self.chosen.setdefault(index, chosen.state_hash) != chosen.state_hash:
-            raise InvariantViolationError(f"Q1: two states_by_hash of index {index}")
-        step = chosen.command
-        if step is not None and not isinstance(step, ClaimLeadership) and step.term != chosen.state.term:
+            raise InvariantViolationError(f"Q1: two states of index {index}")
+        command = chosen.command
+        if command is None or isinstance(command, ClaimLeadership):
+            return
+        if command.term != chosen.state.term:
             raise InvariantViolationError(
-                f"fencing: a command of term {step.term} in term {chosen.state.term}"
+                f"fencing: a command of term {command.term} in term {chosen.state.term}"
             )
 
     def deliver(self, datagram: Datagram, write_fails: bool = False) -> None:
+        """Deliver a datagram, and carry out what follows."""
         message = datagram.message
-        named = self.states_by_hash.get(message.state_hash) if isinstance(message, Promise | Accept) else None
+        has_state = isinstance(message, Promise | Accept)
+        state = self.states_by_hash.get(message.state_hash) if has_state else None
         voter = self.voters[datagram.receiver]
-        self.carry_out(datagram.receiver, voter.receive(NOW, datagram.sender, message, named), write_fails)
+        self.carry_out(datagram.receiver, voter.receive(NOW, datagram.sender, message, state), write_fails)
 
     def drop_idle_datagrams(self) -> None:
-        """Mail that changes nothing now and never will: answers to an attempt that is over."""
+        """Drop datagrams that change nothing now and never will: replies to an attempt that is over."""
         for datagram in list(self.datagrams):
             attempt = self.voters[datagram.receiver].attempt
-            answer = isinstance(datagram.message, Promise | Accepted | Nack)
-            over = attempt is None or attempt.ballot != datagram.message.ballot
-            late = isinstance(datagram.message, Promise) and (
-                over or attempt.phase is not ProposerPhase.PREPARING
+            is_reply = isinstance(datagram.message, Promise | Accepted | Nack)
+            is_over = attempt is None or attempt.ballot != datagram.message.ballot
+            is_late = isinstance(datagram.message, Promise) and (
+                is_over or attempt.phase is not ProposerPhase.PREPARING
             )
-            if answer and (over or late):
+            if is_reply and (is_over or is_late):
                 self.datagrams -= {datagram}
 
     def restart(self, rank: int, voter_state: VoterState) -> None:
+        """Restart a voter with what its disk has."""
         self.disks[rank] = voter_state
-        chosen = FIRST  # what it knows to be chosen may be as old as that
+        chosen = FIRST  # its chosen state may be as old as that
         self.voters[rank] = self.voter_type(
             rank,
             voter_state,
@@ -135,30 +145,31 @@
         )
 
     def verify_store(self, rank: int) -> None:
-        """It asks both others, and hears both; from its question on they take nothing of its earlier life.
+        """Let a voter verify its store with both others, which then accept nothing of its past incarnation.
 
-        The datagrams' incarnation sees to that (``gateway/peers/datagrams.py``).
+        The incarnation in datagrams ensures that (``gateway/peers/datagrams.py``).
         """
         voter = self.voters[rank]
         self.datagrams = frozenset(datagram for datagram in self.datagrams if datagram.sender != rank)
-        for other, theirs in self.voters.items():
+        for other, peer in self.voters.items():
             if other != rank and voter.verifying_store:
-                store, mark = theirs.voter_state.seen_vote_counts.get(rank, (0, 0))
-                mark = mark if store == voter.voter_state.store_id else 0
-                self.carry_out(
-                    rank,
-                    voter.receive(NOW, other, VoteCountResponse(voter.voter_state.store_id, mark, True)),
-                )
+                store_id, vote_count = peer.voter_state.seen_vote_counts.get(rank, (0, 0))
+                own_id = voter.voter_state.store_id
+                seen = vote_count if store_id == own_id else 0
+                response = VoteCountResponse(own_id, seen, True)
+                self.carry_out(rank, voter.receive(NOW, other, response))
         self.carry_out(rank, voter.tick(NOW))
 
 
 class FixedRandom(random.Random):
-    """The same numbers in each state."""
+    """Gives the same numbers in each state."""
 
     def random(self) -> float:
+        """Return one half."""
         return 0.5
 
     def getrandbits(self, _bits: int) -> int:
+        """Return a number of no meaning."""
         return 900
 
 
@@ -176,37 +187,39 @@
 
 def _key(voter: Voter) -> Any:
     voter_state, attempt = voter.voter_state, voter.attempt
-    told = None
+    attempt_key = None
     if attempt is not None:
-        told = (
+        attempt_key = (
             attempt.phase,
             attempt.ballot,
-            frozenset((seat, promise[0], promise[1]) for seat, promise in attempt.promises.items()),
+            frozenset((member, promise[0], promise[1]) for member, promise in attempt.promises.items()),
             frozenset(attempt.acceptances),
             attempt.state_hash,
         )
     index = voter.chosen_state.index if voter.chosen_state is not None else 0
-    marks = tuple(sorted(voter_state.seen_vote_counts.items()))
+    seen_vote_counts = tuple(sorted(voter_state.seen_vote_counts.items()))
     return (
         voter_state.store_id,
         voter_state.promised,
         voter_state.accepted,
         voter_state.accepted_hash,
         voter_state.vote_count,
-        marks,
+        seen_vote_counts,
         voter.verifying_store,
         index,
-        told,
+        attempt_key,
     )
 
 
-def moves(state: ModelState, plan: dict[int, Any], max_faults: int, faults: tuple[str, ...]):
-    """Every next state."""
-    for rank, step in plan.items():
+def moves(
+    state: ModelState, plan: dict[int, Command], max_faults: int, faults: tuple[str, ...]
+) -> Iterator[ModelState]:
+    """Return every next state."""
+    for rank, command in plan.items():
         if rank not in state.started and state.voters[rank].may_vote:
             after = state.copy()
             after.started |= {rank}
-            after.carry_out(rank, after.voters[rank].propose(NOW, step))
+            after.carry_out(rank, after.voters[rank].propose(NOW, command))
             yield after
     for datagram in state.datagrams:
         after = state.copy()
@@ -224,12 +237,12 @@
         yield from failures(state, faults)
 
 
-def failures(state: ModelState, faults: tuple[str, ...]):
-    """Every next state that a fault leads to."""
+def failures(state: ModelState, faults: tuple[str, ...]) -> Iterator[ModelState]:
+    """Return every next state that a fault leads to."""
     for rank in VOTERS:
         restored = {
             "dies": state.disks[rank],
-            "old disk": state.old[rank],
+            "old disk": state.old_disks[rank],
             "no disk": VoterState(500 + rank),
         }
         for name in faults:
@@ -252,13 +265,16 @@
 
 
 def search(
-    plan: dict[int, Any],
+    plan: dict[int, Command],
     faults: tuple[str, ...],
     max_faults: int,
     voter_type: type[Voter] = Voter,
     bound: int = 60_000,
 ) -> tuple[int, set[int]]:
-    """How many states there are, and which indexes were ever chosen. Raises InvariantViolationError."""
+    """Return the number of states, and the indexes that were ever chosen.
+
+    Raises InvariantViolationError where a state violates an invariant.
+    """
     first = ModelState(voter_type)
     seen, queue, indexes = {first.key()}, deque([first]), set()
     while queue and len(seen) < bound:
--- a/tests/harness/discovery_harness.py
+++ b/tests/harness/discovery_harness.py
@@ -2,46 +2,55 @@
 
 from __future__ import annotations
 
-from harness.platform_harness import (
-    MS,
-    SECOND,
-    RealPlatformHarness,
-)
-from orchidlane.runtime import ConnectionClosedError
+from collections.abc import Callable
+from contextlib import suppress
+from typing import Any
 
+from harness.platform_harness import MS, OK, SECOND, PlatformHarness, RealPlatformHarness
+from orchidlane.runtime import ConnectionClosedError, Stream
 
-def serves(harness, index, stream):
+REAL_TIMEOUT_US = 20 * SECOND
+TRICKLE_INTERVAL_US = 200 * MS
+
+
+def serve_every_request(harness: PlatformHarness, index: int, stream: Stream) -> None:
+    """Serve the requests of a connection at an endpoint."""
     while True:
         harness.read_request(index, stream)
-        stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+        stream.send(OK)
 
 
-def run(backend, test, *handlers, **changes):
-    harness = backend(*(handlers or (serves,)), **changes)
+def run(
+    backend: type[PlatformHarness],
+    test: Callable[[PlatformHarness], None],
+    *handlers: Callable[[PlatformHarness, int, Stream], None],
+    **changes: Any,
+) -> PlatformHarness:
+    """Run a test with one endpoint that serves every request, unless others are given."""
+    harness = backend(*(handlers or (serve_every_request,)), **changes)
     harness.run(test)
     return harness
 
 
-def drains(harness, generation=2) -> None:
-    """Discovery knows from now on that host 0 drains; whoever asks is told."""
+def drain_endpoint(harness: PlatformHarness, generation: int = 2) -> None:
+    """Let discovery know that endpoint 0 drains; each poll from now on gets that event."""
     entry = harness.instance(0, "leaving")
     harness.discovery.hello = [{"generation": generation, "reset": False, "instances": [entry]}]
 
 
-def is_drain_known(harness) -> bool:
+def is_drain_known(harness: PlatformHarness) -> bool:
+    """Return whether the gateway knows that endpoint 0 drains."""
     return harness.gateway.tracker.state(b"s-0") == "draining"
 
 
-def within(harness, span: int) -> int:
-    """Exact times are the simulated world's; over real connections a busy machine may take longer."""
-    return 20 * SECOND if isinstance(harness, RealPlatformHarness) else span
+def timeout_us(harness: PlatformHarness, simulated_us: int) -> int:
+    """Return the exact time for the simulated backend; a busy machine with real connections gets more."""
+    return REAL_TIMEOUT_US if isinstance(harness, RealPlatformHarness) else simulated_us
 
 
-def trickle(harness, piece: bytes) -> None:
-    """Bytes that end no line, ever."""
-    try:
+def trickle(harness: PlatformHarness, piece: bytes) -> None:
+    """Send bytes that never end a line until the connection is closed."""
+    with suppress(ConnectionClosedError):
         while True:
             harness.discovery.send(harness.discovery.streams[0], piece)
-            harness.loop.sleep(200 * MS)
-    except ConnectionClosedError:
-        pass
+            harness.loop.sleep(TRICKLE_INTERVAL_US)
--- a/tests/harness/fleet_hosts.py
+++ b/tests/harness/fleet_hosts.py
@@ -93,9 +93,7 @@
 
     def __init__(self, loop: EventLoop, terms: FleetTerms, random_source: random.Random) -> None:
         self.loop, self.terms, self.random = loop, terms, random_source
-        self.first_attempts: list[
-            tuple[int, int]
-        ] = []  # time and customer, at a first host
+        self.first_attempts: list[tuple[int, int]] = []  # time and customer, at a first host
         self._seen_request_ids: set[bytes] = set()
 
     def run_host(self, scope: TaskGroup, host: FakeHost) -> None:
--- a/tests/harness/golden_session.py
+++ b/tests/harness/golden_session.py
@@ -7,7 +7,11 @@
 import random
 import struct
 from collections import Counter
+from collections.abc import Callable, Iterable
+from typing import Any
 
+from harness import session_records
+from harness.session_clients import SessionClients
 from harness.session_records import (
     CACHED,
     CANCELLED,
@@ -29,16 +33,13 @@
     TIMED_OUT,
     Endpoint,
     action_bytes,
-    count_recovered_event,
     frame,
     make_gateway,
     outcome_record,
-    quota_requested_event,
     record,
-    replica_set_changed_event,
-    request_record,
     settings_text,
 )
+from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
 from orchidlane.simulator_protocol import codec
 
@@ -46,21 +47,22 @@
 class Session:
     """A fleet with endpoints, clients, discovery and a network under one clock, all drawn from one seed."""
 
-    def __init__(self, seed: int, gateways: int, span: int, with_quota_events: bool, **permissions) -> None:
+    def __init__(
+        self, seed: int, gateways: int, span: int, with_quota_events: bool, **permissions: Any
+    ) -> None:
         self.random = random.Random(seed)
         self.now, self.end = START_US, START_US + span
         self.gateway_count = gateways
         self.with_quota_events = with_quota_events
-        self.scheduled: list = []  # when, order, what is to be called, with what
+        self.scheduled: list[tuple] = []  # time, order, function and its arguments
         self.schedule_count = 0
         self.event_count = 0
-        self.frames: list[bytes] = []  # what a process of the wire is told
+        self.frames: list[bytes] = []  # of events, as a process of the protocol receives them
         self.decoder = codec.Decoder()
         self.digest = hashlib.sha256()
         self.digests: list[str] = []
         self.action_counts: Counter[int] = Counter()
         self.attempt_counts: Counter[tuple[int, int]] = Counter()
-        self.request_count = 0
         self.list_count = 0
         self.endpoints = [
             Endpoint(bytes((10, 0, zone, number, 0, 80)), zone, 2 * zone + number % 2)
@@ -75,20 +77,20 @@
 
     # -- events in, actions out
 
-    def feed(self, gateway: int, *records: bytes, tail: bytes = b"") -> None:
-        """Feed records to their gateway."""
+    def feed(self, *records: bytes, tail: bytes = b"") -> None:
+        """Feed records to the gateways that they name."""
         self.frames.append(frame(self.now, list(records), tail))
         for number, event in self.decoder.decode_frame(len(records), b"".join(records) + tail):
             self.feed_event(number, event)
 
-    def feed_event(self, gateway: int, event) -> None:
+    def feed_event(self, gateway: int, event: policy.Event) -> None:
         """Feed one event."""
         self.event_count += 1
         self.record_actions(gateway, self.gateways[gateway].handle(self.now, event))
         if self.event_count % 1_000 == 0:
             self.digests.append(self.digest.hexdigest()[:16])
 
-    def record_actions(self, gateway: int, actions) -> None:
+    def record_actions(self, gateway: int, actions: Iterable[policy.Action]) -> None:
         """Digest the actions and apply them."""
         for action in actions:
             data = action_bytes(gateway, action)
@@ -99,101 +101,110 @@
     def apply_action(self, gateway: int, data: bytes) -> None:
         """Apply an action to the simulated fleet."""
         match data[0]:
-            case 65:
-                _, _, request, server, _ = struct.unpack_from("<BHI6sQ", data)
-                self.start_attempt(gateway, request, server)
-            case 66 | 67:
+            case session_records.SEND:
+                _, _, request, endpoint, _ = struct.unpack_from("<BHI6sQ", data)
+                self.start_attempt(gateway, request, endpoint)
+            case session_records.REJECT | session_records.FAIL:
                 self.attempt_counts.pop((gateway, struct.unpack_from("<I", data, 3)[0]), None)
-            case 69:
-                span, token = struct.unpack_from("<IQ", data, 3)
-                self.schedule(span, self.fire_timer, gateway, self.incarnations[gateway], token)
-            case 72:
+            case session_records.SET_TIMER:
+                delay_us, token = struct.unpack_from("<IQ", data, 3)
+                self.schedule(delay_us, self.fire_timer, gateway, self.incarnations[gateway], token)
+            case session_records.SEND_PEER_MESSAGE:
                 self.transmit(gateway, struct.unpack_from("<H", data, 3)[0], data[24:])
 
-    def schedule(self, span: int, what, *values) -> None:
-        """Call something after a delay."""
+    def schedule(self, delay_us: int, function: Callable[..., None], *values: Any) -> None:
+        """Call a function after a delay."""
         self.schedule_count += 1
-        heapq.heappush(self.scheduled, (self.now + span, self.schedule_count, what, values))
+        heapq.heappush(self.scheduled, (self.now + delay_us, self.schedule_count, function, values))
 
-    def fire_timer(self, gateway: int, life: int, token: int) -> None:
+    def fire_timer(self, gateway: int, incarnation: int, token: int) -> None:
         """Fire a timer, unless its gateway restarted since."""
         if self.now < self.delayed_until.get(gateway, 0):
-            self.schedule(self.delayed_until[gateway] - self.now, self.fire_timer, gateway, life, token)
-        elif life == self.incarnations[gateway]:
-            self.feed(gateway, record(1, "HQ", gateway, token))
+            self.schedule(
+                self.delayed_until[gateway] - self.now, self.fire_timer, gateway, incarnation, token
+            )
+        elif incarnation == self.incarnations[gateway]:
+            self.feed(record(1, "HQ", gateway, token))
 
-    # -- servers
+    # -- endpoints
 
     def start_attempt(self, gateway: int, request: int, name: bytes) -> None:
         """Draw an attempt's outcome, and schedule it."""
         attempt = self.attempt_counts[gateway, request]
         self.attempt_counts[gateway, request] += 1
-        server = next(one for one in self.endpoints if one.name == name)
-        server.in_flight += 1
+        endpoint = next(known for known in self.endpoints if known.name == name)
+        endpoint.in_flight += 1
+        outcome, duration_us = self._draw_outcome(endpoint)
+        if self.random.random() < 0.05:
+            stream = record(4, "HIH6sI", gateway, request, attempt, name, duration_us // 2)
+            self.schedule(duration_us // 2, self.feed, stream)
+        self.schedule(
+            duration_us, self.finish_attempt, gateway, request, attempt, endpoint, outcome, duration_us
+        )
+
+    def _draw_outcome(self, endpoint: Endpoint) -> tuple[int, int]:
+        """Draw an attempt's outcome and duration: zones 1 and 2 fail and slow down for a while."""
         draw, age = self.random.random(), self.now - START_US
-        took = int((40 + 25 * server.in_flight) * MS * self.random.uniform(0.7, 1.4))
+        duration_us = int((40 + 25 * endpoint.in_flight) * MS * self.random.uniform(0.7, 1.4))
         outcome = SERVED
-        if server.zone == 1 and 4 * SECOND < age < 7 * SECOND:
+        if endpoint.zone == 1 and 4 * SECOND < age < 7 * SECOND:
             outcome = self.random.choice((CONNECT_FAILED, TIMED_OUT, CONNECTION_BROKEN))
-            took = 900 * MS if outcome == TIMED_OUT else 5 * MS
-        elif server.zone == 2 and 9 * SECOND < age < 10 * SECOND:
-            took += 1_500 * MS
-        elif server.in_flight > 12:
-            outcome, took = ENDPOINT_FULL, 2 * MS
+            duration_us = 900 * MS if outcome == TIMED_OUT else 5 * MS
+        elif endpoint.zone == 2 and 9 * SECOND < age < 10 * SECOND:
+            duration_us += 1_500 * MS
+        elif endpoint.in_flight > 12:
+            outcome, duration_us = ENDPOINT_FULL, 2 * MS
         elif draw < 0.06:
             outcome = self.random.choice(
                 (ERROR, ENDPOINT_FULL, CONNECT_FAILED, CONNECTION_BROKEN, CANCELLED, NOT_SENT)
             )
-        if self.random.random() < 0.05:
-            stream = record(4, "HIH6sI", gateway, request, attempt, name, took // 2)
-            self.schedule(took // 2, self.feed, gateway, stream)
-        self.schedule(took, self.finish_attempt, gateway, request, attempt, server, outcome, took)
+        return outcome, duration_us
 
     def finish_attempt(
-        self, gateway: int, request: int, attempt: int, server: Endpoint, outcome: int, took: int
+        self, gateway: int, request: int, attempt: int, endpoint: Endpoint, outcome: int, duration_us: int
     ) -> None:
         """Feed an attempt's outcome."""
-        server.in_flight -= 1
-        told = outcome_record(
-            gateway, request, attempt, server.name, outcome, took, outcome in (SERVED, CANCELLED)
+        endpoint.in_flight -= 1
+        ended = outcome_record(
+            gateway, request, attempt, endpoint.name, outcome, duration_us, outcome in (SERVED, CANCELLED)
         )
-        self.feed(gateway, told)
+        self.feed(ended)
         if self.random.random() < 0.02:
-            self.feed(gateway, told)  # told twice: nothing follows
+            self.feed(ended)  # a duplicate has no effect
 
-    def send_endpoint_list(self, kind: int, servers: list[Endpoint], *gateways: int) -> None:
+    def send_endpoint_list(self, kind: int, endpoints: list[Endpoint], *gateways: int) -> None:
         """Send an endpoint list to gateways."""
         self.list_count += 1
-        tail = b"".join(server.entry() for server in servers)
+        tail = b"".join(endpoint.entry() for endpoint in endpoints)
         for gateway in gateways or range(self.gateway_count):
-            entries = record(12, "HII", self.list_count, 0, len(servers))
-            news = record(9, "HBHQ", gateway, kind, self.list_count, self.list_count)
-            self.feed(gateway, entries, news, tail=tail)
+            entries = record(12, "HII", self.list_count, 0, len(endpoints))
+            header = record(9, "HBHQ", gateway, kind, self.list_count, self.list_count)
+            self.feed(entries, header, tail=tail)
 
     def change_endpoints(self) -> None:
         """Drain, remove, restart or add some endpoints."""
         some = self.random.sample(self.endpoints, 3)
-        for server in some:
-            fresh = server.state != READY or self.random.random() < 0.4
-            server.state = READY if fresh else self.random.choice((DRAINING, GONE))
-            if fresh:
-                server.started_at_us = self.now - self.random.randrange(SECOND)
+        for endpoint in some:
+            restarts = endpoint.state != READY or self.random.random() < 0.4
+            endpoint.state = READY if restarts else self.random.choice((DRAINING, GONE))
+            if restarts:
+                endpoint.started_at_us = self.now - self.random.randrange(SECOND)
         self.send_endpoint_list(DELTA, some)
         if self.random.random() < 0.3:
             self.send_endpoint_list(FAILED, [], self.random.randrange(self.gateway_count))
         if self.random.random() < 0.4:
-            ready = [server for server in self.endpoints if server.state != GONE]
+            ready = [endpoint for endpoint in self.endpoints if endpoint.state != GONE]
             self.send_endpoint_list(self.random.choice((COMPLETE, CACHED)), ready)
         self.schedule(400 * MS, self.change_endpoints)
 
-    def remove_all_endpoints(self, back: int) -> None:
+    def remove_all_endpoints(self, returns_after_us: int) -> None:
         """Send a complete list without endpoints, and the former one later."""
         self.send_endpoint_list(COMPLETE, [])
         self.schedule(
-            back,
+            returns_after_us,
             self.send_endpoint_list,
             COMPLETE,
-            [server for server in self.endpoints if server.state != GONE],
+            [endpoint for endpoint in self.endpoints if endpoint.state != GONE],
         )
 
     # -- peers
@@ -214,93 +225,20 @@
 
     def deliver_message(self, sender: int, receiver: int, body: bytes) -> None:
         """Feed a datagram."""
-        self.feed(receiver, record(2, "HHII", receiver, sender, 0, len(body)), tail=body)
+        self.feed(record(2, "HHII", receiver, sender, 0, len(body)), tail=body)
 
-    # -- clients
-
-    def draw_customer(self) -> tuple[int, int, int, int]:
-        """Draw a customer with its plan and replica set: a few are frequent, many come once."""
-        number = min(int(4 * self.random.paretovariate(0.5)), 5_000)
-        sizes = (1, 2, 3, self.gateway_count, self.gateway_count, min(13, self.gateway_count))
-        return (
-            number,
-            number % 6,
-            number * 7 % self.gateway_count,
-            min(sizes[number // 2 % 6], self.gateway_count),
-        )
-
-    def send_requests(self, burst: int) -> None:
-        """Feed a client's requests."""
-        number, plan, first, size = self.draw_customer()
-        gateway = (first + self.random.randrange(size)) % self.gateway_count
-        for _ in range(burst):
-            self.request_count += 1
-            left = self.random.choice((2_000_000, 2_000_000, 400_000, 20_000))
-            kind, units = self.random.randrange(5), self.random.choice((1.0, 1.0, 2.0, 5.0))
-            repeat = self.random.random() < 0.1
-            self.feed(
-                gateway,
-                request_record(
-                    gateway, self.request_count, number, plan, kind, units, left, first, size, repeat
-                ),
-            )
-            if self.random.random() < 0.05:
-                gone = record(3, "HI", gateway, self.request_count)
-                self.schedule(self.random.randrange(100 * MS), self.feed, gateway, gone)
-        crowd = 20 if 10 * SECOND < self.now - START_US < 11 * SECOND else 1
-        self.schedule(
-            self.random.randrange(1, 16 * MS) // crowd, self.send_requests, self.random.choice((1, 1, 1, 4))
-        )
-
-    def feed_quota_events(self) -> None:
-        """Feed events that the protocol has no records for."""
-        number, plan, first, size = self.draw_customer()
-        gateway = (first + self.random.randrange(size)) % self.gateway_count
-        draw = self.random.random()
-        if draw < 0.8:
-            self.request_count += 1
-            kind = self.random.randrange(5)
-            self.feed_event(
-                gateway, quota_requested_event(self.request_count, number, plan, kind, 1.0, first, size)
-            )
-        elif draw < 0.9:
-            start = self.now // MS // 62 - self.random.randrange(50)
-            self.feed_event(
-                gateway, count_recovered_event(number, plan, first, size, start, self.random.uniform(0, 9))
-            )
-        else:
-            moved = self.random.randrange(self.gateway_count)
-            for one in range(self.gateway_count):
-                self.feed_event(
-                    one,
-                    replica_set_changed_event(
-                        number, plan, moved, self.random.randrange(1, self.gateway_count + 1)
-                    ),
-                )
-        self.schedule(self.random.randrange(30 * MS), self.feed_quota_events)
-
-    def feed_ignored_events(self) -> None:
-        """Feed events that lead to no action."""
-        gateway, server = self.random.randrange(self.gateway_count), self.random.choice(self.endpoints)
-        self.feed(
-            gateway,
-            record(10, "HfIHQ", gateway, 38.0, 900, SERVED, 7),
-            record(11, "HIH6sB4f", gateway, 900, SERVED, server.name, 2, 0.5, 2.0, 0.0, 0.0),
-            record(1, "HQ", gateway, 9_999_999),
-            record(3, "HI", gateway, 9_999_999),
-        )
-        self.schedule(500 * MS, self.feed_ignored_events)
+    # -- gateways
 
     def restart_gateway(self, gateway: int) -> None:
         """Stop a gateway and start it again."""
         self.start_gateway(gateway, record(8, "H", gateway))
         self.send_endpoint_list(
-            CACHED, [server for server in self.endpoints if server.state != GONE], gateway
+            CACHED, [endpoint for endpoint in self.endpoints if endpoint.state != GONE], gateway
         )
 
-    def delay_timers(self, gateway: int, span: int) -> None:
+    def delay_timers(self, gateway: int, delay_us: int) -> None:
         """Delay a gateway's timers, as if its process were paused."""
-        self.delayed_until[gateway] = self.now + span
+        self.delayed_until[gateway] = self.now + delay_us
 
     def start_gateway(self, gateway: int, *before: bytes) -> None:
         """Start a gateway."""
@@ -313,25 +251,26 @@
 
     def run(self) -> Session:
         """Run the whole session."""
+        clients = SessionClients(self)
         for gateway in range(self.gateway_count):
             self.start_gateway(gateway)
         self.send_endpoint_list(COMPLETE, self.endpoints)
-        self.schedule(0, self.send_requests, 1)
+        self.schedule(0, clients.send_requests, 1)
         self.schedule(2 * SECOND, self.change_endpoints)
-        self.schedule(3 * SECOND, self.feed_ignored_events)
+        self.schedule(3 * SECOND, clients.feed_ignored_events)
         self.schedule(8 * SECOND, self.remove_all_endpoints, 300 * MS)
         self.schedule(6 * SECOND, self.restart_gateway, 1)
         for age in (2, 3, 4):
             self.schedule(age * SECOND, self.delay_timers, 0, 700 * MS)
         if self.with_quota_events:
-            self.schedule(SECOND, self.feed_quota_events)
+            self.schedule(SECOND, clients.feed_quota_events)
         while self.scheduled and self.scheduled[0][0] <= self.end:
-            self.now, _, what, values = heapq.heappop(self.scheduled)
-            what(*values)
+            self.now, _, function, values = heapq.heappop(self.scheduled)
+            function(*values)
         return self
 
-    def golden_value(self) -> dict:
-        """Return what the golden file has of it."""
+    def golden_value(self) -> dict[str, Any]:
+        """Return the plain values that the golden file has of the session."""
         return {
             "events": self.event_count,
             "actions": {str(code): count for code, count in sorted(self.action_counts.items())},
--- a/tests/harness/hot_restart_model.py
+++ b/tests/harness/hot_restart_model.py
@@ -1,13 +1,13 @@
-"""The two machines of a hot restart and the channel between them, explored over all states.
+"""A model of a hot restart: both state machines and the channel between them, for a search of all states.
 
 Crashes, hangs and garbage may happen anywhere. Invariants: at most one of the two serves, and from every
-state one that serves is reached, unless both are dead. A machine broken on purpose is found.
+state one that serves is reached, unless both are dead.
 """
 
 from __future__ import annotations
 
 import copy
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from typing import Any
 
 from orchidlane.hot_restart import new_process, old_process
@@ -17,10 +17,29 @@
 
 LAYOUT = GatewayIdentity("gw", 0, 3, ("p",))
 HELLO = Hello(PROTOCOL_VERSION, "b", "gw", 0, 3, ("p",))
-LATE = 10**12  # a clock at which every deadline is over
+LATE_US = 10**12  # a time at which every deadline is over
 HEALTHY, DEGRADED = AnswerCounts(50, 1, 0), AnswerCounts(0, 50, 0)
 
 
+MAX_QUEUED_MESSAGES = 3
+SIDE_FLAGS = ("alive", "hanging", "closed", "noticed", "serves", "waits")
+OLD_MESSAGES: dict[type, tuple[str, ...]] = {  # by the action that sends them
+    old_process.SendOffer: ("offer", "copy complete"),
+    old_process.Reject: ("abort",),
+    old_process.HandOver: ("final state",),
+    old_process.SendReclaim: ("reclaim",),
+    old_process.Release: ("release",),
+}
+NEW_MESSAGES: dict[type, tuple[str, ...]] = {
+    new_process.SendHello: ("hello",),
+    new_process.SendReady: ("ready",),
+    new_process.StartServing: ("started",),
+    new_process.StopServing: ("serving stopped",),
+    new_process.Exit: ("failure",),
+}
+Step = tuple[str, Callable[["Model"], Any]]
+
+
 class Model:
     """Both processes and the two directions of their channel; index 0 is the old process, 1 the new one."""
 
@@ -39,7 +58,8 @@
         self.stopped = False
         self.faults = faults
 
-    def key(self):
+    def key(self) -> Any:
+        """Return what tells this state from others."""
         old, new = self.old, self.new
         return (
             old.phase,
@@ -60,6 +80,7 @@
         )
 
     def broken_invariant(self) -> str | None:
+        """Return which invariant this state violates."""
         if all(self.serves):
             return "both serve"
         return None
@@ -71,47 +92,54 @@
         return alone or free or not any(self.alive)
 
     def moves(self) -> Iterable[tuple[str, Model]]:
-        for name, change in (*self._steps(), *self._mishaps()):
+        """Return every next state, and what led to it."""
+        for name, change in (*self._old_steps(), *self._new_steps(), *self._wake_ups(), *self._faults()):
             after = copy.copy(self)
             after.old, after.new = copy.copy(self.old), copy.copy(self.new)
-            for list_ in ("alive", "hanging", "closed", "noticed", "serves", "waits"):
-                setattr(after, list_, list(getattr(self, list_)))
+            for name_ in SIDE_FLAGS:
+                setattr(after, name_, list(getattr(self, name_)))
             change(after)
             yield name, after
 
     def _runs(self, side: int) -> bool:
         return self.alive[side] and not self.hanging[side]
 
-    def _steps(self):
-        if self._runs(0):
-            if self.to_old:
-                yield f"old receives {self.to_old[0]}", Model.old_receives
-            elif self.closed[1] and not self.noticed[0] and not self.closed[0]:
-                yield "old receives the close", lambda m: m.notice_closed(0)
-            if self.waits[0]:
-                yield "old's timer fires", lambda m: m.feed_old(m.old.deadline_us, old_process.TimerFired())
-                yield "old's timer fires late", lambda m: m.feed_old(LATE, old_process.TimerFired())
-            if self.old.phase is old_process.Phase.DRAINING:
-                yield "old is drained", lambda m: m.feed_old(0, old_process.Drained())
-        if self._runs(1):
-            if self.to_new:
-                yield f"new receives {self.to_new[0]}", Model.new_receives
-            elif self.closed[0] and not self.noticed[1] and not self.closed[1]:
-                yield "new receives the close", lambda m: m.notice_closed(1)
-            if self.waits[1]:
-                yield "new's timer fires", lambda m: m.feed_new(LATE, new_process.TimerFired())
-            if self.checking:
-                yield "new passes its check", lambda m: m.checked(new_process.SelfCheckPassed())
-                yield "new fails its check", lambda m: m.checked(new_process.FailureDetected("no"))
-            if self.new.phase is new_process.Phase.RETURNING:
-                yield "new is drained", lambda m: m.feed_new(0, new_process.Drained())
-            if self.new.phase is new_process.Phase.PROBATION and len(self.to_old) < 3:
-                yield "new is degraded", lambda m: m.send(1, "degraded")
-
-    def _mishaps(self):
+    def _old_steps(self) -> Iterable[Step]:
+        if not self._runs(0):
+            return
+        if self.to_old:
+            yield f"old receives {self.to_old[0]}", Model.old_receives
+        elif self.closed[1] and not self.noticed[0] and not self.closed[0]:
+            yield "old receives the close", lambda m: m.notice_closed(0)
+        if self.waits[0]:
+            yield "old's timer fires", lambda m: m.feed_old(m.old.deadline_us, old_process.TimerFired())
+            yield "old's timer fires late", lambda m: m.feed_old(LATE_US, old_process.TimerFired())
+        if self.old.phase is old_process.Phase.DRAINING:
+            yield "old is drained", lambda m: m.feed_old(0, old_process.Drained())
+
+    def _new_steps(self) -> Iterable[Step]:
+        if not self._runs(1):
+            return
+        if self.to_new:
+            yield f"new receives {self.to_new[0]}", Model.new_receives
+        elif self.closed[0] and not self.noticed[1] and not self.closed[1]:
+            yield "new receives the close", lambda m: m.notice_closed(1)
+        if self.waits[1]:
+            yield "new's timer fires", lambda m: m.feed_new(LATE_US, new_process.TimerFired())
+        if self.checking:
+            yield "new passes its check", lambda m: m.end_self_check(new_process.SelfCheckPassed())
+            yield "new fails its check", lambda m: m.end_self_check(new_process.FailureDetected("no"))
+        if self.new.phase is new_process.Phase.RETURNING:
+            yield "new is drained", lambda m: m.feed_new(0, new_process.Drained())
+        if self.new.phase is new_process.Phase.PROBATION and len(self.to_old) < MAX_QUEUED_MESSAGES:
+            yield "new is degraded", lambda m: m.send(1, "degraded")
+
+    def _wake_ups(self) -> Iterable[Step]:
         for side, name in enumerate(("old", "new")):
             if self.hanging[side] and self.alive[side]:
                 yield f"{name} wakes", lambda m, s=side: m.hanging.__setitem__(s, False)
+
+    def _faults(self) -> Iterable[Step]:
         if not self.faults:
             return
         for side, name in enumerate(("old", "new")):
@@ -134,11 +162,13 @@
 
     # -- what happens
 
-    def fault(self, change) -> None:
+    def fault(self, change: Callable[[], Any]) -> None:
+        """Apply a change that counts as a fault."""
         self.faults -= 1
         change()
 
     def send(self, side: int, message: str) -> None:
+        """Send a message to the other process, if the channel is open."""
         if self.closed[side]:
             return
         if side:
@@ -147,11 +177,13 @@
             self.to_new = (*self.to_new, message)
 
     def die(self, side: int) -> None:
+        """End a process."""
         self.alive[side] = self.serves[side] = False
         self.closed[side] = True
         self.checking = self.checking and side == 0
 
     def notice_closed(self, side: int) -> None:
+        """Let a process find that the other closed the channel."""
         self.noticed[side] = True
         if side:
             self.feed_new(0, new_process.ChannelClosed())
@@ -159,6 +191,7 @@
             self.feed_old(0, old_process.ChannelClosed(1))
 
     def old_receives(self) -> None:
+        """Deliver the next message to the old process."""
         message, self.to_old = self.to_old[0], self.to_old[1:]
         events: dict[str, Any] = {
             "hello": old_process.HelloReceived(1, HELLO),
@@ -170,9 +203,10 @@
             "garbage": old_process.FailureDetected(1, "garbage"),
             "serving stopped": old_process.ServingStoppedReceived(1),
         }
-        self.feed_old(LATE if message == "heartbeat" else 0, events[message])
+        self.feed_old(LATE_US if message == "heartbeat" else 0, events[message])
 
     def new_receives(self) -> None:
+        """Deliver the next message to the new process."""
         message, self.to_new = self.to_new[0], self.to_new[1:]
         events: dict[str, Any] = {
             "offer": new_process.OfferReceived(),
@@ -185,73 +219,70 @@
         }
         self.feed_new(0, events[message])
 
-    def feed_old(self, now: int, event) -> None:
+    def feed_old(self, now: int, event: old_process.Event) -> None:
+        """Feed the old process an event, and carry out its actions."""
         self.waits[0] = False if isinstance(event, old_process.TimerFired) else self.waits[0]
         self.old.deadline_us = min(self.old.deadline_us, 1)  # the clock's figure makes no other state
         for action in self.old.handle(now, event):
+            for message in OLD_MESSAGES.get(type(action), ()):
+                self.send(0, message)
             match action:
-                case old_process.SendOffer():
-                    self.send(0, "offer")
-                    self.send(0, "copy complete")
-                case old_process.Reject():
-                    self.send(0, "abort")
+                case old_process.Reject() | old_process.AnswerOrphanedClients():
                     self.closed[0] = True
                 case old_process.HandOver():
                     self.serves[0] = False
-                    self.send(0, "final state")
-                case old_process.SendReclaim():
-                    self.send(0, "reclaim")
                 case old_process.KillNewProcess():
                     self.die(1)
                 case old_process.ResumeServing():
                     self.serves[0] = True
-                case old_process.AnswerOrphanedClients():
-                    self.closed[0] = True
-                case old_process.Release():
-                    self.send(0, "release")
                 case old_process.Exit():
                     self.die(0)
                 case old_process.SetTimer():
                     self.waits[0] = True
 
-    def checked(self, event) -> None:
+    def end_self_check(self, event: new_process.Event) -> None:
+        """End the self-check of the new process with an outcome."""
         self.checking = False
         self.feed_new(0, event)
 
-    def feed_new(self, now: int, event) -> None:
+    def feed_new(self, now: int, event: new_process.Event) -> None:
+        """Feed the new process an event, and carry out its actions."""
         self.waits[1] = False if isinstance(event, new_process.TimerFired) else self.waits[1]
         self.carry_out(self.new.handle(now, event))
 
-    def carry_out(self, actions) -> None:
+    def carry_out(self, actions: Iterable[new_process.Action]) -> None:
+        """Carry out actions of the new process."""
         for action in actions:
+            for message in NEW_MESSAGES.get(type(action), ()):
+                self.send(1, message)
             match action:
-                case new_process.SendHello():
-                    self.send(1, "hello")
                 case new_process.RunSelfCheck():
                     self.checking = True
-                case new_process.SendReady():
-                    self.send(1, "ready")
                 case new_process.StartServing():
                     self.serves[1] = True
-                    self.send(1, "started")
                 case new_process.SendHeartbeat():
-                    if len(self.to_old) < 3:
-                        self.send(1, "heartbeat")
+                    self._send_heartbeat()
                 case new_process.ServeAlone():
-                    if self.alive[0]:
-                        self.die(0)
-                    self.serves[1] = True
+                    self._serve_alone()
                 case new_process.StopServing():
                     self.serves[1] = False
-                    self.send(1, "serving stopped")
                 case new_process.Exit():
-                    self.send(1, "failure")
                     self.die(1)
                 case new_process.SetTimer():
                     self.waits[1] = True
 
+    def _send_heartbeat(self) -> None:
+        if len(self.to_old) < MAX_QUEUED_MESSAGES:
+            self.send(1, "heartbeat")
+
+    def _serve_alone(self) -> None:
+        if self.alive[0]:
+            self.die(0)
+        self.serves[1] = True
+
 
 def initial_state(faults: int = 2) -> Model:
+    """Return the state in which the new process has started."""
     model = Model(faults)
     model.carry_out(model.new.start(0))
     return model
--- /dev/null
+++ b/tests/harness/session_clients.py
@@ -0,0 +1,132 @@
+"""Clients of a session: requests, quota requests and events without an effect."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from harness.session_records import (
+    MS,
+    SECOND,
+    SERVED,
+    START_US,
+    count_recovered_event,
+    quota_requested_event,
+    record,
+    replica_set_changed_event,
+    request_record,
+)
+
+if TYPE_CHECKING:
+    from harness.golden_session import Session
+
+
+class DrawnCustomer(NamedTuple):
+    """A customer with its plan and replica set."""
+
+    number: int
+    plan: int
+    first: int
+    size: int
+
+
+class SessionClients:
+    """Feeds a session events that clients cause; each method schedules its next call."""
+
+    def __init__(self, session: Session) -> None:
+        self.session = session
+        self.random = session.random
+        self.request_count = 0
+
+    def draw_customer(self) -> DrawnCustomer:
+        """Draw a customer with its plan and replica set: a few are frequent, many come once."""
+        gateways = self.session.gateway_count
+        number = min(int(4 * self.random.paretovariate(0.5)), 5_000)
+        sizes = (1, 2, 3, gateways, gateways, min(13, gateways))
+        size = min(sizes[number // 2 % 6], gateways)
+        return DrawnCustomer(number, number % 6, number * 7 % gateways, size)
+
+    def _draw_gateway(self, customer: DrawnCustomer) -> int:
+        """Draw a gateway of a customer's replica set."""
+        return (customer.first + self.random.randrange(customer.size)) % self.session.gateway_count
+
+    def send_requests(self, burst: int) -> None:
+        """Feed a client's requests."""
+        customer = self.draw_customer()
+        gateway = self._draw_gateway(customer)
+        for _ in range(burst):
+            self._send_request(gateway, customer)
+        is_rush = 10 * SECOND < self.session.now - START_US < 11 * SECOND
+        pause_us = self.random.randrange(1, 16 * MS) // (20 if is_rush else 1)
+        self.session.schedule(pause_us, self.send_requests, self.random.choice((1, 1, 1, 4)))
+
+    def _send_request(self, gateway: int, customer: DrawnCustomer) -> None:
+        self.request_count += 1
+        time_left_us = self.random.choice((2_000_000, 2_000_000, 400_000, 20_000))
+        request_class, units = self.random.randrange(5), self.random.choice((1.0, 1.0, 2.0, 5.0))
+        is_retry = self.random.random() < 0.1
+        self.session.feed(
+            request_record(
+                gateway,
+                self.request_count,
+                customer.number,
+                customer.plan,
+                request_class,
+                units,
+                time_left_us,
+                customer.first,
+                customer.size,
+                is_retry,
+            )
+        )
+        if self.random.random() < 0.05:
+            disconnected = record(3, "HI", gateway, self.request_count)
+            self.session.schedule(self.random.randrange(100 * MS), self.session.feed, disconnected)
+
+    def feed_quota_events(self) -> None:
+        """Feed events that the protocol has no records for."""
+        customer = self.draw_customer()
+        gateway = self._draw_gateway(customer)
+        draw = self.random.random()
+        if draw < 0.8:
+            self._request_quota(gateway, customer)
+        elif draw < 0.9:
+            start = self.session.now // MS // 62 - self.random.randrange(50)
+            event = count_recovered_event(*customer, start, self.random.uniform(0, 9))
+            self.session.feed_event(gateway, event)
+        else:
+            self._change_replica_set(customer)
+        self.session.schedule(self.random.randrange(30 * MS), self.feed_quota_events)
+
+    def _request_quota(self, gateway: int, customer: DrawnCustomer) -> None:
+        self.request_count += 1
+        request_class = self.random.randrange(5)
+        event = quota_requested_event(
+            self.request_count,
+            customer.number,
+            customer.plan,
+            request_class,
+            1.0,
+            customer.first,
+            customer.size,
+        )
+        self.session.feed_event(gateway, event)
+
+    def _change_replica_set(self, customer: DrawnCustomer) -> None:
+        gateways = self.session.gateway_count
+        first = self.random.randrange(gateways)
+        for gateway in range(gateways):
+            size = self.random.randrange(1, gateways + 1)
+            event = replica_set_changed_event(customer.number, customer.plan, first, size)
+            self.session.feed_event(gateway, event)
+
+    def feed_ignored_events(self) -> None:
+        """Feed events that lead to no action."""
+        gateway = self.random.randrange(self.session.gateway_count)
+        endpoint = self.random.choice(self.session.endpoints)
+        self.session.feed(
+            record(10, "HfIHQ", gateway, 38.0, 900, SERVED, 7),
+            record(11, "HIH6sB4f", gateway, 900, SERVED, endpoint.name, 2, 0.5, 2.0, 0.0, 0.0),
+            record(1, "HQ", gateway, 9_999_999),
+            record(3, "HI", gateway, 9_999_999),
+        )
+        self.session.schedule(500 * MS, self.feed_ignored_events)
--- a/tests/harness/session_records.py
+++ b/tests/harness/session_records.py
@@ -5,6 +5,7 @@
 import json
 import struct
 from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
@@ -12,11 +13,14 @@
 
 MS, SECOND = 1_000, 1_000_000
 START_US = 1_000 * SECOND
+# Outcomes of attempts
 SERVED, ERROR, ENDPOINT_FULL, TIMED_OUT, CONNECT_FAILED, CONNECTION_BROKEN, CANCELLED, NOT_SENT = (
     100, 301, 302, 303, 304, 305, 306, 307,
 )  # fmt: skip
+# States of endpoints, and kinds of endpoint lists
 GONE, READY, DRAINING = 0, 1, 2
 DELTA, COMPLETE, CACHED, FAILED = 0, 1, 2, 3
+# Codes of actions' records
 SEND, REJECT, FAIL, CANCEL, SET_TIMER, SEND_PEER_MESSAGE, POLICY_FAILURE, WATCH_ENDPOINTS = (
     65,
     66,
@@ -29,114 +33,122 @@
 )
 
 
-# What names the code's types: nothing else in this file does
+PERMISSIONS = {
+    "peers": True,
+    "probes": True,
+    "cancel": True,
+    "secondCopies": True,
+    "maxAttempts": 4,
+    "retryAfter": True,
+    "maxRetryAfter": 800_000,
+}
+
+
+class Ceiling(NamedTuple):
+    """A plan's ceiling: units a second, burst and slack."""
+
+    rate: float
+    burst: float
+    slack: float
+
+
+NO_CEILING = Ceiling(0.0, 0.0, 0.0)
+
+
+# -- the code's types, which nothing else in a session names
 
 
 def make_gateway(settings: bytes, seed: int, now: int) -> Gateway:
-    """A gateway under test."""
+    """Return a gateway's policy."""
     return Gateway(settings_json.parse_settings(settings), seed, now)
 
 
 def quota_requested_event(
-    request: int, customer: int, plan: int, kind: int, units: float, first: int, size: int
-):
-    """Quota is requested without an endpoint."""
-    return policy.QuotaRequested(request, customer, plan, kind, units, first, size)
+    request: int, customer: int, plan: int, request_class: int, units: float, first: int, size: int
+) -> policy.Event:
+    """Return a request of quota alone."""
+    return policy.QuotaRequested(request, customer, plan, request_class, units, first, size)
 
 
-def count_recovered_event(customer: int, plan: int, first: int, size: int, start: int, value: float):
-    """A count of another process of this gateway."""
+def count_recovered_event(
+    customer: int, plan: int, first: int, size: int, start: int, value: float
+) -> policy.Event:
+    """Return a count of another process of this gateway."""
     return policy.CountRecovered(customer, plan, first, size, start, value)
 
 
-def replica_set_changed_event(customer: int, plan: int, first: int, size: int):
-    """A customer's replica set changes."""
+def replica_set_changed_event(customer: int, plan: int, first: int, size: int) -> policy.Event:
+    """Return a change of a customer's replica set."""
     return policy.ReplicaSetChanged(customer, plan, first, size)
 
 
-def action_bytes(gateway: int, action) -> bytes:
-    """An action as the protocol encodes it; it has no record of grants and of the reason of a rejection."""
+def action_bytes(gateway: int, action: policy.Action) -> bytes:
+    """Return an action's record; grants and the reason of a rejection, which have none, are added."""
     if isinstance(action, policy.GrantQuota):
         return struct.pack("<BHI", 200, gateway, action.request)
     encoder = codec.Encoder()
     encoder.add_action(gateway, action)
-    found = encoder.encode_reply()[8:]
+    data = encoder.encode_reply()[8:]
     if isinstance(action, policy.RejectRequest):
-        found += b"beyond quota" if action.over_quota else b""
-    return found
+        data += b"beyond quota" if action.over_quota else b""
+    return data
 
 
-# Records of the wire
+# -- records of the protocol
 
 
-def record(code: int, layout: str, *values) -> bytes:
-    """A record of an event."""
+def record(code: int, layout: str, *values: Any) -> bytes:
+    """Return a record of an event."""
     return struct.pack("<B" + layout, code, *values).ljust(48, b"\0")
 
 
-def request_record(gateway, request, customer, plan, kind, units, left, first, size, repeat) -> bytes:
-    """A client's request."""
-    values = gateway, request, kind, plan, customer, left, units, float(size), float(first), 2 * repeat
-    return record(5, "HIBHQIfffH", *values)
-
-
-def outcome_record(gateway, request, attempt, server, outcome, took, answered) -> bytes:
-    """How an attempt ended."""
-    values = gateway, request, attempt, server, outcome, took, answered, 40, 1, 2, 0.5, 3.0, 0.0, 0.0
-    return record(6, "HIH6sHIBHHB4f", *values)
+def request_record(
+    gateway: int,
+    request: int,
+    customer: int,
+    plan: int,
+    request_class: int,
+    units: float,
+    time_left_us: int,
+    first: int,
+    size: int,
+    is_retry: bool,
+) -> bytes:
+    """Return the record of a client's request."""
+    values = gateway, request, request_class, plan, customer, time_left_us, units
+    return record(5, "HIBHQIfffH", *values, float(size), float(first), 2 * is_retry)
+
+
+def outcome_record(
+    gateway: int,
+    request: int,
+    attempt: int,
+    endpoint: bytes,
+    outcome: int,
+    duration_us: int,
+    answered: bool,
+) -> bytes:
+    """Return the record of an attempt's outcome."""
+    values = gateway, request, attempt, endpoint, outcome, duration_us, answered
+    return record(6, "HIH6sHIBHHB4f", *values, 40, 1, 2, 0.5, 3.0, 0.0, 0.0)
 
 
 def frame(now: int, records: list[bytes], tail: bytes = b"") -> bytes:
-    """A frame of records."""
+    """Return a frame of records."""
     body = b"".join(records) + tail
     return struct.pack("<IIQ", len(records), len(body), now) + body
 
 
-def settings_text(rank: int, gateways: int, **permissions) -> bytes:
-    """Settings with every kind of class and plan; all figures are made up."""
-
-    def request_class(effect: str, group: str, window: int, deadline: int) -> dict:
-        times = {"target": 400_000, "deadline": deadline, "dedupWindow": window}
-        return {"effect": effect, "group": group, "credit": 1.0, "lateWorth": 0.2, **times}
-
-    def plan(rate: float, burst: float, opened: int = 0, ceiling=(0.0, 0.0, 0.0)) -> dict:
-        money = {"pays": 1.0, "beyondEarns": 0.2, "overrunCost": 1.0}
-        hard_rate, depth, slack = ceiling
-        limits = {"perSecond": rate, "peakUnits": burst, "open": opened, "hardRate": hard_rate}
-        return {**limits, "capDepth": depth, "capSlack": slack, **money}
-
-    classes = [
-        request_class("repeatable", "all", 0, 2_000_000),
-        request_class("by_key", "cell", 900_000, 2_500_000),
-        request_class("by_key", "zone", 900_000, 2_500_000),
-        request_class("by_key", "all", 600_000, 2_500_000),
-        request_class("once", "all", 0, 2_000_000),
-    ]
-    plans = [
-        plan(30.0, 20.0),
-        plan(20.0, 12.0, opened=2),
-        plan(40.0, 20.0, ceiling=(50.0, 24.0, 3.0)),
-        plan(0.0, 0.0),
-        plan(4.0, 6.0),
-        plan(0.0, 0.0, ceiling=(8.0, 12.0, 1.0)),
-    ]
-    may = {
-        "peers": True,
-        "probes": True,
-        "cancel": True,
-        "secondCopies": True,
-        "maxAttempts": 4,
-        "retryAfter": True,
-        "maxRetryAfter": 800_000,
-    }
+def settings_text(rank: int, gateways: int, **permissions: Any) -> bytes:
+    """Return settings with every kind of class and plan; all figures are made up."""
     value = {
         "rank": rank,
         "balancers": gateways,
         "locality": rank % 3,
-        "classes": classes,
-        "packages": plans,
+        "classes": _classes(),
+        "packages": _plans(),
         "discovery": "on_request" if rank % 2 else "pushed",
-        "permissions": {**may, **permissions},
+        "permissions": {**PERMISSIONS, **permissions},
         "familyInfo": {"peerIntake": 60.0, "sharedCounter": True},
         "charges": {"crossZone": 0.01, "peer": 0.01, "probe": 0.01, "waste": 0.03},
         "loadReport": {"how": "inline", "names": ["util", "inflight"]},
@@ -152,6 +164,38 @@
     return json.dumps(value).encode()
 
 
+def _classes() -> list[dict[str, Any]]:
+    def request_class(effect: str, group: str, window: int, deadline: int) -> dict[str, Any]:
+        times = {"target": 400_000, "deadline": deadline, "dedupWindow": window}
+        return {"effect": effect, "group": group, "credit": 1.0, "lateWorth": 0.2, **times}
+
+    return [
+        request_class("repeatable", "all", 0, 2_000_000),
+        request_class("by_key", "cell", 900_000, 2_500_000),
+        request_class("by_key", "zone", 900_000, 2_500_000),
+        request_class("by_key", "all", 600_000, 2_500_000),
+        request_class("once", "all", 0, 2_000_000),
+    ]
+
+
+def _plans() -> list[dict[str, Any]]:
+    def plan(
+        rate: float, burst: float, max_in_flight: int = 0, ceiling: Ceiling = NO_CEILING
+    ) -> dict[str, Any]:
+        prices = {"pays": 1.0, "beyondEarns": 0.2, "overrunCost": 1.0}
+        limits = {"perSecond": rate, "peakUnits": burst, "open": max_in_flight, "hardRate": ceiling.rate}
+        return {**limits, "capDepth": ceiling.burst, "capSlack": ceiling.slack, **prices}
+
+    return [
+        plan(30.0, 20.0),
+        plan(20.0, 12.0, max_in_flight=2),
+        plan(40.0, 20.0, ceiling=Ceiling(50.0, 24.0, 3.0)),
+        plan(0.0, 0.0),
+        plan(4.0, 6.0),
+        plan(0.0, 0.0, ceiling=Ceiling(8.0, 12.0, 1.0)),
+    ]
+
+
 @dataclass
 class Endpoint:
     """An endpoint as discovery reports it, and its requests in flight."""
@@ -164,7 +208,7 @@
     in_flight: int = 0
 
     def entry(self) -> bytes:
-        """Its entry of an endpoint list."""
+        """Return its entry of an endpoint list."""
         return struct.pack(
             "<fB6sBQBH", 1.0, 0, self.name, self.zone, self.started_at_us, self.state, self.cell
         )
--- a/tests/test_account_recovery.py
+++ b/tests/test_account_recovery.py
@@ -167,10 +167,10 @@
         assert harness.spend(40) >= ALMOST_FULL  # as without any
         assert harness.backend.files[path] != data
 
-        def full(path: str, data: bytes) -> None:
+        def disk_full(_path: str, _data: bytes) -> None:
             raise OSError(28, "No space left on device")
 
-        harness.backend.write_file = full
+        harness.backend.write_file = disk_full
         harness.loop.sleep(60 * SECOND)
         assert path not in harness.backend.files
         assert harness.ask(GET)[0] == 200
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -88,7 +88,8 @@
     analysis = CanaryAnalysis()
     for _ in range(50):
         verdict = analysis.observe({"a": AnswerCounts(100, failed=60)}, {"a": AnswerCounts(300, failed=180)})
-    assert verdict.harm == "" and verdict.has_enough_answers
+    assert verdict.harm == ""
+    assert verdict.has_enough_answers
 
 
 def test_few_answers_neither_show_harm_nor_pass_a_stage():
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -50,6 +50,7 @@
 
 
 def problems(text: str) -> list[str]:
+    """Return the lines of the error that a text leads to."""
     with pytest.raises(ConfigError) as caught:
         load(text)
     return str(caught.value).splitlines()
@@ -112,10 +113,12 @@
 
 @given(st.text(alphabet='ab:{}[]"1&|*#.\n ,?=>/', max_size=30))
 def test_any_text_gives_a_record_or_an_error(text):
+    found = None
     try:
         load(text)
-    except ConfigError as wrong:
-        assert wrong.problems
+    except ConfigError as error:
+        found = error
+    assert found is None or found.problems
 
 
 def test_durations_and_sizes_are_parsed_with_their_units():
--- a/tests/test_consensus_model.py
+++ b/tests/test_consensus_model.py
@@ -1,9 +1,4 @@
-"""Model checking of three voters: two commands at once, up to two faults, datagrams in any order.
-
-Faults: a voter dies and restarts with its disk, an old copy or an empty one; a write fails; a datagram is
-duplicated. A lost datagram is one that is never delivered. Invariants: two states of one index are never both
-chosen, and a command is carried out in its own term alone.
-"""
+"""Model checking of three voters; ``harness/consensus_model.py`` has the model, its faults and invariants."""
 
 from __future__ import annotations
 
@@ -40,7 +35,7 @@
 
 
 class ForgetfulVoter(Voter):
-    """Accepts and keeps nothing of it: the next promise tells of nothing."""
+    """Accepts and stores nothing of it: the next promise has nothing accepted."""
 
     def _on_accept(self, sender, message, state):
         super()._on_accept(sender, message, state)
@@ -50,7 +45,7 @@
 
 
 class SelfOverrulingVoter(Voter):
-    """Its proposer goes on whatever its acceptor promised since; the search found this once."""
+    """Its proposer continues whatever its acceptor has promised since; the search found this once."""
 
     def _start_accept(self, now, attempt):
         promised = min(self.voter_state.promised, attempt.ballot)
@@ -59,9 +54,9 @@
 
 
 class TrustingVoter(Voter):
-    """Goes on with whatever disk it finds."""
+    """Continues with any disk."""
 
-    def _on_vote_count(self, sender, message):
+    def _on_vote_count(self, sender, _message):
         self._check_responses[sender] = True
 
 
@@ -90,13 +85,13 @@
 
 
 def test_a_leader_without_fencing_violates_it(monkeypatch):
-    plan = {0: StopRollout(1, 7, "a step of the first term"), 1: ClaimLeadership(1, 2)}
+    plan = {0: StopRollout(1, 7, "a command of the first term"), 1: ClaimLeadership(1, 2)}
     search(plan, ("dies",), 1)
-    monkeypatch.setattr(commands, "_require_term", lambda state, term: None)
+    monkeypatch.setattr(commands, "_require_term", lambda _state, _term: None)
     monkeypatch.setattr(
         StopRollout,
         "apply",
-        lambda self, state: commands._next_state(state, latest_number=state.latest_number + 1),
+        lambda _self, state: commands._next_state(state, latest_number=state.latest_number + 1),
     )
     with pytest.raises(InvariantViolationError, match="fencing"):
         search(plan, ("dies",), 1)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,11 +1,11 @@
-"""Discovery: when it is asked anew, what is made of its lines, and what is known in time all the same."""
+"""Discovery: events are known in time though watches break, older lists come late, or it is down."""
 
 from __future__ import annotations
 
 import json
 
 import pytest
-from harness.discovery_harness import drains, is_drain_known, run, trickle, within
+from harness.discovery_harness import drain_endpoint, is_drain_known, run, timeout_us, trickle
 from harness.platform_harness import (
     MS,
     SECOND,
@@ -26,12 +26,14 @@
 
 BACKENDS = pytest.mark.parametrize("backend", [PlatformHarness, RealPlatformHarness])
 GRACE = SECOND  # of drains, in the settings of these tests
+READINESS_CHECK = b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n"
 
 
-# -- old news
+# -- older lists
 
 
 def apply(tracker, generation, *instances, reset=False):
+    """Apply a line of a watch."""
     line = {"generation": generation, "reset": reset, "instances": list(instances)}
     return tracker.apply_line(json.dumps(line).encode())
 
@@ -41,7 +43,7 @@
     apply(tracker, 40, instance(1), instance(2), reset=True)
     apply(tracker, 41, instance(1, "left"))
     assert apply(tracker, 39, instance(1), instance(2), reset=True) is None
-    assert apply(tracker, 40, instance(1)) is None  # changes that go on from there are old, too
+    assert apply(tracker, 40, instance(1)) is None  # changes that follow it are old, too
     assert tracker.state(b"s-1") == "gone"
     apply(tracker, 42, instance(1))
     assert tracker.state(b"s-1") == "ready"
@@ -54,7 +56,7 @@
     apply(tracker, 30, instance(1), instance(2), reset=True)
     assert apply(tracker, 31, instance(1), instance(2, "leaving")).entries[0].endpoint == b"s-2"
     assert (tracker.state(b"s-1"), tracker.state(b"s-2")) == ("draining", "draining")
-    apply(tracker, 32, instance(1, startedAtMs=5))  # it was started anew since
+    apply(tracker, 32, instance(1, startedAtMs=5))  # it was restarted since
     assert tracker.state(b"s-1") == "ready"
 
 
@@ -83,25 +85,29 @@
     assert (tracker.generation, tracker.state(b"s-0"), len(tracker.endpoints)) == (1, "ready", MAX_ENDPOINTS)
 
 
-# -- watches that go wrong
+# -- broken watches
+
+
+TRICKLED_PIECES = {
+    "trickles": b" ",
+    "trickles an object": b'{"g"',
+    "trickles lines of an object": b"{\n",
+}
 
 
 @BACKENDS
-@pytest.mark.parametrize("kind", ["silent", "trickles", "trickles an object", "trickles lines of an object"])
+@pytest.mark.parametrize("kind", ["silent", *TRICKLED_PIECES])
 def test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline(backend, kind):
     def test(harness: PlatformHarness) -> None:
         harness.discovery.beats = False
-        harness.discovery.send(harness.discovery.streams[0], b"\n")  # the last that it says
+        harness.discovery.send(harness.discovery.streams[0], b"\n")  # the last that it sends
         began = harness.loop.now()
         if kind != "silent":
-            piece = {"trickles": b" ", "trickles an object": b'{"g"', "trickles lines of an object": b"{\n"}[
-                kind
-            ]
-            harness.scope.spawn(trickle, harness, piece)
-        drains(harness)
-        harness.until(lambda: is_drain_known(harness), within(harness, polling.NOTIFICATION_DEADLINE_US))
+            harness.scope.spawn(trickle, harness, TRICKLED_PIECES[kind])
+        drain_endpoint(harness)
+        harness.until(lambda: is_drain_known(harness), timeout_us(harness, polling.NOTIFICATION_DEADLINE_US))
         assert len(harness.discovery.asked) == 2
-        assert harness.loop.now() - began < within(harness, polling.NOTIFICATION_DEADLINE_US)
+        assert harness.loop.now() - began < timeout_us(harness, polling.NOTIFICATION_DEADLINE_US)
 
     run(backend, test)
 
@@ -109,10 +115,10 @@
 @BACKENDS
 def test_a_watch_that_is_reset_is_reopened_at_once(backend):
     def test(harness: PlatformHarness) -> None:
-        harness.loop.sleep(polling.HEARTBEAT_INTERVAL_US)  # it spoke for a while
-        drains(harness)
+        harness.loop.sleep(polling.HEARTBEAT_INTERVAL_US)  # after a while with heartbeats
+        drain_endpoint(harness)
         harness.discovery.streams[0].abort()
-        harness.until(lambda: is_drain_known(harness), within(harness, GRACE // 2))
+        harness.until(lambda: is_drain_known(harness), timeout_us(harness, GRACE // 2))
 
     run(backend, test)
 
@@ -139,9 +145,9 @@
 
 
 @BACKENDS
-@pytest.mark.parametrize("how", ["takes calls and is silent", "refuses"])
+@pytest.mark.parametrize("how", ["accepts polls and is silent", "refuses"])
 def test_events_at_the_return_of_discovery_are_known_within_the_drain_grace(backend, how):
-    """Calls made while it was down hear nothing even then."""
+    """Polls that came while it was down get no response even then."""
 
     def test(harness: PlatformHarness) -> None:
         discovery = harness.discovery
@@ -155,11 +161,11 @@
             isinstance(harness, RealPlatformHarness)
             or len(discovery.unheard) <= 4 * SECOND // retry_interval_us(GRACE) + 1
         )
-        drains(harness)
+        drain_endpoint(harness)
         discovery.answers = True
         if how == "refuses":
             harness.scope.spawn(discovery.serve, priority=CONTROL)
-        harness.until(lambda: is_drain_known(harness), within(harness, GRACE))
+        harness.until(lambda: is_drain_known(harness), timeout_us(harness, GRACE))
 
     run(backend, test)
 
@@ -167,19 +173,21 @@
 @BACKENDS
 def test_a_moved_discovery_replaces_the_old_one_that_still_sends_older_events(backend):
     def test(harness: PlatformHarness) -> None:
-        other = Discovery(harness, (harness.at, 8501))
-        other.hello = [{"generation": 9, "reset": True, "instances": [harness.instance(0, "leaving")]}]
-        other.answers = False
-        harness.scope.spawn(other.serve, priority=CONTROL)
+        new_discovery = Discovery(harness, (harness.at, 8501))
+        new_discovery.hello = [
+            {"generation": 9, "reset": True, "instances": [harness.instance(0, "leaving")]}
+        ]
+        new_discovery.answers = False
+        harness.scope.spawn(new_discovery.serve, priority=CONTROL)
         moved = file(**{**harness.changes, "discovery": f"{harness.at}:8501"})
-        harness.gateway.loop.backend.read_file = lambda path: json.dumps(moved).encode()
+        harness.gateway.loop.backend.read_file = lambda _path: json.dumps(moved).encode()
         harness.gateway.reload()
-        harness.until(lambda: other.asked)
-        harness.discovery.tell(3, harness.instance(0, weight=2.0))  # the old one is followed meanwhile
+        harness.until(lambda: new_discovery.asked)
+        harness.discovery.tell(3, harness.instance(0, weight=2.0))  # the former one is followed meanwhile
         harness.until(lambda: harness.gateway.tracker.generation == 3)
-        other.answers = True
-        harness.until(lambda: is_drain_known(harness), within(harness, GRACE))
-        for stream in harness.discovery.streams:  # ended by us, or what it says is old
+        new_discovery.answers = True
+        harness.until(lambda: is_drain_known(harness), timeout_us(harness, GRACE))
+        for stream in harness.discovery.streams:  # closed by the gateway, or what it sends is old
             try:
                 harness.discovery.send(
                     stream, {"generation": 4, "reset": True, "instances": [harness.instance(0)]}
@@ -207,37 +215,36 @@
             harness.until(lambda count=count: len(harness.discovery.streams) > count)
         assert harness.gateway.tracker.endpoints == before
         assert harness.gateway.tracker.generation == 1
-        good_one = {"generation": 2, "reset": False, "instances": [harness.instance(0, "leaving")]}
-        harness.discovery.send(harness.discovery.streams[-1], good_one)
+        valid = {"generation": 2, "reset": False, "instances": [harness.instance(0, "leaving")]}
+        harness.discovery.send(harness.discovery.streams[-1], valid)
         harness.until(lambda: is_drain_known(harness))
 
     run(backend, test)
     assert capsys.readouterr().out.count("discovery:") <= 3
 
 
-# -- what is known at the start
+# -- readiness
 
 
 @BACKENDS
 def test_the_gateway_is_ready_once_discovery_has_responded(backend):
-    up = b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n"
 
     def test(harness: PlatformHarness) -> None:
-        assert harness.ask(up)[0] == 200
+        assert harness.ask(READINESS_CHECK)[0] == 200
         harness.gateway._discovery_responded, harness.gateway._ready_without_discovery_at = (
             False,
             harness.loop.now() + 60 * SECOND,
         )
-        assert harness.ask(up)[0] == 503
+        assert harness.ask(READINESS_CHECK)[0] == 503
         harness.discovery.tell(2, harness.instance(0))
-        harness.until(lambda: harness.ask(up)[0] == 200, within(harness, GRACE // 2))
+        harness.until(lambda: harness.ask(READINESS_CHECK)[0] == 200, timeout_us(harness, GRACE // 2))
 
     run(backend, test)
 
 
 @BACKENDS
 def test_the_first_readiness_check_succeeds_where_discovery_responds_at_once(backend):
-    class Starts(backend):
+    class StartsLate(backend):
         def _begin(self) -> None:
             self.until(lambda: self.discovery.listener is not None)
             self.process = self.loop.spawn(self._gateway, priority=CONTROL, scope=self.scope)
@@ -252,24 +259,23 @@
                 break
             except ConnectionFailedError:
                 harness.loop.sleep(MS)
-        stream.send(b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n")
+        stream.send(READINESS_CHECK)
         assert harness.answer(stream)[0] == 200
 
-    run(Starts, test)
+    run(StartsLate, test)
 
 
 def test_with_a_silent_discovery_the_last_known_list_serves_and_readiness_follows_the_grace():
-    up = b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n"
     known = {"generation": 90, "reset": True, "instances": [instance(0)]}
 
-    class Down(PlatformHarness):
+    class SilentDiscovery(PlatformHarness):
         def _begin(self) -> None:
             self.discovery.answers = False
             super()._begin()
 
     def test(harness: PlatformHarness) -> None:
-        assert harness.ask(up)[0] == 503
+        assert harness.ask(READINESS_CHECK)[0] == 503
         assert harness.ask(call())[0] == 200
-        harness.until(lambda: harness.ask(up)[0] == 200, GRACE)
+        harness.until(lambda: harness.ask(READINESS_CHECK)[0] == 200, GRACE)
 
-    run(Down, test, known=known, settings=settings())
+    run(SilentDiscovery, test, known=known, settings=settings())
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -81,7 +81,8 @@
         FetchState(7, "new", 5, SECOND - 100)
     ]
     hints = gateway.learn_state(5, "new", SECOND - 100)
-    assert len(hints) == 2 and all(isinstance(send.message, messages.NewStateHint) for send in hints)
+    assert len(hints) == 2
+    assert all(isinstance(send.message, messages.NewStateHint) for send in hints)
     assert gateway.learn_state(5, "new", None) == []
 
 
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -98,4 +98,6 @@
             )
         )
     gateway = harness.gateway
-    assert not gateway.endpoints and not gateway.cell_pools and not gateway.zone_pools
+    assert not gateway.endpoints
+    assert not gateway.cell_pools
+    assert not gateway.zone_pools
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -52,7 +52,8 @@
         harness.advance(90_000)
     apart = [later - earlier for earlier, later in zip(sent, [*sent[1:], harness.now], strict=True)]
     assert 3 <= len(sent) <= 5
-    assert max(apart) < 3.5 * SECOND and min(apart[:-1]) >= 3 * SECOND
+    assert max(apart) < 3.5 * SECOND
+    assert min(apart[:-1]) >= 3 * SECOND
 
 
 def test_a_slow_endpoint_gets_less_traffic_until_it_recovers():
--- a/tests/test_golden_rollouts.py
+++ b/tests/test_golden_rollouts.py
@@ -48,7 +48,8 @@
 
 def test_the_golden_ledger_has_changes_in_every_stage_and_fills_every_field():
     ledger = golden_replicated_state()
-    assert ledger.rollout is not None and ledger.halted_rollout is not None
+    assert ledger.rollout is not None
+    assert ledger.halted_rollout is not None
     assert {ledger.rollout.phase, ledger.halted_rollout.phase} == set(replicated_state.RolloutPhase)
     filled = (
         ledger,
@@ -63,7 +64,8 @@
 
 def test_golden_certificates_are_signed_for_their_versions():
     ledger = replicated_state.decode(golden("ledger.msgpack"))
-    assert ledger.halted_rollout is not None and ledger.halted_rollout.certificate is not None
+    assert ledger.halted_rollout is not None
+    assert ledger.halted_rollout.certificate is not None
     for certificate in (ledger.current, ledger.halted_rollout.certificate):
         assert version.certificate_error(SECRET, certificate) == ""
 
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -1,6 +1,6 @@
 """The policy as a whole: a fleet's session of many events leads to the same actions as golden data.
 
-Events go in and actions come out as records of the simulator protocol, so that names in the code play no part.
+Events go in and actions come out as records of the simulator protocol, so names in the code play no part.
 What it does not carry (quota requests, counts of another process, changes of replica sets)
 is built in ``harness/session_records.py``. ``harness/golden_files.py`` says how the golden file is written.
 """
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -47,7 +47,10 @@
 def test_a_policy_restored_from_the_golden_state_is_dumped_to_the_same_bytes():
     module = golden_gateway()
     assert msgspec.msgpack.encode(recording.dump_state(module)) == golden("module-state.msgpack")
-    assert module.accounts and module.endpoints and module.requests and module.attempts
+    assert module.accounts
+    assert module.endpoints
+    assert module.requests
+    assert module.attempts
 
 
 def test_every_value_of_the_golden_state_is_restored_to_its_place_in_the_policy():
@@ -98,10 +101,13 @@
     assert module.attempts[1, 1] == (second, request)
     attempt, ended = module.attempts[2, 2]
     assert [attempt.sent_at_us, attempt.load, ended.deadline_at_us] == [1_000_378_452, 3.0, 1_002_052_372]
-    assert attempt.endpoint is module.endpoints[server] and ended.account is module.accounts[2]
+    assert attempt.endpoint is module.endpoints[server]
+    assert ended.account is module.accounts[2]
     assert list(module.idle_queue) == state.idle_queue == [1, 4, 5, 0, 2]
-    assert list(module.pending_changes) == [1, 0] and module.exhausted_customers == {2: 2}
-    assert module.last_seen_at_us == {1: 1_000_413_638} and module.pending_deltas == {1: {5: 1}, 2: {2: 2}}
+    assert list(module.pending_changes) == [1, 0]
+    assert module.exhausted_customers == {2: 2}
+    assert module.last_seen_at_us == {1: 1_000_413_638}
+    assert module.pending_deltas == {1: {5: 1}, 2: {2: 2}}
     assert list(module.awaited_replies) == [(1_000_470_794, 2, 5, 0)]
 
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, why",
+    ("change", "why"),
     [
         ({"protocol_version": 99}, "format 99"),
         ({"rank": 1}, "rank 0"),
--- a/tests/test_hot_restart_model.py
+++ b/tests/test_hot_restart_model.py
@@ -1,8 +1,4 @@
-"""The two machines of a hot restart and the channel between them, explored over all states.
-
-Crashes, hangs and garbage may happen anywhere. Invariants: at most one of the two serves, and from every
-state one that serves is reached, unless both are dead. A machine broken on purpose is found.
-"""
+"""Model checking of a hot restart; ``harness/hot_restart_model.py`` has the model and its invariants."""
 
 from __future__ import annotations
 
@@ -22,19 +18,19 @@
 
 
 @pytest.mark.parametrize(
-    "phase, event, instead",
+    ("phase", "event", "instead"),
     [
         # resumes serving at the first missed heartbeat, without making sure
         (
             old_process.Phase.COMMITTED,
             old_process.TimerFired,
-            lambda process, now, event: process.actions.append(old_process.ResumeServing("silent")),
+            lambda process, _now, _event: process.actions.append(old_process.ResumeServing("silent")),
         ),
         # resumes serving on the word of a failed new process alone
         (
             old_process.Phase.COMMITTED,
             old_process.FailureDetected,
-            lambda process, now, event: process.actions.append(old_process.ResumeServing("unfit")),
+            lambda process, _now, _event: process.actions.append(old_process.ResumeServing("unfit")),
         ),
     ],
 )
@@ -52,7 +48,7 @@
     monkeypatch.setitem(
         new_process.TRANSITIONS,
         (new_process.Phase.PROBATION, new_process.ReclaimReceived),
-        lambda process, now, event: process.actions.append(new_process.SendHeartbeat()),
+        lambda process, _now, _event: process.actions.append(new_process.SendHeartbeat()),
     )
     result = explore(initial_state())
     assert (result.stuck_paths, result.violations) == ([], [])  # it is killed after a while
--- a/tests/test_json_stream.py
+++ b/tests/test_json_stream.py
@@ -31,11 +31,11 @@
         text += json.dumps(line, indent=indent).encode() + data.draw(
             st.sampled_from([b"\n", b"\r\n", b"\n\n"])
         )
-    split, found = JsonObjectSplitter(1 << 20), []
+    splitter, objects = JsonObjectSplitter(1 << 20), []
     for size in [*sizes, len(text)]:
-        found += split.feed(text[:size])
+        objects += splitter.feed(text[:size])
         text = text[size:]
-    assert [json.loads(one) for one in found if one.strip()] == LINES
+    assert [json.loads(data) for data in objects if data.strip()] == LINES
 
 
 def test_blank_lines_are_reported_between_objects_and_not_within():
@@ -44,7 +44,11 @@
 
 @pytest.mark.parametrize("piece", [b"x", b"{\n"])
 def test_input_without_an_end_is_too_long(piece):
-    split = JsonObjectSplitter(100)
-    with pytest.raises(LineTooLongError):
+    splitter = JsonObjectSplitter(100)
+
+    def feed_pieces() -> None:
         for _ in range(200):
-            split.feed(piece)
+            splitter.feed(piece)
+
+    with pytest.raises(LineTooLongError):
+        feed_pieces()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -70,13 +70,16 @@
 @WORKERS
 def test_without_a_file_a_failure_fails_the_run(tmp_path, workers):
     done = run(tmp_path, None, *workers)
-    assert done.returncode == 1 and "1 failed, 2 passed" in done.stdout and "known red" not in done.stdout
+    assert done.returncode == 1
+    assert "1 failed, 2 passed" in done.stdout
+    assert "known red" not in done.stdout
 
 
 @WORKERS
 def test_a_listed_test_that_passes_fails_the_run(tmp_path, workers):
     done = run(tmp_path, BAD + "\ntests/test_a.py::test_good | pytest | it was | 38\n", *workers)
-    assert done.returncode == 1 and "1 failed, 1 passed, 1 xfailed" in done.stdout
+    assert done.returncode == 1
+    assert "1 failed, 1 passed, 1 xfailed" in done.stdout
 
 
 @WORKERS
@@ -97,7 +100,9 @@
 @pytest.mark.parametrize("text", INVALID_FILES, ids=range(len(INVALID_FILES)))
 def test_a_file_that_breaks_its_rules_ends_the_run_before_any_test(tmp_path, text, workers):
     done = run(tmp_path, text, *workers)
-    assert done.returncode == 4 and "KNOWN-RED.txt" in done.stderr and "passed" not in done.stdout
+    assert done.returncode == 4
+    assert "KNOWN-RED.txt" in done.stderr
+    assert "passed" not in done.stdout
 
 
 def test_a_valid_file_gives_one_entry_a_line():
--- a/tests/test_polling.py
+++ b/tests/test_polling.py
@@ -14,66 +14,66 @@
 
 
 def test_a_silent_watch_is_replaced_before_its_notification_deadline():
-    assert (
-        polling.SILENCE_TIMEOUT_US >= polling.HEARTBEAT_INTERVAL_US + 100 * MS
-    )  # else a healthy one is broken
+    # else a healthy watch is closed
+    assert polling.SILENCE_TIMEOUT_US >= polling.HEARTBEAT_INTERVAL_US + 100 * MS
     for grace in (1, 300 * MS, 500 * MS, SECOND, 5 * SECOND):
-        again = retry_interval_us(grace)
-        assert polling.SILENCE_TIMEOUT_US + 7 * again <= polling.NOTIFICATION_DEADLINE_US
-        assert again <= max(
-            polling.MIN_RETRY_INTERVAL_US, grace // 2
-        )  # after an outage two calls fit into the grace
+        interval = retry_interval_us(grace)
+        assert polling.SILENCE_TIMEOUT_US + 7 * interval <= polling.NOTIFICATION_DEADLINE_US
+        # after an outage two polls fit into the grace
+        assert interval <= max(polling.MIN_RETRY_INTERVAL_US, grace // 2)
     assert polling.SILENCE_TIMEOUT_US + 2 * polling.MAX_BACKOFF_US < polling.NOTIFICATION_DEADLINE_US
 
 
 EVENTS = st.lists(
     st.tuples(
-        st.sampled_from(["wait", "spoke", "ended", "ended"]), st.integers(0, 3), st.integers(0, 3 * SECOND)
+        st.sampled_from(["wait", "responded", "ended", "ended"]),
+        st.integers(0, 3),
+        st.integers(0, 3 * SECOND),
     )
 )
 
 
 @given(EVENTS)
 def test_polls_are_bounded_and_one_is_always_active_or_due_soon(events):
-    clock, now, open_calls = PollSchedule(500 * MS), 0, []
-    for what, place, span in events:
-        now += span if what == "wait" else 0
-        if what != "wait" and open_calls:
-            number = open_calls[place % len(open_calls)]
-            if what == "spoke":
-                replaced = clock.response_received(number)
-                open_calls = [one for one in open_calls if one not in replaced]
+    schedule, now, open_polls = PollSchedule(500 * MS), 0, []
+    for action, index, delay_us in events:
+        now += delay_us if action == "wait" else 0
+        if action != "wait" and open_polls:
+            number = open_polls[index % len(open_polls)]
+            if action == "responded":
+                replaced = schedule.response_received(number)
+                open_polls = [poll for poll in open_polls if poll not in replaced]
             else:
-                open_calls.remove(number)
-                clock.poll_ended(number, now)
-        number, given_up = clock.next_poll(now)
-        open_calls = [one for one in open_calls if one not in given_up]
-        open_calls += [number] if number is not None else []
-        assert len(open_calls) <= polling.MAX_PENDING_POLLS
-        assert set(open_calls) == {*clock.pending, *([clock.active] if clock.active else [])}
-        if clock.active is None:
-            assert clock.next_deadline() <= now + polling.MAX_BACKOFF_US
+                open_polls.remove(number)
+                schedule.poll_ended(number, now)
+        number, abandoned = schedule.next_poll(now)
+        open_polls = [poll for poll in open_polls if poll not in abandoned]
+        open_polls += [number] if number is not None else []
+        assert len(open_polls) <= polling.MAX_PENDING_POLLS
+        assert set(open_polls) == {*schedule.pending, *([schedule.active] if schedule.active else [])}
+        if schedule.active is None:
+            assert schedule.next_deadline() <= now + polling.MAX_BACKOFF_US
         else:
-            assert clock.next_deadline() is None
+            assert schedule.next_deadline() is None
             assert number is None
-            assert not clock.pending
+            assert not schedule.pending
 
 
 def test_a_long_watch_is_replaced_at_once():
-    clock = PollSchedule(500 * MS)
-    number, _ = clock.next_poll(0)
-    clock.response_received(number)
-    clock.poll_ended(number, 10 * SECOND)
-    assert clock.next_poll(10 * SECOND)[0] is not None
+    schedule = PollSchedule(500 * MS)
+    number, _ = schedule.next_poll(0)
+    schedule.response_received(number)
+    schedule.poll_ended(number, 10 * SECOND)
+    assert schedule.next_poll(10 * SECOND)[0] is not None
 
 
 def test_short_watches_are_replaced_with_backoff():
-    clock, now, apart = PollSchedule(250 * MS), 0, []
+    schedule, now, intervals = PollSchedule(250 * MS), 0, []
     for _ in range(7):
-        began = now
-        number, _ = clock.next_poll(now)
-        clock.response_received(number)
-        clock.poll_ended(number, now)
-        now = clock.next_deadline()
-        apart.append((now - began) // MS)
-    assert apart == [250, 500, 1_000, 1_600, 1_600, 1_600, 1_600]
+        started_at = now
+        number, _ = schedule.next_poll(now)
+        schedule.response_received(number)
+        schedule.poll_ended(number, now)
+        now = schedule.next_deadline()
+        intervals.append((now - started_at) // MS)
+    assert intervals == [250, 500, 1_000, 1_600, 1_600, 1_600, 1_600]
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -249,9 +249,9 @@
         assert connection.execute_command("LIMIT.COMMIT", "acero", name) == 1
         assert connection.execute_command("LIMIT.RELEASE", "acero", name) == 0
         brief = connection.execute_command("LIMIT.RESERVE", "acero", 2, "FOR", 1)
+        for _ in range(1_000):  # until it has expired
+            connection.execute_command("LIMIT.PEEK", "acero")
         with pytest.raises(redis.ResponseError, match="EXPIRED"):
-            for _ in range(1_000):
-                connection.execute_command("LIMIT.PEEK", "acero")
             connection.execute_command("LIMIT.COMMIT", "acero", brief)
         with pytest.raises(redis.ResponseError, match="NOGRANT"):
             connection.execute_command("LIMIT.COMMIT", "acero", "0-0-0")
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""Whole rolls of a simulated fleet under load, with broken builds, and with the roll itself killed."""
+"""Rolling upgrades of a simulated fleet under load, with broken builds and a killed driver."""
 
 from __future__ import annotations
 
@@ -69,10 +69,11 @@
     assert verdict.answers.get("reset", 0) == 0
 
 
+@pytest.mark.usefixtures("rejecting")
 @pytest.mark.parametrize(
     "sabotage", [crash, reject_everything, hang_before_hello], ids=lambda sabotage: sabotage.__name__
 )
-def test_roll_with_one_broken_build_stops_and_rolls_back(sabotage, rejecting):
+def test_roll_with_one_broken_build_stops_and_rolls_back(sabotage):
     states = []
 
     def drive(harness: RollHarness) -> None:
--- a/tests/test_rolling_upgrade_model.py
+++ b/tests/test_rolling_upgrade_model.py
@@ -1,4 +1,4 @@
-"""The state machine of a roll, explored over all states of three gateways and what may befall them."""
+"""Model checking of a rolling upgrade: all states of three gateways under faults."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ModelGateway(msgspec.Struct):
-    """One gateway as it is: its process, what that runs, and its successor's process."""
+    """One gateway as it is: its process, the build that it runs, and its successor's process."""
 
     pid: int = 1
     new_build: bool = False
@@ -35,7 +35,7 @@
 
 
 class RollModel:
-    """A roll, its gateways, and what may befall them; what is kept is all that a killed roll leaves."""
+    """A rolling upgrade, its gateways, and their faults; a killed driver leaves only the stored state."""
 
     machine = rolling_upgrade.RollingUpgrade
 
@@ -151,7 +151,8 @@
     def _poll(self, rank: int, now: int, answers: AnswerCounts = HEALTHY) -> None:
         gateway = self.gateways[rank]
         if gateway.unreachable:
-            return self._feed(now, rolling_upgrade.GatewayUnreachable(rank, bool(gateway.successor)))
+            self._feed(now, rolling_upgrade.GatewayUnreachable(rank, bool(gateway.successor)))
+            return
         serving = not (gateway.successor and gateway.running)
         self._feed(
             now,
@@ -161,7 +162,7 @@
         )
 
     def _kill_and_resume(self) -> None:
-        """Killed and resumed at once; what was prepared and not let run ends with it."""
+        """Kill the driver and resume at once; a successor that was prepared and not released ends with it."""
         for gateway in self.gateways:
             if gateway.successor and not gateway.running:
                 gateway.successor = 0
@@ -177,15 +178,15 @@
 
 
 class IgnoresFailures(rolling_upgrade.RollingUpgrade):
-    """Takes a successor that it finds dead for one that never ran."""
+    """Treats a successor that it finds dead as one that never ran."""
 
-    def _fail(self, rank: int, gateway: rolling_upgrade.GatewayState, reason: str) -> None:
+    def _fail(self, _rank: int, gateway: rolling_upgrade.GatewayState, _reason: str) -> None:
         gateway.successor_pid = 0
         gateway.phase = rolling_upgrade.GatewayPhase.OLD
 
 
 class StartsAllAtOnce(rolling_upgrade.RollingUpgrade):
-    """Starts all at once."""
+    """Upgrades all gateways in one batch."""
 
     def _start_next_batch(self) -> list[rolling_upgrade.Action]:
         wanted = [
--- a/tests/test_rollout_commands.py
+++ b/tests/test_rollout_commands.py
@@ -195,7 +195,8 @@
     assert back.target_certificate(0).version.contents == OLD
     assert back.history[-1].outcome == "undone"
     refused = StopRollout(1, 2, "no").apply(asked)
-    assert refused.rollout.version.number == 1 and refused.halted_rollout is None
+    assert refused.rollout.version.number == 1
+    assert refused.halted_rollout is None
     with pytest.raises(CommandRejectedError, match="itself on its way"):
         ProposeVersion(1, "undo it", NEW, 2, "me", "x", reverts=2).apply(back)
 
@@ -233,7 +234,8 @@
     with pytest.raises(CommandRejectedError, match="another state"):
         SettleMembership(1, state.index - 1).apply(state)
     settled = SettleMembership(1, state.index).apply(state)
-    assert settled.previous_members == () and VotingMember(2, 555) in settled.members
+    assert settled.previous_members == ()
+    assert VotingMember(2, 555) in settled.members
     with pytest.raises(CommandRejectedError, match="so already"):
         ChangeMembership(1, 2, 555).apply(settled)
     smaller = ChangeMembership(1, 2, 0).apply(settled)
--- a/tests/test_rollout_scenarios.py
+++ b/tests/test_rollout_scenarios.py
@@ -1,4 +1,4 @@
-"""Fleet versions under random faults, one seed a scenario; see ``simulation/rollout_scenarios.py``."""
+"""Rollouts under random faults, one scenario for each seed; see ``simulation/rollout_scenarios.py``."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from harness.gateway_harness import MATERIALS, fleet
 from test_day import quiet  # noqa: F401
 
+from orchidlane.rollout.dissemination import Dissemination
 from orchidlane.simulation.rollout_scenarios import (
     FAULT_KINDS,
     InvariantViolationError,
@@ -75,9 +76,11 @@
 
 def test_the_checker_finds_gateways_that_serve_a_reverted_version(monkeypatch):
     """Gateways that ignore their lease are detected."""
-    from orchidlane.rollout.dissemination import Dissemination
 
-    monkeypatch.setattr(Dissemination, "rejection_reason", lambda self, now: "")
-    with pytest.raises(InvariantViolationError, match="serves by version"):
+    def run_seeds() -> None:
         for seed in range(20):
             run(RolloutScenario(seed, 5, 3, faults=frozenset(["cut", "still"])))
+
+    monkeypatch.setattr(Dissemination, "rejection_reason", lambda _self, _now: "")
+    with pytest.raises(InvariantViolationError, match="serves by version"):
+        run_seeds()
--- a/tests/test_shard_migration.py
+++ b/tests/test_shard_migration.py
@@ -118,7 +118,8 @@
     [refused] = [
         one for one in fleet.gateways[5].handle(fleet.now, asked) if isinstance(one, policy.RejectRequest)
     ]
-    assert refused.over_quota and refused.retry_after_us == 0  # it never comes back here
+    assert refused.over_quota
+    assert refused.retry_after_us == 0  # it never comes back here
 
 
 def test_a_migrated_share_starts_empty_and_fills_at_its_rate():
