--- a/tests/harness/process_sockets.py
+++ b/tests/harness/process_sockets.py
@@ -61,10 +61,10 @@
 
 
 def unread_at(gateway: PlatformProcess, client: socket.socket) -> int:
-    """What the gateway has not read of a client's bytes."""
+    """Return how many of a client's bytes the gateway has not read."""
     return sum(unread_bytes(ESTABLISHED, gateway.port, client.getsockname()[1]))
 
 
 def unread_datagrams(port: int) -> int:
-    """Bytes that wait at a bound UDP port of this machine."""
+    """Return the bytes of datagrams that wait at a UDP port of this machine."""
     return sum(unread_bytes(None, port, 0, "udp"))
--- a/tests/processes/test_platform_processes.py
+++ b/tests/processes/test_platform_processes.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import json
 import os
 import select
@@ -10,6 +11,7 @@
 import subprocess
 import sys
 from contextlib import ExitStack
+from pathlib import Path
 
 import pytest
 from harness.platform_harness import call, file, settings
@@ -62,63 +64,88 @@
 # -- descriptors
 
 
-@pytest.mark.parametrize("sockets", [64, 256])
-def test_idle_clients_at_their_limit_leave_descriptors_for_everything_else(tmp_path, sockets):
-    """While discovery is down, too: its calls, hosts' connections, a reload and further clients have room,
-    and datagrams go both ways.
+class LimitedGateway:
+    """A gateway under a limit of descriptors, with a peer; each of its requests is of another customer.
+
+    So no customer goes beyond its quota, and each is one that peers are notified of.
     """
-    customers = iter(range(10**9))
-    with ExitStack() as streams:
-        peer = streams.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
-        peer.bind(("127.0.0.1", 0))
-        peer.settimeout(TIMEOUT_S)
-        here = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
-        gateway = streams.enter_context(
+
+    def __init__(self, tmp_path: Path, sockets: int, streams: ExitStack) -> None:
+        self.streams, self.sockets = streams, sockets
+        self.peer = streams.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
+        self.peer.bind(("127.0.0.1", 0))
+        self.peer.settimeout(TIMEOUT_S)
+        self.peer_address = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
+        own, peer = format_address(self.peer_address), format_address(self.peer.getsockname())
+        self.process = streams.enter_context(
             PlatformProcess(
                 tmp_path,
                 hosts=2,
                 sockets=sockets,
-                peer_listen=format_address(here),
-                peers=[format_address(here), format_address(peer.getsockname())],
+                peer_listen=own,
+                peers=[own, peer],
                 settings=settings(balancers=2, permissions={**settings()["permissions"], "peers": True}),
             )
         )
-        served = ServingEndpoints(gateway.hosts).served
-
-        def ask() -> None:
-            """Of a customer of its own: none goes beyond its quota, each is one that peers are told of."""
-            customer = f"{next(customers):016x}"
-            said = gateway.request(call(left="2.000", client=customer, extras="units=1,spread=2,first=0"))
-            assert said.startswith(b"HTTP/1.1 200"), said
-
-        for _ in range(sockets):
-            streams.enter_context(gateway.connect())
-        gateway.agent.go_down()
-        polls_before, lists_before = gateway.agent.polls, gateway.agent.lists_sent
-        until(lambda: gateway.agent.polls >= polls_before + 4)
-        for _ in range(sockets):
-            streams.enter_context(gateway.connect())
-        for _ in range(4):
-            ask()
-        gateway.agent.instances = [gateway.instance(0, "leaving"), gateway.instance(1)]
-        gateway.agent.generation += 1
-        gateway.agent.come_back()
+        self.served = ServingEndpoints(self.process.hosts).served
+        self._customers = itertools.count()
+
+    def open_idle_clients(self) -> None:
+        """Open as many client connections as the process may have descriptors."""
+        for _ in range(self.sockets):
+            self.streams.enter_context(self.process.connect())
+
+    def send_requests(self, count: int) -> list[int]:
+        """Send requests one by one, each of which must be served; return the endpoints that served them."""
+        first = len(self.served)
+        for _ in range(count):
+            customer = f"{next(self._customers):016x}"
+            raw = call(left="2.000", client=customer, extras="units=1,spread=2,first=0")
+            response = self.process.request(raw)
+            assert response.startswith(b"HTTP/1.1 200"), response
+        return self.served[first:]
+
+    def open_descriptors(self) -> int:
+        """Return the number of the process's descriptors."""
+        return len(os.listdir(f"/proc/{self.process.process.pid}/fd"))
+
+    def drop_received_datagrams(self) -> None:
+        """Drop what the peer has received."""
+        while select.select([self.peer], [], [], 0)[0]:
+            self.peer.recv(65_536)
+
+
+@pytest.mark.parametrize("sockets", [64, 256])
+def test_idle_clients_at_their_limit_leave_descriptors_for_everything_else(tmp_path, sockets):
+    """While discovery is down, too: there is capacity for polls, attempts, a reload and further clients.
+
+    Datagrams are sent and received as well.
+    """
+    with ExitStack() as streams:
+        limited = LimitedGateway(tmp_path, sockets, streams)
+        gateway, agent = limited.process, limited.process.agent
+        limited.open_idle_clients()
+        agent.go_down()
+        polls_before, lists_before = agent.polls, agent.lists_sent
+        until(lambda: agent.polls >= polls_before + 4)
+        limited.open_idle_clients()
+        limited.send_requests(4)
+        agent.instances = [gateway.instance(0, "leaving"), gateway.instance(1)]
+        agent.generation += 1
+        agent.come_back()
         # What is sent from now on finds that the list has arrived
-        until(lambda: gateway.agent.lists_sent > lists_before)
-        until(lambda: len(os.listdir(f"/proc/{gateway.process.pid}/fd")) <= sockets)
-        before = len(served)
-        for _ in range(8):
-            ask()
-        assert served[before:] == [1] * 8
-        while select.select([peer], [], [], 0)[0]:
-            peer.recv(65_536)
-        ask()
-        assert peer.recv(65_536)
+        until(lambda: agent.lists_sent > lists_before)
+        until(lambda: limited.open_descriptors() <= sockets)
+        assert limited.send_requests(8) == [1] * 8
+        limited.drop_received_datagrams()
+        limited.send_requests(1)
+        assert limited.peer.recv(65_536)
         gateway.signal(signal.SIGSTOP)
-        peer.sendto(b"x" * 64, here)
-        assert unread_datagrams(here[1]) > 0
+        limited.peer.sendto(b"x" * 64, limited.peer_address)
+        port = limited.peer_address[1]
+        assert unread_datagrams(port) > 0
         gateway.signal(signal.SIGCONT)
-        until(lambda: unread_datagrams(here[1]) == 0)
+        until(lambda: unread_datagrams(port) == 0)
         gateway.signal(signal.SIGHUP)
         gateway.signal(signal.SIGTERM)
         log = gateway.wait_for_exit()
@@ -153,4 +180,6 @@
     )
     assert done.returncode == 2
     assert not done.stdout
-    assert done.stderr.count("\n") == 1 and str(path) in done.stderr and names in done.stderr, done.stderr
+    assert done.stderr.count("\n") == 1, done.stderr
+    assert str(path) in done.stderr, done.stderr
+    assert names in done.stderr, done.stderr
--- a/tests/processes/test_platform_reload.py
+++ b/tests/processes/test_platform_reload.py
@@ -26,16 +26,16 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def other_discovery(gateway: PlatformProcess, streams: ExitStack) -> DiscoveryAgent:
-    """An agent that lists one host alone, the last of the gateway's."""
+def start_other_agent(gateway: PlatformProcess, streams: ExitStack) -> DiscoveryAgent:
+    """Start an agent that lists only the last of the gateway's endpoints."""
     agent = DiscoveryAgent(gateway.instance(len(gateway.hosts) - 1))
     agent.generation = 2
     streams.callback(agent.close)
     return agent
 
 
-def follows(gateway: PlatformProcess, agent: DiscoveryAgent) -> None:
-    """The gateway goes by what that agent says, and ends in order."""
+def assert_follows(gateway: PlatformProcess, agent: DiscoveryAgent) -> None:
+    """Assert that the gateway uses the list of that agent, and shuts down gracefully."""
     served = ServingEndpoints(gateway.hosts).served
     until(lambda: agent.lists_sent and gateway.request(READINESS_CHECK).startswith(b"HTTP/1.1 200"))
     for customer in range(8):
@@ -45,45 +45,47 @@
     assert "reloaded" in gateway.wait_for_exit()
 
 
-def writing_to_reader(fifo: Path) -> io.FileIO:
-    """A named pipe's writing end, once somebody reads there."""
-    found: list[int] = []
+def open_once_read(fifo: Path) -> io.FileIO:
+    """Return a named pipe's writing end once a process has opened it for reading."""
+    descriptors: list[int] = []
 
-    def opens() -> bool:
-        with suppress(OSError):  # ENXIO: nobody reads yet
-            found.append(os.open(fifo, os.O_WRONLY | os.O_NONBLOCK))
-        return bool(found)
+    def has_reader() -> bool:
+        with suppress(OSError):  # ENXIO: no reader yet
+            descriptors.append(os.open(fifo, os.O_WRONLY | os.O_NONBLOCK))
+        return bool(descriptors)
 
-    until(opens)
-    return io.FileIO(found[0], "w")
+    until(has_reader)
+    return io.FileIO(descriptors[0], "w")
 
 
 def test_a_reload_between_reading_the_configuration_and_handling_signals_is_applied(tmp_path):
-    """The file is a pipe that the test holds open: it is being read when the signal comes."""
+    """The file is a pipe that the test holds open: it is being read when the signal arrives."""
     with ExitStack() as streams:
         gateway = PlatformProcess(tmp_path, hosts=2, wait_until_ready=False)
-        agent = other_discovery(gateway, streams)
+        agent = start_other_agent(gateway, streams)
         gateway.path.unlink()
         os.mkfifo(gateway.path)
         streams.enter_context(gateway)
-        with writing_to_reader(gateway.path) as pipe:
+        with open_once_read(gateway.path) as pipe:
             pipe.write(json.dumps(gateway.configuration).encode())
             gateway.path.unlink()
             gateway.move_discovery(agent)
             gateway.signal(signal.SIGHUP)
-        follows(gateway, agent)
+        assert_follows(gateway, agent)
 
 
 def test_a_reload_while_an_address_is_still_held_is_applied(tmp_path):
-    """The process before it holds the datagrams' address; it follows nobody yet."""
+    """The datagrams' address is still in use by another process; no agent is polled yet."""
     with ExitStack() as streams:
         holder = streams.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
         holder.bind(("127.0.0.1", 0))
-        here = format_address(holder.getsockname())
-        gateway = PlatformProcess(tmp_path, hosts=2, wait_until_ready=False, peer_listen=here, peers=[here])
-        agent = other_discovery(gateway, streams)
+        address = format_address(holder.getsockname())
+        gateway = PlatformProcess(
+            tmp_path, hosts=2, wait_until_ready=False, peer_listen=address, peers=[address]
+        )
+        agent = start_other_agent(gateway, streams)
         streams.enter_context(gateway)
-        until(lambda: hears_signals(gateway))
+        until(lambda: handles_reloads(gateway))
         gateway.move_discovery(agent)
         gateway.signal(signal.SIGHUP)
         assert gateway.process.stdout is not None
@@ -95,25 +97,25 @@
         gateway.wait_for_exit()
 
 
-def hears_signals(gateway: PlatformProcess) -> bool:
-    """Whether the process has a handler of its own for SIGHUP (proc(5), SigCgt)."""
+def handles_reloads(gateway: PlatformProcess) -> bool:
+    """Return whether the process has a handler of its own for SIGHUP (proc(5), SigCgt)."""
     rows = Path(f"/proc/{gateway.process.pid}/status").read_text().splitlines()
     caught = next(int(row.split()[1], 16) for row in rows if row.startswith("SigCgt"))
     return bool(caught >> (signal.SIGHUP - 1) & 1)
 
 
 def test_sighup_while_the_interpreter_starts_does_not_end_the_process(tmp_path):
-    """By the command of the deploy file, held where nothing of ours has run yet."""
+    """By the command of the deploy file, held before any code of the gateway has run."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert ".venv/bin/python" in run
-    go_on = tmp_path / "go_on"
-    os.mkfifo(go_on)
-    (tmp_path / "sitecustomize.py").write_text(f"open({str(go_on)!r}).read()\n")
+    resume = tmp_path / "resume"
+    os.mkfifo(resume)
+    (tmp_path / "sitecustomize.py").write_text(f"open({str(resume)!r}).read()\n")
     prepared = PlatformProcess(tmp_path, hosts=2, wait_until_ready=False)
     prepared.command = ["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)]
     prepared.environment = {"PYTHONPATH": f"{tmp_path}:{ROOT}"}
     with prepared as gateway:
-        with writing_to_reader(go_on):
+        with open_once_read(resume):
             gateway.signal(signal.SIGHUP)
         until(lambda: gateway.request(READINESS_CHECK).startswith(b"HTTP/1.1 200"))
         gateway.signal(signal.SIGTERM)
--- a/tests/processes/test_platform_shutdown.py
+++ b/tests/processes/test_platform_shutdown.py
@@ -35,10 +35,10 @@
         raw = call("put", body=b"x" * 50, left="1.900")
         for name in ("sent", "half answered"):
             client[name].sendall(call(left="1.900"))
-        out = []
-        while len(out) < 2:
-            out += [accept_request(host) for host in hosts_with_requests(gateway)]
-        out[0][0].sendall(RESPONSE_AND_CLOSE[:-1])
+        attempts = []
+        while len(attempts) < 2:
+            attempts += [accept_request(host) for host in hosts_with_requests(gateway)]
+        attempts[0][0].sendall(RESPONSE_AND_CLOSE[:-1])
         client["half a head"].sendall(raw[:30])
         client["half a body"].sendall(raw[:-10])
         gateway.signal(signal.SIGSTOP)  # it finds all of this at once
@@ -47,15 +47,15 @@
         client["half a body"].sendall(raw[-10:])
         client["half a head"].sendall(call("put", body=b"x" * 50, left="1.900")[30:])
         gateway.signal(signal.SIGCONT)
-        out[0][0].sendall(RESPONSE_AND_CLOSE[-1:])
-        out[1][0].sendall(RESPONSE_AND_CLOSE)
+        attempts[0][0].sendall(RESPONSE_AND_CLOSE[-1:])
+        attempts[1][0].sendall(RESPONSE_AND_CLOSE)
         served = 0
         while served < 3:
             for host in hosts_with_requests(gateway):
                 answer_next_request(host)
                 served += 1
-        found = {name: read_to_end(stream) for name, stream in client.items()}
-        assert {name: said.count(b"HTTP/1.1 200") for name, said in found.items()} == {
+        responses = {name: read_to_end(stream) for name, stream in client.items()}
+        assert {name: data.count(b"HTTP/1.1 200") for name, data in responses.items()} == {
             name: int(name != "at rest") for name in names
         }
         gateway.wait_for_exit()
@@ -72,7 +72,7 @@
         client.sendall(call(left="1.900"))
         until(lambda: unread_at(gateway, client) == 0)
         gateway.signal(signal.SIGTERM)
-        assert not select.select([client], [], [], 0.1)[0]  # neither refused nor ended
+        assert not select.select([client], [], [], 0.1)[0]  # neither rejected nor closed
         gateway.agent.send_list(gateway.instance(0))
         answer_next_request(gateway.hosts[0])
         answer = read_to_end(client)
@@ -83,14 +83,14 @@
 
 
 def test_a_late_connection_carries_a_request_once_within_its_deadline_or_not_at_all(tmp_path):
-    """The host's queue is full, so that its machine answers no SYN until the test takes those who wait."""
+    """The endpoint's queue is full, so that the kernel answers no SYN until the test accepts those before."""
     with PlatformProcess(tmp_path, hosts=1) as gateway, ExitStack() as streams:
         host, port = gateway.hosts[0], gateway.hosts[0].getsockname()[1]
         host.listen(0)
         for _ in range(2):  # one more than the backlog
-            waits = streams.enter_context(socket.socket())
-            waits.setblocking(False)
-            waits.connect_ex(host.getsockname())
+            queued = streams.enter_context(socket.socket())
+            queued.setblocking(False)
+            queued.connect_ex(host.getsockname())
         until(lambda: len(unread_bytes(ESTABLISHED, 0, port)) >= 1)
         too_late, in_time = streams.enter_context(gateway.connect()), streams.enter_context(gateway.connect())
         too_late.sendall(call("bill", body=b"1", left="0.300"))
@@ -99,36 +99,34 @@
         in_time.sendall(call("bill", body=b"2", left="2.000"))
         until(lambda: unread_bytes(SYN_SENT, 0, port))
         host.listen(64)
-        found = b""
-        while b"\r\n\r\n2" not in found:
+        received = b""
+        while b"\r\n\r\n2" not in received:
             stream = streams.enter_context(host.accept()[0])
             if select.select([stream], [], [], 0.5)[0]:
-                found += stream.recv(65_536)
+                received += stream.recv(65_536)
         stream.sendall(RESPONSE_AND_CLOSE)
         assert in_time.recv(65_536).startswith(b"HTTP/1.1 200")
-        assert found.count(b"POST /bill") == 1
+        assert received.count(b"POST /bill") == 1
         gateway.signal(signal.SIGTERM)
         gateway.wait_for_exit()
         assert not unaccepted_bytes(host)
 
 
 def test_requests_on_open_connections_during_the_shutdown_are_answered_or_closed(tmp_path):
-    """Clients go on to send on every connection that stays open: no reset, no silence, nothing sent on
-    unanswered.
-    """
+    """Clients send on every open connection: no reset, no silence, no request without a response."""
     with PlatformProcess(tmp_path, hosts=3) as gateway, ExitStack() as streams:
         served = ServingEndpoints(gateway.hosts).served
         clients = [streams.enter_context(gateway.connect()) for _ in range(8)]
         gateway.signal(signal.SIGTERM)
-        gateway.signal(signal.SIGTERM)  # twice changes nothing
+        gateway.signal(signal.SIGTERM)  # a second one changes nothing
         gateway.signal(signal.SIGHUP)  # nor does a reload between
         answers, ends = 0, 0
         while clients:
             for stream in list(clients):
                 with suppress(BrokenPipeError):  # sent after the end had come
-                    stream.sendall(call(client=f"{answers:016x}"))  # no customer beyond its quota
-                if said := stream.recv(65_536):
-                    assert said.startswith((b"HTTP/1.1 200", b"HTTP/1.1 503"))
+                    stream.sendall(call(client=f"{answers:016x}"))  # no customer goes beyond its quota
+                if response := stream.recv(65_536):
+                    assert response.startswith((b"HTTP/1.1 200", b"HTTP/1.1 503"))
                     answers += 1
                 else:
                     ends += 1
@@ -142,6 +140,6 @@
     with listener() as holder:
         port = holder.getsockname()[1]
         with PlatformProcess(tmp_path, wait_until_ready=False, listen=f"127.0.0.1:{port}") as gateway:
-            until(lambda: gateway.agent.polls)  # it has begun
+            until(lambda: gateway.agent.polls)  # it has started
             gateway.signal(signal.SIGTERM)
             gateway.wait_for_exit()
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -1,8 +1,9 @@
-"""Stored forms are read and written byte for byte as the files in ``corpus/golden`` have them.
+"""Stored formats are read and written byte for byte as the files in ``corpus/golden`` have them.
 
 The files were written by an earlier build; a later build must read them and write the same bytes from the
-same values, whatever its types and fields are called. Each form has one builder in ``harness/golden_policy``,
-``golden_gateways`` or ``golden_rollouts``, which names every field that is not plain data in one place.
+same values, whatever its types and fields are called. Each format has one builder in
+``harness/golden_policy``, ``golden_gateways`` or ``golden_rollouts``, which names every field that is not
+plain data in one place.
 """
 
 from __future__ import annotations
@@ -28,9 +29,16 @@
 
 from orchidlane import policy, recording
 from orchidlane.gateway.telemetry import policy_views
+from orchidlane.policy.gateway import Gateway
 
 
-def test_every_golden_file_has_its_form_and_every_form_its_file():
+@pytest.fixture
+def gateway() -> Gateway:
+    """Return the policy that is restored from the golden state."""
+    return golden_gateway()
+
+
+def test_every_golden_file_has_its_writer_and_every_writer_its_file():
     assert {path.name for path in GOLDEN_DIRECTORY.iterdir()} == set(WRITERS)
 
 
@@ -44,83 +52,81 @@
     assert [name for name in state.__struct_fields__ if not getattr(state, name)] == []
 
 
-def test_a_policy_restored_from_the_golden_state_is_dumped_to_the_same_bytes():
-    module = golden_gateway()
-    assert msgspec.msgpack.encode(recording.dump_state(module)) == golden("module-state.msgpack")
-    assert module.accounts
-    assert module.endpoints
-    assert module.requests
-    assert module.attempts
-
-
-def test_every_value_of_the_golden_state_is_restored_to_its_place_in_the_policy():
-    module, state = golden_gateway(), golden_state()
-    assert [module.now, module.allowance_refilled_at_us, module.started_at_us] == [
-        1_000_549_025,
-        1_000_470_794,
-        START_US,
-    ]
-    assert [module.last_attempt_at_us, module.retry_budget] == [1_000_412_080, 2.4499999999999984]
-    assert [module.unreachable_share, module.message_allowance] == [0.14782969, 39.0]
-    assert module.baseline_latency_us == [125_000.0, 125_000.0, 125_000.0, 125_000.0, 122_750.0]
-    server, other = (b"\n\x00\x00%c\x00P" % number for number in (2, 4))
-    host = module.endpoints[server]
-    assert host.entry == policy.EndpointEntry(server, policy.EndpointState.READY, 0, 0, 0, 1.0)
-    assert [host.updated_at_us, host.slowness, host.failure_score] == [1_000_184_111, 1.0, 0.0]
-    assert [host.in_flight, host.last_active_at_us, host.baseline_load] == [3, 1_000_135_937, 2.0]
-    host = module.endpoints[other]
-    assert [host.updated_at_us, host.slowness, host.failure_score] == [1_000_378_452, 0.91, 1.942900986755272]
-    assert module.zone_health[0].failure_score == 4.747282621307491
-    assert [
-        [one.in_flight for one in pool.endpoints] for pool in (module.warm_pool, module.slow_start_pool)
-    ] == [
-        [0, 1, 3],
-        [0],
-    ]
-    assert [
-        len(pool.endpoints) for pool in (module.cell_pools[0], module.zone_pools[0], module.warm_pool)
-    ] == [4, 4, 3]
-    assert [host.entry.started_at_us for host in module.slow_start_queue] == [1_000_518_714]
-    request = module.requests[1]
+def test_a_policy_restored_from_the_golden_state_is_dumped_to_the_same_bytes(gateway):
+    assert msgspec.msgpack.encode(recording.dump_state(gateway)) == golden("module-state.msgpack")
+    assert gateway.accounts
+    assert gateway.endpoints
+    assert gateway.requests
+    assert gateway.attempts
+
+
+ENDPOINT, OTHER_ENDPOINT = (b"\n\x00\x00%c\x00P" % number for number in (2, 4))
+
+
+def test_every_scalar_of_the_golden_state_is_restored_to_its_place(gateway):
+    assert gateway.now == 1_000_549_025
+    assert gateway.allowance_refilled_at_us == 1_000_470_794
+    assert gateway.started_at_us == START_US
+    assert gateway.last_attempt_at_us == 1_000_412_080
+    assert gateway.retry_budget == 2.4499999999999984
+    assert gateway.unreachable_share == 0.14782969
+    assert gateway.message_allowance == 39.0
+    assert gateway.baseline_latency_us == [125_000.0, 125_000.0, 125_000.0, 125_000.0, 122_750.0]
+
+
+def test_every_endpoint_of_the_golden_state_is_restored_to_its_place(gateway):
+    endpoint = gateway.endpoints[ENDPOINT]
+    assert endpoint.entry == policy.EndpointEntry(ENDPOINT, policy.EndpointState.READY, 0, 0, 0, 1.0)
+    assert [endpoint.updated_at_us, endpoint.slowness, endpoint.failure_score] == [1_000_184_111, 1.0, 0.0]
+    assert [endpoint.in_flight, endpoint.last_active_at_us] == [3, 1_000_135_937]
+    assert endpoint.baseline_load == 2.0
+    other = gateway.endpoints[OTHER_ENDPOINT]
+    assert [other.updated_at_us, other.slowness] == [1_000_378_452, 0.91]
+    assert other.failure_score == 1.942900986755272
+    assert gateway.zone_health[0].failure_score == 4.747282621307491
+    assert [pooled.in_flight for pooled in gateway.warm_pool.endpoints] == [0, 1, 3]
+    assert [pooled.in_flight for pooled in gateway.slow_start_pool.endpoints] == [0]
+    assert len(gateway.cell_pools[0].endpoints) == 4
+    assert len(gateway.zone_pools[0].endpoints) == 4
+    assert len(gateway.warm_pool.endpoints) == 3
+    assert [queued.entry.started_at_us for queued in gateway.slow_start_queue] == [1_000_518_714]
+
+
+def test_every_request_of_the_golden_state_is_restored_to_its_place(gateway):
+    request = gateway.requests[1]
     assert request.event == policy.RequestArrived(1, 5, 0, 2, 1.0, 2_000_000, 0, 3, False)
     assert [request.deadline_at_us, request.sampled_value] == [1_002_009_909, 0.1723255663561437]
-    assert request.account is module.accounts[5]
+    assert request.account is gateway.accounts[5]
     first, second = request.attempts
-    assert [first.sent_at_us, first.load, first.in_flight, first.possibly_executed] == [
-        1_000_009_909,
-        2.0,
-        False,
-        False,
-    ]
-    assert [second.sent_at_us, second.load, second.in_flight, second.possibly_executed] == [
-        1_000_412_080,
-        4.0,
-        True,
-        True,
-    ]
-    assert module.attempts[1, 1] == (second, request)
-    attempt, ended = module.attempts[2, 2]
+    assert [first.sent_at_us, first.load] == [1_000_009_909, 2.0]
+    assert [first.in_flight, first.possibly_executed] == [False, False]
+    assert [second.sent_at_us, second.load] == [1_000_412_080, 4.0]
+    assert [second.in_flight, second.possibly_executed] == [True, True]
+    assert gateway.attempts[1, 1] == (second, request)
+    attempt, ended = gateway.attempts[2, 2]
     assert [attempt.sent_at_us, attempt.load, ended.deadline_at_us] == [1_000_378_452, 3.0, 1_002_052_372]
-    assert attempt.endpoint is module.endpoints[server]
-    assert ended.account is module.accounts[2]
-    assert list(module.idle_queue) == state.idle_queue == [1, 4, 5, 0, 2]
-    assert list(module.pending_changes) == [1, 0]
-    assert module.exhausted_customers == {2: 2}
-    assert module.last_seen_at_us == {1: 1_000_413_638}
-    assert module.pending_deltas == {1: {5: 1}, 2: {2: 2}}
-    assert list(module.awaited_replies) == [(1_000_470_794, 2, 5, 0)]
-
-
-def test_a_snapshot_of_the_golden_policy_holds_the_golden_state():
-    module = golden_gateway()
-    recording.track_accounts(module)
-    snapshot = recording.Snapshot(module)
+    assert attempt.endpoint is gateway.endpoints[ENDPOINT]
+    assert ended.account is gateway.accounts[2]
+
+
+def test_every_queue_of_the_golden_state_is_restored_to_its_place(gateway):
+    assert list(gateway.idle_queue) == golden_state().idle_queue == [1, 4, 5, 0, 2]
+    assert list(gateway.pending_changes) == [1, 0]
+    assert gateway.exhausted_customers == {2: 2}
+    assert gateway.last_seen_at_us == {1: 1_000_413_638}
+    assert gateway.pending_deltas == {1: {5: 1}, 2: {2: 2}}
+    assert list(gateway.awaited_replies) == [(1_000_470_794, 2, 5, 0)]
+
+
+def test_a_snapshot_of_the_golden_policy_holds_the_golden_state(gateway):
+    recording.track_accounts(gateway)
+    snapshot = recording.Snapshot(gateway)
     rows = [row for page in snapshot.pages() for row in page]
     state = golden_state()
-    told = msgspec.msgpack.decode(msgspec.msgpack.encode((snapshot.state, rows)))
+    snapshot_state, snapshot_rows = msgspec.msgpack.decode(msgspec.msgpack.encode((snapshot.state, rows)))
     head = msgspec.structs.replace(state, accounts=[])
-    assert told[0] == msgspec.msgpack.decode(msgspec.msgpack.encode(head))
-    assert sorted(told[1]) == sorted(msgspec.to_builtins(state.accounts))
+    assert snapshot_state == msgspec.msgpack.decode(msgspec.msgpack.encode(head))
+    assert sorted(snapshot_rows) == sorted(msgspec.to_builtins(state.accounts))
 
 
 def test_the_golden_record_has_every_event_action_and_enumerated_value():
--- a/tests/test_hot_restart_clients.py
+++ b/tests/test_hot_restart_clients.py
@@ -1,9 +1,10 @@
-"""What becomes of clients, and of their requests in progress, at a hot restart."""
+"""Clients and their requests in progress at a hot restart: each request is answered once."""
 
 from __future__ import annotations
 
 import hashlib
 from collections import Counter
+from typing import NamedTuple
 
 from harness.gateway_harness import GET, MS, OK, REPORT, GatewayHarness, good, request
 from harness.hot_restart_harness import HotRestartHarness, counted_units
@@ -14,49 +15,66 @@
 from orchidlane.gateway.lifecycle.new_side import NewSide
 
 
-def test_request_in_progress_of_any_kind_is_answered_once():
-    """Half a body, half a head, an unsafe attempt that is out, a pipeline: at the moment itself."""
+class SplitRequest(NamedTuple):
+    """What a client sends before a hot restart and after it, and how many responses follow."""
+
+    before: bytes
+    after: bytes
+    responses: int = 1
+
+
+UPLOAD = request("PUT", "/v1/tests/1", "Idempotency-Key: k\r\n", b"0123456789")
+REQUESTS_IN_PROGRESS = {
+    "half a body": SplitRequest(UPLOAD[:-5], UPLOAD[-5:]),
+    "half a head": SplitRequest(GET[:20], GET[20:]),
+    "an attempt that is not idempotent": SplitRequest(REPORT, b""),
+    "a pipeline": SplitRequest(GET + GET + GET[:30], GET[30:], 3),
+    "nothing yet": SplitRequest(b"", GET),
+}
+
 
-    def late(harness: GatewayHarness, index: int, stream) -> None:
-        while True:
-            harness.read_request(index, stream)
-            harness.loop.sleep(60 * MS)
-            stream.send(OK)
+def slow_to_answer(harness: GatewayHarness, index: int, stream) -> None:
+    """Serve each request after 60 ms."""
+    while True:
+        harness.read_request(index, stream)
+        harness.loop.sleep(60 * MS)
+        stream.send(OK)
+
+
+def assert_responses(harness: HotRestartHarness, stream, count: int, name: str) -> None:
+    """Assert that so many responses follow on a connection, each of status 200."""
+    parser = http1.ResponseParser()
+    for _ in range(count):
+        assert harness.answer(stream, parser=parser)[0] == 200, name
+        parser.next_message()
+
+
+def test_request_in_progress_of_any_kind_is_answered_once():
+    """The process is replaced while clients of all kinds have a request in progress."""
 
     def test(harness: HotRestartHarness) -> None:
-        body = request("PUT", "/v1/tests/1", "Idempotency-Key: k\r\n", b"0123456789")
-        clients = {
-            "half a body": (body[:-5], body[-5:]),
-            "half a head": (GET[:20], GET[20:]),
-            "an unsafe attempt": (REPORT, b""),
-            "a pipeline": (GET + GET + GET[:30], GET[30:]),
-            "nothing yet": (b"", GET),
-        }
         streams = {}
-        for name, (first, _) in clients.items():
+        for name, split in REQUESTS_IN_PROGRESS.items():
             streams[name] = harness.connect()
-            if first:
-                streams[name].send(first)
+            if split.before:
+                streams[name].send(split.before)
         harness.loop.sleep(20 * MS)
         harness.upgrade()
-        for name, (_, rest) in clients.items():
-            if rest:
-                streams[name].send(rest)
-        for name, stream in streams.items():
-            parser = http1.ResponseParser()
-            for _ in range(3 if name == "a pipeline" else 1):
-                assert harness.answer(stream, parser=parser)[0] == 200, name
-                parser.next_message()
+        for name, split in REQUESTS_IN_PROGRESS.items():
+            if split.after:
+                streams[name].send(split.after)
+        for name, split in REQUESTS_IN_PROGRESS.items():
+            assert_responses(harness, streams[name], split.responses, name)
         harness.until(lambda: not harness.processes[0].tasks)
         harness.loop.sleep(2 * SECOND)
-        for name, stream in streams.items():  # all of them go on with the new process
+        for name, stream in streams.items():  # all of them continue with the new process
             stream.send(GET)
             assert harness.answer(stream)[0] == 200, name
         seen = Counter(line.split(b" ")[0] for _, line in harness.seen)
         assert (seen[b"PUT"], seen[b"POST"]) == (1, 1)
         assert counted_units(harness.gateways[1]) == 2 + 1 + 3 + 3 + 1 + 5
 
-    HotRestartHarness(late, late, late, late, late, late).run(test)
+    HotRestartHarness(*[slow_to_answer] * 6).run(test)
 
 
 def test_request_waiting_for_an_endpoint_is_counted_by_the_new_process():
@@ -96,6 +114,7 @@
 
 
 def resp_command(*words: bytes) -> bytes:
+    """Encode a command of the Redis protocol (RESP)."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
 
 
@@ -108,16 +127,17 @@
             return stream.recv(deadline=harness.loop.now() + 3 * SECOND)
 
         stream, idle = connect(), connect()
-        harness.loop.sleep(4 * SECOND)  # tokens are sure after their life
-        take = resp_command(b"LIMIT.TAKE", b"a-key", b"5", b"IDEMPOTENT", b"t1")
-        stream.send(take)
+        harness.loop.sleep(4 * SECOND)  # tokens are final after their lifetime
+        quota_command = resp_command(b"LIMIT.TAKE", b"a-key", b"5", b"IDEMPOTENT", b"t1")
+        stream.send(quota_command)
         assert reply(stream).startswith(b"*3\r\n:1\r\n")
         idle.send(resp_command(b"CLIENT", b"SETNAME", b"me"))
         assert reply(idle) == b"+OK\r\n"
-        idle.send(take[:19])
+        idle.send(quota_command[:19])
         harness.loop.sleep(20 * MS)
         harness.upgrade()
-        idle.send(take[19:])  # the same token again, through the other process: nothing is counted twice
+        # The same token again, through the other process: nothing is counted twice
+        idle.send(quota_command[19:])
         assert reply(idle).startswith(b"*3\r\n:1\r\n")
         idle.send(resp_command(b"CLIENT", b"GETNAME"))
         assert reply(idle) == b"$2\r\nme\r\n"
@@ -131,7 +151,7 @@
 
 
 def test_resp_sessions_of_a_dying_new_process_continue_with_commands_not_started():
-    """A command under way gets an error, the rest of its pipeline and half a command wait for their turn."""
+    """A command in progress gets an error; the rest of its pipeline and half a command are handed back."""
 
     def test(harness: HotRestartHarness) -> None:
         harness.upgrade()
@@ -139,8 +159,8 @@
         client.send(resp_command(b"AUTH", b"open"))
         assert client.recv(deadline=harness.loop.now() + SECOND) == b"+OK\r\n"
         stranger.send(resp_command(b"PING")[:9])
-        take = resp_command(b"LIMIT.TAKE", b"a-key", b"2900")
-        client.send(take)
+        quota_command = resp_command(b"LIMIT.TAKE", b"a-key", b"2900")
+        client.send(quota_command)
         assert client.recv(deadline=harness.loop.now() + SECOND).startswith(b"*3\r\n:1\r\n")
         wait = resp_command(b"LIMIT.TAKE", b"a-key", b"1500", b"WITHIN", b"9000")
         client.send(wait + resp_command(b"PING")[:9])
@@ -151,14 +171,14 @@
         for stream in (client, stranger):
             stream.send(resp_command(b"PING")[9:])
         assert client.recv(deadline=harness.loop.now() + SECOND) == b"+PONG\r\n"
-        said = stranger.recv(deadline=harness.loop.now() + SECOND)
-        assert said.startswith(b"-NOAUTH"), said  # what it had shown the successor, and no more
+        response = stranger.recv(deadline=harness.loop.now() + SECOND)
+        assert response.startswith(b"-NOAUTH"), response  # only what it had shown the new process
 
     secret = hashlib.sha256(b"open").hexdigest()
     HotRestartHarness(good, single_gateway=True, limits={"passwords": (secret,)}).run(test)
 
 
-def test_take_waiting_at_the_handover_is_decided_by_the_new_process():
+def test_quota_request_waiting_at_the_handover_is_decided_by_the_new_process():
     def test(harness: HotRestartHarness) -> None:
         stream = harness.backend.connect(("127.0.0.1", 8380))
         stream.send(resp_command(b"LIMIT.TAKE", b"a-key", b"2900"))
--- a/tests/test_hot_restart_real.py
+++ b/tests/test_hot_restart_real.py
@@ -6,6 +6,7 @@
 import subprocess
 import sys
 import time
+from pathlib import Path
 
 import pytest
 from harness.event_story import run_command
@@ -67,47 +68,62 @@
     assert run_command("upgrade", str(tmp_path / "fleet.cue"))[0] == 2
 
 
-def test_roll_of_real_processes_is_killed_resumed_and_rolled_back(tmp_path, builds):
-    """The roll is killed and resumed, then meets a broken build; the audit observes the sockets."""
-    backing = RealBacking(str(tmp_path))
-    plan = make_plan(day(span=300, rate=80.0), str(tmp_path), backing.free_addresses)
-    plan.text = plan.text.replace('trial: "5s"', 'trial: "700ms"').replace('soak: "5s"', 'soak: "500ms"')
-    backing.prepare(plan)
-    settings = str(tmp_path / "gw-0.cue")
-    command = [sys.executable, "-m", "orchidlane", "roll", settings, "--log", str(tmp_path / "new.log")]
-    command += ["--each", str(tmp_path / "gw-{rank}.cue")]
-    results: dict[str, tuple[int, str]] = {}
+class RollCommands:
+    """Runs the roll command on a fleet's files, and keeps exit codes and output by a name."""
+
+    def __init__(self, tmp_path: Path, builds: dict[str, str]) -> None:
+        self.builds = builds
+        self.stored_roll = tmp_path / "roll.json"
+        settings, log = str(tmp_path / "gw-0.cue"), str(tmp_path / "new.log")
+        self.command = [sys.executable, "-m", "orchidlane", "roll", settings, "--log", log]
+        self.command += ["--each", str(tmp_path / "gw-{rank}.cue")]
+        self.exit_codes: dict[str, int] = {}
+        self.outputs: dict[str, str] = {}
+
+    def run(self, name: str, *arguments: str) -> None:
+        """Run the command to its end."""
+        done = subprocess.run([*self.command, *arguments], capture_output=True, text=True, timeout=90)
+        self.exit_codes[name] = done.returncode
+        self.outputs[name] = done.stdout + done.stderr
 
-    def roll(name: str, *arguments: str) -> None:
-        done = subprocess.run([*command, *arguments], capture_output=True, text=True, timeout=90)
-        results[name] = done.returncode, done.stdout + done.stderr
+    def _has_new_gateway(self) -> bool:
+        """Return whether the stored state has a gateway that runs the new build."""
+        return self.stored_roll.exists() and b'"new"' in self.stored_roll.read_bytes().split(b'"ones"')[1]
 
-    def roll_all() -> None:
+    def run_all(self) -> None:
+        """Start a roll, kill it and resume it; then roll to a broken build."""
         this_program = f"{sys.executable} -m orchidlane"
-        started = subprocess.Popen([*command, "--program", this_program], stdout=subprocess.PIPE)
+        started = subprocess.Popen([*self.command, "--program", this_program], stdout=subprocess.PIPE)
         deadline = time.monotonic() + 60
-        stored = tmp_path / "roll.json"
-        while not (stored.exists() and b'"new"' in stored.read_bytes().split(b'"ones"')[1]):
+        while not self._has_new_gateway():
             assert time.monotonic() < deadline
             assert started.poll() is None
             time.sleep(0.02)
-        roll("beside", "--program", this_program)
+        self.run("beside", "--program", this_program)
         started.kill()
         started.communicate()
-        roll("anew", "--program", this_program)
-        roll("status", "--status")
-        roll("resumed", "--resume")
-        roll("broken", "--program", builds["crashes as it serves"], "--back", this_program)
-        roll("over", "--resume")
-
-    verdict = play_while(Runner(EventLoop(RealBackend(4)), plan, backing), roll_all)
-    codes = {name: code for name, (code, _) in results.items()}
-    assert codes == {"beside": 2, "anew": 2, "status": 0, "resumed": 0, "broken": 1, "over": 2}, results
-    assert "another roll is under way" in results["beside"][1]
-    assert "resume or recall it" in results["anew"][1]
-    assert results["status"][1].startswith(("rolling", "soaking")), results
-    assert results["resumed"][1].endswith("done\n")
-    assert "returned: gateway" in results["broken"][1]
-    assert "its process ended" in results["broken"][1]
+        self.run("anew", "--program", this_program)
+        self.run("status", "--status")
+        self.run("resumed", "--resume")
+        self.run("broken", "--program", self.builds["crashes as it serves"], "--back", this_program)
+        self.run("over", "--resume")
+
+
+def test_roll_of_real_processes_is_killed_resumed_and_rolled_back(tmp_path, builds):
+    """The roll is killed and resumed, then meets a broken build; the audit observes the sockets."""
+    backing = RealBacking(str(tmp_path))
+    plan = make_plan(day(span=300, rate=80.0), str(tmp_path), backing.free_addresses)
+    plan.text = plan.text.replace('trial: "5s"', 'trial: "700ms"').replace('soak: "5s"', 'soak: "500ms"')
+    backing.prepare(plan)
+    roll = RollCommands(tmp_path, builds)
+    verdict = play_while(Runner(EventLoop(RealBackend(4)), plan, backing), roll.run_all)
+    expected = {"beside": 2, "anew": 2, "status": 0, "resumed": 0, "broken": 1, "over": 2}
+    assert roll.exit_codes == expected, roll.outputs
+    assert "another roll is under way" in roll.outputs["beside"]
+    assert "resume or recall it" in roll.outputs["anew"]
+    assert roll.outputs["status"].startswith(("rolling", "soaking")), roll.outputs
+    assert roll.outputs["resumed"].endswith("done\n")
+    assert "returned: gateway" in roll.outputs["broken"]
+    assert "its process ended" in roll.outputs["broken"]
     assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
     assert verdict.answers.get("reset", 0) == 0, verdict.as_json()
--- a/tests/test_platform_real.py
+++ b/tests/test_platform_real.py
@@ -1,4 +1,4 @@
-"""The real program on loopback at the size of a fleet: started and told as the platform does."""
+"""A real gateway process on loopback at the size of a fleet, started as the platform does."""
 
 from __future__ import annotations
 
@@ -10,106 +10,132 @@
 import sys
 import threading
 import time
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
+from typing import Any
 
 from harness.platform_harness import OK, call, file, instance, settings
+from harness.platform_processes import READINESS_CHECK, free_port, listener
 
 PEERS, HOSTS = 1_024, 1_500
+SERVER_TIMEOUT_S = 60
+CLIENT_TIMEOUT_S = 20
+MAX_RESIDENT_KIB = 28 * 1024  # of the smallest machine's 32 MB
 
 
-def listener() -> socket.socket:
-    found = socket.create_server(("127.0.0.1", 0), backlog=64)
-    found.settimeout(60)
-    return found
+class FakeServer:
+    """Sends one response for each piece that a connection sends; for discovery that is the whole watch."""
 
+    def __init__(self, response: bytes) -> None:
+        self.response = response
+        self.listener = listener()
+        self.listener.settimeout(SERVER_TIMEOUT_S)
+        self.port = self.listener.getsockname()[1]
+        self._streams: list[socket.socket] = []
 
-def port(sock: socket.socket) -> int:
-    return sock.getsockname()[1]
+    def serve(self) -> None:
+        """Accept connections in a thread."""
+        threading.Thread(target=self._accept, daemon=True).start()
 
-
-def free_port(kind: int) -> int:
-    with socket.socket(socket.AF_INET, kind) as probe:
-        probe.bind(("127.0.0.1", 0))
-        return port(probe)
-
-
-def serve(sock: socket.socket, answer: bytes, hold: list) -> None:
-    """Give each connection one answer for each piece it sends; for discovery that is the whole watch."""
-
-    def one(stream):
-        while stream.recv(65_536):
-            stream.sendall(answer)
-
-    def all_of_them():
+    def _accept(self) -> None:
         while True:
             try:
-                stream, _ = sock.accept()
+                stream, _ = self.listener.accept()
             except OSError:
                 return
-            hold.append(stream)
-            threading.Thread(target=one, args=(stream,), daemon=True).start()
+            self._streams.append(stream)
+            threading.Thread(target=self._respond, args=(stream,), daemon=True).start()
+
+    def _respond(self, stream: socket.socket) -> None:
+        while stream.recv(65_536):
+            stream.sendall(self.response)
 
-    threading.Thread(target=all_of_them, daemon=True).start()
+    def close(self) -> None:
+        """Close the listener and all connections."""
+        self.listener.close()
+        for stream in self._streams:
+            stream.close()
 
 
-def ask(at: int, data: bytes) -> bytes:
-    with socket.create_connection(("127.0.0.1", at), timeout=20) as stream:
+def request(port: int, data: bytes) -> bytes:
+    """Send a request on its own connection; return the first bytes."""
+    with socket.create_connection(("127.0.0.1", port), timeout=CLIENT_TIMEOUT_S) as stream:
         stream.sendall(data)
         return stream.recv(65_536)
 
 
-def wait_until_up(at: int) -> None:
-    """503 is honest until discovery has spoken."""
-    by = time.monotonic() + 20
-    while not (said := ask(at, b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")).startswith(b"HTTP/1.1 200"):
-        assert said.startswith(b"HTTP/1.1 503")
-        assert time.monotonic() < by
+def wait_until_ready(port: int) -> None:
+    """Wait until readiness checks succeed; 503 is right until discovery has responded."""
+    deadline = time.monotonic() + CLIENT_TIMEOUT_S
+    while not (response := request(port, READINESS_CHECK)).startswith(b"HTTP/1.1 200"):
+        assert response.startswith(b"HTTP/1.1 503")
+        assert time.monotonic() < deadline
+
+
+def watch_response(hosts: list[dict[str, Any]]) -> bytes:
+    """Return a watch with one complete list."""
+    line = json.dumps({"generation": 7, "reset": True, "instances": hosts}).encode() + b"\n"
+    return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
+
+
+def fleet_configuration(port: int, discovery_port: int) -> dict[str, Any]:
+    """Return the configuration of one of a thousand gateways on a small machine."""
+    peer_port = free_port(socket.SOCK_DGRAM)
+    peers = [f"127.0.{1 + rank // 250}.{1 + rank % 250}:{peer_port}" for rank in range(PEERS)]
+    peers[0] = f"127.0.0.1:{peer_port}"
+    permissions = {**settings()["permissions"], "peers": True}
+    return file(
+        listen=f"127.0.0.1:{port}",
+        discovery=f"127.0.0.1:{discovery_port}",
+        peer_listen=peers[0],
+        peers=peers,
+        limits={"cores": 0.4, "memory_mb": 32, "sockets": 256},
+        settings=settings(balancers=PEERS, permissions=permissions),
+    )
+
+
+@contextmanager
+def gateway_process(configuration: dict[str, Any], path: Path) -> Iterator[subprocess.Popen[str]]:
+    """Run a gateway by a configuration; kill it in the end."""
+    path.write_text(json.dumps(configuration))
+    process = subprocess.Popen(
+        [sys.executable, "-m", "orchidlane.platform"],
+        env={**os.environ, "PROXY_CONFIG": str(path)},
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+        text=True,
+    )
+    try:
+        yield process
+    finally:
+        process.kill()
+
+
+def resident_kib(pid: int) -> int:
+    """Return a process's resident memory (proc(5), VmRSS)."""
+    rows = Path(f"/proc/{pid}/status").read_text().splitlines()
+    return next(int(row.split()[1]) for row in rows if row.startswith("VmRSS"))
 
 
 def test_a_gateway_with_a_thousand_peers_and_many_endpoints_starts_serves_and_ends(tmp_path: Path):
-    held: list[socket.socket] = []
-    with listener() as host, listener() as discovery:
-        hosts = [instance(index, port=port(host)) for index in range(HOSTS)]
-        line = json.dumps({"generation": 7, "reset": True, "instances": hosts}).encode() + b"\n"
-        watch = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
-        serve(host, OK, held)
-        serve(discovery, watch, held)
-        here, peer_port = free_port(socket.SOCK_STREAM), free_port(socket.SOCK_DGRAM)
-        peers = [f"127.0.{1 + rank // 250}.{1 + rank % 250}:{peer_port}" for rank in range(PEERS)]
-        peers[0] = f"127.0.0.1:{peer_port}"
-        may = {**settings()["permissions"], "peers": True}
-        told = file(
-            listen=f"127.0.0.1:{here}",
-            discovery=f"127.0.0.1:{port(discovery)}",
-            peer_listen=peers[0],
-            peers=peers,
-            limits={"cores": 0.4, "memory_mb": 32, "sockets": 256},
-            settings=settings(balancers=PEERS, permissions=may),
-        )
-        path = tmp_path / "config.json"
-        path.write_text(json.dumps(told))
-        started = subprocess.Popen(
-            [sys.executable, "-m", "orchidlane.platform"],
-            env={**os.environ, "PROXY_CONFIG": str(path)},
-            stdout=subprocess.PIPE,
-            stderr=subprocess.STDOUT,
-            text=True,
-        )
-        try:
-            assert started.stdout is not None
-            assert "serves" in started.stdout.readline()
-            wait_until_up(here)
-            extras = f"units=1,spread={PEERS},first=0"
-            asked = (call(left="2.000", extras=extras, client=f"{one:016x}") for one in range(20))
-            answers = {ask(here, data)[:12] for data in asked}
-            assert answers == {b"HTTP/1.1 200"}
-            with open(f"/proc/{started.pid}/status") as status:
-                resident = next(int(row.split()[1]) for row in status if row.startswith("VmRSS"))
-            assert resident < 28 * 1024  # KiB: of the smallest machine's 32 MB
-            started.send_signal(signal.SIGTERM)
-            log = started.communicate(timeout=30)[0]
-        finally:
-            started.kill()
-        assert (started.returncode, "Traceback" in log, "contained" in log) == (0, False, False), log
-    for stream in held:
-        stream.close()
+    host = FakeServer(OK)
+    discovery = FakeServer(watch_response([instance(index, port=host.port) for index in range(HOSTS)]))
+    host.serve()
+    discovery.serve()
+    port = free_port(socket.SOCK_STREAM)
+    with gateway_process(fleet_configuration(port, discovery.port), tmp_path / "config.json") as process:
+        assert process.stdout is not None
+        assert "serves" in process.stdout.readline()
+        wait_until_ready(port)
+        extras = f"units=1,spread={PEERS},first=0"
+        requests = (call(left="2.000", extras=extras, client=f"{customer:016x}") for customer in range(20))
+        assert {request(port, data)[:12] for data in requests} == {b"HTTP/1.1 200"}
+        assert resident_kib(process.pid) < MAX_RESIDENT_KIB
+        process.send_signal(signal.SIGTERM)
+        log = process.communicate(timeout=30)[0]
+    assert process.returncode == 0, log
+    assert "Traceback" not in log, log
+    assert "contained" not in log, log
+    host.close()
+    discovery.close()
