--- a/tests/processes/__init__.py
+++ b/tests/processes/__init__.py
@@ -0,0 +1,1 @@
+"""Tests on gateway processes, with real sockets and signals."""
