--- /dev/null
+++ b/tests/harness/discovery_harness.py
@@ -0,0 +1,56 @@
+"""One gateway of the platform whose discovery misbehaves."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from contextlib import suppress
+from typing import Any
+
+from harness.platform_harness import MS, OK, SECOND, PlatformHarness, RealPlatformHarness
+from orchidlane.runtime import ConnectionClosedError, Stream
+
+REAL_TIMEOUT_US = 20 * SECOND
+TRICKLE_INTERVAL_US = 200 * MS
+
+
+def serve_every_request(harness: PlatformHarness, index: int, stream: Stream) -> None:
+    """Serve the requests of a connection at an endpoint."""
+    while True:
+        harness.read_request(index, stream)
+        stream.send(OK)
+
+
+def run(
+    backend: type[PlatformHarness],
+    test: Callable[[PlatformHarness], None],
+    *handlers: Callable[[PlatformHarness, int, Stream], None],
+    **changes: Any,
+) -> PlatformHarness:
+    """Run a test with one endpoint that serves every request, unless others are given."""
+    harness = backend(*(handlers or (serve_every_request,)), **changes)
+    harness.run(test)
+    return harness
+
+
+def drain_endpoint(harness: PlatformHarness, generation: int = 2) -> None:
+    """Let discovery know that endpoint 0 drains; each poll from now on gets that event."""
+    entry = harness.instance(0, "leaving")
+    harness.discovery.hello = [{"generation": generation, "reset": False, "instances": [entry]}]
+
+
+def is_drain_known(harness: PlatformHarness) -> bool:
+    """Return whether the gateway knows that endpoint 0 drains."""
+    return harness.gateway.tracker.state(b"s-0") == "draining"
+
+
+def timeout_us(harness: PlatformHarness, simulated_us: int) -> int:
+    """Return the exact time for the simulated backend; a busy machine with real connections gets more."""
+    return REAL_TIMEOUT_US if isinstance(harness, RealPlatformHarness) else simulated_us
+
+
+def trickle(harness: PlatformHarness, piece: bytes) -> None:
+    """Send bytes that never end a line until the connection is closed."""
+    with suppress(ConnectionClosedError):
+        while True:
+            harness.discovery.send(harness.discovery.streams[0], piece)
+            harness.loop.sleep(TRICKLE_INTERVAL_US)
