--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -27,9 +27,9 @@
 from orchidlane.gateway.rollout_agent.admin_messages import CommandRequest
 from orchidlane.rollout.canary_analysis import OUTCOME_KINDS, AnswerCounts, CanaryAnalysis
 from orchidlane.rollout.version import ContentHashes, content_hash
-from orchidlane.simulation.process_fleet import ProcessFleet, play_fleet
+from orchidlane.simulation.process_fleet import ProcessFleet, run_process_fleet
 from orchidlane.simulation.rollout_scenarios import RolloutScenario, SimulatedRolloutFleet
-from orchidlane.simulation.scenario import load_day
+from orchidlane.simulation.scenario import load_scenario
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 RULES = (MATERIALS / "openapi.yaml").read_bytes()
@@ -43,16 +43,16 @@
 def run_real_fleet(script: Any, gateways: int, **change: Any) -> tuple[Any, ProcessFleet]:
     """Verdict and fleet of some script beside a steady load."""
     day = msgspec.structs.replace(
-        load_day(str(MATERIALS / "random.cue")),
-        span=Duration(600 * SECOND),
+        load_scenario(str(MATERIALS / "random.cue")),
+        duration=Duration(600 * SECOND),
         steps=(),
-        gateways=gateways,
-        rate=80.0,
-        takes=0.0,
+        gateway_count=gateways,
+        request_rate=80.0,
+        quota_request_rate=0.0,
     )
     terms = {"lease": "2s", "every": "100ms", "soak": "0s", **change}
     with tempfile.TemporaryDirectory(prefix="orchidlane-") as folder:
-        return play_fleet(day, folder, script, lambda value: value["change"].update(terms))
+        return run_process_fleet(day, folder, script, lambda value: value["change"].update(terms))
 
 
 def wait_until_all_run(fleet: ProcessFleet, number: int) -> int:
@@ -94,7 +94,7 @@
         "lost": results["missing"],
         "doubled": results["doubled"],
         "late": results["late"],
-        "ceiling_beyond": max(0.0, round(verdict.ceiling_worst - 1, 3)),
+        "ceiling_beyond": max(0.0, round(verdict.worst_ceiling_ratio - 1, 3)),
         "unapproved": len(fleet.served_versions().keys() - known),
         "adopted_ms": [round(statistics.median(adopted)), round(max(adopted))],
         "undone_ms": [round(statistics.median(reverted)), round(max(reverted))],
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -98,15 +98,15 @@
     """A node list with one node that is ready."""
     from orchidlane.gateway.control.endpoint_list import EndpointRecord
     from orchidlane.runtime import EventLoop, RealBackend
-    from orchidlane.simulation.fake_servers import NodeList
+    from orchidlane.simulation.fake_servers import FakeDiscovery
 
     loop = EventLoop(RealBackend())
 
     def serve() -> None:
-        nodes = NodeList(loop, ("127.0.0.1", port), (0, 0), lambda _: None)
+        nodes = FakeDiscovery(loop, ("127.0.0.1", port), (0, 0), lambda _: None)
         address = f"127.0.0.1:{node_port}"
-        nodes.nodes[address] = EndpointRecord(address, "ready", "z", "c")
-        nodes.names[address] = "node"
+        nodes.endpoints[address] = EndpointRecord(address, "ready", "z", "c")
+        nodes.endpoint_names[address] = "node"
         nodes.serve()
 
     loop.run(serve)
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -30,10 +30,10 @@
 from orchidlane.resp import encode
 from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.simulation.audit import Verdict
-from orchidlane.simulation.backends import RealBacking, play_while
+from orchidlane.simulation.backends import ProcessFleetBackend, run_beside_load
 from orchidlane.simulation.mutants import BROKEN_BUILDS, make_build
-from orchidlane.simulation.observations import Try
-from orchidlane.simulation.scenario import Runner, Step, load_day, make_plan
+from orchidlane.simulation.observations import ClientAttempt
+from orchidlane.simulation.scenario import ScenarioRunner, Step, load_scenario, make_plan
 
 RATE = 100.0  # requests a second
 SPAN = 3_600  # seconds: the load ends with the work
@@ -44,26 +44,28 @@
 
     def __init__(self, folder: str, customers: int, steps: tuple[Step, ...] = (), seed: int = 5) -> None:
         self.folder = Path(folder)
-        self.backing = RealBacking(folder)
+        self.backing = ProcessFleetBackend(folder)
         day = msgspec.structs.replace(
-            load_day(str(MATERIALS / "random.cue")),
-            gateways=1,
-            customers=customers,
-            rate=RATE,
-            takes=0.0,
-            span=Duration(SPAN * 1_000_000),
+            load_scenario(str(MATERIALS / "random.cue")),
+            gateway_count=1,
+            customer_count=customers,
+            request_rate=RATE,
+            quota_request_rate=0.0,
+            duration=Duration(SPAN * 1_000_000),
             steps=steps,
         )
         self.plan = make_plan(day, folder, self.backing.free_addresses)
         for old, new in (('trial: "5s"', 'trial: "1s"'), ('silence: "1500ms"', 'silence: "500ms"')):
-            assert old in self.plan.text
-            self.plan.text = self.plan.text.replace(old, new)
+            assert old in self.plan.settings_text
+            self.plan.settings_text = self.plan.settings_text.replace(old, new)
         for old, wide in ((r"\brate: (4|10)\b", "rate: 1"), (r"\bburst: (12|30)\b", "burst: 1000000")):
-            self.plan.text = re.sub(old, wide, self.plan.text)  # never full: no account is forgotten
-        self.plan.text = re.sub(r"ceiling: \{[^}]*\}", "", self.plan.text)
-        self.plan.fleet = parse_settings(self.plan.text, "day")
+            self.plan.settings_text = re.sub(
+                old, wide, self.plan.settings_text
+            )  # never full: no account is forgotten
+        self.plan.settings_text = re.sub(r"ceiling: \{[^}]*\}", "", self.plan.settings_text)
+        self.plan.fleet = parse_settings(self.plan.settings_text, "day")
         self.backing.prepare(self.plan)
-        self.runner = Runner(EventLoop(RealBackend(seed)), self.plan, self.backing)
+        self.runner = ScenarioRunner(EventLoop(RealBackend(seed)), self.plan, self.backing)
         self.settings = str(self.folder / "gw-0.cue")
         self.upgrades: list[tuple[int, int, str, bool]] = []  # from, to, build, whether it stayed
 
@@ -93,9 +95,9 @@
         """Milliseconds of the answered tries: those with an upgrade meanwhile, and the others."""
         during, apart = [], []
         for one in self.runner.records:
-            if isinstance(one, Try) and one.end == "answer":
-                met = any(one.at <= to and one.ended >= since for since, to, _, _ in self.upgrades)
-                (during if met else apart).append((one.ended - one.at) / 1e3)
+            if isinstance(one, ClientAttempt) and one.outcome == "answer":
+                met = any(one.at <= to and one.ended_at >= since for since, to, _, _ in self.upgrades)
+                (during if met else apart).append((one.ended_at - one.at) / 1e3)
         return during, apart
 
     def pauses(self) -> list[float]:
@@ -114,12 +116,16 @@
 
 
 def tell_verdict(name: str, verdict: Verdict) -> None:
-    ends = verdict.answers
+    ends = verdict.responses
     broken = sum(ends.get(end, 0) for end in ("reset", "silence", "cut"))
-    lost, doubled, late = len(verdict.missing), len(verdict.doubled), len(verdict.late)
-    print(f"{name}: {verdict.requests} requests; unheard {lost}, doubled {doubled}, late {late}")
+    lost, doubled, late = (
+        len(verdict.missing_responses),
+        len(verdict.duplicate_responses),
+        len(verdict.late_responses),
+    )
+    print(f"{name}: {verdict.request_count} requests; unheard {lost}, doubled {doubled}, late {late}")
     print(f"  connections broken {broken}, refused {ends.get('unreachable', 0)}; answers {ends}")
-    print(f"  units beyond the quota {verdict.beyond:.0f}; rules {verdict.rules}")
+    print(f"  units beyond the quota {verdict.units_beyond_quota:.0f}; rules {verdict.rules}")
 
 
 def tell_times(name: str, times: list[float]) -> None:
@@ -148,14 +154,14 @@
                     units[0] = scene.counted()
                     time.sleep(0.1)
 
-        verdict = play_while(scene.runner, work)
+        verdict = run_beside_load(scene.runner, work)
         stayed = sum(passed for _, _, _, passed in scene.upgrades)
         wrong = [name or "good" for _, _, name, passed in scene.upgrades if passed == bool(name)]
         print(
             f"{count} upgrades: {stayed} passed, {count - stayed} did not; unlike wanted: {wrong or 'none'}"
         )
         tell_verdict("load", verdict)
-        print(f"  units counted {units[0]:.0f}, units that nodes saw {verdict.units:.0f}")
+        print(f"  units counted {units[0]:.0f}, units that nodes saw {verdict.units_used:.0f}")
         during, apart = scene.answer_times()
         tell_times("with an upgrade under way", during)
         tell_times("else", apart)
@@ -168,7 +174,9 @@
     steps = tuple(Step(at, "drain_gateway", (0,), Duration(0)) for at in times)
     with tempfile.TemporaryDirectory(prefix="orchidlane-") as folder:
         scene = Scene(folder, customers=4, steps=steps)
-        tell_verdict(f"{count} cold restarts", play_while(scene.runner, lambda: time.sleep(3 + 4 * count)))
+        tell_verdict(
+            f"{count} cold restarts", run_beside_load(scene.runner, lambda: time.sleep(3 + 4 * count))
+        )
         tell_times("over all", scene.answer_times()[1])
 
 
@@ -198,7 +206,7 @@
             scene.upgrade("", "")
             count()
 
-        verdict = play_while(scene.runner, work)
+        verdict = run_beside_load(scene.runner, work)
         tell_verdict(f"{customers} customers", verdict)
         since, to, _, passed = scene.upgrades[0]
         print(
--- a/orchidlane/cli/main.py
+++ b/orchidlane/cli/main.py
@@ -97,23 +97,23 @@
     script: str, seed: int, world: str, report: str | None, keep: str | None, bench_day: str | None
 ) -> None:
     """Play a scripted day and audit it: exit 0 only when all five rules held."""
-    from orchidlane.simulation.backends import play, simulate
-    from orchidlane.simulation.bench_day import map_bench_day
-    from orchidlane.simulation.scenario import load_day
+    from orchidlane.simulation.backends import run_processes, simulate
+    from orchidlane.simulation.bench_day import map_bench_scenario
+    from orchidlane.simulation.scenario import load_scenario
 
     with clear_errors():
-        loaded = load_day(script)
+        loaded = load_scenario(script)
         if bench_day:
-            mapped = map_bench_day(Path(bench_day).read_bytes(), loaded)
-            loaded = mapped.day
-            for line in mapped.done:
+            mapped = map_bench_scenario(Path(bench_day).read_bytes(), loaded)
+            loaded = mapped.scenario
+            for line in mapped.mapped:
                 click.echo(f"mapped  {line}", err=True)
-            for line in mapped.left:
+            for line in mapped.unmapped:
                 click.echo(f"left    {line}", err=True)
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     if keep:
         Path(keep).mkdir(parents=True, exist_ok=True)
-    verdict = simulate(loaded, seed) if world == "simulated" else play(loaded, seed, keep)
+    verdict = simulate(loaded, seed) if world == "simulated" else run_processes(loaded, seed, keep)
     text = json.dumps(verdict.as_json(), indent=2)
     if report:
         Path(report).write_text(text + "\n")
@@ -128,13 +128,13 @@
 @click.option("--jobs", type=int, default=None, help="Days played at once; as many as cores if left out.")
 def seeds(script: str, first: int, count: int, jobs: int | None) -> None:
     """Play random troubles over a script's fleet in the simulated world, a day for each seed."""
-    from orchidlane.simulation.random_faults import broken, play_seeds
-    from orchidlane.simulation.scenario import load_day
+    from orchidlane.simulation.random_faults import broken_seeds, run_seeds
+    from orchidlane.simulation.scenario import load_scenario
 
     with clear_errors():
-        loaded = load_day(script)
-    found = play_seeds(loaded, range(first, first + count), jobs or os.cpu_count() or 1)
-    wrong = broken(found)
+        loaded = load_scenario(script)
+    found = run_seeds(loaded, range(first, first + count), jobs or os.cpu_count() or 1)
+    wrong = broken_seeds(found)
     for seed, verdict in wrong.items():
         click.echo(f"seed {seed}: {json.dumps(verdict)}")
     requests = sum(int(str(verdict.get("requests", 0))) for verdict in found.values())
--- a/orchidlane/cli/run.py
+++ b/orchidlane/cli/run.py
@@ -14,7 +14,7 @@
 from orchidlane.gateway.rollout_agent.settings import check_rollout_settings
 from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.runtime.signals import serve
-from orchidlane.simulation.fake_endpoint import Node, NodeSpec
+from orchidlane.simulation.fake_endpoint import EndpointSpec, FakeEndpoint
 
 
 def run_gateway(
@@ -46,7 +46,7 @@
 
 def run_node(path: str) -> None:
     """Run one stand-in node until it is killed."""
-    spec = msgspec.json.decode(Path(path).read_bytes(), type=NodeSpec)
+    spec = msgspec.json.decode(Path(path).read_bytes(), type=EndpointSpec)
     loop = EventLoop(RealBackend())
     with contextlib.suppress(KeyboardInterrupt):
-        loop.run(Node(loop, spec).run)
+        loop.run(FakeEndpoint(loop, spec).run)
--- a/orchidlane/cli/up.py
+++ b/orchidlane/cli/up.py
@@ -16,16 +16,16 @@
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import load_settings, parse_host_port
 from orchidlane.runtime import BACKGROUND, EventLoop, RealBackend
-from orchidlane.simulation.backends import RealBacking
-from orchidlane.simulation.scenario import Day, KindEntry, Runner, make_plan
+from orchidlane.simulation.backends import ProcessFleetBackend
+from orchidlane.simulation.scenario import RequestKindEntry, Scenario, ScenarioRunner, make_plan
 
 PLACES = ("listen", "peer", "admin", "resp")
 KEPT = 100_000  # tries remembered for the closing line
 FOR_EVER = 365 * 24 * 3600
 KINDS = (
-    KindEntry("sheet-read", 0.7, "GET", "/v1/sheets/{}", Duration(15_000)),
-    KindEntry("test-upload", 0.2, "PUT", "/v1/tests/{}", Duration(30_000), 2_000),
-    KindEntry("report-issue", 0.1, "POST", "/v1/reports", Duration(50_000), 200),
+    RequestKindEntry("sheet-read", 0.7, "GET", "/v1/sheets/{}", Duration(15_000)),
+    RequestKindEntry("test-upload", 0.2, "PUT", "/v1/tests/{}", Duration(30_000), 2_000),
+    RequestKindEntry("report-issue", 0.1, "POST", "/v1/reports", Duration(50_000), 200),
 )
 
 
@@ -34,31 +34,31 @@
     fleet = load_settings(settings)
     _refuse_taken(settings, fleet)
     click.echo(f"starting {len(fleet.gateways)} gateways and {nodes} stand-in nodes: the screen follows")
-    day = Day(
+    day = Scenario(
         fleet=settings,
-        gateways=len(fleet.gateways),
-        racks=max(1, nodes // 2),
+        gateway_count=len(fleet.gateways),
+        rack_count=max(1, nodes // 2),
         rack_size=2 if nodes > 1 else 1,
         cores=2.0,
-        customers=20,
-        rate=rate,
-        span=Duration((seconds or FOR_EVER) * 1_000_000),
-        kinds=KINDS,
-        list_delay=(Duration(200_000), Duration(900_000)),
+        customer_count=20,
+        request_rate=rate,
+        duration=Duration((seconds or FOR_EVER) * 1_000_000),
+        request_kinds=KINDS,
+        endpoint_list_delay=(Duration(200_000), Duration(900_000)),
         peer_loss=0.0,
-        takes=rate / 5,
-        upgrades=0,
-        answer_slack=Duration(100_000),
+        quota_request_rate=rate / 5,
+        upgrade_count=0,
+        response_slack=Duration(100_000),
         arrival_slack=Duration(100_000),
         steps=(),
     )
     with tempfile.TemporaryDirectory(prefix="orchidlane-") as folder:
-        backing = RealBacking(folder)
-        plan = make_plan(day, folder, backing.free_addresses, as_written=True)
+        backing = ProcessFleetBackend(folder)
+        plan = make_plan(day, folder, backing.free_addresses, keep_addresses=True)
         backing.prepare(plan)
         loop = EventLoop(RealBackend())
-        plan.nodes = [msgspec.structs.replace(spec, records="") for spec in plan.nodes]
-        runner = Runner(loop, plan, backing, deque(maxlen=KEPT))
+        plan.endpoints = [msgspec.structs.replace(spec, records_path="") for spec in plan.endpoints]
+        runner = ScenarioRunner(loop, plan, backing, deque(maxlen=KEPT))
         door = plan.gateways[0]
         hint = f"curl -i -H 'X-Api-Key: key-of-1' http://{door[0]}:{door[1]}/v1/sheets/steel"
         admins = [(entry.name, parse_host_port(entry.admin)) for entry in plan.fleet.gateways]
@@ -89,8 +89,8 @@
                 ) from None
 
 
-def _run(loop: EventLoop, runner: Runner, screen: Screen) -> None:
+def _run(loop: EventLoop, runner: ScenarioRunner, screen: Screen) -> None:
     loop.spawn(screen.show, priority=BACKGROUND, name="screen")
     verdict = runner.run()
     held = all(verdict.rules.values())
-    print(f"{verdict.requests} requests; rules held: {'all' if held else verdict.rules}")
+    print(f"{verdict.request_count} requests; rules held: {'all' if held else verdict.rules}")
--- a/orchidlane/simulation/clients.py
+++ b/orchidlane/simulation/clients.py
@@ -22,116 +22,120 @@
     TaskGroup,
 )
 from orchidlane.runtime.backend import Address
-from orchidlane.simulation.observations import Extra, Record, Try
+from orchidlane.simulation.observations import ClientAttempt, Record, UnexpectedData
 
 LISTEN_ON = 400_000  # microseconds after giving up
 CONNECT = 300_000
 
 
 @dataclass(frozen=True, slots=True)
-class Subscriber:
+class ClientProfile:
     """One customer with its key and its part of the traffic."""
 
-    number: int
+    customer: int
     key: str
     weight: float
     gateways: tuple[int, ...]  # ranks of its set, the busiest first
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class RequestKind:
     """One kind of request."""
 
     class_name: str
     share: float
     method: str
     target: str
-    deadline: int
-    safe: bool
-    body: int = 0
+    deadline_us: int
+    is_idempotent: bool
+    body_bytes: int = 0
 
 
 @dataclass
-class Crowd:
+class HttpClients:
     """All subscribers together: ``rate`` requests a second for ``span`` microseconds."""
 
     loop: EventLoop
     gateways: list[tuple[str, Address]]
-    subscribers: list[Subscriber]
-    kinds: list[Kind]
+    profiles: list[ClientProfile]
+    kinds: list[RequestKind]
     rate: float
-    span: int
+    duration_us: int
     record: Callable[[Record], None]
-    tries: int = 3
-    impatient: float = 0.03  # of the tries: the client leaves before its answer and its time
-    sent: int = 0
-    idle: dict[int, list[tuple[Stream, http1.ResponseParser, str]]] = field(default_factory=dict)
+    max_attempts: int = 3
+    disconnect_probability: float = 0.03  # of the tries: the client leaves before its answer and its time
+    sent_count: int = 0
+    idle_connections: dict[int, list[tuple[Stream, http1.ResponseParser, str]]] = field(default_factory=dict)
 
     def run(self) -> None:
         """Send until the span is over, then wait for all answers."""
         random, began = self.loop.backend.random, self.loop.now()
-        weights = [subscriber.weight for subscriber in self.subscribers]
+        weights = [subscriber.weight for subscriber in self.profiles]
         shares = [kind.share for kind in self.kinds]
         due = float(self.loop.now())
         with TaskGroup(self.loop) as scope:
-            while due < began + self.span:
+            while due < began + self.duration_us:
                 due += random.expovariate(self.rate) * 1_000_000
                 self.loop.sleep(int(due) - self.loop.now())
-                subscriber = random.choices(self.subscribers, weights)[0]
+                subscriber = random.choices(self.profiles, weights)[0]
                 kind = random.choices(self.kinds, shares)[0]
-                self.sent += 1
-                scope.spawn(self._request, f"r{self.sent}", subscriber, kind, priority=REQUESTS)
-        for kept in self.idle.values():
+                self.sent_count += 1
+                scope.spawn(self._request, f"r{self.sent_count}", subscriber, kind, priority=REQUESTS)
+        for kept in self.idle_connections.values():
             for stream, _, name in kept:
                 self._is_quiet(stream, name)
 
-    def _request(self, name: str, subscriber: Subscriber, kind: Kind) -> None:
+    def _request(self, name: str, subscriber: ClientProfile, kind: RequestKind) -> None:
         random = self.loop.backend.random
-        patience = int(kind.deadline * random.uniform(0.5, 1.0))
-        end = self.loop.now() + kind.deadline
-        for number in range(self.tries):
+        patience = int(kind.deadline_us * random.uniform(0.5, 1.0))
+        end = self.loop.now() + kind.deadline_us
+        for number in range(self.max_attempts):
             done = self._try(name, f"{name}.{number}", subscriber, kind, patience)
-            if not self._again(done, kind) or self.loop.now() + patience > end + kind.deadline:
+            if not self._again(done, kind) or self.loop.now() + patience > end + kind.deadline_us:
                 return
             self.loop.sleep(random.randint(20_000, 120_000))
 
-    def _again(self, done: Try, kind: Kind) -> bool:
-        if done.end == "unreachable" or (done.end == "answer" and done.harmless):
+    def _again(self, done: ClientAttempt, kind: RequestKind) -> bool:
+        if done.outcome == "unreachable" or (done.outcome == "answer" and done.is_safe_to_retry):
             return True
-        return kind.safe and done.end != "left" and (done.end != "answer" or done.status >= 500)
+        return (
+            kind.is_idempotent and done.outcome != "left" and (done.outcome != "answer" or done.status >= 500)
+        )
 
-    def _gateway(self, subscriber: Subscriber) -> int:
+    def _gateway(self, subscriber: ClientProfile) -> int:
         """The busiest of the set most often."""
         random, ranks = self.loop.backend.random, subscriber.gateways
         return ranks[min(int(random.expovariate(0.9)), len(ranks) - 1)]
 
-    def _try(self, request: str, name: str, subscriber: Subscriber, kind: Kind, patience: int) -> Try:
+    def _try(
+        self, request: str, name: str, subscriber: ClientProfile, kind: RequestKind, patience: int
+    ) -> ClientAttempt:
         rank = self._gateway(subscriber)
         at = self.loop.now()
         by = at + patience
         ended, end, status, harmless, extra, version = self._exchange(
             rank, request, name, subscriber, kind, by
         )
-        done = Try(
+        done = ClientAttempt(
             at=at,
-            by=by,
-            ended=ended,
+            give_up_at=by,
+            ended_at=ended,
             gateway=self.gateways[rank][0],
             request=request,
             name=name,
             class_name=kind.class_name,
-            customer=subscriber.number,
-            end=end,
+            customer=subscriber.customer,
+            outcome=end,
             status=status,
-            harmless=harmless,
-            extra=extra,
+            is_safe_to_retry=harmless,
+            extra_bytes=extra,
             version=version,
         )
         self.record(done)
         return done
 
     def _exchange(
-        self, rank: int, request: str, name: str, subscriber: Subscriber, kind: Kind, by: int
+        self, rank: int, request: str, name: str, subscriber: ClientProfile, kind: RequestKind, by: int
     ) -> tuple[int, str, int, bool, int, str]:
         loop = self.loop
         try:
@@ -143,7 +147,7 @@
         try:
             stream.send(self._bytes(request, name, subscriber, kind, by), by)
             parser.expect(kind.method)
-            leaves = loop.backend.random.random() < self.impatient
+            leaves = loop.backend.random.random() < self.disconnect_probability
             until = loop.backend.random.randint(loop.now(), by) if leaves else by + LISTEN_ON
             head = self._answer(stream, parser, until)
             end, status = "answer", head.status
@@ -160,13 +164,13 @@
         ended = loop.now()
         if keep:
             parser.next_message()
-            self.idle.setdefault(rank, []).append((stream, parser, name))
+            self.idle_connections.setdefault(rank, []).append((stream, parser, name))
         else:
             stream.close()
         return ended, end, status, harmless, extra, version
 
     def _connection(self, rank: int, by: int) -> tuple[Stream, http1.ResponseParser]:
-        idle = self.idle.get(rank, [])
+        idle = self.idle_connections.get(rank, [])
         while idle:
             stream, parser, name = idle.pop()
             if self._is_quiet(stream, name):
@@ -181,10 +185,10 @@
         except ConnectionClosedError:
             return False
         if data:
-            self.record(Extra(name))
+            self.record(UnexpectedData(name))
         return data is None
 
-    def _bytes(self, request: str, name: str, subscriber: Subscriber, kind: Kind, by: int) -> bytes:
+    def _bytes(self, request: str, name: str, subscriber: ClientProfile, kind: RequestKind, by: int) -> bytes:
         headers = [
             (b"host", b"gateway"),
             (b"x-api-key", subscriber.key.encode()),
@@ -194,10 +198,10 @@
         ]
         if kind.method == "PUT":
             headers.append((b"idempotency-key", request.encode()))
-        if kind.body:
-            headers.append((b"content-length", b"%d" % kind.body))
+        if kind.body_bytes:
+            headers.append((b"content-length", b"%d" % kind.body_bytes))
         target = kind.target.replace("{}", request).encode()
-        return http1.request_head(kind.method, target, headers) + b"b" * kind.body
+        return http1.request_head(kind.method, target, headers) + b"b" * kind.body_bytes
 
     def _answer(self, stream: Stream, parser: http1.ResponseParser, by: int) -> Response:
         head = None
--- a/orchidlane/simulation/fake_endpoint.py
+++ b/orchidlane/simulation/fake_endpoint.py
@@ -24,47 +24,47 @@
     TaskGroup,
 )
 from orchidlane.runtime.backend import Address
-from orchidlane.simulation.observations import Arrival, Fell, Run, encode
+from orchidlane.simulation.observations import Arrival, EndpointOverload, Execution, encode
 
-FAULTS = "/_lab/faults"
+FAULTS_TARGET = "/_lab/faults"
 
 
-class Work(msgspec.Struct, frozen=True):
+class ClassWork(msgspec.Struct, frozen=True):
     """What one class of requests takes: mean core time in microseconds, and its units."""
 
     method: str
     class_name: str
-    mean: int
+    mean_us: int = msgspec.field(name="mean")
     units: float
 
 
-class NodeSpec(msgspec.Struct, frozen=True):
+class EndpointSpec(msgspec.Struct, frozen=True):
     """One node; spans in microseconds."""
 
     name: str
     address: Address
     cell: str
-    records: str  # file; none is written where empty
-    work: tuple[Work, ...]
+    records_path: str = msgspec.field(name="records")  # file; none is written where empty
+    work_by_class: tuple[ClassWork, ...] = msgspec.field(name="work")
     cores: float = 2.0
-    slots: int = 32
-    queue: int = 64
-    cold: bool = False
-    cold_from: float = 0.25
-    warm_within: int = 15_000_000
-    fall_multiple: float = 2.0
-    overload_for: int = 2_000_000
-    answer_size: int = 400
+    max_active: int = msgspec.field(name="slots", default=32)
+    max_queued: int = msgspec.field(name="queue", default=64)
+    slow_start: bool = msgspec.field(name="cold", default=False)
+    slow_start_initial_share: float = msgspec.field(name="cold_from", default=0.25)
+    slow_start_duration_us: int = msgspec.field(name="warm_within", default=15_000_000)
+    overload_multiple: float = msgspec.field(name="fall_multiple", default=2.0)
+    overload_duration_us: int = msgspec.field(name="overload_for", default=2_000_000)
+    response_bytes: int = msgspec.field(name="answer_size", default=400)
 
 
-class Faults(msgspec.Struct, frozen=True):
+class EndpointFaults(msgspec.Struct, frozen=True):
     """Chances for each request: reset before it is read, after it ran, its answer cut, or no word at all."""
 
     reset_before: float = 0.0
     reset_after: float = 0.0
-    cut: float = 0.0
-    silent: float = 0.0
-    full: float = 0.0
+    truncate: float = msgspec.field(name="cut", default=0.0)
+    hang: float = msgspec.field(name="silent", default=0.0)
+    reject: float = msgspec.field(name="full", default=0.0)
 
 
 class Job:
@@ -79,13 +79,13 @@
         self.wanted = True
 
 
-class Node:
+class FakeEndpoint:
     """One node; ``run`` serves until it is killed or falls over."""
 
-    def __init__(self, loop: EventLoop, spec: NodeSpec) -> None:
+    def __init__(self, loop: EventLoop, spec: EndpointSpec) -> None:
         self.loop = loop
         self.spec = spec
-        self.faults = Faults()
+        self.faults = EndpointFaults()
         self.born = loop.now()
         self.fallen = False
         self.active: dict[Job, None] = {}
@@ -95,7 +95,7 @@
         self._timer: Any = None
         self._arrived: deque[tuple[int, float]] = deque()  # work that came lately
         self._arrived_sum = 0.0
-        self._work = {one.method: one for one in spec.work}
+        self._work = {one.method: one for one in spec.work_by_class}
 
     def run(self) -> None:
         """Listen and serve."""
@@ -111,17 +111,17 @@
             self.loop.sleep(10**12)
 
     def _record(self, record: Any) -> None:
-        if self.spec.records:
-            self.loop.backend.append_file(self.spec.records, encode(record))
+        if self.spec.records_path:
+            self.loop.backend.append_file(self.spec.records_path, encode(record))
 
     # -- capacity
 
     def ramp(self) -> float:
         """The part of its capacity that a cold node has so far."""
-        if not self.spec.cold:
+        if not self.spec.slow_start:
             return 1.0
-        age = (self.loop.now() - self.born) / self.spec.warm_within
-        return min(1.0, self.spec.cold_from + (1 - self.spec.cold_from) * age)
+        age = (self.loop.now() - self.born) / self.spec.slow_start_duration_us
+        return min(1.0, self.spec.slow_start_initial_share + (1 - self.spec.slow_start_initial_share) * age)
 
     def _speed(self) -> float:
         return min(1.0, self.spec.cores * self.ramp() / max(1, len(self.active)))
@@ -137,7 +137,7 @@
                 del self.active[job]
                 job.done = True
                 self.loop.wake(job.task)
-        while self.waiting and len(self.active) < self.spec.slots:
+        while self.waiting and len(self.active) < self.spec.max_active:
             job = self.waiting.popleft()
             if job.wanted:
                 self.active[job] = None
@@ -155,15 +155,15 @@
 
     def _press(self, work: float) -> None:
         """Work has come: a cold node may fall over."""
-        now, span = self.loop.now(), self.spec.overload_for
+        now, span = self.loop.now(), self.spec.overload_duration_us
         self._arrived.append((now, work))
         self._arrived_sum += work
         while self._arrived[0][0] < now - span:
             self._arrived_sum -= self._arrived.popleft()[1]
         capacity = self.spec.cores * self.ramp() * span
-        if self.ramp() < 1 and self._arrived_sum > self.spec.fall_multiple * capacity * 1.1 + work:
+        if self.ramp() < 1 and self._arrived_sum > self.spec.overload_multiple * capacity * 1.1 + work:
             self.fallen = True
-            self._record(Fell(now, self.spec.name))
+            self._record(EndpointOverload(now, self.spec.name))
             self.listener.close()
             for stream in list(self.streams):
                 stream.abort()
@@ -185,8 +185,8 @@
         head, body = self._read(stream, parser)
         if head is None:
             return False
-        if head.target.decode() == FAULTS:
-            self.faults = msgspec.json.decode(body, type=Faults)
+        if head.target.decode() == FAULTS_TARGET:
+            self.faults = msgspec.json.decode(body, type=EndpointFaults)
             stream.send(http1.response_head(204, []))
             return True
         random, faults = self.loop.backend.random, self.faults
@@ -195,13 +195,13 @@
             stream.send(http1.response_head(405, [(b"content-length", b"0")]))
             return True
         self._arrival(head, work)
-        if random.random() < faults.silent:
+        if random.random() < faults.hang:
             self.loop.sleep(60_000_000)
             return False
         if random.random() < faults.reset_before:
             stream.abort()
             return False
-        full = random.random() < faults.full
+        full = random.random() < faults.reject
         return self._serve(stream, head, work, full) and head.keep_alive
 
     def _read(self, stream: Stream, parser: http1.RequestParser) -> tuple[Request | None, bytes]:
@@ -221,29 +221,29 @@
                 parser.next_message()
                 return head, body
 
-    def _arrival(self, head: Request, work: Work) -> None:
+    def _arrival(self, head: Request, work: ClassWork) -> None:
         via = (http1.header(head.headers, b"via") or b"").decode().split(" ")[-1]
         self._record(
             Arrival(
                 at=self.loop.now(),
-                node=self.spec.name,
+                endpoint=self.spec.name,
                 gateway=via,
                 attempt=_text(head, b"orchidlane-attempt"),
                 request=_text(head, b"lab-request"),
-                attempt_of=_text(head, b"lab-try"),
+                client_attempt=_text(head, b"lab-try"),
                 customer=int(_text(head, b"orchidlane-customer") or 0),
                 units=work.units,
             )
         )
 
-    def _serve(self, stream: Stream, head: Request, work: Work, full: bool) -> bool:
+    def _serve(self, stream: Stream, head: Request, work: ClassWork, full: bool) -> bool:
         task = self.loop.current
         assert task is not None
-        amount = self.loop.backend.random.expovariate(1 / work.mean)
+        amount = self.loop.backend.random.expovariate(1 / work.mean_us)
         self._press(amount)
         if self.fallen:
             return False
-        if full or len(self.waiting) >= self.spec.queue:
+        if full or len(self.waiting) >= self.spec.max_queued:
             headers = [(b"node-full", b"1"), (b"content-length", b"0")]
             stream.send(http1.response_head(503, headers))
             return True
@@ -270,15 +270,15 @@
                 self.active.pop(job, None)
         return True
 
-    def _ran(self, head: Request, work: Work) -> None:
+    def _ran(self, head: Request, work: ClassWork) -> None:
         self._record(
-            Run(
+            Execution(
                 at=self.loop.now(),
-                node=self.spec.name,
+                endpoint=self.spec.name,
                 cell=self.spec.cell,
                 request=_text(head, b"lab-request"),
-                attempt_of=_text(head, b"lab-try"),
-                key=_text(head, b"idempotency-key"),
+                client_attempt=_text(head, b"lab-try"),
+                idempotency_key=_text(head, b"idempotency-key"),
                 class_name=work.class_name,
             )
         )
@@ -289,14 +289,14 @@
             stream.abort()
             return False
         status = 200 if head.method in ("GET", "HEAD") else 201
-        body = b"x" * self.spec.answer_size
+        body = b"x" * self.spec.response_bytes
         report = b"util=%.2f, inflight=%d" % (
             min(1.0, len(self.active) / self.spec.cores),
             len(self.active) + len(self.waiting),
         )
         headers = [(b"content-length", b"%d" % len(body)), (b"node-report", report)]
         data = http1.response_head(status, headers) + (b"" if head.method == "HEAD" else body)
-        if random.random() < self.faults.cut:
+        if random.random() < self.faults.truncate:
             stream.send(data[: len(data) - len(body) // 2])
             stream.abort()
             return False
--- a/orchidlane/simulation/fake_servers.py
+++ b/orchidlane/simulation/fake_servers.py
@@ -20,44 +20,44 @@
     TaskGroup,
 )
 from orchidlane.runtime.backend import Address, DatagramSocket
-from orchidlane.simulation.observations import Record, Told
+from orchidlane.simulation.observations import EndpointNotice, Record
 
 HEARTBEAT = 3_000_000  # microseconds between two empty lines
 
 
-class NodeList:
+class FakeDiscovery:
     """Keeps the list and pushes each change to every watch, so long after it happened."""
 
     def __init__(
-        self, loop: EventLoop, at: Address, delay: tuple[int, int], record: Callable[[Record], None]
+        self, loop: EventLoop, address: Address, delay_us: tuple[int, int], record: Callable[[Record], None]
     ) -> None:
         self.loop = loop
-        self.delay = delay
+        self.delay_us = delay_us
         self.record = record
         self.epoch = "one"
         self.version = 0
-        self.nodes: dict[str, EndpointRecord] = {}
-        self.names: dict[str, str] = {}  # address -> node
-        self.watches: dict[Stream, str] = {}
+        self.endpoints: dict[str, EndpointRecord] = {}
+        self.endpoint_names: dict[str, str] = {}  # address -> node
+        self.watchers: dict[Stream, str] = {}
         self._last: dict[str, int] = {}  # when a node's latest news is due: each node's keep their order
-        self.listener = loop.backend.listen(at)
+        self.listener = loop.backend.listen(address)
 
-    def set(self, name: str, node: EndpointRecord) -> None:
+    def set_endpoint(self, name: str, node: EndpointRecord) -> None:
         """A node's state changed just now; the watches hear of it later."""
-        due = self.loop.now() + self.loop.backend.random.randint(*self.delay)
+        due = self.loop.now() + self.loop.backend.random.randint(*self.delay_us)
         self._last[name] = due = max(due, self._last.get(name, 0) + 1)
         self.loop.call_at(due, self._publish, (name, node))
 
     def _publish(self, what: tuple[str, EndpointRecord]) -> None:
         name, node = what
         self.version += 1
-        self.names[node.address] = name
+        self.endpoint_names[node.address] = name
         if node.state == "gone":
-            self.nodes.pop(node.address, None)
+            self.endpoints.pop(node.address, None)
         else:
-            self.nodes[node.address] = node
+            self.endpoints[node.address] = node
         line = WatchEvent("changes", self.epoch, self.version, (node,), self.version - 1)
-        for stream, gateway in list(self.watches.items()):
+        for stream, gateway in list(self.watchers.items()):
             self._push(stream, gateway, line)
 
     def _push(self, stream: Stream, gateway: str, line: WatchEvent) -> None:
@@ -70,7 +70,9 @@
             self._drop(stream)
             return
         for node in line.endpoints:
-            self.record(Told(self.loop.now(), gateway, self.names[node.address], node.state))
+            self.record(
+                EndpointNotice(self.loop.now(), gateway, self.endpoint_names[node.address], node.state)
+            )
 
     def serve(self) -> None:
         """Take watches for ever."""
@@ -91,13 +93,13 @@
                     return
             gateway = (http1.header(head.headers, b"user-agent") or b" ").decode().split(" ")[-1]
             stream.send(http1.response_head(200, [(b"transfer-encoding", b"chunked")]))
-            whole = WatchEvent("whole", self.epoch, self.version, tuple(self.nodes.values()))
-            self.watches[stream] = gateway
+            whole = WatchEvent("whole", self.epoch, self.version, tuple(self.endpoints.values()))
+            self.watchers[stream] = gateway
             self._write(stream, gateway, whole)
-            for address, name in self.names.items():
-                if address not in self.nodes:  # a whole list tells of those that are not on it, too
-                    self.record(Told(self.loop.now(), gateway, name, "gone"))
-            while stream in self.watches:
+            for address, name in self.endpoint_names.items():
+                if address not in self.endpoints:  # a whole list tells of those that are not on it, too
+                    self.record(EndpointNotice(self.loop.now(), gateway, name, "gone"))
+            while stream in self.watchers:
                 self.loop.sleep(HEARTBEAT)
                 stream.send(http1.chunk(b"\n"), self.loop.now() + HEARTBEAT)
         except (ConnectionClosedError, DeadlineExceededError, Malformed):
@@ -106,24 +108,24 @@
             self._drop(stream)
 
     def _drop(self, stream: Stream) -> None:
-        self.watches.pop(stream, None)
+        self.watchers.pop(stream, None)
         stream.close()
 
 
-class Relay:
+class DatagramRelay:
     """Between the gateways: datagrams are lost, delayed, doubled, or cut off by pair of ranks."""
 
-    def __init__(self, loop: EventLoop, ways: list[tuple[Address, Address]]) -> None:
+    def __init__(self, loop: EventLoop, routes: list[tuple[Address, Address]]) -> None:
         self.loop = loop
-        self.targets = [target for _, target in ways]
-        self.sockets: list[DatagramSocket] = [loop.backend.bind_datagrams(at) for at, _ in ways]
+        self.targets = [target for _, target in routes]
+        self.sockets: list[DatagramSocket] = [loop.backend.bind_datagrams(at) for at, _ in routes]
         self.loss = 0.0
-        self.double = 0.0
-        self.delay = (0, 0)
+        self.duplication = 0.0
+        self.delay_us = (0, 0)
         self.cuts: set[frozenset[int]] = set()
-        self.one_way: set[tuple[int, int]] = set()  # sender and receiver: nothing passes that way
-        self.late: dict[tuple[int, int], int] = {}  # microseconds more, by sender and receiver
-        self.seen: Callable[[int, int, bytes], None] = lambda sender, receiver, data: None
+        self.one_way_cuts: set[tuple[int, int]] = set()  # sender and receiver: nothing passes that way
+        self.extra_delay_us: dict[tuple[int, int], int] = {}  # microseconds more, by sender and receiver
+        self.on_datagram: Callable[[int, int, bytes], None] = lambda sender, receiver, data: None
 
     def serve(self) -> None:
         """Bring datagrams for ever."""
@@ -136,13 +138,13 @@
         while True:
             data, _ = self.sockets[rank].recv()
             sender = HEADER.unpack_from(data)[3] if len(data) >= HEADER.size else -1
-            self.seen(sender, rank, data)
-            if frozenset((sender, rank)) in self.cuts or (sender, rank) in self.one_way:
+            self.on_datagram(sender, rank, data)
+            if frozenset((sender, rank)) in self.cuts or (sender, rank) in self.one_way_cuts:
                 continue
             if random.random() < self.loss:
                 continue
-            for _ in range(1 + (random.random() < self.double)):
-                span = random.randint(*self.delay) + self.late.get((sender, rank), 0)
+            for _ in range(1 + (random.random() < self.duplication)):
+                span = random.randint(*self.delay_us) + self.extra_delay_us.get((sender, rank), 0)
                 if span:
                     self.loop.call_at(self.loop.now() + span, self._bring, (rank, data))
                 else:
--- a/orchidlane/simulation/process_fleet.py
+++ b/orchidlane/simulation/process_fleet.py
@@ -26,17 +26,17 @@
 from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.runtime.backend import Address
 from orchidlane.simulation.audit import Verdict
-from orchidlane.simulation.backends import END_WITHIN, RealBacking, play_while
+from orchidlane.simulation.backends import EXIT_TIMEOUT_S, ProcessFleetBackend, run_beside_load
 from orchidlane.simulation.network_links import NetworkLinks, Pair
-from orchidlane.simulation.observations import Away, Try
-from orchidlane.simulation.scenario import Day, Plan, Runner, make_plan, own_settings
+from orchidlane.simulation.observations import ClientAttempt, Outage
+from orchidlane.simulation.scenario import Scenario, ScenarioPlan, ScenarioRunner, gateway_settings, make_plan
 
 READY_TIMEOUT_S = 20.0  # seconds
 COMMAND_TIMEOUT_S = 90.0
 UNUSABLE_INPUT = 2  # exit code
 
 
-class FleetProcesses(RealBacking):
+class RelayedFleetBackend(ProcessFleetBackend):
     """Gateway processes, each with settings by which it reaches the others through relays."""
 
     def __init__(self, folder: str, edit_settings: Callable[[dict[str, Any]], None]) -> None:
@@ -45,10 +45,10 @@
         self.routes: dict[Pair, tuple[Address, Address]] = {}
         self.ready_pipes: dict[int, int] = {}  # read ends, by rank
 
-    def prepare(self, plan: Plan) -> None:
+    def prepare(self, plan: ScenarioPlan) -> None:
         """Write the settings of each gateway, and those of the fleet for commands."""
         super().prepare(plan)
-        count = plan.day.gateways
+        count = plan.scenario.gateway_count
         pairs = [(client, server) for client in range(count) for server in range(count) if client != server]
         admins = [parse_host_port(entry.admin) for entry in plan.fleet.gateways]
         addresses = self.free_addresses(len(pairs))
@@ -57,9 +57,9 @@
         }
         description = Path(plan.fleet.description).read_bytes()
         (self.folder / "openapi.yaml").write_bytes(description)
-        self._write("fleet.cue", plan.text, -1)
+        self._write("fleet.cue", plan.settings_text, -1)
         for rank in range(count):
-            self._write(f"gw-{rank}.cue", own_settings(plan, rank), rank)
+            self._write(f"gw-{rank}.cue", gateway_settings(plan, rank), rank)
 
     def _write(self, name: str, text: str, rank: int) -> None:
         value = config.plain_values(text, name, schema_text(), "#Fleet")
@@ -76,7 +76,7 @@
         if rank in self.ready_pipes:
             os.close(self.ready_pipes[rank])
         self.ready_pipes[rank] = read_end
-        arguments = [*self._gateway(rank), "--ready-fd", str(write_end)]
+        arguments = [*self._gateway_arguments(rank), "--ready-fd", str(write_end)]
         with open(self.folder / f"gw-{rank}.log", "ab") as log:
             self.processes[f"gw-{rank}"] = subprocess.Popen(
                 [sys.executable, "-m", "orchidlane", *arguments],
@@ -98,9 +98,9 @@
 class ProcessFleet:
     """Faults and commands of a test's script on a fleet that runs."""
 
-    def __init__(self, runner: Runner, backing: FleetProcesses, links: NetworkLinks) -> None:
+    def __init__(self, runner: ScenarioRunner, backing: RelayedFleetBackend, links: NetworkLinks) -> None:
         self.runner = runner
-        self.backing = backing
+        self.fleet_backend = backing
         self.links = links
         self.folder = backing.folder
         self._away_since: dict[int, tuple[int, str]] = {}
@@ -116,7 +116,7 @@
         """Wait until each process has told that it serves. Raises TimeoutError."""
         deadline = time.monotonic() + READY_TIMEOUT_S
         for rank in ranks or range(self.count):
-            pipe = self.backing.ready_pipes[rank]
+            pipe = self.fleet_backend.ready_pipes[rank]
             if not select.select([pipe], [], [], max(0.0, deadline - time.monotonic()))[0]:
                 raise TimeoutError(f"gw-{rank} did not say that it serves: {self.log_tail(rank)}")
             if os.read(pipe, 16) != b"ready\n":
@@ -130,9 +130,9 @@
         """Send SIGKILL and wait for the end."""
         for rank in ranks:
             self._away_since.setdefault(rank, (self.now(), "killed"))
-            self.backing.processes[f"gw-{rank}"].kill()
+            self.fleet_backend.processes[f"gw-{rank}"].kill()
         for rank in ranks:
-            self.backing.processes[f"gw-{rank}"].wait(END_WITHIN)
+            self.fleet_backend.processes[f"gw-{rank}"].wait(EXIT_TIMEOUT_S)
 
     def files(self, rank: int) -> dict[Path, bytes]:
         """Return a gateway's files of fleet versions."""
@@ -150,7 +150,7 @@
     def start(self, *ranks: int) -> None:
         """Start again what was killed, and wait until it serves."""
         for rank in ranks:
-            self.backing.start_gateway(rank)
+            self.fleet_backend.start_gateway(rank)
         self.await_ready(*ranks)
         for rank in ranks:
             self.record_return(rank)
@@ -159,18 +159,18 @@
         """Send SIGSTOP."""
         for rank in ranks:
             self._away_since.setdefault(rank, (self.now(), "still"))
-            self.backing.processes[f"gw-{rank}"].send_signal(signal.SIGSTOP)
+            self.fleet_backend.processes[f"gw-{rank}"].send_signal(signal.SIGSTOP)
 
     def thaw(self, *ranks: int) -> None:
         """Send SIGCONT."""
         for rank in ranks:
-            self.backing.processes[f"gw-{rank}"].send_signal(signal.SIGCONT)
+            self.fleet_backend.processes[f"gw-{rank}"].send_signal(signal.SIGCONT)
             self.record_return(rank)
 
     def record_return(self, rank: int) -> None:
         """Record for the audit from when to when a gateway did not serve."""
         began, why = self._away_since.pop(rank)
-        self.runner.records.append(Away(f"gw-{rank}", began, self.now(), why))  # type: ignore[arg-type]
+        self.runner.records.append(Outage(f"gw-{rank}", began, self.now(), why))  # type: ignore[arg-type]
 
     def now(self) -> int:
         """Return the time of the clients' clock."""
@@ -189,7 +189,7 @@
         pairs = {(sender, receiver) for sender in senders for receiver in receivers if sender != receiver}
         reverse = {(receiver, sender) for sender, receiver in pairs}
         cut = pairs | reverse if both else pairs
-        self.runner.relay.one_way |= cut
+        self.runner.relay.one_way_cuts |= cut
         self.links.cuts |= cut
         self.links.response_cuts |= reverse
 
@@ -197,15 +197,15 @@
         """Delay what these gateways send, and slow connections to them to a trickle."""
         assert self.runner.relay is not None
         pairs = [(rank, other) for rank in ranks for other in range(self.count) if rank != other]
-        self.runner.relay.late.update(dict.fromkeys(pairs, delay_us))
+        self.runner.relay.extra_delay_us.update(dict.fromkeys(pairs, delay_us))
         reverse = {(other, rank): max_bytes_per_interval for rank, other in pairs}
         self.links.max_bytes_per_interval.update(reverse)
 
     def heal(self) -> None:
         """End all faults between processes."""
         assert self.runner.relay is not None
-        self.runner.relay.one_way.clear()
-        self.runner.relay.late.clear()
+        self.runner.relay.one_way_cuts.clear()
+        self.runner.relay.extra_delay_us.clear()
         self.links.delays_us.clear()
         self.links.max_bytes_per_interval.clear()
         self.links.reset_probability.clear()
@@ -222,7 +222,7 @@
                 if message is not None:
                     hook(sender, receiver, message)
 
-        self.runner.relay.seen = seen
+        self.runner.relay.on_datagram = seen
 
     # -- commands
 
@@ -281,7 +281,7 @@
         """Return version numbers and gateways of the answers to requests that began in this time."""
         gateways: dict[int, set[str]] = {}
         for record in list(self.runner.records):
-            if not isinstance(record, Try) or not record.version:
+            if not isinstance(record, ClientAttempt) or not record.version:
                 continue
             if record.at >= after and (before is None or record.at < before):
                 number = int(record.version.partition(":")[0])
@@ -296,22 +296,22 @@
     return done.returncode, done.stdout + done.stderr
 
 
-def play_fleet(
-    day: Day,
+def run_process_fleet(
+    scenario: Scenario,
     folder: str,
     script: Callable[[ProcessFleet], None],
     edit_settings: Callable[[dict[str, Any]], None],
     seed: int = 1,
-    warm_up: int = 20,
+    warm_up_requests: int = 20,
 ) -> tuple[Verdict, ProcessFleet]:
     """Run a script beside the clients' requests; return the audit's verdict over the sockets' traffic."""
-    backing = FleetProcesses(folder, edit_settings)
-    plan = make_plan(day, folder, backing.free_addresses)
+    backing = RelayedFleetBackend(folder, edit_settings)
+    plan = make_plan(scenario, folder, backing.free_addresses)
     backing.prepare(plan)
     loop = EventLoop(RealBackend(seed))
-    runner = Runner(loop, plan, backing)
+    runner = ScenarioRunner(loop, plan, backing)
     links = NetworkLinks(loop, backing.routes)
-    runner.beside.append(links.serve)
+    runner.extra_servers.append(links.serve)
     fleet = ProcessFleet(runner, backing, links)
 
     def run_script() -> None:
@@ -321,4 +321,4 @@
         finally:
             fleet.record_all_returns()
 
-    return play_while(runner, run_script, warm_up), fleet
+    return run_beside_load(runner, run_script, warm_up_requests), fleet
--- a/orchidlane/simulation/quota_clients.py
+++ b/orchidlane/simulation/quota_clients.py
@@ -17,8 +17,8 @@
     TaskGroup,
 )
 from orchidlane.runtime.backend import Address
-from orchidlane.simulation.clients import Subscriber
-from orchidlane.simulation.observations import Record, Take
+from orchidlane.simulation.clients import ClientProfile
+from orchidlane.simulation.observations import QuotaAttempt, Record
 
 PATIENCE = 1_500_000  # microseconds that a service waits for a reply
 CONNECT = 300_000
@@ -28,32 +28,32 @@
 
 
 @dataclass
-class Takers:
+class QuotaClients:
     """Services together: ``rate`` takes a second for ``span`` microseconds."""
 
     loop: EventLoop
     gateways: list[tuple[str, Address]]
-    subscribers: list[Subscriber]
+    profiles: list[ClientProfile]
     rate: float
-    span: int
+    duration_us: int
     record: Callable[[Record], None]
-    sent: int = 0
-    idle: dict[int, list[tuple[Stream, resp.Decoder]]] = field(default_factory=dict)
+    sent_count: int = 0
+    idle_connections: dict[int, list[tuple[Stream, resp.Decoder]]] = field(default_factory=dict)
 
     def run(self) -> None:
         """Ask until the span is over, then wait for all replies."""
         random, began = self.loop.backend.random, self.loop.now()
-        weights = [subscriber.weight for subscriber in self.subscribers]
+        weights = [subscriber.weight for subscriber in self.profiles]
         due = float(self.loop.now())
         with TaskGroup(self.loop) as scope:
-            while due < began + self.span:
+            while due < began + self.duration_us:
                 due += random.expovariate(self.rate) * 1_000_000
                 self.loop.sleep(int(due) - self.loop.now())
-                self.sent += 1
-                subscriber = random.choices(self.subscribers, weights)[0]
-                scope.spawn(self._take, f"t{self.sent}", subscriber, priority=REQUESTS)
+                self.sent_count += 1
+                subscriber = random.choices(self.profiles, weights)[0]
+                scope.spawn(self._take, f"t{self.sent_count}", subscriber, priority=REQUESTS)
 
-    def _take(self, name: str, subscriber: Subscriber) -> None:
+    def _take(self, name: str, subscriber: ClientProfile) -> None:
         random = self.loop.backend.random
         units, with_token = random.randint(1, 3), random.random() < WITH_TOKEN
         until = self.loop.now() + AGAIN_WITHIN
@@ -61,29 +61,31 @@
             rank = random.choice(subscriber.gateways)
             done = self._try(rank, name, subscriber, units, with_token)
             self.record(done)
-            if done.end in ("granted", "refused") or (not with_token and done.end != "unreachable"):
+            if done.outcome in ("granted", "refused") or (not with_token and done.outcome != "unreachable"):
                 return
             if self.loop.now() > until:
                 return
             self.loop.sleep(random.randint(20_000, 200_000))
 
-    def _try(self, rank: int, name: str, subscriber: Subscriber, units: int, with_token: bool) -> Take:
+    def _try(
+        self, rank: int, name: str, subscriber: ClientProfile, units: int, with_token: bool
+    ) -> QuotaAttempt:
         at = self.loop.now()
         end, extra = self._exchange(rank, name, subscriber, units, with_token, at + PATIENCE)
-        return Take(
+        return QuotaAttempt(
             at=at,
-            by=at + PATIENCE,
-            ended=self.loop.now(),
+            give_up_at=at + PATIENCE,
+            ended_at=self.loop.now(),
             gateway=self.gateways[rank][0],
             name=name,
-            customer=subscriber.number,
+            customer=subscriber.customer,
             units=float(units),
-            end=end,
-            extra=extra,
+            outcome=end,
+            extra_bytes=extra,
         )
 
     def _exchange(
-        self, rank: int, name: str, subscriber: Subscriber, units: int, with_token: bool, by: int
+        self, rank: int, name: str, subscriber: ClientProfile, units: int, with_token: bool, by: int
     ) -> tuple[str, int]:
         try:
             stream, decoder = self._connection(rank)
@@ -101,13 +103,13 @@
             stream.close()
             return ("silence" if isinstance(wrong, DeadlineExceededError) else "reset"), 0
         extra = decoder.pending_bytes
-        self.idle.setdefault(rank, []).append((stream, decoder))
+        self.idle_connections.setdefault(rank, []).append((stream, decoder))
         if isinstance(found[0], ErrorReply):
             return "error", extra
         return ("granted" if found[0][0] else "refused"), extra
 
     def _connection(self, rank: int) -> tuple[Stream, resp.Decoder]:
-        idle = self.idle.get(rank, [])
+        idle = self.idle_connections.get(rank, [])
         while idle:
             stream, decoder = idle.pop()
             try:
--- a/orchidlane/simulation/random_faults.py
+++ b/orchidlane/simulation/random_faults.py
@@ -11,7 +11,7 @@
 from orchidlane.config import Duration
 from orchidlane.runtime import NetworkFaults
 from orchidlane.simulation.backends import simulate
-from orchidlane.simulation.scenario import Day, Step
+from orchidlane.simulation.scenario import Scenario, Step
 
 MS, SECOND = 1_000, 1_000_000
 KINDS = (
@@ -20,24 +20,24 @@
 )
 
 
-def random_steps(seed: int, day: Day) -> tuple[Step, ...]:
+def random_steps(seed: int, day: Scenario) -> tuple[Step, ...]:
     """Three to eight troubles in the first three quarters of the day, and the upgrades it asks for."""
     rng = random.Random(seed)
     troubles = tuple(_step(rng, day) for _ in range(rng.randint(3, 8)))
-    return troubles + tuple(_upgrade(rng, day) for _ in range(day.upgrades))
+    return troubles + tuple(_upgrade(rng, day) for _ in range(day.upgrade_count))
 
 
-def _upgrade(rng: random.Random, day: Day) -> Step:
-    at = Duration(rng.randint(0, int(day.span * 0.75)))
-    some = rng.sample(range(day.gateways), rng.randint(1, day.gateways))
+def _upgrade(rng: random.Random, day: Scenario) -> Step:
+    at = Duration(rng.randint(0, int(day.duration * 0.75)))
+    some = rng.sample(range(day.gateway_count), rng.randint(1, day.gateway_count))
     killed = rng.randint(1, 7 * SECOND) if rng.random() < 0.5 else 0
     return Step(at, "upgrade_gateway", tuple(some), Duration(killed))
 
 
-def _step(rng: random.Random, day: Day) -> Step:
-    nodes = list(range(day.racks * day.rack_size))
-    gateways = list(range(day.gateways))
-    at = Duration(rng.randint(0, int(day.span * 0.75)))
+def _step(rng: random.Random, day: Scenario) -> Step:
+    nodes = list(range(day.rack_count * day.rack_size))
+    gateways = list(range(day.gateway_count))
+    at = Duration(rng.randint(0, int(day.duration * 0.75)))
     span = Duration(rng.randint(50 * MS, 2_500 * MS))
     back = Duration(rng.randint(0, 1_500 * MS))
     some_nodes = tuple(rng.sample(nodes, rng.randint(1, max(1, len(nodes) // 2))))
@@ -46,7 +46,7 @@
     which = some_gateways if "gateway" in kind or kind == "cut_peers" else some_nodes
     if kind == "peer_faults":
         delay = Duration(rng.randint(0, 200 * MS))
-        return Step(at, kind, (), span, loss=rng.random(), double=rng.random(), delay=delay)
+        return Step(at, kind, (), span, loss=rng.random(), duplication=rng.random(), delay=delay)
     if kind == "node_faults":
         reset_before, reset_after, cut, silent, full = (rng.choice((0.0, 0.05, 0.3)) for _ in range(5))
         return Step(at, kind, which, span, back, reset_before, reset_after, cut, silent, full)
@@ -55,7 +55,7 @@
     return Step(at, kind, which, span, back)
 
 
-def random_net(seed: int) -> NetworkFaults:
+def random_network_faults(seed: int) -> NetworkFaults:
     """A network whose delays, losses and repeats are drawn from the seed."""
     rng = random.Random(seed ^ 0x5EED)
     return NetworkFaults(
@@ -66,32 +66,32 @@
     )
 
 
-def play_seed(day: Day, seed: int) -> tuple[int, dict[str, object]]:
+def run_seed(day: Scenario, seed: int) -> tuple[int, dict[str, object]]:
     """One random day and what the audit found."""
     trouble = msgspec.structs.replace(day, steps=random_steps(seed, day))
-    verdict = simulate(trouble, seed, random_net(seed))
+    verdict = simulate(trouble, seed, random_network_faults(seed))
     return seed, verdict.as_json()
 
 
-def _quiet_play(arguments: tuple[Day, int]) -> tuple[int, dict[str, object]]:
+def _quiet_play(arguments: tuple[Scenario, int]) -> tuple[int, dict[str, object]]:
     import logging
 
     import structlog
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     try:
-        return play_seed(*arguments)
+        return run_seed(*arguments)
     except BaseException as failure:
         return arguments[1], {"rules": {}, "failure": f"{type(failure).__name__}: {failure}"}
 
 
-def play_seeds(day: Day, seeds: Iterable[int], jobs: int) -> dict[int, dict[str, object]]:
+def run_seeds(day: Scenario, seeds: Iterable[int], jobs: int) -> dict[int, dict[str, object]]:
     """Many random days, so many at once; the same seed gives the same day whatever the number of jobs."""
     with ProcessPoolExecutor(jobs) as pool:
         return dict(pool.map(_quiet_play, [(day, seed) for seed in seeds], chunksize=4))
 
 
-def broken(found: dict[int, dict[str, object]]) -> dict[int, dict[str, object]]:
+def broken_seeds(found: dict[int, dict[str, object]]) -> dict[int, dict[str, object]]:
     """The seeds on which a rule did not hold, or nothing could be said."""
     return {
         seed: verdict
--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -26,7 +26,7 @@
     SimulatedBackend,
     TaskGroup,
 )
-from orchidlane.simulation.fake_servers import NodeList
+from orchidlane.simulation.fake_servers import FakeDiscovery
 
 MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
 GENERATION = build(load_description((MATERIALS / "openapi.yaml").read_bytes(), "o"), "o")
@@ -71,14 +71,14 @@
         text = b'{"customers":[{"id":1,"plan":"basico","keys":["%s"]}]}' % digest.encode()
         self.customers = load_customers(text, "customers.json", self.fleet)
         self.program: GatewayProcess
-        self.list: NodeList
+        self.list: FakeDiscovery
 
     def run(self, test) -> None:
         """Run ``test(harness)`` once the gateway knows its endpoints."""
         self.loop.run(self._run, test)
 
     def _run(self, test) -> None:
-        self.list = NodeList(self.loop, ("127.0.0.1", 8300), (1 * MS, 2 * MS), lambda _: None)
+        self.list = FakeDiscovery(self.loop, ("127.0.0.1", 8300), (1 * MS, 2 * MS), lambda _: None)
         with TaskGroup(self.loop) as scope:
             self.scope = scope
             scope.spawn(self.list.serve, priority=CONTROL)
@@ -107,7 +107,7 @@
     def set_phase(self, index: int, phase: str, launched: int = 0) -> None:
         """Set the phase of an endpoint in the endpoint list."""
         node = EndpointRecord(f"127.0.0.1:{9000 + index}", phase, "hall-1", self.racks[index], launched)
-        self.list.set(f"node-{index}", node)
+        self.list.set_endpoint(f"node-{index}", node)
 
     def _serve(self, index: int) -> None:
         listener = self.backend.listen(self.address(index))
--- a/tests/harness/process_fleets.py
+++ b/tests/harness/process_fleets.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from orchidlane.config import Duration
-from orchidlane.simulation.process_fleet import play_fleet
-from orchidlane.simulation.scenario import load_day
+from orchidlane.simulation.process_fleet import run_process_fleet
+from orchidlane.simulation.scenario import load_scenario
 
 MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
 SECOND = 1_000_000
@@ -37,22 +37,22 @@
             value["plans"][name] |= settings
 
     day = msgspec.structs.replace(
-        load_day(str(MATERIALS / "random.cue")),
-        span=Duration(300 * SECOND),
+        load_scenario(str(MATERIALS / "random.cue")),
+        duration=Duration(300 * SECOND),
         steps=(),
-        gateways=gateways,
-        rate=rate,
-        takes=0.0,
-        customers=customers,
+        gateway_count=gateways,
+        request_rate=rate,
+        quota_request_rate=0.0,
+        customer_count=customers,
     )
-    return play_fleet(day, str(tmp_path), script, edit_settings, seed)
+    return run_process_fleet(day, str(tmp_path), script, edit_settings, seed)
 
 
 def assert_rules_hold(verdict) -> None:
     """All five rules hold, over enough answers."""
     report = verdict.as_json()
     assert verdict.rules == dict.fromkeys("12345", True), report
-    assert verdict.answers.get("200", 0) > MIN_SERVED, report
+    assert verdict.responses.get("200", 0) > MIN_SERVED, report
 
 
 def all_run(number: int):
--- a/tests/harness/roll_harness.py
+++ b/tests/harness/roll_harness.py
@@ -12,8 +12,8 @@
 from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver
 from orchidlane.runtime import CONTROL, EventLoop, SimulatedBackend
 from orchidlane.runtime.scheduler import Process
-from orchidlane.simulation.backends import SimulatedBacking
-from orchidlane.simulation.scenario import Runner, make_plan
+from orchidlane.simulation.backends import SimulatedFleetBackend
+from orchidlane.simulation.scenario import ScenarioRunner, make_plan
 
 MS = 1_000
 SECOND = 1_000_000
@@ -26,7 +26,7 @@
 class SimulatedSuccessors:
     """Starts successors in the simulated world; those of the new build with these numbers are broken."""
 
-    def __init__(self, backing: SimulatedBacking, broken: dict[int, Sabotage]) -> None:
+    def __init__(self, backing: SimulatedFleetBackend, broken: dict[int, Sabotage]) -> None:
         self.backing = backing
         self.broken = broken
         self.processes: dict[int, Process] = {}
@@ -48,7 +48,7 @@
         backing = self.backing
         while backing.backend.process_id() not in self.released:
             backing.loop.sleep(MS)
-        program = backing.program(backing.own_fleet(rank), rank, True)
+        program = backing.make_gateway_process(backing.gateway_settings(rank), rank, True)
         if sabotage is not None:
             backing.loop.spawn(sabotage, program, priority=CONTROL)
         program.run()
@@ -80,7 +80,7 @@
     def __init__(self, scenario, broken: dict[int, Sabotage] | None = None) -> None:
         self.backend = SimulatedBackend(7)
         self.loop = EventLoop(self.backend)
-        self.backing = SimulatedBacking(self.loop, self.backend)
+        self.backing = SimulatedFleetBackend(self.loop, self.backend)
         self.plan = make_plan(scenario, "sim", self.backing.free_addresses)
         fleet = self.plan.fleet
         upgrade = {"probation_us": Duration(800 * MS), "transfer_timeout_us": Duration(2 * SECOND)}
@@ -112,11 +112,11 @@
 
     def run(self, drive: Callable[[RollHarness], None]) -> Any:
         """Run ``drive(harness)`` under load, and return the verdict: no rule may be broken."""
-        runner = Runner(self.loop, self.plan, self.backing)
+        runner = ScenarioRunner(self.loop, self.plan, self.backing)
         verdicts: list[Any] = []
 
         def drive_under_load() -> None:
-            while runner.crowd is None or runner.crowd.sent < REQUESTS_BEFORE_ROLL:
+            while runner.http_clients is None or runner.http_clients.sent_count < REQUESTS_BEFORE_ROLL:
                 self.loop.sleep(50 * MS)
             drive(self)
             runner.end_load()
--- a/tests/processes/test_rollout_processes.py
+++ b/tests/processes/test_rollout_processes.py
@@ -319,7 +319,7 @@
     assert_rules_hold(verdict)
     assert observed["end"][0][0] == 0, observed
     assert observed["status"]["current"]["number"] == 2
-    assert verdict.ceiling_worst <= 1
+    assert verdict.worst_ceiling_ratio <= 1
 
 
 GOOD_UPLOAD, BAD_UPLOAD = "worth: 2, cost: 2}", "worth: 2, cost: 40}"  # beyond any plan's burst
--- a/tests/test_account_recovery.py
+++ b/tests/test_account_recovery.py
@@ -22,8 +22,8 @@
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording.state_dump import account_to_row
 from orchidlane.runtime import EventLoop, SimulatedBackend
-from orchidlane.simulation.backends import SimulatedBacking
-from orchidlane.simulation.scenario import Runner, make_plan
+from orchidlane.simulation.backends import SimulatedFleetBackend
+from orchidlane.simulation.scenario import ScenarioRunner, make_plan
 
 START = 10**15
 PLANS = ("basico", "amplio")
@@ -184,15 +184,19 @@
     def run_scenario(save_interval: int) -> tuple[float, dict[str, bool]]:
         backend = SimulatedBackend(11)
         loop = EventLoop(backend)
-        backing = SimulatedBacking(loop, backend)
-        plan = make_plan(day(span=12, rate=160.0, customers=6, takes=0.0), "sim", backing.free_addresses)
+        backing = SimulatedFleetBackend(loop, backend)
+        plan = make_plan(
+            day(span=12, request_rate=160.0, customer_count=6, quota_request_rate=0.0),
+            "sim",
+            backing.free_addresses,
+        )
         restart = msgspec.structs.replace(plan.fleet.account_store, write_interval_us=Duration(save_interval))
         plan.fleet = msgspec.structs.replace(plan.fleet, account_store=restart)
         backing.prepare(plan)
-        runner = Runner(loop, plan, backing)
+        runner = ScenarioRunner(loop, plan, backing)
 
         def kills() -> None:
-            while runner.crowd is None:
+            while runner.http_clients is None:
                 loop.sleep(50 * MS)
             for _ in range(4):
                 loop.sleep(2_500 * MS)
@@ -203,7 +207,7 @@
 
         found = []
         loop.run(lambda: (loop.spawn(kills, process=loop.main_process), found.append(runner.run())))
-        return found[0].beyond, found[0].rules
+        return found[0].units_beyond_quota, found[0].rules
 
     without_saved, _ = run_scenario(0)
     with_saved, rules = run_scenario(SECOND)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -19,8 +19,8 @@
 
 from orchidlane.cli.main import main
 from orchidlane.cli.screen import sums
-from orchidlane.simulation.bench_day import map_bench_day
-from orchidlane.simulation.scenario import load_day
+from orchidlane.simulation.bench_day import map_bench_scenario
+from orchidlane.simulation.scenario import load_scenario
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 
@@ -94,10 +94,10 @@
         {"kind": "never seen", "at": 1, "len": 1},
     ]
     text = {"length": 40_000_000, "servers": [machine] * 10, "balancers": [machine] * 3, "troubles": troubles}
-    mapped = map_bench_day(json.dumps(text).encode(), load_day(str(MATERIALS / "random.cue")))
-    assert mapped.done == ["balancer_stall: 6 steps", "deploy: 1 steps"]
-    assert [line.split(":")[0] for line in mapped.left] == ["scan", "never seen"]
-    assert {step.do for step in mapped.day.steps} == {"freeze_gateway", "drain_node"}
+    mapped = map_bench_scenario(json.dumps(text).encode(), load_scenario(str(MATERIALS / "random.cue")))
+    assert mapped.mapped == ["balancer_stall: 6 steps", "deploy: 1 steps"]
+    assert [line.split(":")[0] for line in mapped.unmapped] == ["scan", "never seen"]
+    assert {step.fault for step in mapped.scenario.steps} == {"freeze_gateway", "drain_node"}
 
 
 def test_the_screens_sums():
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -18,9 +18,9 @@
 from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.server.response_writer import ResponseWriter
 from orchidlane.policy import admission, endpoint_registry, retries
-from orchidlane.simulation.backends import play, simulate
-from orchidlane.simulation.random_faults import broken, play_seeds
-from orchidlane.simulation.scenario import Day, Step, load_day
+from orchidlane.simulation.backends import run_processes, simulate
+from orchidlane.simulation.random_faults import broken_seeds, run_seeds
+from orchidlane.simulation.scenario import Scenario, Step, load_scenario
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 SECOND = 1_000_000
@@ -36,9 +36,9 @@
     structlog.reset_defaults()
 
 
-def day(*steps: Step, span=5, **changes) -> Day:
-    found = load_day(str(MATERIALS / "random.cue"))
-    return msgspec.structs.replace(found, span=Duration(span * SECOND), steps=steps, **changes)
+def day(*steps: Step, span=5, **changes) -> Scenario:
+    found = load_scenario(str(MATERIALS / "random.cue"))
+    return msgspec.structs.replace(found, duration=Duration(span * SECOND), steps=steps, **changes)
 
 
 def step(at: float, do: str, *which: int, span: float = 0, back: float = 0, **chances) -> Step:
@@ -47,21 +47,21 @@
 
 def test_random_troubles_break_no_rule():
     seeds = [*SEEDS, *(seed for seed in FOUND if seed not in SEEDS)]
-    found = play_seeds(load_day(str(MATERIALS / "random.cue")), seeds, os.cpu_count() or 1)
+    found = run_seeds(load_scenario(str(MATERIALS / "random.cue")), seeds, os.cpu_count() or 1)
     assert len(found) == len(seeds)
-    assert broken(found) == {}
+    assert broken_seeds(found) == {}
     assert sum(verdict["runs"] for verdict in found.values()) > 20_000
 
 
 def test_upgrades_on_random_bad_days_break_no_rule_whatever_becomes_of_them():
     """Three a day, half of their successors killed at any moment: no excuse for anything."""
-    troubled = msgspec.structs.replace(load_day(str(MATERIALS / "random.cue")), upgrades=3)
-    found = play_seeds(troubled, [*range(60), *UPGRADES_FOUND], os.cpu_count() or 1)
-    assert broken(found) == {}
+    troubled = msgspec.structs.replace(load_scenario(str(MATERIALS / "random.cue")), upgrade_count=3)
+    found = run_seeds(troubled, [*range(60), *UPGRADES_FOUND], os.cpu_count() or 1)
+    assert broken_seeds(found) == {}
 
 
 def test_the_same_seed_gives_the_same_verdict():
-    bad = msgspec.structs.replace(load_day(str(MATERIALS / "bad.cue")), span=Duration(4 * SECOND))
+    bad = msgspec.structs.replace(load_scenario(str(MATERIALS / "bad.cue")), duration=Duration(4 * SECOND))
     first = simulate(bad, 5).as_json()
     assert simulate(bad, 5).as_json() == first
     assert simulate(bad, 6).as_json() != first
@@ -69,8 +69,8 @@
 
 def test_a_day_of_troubles_on_real_sockets_keeps_all_rules():
     steps = (
-        step(0.5, "node_faults", 0, 1, span=4, reset_before=0.1, reset_after=0.1, cut=0.1, full=0.1),
-        step(0.5, "peer_faults", span=4, loss=0.2, double=0.2, delay=Duration(20_000)),
+        step(0.5, "node_faults", 0, 1, span=4, reset_before=0.1, reset_after=0.1, truncate=0.1, reject=0.1),
+        step(0.5, "peer_faults", span=4, loss=0.2, duplication=0.2, delay=Duration(20_000)),
         step(1.0, "kill_gateway", 1, back=0.2),
         step(1.0, "drain_node", 3, span=1.5, back=0.2),
         step(1.5, "freeze_gateway", 0, span=1.0),
@@ -78,23 +78,23 @@
         step(3.0, "drain_gateway", 2),
         step(3.0, "cut_peers", 0, span=1.0),
     )
-    wide = day(*steps, answer_slack=Duration(SECOND // 4), arrival_slack=Duration(SECOND // 4))
-    verdict = play(wide, 1)
+    wide = day(*steps, response_slack=Duration(SECOND // 4), arrival_slack=Duration(SECOND // 4))
+    verdict = run_processes(wide, 1)
     assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
-    assert verdict.answers["200"] > 50
-    assert verdict.runs > 100
+    assert verdict.responses["200"] > 50
+    assert verdict.execution_count > 100
 
 
 def test_a_rolling_cold_restart_of_all_nodes_under_load_keeps_all_rules():
     verdict = simulate(day(step(0.3, "drain_node", *range(6), span=0.7, back=0.1), span=8), 5)
     assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
-    assert verdict.answers["200"] > 100
+    assert verdict.responses["200"] > 100
 
 
 # The audit must object to gateways that are broken on purpose.
 
 
-def rules(found: Day, seed: int = 1) -> dict[str, bool]:
+def rules(found: Scenario, seed: int = 1) -> dict[str, bool]:
     return simulate(found, seed).rules
 
 
@@ -107,7 +107,7 @@
 
     monkeypatch.setattr(PolicyDriver, "_finish", loses)
     verdict = simulate(day(span=3), 1)
-    assert verdict.missing
+    assert verdict.missing_responses
     assert not verdict.rules["1"]
 
 
@@ -120,7 +120,7 @@
 
     monkeypatch.setattr(ResponseWriter, "write", twice)
     verdict = simulate(day(span=3), 1)
-    assert verdict.doubled
+    assert verdict.duplicate_responses
     assert not verdict.rules["1"]
 
 
@@ -132,8 +132,8 @@
         return write(self, connection, head, answer, keep)
 
     monkeypatch.setattr(ResponseWriter, "write", late)
-    verdict = simulate(day(step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, silent=0.3), span=4), 1)
-    assert verdict.late
+    verdict = simulate(day(step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, hang=0.3), span=4), 1)
+    assert verdict.late_responses
     assert not verdict.rules["1"]
 
 
@@ -149,7 +149,7 @@
     monkeypatch.setattr(attempts, "rejection_reason", lambda *_: None)
     steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
     verdict = simulate(day(steps, span=4), 1)
-    assert verdict.effects_twice
+    assert verdict.duplicate_effects
     assert not verdict.rules["2"]
 
 
@@ -174,8 +174,8 @@
     monkeypatch.setattr(endpoint_registry, "is_warm", lambda state, endpoint: True)
     monkeypatch.setattr(retries, "_admission_latency_bound_us", lambda state, request: 1e12)
     steps = step(0.5, "kill_node", 0, 1, 2, 3, 4, back=0.1)
-    verdict = simulate(day(steps, rate=500.0, customers=500, cores=1.0), 1)
-    assert verdict.fell_over
+    verdict = simulate(day(steps, request_rate=500.0, customer_count=500, cores=1.0), 1)
+    assert verdict.overloaded_endpoints
     assert not verdict.rules["4"]
 
 
@@ -188,12 +188,12 @@
         return True
 
     monkeypatch.setattr(admission, "admits", lets_all_in)
-    verdict = simulate(day(customers=2, rate=120.0), 1)
-    assert verdict.ceiling_worst > 1
+    verdict = simulate(day(customer_count=2, request_rate=120.0), 1)
+    assert verdict.worst_ceiling_ratio > 1
     assert not verdict.rules["5"]
 
 
 def test_the_same_cold_day_unbroken_keeps_all_rules():
     steps = step(0.5, "kill_node", 0, 1, 2, 3, 4, back=0.1)
-    verdict = simulate(day(steps, rate=500.0, customers=500, cores=1.0, span=4), 1)
+    verdict = simulate(day(steps, request_rate=500.0, customer_count=500, cores=1.0, span=4), 1)
     assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -464,7 +464,7 @@
         house.loop.sleep(2 * SECOND)
         house.backend.kill(house.process)
         house.list.listener.close()
-        for stream in list(house.list.watches):
+        for stream in list(house.list.watchers):
             stream.abort()
         house.start()
         house.loop.sleep(300 * MS)
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -83,7 +83,7 @@
 
 
 def test_scripted_days_have_the_golden_names_and_defaults():
-    schema = lab_day.DAY_SCHEMA.read_text()
+    schema = lab_day.SCHEMA_PATH.read_text()
     found = config.plain_values(SMALLEST_DAY, "smallest.cue", schema, "#Day")
-    config.load(SMALLEST_DAY, "smallest.cue", schema, "#Day", lab_day.Day)
+    config.load(SMALLEST_DAY, "smallest.cue", schema, "#Day", lab_day.Scenario)
     check_golden("settings-of-a-day", {"defaults": found, "schema": schema_without_comments(schema)})
--- a/tests/test_hot_restart_real.py
+++ b/tests/test_hot_restart_real.py
@@ -12,9 +12,9 @@
 from test_day import day, quiet  # noqa: F401
 
 from orchidlane.runtime import EventLoop, RealBackend
-from orchidlane.simulation.backends import RealBacking, play_while
+from orchidlane.simulation.backends import ProcessFleetBackend, run_beside_load
 from orchidlane.simulation.mutants import BROKEN_BUILDS, make_build
-from orchidlane.simulation.scenario import Runner, make_plan
+from orchidlane.simulation.scenario import ScenarioRunner, make_plan
 
 
 @pytest.fixture(scope="module")
@@ -36,14 +36,14 @@
         "refuses everything",
         "",
     ]
-    backing = RealBacking(str(tmp_path))
-    scenario = day(span=300, rate=60.0)  # it ends with the upgrades
+    backing = ProcessFleetBackend(str(tmp_path))
+    scenario = day(span=300, request_rate=60.0)  # it ends with the upgrades
     plan = make_plan(scenario, str(tmp_path), backing.free_addresses)
-    assert 'trial: "5s"' in plan.text
-    plan.text = plan.text.replace('trial: "5s"', 'trial: "1s"')
+    assert 'trial: "5s"' in plan.settings_text
+    plan.settings_text = plan.settings_text.replace('trial: "5s"', 'trial: "1s"')
     backing.prepare(plan)
     loop = EventLoop(RealBackend(3))
-    runner = Runner(loop, plan, backing)
+    runner = ScenarioRunner(loop, plan, backing)
     outcomes: list[tuple[str, int, str]] = []
 
     def upgrade_all() -> None:
@@ -55,23 +55,25 @@
             )
             outcomes.append((name, done.returncode, done.stdout.strip()))
 
-    verdict = play_while(runner, upgrade_all)
+    verdict = run_beside_load(runner, upgrade_all)
     exit_codes = [(name, code) for name, code, _ in outcomes]
     assert exit_codes == [(name, int(bool(name))) for name in builds_in_turn], outcomes
     report = verdict.as_json()
     assert verdict.rules == dict.fromkeys("12345", True), report
     assert (report["missing"], report["doubled"], report["late"]) == (0, 0, 0)
-    assert verdict.answers["200"] > 300
-    assert verdict.answers.get("reset", 0) == 0, report
+    assert verdict.responses["200"] > 300
+    assert verdict.responses.get("reset", 0) == 0, report
     assert json.dumps(report)
     assert run_command("upgrade", str(tmp_path / "fleet.cue"))[0] == 2
 
 
 def test_roll_of_real_processes_is_killed_resumed_and_rolled_back(tmp_path, builds):
     """The roll is killed and resumed, then meets a broken build; the audit observes the sockets."""
-    backing = RealBacking(str(tmp_path))
-    plan = make_plan(day(span=300, rate=80.0), str(tmp_path), backing.free_addresses)
-    plan.text = plan.text.replace('trial: "5s"', 'trial: "700ms"').replace('soak: "5s"', 'soak: "500ms"')
+    backing = ProcessFleetBackend(str(tmp_path))
+    plan = make_plan(day(span=300, request_rate=80.0), str(tmp_path), backing.free_addresses)
+    plan.settings_text = plan.settings_text.replace('trial: "5s"', 'trial: "700ms"').replace(
+        'soak: "5s"', 'soak: "500ms"'
+    )
     backing.prepare(plan)
     settings = str(tmp_path / "gw-0.cue")
     command = [sys.executable, "-m", "orchidlane", "roll", settings, "--log", str(tmp_path / "new.log")]
@@ -100,7 +102,7 @@
         roll("broken", "--program", builds["crashes as it serves"], "--back", this_program)
         roll("over", "--resume")
 
-    verdict = play_while(Runner(EventLoop(RealBackend(4)), plan, backing), roll_all)
+    verdict = run_beside_load(ScenarioRunner(EventLoop(RealBackend(4)), plan, backing), roll_all)
     codes = {name: code for name, (code, _) in results.items()}
     assert codes == {"beside": 2, "anew": 2, "status": 0, "resumed": 0, "broken": 1, "over": 2}, results
     assert "another roll is under way" in results["beside"][1]
@@ -110,4 +112,4 @@
     assert "returned: gateway" in results["broken"][1]
     assert "its process ended" in results["broken"][1]
     assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
-    assert verdict.answers.get("reset", 0) == 0, verdict.as_json()
+    assert verdict.responses.get("reset", 0) == 0, verdict.as_json()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -236,21 +236,21 @@
     monkeypatch.setattr(LimitService, "take_idempotent", take_noting_token)
     monkeypatch.setattr(PolicyDriver, "request_quota", take_counting)
     faults = (
-        step(0.2, "peer_faults", span=6, loss=0.3, double=0.3, delay=150_000),
+        step(0.2, "peer_faults", span=6, loss=0.3, duplication=0.3, delay=150_000),
         step(3.5, "kill_gateway", 0, back=0.1),
         step(4.0, "freeze_gateway", 1, span=0.7),
         step(5.0, "cut_peers", 2, span=0.6),
     )
-    verdict = simulate(day(*faults, span=7, takes=80.0, rate=5.0, customers=200), 3)
+    verdict = simulate(day(*faults, span=7, quota_request_rate=80.0, request_rate=5.0, customer_count=200), 3)
     assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
-    assert verdict.takes["granted"] > 100
+    assert verdict.quota_responses["granted"] > 100
     assert sum(counted.values()) > 100
     assert max(counted.values()) == 1
 
 
 def test_demand_of_seven_times_the_quota_over_both_servers_of_all_gateways_stays_within_it():
-    verdict = simulate(day(span=6, takes=60.0, rate=60.0, customers=4), 2)
+    verdict = simulate(day(span=6, quota_request_rate=60.0, request_rate=60.0, customer_count=4), 2)
     assert verdict.rules == dict.fromkeys("12345", True)
-    assert verdict.takes["refused"] > 20
-    assert verdict.answers["429"] > 20
-    assert verdict.beyond <= 0.1 * verdict.units
+    assert verdict.quota_responses["refused"] > 20
+    assert verdict.responses["429"] > 20
+    assert verdict.units_beyond_quota <= 0.1 * verdict.units_used
--- a/tests/test_live_tools.py
+++ b/tests/test_live_tools.py
@@ -11,17 +11,17 @@
 from orchidlane import recording
 from orchidlane.cli.main import main
 from orchidlane.runtime import EventLoop, RealBackend, SimulatedBackend
-from orchidlane.simulation.backends import RealBacking, SimulatedBacking
-from orchidlane.simulation.scenario import Runner, load_day, make_plan
+from orchidlane.simulation.backends import ProcessFleetBackend, SimulatedFleetBackend
+from orchidlane.simulation.scenario import ScenarioRunner, load_scenario, make_plan
 
 
 def test_the_record_of_a_day_of_faults_replays_without_difference(tmp_path):
     backend = SimulatedBackend(4)
     loop = EventLoop(backend)
-    backing = SimulatedBacking(loop, backend, record_to="rec")
-    plan = make_plan(load_day(str(MATERIALS / "bad.cue")), "sim", backing.free_addresses)
+    backing = SimulatedFleetBackend(loop, backend, record_to="rec")
+    plan = make_plan(load_scenario(str(MATERIALS / "bad.cue")), "sim", backing.free_addresses)
     backing.prepare(plan)
-    loop.run(Runner(loop, plan, backing).run)
+    loop.run(ScenarioRunner(loop, plan, backing).run)
     for name, data in backend.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
@@ -35,16 +35,16 @@
 
 def test_tools_agree_with_live_gateways(tmp_path):
     """Each tool against a fleet of processes under load; what they say is what the gateways then do."""
-    backing = RealBacking(str(tmp_path), records=True)
-    plan = make_plan(day(span=3, takes=10.0), str(tmp_path), backing.free_addresses)
+    backing = ProcessFleetBackend(str(tmp_path), records=True)
+    plan = make_plan(day(span=3, quota_request_rate=10.0), str(tmp_path), backing.free_addresses)
     backing.prepare(plan)
     loop, said = EventLoop(RealBackend(1)), {}
-    runner = Runner(loop, plan, backing)
+    runner = ScenarioRunner(loop, plan, backing)
     admins = [gateway.admin for gateway in plan.fleet.gateways]
     fleet_file = str(tmp_path / "gw-0.cue")
 
     def ask() -> None:
-        while runner.crowd is None or runner.crowd.sent < 40:
+        while runner.http_clients is None or runner.http_clients.sent_count < 40:
             loop.sleep(20_000)
         said["counts"] = loop.backend.run_in_thread(
             lambda: run_command("counts", admins[0], "subscriber 3", "--json")
@@ -72,7 +72,7 @@
     assert counts["spent"] <= sum(counts["counts"].values()) + 40
     assert said["none"][0] == 2
     nodes = json.loads(said["nodes"][1])
-    assert len(nodes) == len(plan.nodes)
+    assert len(nodes) == len(plan.endpoints)
     assert sum(node["next"] for node in nodes) > 0
     assert said["diff"][0] in (0, 1)
     state = json.loads(said["state"][1])
@@ -84,7 +84,7 @@
     assert [row["plan"] for row in json.loads(said["all"][1])] == ["amplio"] * 3
     assert json.loads(said["number"][1])["plan"] == "amplio"  # the same customer by its number
     rows = json.loads(said["top"][1])
-    assert all(row["up"] and row["nodes"] == len(plan.nodes) for row in rows)
+    assert all(row["up"] and row["nodes"] == len(plan.endpoints) for row in rows)
     assert sum(row["served"] for row in rows) > 0
     code, text = run_command("replay", str(tmp_path), "--json")
     assert code == 0, text
--- a/tests/test_recording_audit.py
+++ b/tests/test_recording_audit.py
@@ -14,22 +14,22 @@
 from orchidlane import policy, recording
 from orchidlane.policy import endpoint_selection, retries
 from orchidlane.runtime import EventLoop, SimulatedBackend
-from orchidlane.simulation.backends import SimulatedBacking
-from orchidlane.simulation.scenario import Runner, make_plan
+from orchidlane.simulation.backends import SimulatedFleetBackend
+from orchidlane.simulation.scenario import ScenarioRunner, make_plan
 
 
 def recorded_day(tmp_path: Path, *steps, seed: int = 1, **changes) -> dict:
     backend = SimulatedBackend(seed)
     loop = EventLoop(backend)
-    backing = SimulatedBacking(loop, backend, record_to="rec")
+    backing = SimulatedFleetBackend(loop, backend, record_to="rec")
     plan = make_plan(day(*steps, **changes), "sim", backing.free_addresses)
     backing.prepare(plan)
-    runner = Runner(loop, plan, backing)
+    runner = ScenarioRunner(loop, plan, backing)
     loop.run(runner.run)
     for name, data in backend.files.items():
         if name.startswith(("rec/", "sim/node-")) and not name.endswith(".json"):
             (tmp_path / name.rpartition("/")[2]).write_bytes(data)
-    runner.keep(str(tmp_path))
+    runner.write_records(str(tmp_path))
     code, text = run_command("audit", str(tmp_path), "--json")
     output = json.loads(text)
     held = all(output["sockets"]["rules"].values()) and all(output["gateways"]["rules"].values())
@@ -39,12 +39,12 @@
 
 def test_the_audit_of_records_agrees_with_the_sockets_on_a_day_of_faults(tmp_path):
     steps = (
-        step(0.5, "node_faults", 0, 1, span=3, reset_before=0.1, reset_after=0.1, cut=0.1, full=0.1),
+        step(0.5, "node_faults", 0, 1, span=3, reset_before=0.1, reset_after=0.1, truncate=0.1, reject=0.1),
         step(1.0, "kill_gateway", 1, back=0.2),
         step(1.0, "drain_node", 3, span=1.0, back=0.2),
         step(1.5, "freeze_gateway", 0, span=1.5),
     )
-    output = recorded_day(tmp_path, *steps, span=4, rate=150.0, takes=20.0)
+    output = recorded_day(tmp_path, *steps, span=4, request_rate=150.0, quota_request_rate=20.0)
     assert all(output["gateways"]["rules"].values()), output
     assert all(output["sockets"]["rules"].values()), output
     assert output["gateways"]["arrivals"] > 200
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -50,7 +50,7 @@
 
 
 def make_fleet(broken: dict[int, Sabotage] | None = None) -> RollHarness:
-    return RollHarness(day(span=14, rate=120.0, gateways=8), broken)
+    return RollHarness(day(span=14, request_rate=120.0, gateway_count=8), broken)
 
 
 def test_roll_of_eight_gateways_under_load_loses_nothing():
@@ -66,7 +66,7 @@
     assert len(harness.starter.started) == 8
     batches = [line for line in harness.reports if line == "rolling -> soaking"]
     assert 4 <= len(batches) <= 6  # 1, then 2 at once at most
-    assert verdict.answers.get("reset", 0) == 0
+    assert verdict.responses.get("reset", 0) == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -17,8 +17,8 @@
 from orchidlane.policy import quota
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import EventLoop, SimulatedBackend
-from orchidlane.simulation.backends import SimulatedBacking
-from orchidlane.simulation.scenario import Runner, make_plan
+from orchidlane.simulation.backends import SimulatedFleetBackend
+from orchidlane.simulation.scenario import ScenarioRunner, make_plan
 
 
 def test_a_prediction_from_a_view_is_the_decision_that_follows():
@@ -143,10 +143,10 @@
     monkeypatch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", 3)
     backend = SimulatedBackend(6)
     loop = EventLoop(backend)
-    backing = SimulatedBacking(loop, backend, record_to="rec")
-    plan = make_plan(day(span=3, rate=200.0), "sim", backing.free_addresses)
+    backing = SimulatedFleetBackend(loop, backend, record_to="rec")
+    plan = make_plan(day(span=3, request_rate=200.0), "sim", backing.free_addresses)
     backing.prepare(plan)
-    loop.run(Runner(loop, plan, backing).run)
+    loop.run(ScenarioRunner(loop, plan, backing).run)
     for name, data in backend.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
