--- a/orchidlane/simulation/backends.py
+++ b/orchidlane/simulation/backends.py
@@ -136,7 +136,7 @@
     def check_leaks(self) -> None:
         """Nothing may be left behind once all is answered: what leaks makes a gateway refuse for ever."""
         for rank, program in self.gateway_processes.items():
-            host = program.host
+            host = program.policy_driver
             left = (
                 len(host.requests),
                 len(host.attempts),
