--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -98,7 +98,7 @@
     """A node list with one node that is ready."""
     from orchidlane.gateway.control.endpoint_list import EndpointRecord
     from orchidlane.runtime import EventLoop, RealBackend
-    from orchidlane.simulation.fake_servers import FakeDiscovery
+    from orchidlane.simulation.fake_discovery import FakeDiscovery
 
     loop = EventLoop(RealBackend())
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -30,10 +30,13 @@
 from orchidlane.resp import encode
 from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.simulation.audit import Verdict
-from orchidlane.simulation.backends import ProcessFleetBackend, run_beside_load
+from orchidlane.simulation.background_load import run_during_load
 from orchidlane.simulation.mutants import BROKEN_BUILDS, make_build
 from orchidlane.simulation.observations import ClientAttempt
-from orchidlane.simulation.scenario import ScenarioRunner, Step, load_scenario, make_plan
+from orchidlane.simulation.process_backend import ProcessFleetBackend
+from orchidlane.simulation.scenario import Step, load_scenario
+from orchidlane.simulation.scenario_plan import make_plan
+from orchidlane.simulation.scenario_runner import ScenarioRunner
 
 RATE = 100.0  # requests a second
 SPAN = 3_600  # seconds: the load ends with the work
@@ -154,7 +157,7 @@
                     units[0] = scene.counted()
                     time.sleep(0.1)
 
-        verdict = run_beside_load(scene.runner, work)
+        verdict = run_during_load(scene.runner, work)
         stayed = sum(passed for _, _, _, passed in scene.upgrades)
         wrong = [name or "good" for _, _, name, passed in scene.upgrades if passed == bool(name)]
         print(
@@ -175,7 +178,7 @@
     with tempfile.TemporaryDirectory(prefix="orchidlane-") as folder:
         scene = Scene(folder, customers=4, steps=steps)
         tell_verdict(
-            f"{count} cold restarts", run_beside_load(scene.runner, lambda: time.sleep(3 + 4 * count))
+            f"{count} cold restarts", run_during_load(scene.runner, lambda: time.sleep(3 + 4 * count))
         )
         tell_times("over all", scene.answer_times()[1])
 
@@ -206,7 +209,7 @@
             scene.upgrade("", "")
             count()
 
-        verdict = run_beside_load(scene.runner, work)
+        verdict = run_during_load(scene.runner, work)
         tell_verdict(f"{customers} customers", verdict)
         since, to, _, passed = scene.upgrades[0]
         print(
--- a/orchidlane/cli/main.py
+++ b/orchidlane/cli/main.py
@@ -97,9 +97,10 @@
     script: str, seed: int, world: str, report: str | None, keep: str | None, bench_day: str | None
 ) -> None:
     """Play a scripted day and audit it: exit 0 only when all five rules held."""
-    from orchidlane.simulation.backends import run_processes, simulate
-    from orchidlane.simulation.bench_day import map_bench_scenario
+    from orchidlane.simulation.bench_scenario import map_bench_scenario
+    from orchidlane.simulation.process_backend import run_processes
     from orchidlane.simulation.scenario import load_scenario
+    from orchidlane.simulation.simulated_fleet import simulate
 
     with clear_errors():
         loaded = load_scenario(script)
--- a/orchidlane/cli/run.py
+++ b/orchidlane/cli/run.py
@@ -14,7 +14,8 @@
 from orchidlane.gateway.rollout_agent.settings import check_rollout_settings
 from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.runtime.signals import serve
-from orchidlane.simulation.fake_endpoint import EndpointSpec, FakeEndpoint
+from orchidlane.simulation.endpoint_spec import EndpointSpec
+from orchidlane.simulation.fake_endpoint import FakeEndpoint
 
 
 def run_gateway(
--- a/orchidlane/cli/up.py
+++ b/orchidlane/cli/up.py
@@ -16,8 +16,10 @@
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import load_settings, parse_host_port
 from orchidlane.runtime import BACKGROUND, EventLoop, RealBackend
-from orchidlane.simulation.backends import ProcessFleetBackend
-from orchidlane.simulation.scenario import RequestKindEntry, Scenario, ScenarioRunner, make_plan
+from orchidlane.simulation.process_backend import ProcessFleetBackend
+from orchidlane.simulation.scenario import RequestKindEntry, Scenario
+from orchidlane.simulation.scenario_plan import make_plan
+from orchidlane.simulation.scenario_runner import ScenarioRunner
 
 PLACES = ("listen", "peer", "admin", "resp")
 KEPT = 100_000  # tries remembered for the closing line
--- a/orchidlane/simulation/__init__.py
+++ b/orchidlane/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-ins for nodes, node list and clients, faults, scripted days, and their audit."""
+"""Simulation: fake endpoints, discovery and clients, scenarios with faults, and the audit of their runs."""
--- /dev/null
+++ b/orchidlane/simulation/client_load.py
@@ -0,0 +1,58 @@
+"""What the clients of both protocols share: customers, gateways, and requests that arrive at random."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from orchidlane.runtime import EventLoop
+from orchidlane.runtime.backend import Address
+from orchidlane.simulation.observations import Record
+
+CONNECT_TIMEOUT_US = 300_000
+MICROSECONDS_PER_SECOND = 1_000_000
+
+
+class GatewayAddress(NamedTuple):
+    """A gateway and where it serves clients."""
+
+    name: str
+    address: Address
+
+
+@dataclass(frozen=True, slots=True)
+class ClientProfile:
+    """The clients of one customer; ``weight`` is their part of the load."""
+
+    customer: int
+    key: str
+    weight: float
+    gateways: tuple[int, ...]  # ranks of the customer's replica set, the most used first
+
+
+@dataclass(kw_only=True)
+class ClientLoad:
+    """An open load: ``rate`` requests per second, whether or not earlier ones have been answered."""
+
+    loop: EventLoop
+    gateways: list[GatewayAddress]
+    profiles: list[ClientProfile]
+    rate: float
+    duration_us: int
+    record: Callable[[Record], None]
+    sent_count: int = 0
+
+    def arrivals(self) -> Iterator[None]:
+        """Yield at the times of a Poisson process until the duration is over."""
+        random, began_at = self.loop.backend.random, self.loop.now()
+        due = float(self.loop.now())
+        while due < began_at + self.duration_us:
+            due += random.expovariate(self.rate) * MICROSECONDS_PER_SECOND
+            self.loop.sleep(int(due) - self.loop.now())
+            yield
+
+    def draw_profile(self) -> ClientProfile:
+        """Draw the customer of the next request, by weight."""
+        weights = [profile.weight for profile in self.profiles]
+        return self.loop.backend.random.choices(self.profiles, weights)[0]
--- /dev/null
+++ b/orchidlane/simulation/fleet_backend.py
@@ -0,0 +1,70 @@
+"""How a scenario starts, ends and freezes gateways and endpoints: as processes, or within a simulation."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from orchidlane.runtime import EventLoop, EventLoopError
+from orchidlane.runtime.backend import Address
+from orchidlane.simulation.endpoint_spec import EndpointSpec
+
+START_TIMEOUT_US = 20_000_000
+CONNECT_TIMEOUT_US = 200_000
+CONNECT_INTERVAL_US = 20_000
+
+
+class FleetBackend(Protocol):
+    """Controls the gateways, by rank, and the endpoints, by name."""
+
+    def free_addresses(self, count: int) -> list[Address]:
+        """Return addresses that nothing listens on."""
+
+    def start_gateway(self, rank: int) -> None:
+        """Start a gateway."""
+
+    def end_gateway(self, rank: int, kill: bool) -> None:
+        """Kill a gateway, or let it shut down gracefully."""
+
+    def gateway_ended(self, rank: int) -> bool:
+        """Return whether a gateway that was to end has ended."""
+
+    def begin_upgrade(self, rank: int) -> None:
+        """Start the successor of a gateway."""
+
+    def kill_successor(self, rank: int) -> None:
+        """Kill the successor of a gateway."""
+
+    def upgrade_result(self, rank: int, loop: EventLoop) -> bool | None:
+        """Return whether the successor has replaced the gateway; None while that is open."""
+
+    def freeze_gateway(self, rank: int, frozen: bool) -> None:
+        """Suspend a gateway, or resume it."""
+
+    def start_endpoint(self, spec: EndpointSpec) -> None:
+        """Start an endpoint."""
+
+    def kill_endpoint(self, name: str) -> None:
+        """Kill an endpoint."""
+
+    def freeze_endpoint(self, name: str, frozen: bool) -> None:
+        """Suspend an endpoint, or resume it."""
+
+    def check_leaks(self) -> None:
+        """Check that no request is left once all have ended. Raises AssertionError."""
+
+    def end(self) -> None:
+        """End everything that runs."""
+
+
+def wait_until_listening(loop: EventLoop, address: Address) -> None:
+    """Wait until a connection to an address succeeds. Raises EventLoopError after ``START_TIMEOUT_US``."""
+    deadline = loop.now() + START_TIMEOUT_US
+    while True:
+        try:
+            loop.backend.connect(address, loop.now() + CONNECT_TIMEOUT_US).close()
+        except EventLoopError:
+            if loop.now() > deadline:
+                raise
+            loop.sleep(CONNECT_INTERVAL_US)
+        else:
+            return
--- a/orchidlane/simulation/network_links.py
+++ b/orchidlane/simulation/network_links.py
@@ -7,6 +7,7 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from orchidlane.runtime import (
     PEERS,
@@ -26,16 +27,22 @@
 Pair = tuple[int, int]  # ranks of the client and of the server of a connection
 
 
+class LinkRoute(NamedTuple):
+    """Where a relay listens, and where the server listens that it connects to."""
+
+    relay: Address
+    server: Address
+
+
 @dataclass
 class NetworkLinks:
     """The relays; what they do to a pair may be changed at any time.
 
-    ``routes`` has the address to listen on and the address to connect to. On a pair in ``cuts`` nothing
-    passes; on one in ``response_cuts`` requests arrive and responses do not.
+    On a pair in ``cuts`` nothing passes; on one in ``response_cuts`` requests arrive and responses do not.
     """
 
     loop: EventLoop
-    routes: Mapping[Pair, tuple[Address, Address]]
+    routes: Mapping[Pair, LinkRoute]
     cuts: set[Pair] = field(default_factory=set)
     response_cuts: set[Pair] = field(default_factory=set)
     delays_us: dict[Pair, int] = field(default_factory=dict)  # of each piece
@@ -46,9 +53,9 @@
     def serve(self) -> None:
         """Relay connections until cancelled."""
         with TaskGroup(self.loop) as scope:
-            for pair, (own, target) in self.routes.items():
-                listener = self.loop.backend.listen(own)
-                scope.spawn(self._accept, pair, listener, target, priority=PEERS, name="links")
+            for pair, route in self.routes.items():
+                listener = self.loop.backend.listen(route.relay)
+                scope.spawn(self._accept, pair, listener, route.server, priority=PEERS, name="links")
 
     def _accept(self, pair: Pair, listener: Listener, target: Address) -> None:
         with TaskGroup(self.loop) as scope:
--- a/orchidlane/simulation/observations.py
+++ b/orchidlane/simulation/observations.py
@@ -1,32 +1,70 @@
-"""What nodes, clients and the node list saw pass on their sockets: the audit's only source."""
+"""What endpoints, clients and discovery observe on their sockets: the audit's only source.
+
+Records are stored as JSON lines; tags and keys of the files are mapped here. Times are microseconds of the
+backend's clock.
+"""
 
 from __future__ import annotations
 
-from typing import Literal
+import enum
 
 import msgspec
 
-CLIENT_RECORDS_FILE, LIMITS_FILE = (
-    "clients.records",
-    "terms.json",
-)  # files beside the nodes' records of a kept day
+# Files of a run that is kept, beside the records of its endpoints
+CLIENT_RECORDS_FILE = "clients.records"
+LIMITS_FILE = "terms.json"
+RECORD_FILES = "*.records"
+
+# Headers by which observations of clients and endpoints are matched
+REQUEST_HEADER = b"lab-request"
+ATTEMPT_HEADER = b"lab-try"
+
+
+class AttemptOutcome(enum.StrEnum):
+    """How a client's attempt ended."""
+
+    ANSWERED = "answer"
+    TRUNCATED = "cut"
+    RESET = "reset"
+    TIMED_OUT = "silence"
+    CLIENT_LEFT = "left"
+    UNREACHABLE = "unreachable"
+
+
+class QuotaOutcome(enum.StrEnum):
+    """How an attempt to obtain quota ended."""
+
+    GRANTED = "granted"
+    REJECTED = "refused"
+    ERROR = "error"
+    TIMED_OUT = "silence"
+    RESET = "reset"
+    UNREACHABLE = "unreachable"
+
+
+class OutageReason(enum.Enum):
+    """Why a process did not serve."""
+
+    KILLED = "killed"
+    DRAINED = "drained"
+    FROZEN = "still"
 
 
 class Arrival(msgspec.Struct, frozen=True, tag="arrival"):
-    """A node read the head of an attempt. Times are microseconds of the world's clock."""
+    """An endpoint read the head of a gateway's attempt."""
 
     at: int
     endpoint: str = msgspec.field(name="node")
     gateway: str
     attempt: str
-    request: str  # the client's, over all its tries
-    client_attempt: str = msgspec.field(name="attempt_of")  # the client's try
+    request: str  # the client's, the same in all its attempts
+    client_attempt: str = msgspec.field(name="attempt_of")
     customer: int
     units: float
 
 
 class Execution(msgspec.Struct, frozen=True, tag="run"):
-    """A node did the work of a request: its effect, if it has one, is done."""
+    """An endpoint executed a request: its effect, if it has one, has come about."""
 
     at: int
     endpoint: str = msgspec.field(name="node")
@@ -38,14 +76,14 @@
 
 
 class EndpointOverload(msgspec.Struct, frozen=True, tag="fell"):
-    """A cold node was pushed over."""
+    """An endpoint that was warming up broke down under its load."""
 
     at: int
     endpoint: str = msgspec.field(name="node")
 
 
 class EndpointNotice(msgspec.Struct, frozen=True, tag="told"):
-    """The node list wrote a node's phase to a gateway's watch."""
+    """Discovery notified a gateway of an endpoint's state."""
 
     at: int
     gateway: str
@@ -54,7 +92,7 @@
 
 
 class ClientAttempt(msgspec.Struct, frozen=True, tag="try"):
-    """One try of a client, up to ``by``. ``end``: answer, cut, reset, silence, left, unreachable."""
+    """One attempt of an HTTP client."""
 
     at: int
     give_up_at: int = msgspec.field(name="by")
@@ -64,40 +102,40 @@
     name: str
     class_name: str
     customer: int
-    outcome: str = msgspec.field(name="end")
+    outcome: AttemptOutcome = msgspec.field(name="end")
     status: int = 0
-    is_safe_to_retry: bool = msgspec.field(name="harmless", default=False)  # the answer says that a repeat is
-    extra_bytes: int = msgspec.field(name="extra", default=0)  # bytes after the answer that belong to none
-    version: str = ""  # of the rules that the answer was made by, where it says so
+    is_safe_to_retry: bool = msgspec.field(name="harmless", default=False)  # as the response says
+    extra_bytes: int = msgspec.field(name="extra", default=0)  # after the response
+    version: str = ""  # of the rules that applied, if the response says so
 
 
 class QuotaAttempt(msgspec.Struct, frozen=True, tag="take"):
-    """One try of a take over RESP. ``end``: granted, refused, error, silence, reset, unreachable."""
+    """One attempt of a service to obtain quota over RESP."""
 
     at: int
     give_up_at: int = msgspec.field(name="by")
     ended_at: int = msgspec.field(name="ended")
     gateway: str
-    name: str  # the same over all tries, and the token
+    name: str  # the same in all attempts, and the idempotency token
     customer: int
     units: float
-    outcome: str = msgspec.field(name="end")
+    outcome: QuotaOutcome = msgspec.field(name="end")
     extra_bytes: int = msgspec.field(name="extra")
 
 
 class UnexpectedData(msgspec.Struct, frozen=True, tag="extra"):
-    """Bytes came on a client's connection after the answer to a try, and belong to none."""
+    """Data came on a client's connection after the response to an attempt, and belongs to none."""
 
     name: str
 
 
 class Outage(msgspec.Struct, frozen=True, tag="away"):
-    """A gateway or node was killed, drained, or stood still (``why``): from when to when."""
+    """A gateway or endpoint was killed, drained or suspended during this time."""
 
     process: str = msgspec.field(name="who")
     began_at: int = msgspec.field(name="begin")
     ended_at: int = msgspec.field(name="end")
-    reason: Literal["killed", "drained", "still"] = msgspec.field(name="why")
+    reason: OutageReason = msgspec.field(name="why")
 
 
 Record = (
@@ -113,11 +151,14 @@
 
 
 def encode(record: Record) -> bytes:
-    """One line."""
+    """Return a record as one line."""
     return msgspec.json.encode(record) + b"\n"
 
 
-def decode(text: bytes) -> list[Record]:
-    """All whole lines of a file: a kill may leave the last one cut."""
-    lines = text.split(b"\n")[:-1]
+def decode(data: bytes) -> list[Record]:
+    """Return the records of all complete lines; a kill may leave the last line incomplete.
+
+    Raises msgspec.DecodeError.
+    """
+    lines = data.split(b"\n")[:-1]
     return [msgspec.json.decode(line, type=Record) for line in lines]
--- /dev/null
+++ b/orchidlane/simulation/process_backend.py
@@ -0,0 +1,173 @@
+"""A fleet whose gateways and endpoints are processes of this machine."""
+
+from __future__ import annotations
+
+import os
+import signal
+import socket
+import subprocess
+import sys
+import tempfile
+from pathlib import Path
+
+import msgspec
+
+from orchidlane.gateway.lifecycle.status_query import request_status
+from orchidlane.runtime import EventLoop, RealBackend
+from orchidlane.runtime.backend import Address
+from orchidlane.simulation.audit import Verdict
+from orchidlane.simulation.endpoint_spec import EndpointSpec
+from orchidlane.simulation.scenario import Scenario
+from orchidlane.simulation.scenario_plan import (
+    SECRET,
+    ScenarioPlan,
+    customers_file,
+    gateway_settings,
+    make_plan,
+)
+from orchidlane.simulation.scenario_runner import ScenarioRunner, run_in_loop
+
+EXIT_TIMEOUT_S = 15.0
+
+
+def loopback_host() -> str:
+    """Return a loopback address of this process alone: no other takes its ports before they are used."""
+    pid = os.getpid()
+    return f"127.{1 + (pid >> 15) % 250}.{(pid >> 7) & 0xFF}.{1 + (pid & 0x7F)}"
+
+
+class ProcessFleetBackend:
+    """Controls processes by signals; see ``FleetBackend``. Their output goes to files in the folder."""
+
+    def __init__(self, folder: str, records: bool = False) -> None:
+        self.folder = Path(folder)
+        self.record_arguments = ("--record", folder) if records else ()
+        self.plan: ScenarioPlan
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
+        self.successors: dict[int, subprocess.Popen[bytes]] = {}
+        self.replaced_processes: list[subprocess.Popen[bytes]] = []
+        self._allocated: set[Address] = set()
+
+    def free_addresses(self, count: int) -> list[Address]:
+        """Return addresses that nothing listens on, and that no earlier call returned."""
+        sockets: list[socket.socket] = []
+        addresses: list[Address] = []
+        while len(addresses) < count:
+            sockets.append(socket.socket())
+            sockets[-1].bind((loopback_host(), 0))
+            address = sockets[-1].getsockname()
+            if address not in self._allocated:
+                addresses.append(address)
+        for bound in sockets:
+            bound.close()
+        self._allocated.update(addresses)
+        return addresses
+
+    def prepare(self, plan: ScenarioPlan) -> None:
+        """Write the files of the gateways."""
+        self.plan = plan
+        (self.folder / "customers.json").write_bytes(customers_file(plan))
+        secret = os.open(plan.secret_file, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        os.write(secret, SECRET)
+        os.close(secret)
+        for rank in range(plan.scenario.gateway_count):
+            (self.folder / f"gw-{rank}.cue").write_text(gateway_settings(plan, rank))
+
+    def start_process(
+        self, name: str, *arguments: str, inherited_fds: tuple[int, ...] = ()
+    ) -> subprocess.Popen[bytes]:
+        """Start the program; its output goes to the log of this name."""
+        with open(self.folder / f"{name}.log", "ab") as log:
+            return subprocess.Popen(
+                [sys.executable, "-m", "orchidlane", *arguments],
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                pass_fds=inherited_fds,
+            )
+
+    def gateway_arguments(self, rank: int) -> tuple[str, ...]:
+        """Return the arguments by which the program runs a gateway."""
+        settings = str(self.folder / f"gw-{rank}.cue")
+        return "gateway", settings, "--rank", str(rank), *self.record_arguments
+
+    def start_gateway(self, rank: int) -> None:
+        """Start a gateway."""
+        name = f"gw-{rank}"
+        self.processes[name] = self.start_process(name, *self.gateway_arguments(rank))
+
+    def begin_upgrade(self, rank: int) -> None:
+        """Start the successor of a gateway."""
+        arguments = (*self.gateway_arguments(rank), "--take-over")
+        self.successors[rank] = self.start_process(f"gw-{rank}", *arguments)
+
+    def kill_successor(self, rank: int) -> None:
+        """Kill the successor of a gateway."""
+        self.successors[rank].kill()
+
+    def upgrade_result(self, rank: int, loop: EventLoop) -> bool | None:
+        """Return whether the successor has replaced the gateway; None while that is open."""
+        successor = self.successors[rank]
+        if successor.poll() is not None:
+            return False
+        status = request_status(loop, (f"{self.folder}/gw-{rank}.upgrade", 0))
+        if status is None or status.pid != successor.pid:
+            return None
+        self.replaced_processes.append(self.processes[f"gw-{rank}"])
+        self.processes[f"gw-{rank}"] = successor
+        return True
+
+    def end_gateway(self, rank: int, kill: bool) -> None:
+        """Kill a gateway, or let it shut down gracefully."""
+        self.processes[f"gw-{rank}"].send_signal(signal.SIGKILL if kill else signal.SIGTERM)
+
+    def gateway_ended(self, rank: int) -> bool:
+        """Return whether a gateway that was to end has ended."""
+        return self.processes[f"gw-{rank}"].poll() is not None
+
+    def freeze_gateway(self, rank: int, frozen: bool) -> None:
+        """Suspend a gateway, or resume it."""
+        self._freeze(f"gw-{rank}", frozen)
+
+    def _freeze(self, name: str, frozen: bool) -> None:
+        self.processes[name].send_signal(signal.SIGSTOP if frozen else signal.SIGCONT)
+
+    def start_endpoint(self, spec: EndpointSpec) -> None:
+        """Start an endpoint."""
+        path = self.folder / f"{spec.name}.json"
+        path.write_bytes(msgspec.json.encode(spec))
+        self.processes[spec.name] = self.start_process(spec.name, "lab-node", str(path))
+
+    def kill_endpoint(self, name: str) -> None:
+        """Kill an endpoint."""
+        self.processes[name].kill()
+        self.processes[name].wait(EXIT_TIMEOUT_S)
+
+    def freeze_endpoint(self, name: str, frozen: bool) -> None:
+        """Suspend an endpoint, or resume it."""
+        self._freeze(name, frozen)
+
+    def check_leaks(self) -> None:
+        """Check nothing: the requests of a process can't be seen from here."""
+
+    def end(self) -> None:
+        """End everything that runs."""
+        started = [*self.processes.values(), *self.successors.values(), *self.replaced_processes]
+        for process in started:
+            if process.poll() is None:
+                process.kill()
+        for process in started:
+            process.wait(EXIT_TIMEOUT_S)
+
+
+def run_processes(scenario: Scenario, seed: int, folder: str | None = None) -> Verdict:
+    """Run a scenario on this machine's loopback; a folder gets the logs, and the records of the traffic."""
+    with tempfile.TemporaryDirectory(prefix="orchidlane-") as temporary_folder:
+        fleet_backend = ProcessFleetBackend(folder or temporary_folder, records=folder is not None)
+        plan = make_plan(scenario, folder or temporary_folder, fleet_backend.free_addresses)
+        fleet_backend.prepare(plan)
+        runner = ScenarioRunner(EventLoop(RealBackend(seed)), plan, fleet_backend)
+        verdict = run_in_loop(runner)
+        if folder is not None:
+            runner.write_records(folder)
+        return verdict
--- a/orchidlane/simulation/process_fleet.py
+++ b/orchidlane/simulation/process_fleet.py
@@ -1,8 +1,8 @@
 """Gateway processes of this machine with faults between them, for tests that drive a fleet under load.
 
-Each process tells on a pipe that it is ready. Datagrams pass the relay of the fake servers, connections
-between gateways those of ``network_links``; both know sender and receiver. Faults of processes are signals. A
-test's script runs in a thread of its own while clients send requests (``backends.play_while``).
+Each process says on a pipe that it is ready. Datagrams pass ``datagram_relay``, connections between
+gateways ``network_links``; both know sender and receiver. Faults of processes are signals. A
+test's script runs in a thread of its own while clients send requests (``background_load``).
 """
 
 from __future__ import annotations
@@ -17,82 +17,32 @@
 import time
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
-from orchidlane import config
-from orchidlane.gateway.control.settings_loader import parse_host_port, schema_text
 from orchidlane.gateway.peers.datagrams import HEADER, MAC_BYTES, DatagramKind
 from orchidlane.rollout import messages
 from orchidlane.runtime import EventLoop, RealBackend
-from orchidlane.runtime.backend import Address
 from orchidlane.simulation.audit import Verdict
-from orchidlane.simulation.backends import EXIT_TIMEOUT_S, ProcessFleetBackend, run_beside_load
-from orchidlane.simulation.network_links import NetworkLinks, Pair
-from orchidlane.simulation.observations import ClientAttempt, Outage
-from orchidlane.simulation.scenario import Scenario, ScenarioPlan, ScenarioRunner, gateway_settings, make_plan
-
-READY_TIMEOUT_S = 20.0  # seconds
+from orchidlane.simulation.background_load import run_during_load
+from orchidlane.simulation.network_links import NetworkLinks
+from orchidlane.simulation.observations import ClientAttempt, Outage, OutageReason
+from orchidlane.simulation.process_backend import EXIT_TIMEOUT_S
+from orchidlane.simulation.relayed_backend import DESCRIPTION_FILE, FLEET_FILE, RelayedFleetBackend
+from orchidlane.simulation.scenario import Scenario
+from orchidlane.simulation.scenario_plan import make_plan
+from orchidlane.simulation.scenario_runner import ScenarioRunner
+
+READY_TIMEOUT_S = 20.0
+READY_LINE = b"ready\n"
 COMMAND_TIMEOUT_S = 90.0
 UNUSABLE_INPUT = 2  # exit code
 
 
-class RelayedFleetBackend(ProcessFleetBackend):
-    """Gateway processes, each with settings by which it reaches the others through relays."""
-
-    def __init__(self, folder: str, edit_settings: Callable[[dict[str, Any]], None]) -> None:
-        super().__init__(folder)
-        self.edit_settings = edit_settings
-        self.routes: dict[Pair, tuple[Address, Address]] = {}
-        self.ready_pipes: dict[int, int] = {}  # read ends, by rank
-
-    def prepare(self, plan: ScenarioPlan) -> None:
-        """Write the settings of each gateway, and those of the fleet for commands."""
-        super().prepare(plan)
-        count = plan.scenario.gateway_count
-        pairs = [(client, server) for client in range(count) for server in range(count) if client != server]
-        admins = [parse_host_port(entry.admin) for entry in plan.fleet.gateways]
-        addresses = self.free_addresses(len(pairs))
-        self.routes = {
-            pair: (address, admins[pair[1]]) for pair, address in zip(pairs, addresses, strict=True)
-        }
-        description = Path(plan.fleet.description).read_bytes()
-        (self.folder / "openapi.yaml").write_bytes(description)
-        self._write("fleet.cue", plan.settings_text, -1)
-        for rank in range(count):
-            self._write(f"gw-{rank}.cue", gateway_settings(plan, rank), rank)
-
-    def _write(self, name: str, text: str, rank: int) -> None:
-        value = config.plain_values(text, name, schema_text(), "#Fleet")
-        value["description"] = str(self.folder / "openapi.yaml")
-        self.edit_settings(value)
-        for (client, server), ((host, port), _) in self.routes.items():
-            if client == rank:
-                value["gateways"][server]["admin"] = f"{host}:{port}"
-        (self.folder / name).write_text(config.render(value)[1:-1])
-
-    def start_gateway(self, rank: int) -> None:
-        """Start a process that inherits the write end of its ready pipe."""
-        read_end, write_end = os.pipe()
-        if rank in self.ready_pipes:
-            os.close(self.ready_pipes[rank])
-        self.ready_pipes[rank] = read_end
-        arguments = [*self._gateway_arguments(rank), "--ready-fd", str(write_end)]
-        with open(self.folder / f"gw-{rank}.log", "ab") as log:
-            self.processes[f"gw-{rank}"] = subprocess.Popen(
-                [sys.executable, "-m", "orchidlane", *arguments],
-                stdin=subprocess.DEVNULL,
-                stdout=log,
-                stderr=log,
-                pass_fds=(write_end,),
-            )
-        os.close(write_end)
-
-    def end(self) -> None:
-        """End all processes and close their pipes."""
-        super().end()
-        for read_end in self.ready_pipes.values():
-            os.close(read_end)
-        self.ready_pipes.clear()
+class OutageBegin(NamedTuple):
+    """Since when and why a gateway does not serve."""
+
+    at: int
+    reason: OutageReason
 
 
 class ProcessFleet:
@@ -103,23 +53,23 @@
         self.fleet_backend = backing
         self.links = links
         self.folder = backing.folder
-        self._away_since: dict[int, tuple[int, str]] = {}
+        self._outages: dict[int, OutageBegin] = {}
 
     @property
     def count(self) -> int:
         """The number of gateways."""
         return len(self.runner.plan.gateways)
 
-    # -- processes
+    # Processes
 
     def await_ready(self, *ranks: int) -> None:
-        """Wait until each process has told that it serves. Raises TimeoutError."""
+        """Wait until each process has said that it serves. Raises TimeoutError."""
         deadline = time.monotonic() + READY_TIMEOUT_S
         for rank in ranks or range(self.count):
             pipe = self.fleet_backend.ready_pipes[rank]
             if not select.select([pipe], [], [], max(0.0, deadline - time.monotonic()))[0]:
                 raise TimeoutError(f"gw-{rank} did not say that it serves: {self.log_tail(rank)}")
-            if os.read(pipe, 16) != b"ready\n":
+            if os.read(pipe, 16) != READY_LINE:
                 raise TimeoutError(f"gw-{rank} ended before it served: {self.log_tail(rank)}")
 
     def log_tail(self, rank: int) -> str:
@@ -129,7 +79,7 @@
     def kill(self, *ranks: int) -> None:
         """Send SIGKILL and wait for the end."""
         for rank in ranks:
-            self._away_since.setdefault(rank, (self.now(), "killed"))
+            self._outages.setdefault(rank, OutageBegin(self.now(), OutageReason.KILLED))
             self.fleet_backend.processes[f"gw-{rank}"].kill()
         for rank in ranks:
             self.fleet_backend.processes[f"gw-{rank}"].wait(EXIT_TIMEOUT_S)
@@ -158,7 +108,7 @@
     def freeze(self, *ranks: int) -> None:
         """Send SIGSTOP."""
         for rank in ranks:
-            self._away_since.setdefault(rank, (self.now(), "still"))
+            self._outages.setdefault(rank, OutageBegin(self.now(), OutageReason.FROZEN))
             self.fleet_backend.processes[f"gw-{rank}"].send_signal(signal.SIGSTOP)
 
     def thaw(self, *ranks: int) -> None:
@@ -169,8 +119,8 @@
 
     def record_return(self, rank: int) -> None:
         """Record for the audit from when to when a gateway did not serve."""
-        began, why = self._away_since.pop(rank)
-        self.runner.records.append(Outage(f"gw-{rank}", began, self.now(), why))  # type: ignore[arg-type]
+        began_at, reason = self._outages.pop(rank)
+        self.runner.records.append(Outage(f"gw-{rank}", began_at, self.now(), reason))
 
     def now(self) -> int:
         """Return the time of the clients' clock."""
@@ -178,10 +128,10 @@
 
     def record_all_returns(self) -> None:
         """Record at the end those gateways that still do not serve."""
-        for rank in list(self._away_since):
+        for rank in list(self._outages):
             self.record_return(rank)
 
-    # -- between processes
+    # Between processes
 
     def cut(self, senders: set[int], receivers: set[int], both: bool = True) -> None:
         """Let nothing pass from senders to receivers, nor back where both directions are cut."""
@@ -224,12 +174,12 @@
 
         self.runner.relay.on_datagram = seen
 
-    # -- commands
+    # Commands
 
     def command(self, *arguments: str) -> tuple[int, str]:
         """Return exit code and output of ``orchidlane change ...`` with the fleet's settings."""
         verb, *rest = arguments
-        return _run_program("change", verb, str(self.folder / "fleet.cue"), *rest)
+        return _run_program("change", verb, str(self.folder / FLEET_FILE), *rest)
 
     def upgrade(self, rank: int) -> tuple[int, str]:
         """Hand a gateway over to a new process; return exit code and output of the command."""
@@ -272,7 +222,7 @@
 
     def edit_rules(self, old: str, new: str) -> None:
         """Change the description's file."""
-        path = self.folder / "openapi.yaml"
+        path = self.folder / DESCRIPTION_FILE
         text = path.read_text()
         assert old in text, old
         path.write_text(text.replace(old, new))
@@ -305,14 +255,14 @@
     warm_up_requests: int = 20,
 ) -> tuple[Verdict, ProcessFleet]:
     """Run a script beside the clients' requests; return the audit's verdict over the sockets' traffic."""
-    backing = RelayedFleetBackend(folder, edit_settings)
-    plan = make_plan(scenario, folder, backing.free_addresses)
-    backing.prepare(plan)
+    fleet_backend = RelayedFleetBackend(folder, edit_settings)
+    plan = make_plan(scenario, folder, fleet_backend.free_addresses)
+    fleet_backend.prepare(plan)
     loop = EventLoop(RealBackend(seed))
-    runner = ScenarioRunner(loop, plan, backing)
-    links = NetworkLinks(loop, backing.routes)
+    runner = ScenarioRunner(loop, plan, fleet_backend)
+    links = NetworkLinks(loop, fleet_backend.routes)
     runner.extra_servers.append(links.serve)
-    fleet = ProcessFleet(runner, backing, links)
+    fleet = ProcessFleet(runner, fleet_backend, links)
 
     def run_script() -> None:
         fleet.await_ready()
@@ -321,4 +271,4 @@
         finally:
             fleet.record_all_returns()
 
-    return run_beside_load(runner, run_script, warm_up_requests), fleet
+    return run_during_load(runner, run_script, warm_up_requests), fleet
--- a/orchidlane/simulation/quota_clients.py
+++ b/orchidlane/simulation/quota_clients.py
@@ -1,9 +1,9 @@
-"""Stand-ins for services that ask for quota over RESP, and try again through other gateways."""
+"""Services that request quota over RESP, and retry through other gateways."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import Any, NamedTuple
 
 from orchidlane import resp
 from orchidlane.resp import ErrorReply
@@ -12,111 +12,148 @@
     ConnectionClosedError,
     ConnectionFailedError,
     DeadlineExceededError,
-    EventLoop,
     Stream,
     TaskGroup,
 )
-from orchidlane.runtime.backend import Address
-from orchidlane.simulation.clients import ClientProfile
-from orchidlane.simulation.observations import QuotaAttempt, Record
-
-PATIENCE = 1_500_000  # microseconds that a service waits for a reply
-CONNECT = 300_000
-TRIES = 4
-WITH_TOKEN = 0.8  # of the takes
-AGAIN_WITHIN = 1_000_000  # microseconds after the first try: well within a token's life
-
-
-@dataclass
-class QuotaClients:
-    """Services together: ``rate`` takes a second for ``span`` microseconds."""
-
-    loop: EventLoop
-    gateways: list[tuple[str, Address]]
-    profiles: list[ClientProfile]
-    rate: float
-    duration_us: int
-    record: Callable[[Record], None]
-    sent_count: int = 0
-    idle_connections: dict[int, list[tuple[Stream, resp.Decoder]]] = field(default_factory=dict)
+from orchidlane.simulation.client_load import CONNECT_TIMEOUT_US, ClientLoad, ClientProfile
+from orchidlane.simulation.observations import QuotaAttempt, QuotaOutcome
+
+REPLY_TIMEOUT_US = 1_500_000
+MAX_ATTEMPTS = 4
+IDEMPOTENT_SHARE = 0.8  # of the requests
+RETRY_TIMEOUT_US = 1_000_000  # after the first attempt: less than gateways remember a token
+RETRY_DELAY_US = (20_000, 200_000)
+
+
+class Connection(NamedTuple):
+    """A connection to a gateway."""
+
+    stream: Stream
+    decoder: resp.Decoder
+
+
+class QuotaRequest(NamedTuple):
+    """A request for units; its name is the idempotency token, where it has one."""
+
+    name: str
+    profile: ClientProfile
+    units: int
+    is_idempotent: bool
+
+
+class QuotaReply(NamedTuple):
+    """What came of an attempt; ``extra_bytes`` came after the reply."""
+
+    outcome: QuotaOutcome
+    extra_bytes: int = 0
+
+
+@dataclass(kw_only=True)
+class QuotaClients(ClientLoad):
+    """The services of all customers."""
+
+    idle_connections: dict[int, list[Connection]] = field(default_factory=dict)  # by rank
 
     def run(self) -> None:
-        """Ask until the span is over, then wait for all replies."""
-        random, began = self.loop.backend.random, self.loop.now()
-        weights = [subscriber.weight for subscriber in self.profiles]
-        due = float(self.loop.now())
+        """Send requests until the duration is over, then wait for all replies."""
         with TaskGroup(self.loop) as scope:
-            while due < began + self.duration_us:
-                due += random.expovariate(self.rate) * 1_000_000
-                self.loop.sleep(int(due) - self.loop.now())
+            for _ in self.arrivals():
                 self.sent_count += 1
-                subscriber = random.choices(self.profiles, weights)[0]
-                scope.spawn(self._take, f"t{self.sent_count}", subscriber, priority=REQUESTS)
+                profile = self.draw_profile()
+                scope.spawn(self._request_quota, f"t{self.sent_count}", profile, priority=REQUESTS)
 
-    def _take(self, name: str, subscriber: ClientProfile) -> None:
+    def _request_quota(self, name: str, profile: ClientProfile) -> None:
+        """Send a request, with retries."""
         random = self.loop.backend.random
-        units, with_token = random.randint(1, 3), random.random() < WITH_TOKEN
-        until = self.loop.now() + AGAIN_WITHIN
-        for _ in range(TRIES):
-            rank = random.choice(subscriber.gateways)
-            done = self._try(rank, name, subscriber, units, with_token)
-            self.record(done)
-            if done.outcome in ("granted", "refused") or (not with_token and done.outcome != "unreachable"):
+        units, is_idempotent = random.randint(1, 3), random.random() < IDEMPOTENT_SHARE
+        request = QuotaRequest(name, profile, units, is_idempotent)
+        deadline = self.loop.now() + RETRY_TIMEOUT_US
+        for _ in range(MAX_ATTEMPTS):
+            attempt = self._attempt(request, random.choice(profile.gateways))
+            self.record(attempt)
+            if not _may_retry(request, attempt) or self.loop.now() > deadline:
                 return
-            if self.loop.now() > until:
-                return
-            self.loop.sleep(random.randint(20_000, 200_000))
+            self.loop.sleep(random.randint(*RETRY_DELAY_US))
 
-    def _try(
-        self, rank: int, name: str, subscriber: ClientProfile, units: int, with_token: bool
-    ) -> QuotaAttempt:
-        at = self.loop.now()
-        end, extra = self._exchange(rank, name, subscriber, units, with_token, at + PATIENCE)
+    def _attempt(self, request: QuotaRequest, rank: int) -> QuotaAttempt:
+        began_at = self.loop.now()
+        give_up_at = began_at + REPLY_TIMEOUT_US
+        reply = self._exchange(request, rank, give_up_at)
         return QuotaAttempt(
-            at=at,
-            give_up_at=at + PATIENCE,
+            at=began_at,
+            give_up_at=give_up_at,
             ended_at=self.loop.now(),
-            gateway=self.gateways[rank][0],
-            name=name,
-            customer=subscriber.customer,
-            units=float(units),
-            outcome=end,
-            extra_bytes=extra,
+            gateway=self.gateways[rank].name,
+            name=request.name,
+            customer=request.profile.customer,
+            units=float(request.units),
+            outcome=reply.outcome,
+            extra_bytes=reply.extra_bytes,
         )
 
-    def _exchange(
-        self, rank: int, name: str, subscriber: ClientProfile, units: int, with_token: bool, by: int
-    ) -> tuple[str, int]:
+    def _exchange(self, request: QuotaRequest, rank: int, deadline: int) -> QuotaReply:
         try:
-            stream, decoder = self._connection(rank)
+            connection = self._connect(rank)
         except (ConnectionFailedError, DeadlineExceededError):
-            return "unreachable", 0
-        words = ["LIMIT.TAKE", subscriber.key, str(units), *(("IDEMPOTENT", name) if with_token else ())]
+            return QuotaReply(QuotaOutcome.UNREACHABLE)
         try:
-            stream.send(resp.encode(words), by)
-            while (found := decoder.next_value()) is None:
-                data = stream.recv(deadline=by)
-                if not data:
-                    raise ConnectionClosedError("the end before a reply")
-                decoder.receive(data)
-        except (ConnectionClosedError, DeadlineExceededError, resp.ProtocolError) as wrong:
-            stream.close()
-            return ("silence" if isinstance(wrong, DeadlineExceededError) else "reset"), 0
-        extra = decoder.pending_bytes
-        self.idle_connections.setdefault(rank, []).append((stream, decoder))
-        if isinstance(found[0], ErrorReply):
-            return "error", extra
-        return ("granted" if found[0][0] else "refused"), extra
-
-    def _connection(self, rank: int) -> tuple[Stream, resp.Decoder]:
+            connection.stream.send(_encode(request), deadline)
+            value = _read_reply(connection, deadline)
+        except DeadlineExceededError:
+            connection.stream.close()
+            return QuotaReply(QuotaOutcome.TIMED_OUT)
+        except (ConnectionClosedError, resp.ProtocolError):
+            connection.stream.close()
+            return QuotaReply(QuotaOutcome.RESET)
+        extra_bytes = connection.decoder.pending_bytes
+        self.idle_connections.setdefault(rank, []).append(connection)
+        return QuotaReply(_outcome(value), extra_bytes)
+
+    def _connect(self, rank: int) -> Connection:
         idle = self.idle_connections.get(rank, [])
         while idle:
-            stream, decoder = idle.pop()
-            try:
-                if stream.try_recv() is None:
-                    return stream, decoder
-            except ConnectionClosedError:
-                pass
-            stream.close()
-        stream = self.loop.backend.connect(self.gateways[rank][1], self.loop.now() + CONNECT)
-        return stream, resp.Decoder()
+            connection = idle.pop()
+            if _is_quiet(connection):
+                return connection
+            connection.stream.close()
+        address = self.gateways[rank].address
+        stream = self.loop.backend.connect(address, self.loop.now() + CONNECT_TIMEOUT_US)
+        return Connection(stream, resp.Decoder())
+
+
+def _encode(request: QuotaRequest) -> bytes:
+    token = ("IDEMPOTENT", request.name) if request.is_idempotent else ()
+    return resp.encode(["LIMIT.TAKE", request.profile.key, str(request.units), *token])
+
+
+def _read_reply(connection: Connection, deadline: int) -> Any:
+    """Return the value of a reply.
+
+    Raises DeadlineExceededError, ConnectionClosedError, resp.ProtocolError.
+    """
+    while (decoded := connection.decoder.next_value()) is None:
+        data = connection.stream.recv(deadline=deadline)
+        if not data:
+            raise ConnectionClosedError("the end before a reply")
+        connection.decoder.receive(data)
+    return decoded[0]
+
+
+def _outcome(value: Any) -> QuotaOutcome:
+    if isinstance(value, ErrorReply):
+        return QuotaOutcome.ERROR
+    return QuotaOutcome.GRANTED if value[0] else QuotaOutcome.REJECTED
+
+
+def _may_retry(request: QuotaRequest, attempt: QuotaAttempt) -> bool:
+    if attempt.outcome in (QuotaOutcome.GRANTED, QuotaOutcome.REJECTED):
+        return False
+    return request.is_idempotent or attempt.outcome is QuotaOutcome.UNREACHABLE
+
+
+def _is_quiet(connection: Connection) -> bool:
+    """Return whether a connection is open and nothing came after the last reply."""
+    try:
+        return connection.stream.try_recv() is None
+    except ConnectionClosedError:
+        return False
--- a/orchidlane/simulation/rollout_faults.py
+++ b/orchidlane/simulation/rollout_faults.py
@@ -11,7 +11,7 @@
 from orchidlane.runtime import EventLoop, Process, SimulatedBackend
 
 SECOND = 1_000_000
-USUAL_DELAY_US = (100, 900)
+NORMAL_DELAY_US = (100, 900)
 LONG_DELAY_US = (100, 50_000)
 
 FAULT_KINDS = ("kill", "still", "cut", "loss", "old", "empty", "broken", "full")
@@ -29,7 +29,7 @@
 
 
 class Fleet(Protocol):
-    """The simulated fleet that faults befall."""
+    """The simulated fleet that faults affect."""
 
     random: random.Random
     loop: EventLoop
@@ -78,7 +78,7 @@
         faults = self.fleet.backend.faults
         faults.datagram_loss_probability = 0.0
         faults.datagram_duplication_probability = 0.0
-        faults.delay_us = USUAL_DELAY_US
+        faults.delay_us = NORMAL_DELAY_US
 
     def inject(self, kind: str) -> None:
         """Begin a fault again and again; each generator's steps are some time apart."""
@@ -130,7 +130,7 @@
         faults = self.fleet.backend.faults
         faults.datagram_loss_probability = self.fleet.random.random() * 0.6
         faults.datagram_duplication_probability = 0.2
-        faults.delay_us = self.fleet.random.choice((USUAL_DELAY_US, LONG_DELAY_US))
+        faults.delay_us = self.fleet.random.choice((NORMAL_DELAY_US, LONG_DELAY_US))
         yield
         self._restore_network()
 
--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -33,7 +33,7 @@
     InvariantViolationError,
     RolloutChecker,
 )
-from orchidlane.simulation.rollout_faults import FAULT_KINDS, USUAL_DELAY_US, FaultInjector
+from orchidlane.simulation.rollout_faults import FAULT_KINDS, NORMAL_DELAY_US, FaultInjector
 
 SECOND = 1_000_000
 CONVERGENCE_TIMEOUT_US = 40 * SECOND
@@ -85,7 +85,7 @@
     ) -> None:
         self.scenario = scenario
         self.random = random.Random(scenario.seed ^ 0x5EED)
-        faults = NetworkFaults(delay_us=USUAL_DELAY_US, slow_probability=0.0, datagram_loss_probability=0.0)
+        faults = NetworkFaults(delay_us=NORMAL_DELAY_US, slow_probability=0.0, datagram_loss_probability=0.0)
         self.backend = SimulatedBackend(scenario.seed, faults)
         self.loop = EventLoop(self.backend)
         self.describe_edit = describe_edit
@@ -240,8 +240,8 @@
         if status.rollout_version is not None and self.random.random() < 0.5 and current is not None:
             return self._command_request("propose", latest.number, current.contents, latest.number)
         if self.random.random() < 0.3 and latest.number:
-            known = {entry.version.number: entry.version for entry in status.history}
-            base = known.get(latest.base)
+            versions = {entry.version.number: entry.version for entry in status.history}
+            base = versions.get(latest.base)
             if base is None:
                 return None
             return self._command_request("propose", latest.number, base.contents, latest.number)
--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -26,7 +26,7 @@
     SimulatedBackend,
     TaskGroup,
 )
-from orchidlane.simulation.fake_servers import FakeDiscovery
+from orchidlane.simulation.fake_discovery import FakeDiscovery
 
 MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
 GENERATION = build(load_description((MATERIALS / "openapi.yaml").read_bytes(), "o"), "o")
--- a/tests/harness/roll_harness.py
+++ b/tests/harness/roll_harness.py
@@ -12,8 +12,9 @@
 from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver
 from orchidlane.runtime import CONTROL, EventLoop, SimulatedBackend
 from orchidlane.runtime.scheduler import Process
-from orchidlane.simulation.backends import SimulatedFleetBackend
-from orchidlane.simulation.scenario import ScenarioRunner, make_plan
+from orchidlane.simulation.scenario_plan import make_plan
+from orchidlane.simulation.scenario_runner import ScenarioRunner
+from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
 
 MS = 1_000
 SECOND = 1_000_000
--- a/tests/test_account_recovery.py
+++ b/tests/test_account_recovery.py
@@ -22,8 +22,9 @@
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording.state_dump import account_to_row
 from orchidlane.runtime import EventLoop, SimulatedBackend
-from orchidlane.simulation.backends import SimulatedFleetBackend
-from orchidlane.simulation.scenario import ScenarioRunner, make_plan
+from orchidlane.simulation.scenario_plan import make_plan
+from orchidlane.simulation.scenario_runner import ScenarioRunner
+from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
 
 START = 10**15
 PLANS = ("basico", "amplio")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -19,7 +19,7 @@
 
 from orchidlane.cli.main import main
 from orchidlane.cli.screen import sums
-from orchidlane.simulation.bench_day import map_bench_scenario
+from orchidlane.simulation.bench_scenario import map_bench_scenario
 from orchidlane.simulation.scenario import load_scenario
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -18,9 +18,10 @@
 from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.server.response_writer import ResponseWriter
 from orchidlane.policy import admission, endpoint_registry, retries
-from orchidlane.simulation.backends import run_processes, simulate
+from orchidlane.simulation.process_backend import run_processes
 from orchidlane.simulation.random_faults import broken_seeds, run_seeds
 from orchidlane.simulation.scenario import Scenario, Step, load_scenario
+from orchidlane.simulation.simulated_fleet import simulate
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
 SECOND = 1_000_000
--- a/tests/test_hot_restart_real.py
+++ b/tests/test_hot_restart_real.py
@@ -12,9 +12,11 @@
 from test_day import day, quiet  # noqa: F401
 
 from orchidlane.runtime import EventLoop, RealBackend
-from orchidlane.simulation.backends import ProcessFleetBackend, run_beside_load
+from orchidlane.simulation.background_load import run_during_load
 from orchidlane.simulation.mutants import BROKEN_BUILDS, make_build
-from orchidlane.simulation.scenario import ScenarioRunner, make_plan
+from orchidlane.simulation.process_backend import ProcessFleetBackend
+from orchidlane.simulation.scenario_plan import make_plan
+from orchidlane.simulation.scenario_runner import ScenarioRunner
 
 
 @pytest.fixture(scope="module")
@@ -55,7 +57,7 @@
             )
             outcomes.append((name, done.returncode, done.stdout.strip()))
 
-    verdict = run_beside_load(runner, upgrade_all)
+    verdict = run_during_load(runner, upgrade_all)
     exit_codes = [(name, code) for name, code, _ in outcomes]
     assert exit_codes == [(name, int(bool(name))) for name in builds_in_turn], outcomes
     report = verdict.as_json()
@@ -102,7 +104,7 @@
         roll("broken", "--program", builds["crashes as it serves"], "--back", this_program)
         roll("over", "--resume")
 
-    verdict = run_beside_load(ScenarioRunner(EventLoop(RealBackend(4)), plan, backing), roll_all)
+    verdict = run_during_load(ScenarioRunner(EventLoop(RealBackend(4)), plan, backing), roll_all)
     codes = {name: code for name, (code, _) in results.items()}
     assert codes == {"beside": 2, "anew": 2, "status": 0, "resumed": 0, "broken": 1, "over": 2}, results
     assert "another roll is under way" in results["beside"][1]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -25,7 +25,7 @@
     token_name,
 )
 from orchidlane.limits.tokens import ClaimId
-from orchidlane.simulation.backends import simulate
+from orchidlane.simulation.simulated_fleet import simulate
 
 LIFETIME = 10
 NOW = 1_000
--- a/tests/test_live_tools.py
+++ b/tests/test_live_tools.py
@@ -11,8 +11,11 @@
 from orchidlane import recording
 from orchidlane.cli.main import main
 from orchidlane.runtime import EventLoop, RealBackend, SimulatedBackend
-from orchidlane.simulation.backends import ProcessFleetBackend, SimulatedFleetBackend
-from orchidlane.simulation.scenario import ScenarioRunner, load_scenario, make_plan
+from orchidlane.simulation.process_backend import ProcessFleetBackend
+from orchidlane.simulation.scenario import load_scenario
+from orchidlane.simulation.scenario_plan import make_plan
+from orchidlane.simulation.scenario_runner import ScenarioRunner
+from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
 
 
 def test_the_record_of_a_day_of_faults_replays_without_difference(tmp_path):
--- a/tests/test_recording_audit.py
+++ b/tests/test_recording_audit.py
@@ -14,8 +14,9 @@
 from orchidlane import policy, recording
 from orchidlane.policy import endpoint_selection, retries
 from orchidlane.runtime import EventLoop, SimulatedBackend
-from orchidlane.simulation.backends import SimulatedFleetBackend
-from orchidlane.simulation.scenario import ScenarioRunner, make_plan
+from orchidlane.simulation.scenario_plan import make_plan
+from orchidlane.simulation.scenario_runner import ScenarioRunner
+from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
 
 
 def recorded_day(tmp_path: Path, *steps, seed: int = 1, **changes) -> dict:
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -17,8 +17,9 @@
 from orchidlane.policy import quota
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import EventLoop, SimulatedBackend
-from orchidlane.simulation.backends import SimulatedFleetBackend
-from orchidlane.simulation.scenario import ScenarioRunner, make_plan
+from orchidlane.simulation.scenario_plan import make_plan
+from orchidlane.simulation.scenario_runner import ScenarioRunner
+from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
 
 
 def test_a_prediction_from_a_view_is_the_decision_that_follows():
