--- a/benchmarks/server_roles.py
+++ b/benchmarks/server_roles.py
@@ -15,7 +15,7 @@
 
 from orchidlane.gateway.control.endpoint_list import EndpointRecord
 from orchidlane.runtime import EventLoop, RealBackend
-from orchidlane.simulation.fake_servers import NodeList
+from orchidlane.simulation.fake_discovery import FakeDiscovery
 
 HTTP_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 200\r\n\r\n" + b"x" * 200
 RESP_REPLY = b"*3\r\n:1\r\n:1999999\r\n:0\r\n"
@@ -88,10 +88,10 @@
     loop = EventLoop(RealBackend())
 
     def serve() -> None:
-        endpoint_list = NodeList(loop, ("127.0.0.1", port), (0, 0), lambda _: None)
+        endpoint_list = FakeDiscovery(loop, ("127.0.0.1", port), (0, 0), lambda _: None)
         address = f"127.0.0.1:{endpoint_port}"
-        endpoint_list.nodes[address] = EndpointRecord(address, "ready", "z", "c")
-        endpoint_list.names[address] = "node"
+        endpoint_list.endpoints[address] = EndpointRecord(address, "ready", "z", "c")
+        endpoint_list.endpoint_names[address] = "node"
         endpoint_list.serve()
 
     loop.run(serve)
--- a/orchidlane/cli/up.py
+++ b/orchidlane/cli/up.py
@@ -16,8 +16,10 @@
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import load_settings, parse_host_port
 from orchidlane.runtime import BACKGROUND, EventLoop, RealBackend
-from orchidlane.simulation.backends import RealBacking
-from orchidlane.simulation.scenario import Day, KindEntry, Plan, Runner, make_plan
+from orchidlane.simulation.process_backend import ProcessFleetBackend
+from orchidlane.simulation.scenario import RequestKindEntry, Scenario
+from orchidlane.simulation.scenario_plan import Plan, make_plan
+from orchidlane.simulation.scenario_runner import ScenarioRunner
 
 MICROSECONDS_PER_SECOND = 1_000_000
 ADDRESS_FIELDS = ("listen", "peer", "admin", "resp")
@@ -25,9 +27,9 @@
 MAX_OBSERVATIONS = 100_000  # kept for the closing line
 UNLIMITED_SECONDS = 365 * 24 * 3600
 REQUEST_KINDS = (
-    KindEntry("sheet-read", 0.7, "GET", "/v1/sheets/{}", Duration(15_000)),
-    KindEntry("test-upload", 0.2, "PUT", "/v1/tests/{}", Duration(30_000), 2_000),
-    KindEntry("report-issue", 0.1, "POST", "/v1/reports", Duration(50_000), 200),
+    RequestKindEntry("sheet-read", 0.7, "GET", "/v1/sheets/{}", Duration(15_000)),
+    RequestKindEntry("test-upload", 0.2, "PUT", "/v1/tests/{}", Duration(30_000), 2_000),
+    RequestKindEntry("report-issue", 0.1, "POST", "/v1/reports", Duration(50_000), 200),
 )
 
 
@@ -39,14 +41,14 @@
     fleet = load_settings(settings)
     _check_addresses_are_free(settings, fleet)
     click.echo(f"starting {len(fleet.gateways)} gateways and {nodes} stand-in nodes: the screen follows")
-    day = _demo_day(settings, fleet, rate, nodes, seconds)
+    scenario = _demo_scenario(settings, fleet, rate, nodes, seconds)
     with tempfile.TemporaryDirectory(prefix="orchidlane-") as folder:
-        backing = RealBacking(folder)
-        plan = make_plan(day, folder, backing.free_addresses, as_written=True)
+        backing = ProcessFleetBackend(folder)
+        plan = make_plan(scenario, folder, backing.free_addresses, keep_addresses=True)
         backing.prepare(plan)
         loop = EventLoop(RealBackend())
-        plan.nodes = [msgspec.structs.replace(spec, records="") for spec in plan.nodes]
-        runner = Runner(loop, plan, backing, deque(maxlen=MAX_OBSERVATIONS))
+        plan.endpoints = [msgspec.structs.replace(spec, records_path="") for spec in plan.endpoints]
+        runner = ScenarioRunner(loop, plan, backing, deque(maxlen=MAX_OBSERVATIONS))
         screen = _screen(loop, plan)
         signal.signal(signal.SIGTERM, signal.default_int_handler)
         with contextlib.suppress(KeyboardInterrupt):
@@ -56,23 +58,23 @@
                 backing.end()
 
 
-def _demo_day(settings: str, fleet: FleetSettings, rate: float, nodes: int, seconds: int) -> Day:
+def _demo_scenario(settings: str, fleet: FleetSettings, rate: float, nodes: int, seconds: int) -> Scenario:
     """Return a scenario with a steady load and without faults."""
-    return Day(
+    return Scenario(
         fleet=settings,
-        gateways=len(fleet.gateways),
-        racks=max(1, nodes // 2),
+        gateway_count=len(fleet.gateways),
+        rack_count=max(1, nodes // 2),
         rack_size=2 if nodes > 1 else 1,
         cores=2.0,
-        customers=20,
-        rate=rate,
-        span=Duration((seconds or UNLIMITED_SECONDS) * MICROSECONDS_PER_SECOND),
-        kinds=REQUEST_KINDS,
-        list_delay=(Duration(200_000), Duration(900_000)),
+        customer_count=20,
+        request_rate=rate,
+        duration=Duration((seconds or UNLIMITED_SECONDS) * MICROSECONDS_PER_SECOND),
+        request_kinds=REQUEST_KINDS,
+        endpoint_list_delay=(Duration(200_000), Duration(900_000)),
         peer_loss=0.0,
-        takes=rate / 5,
-        upgrades=0,
-        answer_slack=Duration(100_000),
+        quota_request_rate=rate / 5,
+        upgrade_count=0,
+        response_slack=Duration(100_000),
         arrival_slack=Duration(100_000),
         steps=(),
     )
@@ -106,8 +108,8 @@
             ) from None
 
 
-def _run(loop: EventLoop, runner: Runner, screen: Screen) -> None:
+def _run(loop: EventLoop, runner: ScenarioRunner, screen: Screen) -> None:
     loop.spawn(screen.show, priority=BACKGROUND, name="screen")
     verdict = runner.run()
     all_held = all(verdict.rules.values())
-    print(f"{verdict.requests} requests; rules held: {'all' if all_held else verdict.rules}")
+    print(f"{verdict.request_count} requests; rules held: {'all' if all_held else verdict.rules}")
