--- a/tests/test_account_recovery.py
+++ b/tests/test_account_recovery.py
@@ -10,9 +10,9 @@
 from harness.gateway_harness import SETTINGS as FLEET
 from harness.hot_restart_harness import slow
 from harness.policy_harness import PLAIN_PLAN, SECOND, SETTINGS
+from harness.scenarios import make_scenario, quiet_log  # noqa: F401
 from hypothesis import given
 from hypothesis import strategies as st
-from test_day import day, quiet  # noqa: F401
 
 from orchidlane import policy
 from orchidlane.config import Duration
@@ -187,7 +187,7 @@
         loop = EventLoop(backend)
         backing = SimulatedFleetBackend(loop, backend)
         plan = make_plan(
-            day(span=12, request_rate=160.0, customer_count=6, quota_request_rate=0.0),
+            make_scenario(span=12, request_rate=160.0, customer_count=6, quota_request_rate=0.0),
             "sim",
             backing.free_addresses,
         )
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,14 +1,17 @@
-"""Days in both worlds, random troubles, and the audit proven by gateways that are broken on purpose."""
+"""Scenarios on both fleet backends, random faults, and the audit on gateways that are broken on purpose."""
 
 from __future__ import annotations
 
-import logging
 import os
-from pathlib import Path
 
-import msgspec
-import pytest
-import structlog
+from harness.scenarios import (
+    ALL_RULES_HOLD,
+    SECOND,
+    load_example,
+    make_scenario,
+    make_step,
+    quiet_log,  # noqa: F401
+)
 
 from orchidlane import policy
 from orchidlane.config import Duration
@@ -20,86 +23,76 @@
 from orchidlane.policy import admission, endpoint_registry, retries
 from orchidlane.simulation.process_backend import run_processes
 from orchidlane.simulation.random_faults import broken_seeds, run_seeds
-from orchidlane.simulation.scenario import Scenario, Step, load_scenario
 from orchidlane.simulation.simulated_fleet import simulate
 
-MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
-SECOND = 1_000_000
 SEEDS = range(1, 201)
-FOUND = (194, 244, 341)  # broke once: see CHANGELOG
-UPGRADES_FOUND = (99, 102, 103, 105, 158, 163, 2067)  # broke once: see CHANGELOG
+REGRESSION_SEEDS = (194, 244, 341)  # broke once: see CHANGELOG
+UPGRADE_REGRESSION_SEEDS = (99, 102, 103, 105, 158, 163, 2067)  # broke once: see CHANGELOG
+ENDPOINTS = range(6)  # of the example fleet
 
 
-@pytest.fixture(autouse=True)
-def quiet():
-    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
-    yield
-    structlog.reset_defaults()
+def simulate_seeds(seeds, **changes):
+    """Return the audits' reports of random faults over the example fleet."""
+    reports = run_seeds(load_example("random.cue", **changes), seeds, os.cpu_count() or 1)
+    assert len(reports) == len(seeds)
+    return reports
 
 
-def day(*steps: Step, span=5, **changes) -> Scenario:
-    found = load_scenario(str(MATERIALS / "random.cue"))
-    return msgspec.structs.replace(found, duration=Duration(span * SECOND), steps=steps, **changes)
+def assert_rules_hold(verdict) -> None:
+    assert verdict.rules == ALL_RULES_HOLD, verdict.as_json()
 
 
-def step(at: float, do: str, *which: int, span: float = 0, back: float = 0, **chances) -> Step:
-    return Step(Duration(at * SECOND), do, which, Duration(span * SECOND), Duration(back * SECOND), **chances)
+def test_random_faults_break_no_rule():
+    seeds = [*SEEDS, *(seed for seed in REGRESSION_SEEDS if seed not in SEEDS)]
+    reports = simulate_seeds(seeds)
+    assert broken_seeds(reports) == {}
+    assert sum(report["runs"] for report in reports.values()) > 20_000
 
 
-def test_random_troubles_break_no_rule():
-    seeds = [*SEEDS, *(seed for seed in FOUND if seed not in SEEDS)]
-    found = run_seeds(load_scenario(str(MATERIALS / "random.cue")), seeds, os.cpu_count() or 1)
-    assert len(found) == len(seeds)
-    assert broken_seeds(found) == {}
-    assert sum(verdict["runs"] for verdict in found.values()) > 20_000
-
-
-def test_upgrades_on_random_bad_days_break_no_rule_whatever_becomes_of_them():
-    """Three a day, half of their successors killed at any moment: no excuse for anything."""
-    troubled = msgspec.structs.replace(load_scenario(str(MATERIALS / "random.cue")), upgrade_count=3)
-    found = run_seeds(troubled, [*range(60), *UPGRADES_FOUND], os.cpu_count() or 1)
-    assert broken_seeds(found) == {}
+def test_upgrades_break_no_rule_under_random_faults_whether_or_not_they_succeed():
+    """Three upgrades in each scenario; half of their successors are killed at any moment."""
+    reports = simulate_seeds([*range(60), *UPGRADE_REGRESSION_SEEDS], upgrade_count=3)
+    assert broken_seeds(reports) == {}
 
 
 def test_the_same_seed_gives_the_same_verdict():
-    bad = msgspec.structs.replace(load_scenario(str(MATERIALS / "bad.cue")), duration=Duration(4 * SECOND))
-    first = simulate(bad, 5).as_json()
-    assert simulate(bad, 5).as_json() == first
-    assert simulate(bad, 6).as_json() != first
+    scenario = load_example("bad.cue", duration=Duration(4 * SECOND))
+    first = simulate(scenario, 5).as_json()
+    assert simulate(scenario, 5).as_json() == first
+    assert simulate(scenario, 6).as_json() != first
 
 
-def test_a_day_of_troubles_on_real_sockets_keeps_all_rules():
+def test_processes_keep_all_rules_under_faults_of_each_kind():
     steps = (
-        step(0.5, "node_faults", 0, 1, span=4, reset_before=0.1, reset_after=0.1, truncate=0.1, reject=0.1),
-        step(0.5, "peer_faults", span=4, loss=0.2, duplication=0.2, delay=Duration(20_000)),
-        step(1.0, "kill_gateway", 1, back=0.2),
-        step(1.0, "drain_node", 3, span=1.5, back=0.2),
-        step(1.5, "freeze_gateway", 0, span=1.0),
-        step(2.0, "kill_node", 2, back=0.3),
-        step(3.0, "drain_gateway", 2),
-        step(3.0, "cut_peers", 0, span=1.0),
+        make_step(
+            0.5, "node_faults", 0, 1, span=4, reset_before=0.1, reset_after=0.1, truncate=0.1, reject=0.1
+        ),
+        make_step(0.5, "peer_faults", span=4, loss=0.2, duplication=0.2, delay=Duration(20_000)),
+        make_step(1.0, "kill_gateway", 1, back=0.2),
+        make_step(1.0, "drain_node", 3, span=1.5, back=0.2),
+        make_step(1.5, "freeze_gateway", 0, span=1.0),
+        make_step(2.0, "kill_node", 2, back=0.3),
+        make_step(3.0, "drain_gateway", 2),
+        make_step(3.0, "cut_peers", 0, span=1.0),
     )
-    wide = day(*steps, response_slack=Duration(SECOND // 4), arrival_slack=Duration(SECOND // 4))
-    verdict = run_processes(wide, 1)
-    assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
+    slack = Duration(SECOND // 4)  # a busy machine holds processes up
+    verdict = run_processes(make_scenario(*steps, response_slack=slack, arrival_slack=slack), 1)
+    assert_rules_hold(verdict)
     assert verdict.responses["200"] > 50
     assert verdict.execution_count > 100
 
 
-def test_a_rolling_cold_restart_of_all_nodes_under_load_keeps_all_rules():
-    verdict = simulate(day(step(0.3, "drain_node", *range(6), span=0.7, back=0.1), span=8), 5)
-    assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
+def test_a_rolling_restart_of_all_endpoints_under_load_keeps_all_rules():
+    restart = make_step(0.3, "drain_node", *ENDPOINTS, span=0.7, back=0.1)
+    verdict = simulate(make_scenario(restart, span=8), 5)
+    assert_rules_hold(verdict)
     assert verdict.responses["200"] > 100
 
 
 # The audit must object to gateways that are broken on purpose.
 
 
-def rules(found: Scenario, seed: int = 1) -> dict[str, bool]:
-    return simulate(found, seed).rules
-
-
-def test_the_audit_objects_to_a_lost_answer(monkeypatch):
+def test_the_audit_reports_a_missing_response(monkeypatch):
     finish = PolicyDriver._finish
 
     def loses(self, exchange, answer):
@@ -107,12 +100,12 @@
             finish(self, exchange, answer)
 
     monkeypatch.setattr(PolicyDriver, "_finish", loses)
-    verdict = simulate(day(span=3), 1)
+    verdict = simulate(make_scenario(span=3), 1)
     assert verdict.missing_responses
     assert not verdict.rules["1"]
 
 
-def test_the_audit_objects_to_a_doubled_answer(monkeypatch):
+def test_the_audit_reports_a_duplicate_response(monkeypatch):
     write = ResponseWriter.write
 
     def twice(self, connection, head, answer, keep):
@@ -120,12 +113,12 @@
         return write(self, connection, head, answer, keep)
 
     monkeypatch.setattr(ResponseWriter, "write", twice)
-    verdict = simulate(day(span=3), 1)
+    verdict = simulate(make_scenario(span=3), 1)
     assert verdict.duplicate_responses
     assert not verdict.rules["1"]
 
 
-def test_the_audit_objects_to_a_late_answer(monkeypatch):
+def test_the_audit_reports_a_late_response(monkeypatch):
     write = ResponseWriter.write
 
     def late(self, connection, head, answer, keep):
@@ -133,12 +126,12 @@
         return write(self, connection, head, answer, keep)
 
     monkeypatch.setattr(ResponseWriter, "write", late)
-    verdict = simulate(day(step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, hang=0.3), span=4), 1)
+    verdict = simulate(make_scenario(make_step(0, "node_faults", *ENDPOINTS, span=9, hang=0.3), span=4), 1)
     assert verdict.late_responses
     assert not verdict.rules["1"]
 
 
-def test_the_audit_objects_to_an_effect_that_comes_twice(monkeypatch):
+def test_the_audit_reports_a_duplicate_effect(monkeypatch):
     ended = PolicyDriver.attempt_ended
 
     def lies(self, exchange, attempt, server, outcome, took, report=(), answer=None):
@@ -148,39 +141,39 @@
 
     monkeypatch.setattr(PolicyDriver, "attempt_ended", lies)
     monkeypatch.setattr(attempts, "rejection_reason", lambda *_: None)
-    steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
-    verdict = simulate(day(steps, span=4), 1)
+    steps = make_step(0, "node_faults", *ENDPOINTS, span=9, reset_after=0.3)
+    verdict = simulate(make_scenario(steps, span=4), 1)
     assert verdict.duplicate_effects
     assert not verdict.rules["2"]
 
 
-def test_the_audit_objects_to_a_refusal_after_a_run(monkeypatch):
+def test_the_audit_reports_a_rejection_after_an_execution(monkeypatch):
     monkeypatch.setattr(
         "orchidlane.gateway.forwarding.error_responses.failed",
         lambda: ClientResponse(503, [(b"retry-after", b"1")], b"", kind="refused"),
     )
-    steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
-    assert not rules(day(steps, span=4))["2"]
+    steps = make_step(0, "node_faults", *ENDPOINTS, span=9, reset_after=0.3)
+    assert not simulate(make_scenario(steps, span=4), 1).rules["2"]
 
 
-def test_the_audit_objects_to_work_for_a_draining_node(monkeypatch):
+def test_the_audit_reports_requests_sent_to_a_draining_endpoint(monkeypatch):
     monkeypatch.setitem(endpoint_list.ENDPOINT_STATES, "draining", policy.EndpointState.READY)
     monkeypatch.setattr(attempts, "rejection_reason", lambda *_: None)
-    verdict = simulate(day(step(0.5, "drain_node", 0, 1, span=3), span=4), 1)
+    verdict = simulate(make_scenario(make_step(0.5, "drain_node", 0, 1, span=3), span=4), 1)
     assert verdict.sent_after_drain
     assert not verdict.rules["3"]
 
 
-def test_the_audit_objects_to_a_cold_node_pushed_over(monkeypatch):
+def test_the_audit_reports_an_endpoint_overloaded_during_slow_start(monkeypatch):
     monkeypatch.setattr(endpoint_registry, "is_warm", lambda state, endpoint: True)
     monkeypatch.setattr(retries, "_admission_latency_bound_us", lambda state, request: 1e12)
-    steps = step(0.5, "kill_node", 0, 1, 2, 3, 4, back=0.1)
-    verdict = simulate(day(steps, request_rate=500.0, customer_count=500, cores=1.0), 1)
+    steps = make_step(0.5, "kill_node", 0, 1, 2, 3, 4, back=0.1)
+    verdict = simulate(make_scenario(steps, request_rate=500.0, customer_count=500, cores=1.0), 1)
     assert verdict.overloaded_endpoints
     assert not verdict.rules["4"]
 
 
-def test_the_audit_objects_to_a_ceiling_passed(monkeypatch):
+def test_the_audit_reports_an_exceeded_ceiling(monkeypatch):
     admits = admission.admits
 
     def lets_all_in(state, event, account):
@@ -189,12 +182,12 @@
         return True
 
     monkeypatch.setattr(admission, "admits", lets_all_in)
-    verdict = simulate(day(customer_count=2, request_rate=120.0), 1)
+    verdict = simulate(make_scenario(customer_count=2, request_rate=120.0), 1)
     assert verdict.worst_ceiling_ratio > 1
     assert not verdict.rules["5"]
 
 
-def test_the_same_cold_day_unbroken_keeps_all_rules():
-    steps = step(0.5, "kill_node", 0, 1, 2, 3, 4, back=0.1)
-    verdict = simulate(day(steps, request_rate=500.0, customer_count=500, cores=1.0, span=4), 1)
-    assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
+def test_endpoints_that_start_under_load_are_not_overloaded():
+    steps = make_step(0.5, "kill_node", 0, 1, 2, 3, 4, back=0.1)
+    verdict = simulate(make_scenario(steps, request_rate=500.0, customer_count=500, cores=1.0, span=4), 1)
+    assert_rules_hold(verdict)
--- a/tests/test_hot_restart_clients.py
+++ b/tests/test_hot_restart_clients.py
@@ -8,7 +8,7 @@
 from harness.gateway_harness import GET, MS, OK, REPORT, GatewayHarness, good, request
 from harness.hot_restart_harness import HotRestartHarness, counted_units
 from harness.policy_harness import SECOND
-from test_day import quiet  # noqa: F401
+from harness.scenarios import quiet_log  # noqa: F401
 
 from orchidlane import http1
 from orchidlane.gateway.lifecycle.new_side import NewSide
--- a/tests/test_hot_restart_faults.py
+++ b/tests/test_hot_restart_faults.py
@@ -6,7 +6,7 @@
 from harness.gateway_harness import GET, MS, REPORT
 from harness.hot_restart_harness import HotRestartHarness, Sabotage, counted_units, slow
 from harness.policy_harness import SECOND
-from test_day import quiet  # noqa: F401
+from harness.scenarios import quiet_log  # noqa: F401
 
 from orchidlane.gateway.lifecycle.new_side import NewSide
 from orchidlane.gateway.lifecycle.process import GatewayProcess
--- a/tests/test_hot_restart_model.py
+++ b/tests/test_hot_restart_model.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from test_day import quiet  # noqa: F401
+from harness.scenarios import quiet_log  # noqa: F401
 
 from orchidlane.hot_restart import new_process, old_process
 from orchidlane.hot_restart.handshake import GatewayIdentity
--- a/tests/test_hot_restart_real.py
+++ b/tests/test_hot_restart_real.py
@@ -9,7 +9,7 @@
 
 import pytest
 from harness.event_story import run_command
-from test_day import day, quiet  # noqa: F401
+from harness.scenarios import make_scenario, quiet_log  # noqa: F401
 
 from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.simulation.background_load import run_during_load
@@ -39,7 +39,7 @@
         "",
     ]
     backing = ProcessFleetBackend(str(tmp_path))
-    scenario = day(span=300, request_rate=60.0)  # it ends with the upgrades
+    scenario = make_scenario(span=300, request_rate=60.0)  # it ends with the upgrades
     plan = make_plan(scenario, str(tmp_path), backing.free_addresses)
     assert 'trial: "5s"' in plan.settings_text
     plan.settings_text = plan.settings_text.replace('trial: "5s"', 'trial: "1s"')
@@ -72,7 +72,7 @@
 def test_roll_of_real_processes_is_killed_resumed_and_rolled_back(tmp_path, builds):
     """The roll is killed and resumed, then meets a broken build; the audit observes the sockets."""
     backing = ProcessFleetBackend(str(tmp_path))
-    plan = make_plan(day(span=300, request_rate=80.0), str(tmp_path), backing.free_addresses)
+    plan = make_plan(make_scenario(span=300, request_rate=80.0), str(tmp_path), backing.free_addresses)
     plan.settings_text = plan.settings_text.replace('trial: "5s"', 'trial: "700ms"').replace(
         'soak: "5s"', 'soak: "500ms"'
     )
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,9 +6,9 @@
 from collections import Counter
 
 import pytest
+from harness.scenarios import SECOND, make_scenario, make_step, quiet_log  # noqa: F401
 from hypothesis import given
 from hypothesis import strategies as st
-from test_day import SECOND, day, quiet, step  # noqa: F401
 
 from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.peers.token_requests import LimitService
@@ -236,12 +236,14 @@
     monkeypatch.setattr(LimitService, "take_idempotent", take_noting_token)
     monkeypatch.setattr(PolicyDriver, "request_quota", take_counting)
     faults = (
-        step(0.2, "peer_faults", span=6, loss=0.3, duplication=0.3, delay=150_000),
-        step(3.5, "kill_gateway", 0, back=0.1),
-        step(4.0, "freeze_gateway", 1, span=0.7),
-        step(5.0, "cut_peers", 2, span=0.6),
+        make_step(0.2, "peer_faults", span=6, loss=0.3, duplication=0.3, delay=150_000),
+        make_step(3.5, "kill_gateway", 0, back=0.1),
+        make_step(4.0, "freeze_gateway", 1, span=0.7),
+        make_step(5.0, "cut_peers", 2, span=0.6),
+    )
+    verdict = simulate(
+        make_scenario(*faults, span=7, quota_request_rate=80.0, request_rate=5.0, customer_count=200), 3
     )
-    verdict = simulate(day(*faults, span=7, quota_request_rate=80.0, request_rate=5.0, customer_count=200), 3)
     assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
     assert verdict.quota_responses["granted"] > 100
     assert sum(counted.values()) > 100
@@ -249,7 +251,7 @@
 
 
 def test_demand_of_seven_times_the_quota_over_both_servers_of_all_gateways_stays_within_it():
-    verdict = simulate(day(span=6, quota_request_rate=60.0, request_rate=60.0, customer_count=4), 2)
+    verdict = simulate(make_scenario(span=6, quota_request_rate=60.0, request_rate=60.0, customer_count=4), 2)
     assert verdict.rules == dict.fromkeys("12345", True)
     assert verdict.quota_responses["refused"] > 20
     assert verdict.responses["429"] > 20
--- a/tests/test_recording_audit.py
+++ b/tests/test_recording_audit.py
@@ -9,7 +9,7 @@
 from harness.gateway_harness import MS
 from harness.policy_harness import SECOND
 from harness.saved_states import NAMES
-from test_day import day, quiet, step  # noqa: F401
+from harness.scenarios import make_scenario, make_step, quiet_log  # noqa: F401
 
 from orchidlane import policy, recording
 from orchidlane.policy import endpoint_selection, retries
@@ -19,13 +19,14 @@
 from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
 
 
-def recorded_day(tmp_path: Path, *steps, seed: int = 1, **changes) -> dict:
+def run_recorded(tmp_path: Path, *steps, seed: int = 1, **changes) -> dict:
+    """Return the output of the audit command over the records of a simulated scenario."""
     backend = SimulatedBackend(seed)
     loop = EventLoop(backend)
-    backing = SimulatedFleetBackend(loop, backend, record_to="rec")
-    plan = make_plan(day(*steps, **changes), "sim", backing.free_addresses)
-    backing.prepare(plan)
-    runner = ScenarioRunner(loop, plan, backing)
+    fleet_backend = SimulatedFleetBackend(loop, backend, record_to="rec")
+    plan = make_plan(make_scenario(*steps, **changes), "sim", fleet_backend.free_addresses)
+    fleet_backend.prepare(plan)
+    runner = ScenarioRunner(loop, plan, fleet_backend)
     loop.run(runner.run)
     for name, data in backend.files.items():
         if name.startswith(("rec/", "sim/node-")) and not name.endswith(".json"):
@@ -38,14 +39,16 @@
     return output
 
 
-def test_the_audit_of_records_agrees_with_the_sockets_on_a_day_of_faults(tmp_path):
+def test_the_audits_of_records_and_sockets_agree_under_faults(tmp_path):
     steps = (
-        step(0.5, "node_faults", 0, 1, span=3, reset_before=0.1, reset_after=0.1, truncate=0.1, reject=0.1),
-        step(1.0, "kill_gateway", 1, back=0.2),
-        step(1.0, "drain_node", 3, span=1.0, back=0.2),
-        step(1.5, "freeze_gateway", 0, span=1.5),
+        make_step(
+            0.5, "node_faults", 0, 1, span=3, reset_before=0.1, reset_after=0.1, truncate=0.1, reject=0.1
+        ),
+        make_step(1.0, "kill_gateway", 1, back=0.2),
+        make_step(1.0, "drain_node", 3, span=1.0, back=0.2),
+        make_step(1.5, "freeze_gateway", 0, span=1.5),
     )
-    output = recorded_day(tmp_path, *steps, span=4, request_rate=150.0, quota_request_rate=20.0)
+    output = run_recorded(tmp_path, *steps, span=4, request_rate=150.0, quota_request_rate=20.0)
     assert all(output["gateways"]["rules"].values()), output
     assert all(output["sockets"]["rules"].values()), output
     assert output["gateways"]["arrivals"] > 200
@@ -53,7 +56,7 @@
 
 
 def test_the_audit_of_records_reports_a_retry_that_is_not_idempotent(tmp_path, monkeypatch):
-    def again(state, event):
+    def retry_always(state, event):
         state.end_attempt(event.request, event.attempt)
         request = state.requests.get(event.request)
         if request and event.answered:
@@ -61,10 +64,10 @@
         elif request:
             retries._advance(state, request)
 
-    monkeypatch.setattr(retries, "attempt_ended", again)
+    monkeypatch.setattr(retries, "attempt_ended", retry_always)
     monkeypatch.setattr(endpoint_selection, "_may_send", lambda *_: True)
-    steps = step(0, "node_faults", 0, 1, 2, 3, 4, 5, span=9, reset_after=0.3)
-    output = recorded_day(tmp_path, steps, span=3)
+    steps = make_step(0, "node_faults", *range(6), span=9, reset_after=0.3)
+    output = run_recorded(tmp_path, steps, span=3)
     assert output["gateways"]["faults"]["sent again"] > 0
     assert not output["gateways"]["rules"]["2"]
 
@@ -78,7 +81,7 @@
         "_request_head",
         lambda self: head(self).replace(b"-0\r\norchidlane-customer", b"-7\r\norchidlane-customer"),
     )
-    output = recorded_day(tmp_path, span=2)
+    output = run_recorded(tmp_path, span=2)
     assert output["gateways"]["faults"]["undecided"] > 0
 
 
@@ -97,6 +100,7 @@
     entries.append(story.log[-1])
 
     def faults(*some) -> dict[str, int]:
+        """Return the faults that the audit finds in a record of these entries."""
         empty = EventStory(5).bench.gateway
         header = recording.Header(
             recording.FORMAT_VERSION,
@@ -122,9 +126,9 @@
     assert faults(arrived, *beats) == {"missing": 1}
     assert faults(arrived, *beats, (beats[-1][0], ended, [])) == {"late": 1}
     assert faults(arrived, (served[0], ended, [policy.FailRequest(1)])) == {"doubled": 1}
-    gone = policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 2, ())
+    empty_list = policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 2, ())
     late = (arrived[0] + 900 * MS, arrived[1], [policy.SendAttempt(1, server, 0)])
-    assert faults((arrived[0], gone, []), late, (late[0], ended, [])) == {"sent after drain": 1}
+    assert faults((arrived[0], empty_list, []), late, (late[0], ended, [])) == {"sent after drain": 1}
     grants = [
         (header_now + i, policy.QuotaRequested(i, 7, 2, 0, 3.0, 0, 3), [policy.GrantQuota(i)])
         for i in range(1, 8)
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 from harness.roll_harness import MS, SECOND, RollHarness, Sabotage
-from test_day import day, quiet  # noqa: F401
+from harness.scenarios import make_scenario, quiet_log  # noqa: F401
 
 from orchidlane.gateway.lifecycle.rolling_upgrade import UnfinishedRollError
 from orchidlane.hot_restart.rolling_upgrade import GatewayPhase, Phase
@@ -50,7 +50,7 @@
 
 
 def make_fleet(broken: dict[int, Sabotage] | None = None) -> RollHarness:
-    return RollHarness(day(span=14, request_rate=120.0, gateway_count=8), broken)
+    return RollHarness(make_scenario(span=14, request_rate=120.0, gateway_count=8), broken)
 
 
 def test_roll_of_eight_gateways_under_load_loses_nothing():
--- a/tests/test_rollout_scenarios.py
+++ b/tests/test_rollout_scenarios.py
@@ -8,7 +8,7 @@
 
 import pytest
 from harness.gateway_harness import MATERIALS, fleet
-from test_day import quiet  # noqa: F401
+from harness.scenarios import quiet_log  # noqa: F401
 
 from orchidlane.simulation.rollout_scenarios import (
     FAULT_KINDS,
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -7,7 +7,7 @@
 from harness.gateway_harness import GET, MS, GatewayHarness, good
 from harness.policy_harness import SECOND, actions_of
 from harness.saved_states import NAMES, write_state
-from test_day import day, quiet, step  # noqa: F401
+from harness.scenarios import make_scenario, make_step, quiet_log  # noqa: F401
 
 from orchidlane import policy, recording
 from orchidlane.gateway.telemetry.plan_counts import count_by_plan
@@ -145,7 +145,7 @@
     backend = SimulatedBackend(6)
     loop = EventLoop(backend)
     backing = SimulatedFleetBackend(loop, backend, record_to="rec")
-    plan = make_plan(day(span=3, request_rate=200.0), "sim", backing.free_addresses)
+    plan = make_plan(make_scenario(span=3, request_rate=200.0), "sim", backing.free_addresses)
     backing.prepare(plan)
     loop.run(ScenarioRunner(loop, plan, backing).run)
     for name, data in backend.files.items():
