--- a/orchidlane/cli/up.py
+++ b/orchidlane/cli/up.py
@@ -18,7 +18,7 @@
 from orchidlane.runtime import BACKGROUND, EventLoop, RealBackend
 from orchidlane.simulation.process_backend import ProcessFleetBackend
 from orchidlane.simulation.scenario import RequestKindEntry, Scenario
-from orchidlane.simulation.scenario_plan import Plan, make_plan
+from orchidlane.simulation.scenario_plan import ScenarioPlan, make_plan
 from orchidlane.simulation.scenario_runner import ScenarioRunner
 
 MICROSECONDS_PER_SECOND = 1_000_000
@@ -80,7 +80,7 @@
     )
 
 
-def _screen(loop: EventLoop, plan: Plan) -> Screen:
+def _screen(loop: EventLoop, plan: ScenarioPlan) -> Screen:
     host, port = plan.gateways[0]
     hint = f"curl -i -H 'X-Api-Key: key-of-1' http://{host}:{port}/v1/sheets/steel"
     admins = [(entry.name, parse_host_port(entry.admin)) for entry in plan.fleet.gateways]
--- a/tests/test_hot_restart_model.py
+++ b/tests/test_hot_restart_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 from harness.hot_restart_model import initial_state
-from test_day import quiet  # noqa: F401
+from harness.scenarios import quiet_log  # noqa: F401
 
 from orchidlane.hot_restart import new_process, old_process
 from orchidlane.simulation.state_exploration import explore
--- a/tests/test_hot_restart_real.py
+++ b/tests/test_hot_restart_real.py
@@ -10,12 +10,12 @@
 
 import pytest
 from harness.event_story import run_command
-from test_day import day, quiet  # noqa: F401
+from harness.scenarios import make_scenario, quiet_log  # noqa: F401
 
 from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.simulation.background_load import run_during_load
-from orchidlane.simulation.process_backend import ProcessFleetBackend
 from orchidlane.simulation.mutants import BROKEN_BUILDS, make_build
+from orchidlane.simulation.process_backend import ProcessFleetBackend
 from orchidlane.simulation.scenario_plan import make_plan
 from orchidlane.simulation.scenario_runner import ScenarioRunner
 
@@ -40,7 +40,7 @@
         "",
     ]
     backing = ProcessFleetBackend(str(tmp_path))
-    scenario = day(span=300, request_rate=60.0)  # it ends with the upgrades
+    scenario = make_scenario(span=300, request_rate=60.0)  # it ends with the upgrades
     plan = make_plan(scenario, str(tmp_path), backing.free_addresses)
     assert 'trial: "5s"' in plan.settings_text
     plan.settings_text = plan.settings_text.replace('trial: "5s"', 'trial: "1s"')
@@ -114,8 +114,10 @@
 def test_roll_of_real_processes_is_killed_resumed_and_rolled_back(tmp_path, builds):
     """The roll is killed and resumed, then meets a broken build; the audit observes the sockets."""
     backing = ProcessFleetBackend(str(tmp_path))
-    plan = make_plan(day(span=300, request_rate=80.0), str(tmp_path), backing.free_addresses)
-    plan.settings_text = plan.settings_text.replace('trial: "5s"', 'trial: "700ms"').replace('soak: "5s"', 'soak: "500ms"')
+    plan = make_plan(make_scenario(span=300, request_rate=80.0), str(tmp_path), backing.free_addresses)
+    plan.settings_text = plan.settings_text.replace('trial: "5s"', 'trial: "700ms"').replace(
+        'soak: "5s"', 'soak: "500ms"'
+    )
     backing.prepare(plan)
     roll = RollCommands(tmp_path, builds)
     verdict = run_during_load(ScenarioRunner(EventLoop(RealBackend(4)), plan, backing), roll.run_all)
--- a/tests/test_sockets_and_files.py
+++ b/tests/test_sockets_and_files.py
@@ -51,6 +51,11 @@
     assert run_with_log(loop, work) == [True]
 
 
+def receive_for_ever(stream, loop: EventLoop) -> None:
+    while True:
+        stream.recv(deadline=loop.now() + SECOND)
+
+
 def test_a_reset_and_a_refused_connection_raise_different_errors(loop: EventLoop) -> None:
     def work(_log: list) -> None:
         listener = loop.backend.listen(ANY_PORT)
@@ -58,8 +63,7 @@
         other_end = listener.accept()
         other_end.abort()
         with pytest.raises(ConnectionClosedError):
-            while True:
-                stream.recv(deadline=loop.now() + SECOND)
+            receive_for_ever(stream, loop)
         listener.close()
         with pytest.raises(ConnectionFailedError):
             loop.backend.connect(listener.address, loop.now() + SECOND)
@@ -162,6 +166,12 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
+def connect_for_ever(loop: EventLoop, address, streams: list) -> None:
+    """Add connections to the list until one fails."""
+    while True:
+        streams.append(loop.backend.connect(address, loop.now() + SECOND))
+
+
 def test_connecting_and_accepting_fail_when_out_of_descriptors(real_loop: EventLoop) -> None:
     def work(_log: list) -> None:
         listener = real_loop.backend.listen(ANY_PORT)
@@ -169,8 +179,7 @@
         try:
             with descriptor_limit(80):
                 with pytest.raises(ConnectionFailedError):
-                    while True:
-                        streams.append(real_loop.backend.connect(listener.address, real_loop.now() + SECOND))
+                    connect_for_ever(real_loop, listener.address, streams)
                 with pytest.raises(ConnectionFailedError):
                     listener.accept(real_loop.now() + SECOND)
         finally:
