--- a/benchmarks/loaded_gateway.py
+++ b/benchmarks/loaded_gateway.py
@@ -18,9 +18,11 @@
 from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.simulation.audit import Verdict
-from orchidlane.simulation.backends import RealBacking
-from orchidlane.simulation.observations import Try
-from orchidlane.simulation.scenario import Plan, Runner, Step, load_day, make_plan
+from orchidlane.simulation.observations import ClientAttempt
+from orchidlane.simulation.process_backend import ProcessFleetBackend
+from orchidlane.simulation.scenario import Step, load_scenario
+from orchidlane.simulation.scenario_plan import ScenarioPlan, make_plan
+from orchidlane.simulation.scenario_runner import ScenarioRunner
 
 REQUESTS_PER_SECOND = 100.0
 MAX_LOAD_SECONDS = 3_600  # the load ends with the work, which takes less
@@ -61,20 +63,20 @@
 
     def __init__(self, folder: str, customers: int, steps: tuple[Step, ...] = ()) -> None:
         self.folder = Path(folder)
-        self.backing = RealBacking(folder)
+        self.backing = ProcessFleetBackend(folder)
         day = msgspec.structs.replace(
-            load_day(str(MATERIALS / "random.cue")),
-            gateways=1,
-            customers=customers,
-            rate=REQUESTS_PER_SECOND,
-            takes=0.0,
-            span=Duration(MAX_LOAD_SECONDS * 1_000_000),
+            load_scenario(str(MATERIALS / "random.cue")),
+            gateway_count=1,
+            customer_count=customers,
+            request_rate=REQUESTS_PER_SECOND,
+            quota_request_rate=0.0,
+            duration=Duration(MAX_LOAD_SECONDS * 1_000_000),
             steps=steps,
         )
         self.plan = make_plan(day, folder, self.backing.free_addresses)
         _adapt_settings(self.plan)
         self.backing.prepare(self.plan)
-        self.runner = Runner(EventLoop(RealBackend(SEED)), self.plan, self.backing)
+        self.runner = ScenarioRunner(EventLoop(RealBackend(SEED)), self.plan, self.backing)
         self.settings = self.folder / "gw-0.cue"
         self.upgrades: list[Upgrade] = []
 
@@ -95,14 +97,14 @@
         """Return the times of all answered requests."""
         times = ResponseTimes([], [])
         for attempt in self.runner.records:
-            if not isinstance(attempt, Try) or attempt.end != "answer":
+            if not isinstance(attempt, ClientAttempt) or attempt.outcome != "answer":
                 continue
             overlaps = any(
-                attempt.at <= upgrade.ended_us and attempt.ended >= upgrade.began_us
+                attempt.at <= upgrade.ended_us and attempt.ended_at >= upgrade.began_us
                 for upgrade in self.upgrades
             )
             series = times.during_upgrades_ms if overlaps else times.otherwise_ms
-            series.append((attempt.ended - attempt.at) / 1e3)
+            series.append((attempt.ended_at - attempt.at) / 1e3)
         return times
 
     def pauses_ms(self) -> list[float]:
@@ -121,23 +123,25 @@
             return sum(1 for _ in state.account_rows())
 
 
-def _adapt_settings(plan: Plan) -> None:
+def _adapt_settings(plan: ScenarioPlan) -> None:
     for old, new in SHORTER_TIMES.items():
-        assert old in plan.text
-        plan.text = plan.text.replace(old, new)
+        assert old in plan.settings_text
+        plan.settings_text = plan.settings_text.replace(old, new)
     for pattern, new in NEVER_EXHAUSTED.items():
-        plan.text = re.sub(pattern, new, plan.text)
-    plan.fleet = parse_settings(plan.text, "day")
+        plan.settings_text = re.sub(pattern, new, plan.settings_text)
+    plan.fleet = parse_settings(plan.settings_text, "day")
 
 
 def print_verdict(title: str, verdict: Verdict) -> None:
     """Print what clients lost, and how their requests ended."""
-    ends = verdict.answers
+    ends = verdict.responses
     broken = sum(ends.get(end, 0) for end in ("reset", "silence", "cut"))
-    lost, doubled, late = len(verdict.missing), len(verdict.doubled), len(verdict.late)
-    print(f"{title}: {verdict.requests} requests; unheard {lost}, doubled {doubled}, late {late}")
+    lost = len(verdict.missing_responses)
+    doubled = len(verdict.duplicate_responses)
+    late = len(verdict.late_responses)
+    print(f"{title}: {verdict.request_count} requests; unheard {lost}, doubled {doubled}, late {late}")
     print(f"  connections broken {broken}, refused {ends.get('unreachable', 0)}; answers {ends}")
-    print(f"  units beyond the quota {verdict.beyond:.0f}; rules {verdict.rules}")
+    print(f"  units beyond the quota {verdict.units_beyond_quota:.0f}; rules {verdict.rules}")
 
 
 def print_response_times(title: str, times_ms: list[float]) -> None:
--- a/benchmarks/real_rollout.py
+++ b/benchmarks/real_rollout.py
@@ -16,8 +16,8 @@
 from benchmarks.timing import measure_seconds
 from orchidlane.config import Duration
 from orchidlane.simulation.audit import Verdict
-from orchidlane.simulation.process_fleet import ProcessFleet, play_fleet
-from orchidlane.simulation.scenario import load_day
+from orchidlane.simulation.process_fleet import ProcessFleet, run_process_fleet
+from orchidlane.simulation.scenario import load_scenario
 
 GATEWAYS = 9
 VOTERS = [f"gw-{rank}" for rank in range(5)]
@@ -34,16 +34,16 @@
 ) -> tuple[Verdict, ProcessFleet]:
     """Run a script beside a steady load, and return the audit's verdict and the fleet."""
     day = msgspec.structs.replace(
-        load_day(str(MATERIALS / "random.cue")),
-        span=Duration(600 * 1_000_000),
+        load_scenario(str(MATERIALS / "random.cue")),
+        duration=Duration(600 * 1_000_000),
         steps=(),
-        gateways=gateways,
-        rate=80.0,
-        takes=0.0,
+        gateway_count=gateways,
+        request_rate=80.0,
+        quota_request_rate=0.0,
     )
     settings = {**ROLLOUT_SETTINGS, "voters": voters}
     with tempfile.TemporaryDirectory(prefix="orchidlane-") as folder:
-        return play_fleet(day, folder, script, lambda value: value["change"].update(settings))
+        return run_process_fleet(day, folder, script, lambda value: value["change"].update(settings))
 
 
 class RepeatedRollouts:
@@ -97,7 +97,7 @@
         "lost": results["missing"],
         "doubled": results["doubled"],
         "late": results["late"],
-        "ceiling_beyond": max(0.0, round(verdict.ceiling_worst - 1, 3)),
+        "ceiling_beyond": max(0.0, round(verdict.worst_ceiling_ratio - 1, 3)),
         "unapproved": len(fleet.served_versions().keys() - approved),
         "adopted_ms": _median_and_largest(script.adopted_ms),
         "undone_ms": _median_and_largest(script.reverted_ms),
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -22,9 +22,9 @@
 from orchidlane.config import Duration
 from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.resp import encode
-from orchidlane.simulation.backends import play_while
+from orchidlane.simulation.background_load import run_during_load
 from orchidlane.simulation.mutants import BROKEN_BUILDS, make_build
-from orchidlane.simulation.scenario import Step
+from orchidlane.simulation.scenario import FaultKind, Step
 
 FOLDER_PREFIX = "orchidlane-"
 SETTLE_SECONDS = 1.5  # answers without an upgrade, between two
@@ -57,10 +57,10 @@
                     counted_units = gateway.counted_units()
                     time.sleep(COUNT_INTERVAL_SECONDS)
 
-        verdict = play_while(gateway.runner, upgrade_and_count)
+        verdict = run_during_load(gateway.runner, upgrade_and_count)
         print_upgrades(gateway)
         print_verdict("load", verdict)
-        print(f"  units counted {counted_units:.0f}, units that nodes saw {verdict.units:.0f}")
+        print(f"  units counted {counted_units:.0f}, units that nodes saw {verdict.units_used:.0f}")
         print_times_beside_upgrades(gateway, "with an upgrade under way")
         pauses_ms = gateway.pauses_ms()
         median, longest = statistics.median(pauses_ms), max(pauses_ms)
@@ -94,10 +94,12 @@
     """Drain the gateway and start it anew so many times."""
     starts = [FIRST_RESTART_SECONDS + RESTART_INTERVAL_SECONDS * index for index in range(count)]
     end = FIRST_RESTART_SECONDS + RESTART_INTERVAL_SECONDS * count
-    steps = tuple(Step(Duration(start * 1_000_000), "drain_gateway", (0,), Duration(0)) for start in starts)
+    steps = tuple(
+        Step(Duration(start * 1_000_000), FaultKind.DRAIN_GATEWAY, (0,), Duration(0)) for start in starts
+    )
     with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX) as folder:
         gateway = LoadedGateway(folder, customers=4, steps=steps)
-        verdict = play_while(gateway.runner, lambda: time.sleep(end))
+        verdict = run_during_load(gateway.runner, lambda: time.sleep(end))
         print_verdict(f"{count} cold restarts", verdict)
         print_response_times("over all", gateway.response_times().otherwise_ms)
 
@@ -127,7 +129,7 @@
             gateway.upgrade()
             account_counts.append(gateway.count_accounts())
 
-        verdict = play_while(gateway.runner, upgrade_and_count)
+        verdict = run_during_load(gateway.runner, upgrade_and_count)
         print_verdict(f"{customers} customers", verdict)
         upgrade = gateway.upgrades[0]
         seconds = (upgrade.ended_us - upgrade.began_us) / 1e6
--- a/orchidlane/cli/run.py
+++ b/orchidlane/cli/run.py
@@ -14,7 +14,8 @@
 from orchidlane.gateway.rollout_agent.settings import check_rollout_settings
 from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.runtime.signals import serve
-from orchidlane.simulation.fake_endpoint import Node, NodeSpec
+from orchidlane.simulation.endpoint_spec import EndpointSpec
+from orchidlane.simulation.fake_endpoint import FakeEndpoint
 
 
 def run_gateway(
@@ -51,7 +52,7 @@
 
 def run_node(spec_path: str) -> None:
     """Run one fake endpoint by a file with its parameters, until it is killed."""
-    spec = msgspec.json.decode(Path(spec_path).read_bytes(), type=NodeSpec)
+    spec = msgspec.json.decode(Path(spec_path).read_bytes(), type=EndpointSpec)
     loop = EventLoop(RealBackend())
     with contextlib.suppress(KeyboardInterrupt):
-        loop.run(Node(loop, spec).run)
+        loop.run(FakeEndpoint(loop, spec).run)
--- a/orchidlane/cli/simulation_commands.py
+++ b/orchidlane/cli/simulation_commands.py
@@ -18,7 +18,7 @@
 from orchidlane.cli.errors import EXIT_FAILED_CHECK, report_input_errors
 
 if TYPE_CHECKING:
-    from orchidlane.simulation.scenario import Day
+    from orchidlane.simulation.scenario import Scenario
 
 
 @click.command()
@@ -44,14 +44,15 @@
     bench_day_path: str | None,
 ) -> None:
     """Play a scripted day and audit it: exit 0 only when all five rules held."""
-    from orchidlane.simulation.backends import play, simulate
+    from orchidlane.simulation.process_backend import run_processes
+    from orchidlane.simulation.simulated_fleet import simulate
 
     with report_input_errors():
         scenario = _load_scenario(script, bench_day_path)
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     if keep:
         Path(keep).mkdir(parents=True, exist_ok=True)
-    verdict = simulate(scenario, seed) if backend == "simulated" else play(scenario, seed, keep)
+    verdict = simulate(scenario, seed) if backend == "simulated" else run_processes(scenario, seed, keep)
     text = json.dumps(verdict.as_json(), indent=2)
     if report_path:
         Path(report_path).write_text(text + "\n")
@@ -59,20 +60,20 @@
     sys.exit(0 if all(verdict.rules.values()) else EXIT_FAILED_CHECK)
 
 
-def _load_scenario(script: str, bench_day_path: str | None) -> Day:
+def _load_scenario(script: str, bench_day_path: str | None) -> Scenario:
     """Return a script's scenario, with the faults of a bench's day file; report how they were mapped."""
-    from orchidlane.simulation.bench_day import map_bench_day
-    from orchidlane.simulation.scenario import load_day
+    from orchidlane.simulation.bench_scenario import map_bench_scenario
+    from orchidlane.simulation.scenario import load_scenario
 
-    scenario = load_day(script)
+    scenario = load_scenario(script)
     if not bench_day_path:
         return scenario
-    mapped = map_bench_day(Path(bench_day_path).read_bytes(), scenario)
-    for line in mapped.done:
+    mapped = map_bench_scenario(Path(bench_day_path).read_bytes(), scenario)
+    for line in mapped.mapped:
         click.echo(f"mapped  {line}", err=True)
-    for line in mapped.left:
+    for line in mapped.unmapped:
         click.echo(f"left    {line}", err=True)
-    return mapped.day
+    return mapped.scenario
 
 
 @click.command()
@@ -82,13 +83,13 @@
 @click.option("--jobs", type=int, default=None, help="Days played at once; as many as cores if left out.")
 def seeds(script: str, first: int, count: int, jobs: int | None) -> None:
     """Play random troubles over a script's fleet in the simulated world, a day for each seed."""
-    from orchidlane.simulation.random_faults import broken, play_seeds
-    from orchidlane.simulation.scenario import load_day
+    from orchidlane.simulation.random_faults import broken_seeds, run_seeds
+    from orchidlane.simulation.scenario import load_scenario
 
     with report_input_errors():
-        scenario = load_day(script)
-    verdicts = play_seeds(scenario, range(first, first + count), jobs or os.cpu_count() or 1)
-    broken_verdicts = broken(verdicts)
+        scenario = load_scenario(script)
+    verdicts = run_seeds(scenario, range(first, first + count), jobs or os.cpu_count() or 1)
+    broken_verdicts = broken_seeds(verdicts)
     for seed, verdict in broken_verdicts.items():
         click.echo(f"seed {seed}: {json.dumps(verdict)}")
     requests = sum(int(str(verdict.get("requests", 0))) for verdict in verdicts.values())
