--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from pathlib import Path
+
 import pytest
 from harness.known_red import (  # noqa: F401  hooks of the tests that are known to fail
     mark,
@@ -12,11 +14,13 @@
     pytest_xdist_node_collection_finished,
 )
 from harness.policy_harness import PolicyHarness
+from harness.single_gateway import GatewayFiles, write_gateway_files
 
 from orchidlane.runtime import EventLoop, NetworkFaults, RealBackend, SimulatedBackend
 
 WHOLE_MACHINE = (
     "cli",
+    "gateway_process",
     "day",
     "event_loop",
     "sockets_and_files",
@@ -51,6 +55,12 @@
     return PolicyHarness()
 
 
+@pytest.fixture
+def gateway_files(tmp_path: Path) -> GatewayFiles:
+    """The example's files for one gateway process."""
+    return write_gateway_files(tmp_path / "m")
+
+
 @pytest.fixture(params=["real", "simulated"])
 def loop(request: pytest.FixtureRequest) -> EventLoop:
     """An event loop on each of the two backends; the simulated one loses no datagrams."""
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -6,14 +6,15 @@
 import hashlib
 import json
 import socket
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
 import redis
 import redis.asyncio
+from harness.single_gateway import GatewayFiles, SingleGateway
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_cli import Process, folder  # noqa: F401  (the fixture of a gateway's files)
 
 from orchidlane import resp
 from orchidlane.resp import (
@@ -168,21 +169,18 @@
 
 
 @pytest.fixture
-def resp_port(folder):  # noqa: F811
+def resp_port(gateway_files: GatewayFiles) -> Iterator[int]:
     """A single gateway with a RESP server; its only customer is acero on basico (4 a second, 12 at once)."""
-    file = folder / "fleet.cue"
-    lines = file.read_text().splitlines()
+    settings_file = gateway_files.settings
+    lines = settings_file.read_text().splitlines()
     remaining = [line for line in lines if 'name: "gw-1"' not in line and 'name: "gw-2"' not in line]
     password = hashlib.sha256(b"secret").hexdigest()
     limits = f'limits: {{passwords: ["{password}"], token_life: "300ms"}}'
-    file.write_text("\n".join(remaining).replace('limits: token_life: "3s"', limits))
+    settings_file.write_text("\n".join(remaining).replace('limits: token_life: "3s"', limits))
     customers = {"customers": [{"id": 1, "name": "acero", "plan": "basico", "keys": ["8d" * 32]}]}
-    (folder / "customers.json").write_text(json.dumps(customers))
-    process = Process(folder)
-    process.until("started")
-    yield process.resp
-    process.process.kill()
-    process.process.wait()
+    gateway_files.customers.write_text(json.dumps(customers))
+    with SingleGateway(gateway_files):
+        yield gateway_files.resp_port
 
 
 def client(port: int, protocol: int, **more) -> redis.Redis:
