--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,7 +11,7 @@
 from harness.event_story import run_command
 from harness.single_gateway import MATERIALS
 
-from orchidlane.cli.gateway_figures import Figure, parse_figures
+from orchidlane.cli.gateway_figures import Figure, Reading, parse_figures, rates_between
 from orchidlane.simulation.bench_scenario import map_bench_scenario
 from orchidlane.simulation.scenario import load_scenario
 
@@ -97,3 +97,20 @@
     assert figures[Figure.FORWARDED] == 9
     assert figures[Figure.NOT_SERVED_ATTEMPTS] == 2
     assert figures[Figure.OPEN_REQUESTS] == 5
+
+
+def reading(at_seconds: float, served: float, open_requests: float) -> Reading:
+    figures = dict.fromkeys(Figure, 0.0)
+    figures |= {Figure.SERVED: served, Figure.OPEN_REQUESTS: open_requests}
+    return Reading(at_seconds, figures)
+
+
+@pytest.mark.parametrize(
+    ("before", "served_per_second"),
+    [(None, 0.0), (reading(8.0, 10.0, 1.0), 15.0), (reading(8.0, 50.0, 1.0), 0.0)],
+    ids=["first reading", "two seconds later", "after a restart"],
+)
+def test_counters_are_shown_as_rates_and_gauges_as_they_are(before, served_per_second):
+    rates = rates_between(before, reading(10.0, 40.0, 3.0))
+    assert rates[Figure.SERVED] == served_per_second
+    assert rates[Figure.OPEN_REQUESTS] == 3.0
--- a/tests/test_golden_command.py
+++ b/tests/test_golden_command.py
@@ -12,7 +12,7 @@
 
 import click
 import pytest
-from click.testing import CliRunner
+from harness.event_story import run_command
 from harness.gateway_harness import (
     GET,
     REPORT,
@@ -28,46 +28,50 @@
 from orchidlane.cli.main import main
 
 
-def flags(command: click.Command) -> dict[str, Any]:
-    """Verbs, arguments and options of a command and of all below it; prose may change."""
-    found: dict[str, Any] = {"hidden": command.hidden, "parameters": []}
-    for one in command.params:
-        kind = one.type.to_info_dict()
-        row = {"kind": one.param_type_name, "words": [*one.opts, *one.secondary_opts], "count": one.nargs}
-        row |= {"type": kind["param_type"], "required": one.required, "many": one.multiple}
-        row |= {"choices": list(kind.get("choices", ()))}
-        if isinstance(one, click.Option):
-            given = isinstance(one.default, (str, int, float))  # else click's own mark for no default
-            default = str(one.default).replace(sys.executable, "python") if given else ""
-            row |= {"flag": one.is_flag, "default": default}
-        else:
-            row["words"] = []  # an argument's name is prose
-        found["parameters"].append(row)
+def describe_command(command: click.Command) -> dict[str, Any]:
+    """Return verbs, arguments and options of a command and of all below it, without their prose."""
+    description: dict[str, Any] = {
+        "hidden": command.hidden,
+        "parameters": [describe_parameter(parameter) for parameter in command.params],
+    }
     if isinstance(command, click.Group):
-        found["verbs"] = {name: flags(one) for name, one in command.commands.items()}
-    return found
-
-
-def verbs(command: click.Command, words: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
-    """Each command by its words."""
-    below = command.commands.items() if isinstance(command, click.Group) else ()
-    return [words] + [found for name, one in below for found in verbs(one, (*words, name))]
+        description["verbs"] = {name: describe_command(child) for name, child in command.commands.items()}
+    return description
+
+
+def describe_parameter(parameter: click.Parameter) -> dict[str, Any]:
+    """Return one argument or option."""
+    parameter_type = parameter.type.to_info_dict()
+    description: dict[str, Any] = {
+        "kind": parameter.param_type_name,
+        "words": [],  # an argument's name is prose
+        "count": parameter.nargs,
+        "type": parameter_type["param_type"],
+        "required": parameter.required,
+        "many": parameter.multiple,
+        "choices": list(parameter_type.get("choices", ())),
+    }
+    if isinstance(parameter, click.Option):
+        has_default = isinstance(parameter.default, (str, int, float))  # else click's own mark for none
+        default = str(parameter.default).replace(sys.executable, "python") if has_default else ""
+        description["words"] = [*parameter.opts, *parameter.secondary_opts]
+        description |= {"flag": parameter.is_flag, "default": default}
+    return description
 
 
-def run(*arguments: str) -> tuple[int, str]:
-    """Exit code and output of the command."""
-    result = CliRunner().invoke(main, arguments)
-    assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
-    return result.exit_code, result.output
+def command_words(command: click.Command, words: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
+    """Return the words of a command and of each one below it."""
+    children = command.commands.items() if isinstance(command, click.Group) else ()
+    return [words, *(found for name, child in children for found in command_words(child, (*words, name)))]
 
 
 def test_the_command_has_the_golden_verbs_and_flags():
-    check_golden("command", flags(main))
+    check_golden("command", describe_command(main))
 
 
-@pytest.mark.parametrize("words", verbs(main), ids=" ".join)
+@pytest.mark.parametrize("words", command_words(main), ids=" ".join)
 def test_the_help_of_each_command_names_its_flags(words):
-    code, text = run(*words, "--help")
+    code, text = run_command(*words, "--help")
     command = main
     for word in words:
         command = command.commands[word]
@@ -78,9 +82,11 @@
 
 def test_settings_and_routes_are_shown_as_golden():
     found = {
-        "config show": run("config", "show", str(MATERIALS / "fleet.cue")),
-        "routes": run("routes", str(MATERIALS / "openapi.yaml")),
-        "routes --match": run("routes", str(MATERIALS / "openapi.yaml"), "--match", "PUT /v1/tests/7"),
+        "config show": run_command("config", "show", str(MATERIALS / "fleet.cue")),
+        "routes": run_command("routes", str(MATERIALS / "openapi.yaml")),
+        "routes --match": run_command(
+            "routes", str(MATERIALS / "openapi.yaml"), "--match", "PUT /v1/tests/7"
+        ),
     }
     check_golden("command-output", {what: list(pair) for what, pair in found.items()})
 
@@ -89,7 +95,7 @@
 def test_a_simulated_day_gives_the_golden_verdict(script, tmp_path):
     report = tmp_path / "verdict.json"
     source = str(MATERIALS / f"{script}.cue")
-    code, _ = run("day", source, "--world", "simulated", "--seed", "3", "--json", str(report))
+    code, _ = run_command("day", source, "--world", "simulated", "--seed", "3", "--json", str(report))
     digest = hashlib.sha256(report.read_bytes()).hexdigest()
     verdict = json.loads(report.read_bytes())
     check_golden(f"day-{script}", {"exit": code, "sha256": digest, "verdict": verdict})
@@ -116,7 +122,7 @@
         "counts of a plan": ("counts", str(path), "--plan", "basico", "--json"),
         "diff": ("diff", str(path), str(path), "1", "--json"),
     }
-    found = {what: run(*words) for what, words in calls.items()}
+    found = {what: run_command(*words) for what, words in calls.items()}
     check_golden(
         "tools-of-a-state",
         {what: [code, without_place(text, tmp_path)] for what, (code, text) in found.items()},
@@ -131,7 +137,7 @@
         "replay": ("replay", folder, "--json"),
         "audit": ("audit", folder, "--json"),
     }
-    found = {what: run(*words) for what, words in calls.items()}
+    found = {what: run_command(*words) for what, words in calls.items()}
     check_golden(
         "tools-of-a-record",
         {what: [code, without_place(text, tmp_path)] for what, (code, text) in found.items()},
@@ -142,5 +148,5 @@
 def test_explain_prints_the_golden_json(words, tmp_path):
     """Its events and actions are told as text with the names of their types and fields."""
     shutil.copy(Path(__file__).parent / "corpus/record/format-2.olr", tmp_path / "gw-1-0.olr")
-    code, text = run("explain", str(tmp_path), *words, "--json")
+    code, text = run_command("explain", str(tmp_path), *words, "--json")
     check_golden(f"explain-{words[0].lstrip('-')}", [code, json.loads(text)])
