--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -26,7 +26,7 @@
 
 
 EACH_BY_ITSELF = ("consensus_model", "fleet_totals")  # long, and they share nothing
-# Each starts up to ten processes: two at a time take each other's cores, and a leader that is held up is
+# Each starts up to ten processes: two at a time would compete for cores, and a leader that is delayed is
 # replaced
 PROCESSES = ("rollout_processes", "platform_processes", "platform_reload", "platform_shutdown")
 
--- a/tests/harness/gossip_harness.py
+++ b/tests/harness/gossip_harness.py
@@ -64,6 +64,18 @@
     )
 
 
+def exhaust(harness: PolicyHarness, customer: int, replica_set_size: int) -> None:
+    """Receive a peer's row by which a customer is exhausted."""
+    row = customer_row(
+        [(1, NOW_TICKS - 9, 9.0)],
+        remaining=1.0,
+        spent_total=9.0,
+        customer=customer,
+        replica_set_size=replica_set_size,
+    )
+    receive(harness, 1, row)
+
+
 def confirmed(**changes: Any) -> PolicyHarness:
     """Return a gateway to which a peer has sent a row of the customer."""
     harness = PolicyHarness(**changes)
--- a/tests/harness/policy_harness.py
+++ b/tests/harness/policy_harness.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import dataclasses
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from typing import Any
 
 from orchidlane import policy
@@ -166,3 +166,18 @@
         return self.feed(
             policy.AttemptEnded(request, attempt, endpoint, outcome, duration_us, answered, 0, 0.0, ())
         )
+
+
+def serve_request(
+    harness: PolicyHarness, request: int, duration_us: Callable[[bytes], int]
+) -> policy.SendAttempt | None:
+    """Feed a request, served after a duration by endpoint; return the attempt, if there was one."""
+    sends = actions_of(
+        harness.request(request, customer=request, time_left_us=2 * SECOND), policy.SendAttempt
+    )
+    if not sends:
+        return None
+    harness.advance(10_000)
+    endpoint = sends[0].endpoint
+    harness.end_attempt(request, endpoint, policy.Outcome.SERVED, duration_us=duration_us(endpoint))
+    return sends[0]
--- a/tests/test_account_recovery.py
+++ b/tests/test_account_recovery.py
@@ -31,14 +31,16 @@
 
 
 def make_gateway(rate: float, burst: float) -> Gateway:
+    """Return a gateway alone in its fleet, with one plan."""
     plan = dataclasses.replace(PLAIN_PLAN, rate=rate, burst=burst)
-    alone = dataclasses.replace(SETTINGS, replica_count=1, may_gossip=False, plans=(plan,))
-    return Gateway(alone, 1, START)
+    settings = dataclasses.replace(SETTINGS, replica_count=1, may_gossip=False, plans=(plan,))
+    return Gateway(settings, 1, START)
 
 
 def admits(gateway: Gateway, now: int, units: float) -> bool:
-    asked = policy.QuotaRequested(now, 1, 0, 0, units, 0, 1)
-    return any(isinstance(action, policy.GrantQuota) for action in gateway.handle(now, asked))
+    """Request quota; return whether it was granted."""
+    event = policy.QuotaRequested(now, 1, 0, 0, units, 0, 1)
+    return any(isinstance(action, policy.GrantQuota) for action in gateway.handle(now, event))
 
 
 @given(
@@ -47,26 +49,26 @@
     st.integers(0, 20_000),
     st.integers(0, 5_000),
 )
-def test_no_incarnation_spends_what_an_earlier_one_may_have_spent(asked, at, gap, promise):
+def test_no_incarnation_spends_what_an_earlier_one_may_have_spent(requests, saved_before, gap, valid_for):
     """Whatever was requested and whenever it was saved, both together stay within one token bucket."""
     rate, burst = 5.0, 12.0
-    gateway, now, row, taken = make_gateway(rate, burst), START, None, START
+    gateway, now, row, saved_at = make_gateway(rate, burst), START, None, START
     spent: list[tuple[int, float]] = []
-    for number, (span, units) in enumerate(asked):
+    for number, (span, units) in enumerate(requests):
         now += span * MS
-        if number == at or row is None:
+        if number == saved_before or row is None:
             account = gateway.accounts.get(1)
-            row, taken = (account_to_row(account) if account else None), now
-        if row is not None and now > taken + promise * MS:
+            row, saved_at = (account_to_row(account) if account else None), now
+        if row is not None and now > saved_at + valid_for * MS:
             break  # it would have been renewed by then
         if admits(gateway, now, units):
             spent.append((now, units))
     if row is None:
         return
-    now = max(now, taken) + gap * MS
+    now = max(now, saved_at) + gap * MS
     restarted = make_gateway(rate, burst)
     (account,) = recover_accounts(
-        [row], PreviousIncarnation(0, ["a"], taken, taken + promise * MS, False), ["a"], now
+        [row], PreviousIncarnation(0, ["a"], saved_at, saved_at + valid_for * MS, False), ["a"], now
     )
     restarted.accounts[1] = account
     restarted.idle_queue.append(1)
@@ -74,19 +76,19 @@
         if admits(restarted, now, 1.0):
             spent.append((now, 1.0))
         now += 100 * MS
-    room, last = burst, START
+    remaining, last = burst, START
     for when, units in spent:
-        room, last = min(burst, room + rate * (when - last) / SECOND) - units, when
-        assert room > -1e-6
+        remaining, last = min(burst, remaining + rate * (when - last) / SECOND) - units, when
+        assert remaining > -1e-6
 
 
-def test_counts_are_kept_and_the_rest_begins_anew():
+def test_counts_are_recovered_and_the_rest_is_reset():
     counts = {0: ReplicaCount(5, 10.0), 1: ReplicaCount(6, 20.0)}
     account = Account(7, AccountKey(1, 0, 3), 90.0, START, counts, 30.0, 30.0, (1, 0), False, 2)
     account.ceiling_tokens, account.peer_admissions_at_us, account.announced_at_us = 9.0, (START,), START
     row = account_to_row(account)
-    life = PreviousIncarnation(0, PLANS, START, START + 4 * SECOND, False)
-    (found,) = recover_accounts([row], life, ("amplio", "other"), START + 9 * SECOND)
+    previous = PreviousIncarnation(0, PLANS, START, START + 4 * SECOND, False)
+    (found,) = recover_accounts([row], previous, ("amplio", "other"), START + 9 * SECOND)
     assert (found.plan, found.remaining, found.refilled_at_us) == (0, 0.0, START + 4 * SECOND)
     assert (found.replica_counts, found.recently_changed, found.spent_total, found.counted_total) == (
         {1: (6, 20.0)},
@@ -101,12 +103,12 @@
         (),
     )
     (clean,) = recover_accounts(
-        [row], life._replace(valid_until_us=START, clean_shutdown=True), PLANS, START + 9 * SECOND
+        [row], previous._replace(valid_until_us=START, clean_shutdown=True), PLANS, START + 9 * SECOND
     )
     assert (clean.remaining, clean.refilled_at_us) == (60.0, START)
-    (back,) = recover_accounts([row], life._replace(clean_shutdown=True), PLANS, START - SECOND)
+    (back,) = recover_accounts([row], previous._replace(clean_shutdown=True), PLANS, START - SECOND)
     assert (back.remaining, back.refilled_at_us) == (0.0, START - SECOND)
-    assert list(recover_accounts([row], life, ("another",), START)) == []
+    assert list(recover_accounts([row], previous, ("another",), START)) == []
 
 
 class SingleGateway(GatewayHarness):
@@ -117,20 +119,21 @@
         plans = {"basico": msgspec.structs.replace(example.plans["basico"], rate=2.0, burst=40.0)}
         super().__init__(*handlers, state="/sim", gateways=example.gateways[:1], plans=plans)
 
-    def spend(self, most: int) -> int:
-        """How many of so many requests at once are served."""
-        return sum(self.ask(GET)[0] == 200 for _ in range(most))
+    def spend(self, count: int) -> int:
+        """Send so many requests, one after another; return how many were served."""
+        return sum(self.ask(GET)[0] == 200 for _ in range(count))
 
 
 def restart(harness: GatewayHarness) -> None:
+    """Start the gateway again."""
     harness.start()
     harness.loop.sleep(300 * MS)
 
 
-def test_killed_gateway_gives_no_customer_its_burst_again():
+def test_a_killed_gateway_gives_no_customer_a_second_burst():
     def test(harness: SingleGateway) -> None:
         assert harness.spend(20) == 20
-        harness.loop.sleep(6 * SECOND)  # it is written down; 32 are free
+        harness.loop.sleep(6 * SECOND)  # it is saved; 32 units remain
         assert harness.spend(20) == 20
         harness.backend.kill(harness.process)
         restart(harness)
@@ -186,12 +189,13 @@
         loop = EventLoop(backend)
         backing = SimulatedBacking(loop, backend)
         plan = make_plan(day(span=12, rate=160.0, customers=6, takes=0.0), "sim", backing.free_addresses)
-        restart = msgspec.structs.replace(plan.fleet.account_store, write_interval_us=Duration(save_interval))
-        plan.fleet = msgspec.structs.replace(plan.fleet, account_store=restart)
+        interval = Duration(save_interval)
+        account_store = msgspec.structs.replace(plan.fleet.account_store, write_interval_us=interval)
+        plan.fleet = msgspec.structs.replace(plan.fleet, account_store=account_store)
         backing.prepare(plan)
         runner = Runner(loop, plan, backing)
 
-        def kills() -> None:
+        def kill_and_restart_all() -> None:
             while runner.crowd is None:
                 loop.sleep(50 * MS)
             for _ in range(4):
@@ -201,9 +205,14 @@
                 for rank in range(3):
                     backing.start_gateway(rank)
 
-        found = []
-        loop.run(lambda: (loop.spawn(kills, process=loop.main_process), found.append(runner.run())))
-        return found[0].beyond, found[0].rules
+        verdicts = []
+        loop.run(
+            lambda: (
+                loop.spawn(kill_and_restart_all, process=loop.main_process),
+                verdicts.append(runner.run()),
+            )
+        )
+        return verdicts[0].beyond, verdicts[0].rules
 
     without_saved, _ = run_scenario(0)
     with_saved, rules = run_scenario(SECOND)
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""The analysis of a stage: its rate of false stops, the harm it finds, and what is not its to say."""
+"""Canary analysis: its rate of false alarms, and the regressions that it detects."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def draw(rng: random.Random, answers: int, bad: dict[str, float]) -> AnswerCounts:
-    """So many answers of which each kind of badness has its chance."""
+    """Return counts of so many answers, each kind of fault by its probability."""
     kinds = [kind for kind in OUTCOME_KINDS if kind != "served"]
     counts = {kind: sum(rng.random() < bad.get(kind, 0.0) for _ in range(answers)) for kind in kinds}
     counts["failed"] = min(counts["failed"], answers - counts["refused"])
@@ -28,9 +28,9 @@
 
 
 def stage(seed: int, harm: dict[str, float], observations: int = 40) -> str:
-    """A stage with a load and a share of refusals that wander; the harm that was found, if any.
+    """Return the harm that is found in a phase whose load and share of rejections drift, if any.
 
-    ``harm`` multiplies a kind's share on the new side.
+    ``harm`` multiplies a kind's share in the canaries.
     """
     rng, analysis = random.Random(seed), CanaryAnalysis()
     usual = {"refused": 0.15, "failed": 0.01, "late": 0.02, "slow": 0.1, "attempts": 0.05}
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -1,4 +1,4 @@
-"""Which versions may serve side by side."""
+"""Compatibility: which versions may serve at the same time."""
 
 from __future__ import annotations
 
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Which idle connections carry another request."""
+"""Connection reuse: which idle connections are used for another request."""
 
 from orchidlane.gateway.forwarding.connection_reuse import HALF_LIFE_US, ReuseStatistics
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -12,12 +12,13 @@
 
 
 def line(kind="whole", version=1, epoch="e", after=0, **phases) -> bytes:
-    nodes = [
+    """Encode a watch event with endpoints by name and phase."""
+    entries = [
         {"address": f"127.0.0.1:{name[1:]}", "phase": phase, "zone": "z", "cell": "c"}
         for name, phase in phases.items()
     ]
     return msgspec.json.encode(
-        {"kind": kind, "epoch": epoch, "version": version, "after": after, "nodes": nodes}
+        {"kind": kind, "epoch": epoch, "version": version, "after": after, "nodes": entries}
     )
 
 
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -2,24 +2,19 @@
 
 from __future__ import annotations
 
-from harness.policy_harness import SECOND, PolicyHarness, actions_of, endpoint_entry, endpoint_list
+from harness.policy_harness import (
+    SECOND,
+    PolicyHarness,
+    actions_of,
+    endpoint_entry,
+    endpoint_list,
+    serve_request,
+)
 
 from orchidlane import policy
 from orchidlane.policy import Outcome
 
 
-def serve_request(harness: PolicyHarness, request: int, took) -> policy.SendAttempt | None:
-    """Feed a request, served after a duration by endpoint; return the attempt, if there was one."""
-    sends = actions_of(
-        harness.request(request, customer=request, time_left_us=2 * SECOND), policy.SendAttempt
-    )
-    if not sends:
-        return None
-    harness.advance(10_000)
-    harness.end_attempt(request, sends[0].endpoint, Outcome.SERVED, duration_us=took(sends[0].endpoint))
-    return sends[0]
-
-
 def test_requests_are_admitted_again_after_an_overload():
     """A latency measured under overload must not cause all later requests to be shed."""
     harness = PolicyHarness(endpoints=3)
@@ -47,26 +42,26 @@
     for request in range(1, 80):
         serve_request(harness, request, lambda _: 6 * SECOND)
     sent = [harness.now]
-    for request in range(100, 220):  # ten a second, and the overload goes on
+    for request in range(100, 220):  # ten a second while the overload lasts
         sent += [harness.now] * (serve_request(harness, request, lambda _: 6 * SECOND) is not None)
         harness.advance(90_000)
-    apart = [later - earlier for earlier, later in zip(sent, [*sent[1:], harness.now], strict=True)]
+    intervals = [later - earlier for earlier, later in zip(sent, [*sent[1:], harness.now], strict=True)]
     assert 3 <= len(sent) <= 5
-    assert max(apart) < 3.5 * SECOND
-    assert min(apart[:-1]) >= 3 * SECOND
+    assert max(intervals) < 3.5 * SECOND
+    assert min(intervals[:-1]) >= 3 * SECOND
 
 
 def test_a_slow_endpoint_gets_less_traffic_until_it_recovers():
     harness = PolicyHarness(endpoints=4)
     slow = endpoint_entry(0).endpoint
 
-    def part(first: int, took) -> float:
-        sends = [s for r in range(first, first + 120) if (s := serve_request(harness, r, took))]
+    def slow_share(first: int, duration_us) -> float:
+        sends = [s for r in range(first, first + 120) if (s := serve_request(harness, r, duration_us))]
         return sum(s.endpoint == slow for s in sends) / len(sends)
 
-    assert part(1, lambda server: 200_000 if server == slow else 30_000) < 0.1
+    assert slow_share(1, lambda endpoint: 200_000 if endpoint == slow else 30_000) < 0.1
     harness.advance(15 * SECOND)
-    assert part(500, lambda _: 30_000) > 0.12
+    assert slow_share(500, lambda _: 30_000) > 0.12
 
 
 def test_an_endpoint_that_refuses_connections_is_avoided():
@@ -88,7 +83,7 @@
 
 
 def test_an_unreachable_zone_is_avoided_before_each_of_its_endpoints_failed():
-    """Failures count for the zone, so that its endpoints are not attempts_there one by one."""
+    """Failures count for the zone, so that its endpoints are not tried one by one."""
     harness, attempts_there = PolicyHarness(endpoints=0), 0
     far = {endpoint_entry(i).endpoint for i in range(50)}
     harness.feed(endpoint_list(*(endpoint_entry(i, zone=int(i >= 50)) for i in range(100))))
@@ -108,7 +103,7 @@
 
 
 def test_timeouts_of_silent_endpoints_do_not_raise_the_latency_expected_of_others():
-    """As when a zone is lost: its timeouts say nothing of other zones."""
+    """As when a zone is lost: its timeouts are no evidence on other zones."""
     harness = PolicyHarness(endpoints=200)
     for request in range(1, 40):
         serve_request(harness, request, lambda _: 60_000)
@@ -117,8 +112,8 @@
         for r in range(100, 120)
     ]
     harness.advance(2 * SECOND)
-    for request, server in zip(range(100, 120), sent, strict=True):
-        harness.end_attempt(request, server, Outcome.TIMED_OUT, duration_us=2 * SECOND)
+    for request, endpoint in zip(range(100, 120), sent, strict=True):
+        harness.end_attempt(request, endpoint, Outcome.TIMED_OUT, duration_us=2 * SECOND)
     assert all(serve_request(harness, request, lambda _: 60_000) for request in range(200, 220))
 
 
@@ -175,7 +170,7 @@
 
 
 def test_failures_influence_the_choice_of_endpoint_but_reject_no_request():
-    """Connections that break say nothing of latency, so no request is shed for them."""
+    """Broken connections are no evidence on latency, so no request is shed for them."""
     harness = PolicyHarness()
     for number in range(1, 9):
         (send,) = actions_of(harness.request(number, request_class=2, customer=number), policy.SendAttempt)
--- a/tests/test_golden_command.py
+++ b/tests/test_golden_command.py
@@ -12,7 +12,7 @@
 
 import click
 import pytest
-from click.testing import CliRunner
+from harness.event_story import run_command
 from harness.gateway_harness import (
     GET,
     REPORT,
@@ -29,45 +29,42 @@
 
 
 def flags(command: click.Command) -> dict[str, Any]:
-    """Verbs, arguments and options of a command and of all below it; prose may change."""
+    """Return verbs, arguments and options of a command and of all below it; prose may change."""
     found: dict[str, Any] = {"hidden": command.hidden, "parameters": []}
-    for one in command.params:
-        kind = one.type.to_info_dict()
-        row = {"kind": one.param_type_name, "words": [*one.opts, *one.secondary_opts], "count": one.nargs}
-        row |= {"type": kind["param_type"], "required": one.required, "many": one.multiple}
+    for parameter in command.params:
+        kind = parameter.type.to_info_dict()
+        row = {
+            "kind": parameter.param_type_name,
+            "words": [*parameter.opts, *parameter.secondary_opts],
+            "count": parameter.nargs,
+        }
+        row |= {"type": kind["param_type"], "required": parameter.required, "many": parameter.multiple}
         row |= {"choices": list(kind.get("choices", ()))}
-        if isinstance(one, click.Option):
-            given = isinstance(one.default, (str, int, float))  # else click's own mark for no default
-            default = str(one.default).replace(sys.executable, "python") if given else ""
-            row |= {"flag": one.is_flag, "default": default}
+        if isinstance(parameter, click.Option):
+            given = isinstance(parameter.default, (str, int, float))  # else click's own mark for no default
+            default = str(parameter.default).replace(sys.executable, "python") if given else ""
+            row |= {"flag": parameter.is_flag, "default": default}
         else:
             row["words"] = []  # an argument's name is prose
         found["parameters"].append(row)
     if isinstance(command, click.Group):
-        found["verbs"] = {name: flags(one) for name, one in command.commands.items()}
+        found["verbs"] = {name: flags(verb) for name, verb in command.commands.items()}
     return found
 
 
 def verbs(command: click.Command, words: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
-    """Each command by its words."""
+    """Return each command by its words."""
     below = command.commands.items() if isinstance(command, click.Group) else ()
     return [words] + [found for name, one in below for found in verbs(one, (*words, name))]
 
 
-def run(*arguments: str) -> tuple[int, str]:
-    """Exit code and output of the command."""
-    result = CliRunner().invoke(main, arguments)
-    assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
-    return result.exit_code, result.output
-
-
 def test_the_command_has_the_golden_verbs_and_flags():
     check_golden("command", flags(main))
 
 
 @pytest.mark.parametrize("words", verbs(main), ids=" ".join)
 def test_the_help_of_each_command_names_its_flags(words):
-    code, text = run(*words, "--help")
+    code, text = run_command(*words, "--help")
     command = main
     for word in words:
         command = command.commands[word]
@@ -78,9 +75,11 @@
 
 def test_settings_and_routes_are_shown_as_golden():
     found = {
-        "config show": run("config", "show", str(MATERIALS / "fleet.cue")),
-        "routes": run("routes", str(MATERIALS / "openapi.yaml")),
-        "routes --match": run("routes", str(MATERIALS / "openapi.yaml"), "--match", "PUT /v1/tests/7"),
+        "config show": run_command("config", "show", str(MATERIALS / "fleet.cue")),
+        "routes": run_command("routes", str(MATERIALS / "openapi.yaml")),
+        "routes --match": run_command(
+            "routes", str(MATERIALS / "openapi.yaml"), "--match", "PUT /v1/tests/7"
+        ),
     }
     check_golden("command-output", {what: list(pair) for what, pair in found.items()})
 
@@ -89,14 +88,14 @@
 def test_a_simulated_day_gives_the_golden_verdict(script, tmp_path):
     report = tmp_path / "verdict.json"
     source = str(MATERIALS / f"{script}.cue")
-    code, _ = run("day", source, "--world", "simulated", "--seed", "3", "--json", str(report))
+    code, _ = run_command("day", source, "--world", "simulated", "--seed", "3", "--json", str(report))
     digest = hashlib.sha256(report.read_bytes()).hexdigest()
     verdict = json.loads(report.read_bytes())
     check_golden(f"day-{script}", {"exit": code, "sha256": digest, "verdict": verdict})
 
 
-def without_place(text: str, folder: Path) -> str:
-    """An output without what differs by machine and build: the folder, and the build's name."""
+def without_folder(text: str, folder: Path) -> str:
+    """Return an output without what differs by machine and build: the folder, and the build's name."""
     return re.sub(r'"build": ".*?"', '"build": ""', text.replace(str(folder), "FOLDER"))
 
 
@@ -116,10 +115,10 @@
         "counts of a plan": ("counts", str(path), "--plan", "basico", "--json"),
         "diff": ("diff", str(path), str(path), "1", "--json"),
     }
-    found = {what: run(*words) for what, words in calls.items()}
+    found = {what: run_command(*words) for what, words in calls.items()}
     check_golden(
         "tools-of-a-state",
-        {what: [code, without_place(text, tmp_path)] for what, (code, text) in found.items()},
+        {what: [code, without_folder(text, tmp_path)] for what, (code, text) in found.items()},
     )
 
 
@@ -131,16 +130,16 @@
         "replay": ("replay", folder, "--json"),
         "audit": ("audit", folder, "--json"),
     }
-    found = {what: run(*words) for what, words in calls.items()}
+    found = {what: run_command(*words) for what, words in calls.items()}
     check_golden(
         "tools-of-a-record",
-        {what: [code, without_place(text, tmp_path)] for what, (code, text) in found.items()},
+        {what: [code, without_folder(text, tmp_path)] for what, (code, text) in found.items()},
     )
 
 
 @pytest.mark.parametrize("words", [("38",), ("--customer", "3")], ids=["request", "customer"])
 def test_explain_prints_the_golden_json(words, tmp_path):
-    """Its events and actions are told as text with the names of their types and fields."""
+    """Its events and actions are printed as text with the names of their types and fields."""
     shutil.copy(Path(__file__).parent / "corpus/record/format-2.olr", tmp_path / "gw-1-0.olr")
-    code, text = run("explain", str(tmp_path), *words, "--json")
+    code, text = run_command("explain", str(tmp_path), *words, "--json")
     check_golden(f"explain-{words[0].lstrip('-')}", [code, json.loads(text)])
--- a/tests/test_golden_gateways.py
+++ b/tests/test_golden_gateways.py
@@ -1,4 +1,4 @@
-"""Node lists, rolls, hot restarts and messages between gateways are read as the golden ones."""
+"""Endpoint lists, rolling upgrades, hot restarts and gateways' messages are read as the golden ones."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from orchidlane.recording.state_dump import account_to_row
 
 
-def test_a_golden_cache_of_the_node_list_is_read_as_its_nodes():
+def test_a_golden_cache_of_the_endpoint_list_is_read_as_its_endpoints():
     tracker = endpoint_list.EndpointListTracker("z1", 100)
     assert tracker.load_cache(golden("node-list-cache.json")) == policy.EndpointListReceived(
         policy.EndpointListKind.CACHED,
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -34,8 +34,8 @@
         assert restart_messages.encode(parser.next_message()) == data, tag
 
 
-def test_ledgers_commands_and_states_of_versions_have_the_golden_names_and_values():
-    """What gateways and tools send each other over the admin address, and what names contents and seals."""
+def test_replicated_states_commands_and_statuses_have_the_golden_names_and_values():
+    """Messages between gateways and tools over the admin API, and hashes and seals."""
     kinds = {
         "command": admin_messages.CommandRequest,
         "how things stand": admin_messages.RolloutStatus,
@@ -61,6 +61,6 @@
     check_golden("versions", found)
 
 
-def test_steps_of_the_ledger_have_the_golden_bytes():
-    steps = [sample_struct(kind) for kind in get_args(commands.Command)]
-    check_golden("ledger-steps", [msgspec.msgpack.encode(one).hex() for one in steps])
+def test_commands_have_the_golden_bytes():
+    encoded = [sample_struct(kind) for kind in get_args(commands.Command)]
+    check_golden("ledger-steps", [msgspec.msgpack.encode(one).hex() for one in encoded])
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -31,14 +31,14 @@
 
 
 def packed_messages() -> dict[str, bytes]:
-    """Every kind of message, by what it is."""
+    """Return every kind of message, by what it is."""
     found = {}
     for what, rows in ROWS.items():
         for when, sent in SENT.items():
-            for ask, keep in ((False, False), (True, False), (False, True), (True, True)):
+            for wants_reply, to_token_owner in ((False, False), (True, False), (False, True), (True, True)):
                 parts = gossip_codec.take_fitting(gossip_codec.encode_row(row, sent, 3) for row in rows)
-                found[f"{what}, {when}, {ask:d}{keep:d}"] = gossip_codec.encode_message(
-                    sent, ask, keep, parts
+                found[f"{what}, {when}, {wants_reply:d}{to_token_owner:d}"] = gossip_codec.encode_message(
+                    sent, wants_reply, to_token_owner, parts
                 )
     return found
 
@@ -89,18 +89,18 @@
 
 
 def test_datagrams_for_others_are_rejected_for_the_golden_reasons():
-    good_one = seal_datagram(0, b"x")
+    valid = seal_datagram(0, b"x")
     wrong = {
-        "short": good_one[:20],
-        "too long": good_one + bytes(300),
-        "another magic": b"XX" + good_one[2:],
-        "another format": good_one[:2] + b"\2" + good_one[3:],
+        "short": valid[:20],
+        "too long": valid + bytes(300),
+        "another magic": b"XX" + valid[2:],
+        "another format": valid[:2] + b"\2" + valid[3:],
         "an unknown kind": seal_datagram(9, b"x"),
         "to another": datagrams.encode_datagram(SECRET, 1, 0, 900, 5, b"x"),
         "of our own rank": datagrams.encode_datagram(SECRET, 2, 2, 900, 5, b"x"),
         "of no gateway": datagrams.encode_datagram(SECRET, 9, 2, 900, 5, b"x"),
         "of another key": datagrams.encode_datagram(b"another key, long enough", 1, 2, 900, 5, b"x"),
-        "changed": good_one[:-1] + bytes((good_one[-1] ^ 1,)),
+        "changed": valid[:-1] + bytes((valid[-1] ^ 1,)),
         "a life far ahead": seal_datagram(0, b"x", incarnation=61_000_000_000),
     }
     found = {}
@@ -109,8 +109,8 @@
         assert inbox.accept(1_000, data) is None
         found[what] = inbox.rejected
     inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 2.0)
-    taken = [inbox.accept(1_000, seal_datagram(0, b"x", number)) is not None for number in (7, 7, 6, 8)]
-    found["7, 7, 6, 8 with an intake of two"] = [taken, inbox.rejected]
+    accepted = [inbox.accept(1_000, seal_datagram(0, b"x", number)) is not None for number in (7, 7, 6, 8)]
+    found["7, 7, 6, 8 with an intake of two"] = [accepted, inbox.rejected]
     found["carried to a successor"] = [[*row[:3], row[3].hex()] for row in inbox.peer_rows()]
     check_golden("refused-datagrams", found)
 
@@ -138,18 +138,20 @@
     def test(harness):
         peer = harness.backend.bind_datagrams(("127.0.0.1", 7947))
 
-        def hear() -> None:
+        def receive_all() -> None:
             while True:
                 bodies.append(peer.recv()[0].hex())
 
-        harness.scope.spawn(hear)
+        harness.scope.spawn(receive_all)
         for number in range(4):
-            asked = call(number=f"r{number}", client=f"{number:016x}", extras="units=1,spread=2,first=0")
-            assert harness.ask(asked)[0] == 200
+            raw = call(number=f"r{number}", client=f"{number:016x}", extras="units=1,spread=2,first=0")
+            assert harness.ask(raw)[0] == 200
         harness.loop.sleep(2 * SECOND)
 
-    may = {**settings()["permissions"], "peers": True}
+    permissions = {**settings()["permissions"], "peers": True}
     addresses = ["127.0.0.1:7946", "127.0.0.1:7947"]
-    PlatformHarness(good, good, peers=addresses, settings=settings(balancers=2, permissions=may)).run(test)
+    PlatformHarness(good, good, peers=addresses, settings=settings(balancers=2, permissions=permissions)).run(
+        test
+    )
     assert bodies
     check_golden("platform-datagrams", bodies)
--- a/tests/test_golden_rollouts.py
+++ b/tests/test_golden_rollouts.py
@@ -1,4 +1,4 @@
-"""Files and messages of fleet versions are read and written as the golden ones."""
+"""Files and messages of rollouts are read and written as the golden ones."""
 
 from __future__ import annotations
 
@@ -40,37 +40,37 @@
     assert rollout_messages.decode(data) == golden_rollout_messages()[name]
 
 
-def test_the_golden_ledger_is_read_as_its_values_under_its_name():
+def test_the_golden_replicated_state_is_decoded_to_its_values_and_has_its_hash():
     data = golden("ledger.msgpack")
     assert replicated_state.decode(data) == golden_replicated_state()
     assert version.content_hash(data).encode() == golden("ledger-name.txt")
 
 
-def test_the_golden_ledger_has_changes_in_every_stage_and_fills_every_field():
-    ledger = golden_replicated_state()
-    assert ledger.rollout is not None
-    assert ledger.halted_rollout is not None
-    assert {ledger.rollout.phase, ledger.halted_rollout.phase} == set(replicated_state.RolloutPhase)
+def test_the_golden_replicated_state_has_rollouts_in_every_phase_and_fills_every_field():
+    state = golden_replicated_state()
+    assert state.rollout is not None
+    assert state.halted_rollout is not None
+    assert {state.rollout.phase, state.halted_rollout.phase} == set(replicated_state.RolloutPhase)
     filled = (
-        ledger,
-        ledger.halted_rollout,
-        ledger.current,
-        *ledger.history,
-        ledger.current.version,
+        state,
+        state.halted_rollout,
+        state.current,
+        *state.history,
+        state.current.version,
         golden_contents("a"),
     )
     assert {type(one).__name__: fields_with_default(one) for one in filled if fields_with_default(one)} == {}
 
 
 def test_golden_certificates_are_signed_for_their_versions():
-    ledger = replicated_state.decode(golden("ledger.msgpack"))
-    assert ledger.halted_rollout is not None
-    assert ledger.halted_rollout.certificate is not None
-    for certificate in (ledger.current, ledger.halted_rollout.certificate):
+    state = replicated_state.decode(golden("ledger.msgpack"))
+    assert state.halted_rollout is not None
+    assert state.halted_rollout.certificate is not None
+    for certificate in (state.current, state.halted_rollout.certificate):
         assert version.certificate_error(SECRET, certificate) == ""
 
 
-def test_golden_files_of_the_voter_and_of_what_runs_are_read_as_their_values():
+def test_golden_files_of_the_voter_and_the_running_version_are_read_as_their_values():
     voter, running = golden("voter-file.bin"), golden("running-file.bin")
     kept = storage.RolloutStorage(
         FakeEventLoop(**{"gateway-1.voter": voter, "gateway-1.running": running}), "gateway-1"
@@ -82,7 +82,7 @@
         assert fields_with_default(file) == []
 
 
-def test_golden_bodies_of_the_admin_address_are_read_as_their_values():
+def test_golden_bodies_of_the_admin_api_are_read_as_their_values():
     read = msgspec.msgpack.decode
     assert read(golden("admin-order.msgpack"), type=admin_messages.CommandRequest) == golden_command_request()
     assert (
@@ -97,7 +97,7 @@
         assert fields_with_default(body) == []
 
 
-def test_what_tools_print_of_fleet_versions_names_every_field_as_before():
+def test_tools_print_rollouts_with_the_golden_field_names():
     assert (
         msgspec.json.decode(golden("admin-status.json"), type=admin_messages.RolloutStatus) == golden_status()
     )
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -10,6 +10,7 @@
     NOW_TICKS,
     confirmed,
     customer_row,
+    exhaust,
     peer_messages,
     receive,
     receive_at,
@@ -29,7 +30,7 @@
 
 
 def count_calls(gateways: int) -> int:
-    """Calls made within the package for the same events at one size of fleet and set."""
+    """Return the calls made within the package for the same events at one size of fleet and replica set."""
     harness = PolicyHarness(replica_count=gateways, endpoints=4, peer_messages_per_second=1_000.0)
     count = 0
 
@@ -56,29 +57,14 @@
 
 
 def merge_rows(rows) -> tuple:
-    """Counts and room after these rows, all at one instant."""
+    """Return counts and remaining quota after these rows, all at one instant."""
     harness = confirmed()
-    for counts, room in rows:
-        receive(harness, 1, customer_row(counts, remaining=room))
+    for counts, remaining in rows:
+        receive(harness, 1, customer_row(counts, remaining=remaining))
     account = harness.gateway.accounts[7]
     return account.replica_counts, account.remaining
 
 
-def exhaust(harness: PolicyHarness, customer: int, size: int) -> None:
-    """Let a peer tell that a customer has spent nearly all."""
-    receive(
-        harness,
-        1,
-        customer_row(
-            [(1, NOW_TICKS - 9, 9.0)],
-            remaining=1.0,
-            spent_total=9.0,
-            customer=customer,
-            replica_set_size=size,
-        ),
-    )
-
-
 def test_a_reported_total_includes_counts_that_were_never_received():
     """A gateway that missed messages, or has just started, learns from one row what is spent."""
     harness = PolicyHarness()
@@ -91,7 +77,7 @@
     receive(harness, 1, customer_row([(1, NOW_TICKS - 90, 6.0)], spent_total=6.0))
     receive(
         harness, 1, customer_row([(1, NOW_TICKS - 1, 1.0)], spent_total=1.0), to_token_owner=True
-    )  # it has started anew
+    )  # it has restarted
     assert harness.gateway.accounts[7].replica_counts[1] == (NOW_TICKS - 1, 1.0)
     assert harness.gateway.accounts[7].spent_total == 7.0
 
@@ -130,7 +116,7 @@
 
 
 def test_work_per_event_does_not_grow_with_the_fleet():
-    """Days of a large fleet were cut off for CPU: each event walked the whole set."""
+    """Scenarios of a large fleet were cut off for CPU: each event walked the whole replica set."""
     assert count_calls(400) < 4 * count_calls(4)
     assert count_calls(400) < 1.2 * count_calls(100)
 
@@ -153,7 +139,7 @@
     )  # a larger set than there are gateways
     receive(
         harness, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], spent_total=90.0, forward_count=3)
-    )  # handed on beyond the set
+    )  # forwarded beyond the set
     receive(harness, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], spent_total=90.0, plan=99))
     assert (dict(account.replica_counts), account.spent_total, harness.gateway.unreachable_share) == before
     assert list(harness.gateway.accounts) == [7]
@@ -198,7 +184,7 @@
 
 
 def test_a_changed_replica_set_keeps_counts_and_leaves_no_pending_change_after_eviction():
-    """A customer whose set moved left an entry to tell that no longer existed (fault of an incident)."""
+    """A customer whose replica set changed left a pending change of no account (fault of an incident)."""
     harness = confirmed(replica_count=4)
     assert send_requests(harness, 20, replica_set_start=0, replica_set_size=3) == 8
     assert send_requests(harness, 20, first_request=100, replica_set_start=3, replica_set_size=2) == 0
@@ -209,17 +195,17 @@
     harness.advance(SECOND)
 
 
-def test_a_brief_row_without_news_is_not_merged(monkeypatch):
-    """Most rows that come along are heard more than once (150 microseconds an event with 264 gateways)."""
+def test_a_brief_row_without_a_change_is_not_merged(monkeypatch):
+    """Most attached rows are received more than once (150 microseconds an event with 264 gateways)."""
     harness = PolicyHarness(replica_count=200)
     exhaust(harness, 100, 200)
     merged, merge = [], gossip.merge_row
 
-    def merge_and_note(state, row, *rest):
+    def merge_and_record(state, row, *rest):
         merged.append(row.customer)
         return merge(state, row, *rest)
 
-    monkeypatch.setattr(gossip, "merge_row", merge_and_note)
+    monkeypatch.setattr(gossip, "merge_row", merge_and_record)
     for total in (9.0, 8.0, 9.5):
         receive(
             harness, 2, customer_row(remaining=0.5, spent_total=total, customer=100, replica_set_size=200)
@@ -229,7 +215,7 @@
 
 
 def test_a_replica_set_that_shrank_to_one_gateway_does_not_stop_gossip():
-    """The bytes of a rude client: a usual customer's name with a set of one, while others are owed news."""
+    """A client sends a known customer with a replica set of one, while peers have pending deltas of it."""
     harness = confirmed()
     send_requests(harness, 1)
     harness.request(50, replica_set_size=1)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restarts of a gateway in the simulated world: outcomes, rejections, probation, what is handed over."""
+"""Hot restarts of a gateway in the simulated backend: outcomes, rejections, probation, handover."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "reason"),
     [
         ({"protocol_version": 99}, "format 99"),
         ({"rank": 1}, "rank 0"),
@@ -78,18 +78,18 @@
         ({"plan_names": ("other",)}, "need a restart"),
     ],
 )
-def test_mismatched_new_process_is_rejected_with_the_reason(monkeypatch, change, why):
-    def says(self) -> None:
+def test_mismatched_new_process_is_rejected_with_the_reason(monkeypatch, change, reason):
+    def send_other_hello(self) -> None:
         plans = tuple(self.gateway.fleet.plans)
         hello = messages.Hello(messages.PROTOCOL_VERSION, "b", "gw-0", 0, 3, plans)
         self.channel.send(msgspec.structs.replace(hello, **change))
 
-    monkeypatch.setattr(NewSide, "_send_hello", says)
+    monkeypatch.setattr(NewSide, "_send_hello", send_other_hello)
 
     def test(harness: HotRestartHarness) -> None:
         harness.start_upgrade()
         harness.loop.sleep(SECOND)
-        assert why in harness.gateways[1].failure
+        assert reason in harness.gateways[1].failure
         assert harness.serving() == [harness.gateways[0]]
 
     HotRestartHarness(good).run(test)
@@ -99,17 +99,17 @@
     admits = admission.admits
     broken: list[Gateway] = []
 
-    def refuses(state, event, account) -> bool:
+    def rejects_if_broken(state, event, account) -> bool:
         return False if state in broken else admits(state, event, account)
 
-    monkeypatch.setattr(admission, "admits", refuses)
-    go_on = NewSide._start_probation
+    monkeypatch.setattr(admission, "admits", rejects_if_broken)
+    start_probation = NewSide._start_probation
 
-    def spoilt(self) -> None:
+    def start_broken(self) -> None:
         broken.append(self.gateway.host.gateway)
-        go_on(self)
+        start_probation(self)
 
-    monkeypatch.setattr(NewSide, "_start_probation", spoilt)
+    monkeypatch.setattr(NewSide, "_start_probation", start_broken)
 
     def test(harness: HotRestartHarness) -> None:
         harness.load(6 * SECOND, clients=4)
@@ -141,9 +141,8 @@
             harness.loop.sleep(4 * SECOND)
             (gateway,) = harness.serving()
             harness.until(lambda: harness.ask(GET)[0] == 200)
-            assert (
-                counted_units(gateway) >= harness.forwarded_units()
-            )  # what it decided on and could not send any more
+            # More than forwarded is what it admitted and could not send any more
+            assert counted_units(gateway) >= harness.forwarded_units()
             found.append(gateway.old_side.machine.last_outcome + (" new" if gateway.takes_over else " old"))
 
         found: list[str] = []
@@ -154,16 +153,16 @@
     assert {end.split()[-1] for end in ends} == {"old", "new"}, ends
 
 
-@pytest.mark.parametrize("who", ["old", "new"])
-def test_stop_in_probation_leaves_the_other_process_serving_without_loss(who):
+@pytest.mark.parametrize("side", ["old", "new"])
+def test_stop_in_probation_leaves_the_other_process_serving_without_loss(side):
     def test(harness: HotRestartHarness) -> None:
         harness.load(4 * SECOND)
         harness.upgrade()
         harness.loop.sleep(100 * MS)
-        asked = harness.gateways[0 if who == "old" else 1]
-        asked.stop()
+        stopped = harness.gateways[0 if side == "old" else 1]
+        stopped.stop()
         gateway = harness.settle()
-        assert gateway is not asked
+        assert gateway is not stopped
         assert set(harness.statuses) == {200}
         assert counted_units(gateway) == harness.forwarded_units()
 
@@ -185,10 +184,10 @@
 
 def test_hundred_thousand_accounts_are_handed_over_under_traffic():
     def test(harness: HotRestartHarness) -> None:
-        rules = harness.program.host.gateway
+        policy_gateway = harness.program.host.gateway
         for customer in range(100_000):
-            account = quota.update_account_key(rules, customer + 10, 0, 0, 3)
-            account.spent_total, account.unconfirmed = 1.0, True  # unheard: none is forgotten on the way
+            account = quota.update_account_key(policy_gateway, customer + 10, 0, 0, 3)
+            account.spent_total, account.unconfirmed = 1.0, True  # unconfirmed: none is evicted meanwhile
         harness.load(2 * SECOND)
         harness.start_upgrade()
         gateway = harness.settle()
@@ -201,7 +200,7 @@
 
 
 def test_recording_across_a_hot_restart_replays_without_difference(tmp_path):
-    """Two processes of one gateway write lives of their own: each begins with the state that it had."""
+    """Each process of a gateway writes records of its own, which begin with the state that it had."""
 
     def test(harness: HotRestartHarness) -> None:
         harness.load(3 * SECOND)
@@ -213,10 +212,12 @@
     for name, data in harness.backend.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
-    lives = [
-        recording.replay(life)
-        for life in recording.group_by_incarnation(recording.list_segments(str(tmp_path)))
+    replays = [
+        recording.replay(segments)
+        for segments in recording.group_by_incarnation(recording.list_segments(str(tmp_path)))
     ]
-    assert len(lives) == 2
-    assert all(one.difference is None and not one.unchecked_parts and one.events > 100 for one in lives)
+    assert len(replays) == 2
+    assert all(
+        replay.difference is None and not replay.unchecked_parts and replay.events > 100 for replay in replays
+    )
     assert recording.audit_records(recording.list_segments(str(tmp_path))).faults == {}
--- a/tests/test_hot_restart_faults.py
+++ b/tests/test_hot_restart_faults.py
@@ -73,7 +73,7 @@
         assert gateway is harness.gateways[0]
         assert 0 not in harness.statuses, harness.statuses
         assert set(harness.statuses) <= {200, 502}
-        assert harness.statuses[502] <= 4  # owed by the new process when it ended
+        assert harness.statuses[502] <= 4  # in flight in the new process when it ended
         assert counted_units(gateway) == harness.forwarded_units()
         assert harness.longest_answer_us < 1_500 * MS
 
@@ -87,11 +87,12 @@
     def test(harness: HotRestartHarness) -> None:
         def die(gateway: GatewayProcess) -> None:
             if end == "crash":
-                return harness.backend.kill(gateway.loop.process)
+                harness.backend.kill(gateway.loop.process)
+                return
             raise RuntimeError("a broken build")
 
         harness.upgrade()
-        fresh, half, out, read = (harness.connect() for _ in range(4))
+        connected, half, out, read = (harness.connect() for _ in range(4))
         half.send(GET[:20])
         out.send(REPORT)
         read.send(GET[:10])
@@ -99,9 +100,9 @@
         successor = harness.gateways[1]
         successor.scope.spawn(die, successor)
         harness.until(lambda: harness.gateways[0] in harness.serving())
-        fresh.send(GET)
+        connected.send(GET)
         half.send(GET[20:])
-        assert [harness.answer(stream)[0] for stream in (fresh, half, out)] == [200, 200, 502]
+        assert [harness.answer(stream)[0] for stream in (connected, half, out)] == [200, 200, 502]
         read.close()
         harness.loop.sleep(SECOND)
         assert harness.ask(GET)[0] == 200
@@ -111,7 +112,7 @@
 
 
 def test_client_answered_while_the_new_process_dies_returning_gets_no_second_answer(monkeypatch):
-    """Guards against an answer to a client that is owed none."""
+    """Guards against a response to a client without a request in flight."""
     send = Channel.send
 
     def test(harness: HotRestartHarness) -> None:
@@ -215,7 +216,7 @@
         assert statuses[502] <= 3
 
     def check_count(self, gateway: GatewayProcess) -> None:
-        """What was counted may not have been forwarded any more: the requests that were on their way."""
+        """Of what was counted, requests in flight may not have been forwarded any more."""
         first = self.harness.gateways[0]
         took_over = (
             gateway is not first
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -33,6 +33,7 @@
 
 
 def token_owner(max_tokens=10) -> TokenOwner:
+    """Return an owner that has been up for a lifetime of tokens."""
     return TokenOwner(LIFETIME, max_tokens, NOW - LIFETIME)
 
 
@@ -176,7 +177,7 @@
 
 
 command = st.tuples(
-    st.sampled_from(["take", "reserve", "commit", "release", "refund", "pay", "wait"]),
+    st.sampled_from(["grant", "reserve", "commit", "release", "refund", "pay", "wait"]),
     st.integers(0, 5),
     st.integers(1, 9),
 )
@@ -186,16 +187,16 @@
 def test_no_unit_is_refunded_that_was_not_granted(commands):
     grants = GrantStore(50, 40, 1_000)
     now = 0
-    taken = 0.0
+    granted = 0.0
     paid = 0.0
     ended: Counter[bytes] = Counter()
     names: dict[int, bytes] = {}
     for number, (action, slot, amount) in enumerate(commands):
         name = names.get(slot, b"none")
-        if action in ("take", "reserve"):
+        if action in ("grant", "reserve"):
             names[slot] = name = b"%d" % number
             grants.add_grant(now, name, 1, float(amount), 20 if action == "reserve" else None)
-            taken += amount
+            granted += amount
         elif action == "commit":
             ended[name] += grants.commit(now, name, 1) is GrantOutcome.DONE
         elif action == "release":
@@ -206,7 +207,7 @@
             paid += amount * grants.pay_from_credit(now, 1, float(amount), remaining=0.0, burst=1_000.0)
         else:
             now += amount
-        assert paid + grants.credit(now, 1) <= taken
+        assert paid + grants.credit(now, 1) <= granted
     assert all(count <= 1 for count in ended.values())
 
 
@@ -216,25 +217,25 @@
 def test_no_token_is_counted_twice_over_the_fleet(monkeypatch):
     counted: Counter[bytes] = Counter()
     take_idempotent = LimitService.take_idempotent
-    take = PolicyDriver.request_quota
+    request_quota = PolicyDriver.request_quota
     tokens: dict[int, bytes] = {}
 
-    def take_noting_token(self, customer, units, request_class, timeout_us, token):
+    def record_token(self, customer, units, request_class, timeout_us, token):
         tokens[id(self.loop.current)] = token
         try:
             return take_idempotent(self, customer, units, request_class, timeout_us, token)
         finally:
             del tokens[id(self.loop.current)]
 
-    def take_counting(self, customer, units, request_class):
-        granted = take(self, customer, units, request_class)
+    def count_grants(self, customer, units, request_class):
+        granted = request_quota(self, customer, units, request_class)
         token = tokens.get(id(self.loop.current))
         if granted and token is not None:
             counted[token] += 1
         return granted
 
-    monkeypatch.setattr(LimitService, "take_idempotent", take_noting_token)
-    monkeypatch.setattr(PolicyDriver, "request_quota", take_counting)
+    monkeypatch.setattr(LimitService, "take_idempotent", record_token)
+    monkeypatch.setattr(PolicyDriver, "request_quota", count_grants)
     faults = (
         step(0.2, "peer_faults", span=6, loss=0.3, double=0.3, delay=150_000),
         step(3.5, "kill_gateway", 0, back=0.1),
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -2,28 +2,21 @@
 
 from __future__ import annotations
 
-from harness.gossip_harness import NOW_TICKS, confirmed, customer_row, peer_messages, receive, send_requests
+from harness.gossip_harness import (
+    NOW_TICKS,
+    confirmed,
+    customer_row,
+    exhaust,
+    peer_messages,
+    receive,
+    send_requests,
+)
 from harness.policy_harness import SECOND, START_US, PolicyHarness, actions_of
 
 from orchidlane import policy
 from orchidlane.policy import gossip_codec
 
 
-def exhaust(harness: PolicyHarness, customer: int, size: int) -> None:
-    """Receive a peer's report that a customer is exhausted."""
-    receive(
-        harness,
-        1,
-        customer_row(
-            [(1, NOW_TICKS - 9, 9.0)],
-            remaining=1.0,
-            spent_total=9.0,
-            customer=customer,
-            replica_set_size=size,
-        ),
-    )
-
-
 def test_an_exhausted_customer_is_announced_to_each_member_of_its_set_once():
     """In a large set members forward the announcement, with a bounded fanout."""
     set_size, notified = 60, []
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -1,4 +1,4 @@
-"""What the settings do not permit is not done: checked over all actions of a gateway."""
+"""Permissions: no action of a gateway is one that its settings do not permit."""
 
 from __future__ import annotations
 
--- a/tests/test_recording_segments.py
+++ b/tests/test_recording_segments.py
@@ -20,12 +20,12 @@
     log = write_segment(EventStory(5), 25, complete)
     data = complete.read_bytes()
     reader = recording.SegmentReader(str(complete))
-    places = [entry.offset for entry in reader if entry.event is not None]
+    offsets = [entry.offset for entry in reader if entry.event is not None]
     assert reader.damage is None
     cut = tmp_path / "cut.olr"
     for size in range(len(data)):
         cut.write_bytes(data[:size])
-        if size < places[0]:
+        if size < offsets[0]:
             with pytest.raises(recording.TruncatedHeaderError):
                 recording.SegmentReader(str(cut)).read_state()
             found = recording.replay([str(cut)])
@@ -37,8 +37,8 @@
         found = [(entry.at_us, entry.event, entry.actions) for entry in reader if entry.event is not None]
         reader.close()
         assert found == log[: len(found)]
-        assert (reader.damage is None) == (size in [*places, len(data)])
-        assert len(found) == sum(place < size for place in places) - (reader.damage is not None)
+        assert (reader.damage is None) == (size in [*offsets, len(data)])
+        assert len(found) == sum(offset < size for offset in offsets) - (reader.damage is not None)
 
 
 def test_reading_ends_at_a_flipped_bit(tmp_path):
@@ -90,9 +90,8 @@
     same = recording.simulate_settings([str(path)])
     assert same.recorded.keys() == same.simulated.keys()
     arrivals = sum(map(sum, same.recorded.values()))
-    assert (
-        same.changed_decisions <= 0.2 * arrivals
-    )  # timers of these stories fire late, the module's own do not
+    # Timers of these stories fire late, those of the simulation do not
+    assert same.changed_decisions <= 0.2 * arrivals
     wide = tuple(
         dataclasses.replace(p, rate=900.0, burst=900.0, max_in_flight=0, ceiling_rate=0.0)
         for p in story.bench.settings.plans
@@ -145,13 +144,13 @@
         path = tmp_path / f"gw-1-{number}.olr"
         write_segment(story, 100, path, number)
         paths.append(path)
-    places = [entry.offset for entry in recording.SegmentReader(str(paths[0])) if entry.event is not None]
-    flip_bit(paths[0], places[60] + offset)
+    offsets = [entry.offset for entry in recording.SegmentReader(str(paths[0])) if entry.event is not None]
+    flip_bit(paths[0], offsets[60] + offset)
     code, text = run_command("replay", str(tmp_path), "--json")
     assert code == 3, text
     output = json.loads(text)
     assert (output["lives_not_whole"], output["events"], output["events_unchecked"]) == (1, 160, 39)
-    assert f"byte {places[60]}" in output["unchecked"][0]
+    assert f"byte {offsets[60]}" in output["unchecked"][0]
 
 
 def test_the_torn_tail_of_a_killed_gateway_is_reported_and_no_fault(tmp_path):
--- a/tests/test_recording_state.py
+++ b/tests/test_recording_state.py
@@ -26,7 +26,7 @@
     begun = len(story.log)
     for _ in range(100):
         story.step()
-    assert msgspec.msgpack.encode(state) == packed  # a state does not change with its module
+    assert msgspec.msgpack.encode(state) == packed  # a dumped state does not change with its gateway
     for now, event, actions in story.log[begun:]:
         assert again.handle(now, event) == actions
     assert recording.dump_state(again) == recording.dump_state(story.bench.gateway)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -3,7 +3,14 @@
 from __future__ import annotations
 
 import pytest
-from harness.policy_harness import SECOND, PolicyHarness, actions_of, endpoint_entry, endpoint_list
+from harness.policy_harness import (
+    SECOND,
+    PolicyHarness,
+    actions_of,
+    endpoint_entry,
+    endpoint_list,
+    serve_request,
+)
 
 from orchidlane import policy
 from orchidlane.policy import Outcome
@@ -19,7 +26,7 @@
 
 
 def final_answers(harness: PolicyHarness, request: int) -> list:
-    """Our final answers to one request."""
+    """Return the final answers to one request."""
     return [
         a
         for a in harness.actions
@@ -27,18 +34,6 @@
     ]
 
 
-def serve_request(harness: PolicyHarness, request: int, took) -> policy.SendAttempt | None:
-    """Ask, and answer at once with a time by server; the send, if there was one."""
-    sends = actions_of(
-        harness.request(request, customer=request, time_left_us=2 * SECOND), policy.SendAttempt
-    )
-    if not sends:
-        return None
-    harness.advance(10_000)
-    harness.end_attempt(request, sends[0].endpoint, Outcome.SERVED, duration_us=took(sends[0].endpoint))
-    return sends[0]
-
-
 def test_a_request_without_endpoints_is_held_and_rejected_before_its_deadline():
     harness = PolicyHarness(endpoints=0)
     assert not actions_of(harness.request(1, time_left_us=SECOND), (policy.RejectRequest, policy.FailRequest))
@@ -108,10 +103,10 @@
         harness.feed(endpoint_list(*(endpoint_entry(i, **{near: i % 2}) for i in range(6))))
         send = actions_of(harness.request(1, request_class=kind), policy.SendAttempt)[0]
         harness.now += 10_000
-        again = actions_of(
+        retries = actions_of(
             harness.end_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
         )
-        assert [where[a.endpoint] for a in again] == [where[send.endpoint]]
+        assert [where[a.endpoint] for a in retries] == [where[send.endpoint]]
 
 
 def test_a_request_with_a_key_fails_if_its_deduplication_scope_has_no_endpoint():
@@ -185,6 +180,6 @@
 
 
 def test_a_request_class_that_is_always_slow_is_not_shed():
-    """The usual answer time itself is no reason to refuse, however near to the aim it is."""
+    """The usual latency itself is no reason to shed load, however near to the latency objective it is."""
     harness = PolicyHarness(endpoints=1)
     assert all(serve_request(harness, r, lambda _: 110_000) for r in range(1, 60))
--- a/tests/test_rolling_batches.py
+++ b/tests/test_rolling_batches.py
@@ -1,4 +1,4 @@
-"""Batches of a roll, checked against every customer's replica set."""
+"""Batches of a rolling upgrade, checked against every customer's replica set."""
 
 from __future__ import annotations
 
--- a/tests/test_rollout_commands.py
+++ b/tests/test_rollout_commands.py
@@ -42,6 +42,7 @@
 
 
 def first_state() -> ReplicatedState:
+    """Return the state that all three voters bootstrap."""
     requests = {rank: admission_request(SECRET, rank, 100 + rank, OLD) for rank in range(3)}
     state = bootstrap_state(SECRET, range(3), requests, OLD)
     assert isinstance(state, ReplicatedState)
@@ -49,6 +50,7 @@
 
 
 def led_state() -> ReplicatedState:
+    """Return a state with voter 0 as its leader."""
     return ClaimLeadership(0, 1).apply(first_state())
 
 
@@ -61,9 +63,11 @@
     )
 
 
-def approved(state: ReplicatedState, yes=(0, 1), reach: bytes = ALL) -> ReplicatedState:
+def approved(state: ReplicatedState, voters=(0, 1), reach: bytes = ALL) -> ReplicatedState:
     rollout = state.rollout
-    votes = tuple(cast_vote(SECRET, MEMBERS[rank], rollout.version, rollout.term, True, "") for rank in yes)
+    votes = tuple(
+        cast_vote(SECRET, MEMBERS[rank], rollout.version, rollout.term, True, "") for rank in voters
+    )
     return ApproveVersion(state.term, rollout.version.number, votes, reach).apply(state)
 
 
@@ -96,15 +100,15 @@
     stranger = cast_vote(SECRET, VotingMember(2, 999), version, 1, True, "")
     error = certificate_error(SECRET, Certificate(version, 1, MEMBERS, (no, yes, stranger)))
     assert error == "2 of 3 voters are no quorum"
-    turned = msgspec.structs.replace(no, approves=True)
-    assert "sealed" in certificate_error(SECRET, Certificate(version, 1, MEMBERS, (turned, yes)))
+    forged = msgspec.structs.replace(no, approves=True)
+    assert "sealed" in certificate_error(SECRET, Certificate(version, 1, MEMBERS, (forged, yes)))
 
 
 @given(st.sets(st.integers(0, 6)), st.sets(st.integers(0, 6)))
 def test_two_quorums_share_a_member(ones, others):
-    seats = [VotingMember(rank, rank) for rank in range(7)]
-    both = [{seats[rank] for rank in ranks} for ranks in (ones, others)]
-    if all(has_quorum(seats, those) for those in both):
+    members = [VotingMember(rank, rank) for rank in range(7)]
+    both = [{members[rank] for rank in ranks} for ranks in (ones, others)]
+    if all(has_quorum(members, voters) for voters in both):
         assert both[0] & both[1]
 
 
@@ -159,7 +163,7 @@
 
 def test_commands_of_a_replaced_leader_are_rejected():
     state = ClaimLeadership(1, 2).apply(proposed(led_state()))
-    for step in (
+    for command in (
         ProposeVersion(1, "two", THIRD, 1, "me", "x"),
         ApproveVersion(1, 1, (), ALL),
         StopRollout(1, 1, "x"),
@@ -170,7 +174,7 @@
         SettleMembership(1, 1),
     ):
         with pytest.raises(StaleTermError, match="term 1 is over"):
-            step.apply(state)
+            command.apply(state)
     with pytest.raises(CommandRejectedError, match="term 2 has begun"):
         ClaimLeadership(0, 2).apply(state)
 
@@ -187,16 +191,16 @@
     state = approved(proposed(led_state()), reach=encode_ranks([1], 5))
     with pytest.raises(CommandRejectedError, match="prior contents are wanted"):
         ProposeVersion(1, "undo", THIRD, 1, "me", "harm", reverts=1).apply(state)
-    asked = ProposeVersion(1, "undo", OLD, 1, "me", "harm", reverts=1).apply(state)
-    assert asked.target_certificate(1).version.number == 1  # until a quorum approved it
-    assert asked.target_certificate(0).version.number == 0
-    back = approved(asked)
+    reverting = ProposeVersion(1, "undo", OLD, 1, "me", "harm", reverts=1).apply(state)
+    assert reverting.target_certificate(1).version.number == 1  # until a quorum approved it
+    assert reverting.target_certificate(0).version.number == 0
+    back = approved(reverting)
     assert {back.target_certificate(rank).version.number for rank in range(5)} == {2}
     assert back.target_certificate(0).version.contents == OLD
     assert back.history[-1].outcome == "undone"
-    refused = StopRollout(1, 2, "no").apply(asked)
-    assert refused.rollout.version.number == 1
-    assert refused.halted_rollout is None
+    stopped = StopRollout(1, 2, "no").apply(reverting)
+    assert stopped.rollout.version.number == 1
+    assert stopped.halted_rollout is None
     with pytest.raises(CommandRejectedError, match="itself on its way"):
         ProposeVersion(1, "undo it", NEW, 2, "me", "x", reverts=2).apply(back)
 
@@ -206,8 +210,8 @@
     state = finished(approved(proposed(state, OLD, "undo", reverts=1)))
     assert state.current.version.number == 2
     assert state.current.version.combined_hash == first_state().current.version.combined_hash
-    turned = msgspec.structs.replace(state, index=state.index + 1, latest_number=1)
-    assert replicated_state.broken_invariant(state, turned) == "I1: something went back"
+    reset = msgspec.structs.replace(state, index=state.index + 1, latest_number=1)
+    assert replicated_state.broken_invariant(state, reset) == "I1: something went back"
 
 
 def test_a_paused_rollout_is_not_extended_until_it_is_resumed():
@@ -253,15 +257,17 @@
 @given(CHANCES)
 def test_invariants_hold_under_arbitrary_commands(chances):
     state = first_state()
-    for number, (what, some, flag) in enumerate(chances):
+    for number, (kind, some, flag) in enumerate(chances):
         version = state.rollout.version if state.rollout else state.current.version
-        parts = state.current.version.contents if flag else ContentHashes(f"{some:064x}", "c" * 64)
+        contents = state.current.version.contents if flag else ContentHashes(f"{some:064x}", "c" * 64)
         yes = tuple(
             cast_vote(SECRET, member, version, state.term, True, "") for member in state.members[: 1 + some]
         )
-        step = (
+        command = (
             ClaimLeadership(some % 3, state.term + flag),
-            ProposeVersion(state.term, f"p{number}", parts, version.number, "me", "x", version.number * flag),
+            ProposeVersion(
+                state.term, f"p{number}", contents, version.number, "me", "x", version.number * flag
+            ),
             ApproveVersion(state.term, version.number, yes, ALL),
             StopRollout(state.term, version.number, "x"),
             FinishRollout(state.term, version.number, ""),
@@ -269,12 +275,12 @@
             SettleMembership(state.term, state.index),
             ExtendRollout(state.term, version.number, ALL),
             ResumeRollout(state.term, version.number),
-        )[what]
+        )[kind]
         try:
-            after = step.apply(state)
+            after = command.apply(state)
         except CommandRejectedError:
             continue
-        assert replicated_state.broken_invariant(state, after) == "", (step, state)
+        assert replicated_state.broken_invariant(state, after) == "", (command, state)
         assert replicated_state.decode(replicated_state.encode(after)) == after
         state = after
     assert len(state.history) <= replicated_state.MAX_HISTORY_ENTRIES
@@ -283,5 +289,7 @@
 def test_adoption_without_a_certificate_breaks_an_invariant():
     state = proposed(led_state())
     rollout = msgspec.structs.replace(state.rollout, phase=RolloutPhase.ADOPTING, target_ranks=ALL)
-    cheat = msgspec.structs.replace(state, index=state.index + 1, rollout=rollout)
-    assert replicated_state.broken_invariant(state, cheat) == "I2: adopted without a quorum's certificate"
+    uncertified = msgspec.structs.replace(state, index=state.index + 1, rollout=rollout)
+    assert (
+        replicated_state.broken_invariant(state, uncertified) == "I2: adopted without a quorum's certificate"
+    )
--- a/tests/test_rollout_storage.py
+++ b/tests/test_rollout_storage.py
@@ -1,4 +1,4 @@
-"""Files of a gateway for fleet versions."""
+"""Stored files of a gateway's voter and running version."""
 
 from __future__ import annotations
 
--- a/tests/test_shard_migration.py
+++ b/tests/test_shard_migration.py
@@ -6,7 +6,7 @@
 import json
 
 import pytest
-from harness.policy_harness import CEILING_PLAN, SECOND, SETTINGS, START_US
+from harness.policy_harness import CEILING_PLAN, SECOND, SETTINGS, START_US, actions_of
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -47,7 +47,8 @@
             )
             self.gateways[rank].handle(self.now, changed)
 
-    def take(self, rank: int, units: float) -> None:
+    def request_quota(self, rank: int, units: float) -> None:
+        """Request quota at a gateway, unless it holds the customer's requests."""
         if self.phases[rank] == HELD:
             return
         self.number += 1
@@ -61,16 +62,20 @@
 
     def worst_excess(self) -> float:
         """Return the most that was granted beyond what one token bucket holds, over all spans."""
-        room, at, worst = self.plan.ceiling_burst, START_US, 0.0
+        remaining, at, worst = self.plan.ceiling_burst, START_US, 0.0
         for when, units in self.granted:
-            room = min(self.plan.ceiling_burst, room + self.plan.ceiling_rate * (when - at) / SECOND)
-            room, at = room - units, when
-            worst = max(worst, -room)
+            remaining = min(
+                self.plan.ceiling_burst, remaining + self.plan.ceiling_rate * (when - at) / SECOND
+            )
+            remaining, at = remaining - units, when
+            worst = max(worst, -remaining)
         return worst
 
 
 STEPS = st.lists(
-    st.tuples(st.sampled_from(["adopt", "take", "wait", "all adopt"]), st.integers(0, 5), st.integers(1, 4)),
+    st.tuples(
+        st.sampled_from(["adopt", "request", "wait", "all adopt"]), st.integers(0, 5), st.integers(1, 4)
+    ),
     max_size=60,
 )
 
@@ -79,21 +84,22 @@
 @given(STEPS)
 def test_shares_of_a_ceiling_stay_within_the_whole_in_any_order_of_steps(steps):
     fleet = MigratingFleet()
-    for what, rank, some in steps:
-        apply_step(fleet, what, rank, some)
+    for action, rank, amount in steps:
+        apply_step(fleet, action, rank, amount)
         assert fleet.worst_excess() < 1e-6, fleet.granted
 
 
-def apply_step(fleet: MigratingFleet, what: str, rank: int, some: int) -> None:
-    if what == "adopt":
+def apply_step(fleet: MigratingFleet, action: str, rank: int, amount: int) -> None:
+    """Let a gateway adopt its next phase or request quota, or let time pass."""
+    if action == "adopt":
         fleet.adopt(rank)
-    elif what == "all adopt":
-        for one in range(GATEWAYS):
-            fleet.adopt(one)
-    elif what == "wait":
-        fleet.now += some * SECOND // 4
+    elif action == "all adopt":
+        for every_rank in range(GATEWAYS):
+            fleet.adopt(every_rank)
+    elif action == "wait":
+        fleet.now += amount * SECOND // 4
     else:
-        fleet.take(rank, float(some))
+        fleet.request_quota(rank, float(amount))
 
 
 def test_the_check_detects_shares_that_grow_before_others_shrink():
@@ -101,25 +107,23 @@
     fleet = MigratingFleet(holds_first=False)
     for rank in range(REPLICA_SET_SIZE):
         for _ in range(40):
-            fleet.take(rank, 0.5)
+            fleet.request_quota(rank, 0.5)
     for rank in range(GATEWAYS):
         fleet.adopt(rank)
         for _ in range(40):
-            fleet.take(rank, 0.5)
+            fleet.request_quota(rank, 0.5)
     assert fleet.worst_excess() > 0.5 * fleet.plan.ceiling_burst
 
 
 def test_a_gateway_outside_the_replica_set_has_no_share_of_the_ceiling():
     fleet = MigratingFleet()
     for _ in range(10):
-        fleet.take(5, 1.0)
+        fleet.request_quota(5, 1.0)
     assert fleet.granted == []
-    asked = policy.RequestArrived(99, CUSTOMER, 0, 0, 1.0, SECOND, 0, REPLICA_SET_SIZE, False)
-    [refused] = [
-        one for one in fleet.gateways[5].handle(fleet.now, asked) if isinstance(one, policy.RejectRequest)
-    ]
-    assert refused.over_quota
-    assert refused.retry_after_us == 0  # it never comes back here
+    event = policy.RequestArrived(99, CUSTOMER, 0, 0, 1.0, SECOND, 0, REPLICA_SET_SIZE, False)
+    (rejection,) = actions_of(fleet.gateways[5].handle(fleet.now, event), policy.RejectRequest)
+    assert rejection.over_quota
+    assert rejection.retry_after_us == 0  # it never comes back here
 
 
 def test_a_migrated_share_starts_empty_and_fills_at_its_rate():
@@ -128,18 +132,19 @@
         fleet.adopt(rank)
     for rank in range(GATEWAYS):
         fleet.adopt(rank)
-    fleet.take(3, 0.1)
+    fleet.request_quota(3, 0.1)
     assert fleet.granted == []
     fleet.now += 10 * SECOND
     for rank in (3, 4, 5):
         for _ in range(40):
-            fleet.take(rank, 0.5)
-    # The parts of three gateways hold the whole burst, but for a rest below what is asked for in each.
-    taken = sum(units for _, units in fleet.granted)
-    assert fleet.plan.ceiling_burst - 1.5 <= taken <= fleet.plan.ceiling_burst
+            fleet.request_quota(rank, 0.5)
+    # The shares of three gateways hold the whole burst, but for a rest below one request in each
+    granted = sum(units for _, units in fleet.granted)
+    assert fleet.plan.ceiling_burst - 1.5 <= granted <= fleet.plan.ceiling_burst
 
 
 def account(first: int, ceiling: bool = True) -> CustomerAssignment:
+    """Return a customer's assignment to a replica set."""
     return CustomerAssignment("amplio", first, 3, ceiling)
 
 
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -1,10 +1,11 @@
-"""What a gateway shows to tools: predictions, plan counts, its state while it goes on."""
+"""Telemetry for tools: predictions, plan counts, and states that are read while requests are served."""
 
 from __future__ import annotations
 
 import pytest
 from harness.event_story import EventStory, run_command
 from harness.gateway_harness import GET, MS, GatewayHarness, good
+from harness.golden_admin import request_admin
 from harness.policy_harness import SECOND, actions_of
 from harness.saved_states import NAMES, write_state
 from test_day import day, quiet, step  # noqa: F401
@@ -21,9 +22,15 @@
 from orchidlane.simulation.scenario import Runner, make_plan
 
 
-def test_a_prediction_from_a_view_is_the_decision_that_follows():
-    """Thousands of next requests, predicted by a copy and then really made."""
+def decision_of(actions: list[policy.Action]) -> str:
+    """Return the decision on a request, in the words of a prediction."""
+    if actions_of(actions, policy.SendAttempt):
+        return "sent"
+    return "refused" if actions_of(actions, policy.RejectRequest) else "held"
+
 
+def test_a_prediction_from_a_view_is_the_decision_that_follows():
+    """Thousands of next requests, predicted by a copy and then made."""
     compared = 0
     for seed in range(20):
         story = EventStory(seed)
@@ -33,21 +40,13 @@
             gateway: Gateway = story.bench.gateway
             if customer in gateway.accounts:
                 plan = gateway.accounts[customer].plan
-            who = ViewedCustomer(customer, plan, 0, 3)
+            viewed = ViewedCustomer(customer, plan, 0, 3)
             names = PolicyNames(tuple("abcde"), tuple("pqrs"))
-            view = decode_view(encode_view(gateway, "g", story.bench.now, names, who))
+            view = decode_view(encode_view(gateway, "g", story.bench.now, names, viewed))
             prediction = predict_request(view, 0, 1.0)
             story.number += 1
-            story.feed(policy.RequestArrived(story.number, *who[:2], 0, 1.0, 2 * SECOND, 0, 3, False))
-            actions = story.log[-1][2]
-            decision = (
-                "sent"
-                if actions_of(actions, policy.SendAttempt)
-                else "refused"
-                if actions_of(actions, policy.RejectRequest)
-                else "held"
-            )
-            assert prediction.decision == decision
+            story.feed(policy.RequestArrived(story.number, *viewed[:2], 0, 1.0, 2 * SECOND, 0, 3, False))
+            assert prediction.decision == decision_of(story.log[-1].actions)
             compared += 1
     assert compared == 4_000
 
@@ -56,15 +55,15 @@
     story = EventStory(4)
     for _ in range(60):
         story.step()
-    complete, cut = tmp_path / "complete.olr", tmp_path / "cut.olr"
+    complete, truncated = tmp_path / "complete.olr", tmp_path / "truncated.olr"
     write_state(story, complete)
     data = complete.read_bytes()
     assert count_by_plan(recording.SegmentReader(str(complete)), 3)["p"].customers > 0
     for size in range(len(data)):
-        cut.write_bytes(data[:size])
+        truncated.write_bytes(data[:size])
         with pytest.raises(recording.TruncatedHeaderError):
-            count_by_plan(recording.SegmentReader(str(cut)), 3)
-    assert run_command("counts", str(cut), "--plan", "p")[0] == 2
+            count_by_plan(recording.SegmentReader(str(truncated)), 3)
+    assert run_command("counts", str(truncated), "--plan", "p")[0] == 2
 
 
 def test_the_counts_of_a_plan_are_the_sums_of_its_customers(tmp_path):
@@ -88,16 +87,10 @@
             assert found[name].nearest_to_limit == [pytest.approx(pair) for pair in shares[:2]]
 
 
-def request_admin(harness: GatewayHarness, target: bytes):
-    stream = harness.backend.connect(("127.0.0.1", 8280))
-    stream.send(b"GET %s HTTP/1.1\r\nHost: a\r\n\r\n" % target)
-    return harness.answer(stream)
-
-
 def test_a_gateway_serves_its_complete_state_and_views_of_known_customers_only(tmp_path):
     def test(harness: GatewayHarness) -> None:
         assert harness.ask(GET)[0] == 200
-        status, _, body = request_admin(harness, b"/state")
+        status, _, body = request_admin(harness, "/state")
         assert status == 200
         path = tmp_path / "s.olr"
         path.write_bytes(body)
@@ -107,8 +100,8 @@
         assert [row[0] for row in reader.account_rows()] == [1]
         assert run_command("counts", str(path), "1")[0] == 0
         assert run_command("counts", str(path), "2")[0] == 2
-        assert request_admin(harness, b"/view?customer=1")[0] == 200
-        assert request_admin(harness, b"/view?customer=%ff%00")[0] == 404
+        assert request_admin(harness, "/view?customer=1")[0] == 200
+        assert request_admin(harness, "/view?customer=%ff%00")[0] == 404
 
     GatewayHarness(good).run(test)
 
@@ -117,22 +110,22 @@
     monkeypatch.setattr("orchidlane.runtime.simulated_backend.WINDOW", 4096)
 
     def test(harness: GatewayHarness) -> None:
-        rules = harness.program.host.gateway
+        gateway = harness.program.host.gateway
         for customer in range(2_000):
-            quota.update_account_key(rules, customer + 10, 0, 0, 3)
-        hung = harness.backend.connect(("127.0.0.1", 8280))
-        hung.send(b"GET /state HTTP/1.1\r\nHost: a\r\n\r\n")
+            quota.update_account_key(gateway, customer + 10, 0, 0, 3)
+        hanging = harness.backend.connect(("127.0.0.1", 8280))
+        hanging.send(b"GET /state HTTP/1.1\r\nHost: a\r\n\r\n")
         harness.loop.sleep(100 * MS)
         assert harness.program.admin.is_sending_state
-        assert request_admin(harness, b"/state")[0] == 503
-        assert request_admin(harness, b"/health")[0] == 200
+        assert request_admin(harness, "/state")[0] == 503
+        assert request_admin(harness, "/health")[0] == 200
         for _ in range(20):
-            began = harness.loop.now()
+            started_at = harness.loop.now()
             assert harness.ask(GET)[0] == 200
-            assert harness.loop.now() - began < 20 * MS
+            assert harness.loop.now() - started_at < 20 * MS
         harness.loop.sleep(10 * SECOND)
         assert not harness.program.admin.is_sending_state
-        assert type(rules.accounts) is recording.ObservableAccounts
+        assert type(gateway.accounts) is recording.ObservableAccounts
 
     GatewayHarness(good).run(test)
 
