--- a/tests/harness/golden_writers.py
+++ b/tests/harness/golden_writers.py
@@ -128,7 +128,7 @@
     }
     process = SimpleNamespace(
         loop=loop,
-        host=SimpleNamespace(loop=loop, gateway=gateway, settings=SETTINGS),
+        policy_driver=SimpleNamespace(loop=loop, gateway=gateway, settings=SETTINGS),
         fleet=SimpleNamespace(
             account_store=SimpleNamespace(write_interval_us=2_000_000),
             plans=dict.fromkeys(PLAN_NAMES),
@@ -149,7 +149,9 @@
     """Return the account store's file that a process writes when it exits."""
     loop = FakeEventLoop()
     store = account_store(loop)
-    store.gateway.host.gateway.accounts.update({account.customer: account for account in golden_accounts()})
+    store.gateway.policy_driver.gateway.accounts.update(
+        {account.customer: account for account in golden_accounts()}
+    )
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(recording, "build_name", lambda: BUILD)
         store.save_final()
--- a/tests/harness/hot_restart_harness.py
+++ b/tests/harness/hot_restart_harness.py
@@ -183,7 +183,7 @@
 
 
 def _accepts_requests(gateway: GatewayProcess) -> bool:
-    return gateway.ready and gateway.front.pass_on is None and not gateway.stopping
+    return gateway.ready and gateway.http_server.hand_over is None and not gateway.stopping
 
 
 def slow(harness: GatewayHarness, index: int, stream: Stream) -> None:
@@ -196,5 +196,5 @@
 
 def counted_units(gateway: GatewayProcess) -> float:
     """Return the units that a gateway has counted for the one customer."""
-    account = gateway.host.gateway.accounts[1]
+    account = gateway.policy_driver.gateway.accounts[1]
     return account.replica_counts[0][1]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -128,7 +128,7 @@
     def test(harness: PlatformHarness) -> None:
         harness.loop.sleep(3 * polling.HEARTBEAT_INTERVAL_US)
         assert len(harness.discovery.asked) == 1
-        assert len(harness.gateway.front.connections) == 0
+        assert len(harness.gateway.http_server.connections) == 0
 
     run(backend, test)
 
@@ -247,7 +247,7 @@
     class StartsLate(backend):
         def _begin(self) -> None:
             self.until(lambda: self.discovery.listener is not None)
-            self.process = self.loop.spawn(self._gateway, priority=CONTROL, scope=self.scope)
+            self.process = self.loop.spawn(self._gateway, priority=CONTROL, owner=self.scope)
 
         def _finish(self) -> None:
             pass
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -106,7 +106,7 @@
     start_probation = NewSide._start_probation
 
     def start_broken(self) -> None:
-        broken.append(self.gateway.host.gateway)
+        broken.append(self.gateway.policy_driver.gateway)
         start_probation(self)
 
     monkeypatch.setattr(NewSide, "_start_probation", start_broken)
@@ -184,7 +184,7 @@
 
 def test_hundred_thousand_accounts_are_handed_over_under_traffic():
     def test(harness: HotRestartHarness) -> None:
-        policy_gateway = harness.program.host.gateway
+        policy_gateway = harness.program.policy_driver.gateway
         for customer in range(100_000):
             account = quota.update_account_key(policy_gateway, customer + 10, 0, 0, 3)
             account.spent_total, account.unconfirmed = 1.0, True  # unconfirmed: none is evicted meanwhile
@@ -193,7 +193,7 @@
         gateway = harness.settle()
         assert gateway is harness.gateways[1]
         assert set(harness.statuses) == {200}
-        assert len(gateway.host.gateway.accounts) == 100_001
+        assert len(gateway.policy_driver.gateway.accounts) == 100_001
         assert counted_units(gateway) == harness.forwarded_units()
 
     HotRestartHarness(slow, slow, slow, slow, single_gateway=True).run(test)
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -18,8 +18,9 @@
 from orchidlane.policy import quota
 from orchidlane.policy.gateway import Gateway
 from orchidlane.runtime import EventLoop, SimulatedBackend
-from orchidlane.simulation.backends import SimulatedBacking
-from orchidlane.simulation.scenario import Runner, make_plan
+from orchidlane.simulation.scenario_plan import make_plan
+from orchidlane.simulation.scenario_runner import ScenarioRunner
+from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
 
 
 def decision_of(actions: list[policy.Action]) -> str:
@@ -107,10 +108,10 @@
 
 
 def test_a_tool_that_hangs_slows_no_request_and_is_disconnected(monkeypatch):
-    monkeypatch.setattr("orchidlane.runtime.simulated_backend.WINDOW", 4096)
+    monkeypatch.setattr("orchidlane.runtime.simulated_backend.stream.STREAM_WINDOW_BYTES", 4096)
 
     def test(harness: GatewayHarness) -> None:
-        gateway = harness.program.host.gateway
+        gateway = harness.program.policy_driver.gateway
         for customer in range(2_000):
             quota.update_account_key(gateway, customer + 10, 0, 0, 3)
         hanging = harness.backend.connect(("127.0.0.1", 8280))
@@ -136,10 +137,10 @@
     monkeypatch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", 3)
     backend = SimulatedBackend(6)
     loop = EventLoop(backend)
-    backing = SimulatedBacking(loop, backend, record_to="rec")
-    plan = make_plan(day(span=3, rate=200.0), "sim", backing.free_addresses)
+    backing = SimulatedFleetBackend(loop, backend, record_to="rec")
+    plan = make_plan(day(span=3, request_rate=200.0), "sim", backing.free_addresses)
     backing.prepare(plan)
-    loop.run(Runner(loop, plan, backing).run)
+    loop.run(ScenarioRunner(loop, plan, backing).run)
     for name, data in backend.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
