--- a/tests/harness/golden_events.py
+++ b/tests/harness/golden_events.py
@@ -168,6 +168,12 @@
             settings.may_hedge,
         ],
         "attempts": [settings.max_attempts, settings.max_retry_after_us],
+        **_charge_and_endpoint_values(settings),
+    }
+
+
+def _charge_and_endpoint_values(settings: policy.Settings) -> dict:
+    return {
         "charges": [
             settings.peer_messages_per_second,
             settings.peer_charge,
--- a/tests/harness/hot_restart_harness.py
+++ b/tests/harness/hot_restart_harness.py
@@ -112,7 +112,7 @@
         number = 0
         while self.loop.now() < until:
             number += 1
-            began = self.loop.now()
+            started_at = self.loop.now()
             answer = ClientAnswer(0, True)
             with contextlib.suppress(EventLoopError):
                 if stream is None:
@@ -121,7 +121,7 @@
                 stream.send(raw)
                 answer = self._read_answer(stream, raw, parser)
             self.statuses[answer.status] += 1
-            self.longest_answer_us = max(self.longest_answer_us, self.loop.now() - began)
+            self.longest_answer_us = max(self.longest_answer_us, self.loop.now() - started_at)
             if answer.status and keeps_connection and not answer.closes:
                 parser.next_message()
             elif stream is not None:
--- a/tests/harness/hot_restart_model.py
+++ b/tests/harness/hot_restart_model.py
@@ -59,7 +59,7 @@
         self.faults = faults
 
     def key(self) -> Any:
-        """Return what tells this state from others."""
+        """Return what distinguishes this state from others."""
         old, new = self.old, self.new
         return (
             old.phase,
@@ -151,16 +151,16 @@
                 yield f"!{name} sends garbage", lambda m, s=side: m.fault(lambda: m.send(s, "garbage"))
         if self._runs(0) and not self.stopped:
             yield (
-                "!old is asked to stop",
+                "!old is stopped",
                 lambda m: m.fault(lambda: m.feed_old(0, old_process.StopRequested())),
             )
         if self._runs(1) and not self.stopped:
             yield (
-                "!new is asked to stop",
+                "!new is stopped",
                 lambda m: m.fault(lambda: m.feed_new(0, new_process.StopRequested())),
             )
 
-    # -- what happens
+    # -- effects of steps
 
     def fault(self, change: Callable[[], Any]) -> None:
         """Apply a change that counts as a fault."""
--- a/tests/harness/policy_harness.py
+++ b/tests/harness/policy_harness.py
@@ -160,13 +160,18 @@
         duration_us: int = 50_000,
         answered: bool | None = None,
     ) -> list[policy.Action]:
-        """Feed an attempt's outcome, answered if it was served unless told otherwise; return the actions."""
+        """Feed an attempt's outcome, by default answered if it was served; return the actions."""
         if answered is None:
             answered = outcome is policy.Outcome.SERVED
         return self.feed(
             policy.AttemptEnded(request, attempt, endpoint, outcome, duration_us, answered, 0, 0.0, ())
         )
 
+    def final_answers(self, request: int) -> list[policy.Action]:
+        """Return the final answers to one request."""
+        answers = actions_of(self.actions, (policy.RejectRequest, policy.FailRequest))
+        return [answer for answer in answers if answer.request == request]
+
 
 def serve_request(
     harness: PolicyHarness, request: int, duration_us: Callable[[bytes], int]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -138,10 +138,10 @@
 def test_an_over_quota_rejection_has_a_retry_after_if_the_units_refill_soon():
     harness = confirmed(plans=(dataclasses.replace(PLAIN_PLAN, rate=40.0, burst=10.0),))
     send_requests(harness, 20)
-    (refused,) = actions_of(harness.request(90), policy.RejectRequest)
-    assert refused.over_quota
-    assert 0 < refused.retry_after_us <= harness.settings.classes[0].latency_objective_us / 2
-    harness.now += refused.retry_after_us + 1_000
+    (rejection,) = actions_of(harness.request(90), policy.RejectRequest)
+    assert rejection.over_quota
+    assert 0 < rejection.retry_after_us <= harness.settings.classes[0].latency_objective_us / 2
+    harness.now += rejection.retry_after_us + 1_000
     assert actions_of(harness.request(91), policy.SendAttempt)
     slow = confirmed(plans=(dataclasses.replace(PLAIN_PLAN, rate=0.5, burst=10.0),))
     send_requests(slow, 20)
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -4,6 +4,8 @@
 
 import random
 
+import pytest
+
 from orchidlane.rollout.canary_analysis import (
     FALSE_POSITIVE_RATE,
     HARMLESS_RATIO,
@@ -27,7 +29,7 @@
     return AnswerCounts(answers, **counts)
 
 
-def stage(seed: int, harm: dict[str, float], observations: int = 40) -> str:
+def harm_of_phase(seed: int, harm: dict[str, float], observations: int = 40) -> str:
     """Return the harm that is found in a phase whose load and share of rejections drift, if any.
 
     ``harm`` multiplies a kind's share in the canaries.
@@ -48,23 +50,28 @@
     return ""
 
 
-def test_harmless_stages_are_rarely_stopped_under_continuous_observation():
-    stopped = [seed for seed in range(1_000) if stage(seed, {})]
+def test_harmless_phases_are_rarely_stopped_under_continuous_observation():
+    stopped = [seed for seed in range(1_000) if harm_of_phase(seed, {})]
     assert len(stopped) <= 1_000 * FALSE_POSITIVE_RATE + 2, stopped
 
 
 def test_a_difference_within_the_harmless_ratio_is_no_harm():
-    assert not [seed for seed in range(100) if stage(seed, dict.fromkeys(OUTCOME_KINDS, HARMLESS_RATIO))]
+    assert not [
+        seed for seed in range(100) if harm_of_phase(seed, dict.fromkeys(OUTCOME_KINDS, HARMLESS_RATIO))
+    ]
 
 
-def test_harmful_stages_are_detected_by_kind():
-    for kind, times in (("failed", 16.0), ("refused", 4.0), ("late", 8.0), ("slow", 4.0), ("attempts", 6.0)):
-        found = [stage(seed, {kind: times}) for seed in range(40)]
-        named = (f"more {kind} in ", "fewer served in ")  # what is refused or fails is not served, too
-        assert all(harm_text.startswith(named) for harm_text in found), (kind, found)
+@pytest.mark.parametrize(
+    ("kind", "factor"),
+    [("failed", 16.0), ("refused", 4.0), ("late", 8.0), ("slow", 4.0), ("attempts", 6.0)],
+)
+def test_harmful_phases_are_detected_by_kind(kind, factor):
+    reasons = [harm_of_phase(seed, {kind: factor}) for seed in range(40)]
+    expected = (f"more {kind} in ", "fewer served in ")  # a rejected or failed request is not served, too
+    assert all(reason.startswith(expected) for reason in reasons), reasons
 
 
-def test_fewer_served_is_detected_where_most_are_refused_on_both_sides():
+def test_fewer_served_is_detected_where_most_are_rejected_on_both_sides():
     analysis, harm_text = CanaryAnalysis(), ""
     for _ in range(30):
         harm_text = analysis.observe(
@@ -92,11 +99,11 @@
     assert verdict.has_enough_answers
 
 
-def test_few_answers_neither_show_harm_nor_pass_a_stage():
+def test_few_answers_neither_show_harm_nor_pass_a_phase():
     analysis = CanaryAnalysis()
     assert analysis.observe({"a": AnswerCounts(3, failed=3)}, {"a": AnswerCounts(5)}) == ("", False)
     assert analysis.observe({"a": AnswerCounts(MIN_ANSWERS)}, {}) == ("", False), (
-        "an old side that is silent is no progress"
+        "a base version without answers is no progress"
     )
     assert analysis.observe({}, {"a": AnswerCounts(MIN_ANSWERS)}).has_enough_answers
 
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -13,12 +13,12 @@
 
 
 def ceiling_row(tokens: float) -> CustomerRow:
-    """A report on a customer with a ceiling, with tokens requested or granted."""
+    """Return a row of a customer with a ceiling, with tokens requested or granted."""
     return CustomerRow(1, 2, 0, 3, 0, 8.0, 0.0, tokens, ())
 
 
 def is_granted(harness: PolicyHarness, units: float) -> bool:
-    """Whether quota of a customer with a ceiling, in a set of all three gateways, is granted."""
+    """Return whether quota of a customer with a ceiling is granted, in a replica set of all gateways."""
     event = policy.QuotaRequested(harness.now, 7, 2, 0, units, 0, 3)
     return bool(actions_of(harness.feed(event), policy.GrantQuota))
 
@@ -97,26 +97,25 @@
     late, soon = PolicyHarness(), PolicyHarness()
     assert not is_granted(soon, 1.0)
     late.now += 60 * SECOND
-    assert is_granted(
-        late, 2.0
-    )  # its share of the ceiling's bucket is 16 / 6, as another gateway is the token owner
-
-
-def test_eviction_neither_loses_nor_creates_tokens_of_a_ceiling():
-    for customer in range(3):  # each gateway is the token owner of one of these
-        harness = PolicyHarness()
-        account = quota.update_account_key(harness.gateway, customer << 16, 2, 0, 3)
-        account.unconfirmed = False
-        most = 16.0 * quota.ceiling_share(harness.gateway, account)
-        for _ in range(400):
-            harness.now += SECOND // 10
-            if not harness.gateway.accounts:
-                break
-            harness.gateway.now = harness.now
-            admission.evict_idle_accounts(harness.gateway)
-            if harness.gateway.accounts:
-                assert account.ceiling_tokens < most
-        assert not harness.gateway.accounts  # evicted as soon as its share is full
-        again = quota.update_account_key(harness.gateway, customer << 16, 2, 0, 3)
-        quota.refill(harness.gateway, again)
-        assert again.ceiling_tokens == pytest.approx(most)
+    # Its share of the ceiling's bucket is 16 / 6, as another gateway is the token owner
+    assert is_granted(late, 2.0)
+
+
+@pytest.mark.parametrize("customer", range(3))  # each gateway is the token owner of one of these
+def test_eviction_neither_loses_nor_creates_tokens_of_a_ceiling(customer):
+    harness = PolicyHarness()
+    account = quota.update_account_key(harness.gateway, customer << 16, 2, 0, 3)
+    account.unconfirmed = False
+    most = 16.0 * quota.ceiling_share(harness.gateway, account)
+    for _ in range(400):
+        harness.now += SECOND // 10
+        if not harness.gateway.accounts:
+            break
+        harness.gateway.now = harness.now
+        admission.evict_idle_accounts(harness.gateway)
+        if harness.gateway.accounts:
+            assert account.ceiling_tokens < most
+    assert not harness.gateway.accounts  # evicted as soon as its share is full
+    returned = quota.update_account_key(harness.gateway, customer << 16, 2, 0, 3)
+    quota.refill(harness.gateway, returned)
+    assert returned.ceiling_tokens == pytest.approx(most)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -38,9 +38,9 @@
 }
 
 
-@pytest.mark.parametrize("what", EDITS)
-def test_edits_of_a_description_are_compatible_or_name_the_conflict(what):
-    data, reason = EDITS[what]
+@pytest.mark.parametrize("edit", EDITS)
+def test_edits_of_a_description_are_compatible_or_name_the_conflict(edit):
+    data, reason = EDITS[edit]
     conflict = incompatibility(configuration(DESCRIPTION), configuration(data))
     assert data != DESCRIPTION
     assert (reason in conflict) if reason else conflict == "", conflict
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "what"),
+    ("text", "problem"),
     [
         ("port: 1 + 1", "f.cue:1:9: file: not of the settings' language"),
         ("port: a\na: b\nb: a", "a refers to itself"),
@@ -101,8 +101,8 @@
         ("plans: [1]", "allowed: {}"),
     ],
 )
-def test_an_invalid_file_is_rejected_with_a_position(text, what):
-    assert any(what in line for line in problems(text)), problems(text)
+def test_an_invalid_file_is_rejected_with_a_position(text, problem):
+    assert any(problem in line for line in problems(text)), problems(text)
 
 
 def test_rendered_values_are_read_as_the_same_values():
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -6,6 +6,7 @@
 
 
 def feed(reuse: ReuseStatistics, idle: int | None, number: int, lost: int, now: int = 0) -> None:
+    """Record requests on connections that were idle for a time, the first ones as lost."""
     for index in range(number):
         reuse.record(idle, index < lost, now)
 
@@ -33,7 +34,7 @@
     assert not reuse.may_reuse(5 * MS, True, 0)
 
 
-def test_an_idle_class_is_tried_again_after_its_losses_have_decayed():
+def test_an_idle_class_is_reused_after_its_losses_have_decayed():
     reuse = ReuseStatistics(0)
     feed(reuse, SECOND, 5, 1)
     assert not reuse.may_reuse(SECOND, False, 0)
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Authenticated datagrams between gateways: what an inbox accepts, and why it rejects the rest."""
+"""Authenticated datagrams between gateways: which an inbox accepts, and its reasons to reject others."""
 
 from __future__ import annotations
 
@@ -14,10 +14,12 @@
 
 
 def make_inbox(rate=1000.0) -> Inbox:
+    """Return the inbox of gateway 0 of 3."""
     return Inbox(SECRET, 0, 3, NOW, rate, 0)
 
 
 def datagram(sequence=1, sender=1, receiver=0, incarnation=NOW, body=b"hello", secret=SECRET) -> bytes:
+    """Encode a datagram, by default one that gateway 0 accepts."""
     return encode_datagram(secret, sender, receiver, incarnation, sequence, body)
 
 
@@ -58,7 +60,7 @@
 def test_the_rate_of_datagrams_is_limited_and_the_allowance_refills():
     inbox = make_inbox(rate=10.0)
     accepted = [inbox.accept(NOW, datagram(sequence=number)) for number in range(30)]
-    assert sum(one is not None for one in accepted) == 10
+    assert sum(data is not None for data in accepted) == 10
     assert inbox.accept(NOW + SECOND, datagram(sequence=40)) is not None
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -101,13 +101,13 @@
     def test(harness: PlatformHarness) -> None:
         harness.discovery.beats = False
         harness.discovery.send(harness.discovery.streams[0], b"\n")  # the last that it sends
-        began = harness.loop.now()
+        started_at = harness.loop.now()
         if kind != "silent":
             harness.scope.spawn(trickle, harness, TRICKLED_PIECES[kind])
         drain_endpoint(harness)
         harness.until(lambda: is_drain_known(harness), timeout_us(harness, polling.NOTIFICATION_DEADLINE_US))
         assert len(harness.discovery.asked) == 2
-        assert harness.loop.now() - began < timeout_us(harness, polling.NOTIFICATION_DEADLINE_US)
+        assert harness.loop.now() - started_at < timeout_us(harness, polling.NOTIFICATION_DEADLINE_US)
 
     run(backend, test)
 
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -4,6 +4,7 @@
 
 import random
 
+import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -15,10 +16,12 @@
 
 
 def dissemination() -> Dissemination:
+    """Return gateway 4 of 5, with three voters and a lease of 2 s."""
     return Dissemination(4, 5, (0, 1, 2), 2 * SECOND, SECOND // 2, random.Random(1))
 
 
 def poll(gateway: Dissemination, now: int) -> tuple[int, messages.GossipRequest]:
+    """Return the request of the next gossip round, with its receiver."""
     send = gateway.tick(now)[0]
     assert isinstance(send.message, messages.GossipRequest)
     return send.rank, send.message
@@ -45,7 +48,7 @@
     assert gateway.rejection_reason(2 * SECOND + 1) == "the rules are not confirmed any more"
     _, request = poll(gateway, 10 * SECOND)
     response = messages.GossipResponse(request.nonce, 3, "name", SECOND)
-    gateway.receive(20 * SECOND, 0, response)  # it lay in a buffer meanwhile
+    gateway.receive(20 * SECOND, 0, response)  # it was buffered meanwhile
     assert gateway.rejection_reason(20 * SECOND)
     assert gateway.rejection_reason(11 * SECOND) == ""
     _, request = poll(gateway, 20 * SECOND)
@@ -86,23 +89,29 @@
     assert gateway.learn_state(5, "new", None) == []
 
 
-def test_every_message_fits_into_a_datagram():
-    ballot = Ballot(1 << 40, 399, 1 << 53)
-    name = "f" * 64
-    long = messages.truncate_reason("é" * 300)
-    for message in (
+BALLOT = Ballot(1 << 40, 399, 1 << 53)
+HASH = "f" * 64
+LONG_REASON = messages.truncate_reason("é" * 300)
+
+
+@pytest.mark.parametrize(
+    "message",
+    [
         messages.GossipRequest(1 << 32, 1 << 40),
-        messages.GossipResponse(1 << 32, 1 << 40, name, 1 << 50, True),
-        messages.AdoptionReport(1 << 40, 1 << 40, 1 << 40, long),
-        messages.Promise(ballot, ballot, name, 1 << 53, 1 << 40),
-        messages.Accept(ballot, name, 1 << 40),
-        messages.Heartbeat(1 << 40, ballot, 1 << 40, 1 << 40, name),
-        messages.VersionVote(1 << 40, 1 << 40, 1 << 53, False, b"s" * 16, long),
+        messages.GossipResponse(1 << 32, 1 << 40, HASH, 1 << 50, True),
+        messages.AdoptionReport(1 << 40, 1 << 40, 1 << 40, LONG_REASON),
+        messages.Promise(BALLOT, BALLOT, HASH, 1 << 53, 1 << 40),
+        messages.Accept(BALLOT, HASH, 1 << 40),
+        messages.Heartbeat(1 << 40, BALLOT, 1 << 40, 1 << 40, HASH),
+        messages.VersionVote(1 << 40, 1 << 40, 1 << 53, False, b"s" * 16, LONG_REASON),
         messages.AdmissionRequest(1 << 53, "f" * 16, b"s" * 16),
-    ):
-        data = messages.encode(message)
-        assert len(data) <= 256, message
-        assert messages.decode(data) == message
+    ],
+    ids=lambda message: type(message).__name__,
+)
+def test_every_message_fits_into_a_datagram(message):
+    data = messages.encode(message)
+    assert len(data) <= 256
+    assert messages.decode(data) == message
 
 
 @given(st.binary(max_size=256))
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -50,10 +50,10 @@
 def test_a_cached_list_is_loaded_and_a_truncated_one_is_not():
     tracker = EndpointListTracker("z", 10)
     tracker.apply_line(line(version=5, n1="ready", n2="draining"))
-    again = EndpointListTracker("z", 10)
-    assert again.load_cache(tracker.encode_cache()).kind is policy.EndpointListKind.CACHED
-    assert again.state(b"127.0.0.1:2") == "draining"
-    assert again.apply_line(line(version=2, n1="ready")) is not None
+    restarted = EndpointListTracker("z", 10)
+    assert restarted.load_cache(tracker.encode_cache()).kind is policy.EndpointListKind.CACHED
+    assert restarted.state(b"127.0.0.1:2") == "draining"
+    assert restarted.apply_line(line(version=2, n1="ready")) is not None
     for cut in range(len(tracker.encode_cache())):
         assert EndpointListTracker("z", 10).load_cache(tracker.encode_cache()[:cut]) is None
 
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -9,15 +9,6 @@
 from orchidlane.policy import Outcome
 
 
-def final_answers(harness: PolicyHarness, request: int) -> list:
-    """The gateway's final answers to one request."""
-    return [
-        a
-        for a in harness.actions
-        if isinstance(a, (policy.RejectRequest, policy.FailRequest)) and a.request == request
-    ]
-
-
 @pytest.mark.parametrize("phase", [policy.EndpointState.DRAINING, policy.EndpointState.GONE])
 def test_no_request_is_sent_to_a_draining_or_gone_endpoint(phase):
     harness = PolicyHarness(endpoints=0)
@@ -26,10 +17,10 @@
     for request in range(1, 9):
         for send in actions_of(harness.request(request, customer=request), policy.SendAttempt):
             assert send.endpoint == endpoint_entry(2).endpoint
-            for again in actions_of(
+            for retry in actions_of(
                 harness.end_attempt(request, send.endpoint, Outcome.ENDPOINT_FULL), policy.SendAttempt
             ):
-                assert again.endpoint == endpoint_entry(2).endpoint
+                assert retry.endpoint == endpoint_entry(2).endpoint
 
 
 def test_endpoints_missing_from_a_complete_list_get_no_requests():
@@ -37,7 +28,7 @@
     harness.feed(endpoint_list())
     assert not actions_of(harness.request(1), policy.SendAttempt)
     assert not actions_of(harness.advance(2 * SECOND), policy.SendAttempt)
-    assert final_answers(harness, 1) == [policy.RejectRequest(1, 0)]
+    assert harness.final_answers(1) == [policy.RejectRequest(1, 0)]
 
 
 def test_a_failed_list_request_changes_nothing(harness):
--- a/tests/test_golden_gateways.py
+++ b/tests/test_golden_gateways.py
@@ -73,16 +73,22 @@
     assert read_restart_message(name) == golden_restart_messages()[name]
 
 
-def test_rows_of_every_table_are_loaded_and_dumped_again():
+def test_rows_of_accounts_are_loaded_and_dumped_again():
     accounts = read_restart_message("rows of accounts").rows
     assert [recording.account_from_row(row) for row in accounts] == golden_accounts()[:1]
     assert pack([account_to_row(recording.account_from_row(row)) for row in accounts]) == pack(accounts)
-    holder, grants = TokenOwner(1, 10, START_US), GrantStore(100, 1, 1)
-    for kept, name in ((holder, "rows of tokens"), (grants, "rows of grants")):
-        rows = read_restart_message(name).rows
-        for row in rows:
-            kept.load(row)
-        assert pack([kept.row(row[0]) for row in rows]) == pack(rows)
+
+
+@pytest.mark.parametrize(
+    ("table", "name"),
+    [(TokenOwner(1, 10, START_US), "rows of tokens"), (GrantStore(100, 1, 1), "rows of grants")],
+    ids=["tokens", "grants"],
+)
+def test_rows_of_tokens_and_grants_are_loaded_and_dumped_again(table, name):
+    rows = read_restart_message(name).rows
+    for row in rows:
+        table.load(row)
+    assert pack([table.row(row[0]) for row in rows]) == pack(rows)
 
 
 def test_the_state_in_the_last_message_of_a_hot_restart_is_loaded_and_dumped_again():
--- a/tests/test_golden_responses.py
+++ b/tests/test_golden_responses.py
@@ -27,12 +27,12 @@
 
 
 def samples_of(page: bytes) -> list[str]:
-    """Names, labels, types and values of a page of metrics; its prose may change."""
+    """Return names, labels, types and values of a page of metrics; its prose may change."""
     return [line for line in page.decode().splitlines() if not line.startswith("# HELP ")]
 
 
-def admin_answers() -> dict[str, Any]:
-    """What the admin address of a gateway answers after a few requests."""
+def admin_responses() -> dict[str, Any]:
+    """Return the responses of a gateway's admin API after a few requests."""
     found: dict[str, Any] = {}
 
     def test(harness):
@@ -58,12 +58,12 @@
     return found
 
 
-def test_the_admin_address_gives_the_golden_responses():
-    check_golden("admin-answers", admin_answers())
+def test_the_admin_api_gives_the_golden_responses():
+    check_golden("admin-answers", admin_responses())
 
 
-def http_answer(harness: GatewayHarness, raw: bytes) -> list:
-    """Status, headers and body of an answer; of a problem its keys, whose prose may change."""
+def http_response(harness: GatewayHarness, raw: bytes) -> list:
+    """Return status, headers and body of a response; of a problem only its keys, as its prose may change."""
     status, headers, body = harness.ask(raw)
     fields = {name.decode(): value.decode() for name, value in headers}
     if fields.get("content-type") != "application/problem+json":
@@ -75,7 +75,7 @@
 
 def test_clients_over_http_get_the_golden_responses():
     """Status, headers and body: served, each error, and beyond the quota."""
-    asked = {
+    requests = {
         "served": GET,
         "served under a key": UPLOAD,
         "without a key": b"GET /v1/sheets/a HTTP/1.1\r\nHost: g\r\n\r\n",
@@ -89,19 +89,19 @@
     found: dict[str, Any] = {}
 
     def test(harness):
-        for what, raw in asked.items():
-            found[what] = http_answer(harness, raw)
+        for name, raw in requests.items():
+            found[name] = http_response(harness, raw)
         for number in range(30):
-            found[f"request {number}"] = http_answer(harness, GET)
+            found[f"request {number}"] = http_response(harness, GET)
 
     def test_broken(harness):
-        found["may have run"] = http_answer(harness, REPORT)
+        found["may have run"] = http_response(harness, REPORT)
 
     GatewayHarness(good, good, seed=5, plans=settings_loader.parse_settings(SETTINGS, "fleet.cue").plans).run(
         test
     )
     GatewayHarness(resets_after, seed=5).run(test_broken)
-    assert {answer[0] for answer in found.values()} >= {200, 400, 401, 404, 405, 429, 502}
+    assert {response[0] for response in found.values()} >= {200, 400, 401, 404, 405, 429, 502}
     check_golden("http-answers", found)
 
 
@@ -126,16 +126,16 @@
     found = []
 
     def test(harness):
-        harness.loop.sleep(4 * SECOND)  # tokens are sure from then on
+        harness.loop.sleep(4 * SECOND)  # tokens are final from then on
         stream = harness.backend.connect(("127.0.0.1", 8380))
         reserved = ""
         for words in commands:
-            named = [reserved if word == "RESERVED" else word for word in words]
-            stream.send(resp.encode(named))
+            arguments = [reserved if word == "RESERVED" else word for word in words]
+            stream.send(resp.encode(arguments))
             harness.loop.sleep(500_000)
             reply = stream.recv(deadline=harness.loop.now() + SECOND).decode()
             reserved = reply.split("\r\n")[1] if words[0] == "LIMIT.RESERVE" else reserved
-            # Of an error its first word counts, the rest is prose.
+            # Of an error only the first word is golden, the rest is prose
             found.append([words, reply.split()[0] if reply.startswith("-") else reply])
 
     fleet = settings_loader.parse_settings(SETTINGS, "fleet.cue")
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -1,4 +1,4 @@
-"""Settings, scripted days and the platform's configuration have the golden names and defaults."""
+"""Settings, scenario files and the platform's configuration have the golden names and defaults."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from orchidlane import config
 from orchidlane.gateway.control import settings_loader
 from orchidlane.platform import configuration as platform_config
-from orchidlane.simulation import scenario as lab_day
+from orchidlane.simulation import scenario
 
 SMALLEST = """
 description: "d.yaml"
@@ -25,7 +25,7 @@
 """
 
 
-SMALLEST_DAY = """
+SMALLEST_SCENARIO = """
 fleet: "f.cue"
 gateways: 1
 racks: 1
@@ -39,19 +39,19 @@
 
 
 def schema_without_comments(text: str) -> list[str]:
-    """The lines of a schema: names, bounds and defaults."""
+    """Return the lines of a schema: names, bounds and defaults."""
     lines = [re.sub(r"\s*//.*", "", line) for line in text.splitlines()]
     return [" ".join(line.split()) for line in lines if line.strip()]
 
 
 def paths_of(value: Any, *path: Any) -> list[tuple[Any, ...]]:
-    """The path of each key within a value."""
+    """Return the path of each key within a value."""
     inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     return [found for key, part in inner for found in [(*path, key), *paths_of(part, *path, key)]]
 
 
 def is_accepted(value: dict) -> bool:
-    """Whether the platform's configuration file may be so."""
+    """Return whether the platform's configuration may have this content."""
     try:
         platform_config.parse_configuration(json.dumps(value).encode(), "config.json")
     except platform_config.ConfigurationError:
@@ -62,10 +62,10 @@
 def test_the_platforms_configuration_has_the_golden_keys():
     """Which keys may be missing, and which may not."""
     known = {"generation": 3, "reset": True, "instances": []}
-    whole = platform_file(known=known)
-    found = {"whole": is_accepted(whole)}
-    for path in paths_of(whole):
-        value = json.loads(json.dumps(whole))
+    complete = platform_file(known=known)
+    found = {"whole": is_accepted(complete)}
+    for path in paths_of(complete):
+        value = json.loads(json.dumps(complete))
         inner = value
         for key in path[:-1]:
             inner = inner[key]
@@ -82,8 +82,8 @@
     check_golden("settings", {"defaults": found, "schema": schema_without_comments(schema)})
 
 
-def test_scripted_days_have_the_golden_names_and_defaults():
-    schema = lab_day.SCHEMA_PATH.read_text()
-    found = config.plain_values(SMALLEST_DAY, "smallest.cue", schema, "#Day")
-    config.load(SMALLEST_DAY, "smallest.cue", schema, "#Day", lab_day.Scenario)
+def test_scenario_files_have_the_golden_names_and_defaults():
+    schema = scenario.SCHEMA_PATH.read_text()
+    found = config.plain_values(SMALLEST_SCENARIO, "smallest.cue", schema, "#Day")
+    config.load(SMALLEST_SCENARIO, "smallest.cue", schema, "#Day", scenario.Scenario)
     check_golden("settings-of-a-day", {"defaults": found, "schema": schema_without_comments(schema)})
--- a/tests/test_golden_simulator_protocol.py
+++ b/tests/test_golden_simulator_protocol.py
@@ -16,18 +16,14 @@
 )
 from harness.golden_files import check_golden
 from harness.platform_harness import settings
+from harness.session_records import record
 
 from orchidlane import policy
 from orchidlane.simulator_protocol import codec, settings_json
 
 
-def record(code: int, layout: str, *values) -> bytes:
-    """A record of an event, by the protocol's layout."""
-    return struct.pack("<B" + layout, code, *values).ljust(codec.EVENT_BYTES, b"\0")
-
-
-def frames_of_the_wire() -> dict[str, list[tuple[list[bytes], bytes]]]:
-    """Batches by the record code that they are about: records and tail."""
+def record_batches() -> dict[str, list[tuple[list[bytes], bytes]]]:
+    """Return batches of records and tails by the record code that they cover."""
     text = json.dumps(settings()).encode()
     entries = struct.pack("<fB6sBQBH", 1.5, 0, ENDPOINT, 2, 77, 1, 9)
     entries += struct.pack("<fB6sBQBH", 1.0, 1, OTHER_ENDPOINT, 0, 0, 2, 300)
@@ -48,7 +44,7 @@
             ([record(5, "HIBHQIfffH", 3, 9, 2, 1, 1 << 40, 240_000, 2.5, 3.0, 1.0, bits)], b"")
             for bits in (0, 2, 3)
         ],
-        "6": [([one], b"") for one in ended],
+        "6": [([outcome_record], b"") for outcome_record in ended],
         "7": [([record(7, "HQII", 3, 1 << 60, 0, len(text))], text)],
         "8": [([record(8, "H", 3)], b"")],
         "9": [([listed, record(9, "HBHQ", 3, kind, 4, 41)], entries) for kind in range(4)],
@@ -61,9 +57,9 @@
     }
 
 
-def test_each_record_of_the_wire_is_read_as_the_golden_values():
+def test_each_record_is_decoded_to_the_golden_values():
     found: dict[str, list] = {}
-    for code, batches in frames_of_the_wire().items():
+    for code, batches in record_batches().items():
         for records, tail in batches:
             body = b"".join(records) + tail
             events = [
@@ -75,10 +71,10 @@
     check_golden("wire-events", found)
 
 
-def test_each_event_that_the_wire_has_is_covered():
-    of_code = {policy.QuotaRequested, policy.CountRecovered, policy.ReplicaSetChanged}  # not of the wire
+def test_each_event_that_has_a_record_is_covered():
+    without_record = {policy.QuotaRequested, policy.CountRecovered, policy.ReplicaSetChanged}
     covered = {kind for kind in EVENT_VALUES if kind not in (codec.StartGateway, codec.StopGateway)}
-    assert set(get_args(policy.Event)) - covered == of_code
+    assert set(get_args(policy.Event)) - covered == without_record
 
 
 def test_each_action_has_the_golden_record():
@@ -97,7 +93,7 @@
     check_golden("wire-actions", found)
 
 
-def test_settings_of_the_wire_are_read_as_the_golden_values():
+def test_settings_of_the_simulator_are_read_as_the_golden_values():
     texts = {
         "plain": settings(),
         "other words": settings(
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -5,6 +5,7 @@
 import itertools
 import sys
 
+import pytest
 from harness.gossip_harness import (
     NOW_MS,
     NOW_TICKS,
@@ -151,15 +152,18 @@
     assert harness.gateway.accounts == {}
 
 
-def test_send_times_are_decoded_across_their_period():
-    for sent in (
+@pytest.mark.parametrize(
+    "sent_at_ms",
+    [
         gossip_codec.SEND_TIME_PERIOD_MS - 5,
         gossip_codec.SEND_TIME_PERIOD_MS + 5,
         7 * gossip_codec.SEND_TIME_PERIOD_MS + 1,
-    ):
-        body = gossip_codec.encode_message(sent, False, False, [])
-        assert gossip_codec.decode_message(body, sent + 900, 3, 1).sent_at_ms == sent
-        assert gossip_codec.decode_message(body, sent - 900, 3, 1).sent_at_ms == sent
+    ],
+)
+@pytest.mark.parametrize("delay_ms", [900, -900])
+def test_send_times_are_decoded_across_their_period(sent_at_ms, delay_ms):
+    body = gossip_codec.encode_message(sent_at_ms, False, False, [])
+    assert gossip_codec.decode_message(body, sent_at_ms + delay_ms, 3, 1).sent_at_ms == sent_at_ms
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
--- a/tests/test_last_check.py
+++ b/tests/test_last_check.py
@@ -11,6 +11,7 @@
 
 
 def pending(**changes) -> PendingSend:
+    """Return an attempt that may be sent, with some changes."""
     values = {
         "endpoint_state": "ready",
         "deadline": NOW + SECOND,
@@ -23,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "why"),
+    ("changes", "reason"),
     [
         ({}, None),
         ({"deadline": NOW}, "deadline"),
@@ -37,5 +38,5 @@
         ({"has_client_left": True, "first_sent_at": NOW - SECOND // 2}, "client"),
     ],
 )
-def test_an_attempt_that_would_break_a_rule_is_not_sent(changes, why):
-    assert rejection_reason(NOW, pending(**changes)) == why
+def test_an_attempt_that_would_break_a_rule_is_not_sent(changes, reason):
+    assert rejection_reason(NOW, pending(**changes)) == reason
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -107,7 +107,7 @@
 
 
 def test_an_exhausted_customer_is_attached_as_often_as_the_logarithm_of_its_set_size():
-    """Bytes of messages have a price; once exhausted anew, a customer is attached again."""
+    """Bytes of messages have a price; a customer that is exhausted for a second time is attached again."""
     harness = PolicyHarness(replica_count=200, peer_messages_per_second=200.0)
 
     def times_attached(first: int) -> int:
--- a/tests/test_polling.py
+++ b/tests/test_polling.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import pytest
 from harness.platform_harness import (
     MS,
     SECOND,
@@ -13,17 +14,22 @@
 from orchidlane.platform.polling import PollSchedule, retry_interval_us
 
 
-def test_a_silent_watch_is_replaced_before_its_notification_deadline():
-    # else a healthy watch is closed
+def test_a_watch_with_heartbeats_is_not_silent():
     assert polling.SILENCE_TIMEOUT_US >= polling.HEARTBEAT_INTERVAL_US + 100 * MS
-    for grace in (1, 300 * MS, 500 * MS, SECOND, 5 * SECOND):
-        interval = retry_interval_us(grace)
-        assert polling.SILENCE_TIMEOUT_US + 7 * interval <= polling.NOTIFICATION_DEADLINE_US
-        # after an outage two polls fit into the grace
-        assert interval <= max(polling.MIN_RETRY_INTERVAL_US, grace // 2)
+
+
+@pytest.mark.parametrize("grace_us", [1, 300 * MS, 500 * MS, SECOND, 5 * SECOND])
+def test_a_silent_watch_is_replaced_before_its_notification_deadline(grace_us):
+    interval_us = retry_interval_us(grace_us)
+    assert polling.SILENCE_TIMEOUT_US + 7 * interval_us <= polling.NOTIFICATION_DEADLINE_US
     assert polling.SILENCE_TIMEOUT_US + 2 * polling.MAX_BACKOFF_US < polling.NOTIFICATION_DEADLINE_US
 
 
+@pytest.mark.parametrize("grace_us", [1, 300 * MS, 500 * MS, SECOND, 5 * SECOND])
+def test_two_polls_after_an_outage_fit_into_the_drain_grace(grace_us):
+    assert retry_interval_us(grace_us) <= max(polling.MIN_RETRY_INTERVAL_US, grace_us // 2)
+
+
 EVENTS = st.lists(
     st.tuples(
         st.sampled_from(["wait", "responded", "ended", "ended"]),
--- a/tests/test_recording_segments.py
+++ b/tests/test_recording_segments.py
@@ -106,8 +106,8 @@
     write_segment(EventStory(11), 300, path)
     reader = recording.SegmentReader(str(path))
     index = recording.KeyIndex(reader, recording.request_number)
-    again = recording.SegmentReader(str(path))
-    scanned = [entry for entry in again if getattr(entry.event, "request", None) == 5]
+    reread = recording.SegmentReader(str(path))
+    scanned = [entry for entry in reread if getattr(entry.event, "request", None) == 5]
     assert [e for e in index.entries(5) if not isinstance(e.event, policy.TimerFired)] == scanned
     assert index.entries(1 << 30) == []
 
--- a/tests/test_recording_state.py
+++ b/tests/test_recording_state.py
@@ -20,16 +20,16 @@
         story.step()
     state = recording.dump_state(story.bench.gateway)
     packed = msgspec.msgpack.encode(state)
-    again = recording.restore_gateway(
+    restored = recording.restore_gateway(
         story.bench.settings, msgspec.msgpack.decode(packed, type=recording.StateDump)
     )
-    begun = len(story.log)
+    first = len(story.log)
     for _ in range(100):
         story.step()
     assert msgspec.msgpack.encode(state) == packed  # a dumped state does not change with its gateway
-    for now, event, actions in story.log[begun:]:
-        assert again.handle(now, event) == actions
-    assert recording.dump_state(again) == recording.dump_state(story.bench.gateway)
+    for now, event, actions in story.log[first:]:
+        assert restored.handle(now, event) == actions
+    assert recording.dump_state(restored) == recording.dump_state(story.bench.gateway)
 
 
 @given(st.integers(0, 2**32))
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -157,11 +157,11 @@
         pass
 
 
+@pytest.mark.parametrize("step", [None, 1, 3])
 @pytest.mark.parametrize("file", sorted(CORPUS.iterdir()), ids=lambda file: file.name)
-def test_files_of_the_corpus_are_valid_or_invalid_as_their_names_say(file):
-    for step in (None, 1, 3):
-        decoded = decode_all(file.read_bytes(), step)
-        assert (resp.ProtocolError in decoded) == file.name.startswith("bad")
+def test_files_of_the_corpus_are_valid_or_invalid_as_their_names_say(file, step):
+    decoded = decode_all(file.read_bytes(), step)
+    assert (resp.ProtocolError in decoded) == file.name.startswith("bad")
 
 
 # Ordinary clients against a gateway
@@ -213,8 +213,8 @@
                 pipe.execute_command("LIMIT.TAKE", "acero", 1)
             answers = pipe.execute()
     assert sum(granted for granted, _, _ in answers) in range(2, 9)
-    refused = next(answer for answer in answers if not answer[0])
-    assert refused[2] >= 1
+    rejected = next(answer for answer in answers if not answer[0])
+    assert rejected[2] >= 1
 
 
 def test_the_asyncio_client_takes_units_through_its_pool(resp_port):
@@ -240,8 +240,8 @@
                 unsure += 1
                 assert unsure < 100_000
         info = connection.execute_command("LIMIT.INFO")
-        again = connection.execute_command("LIMIT.TAKE", "acero", 1, "IDEMPOTENT", "t")
-        assert again[0] == 1
+        repeated = connection.execute_command("LIMIT.TAKE", "acero", 1, "IDEMPOTENT", "t")
+        assert repeated[0] == 1
         assert connection.execute_command("LIMIT.INFO")[b"granted"] == info[b"granted"]
         assert connection.execute_command("LIMIT.GIVEBACK", "acero", "t") == 1
         assert connection.execute_command("LIMIT.GIVEBACK", "acero", "t") == 0
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -25,20 +25,11 @@
 POSSIBLY_EXECUTED = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_BROKEN, Outcome.CANCELLED)
 
 
-def final_answers(harness: PolicyHarness, request: int) -> list:
-    """Return the final answers to one request."""
-    return [
-        a
-        for a in harness.actions
-        if isinstance(a, (policy.RejectRequest, policy.FailRequest)) and a.request == request
-    ]
-
-
 def test_a_request_without_endpoints_is_held_and_rejected_before_its_deadline():
     harness = PolicyHarness(endpoints=0)
     assert not actions_of(harness.request(1, time_left_us=SECOND), (policy.RejectRequest, policy.FailRequest))
     harness.advance(SECOND - 1)
-    assert final_answers(harness, 1) == [policy.RejectRequest(1, 0)]
+    assert harness.final_answers(1) == [policy.RejectRequest(1, 0)]
 
 
 def test_a_held_request_is_sent_when_an_endpoint_is_listed():
@@ -53,9 +44,9 @@
     send = actions_of(harness.request(1, request_class=NOT_IDEMPOTENT_CLASS), policy.SendAttempt)[0]
     harness.now += 2 * SECOND
     harness.end_attempt(1, send.endpoint, Outcome.TIMED_OUT, duration_us=2 * SECOND)
-    assert final_answers(harness, 1) == [policy.FailRequest(1)]
+    assert harness.final_answers(1) == [policy.FailRequest(1)]
     harness.advance(5 * SECOND)
-    assert len(final_answers(harness, 1)) == 1
+    assert len(harness.final_answers(1)) == 1
 
 
 def test_no_action_follows_a_final_answer_or_a_client_disconnect(harness):
@@ -119,7 +110,7 @@
         harness.end_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
     )
     harness.advance(2 * SECOND)
-    assert final_answers(harness, 1) == [policy.FailRequest(1)]
+    assert harness.final_answers(1) == [policy.FailRequest(1)]
 
 
 def test_a_request_with_a_key_is_not_retried_after_its_deduplication_window(harness):
@@ -131,7 +122,7 @@
         harness.end_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
     )
     harness.advance(4 * SECOND)
-    assert final_answers(harness, 1) == [policy.RejectRequest(1, 0)]
+    assert harness.final_answers(1) == [policy.RejectRequest(1, 0)]
 
 
 def test_an_attempt_is_cancelled_when_the_client_disconnects(harness):
--- a/tests/test_rollback.py
+++ b/tests/test_rollback.py
@@ -41,9 +41,9 @@
     start = DESCRIPTION.index(b"  /sheets/latest:")
     without = DESCRIPTION[:start] + DESCRIPTION[DESCRIPTION.index(b"  /tests/{test}:") :]
     later = with_cost(without, b"readSheet", 5)
-    again = operation_costs(revert_description_edit(DESCRIPTION, without, later))
-    assert again["readLatest"] == operation_costs(DESCRIPTION)["readLatest"]
-    assert again["readSheet"] == 5
+    reverted = operation_costs(revert_description_edit(DESCRIPTION, without, later))
+    assert reverted["readLatest"] == operation_costs(DESCRIPTION)["readLatest"]
+    assert reverted["readSheet"] == 5
     later = with_cost(DESCRIPTION, b"readSheet", 5)
     assert "readLatest" not in operation_costs(revert_description_edit(without, DESCRIPTION, later))
 
--- a/tests/test_rollout_commands.py
+++ b/tests/test_rollout_commands.py
@@ -161,9 +161,9 @@
         proposed(led_state(), OLD)
 
 
-def test_commands_of_a_replaced_leader_are_rejected():
-    state = ClaimLeadership(1, 2).apply(proposed(led_state()))
-    for command in (
+@pytest.mark.parametrize(
+    "command",
+    [
         ProposeVersion(1, "two", THIRD, 1, "me", "x"),
         ApproveVersion(1, 1, (), ALL),
         StopRollout(1, 1, "x"),
@@ -172,9 +172,17 @@
         ExtendRollout(1, 1, ALL),
         ChangeMembership(1, 2, 5),
         SettleMembership(1, 1),
-    ):
-        with pytest.raises(StaleTermError, match="term 1 is over"):
-            command.apply(state)
+    ],
+    ids=lambda command: type(command).__name__,
+)
+def test_commands_of_a_replaced_leader_are_rejected(command):
+    state = ClaimLeadership(1, 2).apply(proposed(led_state()))
+    with pytest.raises(StaleTermError, match="term 1 is over"):
+        command.apply(state)
+
+
+def test_a_claim_of_a_term_that_has_begun_is_rejected():
+    state = ClaimLeadership(1, 2).apply(proposed(led_state()))
     with pytest.raises(CommandRejectedError, match="term 2 has begun"):
         ClaimLeadership(0, 2).apply(state)
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -24,6 +24,7 @@
 
 @pytest.fixture(scope="module")
 def materials() -> routes.Generation:
+    """Return the routes of the example's description."""
     return routes.build(routes.load_description(FILE.read_bytes(), "openapi.yaml"), "openapi.yaml")
 
 
@@ -93,7 +94,7 @@
 
 
 def build_error(**changes) -> str:
-    """The error text of the small description with a changed operation."""
+    """Return the error text of the small description with a changed operation."""
     description = copy.deepcopy(SMALL)
     operation = description["paths"]["/a"]["post"]
     operation.update(changes)
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -72,17 +72,17 @@
 
 
 def record(text: str, size: int = codec.EVENT_BYTES) -> bytes:
-    """A record of the protocol's examples, padded with zeros to its size."""
+    """Return a record of the protocol's examples, padded with zeros to its size."""
     return bytes.fromhex(text.replace(" ", "")).ljust(size, b"\0")
 
 
 def decode(*records: bytes, tail: bytes = b""):
-    """The events of one frame."""
+    """Return the events of one frame."""
     return codec.Decoder().decode_frame(len(records), b"".join(records) + tail)
 
 
 def encode(*actions: policy.Action) -> bytes:
-    """The reply's bytes after its header."""
+    """Return the reply's bytes after its header."""
     encoder = codec.Encoder()
     for action in actions:
         encoder.add_action(3, action)
@@ -90,7 +90,7 @@
 
 
 def frame(*records: bytes, tail: bytes = b"", now: int = 1) -> bytes:
-    """A whole frame."""
+    """Return a complete frame."""
     body = b"".join(records) + tail
     return struct.pack("<IIQ", len(records), len(body), now) + body
 
--- a/tests/test_token_owner.py
+++ b/tests/test_token_owner.py
@@ -25,9 +25,9 @@
     first = [(p, m) for p, m in peer_messages(harness.request(1, replica_set_size=50)) if m.to_token_owner]
     assert len(first) == 1
     assert first[0][1].wants_reply
-    again = [p for p, m in peer_messages(harness.advance(290_000)) if m.to_token_owner]
-    assert len(again) == 1
-    assert again != [first[0][0]]
+    second = [p for p, m in peer_messages(harness.advance(290_000)) if m.to_token_owner]
+    assert len(second) == 1
+    assert second != [first[0][0]]
 
 
 def test_no_stand_in_is_notified_if_the_token_owner_replies():
