--- a/tests/harness/policy_harness.py
+++ b/tests/harness/policy_harness.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import dataclasses
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from typing import Any
 
 from orchidlane import policy
@@ -160,9 +160,29 @@
         duration_us: int = 50_000,
         answered: bool | None = None,
     ) -> list[policy.Action]:
-        """Feed an attempt's outcome, answered if it was served unless told otherwise; return the actions."""
+        """Feed an attempt's outcome, by default answered if it was served; return the actions."""
         if answered is None:
             answered = outcome is policy.Outcome.SERVED
         return self.feed(
             policy.AttemptEnded(request, attempt, endpoint, outcome, duration_us, answered, 0, 0.0, ())
         )
+
+    def final_answers(self, request: int) -> list[policy.Action]:
+        """Return the final answers to one request."""
+        answers = actions_of(self.actions, (policy.RejectRequest, policy.FailRequest))
+        return [answer for answer in answers if answer.request == request]
+
+
+def serve_request(
+    harness: PolicyHarness, request: int, duration_us: Callable[[bytes], int]
+) -> policy.SendAttempt | None:
+    """Feed a request, served after a duration by endpoint; return the attempt, if there was one."""
+    sends = actions_of(
+        harness.request(request, customer=request, time_left_us=2 * SECOND), policy.SendAttempt
+    )
+    if not sends:
+        return None
+    harness.advance(10_000)
+    endpoint = sends[0].endpoint
+    harness.end_attempt(request, endpoint, policy.Outcome.SERVED, duration_us=duration_us(endpoint))
+    return sends[0]
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -1,9 +1,11 @@
-"""The analysis of a stage: its rate of false stops, the harm it finds, and what is not its to say."""
+"""Canary analysis: its rate of false alarms, and the regressions that it detects."""
 
 from __future__ import annotations
 
 import random
 
+import pytest
+
 from orchidlane.rollout.canary_analysis import (
     FALSE_POSITIVE_RATE,
     HARMLESS_RATIO,
@@ -20,17 +22,17 @@
 
 
 def draw(rng: random.Random, answers: int, bad: dict[str, float]) -> AnswerCounts:
-    """So many answers of which each kind of badness has its chance."""
+    """Return counts of so many answers, each kind of fault by its probability."""
     kinds = [kind for kind in OUTCOME_KINDS if kind != "served"]
     counts = {kind: sum(rng.random() < bad.get(kind, 0.0) for _ in range(answers)) for kind in kinds}
     counts["failed"] = min(counts["failed"], answers - counts["refused"])
     return AnswerCounts(answers, **counts)
 
 
-def stage(seed: int, harm: dict[str, float], observations: int = 40) -> str:
-    """A stage with a load and a share of refusals that wander; the harm that was found, if any.
+def harm_of_phase(seed: int, harm: dict[str, float], observations: int = 40) -> str:
+    """Return the harm that is found in a phase whose load and share of rejections drift, if any.
 
-    ``harm`` multiplies a kind's share on the new side.
+    ``harm`` multiplies a kind's share in the canaries.
     """
     rng, analysis = random.Random(seed), CanaryAnalysis()
     usual = {"refused": 0.15, "failed": 0.01, "late": 0.02, "slow": 0.1, "attempts": 0.05}
@@ -48,23 +50,28 @@
     return ""
 
 
-def test_harmless_stages_are_rarely_stopped_under_continuous_observation():
-    stopped = [seed for seed in range(1_000) if stage(seed, {})]
+def test_harmless_phases_are_rarely_stopped_under_continuous_observation():
+    stopped = [seed for seed in range(1_000) if harm_of_phase(seed, {})]
     assert len(stopped) <= 1_000 * FALSE_POSITIVE_RATE + 2, stopped
 
 
 def test_a_difference_within_the_harmless_ratio_is_no_harm():
-    assert not [seed for seed in range(100) if stage(seed, dict.fromkeys(OUTCOME_KINDS, HARMLESS_RATIO))]
+    assert not [
+        seed for seed in range(100) if harm_of_phase(seed, dict.fromkeys(OUTCOME_KINDS, HARMLESS_RATIO))
+    ]
 
 
-def test_harmful_stages_are_detected_by_kind():
-    for kind, times in (("failed", 16.0), ("refused", 4.0), ("late", 8.0), ("slow", 4.0), ("attempts", 6.0)):
-        found = [stage(seed, {kind: times}) for seed in range(40)]
-        named = (f"more {kind} in ", "fewer served in ")  # what is refused or fails is not served, too
-        assert all(harm_text.startswith(named) for harm_text in found), (kind, found)
+@pytest.mark.parametrize(
+    ("kind", "factor"),
+    [("failed", 16.0), ("refused", 4.0), ("late", 8.0), ("slow", 4.0), ("attempts", 6.0)],
+)
+def test_harmful_phases_are_detected_by_kind(kind, factor):
+    reasons = [harm_of_phase(seed, {kind: factor}) for seed in range(40)]
+    expected = (f"more {kind} in ", "fewer served in ")  # a rejected or failed request is not served, too
+    assert all(reason.startswith(expected) for reason in reasons), reasons
 
 
-def test_fewer_served_is_detected_where_most_are_refused_on_both_sides():
+def test_fewer_served_is_detected_where_most_are_rejected_on_both_sides():
     analysis, harm_text = CanaryAnalysis(), ""
     for _ in range(30):
         harm_text = analysis.observe(
@@ -92,11 +99,11 @@
     assert verdict.has_enough_answers
 
 
-def test_few_answers_neither_show_harm_nor_pass_a_stage():
+def test_few_answers_neither_show_harm_nor_pass_a_phase():
     analysis = CanaryAnalysis()
     assert analysis.observe({"a": AnswerCounts(3, failed=3)}, {"a": AnswerCounts(5)}) == ("", False)
     assert analysis.observe({"a": AnswerCounts(MIN_ANSWERS)}, {}) == ("", False), (
-        "an old side that is silent is no progress"
+        "a base version without answers is no progress"
     )
     assert analysis.observe({}, {"a": AnswerCounts(MIN_ANSWERS)}).has_enough_answers
 
--- a/tests/test_golden_command.py
+++ b/tests/test_golden_command.py
@@ -101,8 +101,8 @@
     check_golden(f"day-{script}", {"exit": code, "sha256": digest, "verdict": verdict})
 
 
-def without_place(text: str, folder: Path) -> str:
-    """An output without what differs by machine and build: the folder, and the build's name."""
+def without_folder(text: str, folder: Path) -> str:
+    """Return an output without what differs by machine and build: the folder, and the build's name."""
     return re.sub(r'"build": ".*?"', '"build": ""', text.replace(str(folder), "FOLDER"))
 
 
@@ -125,7 +125,7 @@
     found = {what: run_command(*words) for what, words in calls.items()}
     check_golden(
         "tools-of-a-state",
-        {what: [code, without_place(text, tmp_path)] for what, (code, text) in found.items()},
+        {what: [code, without_folder(text, tmp_path)] for what, (code, text) in found.items()},
     )
 
 
@@ -140,13 +140,13 @@
     found = {what: run_command(*words) for what, words in calls.items()}
     check_golden(
         "tools-of-a-record",
-        {what: [code, without_place(text, tmp_path)] for what, (code, text) in found.items()},
+        {what: [code, without_folder(text, tmp_path)] for what, (code, text) in found.items()},
     )
 
 
 @pytest.mark.parametrize("words", [("38",), ("--customer", "3")], ids=["request", "customer"])
 def test_explain_prints_the_golden_json(words, tmp_path):
-    """Its events and actions are told as text with the names of their types and fields."""
+    """Its events and actions are printed as text with the names of their types and fields."""
     shutil.copy(Path(__file__).parent / "corpus/record/format-2.olr", tmp_path / "gw-1-0.olr")
     code, text = run_command("explain", str(tmp_path), *words, "--json")
     check_golden(f"explain-{words[0].lstrip('-')}", [code, json.loads(text)])
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -3,7 +3,14 @@
 from __future__ import annotations
 
 import pytest
-from harness.policy_harness import SECOND, PolicyHarness, actions_of, endpoint_entry, endpoint_list
+from harness.policy_harness import (
+    SECOND,
+    PolicyHarness,
+    actions_of,
+    endpoint_entry,
+    endpoint_list,
+    serve_request,
+)
 
 from orchidlane import policy
 from orchidlane.policy import Outcome
@@ -18,32 +25,11 @@
 POSSIBLY_EXECUTED = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_BROKEN, Outcome.CANCELLED)
 
 
-def final_answers(harness: PolicyHarness, request: int) -> list:
-    """Our final answers to one request."""
-    return [
-        a
-        for a in harness.actions
-        if isinstance(a, (policy.RejectRequest, policy.FailRequest)) and a.request == request
-    ]
-
-
-def serve_request(harness: PolicyHarness, request: int, took) -> policy.SendAttempt | None:
-    """Ask, and answer at once with a time by server; the send, if there was one."""
-    sends = actions_of(
-        harness.request(request, customer=request, time_left_us=2 * SECOND), policy.SendAttempt
-    )
-    if not sends:
-        return None
-    harness.advance(10_000)
-    harness.end_attempt(request, sends[0].endpoint, Outcome.SERVED, duration_us=took(sends[0].endpoint))
-    return sends[0]
-
-
 def test_a_request_without_endpoints_is_held_and_rejected_before_its_deadline():
     harness = PolicyHarness(endpoints=0)
     assert not actions_of(harness.request(1, time_left_us=SECOND), (policy.RejectRequest, policy.FailRequest))
     harness.advance(SECOND - 1)
-    assert final_answers(harness, 1) == [policy.RejectRequest(1, 0)]
+    assert harness.final_answers(1) == [policy.RejectRequest(1, 0)]
 
 
 def test_a_held_request_is_sent_when_an_endpoint_is_listed():
@@ -58,9 +44,9 @@
     send = actions_of(harness.request(1, request_class=NOT_IDEMPOTENT_CLASS), policy.SendAttempt)[0]
     harness.now += 2 * SECOND
     harness.end_attempt(1, send.endpoint, Outcome.TIMED_OUT, duration_us=2 * SECOND)
-    assert final_answers(harness, 1) == [policy.FailRequest(1)]
+    assert harness.final_answers(1) == [policy.FailRequest(1)]
     harness.advance(5 * SECOND)
-    assert len(final_answers(harness, 1)) == 1
+    assert len(harness.final_answers(1)) == 1
 
 
 def test_no_action_follows_a_final_answer_or_a_client_disconnect(harness):
@@ -108,10 +94,10 @@
         harness.feed(endpoint_list(*(endpoint_entry(i, **{near: i % 2}) for i in range(6))))
         send = actions_of(harness.request(1, request_class=kind), policy.SendAttempt)[0]
         harness.now += 10_000
-        again = actions_of(
+        retries = actions_of(
             harness.end_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
         )
-        assert [where[a.endpoint] for a in again] == [where[send.endpoint]]
+        assert [where[a.endpoint] for a in retries] == [where[send.endpoint]]
 
 
 def test_a_request_with_a_key_fails_if_its_deduplication_scope_has_no_endpoint():
@@ -124,7 +110,7 @@
         harness.end_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
     )
     harness.advance(2 * SECOND)
-    assert final_answers(harness, 1) == [policy.FailRequest(1)]
+    assert harness.final_answers(1) == [policy.FailRequest(1)]
 
 
 def test_a_request_with_a_key_is_not_retried_after_its_deduplication_window(harness):
@@ -136,7 +122,7 @@
         harness.end_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
     )
     harness.advance(4 * SECOND)
-    assert final_answers(harness, 1) == [policy.RejectRequest(1, 0)]
+    assert harness.final_answers(1) == [policy.RejectRequest(1, 0)]
 
 
 def test_an_attempt_is_cancelled_when_the_client_disconnects(harness):
@@ -185,6 +171,6 @@
 
 
 def test_a_request_class_that_is_always_slow_is_not_shed():
-    """The usual answer time itself is no reason to refuse, however near to the aim it is."""
+    """The usual latency itself is no reason to shed load, however near to the latency objective it is."""
     harness = PolicyHarness(endpoints=1)
     assert all(serve_request(harness, r, lambda _: 110_000) for r in range(1, 60))
