--- a/orchidlane/gateway/rollout_agent/voter_runner.py
+++ b/orchidlane/gateway/rollout_agent/voter_runner.py
@@ -32,6 +32,7 @@
     Send,
     StateChosen,
     StoreBlob,
+    VoterStart,
     VoterState,
 )
 from orchidlane.runtime import CONTROL, DeadlineExceededError, EventLoop, Task, TaskGroup
@@ -104,9 +105,10 @@
             self.learn(chosen_state, content_hash(data), data)
             latest_state = chosen_state
         voter_state = file.voter_state if file else VoterState(rng.getrandbits(STORE_ID_BITS) + 1)
-        verifying = file is not None
-        voter = Voter(self.rank, voter_state, accepted_state, latest_state, rng, now, verifying)
-        self.leadership = Leadership(voter, gateway_count, secret, settings, rng, now)
+        start = VoterStart(
+            self.rank, voter_state, accepted_state, latest_state, rng, now, verifies_store=file is not None
+        )
+        self.leadership = Leadership(Voter(start), gateway_count, secret, settings, rng, now)
 
     def _decode_state(self, data: bytes) -> ReplicatedState | None:
         if not data:
--- a/orchidlane/rollout/acceptor.py
+++ b/orchidlane/rollout/acceptor.py
@@ -10,7 +10,6 @@
 
 from __future__ import annotations
 
-import random
 from collections.abc import Callable
 
 import msgspec
@@ -36,6 +35,7 @@
     SeenVoteCount,
     Send,
     StoreBlob,
+    VoterStart,
     VoterState,
 )
 
@@ -51,23 +51,14 @@
     the latest one that is known to be chosen.
     """
 
-    def __init__(
-        self,
-        rank: int,
-        voter_state: VoterState,
-        accepted_state: ReplicatedState | None,
-        chosen_state: ReplicatedState | None,
-        rng: random.Random,
-        now: int,
-        verifying_store: bool = False,
-    ) -> None:
-        self.rank = rank
-        self.voter_state = voter_state
-        self.accepted_state = accepted_state
-        self.chosen_state = chosen_state
-        self.random = rng
-        self.verifying_store = verifying_store  # the disk of an earlier incarnation may be an old copy
-        self._check_started_at = now
+    def __init__(self, start: VoterStart) -> None:
+        self.rank = start.rank
+        self.voter_state = start.voter_state
+        self.accepted_state = start.accepted_state
+        self.chosen_state = start.chosen_state
+        self.random = start.random
+        self.verifying_store = start.verifies_store
+        self._check_started_at = start.now
         self._check_sent_at = 0
         self._check_responses: dict[int, bool] = {}  # rank that saw no later vote -> whether it votes
         self._actions: list[Action] = []
--- a/orchidlane/rollout/consensus.py
+++ b/orchidlane/rollout/consensus.py
@@ -20,7 +20,6 @@
 
 from __future__ import annotations
 
-import random
 from collections.abc import Iterable
 
 from orchidlane.rollout import replicated_state
@@ -49,6 +48,7 @@
     ProposerPhase,
     StateChosen,
     StoreBlob,
+    VoterStart,
     VoterState,
 )
 
@@ -60,17 +60,8 @@
 class Voter(Acceptor):
     """Acceptor and proposer of one voter. Each event returns the actions that it leads to, in order."""
 
-    def __init__(
-        self,
-        rank: int,
-        voter_state: VoterState,
-        accepted_state: ReplicatedState | None,
-        chosen_state: ReplicatedState | None,
-        rng: random.Random,
-        now: int,
-        verifying_store: bool = False,
-    ) -> None:
-        super().__init__(rank, voter_state, accepted_state, chosen_state, rng, now, verifying_store)
+    def __init__(self, start: VoterStart) -> None:
+        super().__init__(start)
         self.chosen_ballot = ZERO_BALLOT  # of the chosen state, if it was chosen by our attempt
         self.attempt: ProposalAttempt | None = None
 
--- a/orchidlane/rollout/voter_state.py
+++ b/orchidlane/rollout/voter_state.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from enum import Enum
+from random import Random
 from typing import NamedTuple
 
 import msgspec
@@ -47,6 +48,21 @@
     latest_vote: CastVote | None = msgspec.field(default=None, name="said")
 
 
+class VoterStart(NamedTuple):
+    """What a voter begins with; ``now`` is in microseconds of its own clock.
+
+    ``verifies_store`` is set for the disk of an earlier incarnation, which may be an old copy.
+    """
+
+    rank: int
+    voter_state: VoterState
+    accepted_state: ReplicatedState | None
+    chosen_state: ReplicatedState | None
+    random: Random
+    now: int
+    verifies_store: bool = False
+
+
 # Actions
 
 
--- a/tests/test_consensus_model.py
+++ b/tests/test_consensus_model.py
@@ -21,7 +21,15 @@
 from orchidlane.rollout.messages import Accept, Accepted, Nack, Promise, VoteCountResponse
 from orchidlane.rollout.replicated_state import ReplicatedState
 from orchidlane.rollout.version import Certificate, ContentHashes, Version, VotingMember, content_hash
-from orchidlane.rollout.voter_state import Persist, ProposerPhase, Send, StateChosen, StoreBlob, VoterState
+from orchidlane.rollout.voter_state import (
+    Persist,
+    ProposerPhase,
+    Send,
+    StateChosen,
+    StoreBlob,
+    VoterStart,
+    VoterState,
+)
 
 VOTERS = range(3)
 FIRST = ReplicatedState(
@@ -55,7 +63,8 @@
         self.disks = {rank: VoterState(100 + rank) for rank in VOTERS}
         self.old = dict(self.disks)
         self.voters = {
-            rank: voter_type(rank, self.disks[rank], None, FIRST, FixedRandom(), 0) for rank in VOTERS
+            rank: voter_type(VoterStart(rank, self.disks[rank], None, FIRST, FixedRandom(), 0))
+            for rank in VOTERS
         }
         self.datagrams: frozenset[Datagram] = frozenset()
         self.chosen: dict[int, str] = {}
@@ -125,15 +134,9 @@
     def restart(self, rank: int, voter_state: VoterState) -> None:
         self.disks[rank] = voter_state
         chosen = FIRST  # what it knows to be chosen may be as old as that
-        self.voters[rank] = self.voter_type(
-            rank,
-            voter_state,
-            self.states_by_hash.get(voter_state.accepted_hash),
-            chosen,
-            FixedRandom(),
-            0,
-            verifying_store=True,
-        )
+        accepted = self.states_by_hash.get(voter_state.accepted_hash)
+        start = VoterStart(rank, voter_state, accepted, chosen, FixedRandom(), 0, verifies_store=True)
+        self.voters[rank] = self.voter_type(start)
 
     def verify_store(self, rank: int) -> None:
         """It asks both others, and hears both; from its question on they take nothing of its earlier life.
