--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -1,4 +1,4 @@
-"""One gateway in the simulated world, with endpoints that do exactly what a test says."""
+"""One gateway in a simulated backend, with endpoints that do exactly what a test says."""
 
 from __future__ import annotations
 
@@ -33,6 +33,7 @@
 KEY = b"a-key"
 MS, SECOND = 1_000, 1_000_000
 SETTINGS = (MATERIALS / "fleet.cue").read_text()
+LOW_LIMIT_PLANS = parse_settings(SETTINGS, "fleet.cue").plans
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
@@ -96,8 +97,8 @@
         self.process = self.backend.start("gw-0", self._gateway, rank)
 
     def _gateway(self, rank: int) -> None:
-        knowledge = ConfigurationSnapshot(GENERATION, self.customers, structlog.get_logger(), False)
-        self.program = GatewayProcess(self.loop, self.fleet, rank, b"0123456789abcdef", knowledge)
+        configuration = ConfigurationSnapshot(GENERATION, self.customers, structlog.get_logger(), False)
+        self.program = GatewayProcess(self.loop, self.fleet, rank, b"0123456789abcdef", configuration)
         self.program.run()
 
     def address(self, index: int) -> tuple[str, int]:
--- a/tests/harness/platform_harness.py
+++ b/tests/harness/platform_harness.py
@@ -118,46 +118,46 @@
     def __init__(self, harness: PlatformHarness, at: tuple[str, int]) -> None:
         self.harness, self.at = harness, at
         self.streams: list = []
-        self.unheard: list = []  # polls without a response
-        self.asked: list[bytes] = []
-        self.hello: list[dict] = []  # what a new watch gets first
-        self.beats = True  # an empty line every 2 s, by the protocol
-        self.answers = True  # else polls are accepted and get no response, now or later
+        self.unanswered: list = []  # polls without a response
+        self.polls: list[bytes] = []
+        self.first_events: list[dict] = []  # what a new watch gets first
+        self.sends_keepalives = True  # an empty line every 2 s, by the protocol
+        self.responds = True  # else polls are accepted and get no response, now or later
         self.listener = None
 
-    def _beat(self) -> None:
+    def _send_keepalives(self) -> None:
         while True:
             self.harness.loop.sleep(2 * SECOND)
-            for stream in self.streams if self.beats else ():
+            for stream in self.streams if self.sends_keepalives else ():
                 with suppress(ConnectionClosedError):
                     stream.send(b"1\r\n\n\r\n")
 
     def serve(self) -> None:
         self.listener = self.harness.backend.listen(self.at)
-        self.harness.scope.spawn(self._beat, priority=CONTROL)
+        self.harness.scope.spawn(self._send_keepalives, priority=CONTROL)
         while True:
             try:
                 stream = self.listener.accept()
             except ConnectionClosedError:
                 return
             with suppress(ConnectionClosedError):
-                self._answer(stream)
+                self._respond(stream)
 
-    def _answer(self, stream) -> None:
-        self.asked.append(stream.recv())
-        if not self.answers:
-            self.unheard.append(stream)
+    def _respond(self, stream) -> None:
+        self.polls.append(stream.recv())
+        if not self.responds:
+            self.unanswered.append(stream)
             return
         stream.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.streams.append(stream)
-        for line in self.hello:
+        for line in self.first_events:
             self.send(stream, line)
 
     def send(self, stream, line: dict | bytes, indent: int | None = None) -> None:
         data = line if isinstance(line, bytes) else json.dumps(line, indent=indent).encode() + b"\n"
         stream.send(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def tell(self, generation: int, *instances: dict, reset: bool = False) -> None:
+    def notify(self, generation: int, *instances: dict, reset: bool = False) -> None:
         for stream in self.streams:
             self.send(stream, {"generation": generation, "reset": reset, "instances": list(instances)})
 
@@ -168,7 +168,7 @@
     at = "127.0.0.1"  # where all of it listens
 
     def __init__(self, *handlers, seed: int = 1, **changes) -> None:
-        self.backend = self._world(seed)
+        self.backend = self._make_backend(seed)
         self.loop = EventLoop(self.backend)
         self.handlers = handlers
         self.changes = changes
@@ -177,7 +177,7 @@
         self.ended = False
         self.gateway: PlatformGateway
 
-    def _world(self, seed: int):
+    def _make_backend(self, seed: int):
         return SimulatedBackend(
             seed, NetworkFaults(delay_us=(100, 200), slow_probability=0.0, datagram_loss_probability=0.0)
         )
@@ -189,7 +189,7 @@
     def _run(self, test) -> None:
         self.discovery = Discovery(self, (self.at, DISCOVERY[1]))
         hosts = [self.instance(index) for index in range(len(self.handlers))]
-        self.discovery.hello = [{"generation": 1, "reset": True, "instances": hosts}]
+        self.discovery.first_events = [{"generation": 1, "reset": True, "instances": hosts}]
         with TaskGroup(self.loop) as scope:
             self.scope = scope
             scope.spawn(self.discovery.serve, priority=CONTROL)
@@ -232,7 +232,7 @@
         ours = {name: f"{self.at}:{port}" for name, port in places.items()}
         super().__init__(*handlers, seed=seed, **{**ours, "peers": [ours["peer_listen"]], **changes})
 
-    def _world(self, seed: int):
+    def _make_backend(self, seed: int):
         return RealBackend(seed)
 
     def address(self, index: int) -> tuple[str, int]:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -212,7 +212,7 @@
 def drains(harness, generation=2) -> None:
     """Discovery knows from now on that host 0 drains; whoever asks is told."""
     entry = harness.instance(0, "leaving")
-    harness.discovery.hello = [{"generation": generation, "reset": False, "instances": [entry]}]
+    harness.discovery.first_events = [{"generation": generation, "reset": False, "instances": [entry]}]
 
 
 def is_drain_known(harness) -> bool:
@@ -238,7 +238,7 @@
 @pytest.mark.parametrize("kind", ["silent", "trickles", "trickles an object", "trickles lines of an object"])
 def test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline(backend, kind):
     def test(harness: PlatformHarness) -> None:
-        harness.discovery.beats = False
+        harness.discovery.sends_keepalives = False
         harness.discovery.send(harness.discovery.streams[0], b"\n")  # the last that it says
         began = harness.loop.now()
         if kind != "silent":
@@ -248,7 +248,7 @@
             harness.scope.spawn(trickle, harness, piece)
         drains(harness)
         harness.until(lambda: is_drain_known(harness), within(harness, polling.NOTIFICATION_DEADLINE_US))
-        assert len(harness.discovery.asked) == 2
+        assert len(harness.discovery.polls) == 2
         assert harness.loop.now() - began < within(harness, polling.NOTIFICATION_DEADLINE_US)
 
     run(backend, test)
@@ -269,7 +269,7 @@
 def test_a_watch_with_heartbeats_alone_stays_open(backend):
     def test(harness: PlatformHarness) -> None:
         harness.loop.sleep(3 * polling.HEARTBEAT_INTERVAL_US)
-        assert len(harness.discovery.asked) == 1
+        assert len(harness.discovery.polls) == 1
         assert len(harness.gateway.http_server.connections) == 0
 
     run(backend, test)
@@ -281,7 +281,7 @@
         line = {"generation": 5, "reset": False, "instances": [harness.instance(0, "leaving")]}
         harness.discovery.send(harness.discovery.streams[0], line, indent=2)
         harness.until(lambda: is_drain_known(harness))
-        assert len(harness.discovery.asked) == 1
+        assert len(harness.discovery.polls) == 1
 
     run(backend, test)
 
@@ -295,16 +295,16 @@
         discovery = harness.discovery
         if how == "refuses":
             discovery.listener.close()
-        discovery.answers = False
+        discovery.responds = False
         for stream in discovery.streams:
             stream.abort()
         harness.loop.sleep(4 * SECOND)
         assert (
             isinstance(harness, RealPlatformHarness)
-            or len(discovery.unheard) <= 4 * SECOND // retry_interval_us(GRACE) + 1
+            or len(discovery.unanswered) <= 4 * SECOND // retry_interval_us(GRACE) + 1
         )
         drains(harness)
-        discovery.answers = True
+        discovery.responds = True
         if how == "refuses":
             harness.scope.spawn(discovery.serve, priority=CONTROL)
         harness.until(lambda: is_drain_known(harness), within(harness, GRACE))
@@ -316,16 +316,16 @@
 def test_a_moved_discovery_replaces_the_old_one_that_still_sends_older_events(backend):
     def test(harness: PlatformHarness) -> None:
         other = Discovery(harness, (harness.at, 8501))
-        other.hello = [{"generation": 9, "reset": True, "instances": [harness.instance(0, "leaving")]}]
-        other.answers = False
+        other.first_events = [{"generation": 9, "reset": True, "instances": [harness.instance(0, "leaving")]}]
+        other.responds = False
         harness.scope.spawn(other.serve, priority=CONTROL)
         moved = file(**{**harness.changes, "discovery": f"{harness.at}:8501"})
         harness.gateway.loop.backend.read_file = lambda path: json.dumps(moved).encode()
         harness.gateway.reload()
-        harness.until(lambda: other.asked)
-        harness.discovery.tell(3, harness.instance(0, weight=2.0))  # the old one is followed meanwhile
+        harness.until(lambda: other.polls)
+        harness.discovery.notify(3, harness.instance(0, weight=2.0))  # the old one is followed meanwhile
         harness.until(lambda: harness.gateway.tracker.generation == 3)
-        other.answers = True
+        other.responds = True
         harness.until(lambda: is_drain_known(harness), within(harness, GRACE))
         for stream in harness.discovery.streams:  # ended by us, or what it says is old
             try:
@@ -348,7 +348,7 @@
 def test_an_invalid_list_changes_nothing_and_the_next_valid_one_is_applied(backend, bad, capsys):
     def test(harness: PlatformHarness) -> None:
         before = harness.gateway.tracker.endpoints.copy()
-        harness.discovery.hello = []
+        harness.discovery.first_events = []
         for _ in range(3):
             harness.discovery.send(harness.discovery.streams[-1], bad)
             count = len(harness.discovery.streams)
@@ -377,7 +377,7 @@
             harness.loop.now() + 60 * SECOND,
         )
         assert harness.ask(up)[0] == 503
-        harness.discovery.tell(2, harness.instance(0))
+        harness.discovery.notify(2, harness.instance(0))
         harness.until(lambda: harness.ask(up)[0] == 200, within(harness, GRACE // 2))
 
     run(backend, test)
@@ -412,7 +412,7 @@
 
     class Down(PlatformHarness):
         def _begin(self) -> None:
-            self.discovery.answers = False
+            self.discovery.responds = False
             super()._begin()
 
     def test(harness: PlatformHarness) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The gateway on the platform: hard cases, each caused on purpose, over the simulated network."""
+"""Hard cases of the platform's gateway, each caused on purpose, over the simulated network."""
 
 from __future__ import annotations
 
@@ -46,13 +46,13 @@
 
 
 def silent(harness, index, stream):
-    """A host that takes requests and never answers."""
+    """Read requests and never respond."""
     while True:
         harness.read_request(index, stream)
 
 
-def says(answer: bytes):
-    """A host that gives every request the same answer."""
+def responds_with(answer: bytes):
+    """Return an endpoint that gives every request the same response."""
 
     def handler(harness, index, stream):
         while True:
@@ -89,7 +89,7 @@
     run(serves, test=test)
 
 
-WRONG = [
+INVALID_REQUESTS = [
     call("none"),
     call(method="POST"),
     call("put", method="GET"),
@@ -119,7 +119,7 @@
 ]
 
 
-@pytest.mark.parametrize("raw", WRONG, ids=range(len(WRONG)))
+@pytest.mark.parametrize("raw", INVALID_REQUESTS, ids=range(len(INVALID_REQUESTS)))
 def test_an_invalid_request_gets_an_error_and_is_not_forwarded(raw):
     def test(harness: PlatformHarness) -> None:
         began = harness.loop.now()
@@ -165,14 +165,14 @@
 
 def test_hundreds_of_silent_connections_leave_capacity_for_requests():
     def test(harness: PlatformHarness) -> None:
-        crowd = [harness.connect() for _ in range(300)]
+        others = [harness.connect() for _ in range(300)]
         harness.loop.sleep(200 * MS)
         assert harness.ask(call())[0] == 200
         assert (
             len(harness.gateway.http_server.connections)
             <= harness.gateway.http_server.resource_limits.max_connections
         )
-        assert crowd
+        assert others
 
     run(serves, test=test)
 
@@ -187,9 +187,9 @@
         first = harness.connect()
         first.send(call())
         harness.until(lambda: harness.seen)
-        crowd = [harness.connect() for _ in range(300)]
+        others = [harness.connect() for _ in range(300)]
         assert harness.answer(first)[0] == 200
-        assert crowd
+        assert others
 
     run(slow, test=test)
 
@@ -198,7 +198,7 @@
     def test(harness: PlatformHarness) -> None:
         statuses = [harness.ask(call(plan="small"))[0] for _ in range(6)]
         assert statuses == [200] * 3 + [429] * 3
-        harness.discovery.tell(2, instance(0, "left"))
+        harness.discovery.notify(2, instance(0, "left"))
         harness.loop.sleep(50 * MS)
         assert harness.ask(call(left="0.200", client="0000000000000002"))[0] == 503
 
@@ -217,7 +217,7 @@
 
 @pytest.mark.parametrize("status", [b"503 Busy", b"504 Late"])
 def test_a_request_rejected_with_the_header_is_retried_at_another_endpoint(status):
-    away = says(b"HTTP/1.1 " + status + b"\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
+    away = responds_with(b"HTTP/1.1 " + status + b"\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 
     def test(harness: PlatformHarness) -> None:
         assert [harness.ask(call("bill"))[0] for _ in range(8)] == [200] * 8
@@ -226,7 +226,7 @@
     assert {index for index, _ in harness.seen} == {0, 1}
 
 
-SPOILT = [
+INVALID_RESPONSES = [
     b"\x00\xff\x13noise\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\nhello",
     b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello",
@@ -240,16 +240,16 @@
 ]
 
 
-@pytest.mark.parametrize("answer", SPOILT, ids=range(len(SPOILT)))
+@pytest.mark.parametrize("answer", INVALID_RESPONSES, ids=range(len(INVALID_RESPONSES)))
 def test_an_invalid_response_counts_as_possibly_executed_and_is_not_forwarded(answer):
     def test(harness: PlatformHarness) -> None:
         status, _, body = harness.ask(call("bill"))
         assert (status, body) == (500, b"")
 
-    assert len(run(says(answer), test=test).seen) == 1
+    assert len(run(responds_with(answer), test=test).seen) == 1
 
 
-EXTRAS = [
+VALID_RESPONSES = [
     b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + OK,
     OK + OK,
     OK + b"noise",
@@ -258,12 +258,12 @@
 ]
 
 
-@pytest.mark.parametrize("answer", EXTRAS, ids=range(len(EXTRAS)))
+@pytest.mark.parametrize("answer", VALID_RESPONSES, ids=range(len(VALID_RESPONSES)))
 def test_a_valid_response_with_extra_headers_is_served(answer):
     def test(harness: PlatformHarness) -> None:
         assert [harness.ask(call("bill"))[::2] for _ in range(3)] == [(200, b"ok")] * 3
 
-    run(says(answer), test=test)
+    run(responds_with(answer), test=test)
 
 
 def test_a_new_endpoint_at_a_former_address_inherits_no_connections():
@@ -273,7 +273,7 @@
 
     def test(harness: PlatformHarness) -> None:
         assert harness.ask(call())[0] == 200
-        harness.discovery.tell(2, instance(0, "left"), instance(7, port=9000))
+        harness.discovery.notify(2, instance(0, "left"), instance(7, port=9000))
         harness.loop.sleep(50 * MS)
         assert harness.ask(call())[0] == 200
 
@@ -295,7 +295,8 @@
             client.send(call())
         assert sorted(harness.answer(client)[0] for client in clients) == [200, 200, 503]
         assert all(
-            host.failure_score == 0 for host in harness.gateway.policy_driver.gateway.endpoints.values()
+            endpoint.failure_score == 0
+            for endpoint in harness.gateway.policy_driver.gateway.endpoints.values()
         )
 
     run(slow, slow, test=test)
@@ -304,7 +305,7 @@
 # -- discovery
 
 
-def listed(tracker: DiscoveryTracker, generation: int, *instances, reset: bool = False):
+def apply_list(tracker: DiscoveryTracker, generation: int, *instances, reset: bool = False):
     return tracker.apply_line(
         json.dumps({"generation": generation, "reset": reset, "instances": list(instances)}).encode()
     )
@@ -312,14 +313,16 @@
 
 def test_stale_events_never_make_an_endpoint_ready_again():
     tracker = DiscoveryTracker(("hall-1",))
-    listed(tracker, 40, instance(1), instance(2), reset=True)
-    assert listed(tracker, 41, instance(1, "leaving")) is not None
-    assert listed(tracker, 41, instance(1)) is None
-    assert listed(tracker, 39, instance(1)) is None
-    news = listed(tracker, 12, instance(1), instance(3), reset=True)  # a service that is behind
-    assert [entry.endpoint for entry in news.entries] == [b"s-3"]
+    apply_list(tracker, 40, instance(1), instance(2), reset=True)
+    assert apply_list(tracker, 41, instance(1, "leaving")) is not None
+    assert apply_list(tracker, 41, instance(1)) is None
+    assert apply_list(tracker, 39, instance(1)) is None
+    event = apply_list(
+        tracker, 12, instance(1), instance(3), reset=True
+    )  # a discovery service that is behind
+    assert [entry.endpoint for entry in event.entries] == [b"s-3"]
     assert tracker.state(b"s-1") == "draining"
-    assert listed(tracker, 13, instance(2, "left")) is not None
+    assert apply_list(tracker, 13, instance(2, "left")) is not None
     assert tracker.state(b"s-2") == "gone"
 
 
@@ -340,13 +343,13 @@
 
 def test_a_silent_or_broken_watch_is_reopened_from_its_generation():
     def test(harness: PlatformHarness) -> None:
-        harness.discovery.tell(5, instance(0, "leaving"))
+        harness.discovery.notify(5, instance(0, "leaving"))
         harness.loop.sleep(50 * MS)
-        harness.discovery.hello, harness.discovery.beats = [], False
+        harness.discovery.first_events, harness.discovery.sends_keepalives = [], False
         harness.discovery.streams.pop().abort()
-        harness.until(lambda: len(harness.discovery.asked) == 2)
-        harness.until(lambda: len(harness.discovery.asked) == 3)  # nothing came, not even an empty line
-        assert [b"from=5" in head for head in harness.discovery.asked] == [False, True, True]
+        harness.until(lambda: len(harness.discovery.polls) == 2)
+        harness.until(lambda: len(harness.discovery.polls) == 3)  # nothing came, not even an empty line
+        assert [b"from=5" in head for head in harness.discovery.polls] == [False, True, True]
         assert harness.gateway.tracker.state(b"s-0") == "draining"
 
     run(serves, test=test)
@@ -356,7 +359,7 @@
     def test(harness: PlatformHarness) -> None:
         for generation in range(2, 400):
             gone, new = instance(generation - 2, "left"), instance(generation - 1, port=9000, cell=generation)
-            harness.discovery.tell(generation, gone, new)
+            harness.discovery.notify(generation, gone, new)
             harness.loop.sleep(2 * MS)
             client = f"{generation:016x}"
             assert harness.ask(call(client=client))[0] == 200
@@ -371,7 +374,7 @@
             1,
             1,
         )
-        held = [
+        tables = [
             rules.endpoints,
             rules.cell_pools,
             rules.slow_start_queue,
@@ -379,7 +382,7 @@
             rules.requests,
             gateway.clients.in_flight,
         ]
-        assert [len(table) for table in held] == [1, 1, 0, 0, 0, 0]
+        assert [len(table) for table in tables] == [1, 1, 0, 0, 0, 0]
 
     run(serves, test=test)
 
@@ -399,7 +402,7 @@
         assert harness.ask(call())[0] == 200
         served = len(harness.seen)
         harness.loop.sleep(60 * MS)
-        with suppress(ConnectionClosedError):  # the end crosses a request: it is never sent on
+        with suppress(ConnectionClosedError):  # the close crosses a request: it is not forwarded
             old.send(call())
         assert old.recv() == b""
         harness.until(lambda: harness.ended, 2 * SECOND)
@@ -471,14 +474,16 @@
 def test_reload_switches_discovery_at_once_and_an_invalid_file_changes_nothing():
     def test(harness: PlatformHarness) -> None:
         other = Discovery(harness, (DISCOVERY[0], 8501))
-        other.hello = [{"generation": 9, "reset": True, "instances": [instance(0, "leaving"), instance(1)]}]
+        other.first_events = [
+            {"generation": 9, "reset": True, "instances": [instance(0, "leaving"), instance(1)]}
+        ]
         harness.scope.spawn(other.serve, priority=CONTROL)
         harness.backend.write_file("config.json", b"{")
         harness.gateway.reload()
-        assert len(harness.discovery.asked) == 1
+        assert len(harness.discovery.polls) == 1
         harness.backend.write_file("config.json", json.dumps(file(discovery="127.0.0.1:8501")).encode())
         harness.gateway.reload()
-        harness.until(lambda: other.asked, 50 * MS)
+        harness.until(lambda: other.polls, 50 * MS)
         harness.until(lambda: harness.gateway.tracker.state(b"s-0") == "draining", 50 * MS)
         assert harness.ask(call())[0] == 200
 
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -1,7 +1,6 @@
-"""What if a request, an answer or an end comes between two lines? Each bad order is forced, over real
-connections.
+"""Race conditions of requests, responses and closes, each order forced over real connections.
 
-All parties are tasks of one loop in one process: what a test sends without waiting has arrived at the
+All parties are tasks of one event loop in one process: what a test sends without waiting has arrived at the
 gateway's machine before the gateway runs again.
 """
 
@@ -19,7 +18,7 @@
 
 CLOSE = "Connection: close"
 FULL = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-STRAY = b"x" * 100_000  # more than the gateway reads ahead, less than its machine takes
+UNREAD_BYTES = b"x" * 100_000  # more than the gateway reads ahead, less than its machine takes
 
 
 def run(*handlers, test, **changes) -> RealPlatformHarness:
@@ -34,8 +33,8 @@
         stream.send(OK)
 
 
-def held(harness, index, stream):
-    """A host that answers once the test sets ``harness.answer_now``."""
+def responds_when_told(harness, index, stream):
+    """Respond once the test sets ``harness.answer_now``."""
     while True:
         harness.read_request(index, stream)
         harness.until(lambda: harness.answer_now)
@@ -43,24 +42,24 @@
 
 
 def silent(harness, index, stream):
-    """A host that never answers; tells when its connection has ended."""
+    """Never respond; set ``harness.endpoint_saw_close`` when the connection is closed."""
     harness.read_request(index, stream)
     with suppress(ConnectionClosedError):
         while stream.recv():
             pass
-    harness.host_saw_end = True
+    harness.endpoint_saw_close = True
 
 
-def to_the_end(harness, stream) -> bytes:
-    """All that comes until an end in order; a reset raises Closed."""
+def read_to_end(harness, stream) -> bytes:
+    """Return all bytes up to an orderly close. Raises ConnectionClosedError for a reset."""
     found = b""
     while data := stream.recv(deadline=harness.loop.now() + 5 * SECOND):
         found += data
     return found
 
 
-def to_hosts(harness) -> list:
-    """The gateway's connections to hosts."""
+def endpoint_streams(harness) -> list:
+    """Return the gateway's connections to endpoints."""
     streams = list(harness.backend._descriptors.values())
     return [one for one in streams if getattr(one, "peer", ("", 0)) == (harness.at, 9000)]
 
@@ -71,7 +70,7 @@
 
 
 class Gate:
-    """Holds connections to hosts, from the ``first`` on, after they were made and before they are used."""
+    """Delays connections to endpoints, from the ``first`` on, after they were made and before their use."""
 
     def __init__(self, harness, first: int = 0) -> None:
         self.harness, self.first = harness, first
@@ -89,7 +88,7 @@
         return stream
 
     def open(self) -> None:
-        """Those who wait go on before anything else that comes from now on is known."""
+        """Let the waiting tasks go on before anything that arrives from now on is read."""
         self.is_open = True
         for task in self.waiting:
             self.harness.loop.wake(task)
@@ -102,28 +101,28 @@
     def test(harness: RealPlatformHarness) -> None:
         harness.answer_now = False
         client = harness.connect()
-        send_what_fits(client, call(more=CLOSE) + STRAY)
+        send_what_fits(client, call(more=CLOSE) + UNREAD_BYTES)
         harness.until(lambda: harness.seen)
         harness.answer_now = True
-        answer = to_the_end(harness, client)
+        answer = read_to_end(harness, client)
         assert answer.startswith(b"HTTP/1.1 200")
         assert answer.endswith(b"\r\n\r\nok")
 
-    assert len(run(held, test=test).seen) == 1
+    assert len(run(responds_when_told, test=test).seen) == 1
 
 
 @pytest.mark.parametrize("raw", [b"\x16\x03\x01\r\n\r\n", call("none"), call(left="x")], ids=range(3))
 def test_an_error_response_is_complete_with_unread_bytes_behind_its_request(raw):
     def test(harness: RealPlatformHarness) -> None:
         client = harness.connect()
-        send_what_fits(client, raw.replace(b"Plan", CLOSE.encode() + b"\r\nPlan") + STRAY)
-        assert to_the_end(harness, client).startswith(b"HTTP/1.1 4")
+        send_what_fits(client, raw.replace(b"Plan", CLOSE.encode() + b"\r\nPlan") + UNREAD_BYTES)
+        assert read_to_end(harness, client).startswith(b"HTTP/1.1 4")
 
     assert not run(serves, test=test).seen
 
 
 def idle_client(harness):
-    """A client that was served and rests; long enough for it to be closed to make room."""
+    """Return a client that was served and is idle for long enough to be closed for capacity."""
     client = harness.connect()
     client.send(call())
     assert harness.answer(client)[0] == 200
@@ -134,9 +133,9 @@
 
 def test_a_request_that_came_just_before_eviction_is_served():
     def test(harness: RealPlatformHarness) -> None:
-        client, front = idle_client(harness), harness.gateway.http_server
+        client, server = idle_client(harness), harness.gateway.http_server
         client.send(call())
-        assert not front._close_idle()
+        assert not server._close_idle()
         assert harness.answer(client)[0] == 200
 
     run(serves, test=test)
@@ -144,19 +143,19 @@
 
 def test_a_request_just_after_eviction_finds_a_closed_connection_and_is_not_forwarded():
     def test(harness: RealPlatformHarness) -> None:
-        client, front = idle_client(harness), harness.gateway.http_server
-        assert front._close_idle()
+        client, server = idle_client(harness), harness.gateway.http_server
+        assert server._close_idle()
         client.send(call())
-        assert to_the_end(harness, client) == b""
-        assert not front.connections
+        assert read_to_end(harness, client) == b""
+        assert not server.connections
 
     assert len(run(serves, test=test).seen) == 1
 
 
 def test_a_request_that_came_as_the_idle_timeout_expired_is_served():
     def test(harness: RealPlatformHarness) -> None:
-        front = harness.gateway.http_server
-        front.timeouts = dataclasses.replace(front.timeouts, client_idle_us=30 * MS)
+        server = harness.gateway.http_server
+        server.timeouts = dataclasses.replace(server.timeouts, client_idle_us=30 * MS)
         client = idle_client(harness)
         by = harness.loop.now() + 40 * MS
         client.send(call())
@@ -169,23 +168,23 @@
 
 def test_an_idle_timeout_closes_without_a_reset():
     def test(harness: RealPlatformHarness) -> None:
-        front = harness.gateway.http_server
-        front.timeouts = dataclasses.replace(front.timeouts, client_idle_us=30 * MS)
+        server = harness.gateway.http_server
+        server.timeouts = dataclasses.replace(server.timeouts, client_idle_us=30 * MS)
         client = idle_client(harness)
-        harness.until(lambda: not front.connections)
-        client.send(call())  # crosses the end
-        assert to_the_end(harness, client) == b""
+        harness.until(lambda: not server.connections)
+        client.send(call())  # crosses the close
+        assert read_to_end(harness, client) == b""
 
     assert len(run(serves, test=test).seen) == 1
 
 
 def test_a_request_beyond_the_in_flight_limit_is_rejected_at_once_and_not_delayed():
-    """Held back, its answer came 0.5 s late, or never where its connection went meanwhile to make room."""
+    """Delayed, its response would be late, or lost with a connection closed for capacity."""
 
     def test(harness: RealPlatformHarness) -> None:
         harness.answer_now = False
-        front = harness.gateway.http_server
-        front.timeouts = dataclasses.replace(front.timeouts, error_delay_us=60 * SECOND)
+        server = harness.gateway.http_server
+        server.timeouts = dataclasses.replace(server.timeouts, error_delay_us=60 * SECOND)
         busy = harness.connect()
         busy.send(call())
         harness.until(lambda: harness.seen)
@@ -201,7 +200,7 @@
         assert harness.answer(busy)[0] == 200
 
     permissions = {**settings()["permissions"], "openCap": 1}
-    assert len(run(held, test=test, settings=settings(permissions=permissions)).seen) == 1
+    assert len(run(responds_when_told, test=test, settings=settings(permissions=permissions)).seen) == 1
 
 
 # -- SIGTERM
@@ -209,85 +208,85 @@
 
 def test_requests_that_came_before_the_drain_are_served_and_later_ones_are_not():
     def test(harness: RealPlatformHarness) -> None:
-        front = harness.gateway.http_server
-        resting, asking, half = (idle_client(harness) for _ in range(3))
+        server = harness.gateway.http_server
+        idle, active, half = (idle_client(harness) for _ in range(3))
         newcomer, new_half = harness.connect(), harness.connect()
         raw = call()
         half.send(raw[:30])
         new_half.send(raw[:30])
         harness.until(
-            lambda: len(front.connections) == 5 and sum(c.parser.pending for c in front.connections) == 60
+            lambda: len(server.connections) == 5 and sum(c.parser.pending for c in server.connections) == 60
         )
-        asking.send(call())
+        active.send(call())
         newcomer.send(call())
-        at_the_listener = harness.connect()
-        at_the_listener.send(call())
+        unaccepted = harness.connect()
+        unaccepted.send(call())
         harness.gateway.stopping = True
-        front.drain()  # before any of these tasks runs again
-        resting.send(call())  # crosses the end
+        server.drain()  # before any of these tasks runs again
+        idle.send(call())  # crosses the close
         half.send(raw[30:])
         new_half.send(call()[30:])
-        assert to_the_end(harness, resting) == b""
-        for stream in (asking, newcomer, at_the_listener, half, new_half):
-            answer = to_the_end(harness, stream)
+        assert read_to_end(harness, idle) == b""
+        for stream in (active, newcomer, unaccepted, half, new_half):
+            answer = read_to_end(harness, stream)
             assert answer.startswith(b"HTTP/1.1 200")
             assert b"connection: close" in answer
-        assert not front.connections
+        assert not server.connections
 
     assert len(run(*[serves] * 6, test=test).seen) == 3 + 5
 
 
 @pytest.mark.parametrize("read", [True, False], ids=["read ahead", "at our machine"])
 def test_pipelined_requests_at_the_drain_are_served(read):
-    """The one under way is not the last: those sent along with it had come as well, read by us or not yet."""
+    """The one in flight is not the last: those sent along with it had arrived too, read by us or not yet."""
 
     def test(harness: RealPlatformHarness) -> None:
         harness.answer_now = False
-        front = harness.gateway.http_server
-        if not read:  # the bound of what is read ahead is reached with the first of them
-            front.resource_limits = dataclasses.replace(front.resource_limits, max_pipelined_bytes=1)
+        server = harness.gateway.http_server
+        if not read:  # the first of them reaches the limit of pipelined bytes
+            server.resource_limits = dataclasses.replace(server.resource_limits, max_pipelined_bytes=1)
         client = harness.connect()
         for _ in range(3):
             client.send(call())
         harness.until(lambda: harness.seen and client.sent_bytes and harness.gateway.policy_driver.requests)
         harness.gateway.stopping = True
-        front.drain()
+        server.drain()
         harness.answer_now = True
-        answers = to_the_end(harness, client)
+        answers = read_to_end(harness, client)
         assert answers.count(b"HTTP/1.1 200") == 3
         assert answers.count(b"connection: close") == 1
         assert b"close" in answers.rpartition(b"HTTP/1.1")[2]
-        assert not front.connections
+        assert not server.connections
 
-    assert len(run(*[held] * 3, test=test).seen) == 3
+    assert len(run(*[responds_when_told] * 3, test=test).seen) == 3
 
 
 def test_a_client_that_keeps_sending_is_closed_at_the_end_of_the_shutdown():
-    """However many requests wait behind one another, the last answer says that it is the last."""
+    """However many requests are pipelined, the last response says that it is the last."""
 
     def test(harness: RealPlatformHarness) -> None:
-        front = harness.gateway.http_server
+        server = harness.gateway.http_server
         client = harness.connect()
-        said, unsent = b"", b""
+        received, unsent = b"", b""
 
         def send_more():
             nonlocal unsent
             while len(unsent) < 50_000:  # hundreds always wait
                 unsent += call()
-            with suppress(ConnectionClosedError):  # sent after the end had come
+            with suppress(ConnectionClosedError):  # sent after the close
                 unsent = unsent[client.try_send(unsent) :]
 
         send_more()
         harness.until(lambda: harness.gateway.policy_driver.last_request_number)
         harness.gateway.stopping = True
-        front.shutdown_deadline = harness.loop.now() + 200 * MS
-        front.drain()
+        server.shutdown_deadline = harness.loop.now() + 200 * MS
+        server.drain()
         while data := client.recv(deadline=harness.loop.now() + 5 * SECOND):
-            said += data
+            received += data
             send_more()
-        assert front.shutdown_deadline <= harness.loop.now() < front.shutdown_deadline + SECOND
-        assert said.count(b"connection: close") == 1
-        assert not front.connections
+        assert server.shutdown_deadline <= harness.loop.now() < server.shutdown_deadline + SECOND
+        assert received.count(b"connection: close") == 1
+        assert not server.connections
 
     run(*[serves] * 3, test=test)
 
@@ -295,19 +294,19 @@
 def test_a_client_that_waits_for_capacity_at_the_drain_is_closed_without_a_reset():
     def test(harness: RealPlatformHarness) -> None:
         harness.answer_now = False
-        front = harness.gateway.http_server
-        front.resource_limits = dataclasses.replace(front.resource_limits, max_connections=1)
+        server = harness.gateway.http_server
+        server.resource_limits = dataclasses.replace(server.resource_limits, max_connections=1)
         busy, crowded = harness.connect(), harness.connect()
         busy.send(call())
         harness.until(lambda: harness.seen)
         crowded.send(call())
-        harness.until(lambda: not harness.backend.glance(front.listener, select.POLLIN))  # it was taken
-        front.drain()
-        assert to_the_end(harness, crowded) == b""
+        harness.until(lambda: not harness.backend.glance(server.listener, select.POLLIN))  # it was accepted
+        server.drain()
+        assert read_to_end(harness, crowded) == b""
         harness.answer_now = True
         assert harness.answer(busy)[0] == 200
 
-    assert len(run(held, test=test).seen) == 1
+    assert len(run(responds_when_told, test=test).seen) == 1
 
 
 def test_sigterm_with_a_request_at_each_stage_answers_each_exactly_once():
@@ -328,11 +327,11 @@
         harness.loop.sleep(ACCEPT_PERIOD_US)
         harness.answer_now = True
         for name, stream in streams.items():
-            answer = to_the_end(harness, stream)
+            answer = read_to_end(harness, stream)
             assert answer.count(b"HTTP/1.1 200") == (name != "at rest"), name
         harness.until(lambda: harness.ended)
 
-    assert len(run(held, held, held, test=test).seen) == 3
+    assert len(run(responds_when_told, responds_when_told, responds_when_told, test=test).seen) == 3
 
 
 # -- ends, whatever the deadlines
@@ -340,11 +339,11 @@
 
 @pytest.mark.parametrize("longest", [1 * MS, 150 * MS, SECOND, 3 * SECOND, 60 * SECOND])
 def test_the_shutdown_times_add_up_to_the_kill_delay(longest):
-    leave, last, end = graceful_shutdown(0, longest)
+    stop_accepting, stop_waiting, end = graceful_shutdown(0, longest)
     counted = min(longest, 3 * SECOND)
-    assert leave >= 400 * MS  # new connections keep coming
-    assert leave + counted <= last < end < counted + 700 * MS
-    assert end - last >= 50 * MS  # for the last answers
+    assert stop_accepting >= 400 * MS  # new connections keep coming
+    assert stop_accepting + counted <= stop_waiting < end < counted + 700 * MS
+    assert end - stop_waiting >= 50 * MS  # for the last answers
 
 
 @pytest.mark.parametrize("deadline", [120 * MS, 2 * SECOND])
@@ -362,7 +361,7 @@
         harness.gateway.stop()
         served = 0
         while True:
-            with suppress(ConnectionClosedError):  # sent after the end had come
+            with suppress(ConnectionClosedError):  # sent after the close
                 client.send(call(left=f"{deadline / SECOND:.3f}"))
             if not (said := client.recv(deadline=harness.loop.now() + 5 * SECOND)):
                 break
@@ -374,7 +373,7 @@
     classes = [{**cls, "deadline": deadline, "target": deadline} for cls in settings()["classes"]]
     PlatformHarness(slow, settings=settings(classes=classes)).run(
         test
-    )  # exact times are the simulated world's
+    )  # exact times need the simulated network
 
 
 # -- clients that have left
@@ -410,7 +409,7 @@
         client.send(call("put", body=b"1"))
         harness.until(lambda: gate.waiting)
         getattr(client, leave)()
-        gate.open()  # the attempt goes on before its front hears of the end
+        gate.open()  # the attempt goes on before the server sees the close
         harness.until(lambda: not harness.gateway.policy_driver.requests)
         harness.until(lambda: not harness.gateway.policy_driver.gateway.attempts)
         assert not harness.gateway.clients.in_flight
@@ -421,9 +420,9 @@
 @pytest.mark.parametrize("leave", LEAVE)
 def test_a_client_that_leaves_behind_pipelined_bytes_is_detected(leave):
     def test(harness: RealPlatformHarness) -> None:
-        harness.host_saw_end = False
+        harness.endpoint_saw_close = False
         client = harness.connect()
-        send_what_fits(client, call(left="2.000") + STRAY)
+        send_what_fits(client, call(left="2.000") + UNREAD_BYTES)
         harness.until(lambda: harness.seen)
         turns = harness.loop.turns
         harness.loop.sleep(20 * MS)
@@ -433,7 +432,7 @@
         harness.until(
             lambda: not harness.gateway.policy_driver.requests, 1_500 * MS
         )  # before its time is over
-        harness.until(lambda: harness.host_saw_end)
+        harness.until(lambda: harness.endpoint_saw_close)
 
     run(silent, test=test)
 
@@ -442,7 +441,7 @@
     def test(harness: RealPlatformHarness) -> None:
         gate = Gate(harness)
         client = harness.connect()
-        send_what_fits(client, call() + STRAY)
+        send_what_fits(client, call() + UNREAD_BYTES)
         harness.until(lambda: gate.waiting)
         client.abort()
         gate.open()
@@ -462,16 +461,16 @@
 def test_an_endpoint_that_writes_as_its_idle_connection_closes_is_not_reset():
     def test(harness: RealPlatformHarness) -> None:
         assert harness.ask(call())[0] == 200
-        theirs = harness.host_stream
+        theirs = harness.endpoint_stream
         theirs.send(b"HTTP/1.1 2")  # half a line, unread when the connection goes
         harness.gateway.pool.retire_idle(b"s-0")
         theirs.send(b"00 OK\r\n")
-        assert to_the_end(harness, theirs) == b""
+        assert read_to_end(harness, theirs) == b""
         theirs.close()
         harness.until(lambda: not harness.gateway.pool.lingering)
 
     def once(harness, index, stream):
-        harness.host_stream = stream
+        harness.endpoint_stream = stream
         harness.read_request(index, stream)
         stream.send(OK)
         harness.loop.sleep(60 * SECOND)
@@ -500,7 +499,7 @@
 
 
 def test_a_connection_released_unused_keeps_its_age():
-    """Its host closes it by the time since its last request, whoever looked at it meanwhile."""
+    """Its endpoint closes it by the time since the last request, whoever acquired it meanwhile."""
 
     def test(harness: RealPlatformHarness) -> None:
         assert harness.ask(call())[0] == 200
@@ -552,11 +551,11 @@
 def test_a_response_is_served_only_if_it_is_complete(name):
     raw, how, status = ANSWERS[name]
 
-    def host(harness, index, stream):
+    def endpoint(harness, index, stream):
         harness.read_request(index, stream)
         if raw:
             stream.send(raw)
-            harness.until(lambda: not any(one.has_input() for one in to_hosts(harness)))
+            harness.until(lambda: not any(one.has_input() for one in endpoint_streams(harness)))
         if how:
             getattr(stream, how)()
 
@@ -564,16 +563,16 @@
         found = harness.ask(call("bill", left="1.500"))
         assert (found[0], found[2]) == (status, b"ok" if status == 200 else b"")
 
-    assert len(run(host, test=test).seen) == 1
+    assert len(run(endpoint, test=test).seen) == 1
 
 
 def numbered(harness) -> bytes:
-    """An answer that tells which request it was made for."""
+    """Return a response that says which request it is for."""
     return OK.replace(b"ok", b"%02d" % len(harness.seen))
 
 
 def test_a_second_response_that_crosses_the_next_request_is_not_matched_to_it():
-    """It was on its way when that request left: nothing tells the two apart, so none may leave so soon."""
+    """It was on its way when that request was sent: nothing tells the two apart, so reuse is delayed."""
 
     def answers_again(harness, index, stream):
         before = b""
@@ -651,7 +650,7 @@
 
 @pytest.mark.parametrize(("window", "sent"), [(900_000, 2), (30_000, 1)])
 def test_a_reset_request_with_an_idempotency_key_is_retried_within_its_window_only(window, sent):
-    """A window as short as what is kept free of it for the way lets nothing be sent again."""
+    """A window no longer than its safety margin permits no retry."""
 
     def test(harness: RealPlatformHarness) -> None:
         assert harness.ask(call("put", body=b"1"))[0] == (200 if sent == 2 else 500)
--- a/tests/test_respfront.py
+++ b/tests/test_respfront.py
@@ -1,37 +1,36 @@
-"""The RESP front's hard cases over the simulated network."""
+"""Hard cases of the RESP server over the simulated network."""
 
 from __future__ import annotations
 
 import pytest
-from harness.gateway_harness import GET, KEY, MS, SECOND, SETTINGS, GatewayHarness, good
-from test_gateway import TIGHT
+from harness.gateway_harness import GET, KEY, LOW_LIMIT_PLANS, MS, SECOND, SETTINGS, GatewayHarness, good
 
 from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.resp import Decoder, ErrorReply, encode
 from orchidlane.runtime import ConnectionClosedError, DeadlineExceededError
 
-DOOR = ("127.0.0.1", 8380)
-ALONE = parse_settings(SETTINGS, "fleet.cue").gateways[:1]
+RESP_ADDRESS = ("127.0.0.1", 8380)
+ONE_GATEWAY = parse_settings(SETTINGS, "fleet.cue").gateways[:1]
 
 
 def run(test, **changes) -> None:
     limits = {"token_life": 1 * SECOND, **changes.pop("limits", {})}
-    GatewayHarness(good, gateways=ALONE, limits=limits, **changes).run(test)
+    GatewayHarness(good, gateways=ONE_GATEWAY, limits=limits, **changes).run(test)
 
 
-def replies(house: GatewayHarness, stream, count: int, wait: int = 5 * SECOND) -> list:
+def replies(harness: GatewayHarness, stream, count: int, wait: int = 5 * SECOND) -> list:
     decoder, found = Decoder(), []
     while len(found) < count:
-        decoder.receive(stream.recv(deadline=house.loop.now() + wait))
+        decoder.receive(stream.recv(deadline=harness.loop.now() + wait))
         while (value := decoder.next_value()) is not None:
             found.append(value[0])
     return found
 
 
-def call(house: GatewayHarness, *words) -> object:
-    stream = house.backend.connect(DOOR)
+def call(harness: GatewayHarness, *words) -> object:
+    stream = harness.backend.connect(RESP_ADDRESS)
     stream.send(encode([KEY if word is KEY else str(word) for word in words]))
-    found = replies(house, stream, 1)[0]
+    found = replies(harness, stream, 1)[0]
     stream.close()
     return found
 
@@ -40,199 +39,199 @@
     return encode(["LIMIT.TAKE", KEY, str(units)])
 
 
-def test_a_long_pipeline_does_not_hold_others_up():
-    def test(house):
-        busy, other = house.backend.connect(DOOR), house.backend.connect(DOOR)
+def test_a_long_pipeline_does_not_delay_other_clients():
+    def test(harness):
+        busy, other = harness.backend.connect(RESP_ADDRESS), harness.backend.connect(RESP_ADDRESS)
         order = []
 
         def read(name, stream, count):
-            replies(house, stream, count)
+            replies(harness, stream, count)
             order.append(name)
 
-        task = house.scope.spawn(read, "pipeline", busy, 10_000)
+        task = harness.scope.spawn(read, "pipeline", busy, 10_000)
         busy.send(take() * 10_000)
-        house.scope.spawn(read, "one", other, 1)
+        harness.scope.spawn(read, "one", other, 1)
         other.send(take())
         while not task.is_done:
-            house.loop.sleep(MS)
+            harness.loop.sleep(MS)
         assert order == ["one", "pipeline"]
 
     run(test)
 
 
 def test_a_client_that_reads_nothing_is_closed_and_costs_no_memory():
-    def test(house):
-        stream = house.backend.connect(DOOR)
+    def test(harness):
+        stream = harness.backend.connect(RESP_ADDRESS)
         sent = 0
         try:
             while True:
-                stream.send(take() * 1_000, house.loop.now() + 2 * SECOND)
+                stream.send(take() * 1_000, harness.loop.now() + 2 * SECOND)
                 sent += 1_000
         except (DeadlineExceededError, ConnectionClosedError):
             pass
         assert sent < 20_000
-        house.loop.sleep(3 * SECOND)
-        assert not house.program.resp_server.connections
+        harness.loop.sleep(3 * SECOND)
+        assert not harness.program.resp_server.connections
 
     run(test, times={"write": 2 * SECOND})
 
 
-def test_half_a_command_and_silence_ends_after_a_while():
-    def test(house):
-        stream = house.backend.connect(DOOR)
+def test_an_incomplete_command_ends_at_the_timeout():
+    def test(harness):
+        stream = harness.backend.connect(RESP_ADDRESS)
         stream.send(b"*3\r\n$10\r\nLIMIT.")
-        began = house.loop.now()
+        began = harness.loop.now()
         assert stream.recv(deadline=began + 5 * SECOND) == b""
-        assert house.loop.now() - began < 3 * SECOND
+        assert harness.loop.now() - began < 3 * SECOND
 
     run(test, times={"body": 2 * SECOND})
 
 
-def test_both_fronts_draw_on_one_store():
-    def test(house):
-        granted = sum(call(house, "LIMIT.TAKE", KEY, 1)[0] for _ in range(6))
-        served = sum(house.ask(GET)[0] == 200 for _ in range(20))
+def test_http_and_resp_clients_share_one_quota():
+    def test(harness):
+        granted = sum(call(harness, "LIMIT.TAKE", KEY, 1)[0] for _ in range(6))
+        served = sum(harness.ask(GET)[0] == 200 for _ in range(20))
         assert granted == 6
         assert granted + served <= 13
-        assert call(house, "LIMIT.TAKE", KEY, 3)[0] == 0
+        assert call(harness, "LIMIT.TAKE", KEY, 3)[0] == 0
 
-    run(test, plans=TIGHT)
+    run(test, plans=LOW_LIMIT_PLANS)
 
 
-def test_a_take_waits_for_room_when_told_to():
-    def test(house):
-        while call(house, "LIMIT.TAKE", KEY, 2)[0]:
+def test_a_take_with_a_wait_is_granted_once_there_is_capacity():
+    def test(harness):
+        while call(harness, "LIMIT.TAKE", KEY, 2)[0]:
             pass
-        began = house.loop.now()
-        assert call(house, "LIMIT.TAKE", KEY, 2, "WITHIN", 5_000)[0] == 1
-        assert 100 * MS < house.loop.now() - began < 5 * SECOND
+        began = harness.loop.now()
+        assert call(harness, "LIMIT.TAKE", KEY, 2, "WITHIN", 5_000)[0] == 1
+        assert 100 * MS < harness.loop.now() - began < 5 * SECOND
 
-    run(test, plans=TIGHT)
+    run(test, plans=LOW_LIMIT_PLANS)
 
 
-def test_a_drain_answers_the_command_that_is_under_way():
-    def test(house):
-        while call(house, "LIMIT.TAKE", KEY, 2)[0]:
+def test_a_drain_answers_the_command_in_flight():
+    def test(harness):
+        while call(harness, "LIMIT.TAKE", KEY, 2)[0]:
             pass
-        idle, stream = house.backend.connect(DOOR), house.backend.connect(DOOR)
+        idle, stream = harness.backend.connect(RESP_ADDRESS), harness.backend.connect(RESP_ADDRESS)
         stream.send(encode(["LIMIT.TAKE", KEY, "2", "WITHIN", "5000"]))
-        house.loop.sleep(50 * MS)
-        house.program.stop()
-        assert idle.recv(deadline=house.loop.now() + SECOND) == b""
-        assert replies(house, stream, 1)[0][0] == 1
-        assert stream.recv(deadline=house.loop.now() + SECOND) == b""
-
-    run(test, plans=TIGHT)
-
-
-def test_a_token_whose_gateway_restarted_is_not_counted_again_and_nothing_comes_back():
-    def test(house):
-        house.loop.sleep(SECOND)
-        assert call(house, "LIMIT.TAKE", KEY, 1, "IDEMPOTENT", "t")[0] == 1
-        house.backend.kill(house.process)
-        house.start()
-        house.loop.sleep(300 * MS)
-        unsure = call(house, "LIMIT.TAKE", KEY, 1, "IDEMPOTENT", "t")
-        assert isinstance(unsure, ErrorReply)
-        assert unsure.text.startswith("TRYAGAIN")
-        assert call(house, "LIMIT.GIVEBACK", KEY, "t").text.startswith("TRYAGAIN")
-        house.loop.sleep(SECOND)
-        assert call(house, "LIMIT.GIVEBACK", KEY, "t").text.startswith("NOGRANT")
+        harness.loop.sleep(50 * MS)
+        harness.program.stop()
+        assert idle.recv(deadline=harness.loop.now() + SECOND) == b""
+        assert replies(harness, stream, 1)[0][0] == 1
+        assert stream.recv(deadline=harness.loop.now() + SECOND) == b""
+
+    run(test, plans=LOW_LIMIT_PLANS)
+
+
+def test_an_idempotent_take_is_not_counted_again_after_a_restart():
+    def test(harness):
+        harness.loop.sleep(SECOND)
+        assert call(harness, "LIMIT.TAKE", KEY, 1, "IDEMPOTENT", "t")[0] == 1
+        harness.backend.kill(harness.process)
+        harness.start()
+        harness.loop.sleep(300 * MS)
+        unknown = call(harness, "LIMIT.TAKE", KEY, 1, "IDEMPOTENT", "t")
+        assert isinstance(unknown, ErrorReply)
+        assert unknown.text.startswith("TRYAGAIN")
+        assert call(harness, "LIMIT.GIVEBACK", KEY, "t").text.startswith("TRYAGAIN")
+        harness.loop.sleep(SECOND)
+        assert call(harness, "LIMIT.GIVEBACK", KEY, "t").text.startswith("NOGRANT")
 
     run(test)
 
 
-def test_a_reservation_that_expires_comes_back_once():
-    def test(house):
-        name = call(house, "LIMIT.RESERVE", KEY, 5, "FOR", 500)
-        assert call(house, "LIMIT.PEEK", KEY)[8] == b"credit"
-        house.loop.sleep(600 * MS)
+def test_an_expired_reservation_is_returned_once():
+    def test(harness):
+        name = call(harness, "LIMIT.RESERVE", KEY, 5, "FOR", 500)
+        assert call(harness, "LIMIT.PEEK", KEY)[8] == b"credit"
+        harness.loop.sleep(600 * MS)
         text = name.decode()
-        assert call(house, "LIMIT.COMMIT", KEY, text).text.startswith("EXPIRED")
-        assert call(house, "LIMIT.RELEASE", KEY, text).text.startswith("EXPIRED")
-        assert call(house, "LIMIT.PEEK", KEY)[9] == b"5.0"
+        assert call(harness, "LIMIT.COMMIT", KEY, text).text.startswith("EXPIRED")
+        assert call(harness, "LIMIT.RELEASE", KEY, text).text.startswith("EXPIRED")
+        assert call(harness, "LIMIT.PEEK", KEY)[9] == b"5.0"
 
     run(test)
 
 
-def test_at_the_bound_of_grants_reservations_are_refused_and_nothing_is_counted():
-    def test(house):
+def test_at_the_grant_limit_reservations_are_rejected_and_not_counted():
+    def test(harness):
         for _ in range(3):
-            assert call(house, "LIMIT.RESERVE", KEY, 1, "FOR", 5_000)
-        before = house.program.limit_service.granted
-        assert call(house, "LIMIT.RESERVE", KEY, 1, "FOR", 5_000).text.startswith("BUSY")
-        assert house.program.limit_service.granted == before
+            assert call(harness, "LIMIT.RESERVE", KEY, 1, "FOR", 5_000)
+        before = harness.program.limit_service.granted
+        assert call(harness, "LIMIT.RESERVE", KEY, 1, "FOR", 5_000).text.startswith("BUSY")
+        assert harness.program.limit_service.granted == before
 
     run(test, limits={"grants": 3})
 
 
-def test_at_the_bound_of_clients_the_next_is_told_so():
-    def test(house):
-        held = [house.backend.connect(DOOR) for _ in range(2)]
-        house.loop.sleep(50 * MS)
-        assert house.backend.connect(DOOR).recv() == b"-ERR max number of clients reached\r\n"
-        held[0].close()
-        house.loop.sleep(50 * MS)
-        assert call(house, "PING").text == "PONG"
+def test_at_the_connection_limit_the_next_client_gets_an_error():
+    def test(harness):
+        clients = [harness.backend.connect(RESP_ADDRESS) for _ in range(2)]
+        harness.loop.sleep(50 * MS)
+        assert harness.backend.connect(RESP_ADDRESS).recv() == b"-ERR max number of clients reached\r\n"
+        clients[0].close()
+        harness.loop.sleep(50 * MS)
+        assert call(harness, "PING").text == "PONG"
 
     run(test, limits={"connections": 2})
 
 
-def to_the_end(house: GatewayHarness, stream) -> bytes:
-    """All up to an end in order; a reset raises Closed."""
+def read_to_end(harness: GatewayHarness, stream) -> bytes:
+    """Return all bytes up to an orderly close. Raises ConnectionClosedError for a reset."""
     found = b""
-    while data := stream.recv(deadline=house.loop.now() + 5 * SECOND):
+    while data := stream.recv(deadline=harness.loop.now() + 5 * SECOND):
         found += data
     return found
 
 
-STRAY = b"x" * 200_000  # more than is read at once
+UNREAD_BYTES = b"x" * 200_000  # more than is read at once
 
 
 @pytest.mark.parametrize(
     ("raw", "reply"),
     [(encode(["QUIT"]), b"+OK\r\n"), (b"*1\r\n$x\r\n", b"-ERR Protocol error")],
-    ids=["quit", "out of step"],
+    ids=["quit", "protocol error"],
 )
-def test_a_last_reply_is_whole_though_unread_bytes_wait_behind_its_command(raw, reply):
-    def test(house):
-        stream = house.backend.connect(DOOR)
-        stream.send(raw + STRAY)
-        assert to_the_end(house, stream).startswith(reply)
-        assert not house.program.resp_server.connections
+def test_a_last_reply_is_complete_with_unread_bytes_behind_its_command(raw, reply):
+    def test(harness):
+        stream = harness.backend.connect(RESP_ADDRESS)
+        stream.send(raw + UNREAD_BYTES)
+        assert read_to_end(harness, stream).startswith(reply)
+        assert not harness.program.resp_server.connections
 
     run(test)
 
 
-def test_a_client_beyond_the_bound_that_sent_already_hears_why_it_goes():
-    def test(house):
-        first = house.backend.connect(DOOR)
+def test_a_client_beyond_the_limit_that_has_sent_commands_gets_the_error():
+    def test(harness):
+        first = harness.backend.connect(RESP_ADDRESS)
         first.send(encode(["PING"]))
-        assert replies(house, first, 1)
-        second = house.backend.connect(DOOR)
-        second.send(take() + STRAY)
-        assert to_the_end(house, second) == b"-ERR max number of clients reached\r\n"
+        assert replies(harness, first, 1)
+        second = harness.backend.connect(RESP_ADDRESS)
+        second.send(take() + UNREAD_BYTES)
+        assert read_to_end(harness, second) == b"-ERR max number of clients reached\r\n"
 
     run(test, limits={"connections": 1})
 
 
-def test_what_has_come_when_a_gateway_leaves_is_answered_and_a_command_that_crosses_its_end_resets_nothing():
-    def test(house):
-        asking, resting = house.backend.connect(DOOR), house.backend.connect(DOOR)
-        for stream in (asking, resting):
+def test_commands_before_the_drain_are_answered_and_one_that_crosses_the_close_resets_nothing():
+    def test(harness):
+        active, idle = harness.backend.connect(RESP_ADDRESS), harness.backend.connect(RESP_ADDRESS)
+        for stream in (active, idle):
             stream.send(encode(["PING"]))
-            assert replies(house, stream, 1)
-        front = house.program.resp_server
-        house.loop.freeze(house.process)  # the command is there, and no task of the gateway has run since
-        asking.send(take())
-        house.loop.sleep(50 * MS)
-        granted = front.service.granted
-        front.drain()
-        house.loop.thaw(house.process)
-        resting.send(take())  # crosses the end
-        assert to_the_end(house, resting) == b""
-        assert to_the_end(house, asking).startswith(b"*3\r\n:1\r\n")
-        assert front.service.granted == granted + 1
+            assert replies(harness, stream, 1)
+        server = harness.program.resp_server
+        harness.loop.freeze(harness.process)  # the command arrives while no task of the gateway runs
+        active.send(take())
+        harness.loop.sleep(50 * MS)
+        granted = server.service.granted
+        server.drain()
+        harness.loop.thaw(harness.process)
+        idle.send(take())  # crosses the close
+        assert read_to_end(harness, idle) == b""
+        assert read_to_end(harness, active).startswith(b"*3\r\n:1\r\n")
+        assert server.service.granted == granted + 1
 
     run(test)
 
