--- a/orchidlane/gateway/__init__.py
+++ b/orchidlane/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The running gateway: fronts, the host of the module, upstream connections, peers, the node list."""
+"""The running gateway: servers, policy driver, connections to endpoints, peers, the endpoint list."""
--- a/orchidlane/gateway/lifecycle/old_side.py
+++ b/orchidlane/gateway/lifecycle/old_side.py
@@ -165,7 +165,7 @@
         channel = self.channels.get(action.channel)
         if channel is not None:
             channel.send(messages.Abort(action.reason))
-            self.scope.spawn(self._close_flushed, channel, priority=CONTROL, name="turned away")
+            self.scope.spawn(self._close_flushed, channel, priority=CONTROL, name="reject successor")
 
     def _close_flushed(self, channel: Channel) -> None:
         with contextlib.suppress(DeadlineExceededError):
--- a/orchidlane/gateway/server/request_reader.py
+++ b/orchidlane/gateway/server/request_reader.py
@@ -108,9 +108,9 @@
         connection.parser.receive(data)
 
     def read_complete(self, connection: ClientConnection, exchange: PendingRequest) -> None:
-        """Read a request to its end, where it begins with its last byte: nobody is notified of it before.
+        """Read a request to its end, where it begins with its last byte: the policy knows of none before.
 
-        Raises Closed where the client left, Malformed where the body takes too long.
+        Raises ConnectionClosedError where the client left, Malformed where the body takes too long.
         """
         server = self._server
         deadline = self._head_deadline(connection)
