--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -180,6 +180,13 @@
                 return head.status, head.headers, body
 
 
+def run(*handlers, test, **changes) -> GatewayHarness:
+    """Run one test on a harness with these endpoints and settings; return the harness."""
+    harness = GatewayHarness(*handlers, **changes)
+    harness.run(test)
+    return harness
+
+
 def request(method: str, target: str, headers: str = "", body: bytes = b"", length: bool = True) -> bytes:
     """Encode a request with the customer's key."""
     lines = f"{method} {target} HTTP/1.1\r\nHost: g\r\nX-Api-Key: {KEY.decode()}\r\n{headers}"
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -14,24 +14,15 @@
     REPORT,
     SECOND,
     UPLOAD,
-    GatewayHarness,
     good,
     request,
     resets_after,
+    run,
     silent,
 )
 
 from orchidlane import http1
-
-
-def header(headers, name: bytes) -> bytes | None:
-    return http1.header(headers, name)
-
-
-def run(*handlers, test, **changes) -> GatewayHarness:
-    harness = GatewayHarness(*handlers, **changes)
-    harness.run(test)
-    return harness
+from orchidlane.http1 import header
 
 
 def test_a_request_is_forwarded_and_its_response_returned():
