--- /dev/null
+++ b/tests/harness/platform_endpoints.py
@@ -0,0 +1,37 @@
+"""Endpoints for tests of the platform's gateway, and a run of one test with them."""
+
+from __future__ import annotations
+
+from harness.platform_harness import (
+    OK,
+    PlatformHarness,
+)
+
+
+def run(*handlers, test, **changes) -> PlatformHarness:
+    harness = PlatformHarness(*handlers, **changes)
+    harness.run(test)
+    return harness
+
+
+def serves(harness, index, stream):
+    while True:
+        harness.heads.append(harness.read_request(index, stream)[0])
+        stream.send(OK)
+
+
+def silent(harness, index, stream):
+    """Read requests and never respond."""
+    while True:
+        harness.read_request(index, stream)
+
+
+def responds_with(answer: bytes):
+    """Return an endpoint that gives every request the same response."""
+
+    def handler(harness, index, stream):
+        while True:
+            harness.read_request(index, stream)
+            stream.send(answer)
+
+    return handler
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -3,9 +3,11 @@
 from __future__ import annotations
 
 import pytest
+import test_connection_races as connection_races
 import test_discovery as discovery
+import test_endpoint_races as endpoint_races
 import test_lingering as lingering
-import test_race_conditions as race_conditions
+import test_shutdown_races as shutdown_races
 from harness.platform_harness import SECOND, PlatformHarness
 
 from orchidlane.gateway.control.json_stream import JsonObjectSplitter
@@ -57,21 +59,21 @@
     test(EventLoop(RealBackend(1)), *arguments)
 
 
-HELD_BACK = race_conditions.test_a_client_that_leaves_behind_pipelined_bytes_is_detected
-CONNECTS = race_conditions.test_a_request_of_a_client_that_leaves_while_its_attempt_connects_is_not_sent
+HELD_BACK = connection_races.test_a_client_that_leaves_behind_pipelined_bytes_is_detected
+CONNECTS = connection_races.test_a_request_of_a_client_that_leaves_while_its_attempt_connects_is_not_sent
 BROKEN = {
     "no lingering": (
         LingeringConnections,
         "close",
         closes_at_once,
-        race_conditions.test_a_last_response_is_complete_with_unread_bytes_behind_its_request,
+        connection_races.test_a_last_response_is_complete_with_unread_bytes_behind_its_request,
         (),
     ),
     "no lingering of hosts'": (
         LingeringConnections,
         "close",
         closes_at_once,
-        race_conditions.test_an_endpoint_that_writes_as_its_idle_connection_closes_is_not_reset,
+        endpoint_races.test_an_endpoint_that_writes_as_its_idle_connection_closes_is_not_reset,
         (),
     ),
     "lingering without a bound": (
@@ -85,49 +87,49 @@
         RealStream,
         "has_input",
         no,
-        race_conditions.test_a_request_that_came_just_before_eviction_is_served,
+        connection_races.test_a_request_that_came_just_before_eviction_is_served,
         (),
     ),
     "idle time without a look": (
         RequestReader,
         "wait_for_first_bytes",
         wait_without_a_look,
-        race_conditions.test_a_request_that_came_as_the_idle_timeout_expired_is_served,
+        connection_races.test_a_request_that_came_as_the_idle_timeout_expired_is_served,
         (),
     ),
     "drains without a look": (
         HttpServer,
         "_is_idle",
         yes,
-        race_conditions.test_requests_that_came_before_the_drain_are_served_and_later_ones_are_not,
+        shutdown_races.test_requests_that_came_before_the_drain_are_served_and_later_ones_are_not,
         (),
     ),
     "drains without the waiting": (
         HttpServer,
         "_try_accept",
         no_more,
-        race_conditions.test_requests_that_came_before_the_drain_are_served_and_later_ones_are_not,
+        shutdown_races.test_requests_that_came_before_the_drain_are_served_and_later_ones_are_not,
         (),
     ),
     "drains with the first answer": (
         RequestHandler,
         "_is_last_response",
         lambda self, connection: self._server.draining,
-        race_conditions.test_pipelined_requests_at_the_drain_are_served,
+        shutdown_races.test_pipelined_requests_at_the_drain_are_served,
         (True,),
     ),
     "drains for ever": (
         RequestHandler,
         "_is_last_response",
         lambda self, connection: self._server.draining and not connection.stream.has_input(),
-        race_conditions.test_a_client_that_keeps_sending_is_closed_at_the_end_of_the_shutdown,
+        shutdown_races.test_a_client_that_keeps_sending_is_closed_at_the_end_of_the_shutdown,
         (),
     ),
     "young because it was taken": (
         ConnectionPool,
         "release_unused",
         ConnectionPool.release,
-        race_conditions.test_a_connection_released_unused_keeps_its_age,
+        endpoint_races.test_a_connection_released_unused_keeps_its_age,
         (),
     ),
     "no last look, first attempt": (RealStream, "is_closed_by_peer", no, CONNECTS, (1, "half_close")),
@@ -138,7 +140,7 @@
         lifecycle,
         "graceful_shutdown",
         old_shutdown,
-        race_conditions.test_requests_before_the_drain_have_their_full_deadline,
+        shutdown_races.test_requests_before_the_drain_have_their_full_deadline,
         (120_000,),
     ),
     "silent for long": (
--- /dev/null
+++ b/tests/test_connection_races.py
@@ -0,0 +1,198 @@
+"""Races between clients' requests and the close of their connections, by the gateway or by the client.
+
+All parties are tasks of one event loop in one process: what a test sends without waiting has arrived at the
+gateway's machine before the gateway runs again.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+
+import pytest
+from harness.platform_harness import MS, SECOND, RealPlatformHarness, call, settings
+from harness.race_harness import (
+    CLOSE,
+    UNREAD_BYTES,
+    Gate,
+    idle_client,
+    read_to_end,
+    responds_when_told,
+    run,
+    send_what_fits,
+    serves,
+    silent,
+)
+
+FULL = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+
+
+def test_a_last_response_is_complete_with_unread_bytes_behind_its_request():
+    def test(harness: RealPlatformHarness) -> None:
+        harness.answer_now = False
+        client = harness.connect()
+        send_what_fits(client, call(more=CLOSE) + UNREAD_BYTES)
+        harness.until(lambda: harness.seen)
+        harness.answer_now = True
+        answer = read_to_end(harness, client)
+        assert answer.startswith(b"HTTP/1.1 200")
+        assert answer.endswith(b"\r\n\r\nok")
+
+    assert len(run(responds_when_told, test=test).seen) == 1
+
+
+@pytest.mark.parametrize("raw", [b"\x16\x03\x01\r\n\r\n", call("none"), call(left="x")], ids=range(3))
+def test_an_error_response_is_complete_with_unread_bytes_behind_its_request(raw):
+    def test(harness: RealPlatformHarness) -> None:
+        client = harness.connect()
+        send_what_fits(client, raw.replace(b"Plan", CLOSE.encode() + b"\r\nPlan") + UNREAD_BYTES)
+        assert read_to_end(harness, client).startswith(b"HTTP/1.1 4")
+
+    assert not run(serves, test=test).seen
+
+
+def test_a_request_that_came_just_before_eviction_is_served():
+    def test(harness: RealPlatformHarness) -> None:
+        client, server = idle_client(harness), harness.gateway.http_server
+        client.send(call())
+        assert not server._close_idle()
+        assert harness.answer(client)[0] == 200
+
+    run(serves, test=test)
+
+
+def test_a_request_just_after_eviction_finds_a_closed_connection_and_is_not_forwarded():
+    def test(harness: RealPlatformHarness) -> None:
+        client, server = idle_client(harness), harness.gateway.http_server
+        assert server._close_idle()
+        client.send(call())
+        assert read_to_end(harness, client) == b""
+        assert not server.connections
+
+    assert len(run(serves, test=test).seen) == 1
+
+
+def test_a_request_that_came_as_the_idle_timeout_expired_is_served():
+    def test(harness: RealPlatformHarness) -> None:
+        server = harness.gateway.http_server
+        server.timeouts = dataclasses.replace(server.timeouts, client_idle_us=30 * MS)
+        client = idle_client(harness)
+        by = harness.loop.now() + 40 * MS
+        client.send(call())
+        while harness.loop.now() < by:  # the whole process stands still until the time is over
+            pass
+        assert harness.answer(client)[0] == 200
+
+    run(serves, test=test)
+
+
+def test_an_idle_timeout_closes_without_a_reset():
+    def test(harness: RealPlatformHarness) -> None:
+        server = harness.gateway.http_server
+        server.timeouts = dataclasses.replace(server.timeouts, client_idle_us=30 * MS)
+        client = idle_client(harness)
+        harness.until(lambda: not server.connections)
+        client.send(call())  # crosses the close
+        assert read_to_end(harness, client) == b""
+
+    assert len(run(serves, test=test).seen) == 1
+
+
+def test_a_request_beyond_the_in_flight_limit_is_rejected_at_once_and_not_delayed():
+    """Delayed, its response would be late, or lost with a connection closed for capacity."""
+
+    def test(harness: RealPlatformHarness) -> None:
+        harness.answer_now = False
+        server = harness.gateway.http_server
+        server.timeouts = dataclasses.replace(server.timeouts, error_delay_us=60 * SECOND)
+        busy = harness.connect()
+        busy.send(call())
+        harness.until(lambda: harness.seen)
+        crowded = harness.connect()
+        crowded.send(call())
+        assert crowded.recv(deadline=harness.loop.now() + 5 * SECOND).startswith(b"HTTP/1.1 503")
+        crowded.send(call())
+        assert crowded.recv(deadline=harness.loop.now() + 5 * SECOND).startswith(b"HTTP/1.1 503")
+        harness.gateway.stopping = True
+        crowded.send(b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n")
+        assert crowded.recv(deadline=harness.loop.now() + 5 * SECOND).startswith(b"HTTP/1.1 503")
+        harness.answer_now = True
+        assert harness.answer(busy)[0] == 200
+
+    permissions = {**settings()["permissions"], "openCap": 1}
+    assert len(run(responds_when_told, test=test, settings=settings(permissions=permissions)).seen) == 1
+
+
+LEAVE = ["half_close", "close", "abort"]
+
+
+@pytest.mark.parametrize("leave", LEAVE)
+def test_a_request_of_a_client_that_left_at_once_is_not_forwarded(leave):
+    def test(harness: RealPlatformHarness) -> None:
+        client = harness.connect()
+        client.send(call("bill", body=b"1"))
+        getattr(client, leave)()
+        harness.until(lambda: harness.gateway.policy_driver.last_request_number or leave == "abort")
+        harness.until(lambda: not harness.gateway.http_server.connections)
+        assert not harness.gateway.policy_driver.requests
+        assert not harness.gateway.policy_driver.gateway.attempts
+
+    assert not run(serves, test=test).seen
+
+
+@pytest.mark.parametrize("leave", LEAVE)
+@pytest.mark.parametrize("attempt", [1, 2])
+def test_a_request_of_a_client_that_leaves_while_its_attempt_connects_is_not_sent(attempt, leave):
+    def full(harness, index, stream):
+        harness.read_request(index, stream)
+        stream.send(FULL)
+
+    def test(harness: RealPlatformHarness) -> None:
+        gate = Gate(harness, first=attempt - 1)
+        client = harness.connect()
+        client.send(call("put", body=b"1"))
+        harness.until(lambda: gate.waiting)
+        getattr(client, leave)()
+        gate.open()  # the attempt goes on before the server sees the close
+        harness.until(lambda: not harness.gateway.policy_driver.requests)
+        harness.until(lambda: not harness.gateway.policy_driver.gateway.attempts)
+        assert not harness.gateway.clients.in_flight
+
+    assert len(run(full, full, test=test).seen) == attempt - 1
+
+
+@pytest.mark.parametrize("leave", LEAVE)
+def test_a_client_that_leaves_behind_pipelined_bytes_is_detected(leave):
+    def test(harness: RealPlatformHarness) -> None:
+        harness.endpoint_saw_close = False
+        client = harness.connect()
+        send_what_fits(client, call(left="2.000") + UNREAD_BYTES)
+        harness.until(lambda: harness.seen)
+        turns = harness.loop.turns
+        harness.loop.sleep(20 * MS)
+        assert harness.gateway.policy_driver.requests
+        assert harness.loop.turns - turns < 50
+        getattr(client, leave)()
+        harness.until(
+            lambda: not harness.gateway.policy_driver.requests, 1_500 * MS
+        )  # before its time is over
+        harness.until(lambda: harness.endpoint_saw_close)
+
+    run(silent, test=test)
+
+
+def test_a_request_of_a_client_that_left_behind_pipelined_bytes_is_not_sent():
+    def test(harness: RealPlatformHarness) -> None:
+        gate = Gate(harness)
+        client = harness.connect()
+        send_what_fits(client, call() + UNREAD_BYTES)
+        harness.until(lambda: gate.waiting)
+        client.abort()
+        gate.open()
+        harness.until(
+            lambda: (
+                not harness.gateway.policy_driver.requests
+                and not harness.gateway.policy_driver.gateway.attempts
+            )
+        )
+
+    assert not run(serves, test=test).seen
--- /dev/null
+++ b/tests/test_gateway_outcomes.py
@@ -0,0 +1,160 @@
+"""Outcomes of attempts: retried, failed as possibly executed, streamed; over the simulated network."""
+
+from __future__ import annotations
+
+from harness.gateway_harness import (
+    GET,
+    MS,
+    OK,
+    REPORT,
+    SECOND,
+    UPLOAD,
+    good,
+    request,
+    resets_after,
+    run,
+)
+
+
+def test_a_non_idempotent_request_broken_after_its_first_byte_fails_without_a_retry():
+    def test(harness):
+        assert harness.ask(REPORT)[0] == 502
+        harness.loop.sleep(3 * SECOND)
+
+    assert len(run(resets_after, good, good, test=test, seed=3).seen) == 1
+    seen = [len(run(resets_after, resets_after, test=test, seed=seed).seen) for seed in range(8)]
+    assert seen == [1] * 8
+
+
+def test_a_request_is_retried_elsewhere_if_its_endpoint_refuses_connections():
+    def test(harness):
+        harness.backend.listeners[harness.address(0)].close()
+        assert [harness.ask(REPORT)[0] for _ in range(3)] == [200] * 3
+
+    assert {index for index, _ in run(good, good, test=test).seen} == {1}
+
+
+def test_a_request_rejected_by_a_full_endpoint_is_retried_elsewhere():
+    def full(harness, index, stream):
+        while True:
+            harness.read_request(index, stream)
+            stream.send(b"HTTP/1.1 503 No\r\nNode-Full: 1\r\nContent-Length: 0\r\n\r\n")
+
+    def test(harness):
+        assert [harness.ask(REPORT)[0] for _ in range(3)] == [200] * 3
+
+    run(full, good, test=test)
+
+
+def test_any_other_5xx_counts_as_possibly_executed():
+    def error(harness, index, stream):
+        harness.read_request(index, stream)
+        stream.send(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+
+    def test(harness):
+        assert harness.ask(REPORT)[0] == 502
+
+    assert len(run(error, error, test=test).seen) == 1
+
+
+def test_an_idempotent_request_broken_after_it_was_read_is_retried_only_within_its_rack():
+    def test(harness):
+        assert harness.ask(UPLOAD)[0] in (200, 502)
+
+    for seed in range(12):
+        handlers = [resets_after, good, good, resets_after]
+        harness = run(*handlers, test=test, racks=["a", "a", "b", "b"], seed=seed)
+        assert len({harness.racks[index] for index, _ in harness.seen}) == 1
+
+
+def test_a_stale_pooled_connection_carries_no_non_idempotent_request():
+    def closes(harness, index, stream):
+        harness.read_request(index, stream)
+        stream.send(OK)
+        harness.loop.sleep(50 * MS)
+        stream.close()
+
+    def test(harness):
+        assert harness.ask(GET)[0] == 200
+        harness.loop.sleep(100 * MS)
+        assert harness.ask(REPORT)[0] == 200
+
+    run(closes, test=test)
+
+
+def test_a_request_on_a_connection_that_closes_at_the_write_is_possibly_executed():
+    def closes(harness, index, stream):
+        harness.read_request(index, stream)
+        stream.send(OK)
+        harness.read_request(index, stream)
+        stream.abort()
+
+    def test(harness):
+        assert harness.ask(GET)[0] == 200
+        assert harness.ask(REPORT)[0] == 502
+
+    assert len(run(closes, test=test).seen) == 2
+
+
+def test_an_incomplete_response_is_not_forwarded():
+    def cuts(harness, index, stream):
+        harness.read_request(index, stream)
+        stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf")
+        stream.close()
+
+    def test(harness):
+        assert harness.ask(REPORT)[0] == 502
+        assert harness.ask(GET)[0] in (502, 503)
+
+    run(cuts, test=test)
+
+
+def test_a_response_before_the_end_of_the_request_body_is_forwarded():
+    def responds_early(harness, index, stream):
+        stream.recv(100)
+        stream.send(b"HTTP/1.1 413 No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+        harness.loop.sleep(5 * SECOND)
+
+    def test(harness):
+        raw = request("POST", "/v1/reports", body=b"x" * 300_000)
+        assert harness.ask(raw)[0] == 413
+
+    run(responds_early, test=test, bounds={"held_body": 100_000})
+
+
+def test_a_body_too_large_to_replay_is_sent_once():
+    def test(harness):
+        raw = request("PUT", "/v1/tests/1", "Idempotency-Key: k\r\n", b"x" * 500_000)
+        status, _, _ = harness.ask(raw)
+        assert status == 502
+
+    assert len(run(resets_after, resets_after, test=test, bounds={"held_body": 50_000}).seen) <= 1
+
+
+def test_a_large_response_is_streamed_and_a_break_in_it_resets_the_client():
+    def large(harness, index, stream):
+        harness.read_request(index, stream)
+        stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 900_000)
+
+    def breaks(harness, index, stream):
+        harness.read_request(index, stream)
+        stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 700_000)
+        stream.abort()
+
+    def complete(harness):
+        status, _, body = harness.ask(GET)
+        assert (status, len(body)) == (200, 900_000)
+
+    def cut(harness):
+        stream = harness.connect()
+        stream.send(GET)
+        status, _, body = 1, (), b""
+        try:
+            status, _, body = harness.answer(stream)
+        except Exception as error:
+            assert "reset" in str(error)
+            return
+        raise AssertionError((status, len(body)))
+
+    run(large, test=complete)
+    run(breaks, test=cut)
--- /dev/null
+++ b/tests/test_platform_start.py
@@ -0,0 +1,90 @@
+"""What the platform's gateway checks and loads at its start."""
+
+from __future__ import annotations
+
+import json
+import subprocess
+import sys
+
+import pytest
+from harness.platform_harness import (
+    configuration,
+    file,
+)
+
+from orchidlane.platform.configuration import ConfigurationError, parse_configuration
+from orchidlane.platform.resource_limits import limits_for
+
+
+@pytest.mark.parametrize(
+    ("text", "names"),
+    [
+        (b"", "config.json"),
+        (b"[]", "config.json"),
+        (json.dumps({k: v for k, v in file().items() if k != "listen"}).encode(), "listen"),
+        (json.dumps(file(discovery="nowhere")).encode(), "discovery"),
+        (json.dumps(file(seed="z")).encode(), "seed"),
+        (json.dumps(file(settings={})).encode(), "classes"),
+    ],
+)
+def test_an_invalid_configuration_is_rejected_with_its_field(text, names):
+    with pytest.raises(ConfigurationError, match=names):
+        parse_configuration(text, "config.json")
+
+
+def test_the_start_ends_with_one_line_without_a_configuration():
+    done = subprocess.run(
+        [sys.executable, "-m", "orchidlane.platform"], env={}, capture_output=True, text=True
+    )
+    assert (done.returncode, done.stderr.count("\n")) == (2, 1)
+    assert "PROXY_CONFIG" in done.stderr
+
+
+def test_the_platform_loads_no_modules_that_it_does_not_use():
+    code = "import sys, orchidlane.platform.__main__; print(*sys.modules)"
+    loaded = set(subprocess.check_output([sys.executable, "-c", code], text=True).split())
+    other = {
+        "yaml",
+        "click",
+        "rich",
+        "structlog",
+        "prometheus_client",
+        "lark",
+        "openapi_spec_validator",
+        "asyncio",
+    }
+    packages = {
+        f"orchidlane.{package}"
+        for package in (
+            "cli",
+            "config",
+            "hot_restart",
+            "limits",
+            "recording",
+            "resp",
+            "rollout",
+            "routes",
+            "simulation",
+        )
+    }
+    assert not loaded & (other | packages | {"hashlib", "ssl", "logging"})
+
+
+def test_the_connection_limits_fit_the_machine():
+    for sockets in (256, 384, 1024):
+        limits = {"cores": 0.2, "memory_mb": 32, "sockets": sockets}
+        bounds = limits_for(configuration(limits=limits)).resource_limits
+        assert bounds.max_connections + bounds.max_endpoint_connections <= sockets - 20
+        assert bounds.max_connections > sockets / 3
+
+
+def test_the_platform_loads_no_modules_of_fleet_versions():
+    """It loads none of their modules nor their library, so it can open, read and send nothing of theirs."""
+    code = (
+        "import sys, orchidlane.platform.__main__, orchidlane.platform.lifecycle;"
+        "print([name for name in sys.modules if name.startswith(("
+        "'orchidlane.rollout', 'orchidlane.gateway.rollout_agent',"
+        "'orchidlane.gateway.lifecycle.process', 'blake3'))])"
+    )
+    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
+    assert done.stdout.strip() == "[]", done.stdout + done.stderr
