--- a/tests/harness/discovery_harness.py
+++ b/tests/harness/discovery_harness.py
@@ -35,7 +35,7 @@
 def drain_endpoint(harness: PlatformHarness, generation: int = 2) -> None:
     """Let discovery know that endpoint 0 drains; each poll from now on gets that event."""
     entry = harness.instance(0, "leaving")
-    harness.discovery.hello = [{"generation": generation, "reset": False, "instances": [entry]}]
+    harness.discovery.first_events = [{"generation": generation, "reset": False, "instances": [entry]}]
 
 
 def is_drain_known(harness: PlatformHarness) -> bool:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -99,14 +99,14 @@
 @pytest.mark.parametrize("kind", ["silent", *TRICKLED_PIECES])
 def test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline(backend, kind):
     def test(harness: PlatformHarness) -> None:
-        harness.discovery.beats = False
+        harness.discovery.sends_keepalives = False
         harness.discovery.send(harness.discovery.streams[0], b"\n")  # the last that it sends
         started_at = harness.loop.now()
         if kind != "silent":
             harness.scope.spawn(trickle, harness, TRICKLED_PIECES[kind])
         drain_endpoint(harness)
         harness.until(lambda: is_drain_known(harness), timeout_us(harness, polling.NOTIFICATION_DEADLINE_US))
-        assert len(harness.discovery.asked) == 2
+        assert len(harness.discovery.polls) == 2
         assert harness.loop.now() - started_at < timeout_us(harness, polling.NOTIFICATION_DEADLINE_US)
 
     run(backend, test)
@@ -127,7 +127,7 @@
 def test_a_watch_with_heartbeats_alone_stays_open(backend):
     def test(harness: PlatformHarness) -> None:
         harness.loop.sleep(3 * polling.HEARTBEAT_INTERVAL_US)
-        assert len(harness.discovery.asked) == 1
+        assert len(harness.discovery.polls) == 1
         assert len(harness.gateway.http_server.connections) == 0
 
     run(backend, test)
@@ -139,7 +139,7 @@
         line = {"generation": 5, "reset": False, "instances": [harness.instance(0, "leaving")]}
         harness.discovery.send(harness.discovery.streams[0], line, indent=2)
         harness.until(lambda: is_drain_known(harness))
-        assert len(harness.discovery.asked) == 1
+        assert len(harness.discovery.polls) == 1
 
     run(backend, test)
 
@@ -153,16 +153,16 @@
         discovery = harness.discovery
         if how == "refuses":
             discovery.listener.close()
-        discovery.answers = False
+        discovery.responds = False
         for stream in discovery.streams:
             stream.abort()
         harness.loop.sleep(4 * SECOND)
         assert (
             isinstance(harness, RealPlatformHarness)
-            or len(discovery.unheard) <= 4 * SECOND // retry_interval_us(GRACE) + 1
+            or len(discovery.unanswered) <= 4 * SECOND // retry_interval_us(GRACE) + 1
         )
         drain_endpoint(harness)
-        discovery.answers = True
+        discovery.responds = True
         if how == "refuses":
             harness.scope.spawn(discovery.serve, priority=CONTROL)
         harness.until(lambda: is_drain_known(harness), timeout_us(harness, GRACE))
@@ -174,18 +174,18 @@
 def test_a_moved_discovery_replaces_the_old_one_that_still_sends_older_events(backend):
     def test(harness: PlatformHarness) -> None:
         new_discovery = Discovery(harness, (harness.at, 8501))
-        new_discovery.hello = [
+        new_discovery.first_events = [
             {"generation": 9, "reset": True, "instances": [harness.instance(0, "leaving")]}
         ]
-        new_discovery.answers = False
+        new_discovery.responds = False
         harness.scope.spawn(new_discovery.serve, priority=CONTROL)
         moved = file(**{**harness.changes, "discovery": f"{harness.at}:8501"})
         harness.gateway.loop.backend.read_file = lambda _path: json.dumps(moved).encode()
         harness.gateway.reload()
-        harness.until(lambda: new_discovery.asked)
-        harness.discovery.tell(3, harness.instance(0, weight=2.0))  # the former one is followed meanwhile
+        harness.until(lambda: new_discovery.polls)
+        harness.discovery.notify(3, harness.instance(0, weight=2.0))  # the former one is followed meanwhile
         harness.until(lambda: harness.gateway.tracker.generation == 3)
-        new_discovery.answers = True
+        new_discovery.responds = True
         harness.until(lambda: is_drain_known(harness), timeout_us(harness, GRACE))
         for stream in harness.discovery.streams:  # closed by the gateway, or what it sends is old
             try:
@@ -208,7 +208,7 @@
 def test_an_invalid_list_changes_nothing_and_the_next_valid_one_is_applied(backend, bad, capsys):
     def test(harness: PlatformHarness) -> None:
         before = harness.gateway.tracker.endpoints.copy()
-        harness.discovery.hello = []
+        harness.discovery.first_events = []
         for _ in range(3):
             harness.discovery.send(harness.discovery.streams[-1], bad)
             count = len(harness.discovery.streams)
@@ -236,7 +236,7 @@
             harness.loop.now() + 60 * SECOND,
         )
         assert harness.ask(READINESS_CHECK)[0] == 503
-        harness.discovery.tell(2, harness.instance(0))
+        harness.discovery.notify(2, harness.instance(0))
         harness.until(lambda: harness.ask(READINESS_CHECK)[0] == 200, timeout_us(harness, GRACE // 2))
 
     run(backend, test)
@@ -270,7 +270,7 @@
 
     class SilentDiscovery(PlatformHarness):
         def _begin(self) -> None:
-            self.discovery.answers = False
+            self.discovery.responds = False
             super()._begin()
 
     def test(harness: PlatformHarness) -> None:
