--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -30,12 +30,16 @@
         loop.sleep(MS)
         raise ZeroDivisionError
 
-    def work(log: list) -> None:
-        with pytest.raises(ZeroDivisionError), TaskGroup(loop) as group:
+    def run_group(log: list) -> None:
+        with TaskGroup(loop) as group:
             group.spawn(sibling, log)
             group.spawn(fail)
             loop.sleep(100 * SECOND)
 
+    def work(log: list) -> None:
+        with pytest.raises(ZeroDivisionError):
+            run_group(log)
+
     assert run_with_log(loop, work) == ["cancelled"]
 
 
--- a/tests/test_sockets_and_files.py
+++ b/tests/test_sockets_and_files.py
@@ -8,16 +8,18 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
+from typing import Any, NoReturn
 
 import pytest
 from harness.event_loop import MS, SECOND, run_with_log
 
 from orchidlane.runtime import (
+    Address,
     ConnectionClosedError,
     ConnectionFailedError,
     EventLoop,
     RealBackend,
+    Stream,
     TaskGroup,
 )
 
@@ -51,6 +53,11 @@
     assert run_with_log(loop, work) == [True]
 
 
+def read_until_error(loop: EventLoop, stream: Stream) -> NoReturn:
+    while True:
+        stream.recv(deadline=loop.now() + SECOND)
+
+
 def test_a_reset_and_a_refused_connection_raise_different_errors(loop: EventLoop) -> None:
     def work(_log: list) -> None:
         listener = loop.backend.listen(ANY_PORT)
@@ -58,8 +65,7 @@
         other_end = listener.accept()
         other_end.abort()
         with pytest.raises(ConnectionClosedError):
-            while True:
-                stream.recv(deadline=loop.now() + SECOND)
+            read_until_error(loop, stream)
         listener.close()
         with pytest.raises(ConnectionFailedError):
             loop.backend.connect(listener.address, loop.now() + SECOND)
@@ -162,15 +168,19 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
+def connect_until_error(loop: EventLoop, address: Address, streams: list[Stream]) -> NoReturn:
+    while True:
+        streams.append(loop.backend.connect(address, loop.now() + SECOND))
+
+
 def test_connecting_and_accepting_fail_when_out_of_descriptors(real_loop: EventLoop) -> None:
     def work(_log: list) -> None:
         listener = real_loop.backend.listen(ANY_PORT)
-        streams: list = []
+        streams: list[Stream] = []
         try:
             with descriptor_limit(80):
                 with pytest.raises(ConnectionFailedError):
-                    while True:
-                        streams.append(real_loop.backend.connect(listener.address, real_loop.now() + SECOND))
+                    connect_until_error(real_loop, listener.address, streams)
                 with pytest.raises(ConnectionFailedError):
                     listener.accept(real_loop.now() + SECOND)
         finally:
