--- a/orchidlane/runtime/real_backend/polling.py
+++ b/orchidlane/runtime/real_backend/polling.py
@@ -52,6 +52,10 @@
         self._poller.register(descriptor.fileno, 0)
         descriptor.is_registered = True
 
+    def descriptors(self) -> list[PolledDescriptor]:
+        """Return the registered descriptors."""
+        return list(self._descriptors.values())
+
     def set_interest(self, descriptor: PolledDescriptor, interest: int) -> None:
         """Replace the events that a registered descriptor is polled for."""
         self._poller.modify(descriptor.fileno, interest)
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -61,7 +61,7 @@
 
 def to_hosts(harness) -> list:
     """The gateway's connections to hosts."""
-    streams = list(harness.backend._descriptors.values())
+    streams = harness.backend.descriptors()
     return [one for one in streams if getattr(one, "peer", ("", 0)) == (harness.at, 9000)]
 
 
