--- a/tests/harness/hot_restart_harness.py
+++ b/tests/harness/hot_restart_harness.py
@@ -18,8 +18,7 @@
 from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.hot_restart import old_process
-from orchidlane.runtime import EventLoopError, Stream
-from orchidlane.runtime.scheduler import Process
+from orchidlane.runtime import EventLoopError, Process, Stream
 
 WARM_UP_REQUESTS = 40
 SETTLED_PHASES = (old_process.Phase.SERVING, old_process.Phase.ENDED)
