--- a/tests/harness/race_harness.py
+++ b/tests/harness/race_harness.py
@@ -56,7 +56,7 @@
 
 def endpoint_streams(harness) -> list:
     """Return the gateway's connections to endpoints."""
-    streams = list(harness.backend._descriptors.values())
+    streams = harness.backend.descriptors()
     return [one for one in streams if getattr(one, "peer", ("", 0)) == (harness.at, 9000)]
 
 
--- a/tests/test_sockets_and_files.py
+++ b/tests/test_sockets_and_files.py
@@ -8,16 +8,18 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
+from typing import Any, NoReturn
 
 import pytest
 from harness.event_loop import MS, SECOND, run_with_log
 
 from orchidlane.runtime import (
+    Address,
     ConnectionClosedError,
     ConnectionFailedError,
     EventLoop,
     RealBackend,
+    Stream,
     TaskGroup,
 )
 
@@ -51,7 +53,7 @@
     assert run_with_log(loop, work) == [True]
 
 
-def receive_for_ever(stream, loop: EventLoop) -> None:
+def read_until_error(loop: EventLoop, stream: Stream) -> NoReturn:
     while True:
         stream.recv(deadline=loop.now() + SECOND)
 
@@ -63,7 +65,7 @@
         other_end = listener.accept()
         other_end.abort()
         with pytest.raises(ConnectionClosedError):
-            receive_for_ever(stream, loop)
+            read_until_error(loop, stream)
         listener.close()
         with pytest.raises(ConnectionFailedError):
             loop.backend.connect(listener.address, loop.now() + SECOND)
@@ -166,8 +168,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def connect_for_ever(loop: EventLoop, address, streams: list) -> None:
-    """Add connections to the list until one fails."""
+def connect_until_error(loop: EventLoop, address: Address, streams: list[Stream]) -> NoReturn:
     while True:
         streams.append(loop.backend.connect(address, loop.now() + SECOND))
 
@@ -175,11 +176,11 @@
 def test_connecting_and_accepting_fail_when_out_of_descriptors(real_loop: EventLoop) -> None:
     def work(_log: list) -> None:
         listener = real_loop.backend.listen(ANY_PORT)
-        streams: list = []
+        streams: list[Stream] = []
         try:
             with descriptor_limit(80):
                 with pytest.raises(ConnectionFailedError):
-                    connect_for_ever(real_loop, listener.address, streams)
+                    connect_until_error(real_loop, listener.address, streams)
                 with pytest.raises(ConnectionFailedError):
                     listener.accept(real_loop.now() + SECOND)
         finally:
