--- a/orchidlane/simulation/scenario_plan.py
+++ b/orchidlane/simulation/scenario_plan.py
@@ -23,8 +23,8 @@
 from orchidlane.simulation.fake_discovery import ZONE
 from orchidlane.simulation.scenario import Scenario
 
-SECRET = b"a secret for stand-ins only"
-SETTINGS_NAME = "day"  # stands in error messages in place of a file
+SECRET = b"a secret for stand-ins only"  # of the gateways' datagrams
+SETTINGS_NAME = "scenario"  # in error messages, in place of a file
 ADDRESSES_PER_GATEWAY = 5
 
 
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""Whole rolls of a simulated fleet under load, with broken builds, and with the roll itself killed."""
+"""Rolling upgrades of a simulated fleet under load, with broken builds and a killed driver."""
 
 from __future__ import annotations
 
@@ -29,24 +29,24 @@
     REJECTING.clear()
 
 
-def crash(program) -> None:
+def crash(gateway) -> None:
     """Crash 100 ms after it began to serve."""
-    while not program.ready:
-        program.loop.sleep(10 * MS)
-    program.loop.sleep(100 * MS)
-    program.loop.backend.kill(program.loop.process)
+    while not gateway.ready:
+        gateway.loop.sleep(10 * MS)
+    gateway.loop.sleep(100 * MS)
+    gateway.loop.backend.kill(gateway.loop.process)
 
 
-def reject_everything(program) -> None:
+def reject_everything(gateway) -> None:
     """Admit nothing from the start."""
-    while not program.ready:
-        program.loop.sleep(MS)
-    REJECTING.append(program.policy_driver.gateway)
+    while not gateway.ready:
+        gateway.loop.sleep(MS)
+    REJECTING.append(gateway.policy_driver.gateway)
 
 
-def hang_before_hello(program) -> None:
+def hang_before_hello(gateway) -> None:
     """Never connect to the old process."""
-    program.loop.freeze(program.loop.process)
+    gateway.loop.freeze(gateway.loop.process)
 
 
 def make_fleet(broken: dict[int, Sabotage] | None = None) -> RollHarness:
@@ -69,10 +69,11 @@
     assert verdict.responses.get("reset", 0) == 0
 
 
+@pytest.mark.usefixtures("rejecting")
 @pytest.mark.parametrize(
     "sabotage", [crash, reject_everything, hang_before_hello], ids=lambda sabotage: sabotage.__name__
 )
-def test_roll_with_one_broken_build_stops_and_rolls_back(sabotage, rejecting):
+def test_roll_with_one_broken_build_stops_and_rolls_back(sabotage):
     states = []
 
     def drive(harness: RollHarness) -> None:
