--- a/tests/harness/golden_writers.py
+++ b/tests/harness/golden_writers.py
@@ -149,7 +149,9 @@
     """Return the account store's file that a process writes when it exits."""
     loop = FakeEventLoop()
     store = account_store(loop)
-    store.gateway.policy_driver.gateway.accounts.update({account.customer: account for account in golden_accounts()})
+    store.gateway.policy_driver.gateway.accounts.update(
+        {account.customer: account for account in golden_accounts()}
+    )
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(recording, "build_name", lambda: BUILD)
         store.save_final()
--- a/tests/test_hot_restart_real.py
+++ b/tests/test_hot_restart_real.py
@@ -14,8 +14,8 @@
 
 from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.simulation.background_load import run_during_load
-from orchidlane.simulation.process_backend import ProcessFleetBackend
 from orchidlane.simulation.mutants import BROKEN_BUILDS, make_build
+from orchidlane.simulation.process_backend import ProcessFleetBackend
 from orchidlane.simulation.scenario_plan import make_plan
 from orchidlane.simulation.scenario_runner import ScenarioRunner
 
--- a/tests/test_recording_audit.py
+++ b/tests/test_recording_audit.py
@@ -1,10 +1,11 @@
-"""The rules over records: they agree with the sockets, and object to each kind of violation."""
+"""The audit of records agrees with the audit of the sockets, and reports each kind of violation."""
 
 from __future__ import annotations
 
 import json
 from pathlib import Path
 
+import pytest
 from harness.event_story import EventStory, run_command
 from harness.gateway_harness import MS
 from harness.policy_harness import SECOND
@@ -85,53 +86,83 @@
     assert output["gateways"]["faults"]["undecided"] > 0
 
 
-def test_the_audit_of_records_reports_missing_late_and_double_responses_drains_and_ceilings(tmp_path):
-    """Entries taken out of, or changed in, a record that holds."""
-    story = EventStory(5)
-    header_now, settings_ = story.bench.now, story.bench.settings
-    recording.track_accounts(story.bench.gateway)
-    entries = []
-    story.feed(policy.RequestArrived(1, 7, 0, 0, 1.0, 2 * SECOND, 0, 3, False))
-    server = next(a.endpoint for a in story.log[-1][2] if isinstance(a, policy.SendAttempt))
-    entries.append(story.log[-1])
-    story.bench.now += 100 * MS
-    ended = policy.AttemptEnded(1, 0, server, policy.Outcome.SERVED, 100, True, 0, 0.0, ())
-    story.feed(ended)
-    entries.append(story.log[-1])
-
-    def faults(*some) -> dict[str, int]:
+class EditedRecord:
+    """A record of one request that an endpoint served, whose entries a test takes out or changes."""
+
+    def __init__(self, path: Path) -> None:
+        self.path = path
+        story = EventStory(5)
+        self.began_at, self.settings = story.bench.now, story.bench.settings
+        recording.track_accounts(story.bench.gateway)
+        story.feed(policy.RequestArrived(1, 7, 0, 0, 1.0, 2 * SECOND, 0, 3, False))
+        self.arrived = story.log[-1]
+        self.endpoint = next(
+            action.endpoint for action in self.arrived[2] if isinstance(action, policy.SendAttempt)
+        )
+        story.bench.now += 100 * MS
+        self.attempt_ended = policy.AttemptEnded(
+            1, 0, self.endpoint, policy.Outcome.SERVED, 100, True, 0, 0.0, ()
+        )
+        story.feed(self.attempt_ended)
+        self.served = story.log[-1]
+        self.timers = [(self.began_at + i * 500 * MS, policy.TimerFired(0), []) for i in range(1, 12)]
+
+    def faults(self, *entries) -> dict[str, int]:
         """Return the faults that the audit finds in a record of these entries."""
-        empty = EventStory(5).bench.gateway
         header = recording.Header(
             recording.FORMAT_VERSION,
             "b",
             "gw",
-            header_now,
+            self.began_at,
             0,
-            recording.settings_to_stored(settings_),
-            recording.dump_state(empty),
+            recording.settings_to_stored(self.settings),
+            recording.dump_state(EventStory(5).bench.gateway),
             *NAMES,
         )
-        data = recording.pack_header(header) + recording.pack_account_page(header_now, [], last=True)
-        for now, event, actions in some:
+        data = recording.pack_header(header) + recording.pack_account_page(self.began_at, [], last=True)
+        for now, event, actions in entries:
             data += recording.pack_entry(now, event, actions)
-        path = tmp_path / "gw-1-0.olr"
-        path.write_bytes(data)
-        found = recording.audit_records([str(path)])
-        return dict(found.faults) | ({"ceiling": 1} if not found.rules["5"] else {})
-
-    arrived, served = entries
-    beats = [(header_now + i * 500 * MS, policy.TimerFired(0), []) for i in range(1, 12)]
-    assert faults(arrived, served) == {}
-    assert faults(arrived, *beats) == {"missing": 1}
-    assert faults(arrived, *beats, (beats[-1][0], ended, [])) == {"late": 1}
-    assert faults(arrived, (served[0], ended, [policy.FailRequest(1)])) == {"doubled": 1}
-    empty_list = policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 2, ())
-    late = (arrived[0] + 900 * MS, arrived[1], [policy.SendAttempt(1, server, 0)])
-    assert faults((arrived[0], empty_list, []), late, (late[0], ended, [])) == {"sent after drain": 1}
+        self.path.write_bytes(data)
+        audit = recording.audit_records([str(self.path)])
+        return dict(audit.faults) | ({"ceiling": 1} if not audit.rules["5"] else {})
+
+
+@pytest.fixture
+def record(tmp_path) -> EditedRecord:
+    """A record of a request that an endpoint served."""
+    return EditedRecord(tmp_path / "gw-1-0.olr")
+
+
+def test_a_complete_record_has_no_faults(record):
+    assert record.faults(record.arrived, record.served) == {}
+
+
+def test_a_request_without_a_response_is_missing(record):
+    assert record.faults(record.arrived, *record.timers) == {"missing": 1}
+
+
+def test_a_response_after_the_deadline_is_late(record):
+    late_end = (record.timers[-1][0], record.attempt_ended, [])
+    assert record.faults(record.arrived, *record.timers, late_end) == {"late": 1}
+
+
+def test_a_second_response_is_doubled(record):
+    failed_too = (record.served[0], record.attempt_ended, [policy.FailRequest(1)])
+    assert record.faults(record.arrived, failed_too) == {"doubled": 1}
+
+
+def test_an_attempt_later_than_the_grace_after_a_drain_is_a_fault(record):
+    at, event, _ = record.arrived
+    drained = (at, policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 2, ()), [])
+    late = (at + 900 * MS, event, [policy.SendAttempt(1, record.endpoint, 0)])
+    late_end = (late[0], record.attempt_ended, [])
+    assert record.faults(drained, late, late_end) == {"sent after drain": 1}
+
+
+@pytest.mark.parametrize(("grant_count", "faults"), [(5, {}), (7, {"ceiling": 1})])
+def test_grants_beyond_a_ceiling_and_its_slack_are_a_fault(record, grant_count, faults):
     grants = [
-        (header_now + i, policy.QuotaRequested(i, 7, 2, 0, 3.0, 0, 3), [policy.GrantQuota(i)])
-        for i in range(1, 8)
+        (record.began_at + i, policy.QuotaRequested(i, 7, 2, 0, 3.0, 0, 3), [policy.GrantQuota(i)])
+        for i in range(1, grant_count + 1)
     ]
-    assert faults(*grants) == {"ceiling": 1}
-    assert faults(*grants[:5]) == {}
+    assert record.faults(*grants) == faults
