--- a/benchmarks/server_roles.py
+++ b/benchmarks/server_roles.py
@@ -90,8 +90,7 @@
     def serve() -> None:
         endpoint_list = FakeDiscovery(loop, ("127.0.0.1", port), (0, 0), lambda _: None)
         address = f"127.0.0.1:{endpoint_port}"
-        endpoint_list.endpoints[address] = EndpointRecord(address, "ready", "z", "c")
-        endpoint_list.endpoint_names[address] = "node"
+        endpoint_list.add_endpoint("node", EndpointRecord(address, "ready", "z", "c"))
         endpoint_list.serve()
 
     loop.run(serve)
--- a/orchidlane/cli/up.py
+++ b/orchidlane/cli/up.py
@@ -43,19 +43,19 @@
     click.echo(f"starting {len(fleet.gateways)} gateways and {nodes} stand-in nodes: the screen follows")
     scenario = _demo_scenario(settings, fleet, rate, nodes, seconds)
     with tempfile.TemporaryDirectory(prefix="orchidlane-") as folder:
-        backing = ProcessFleetBackend(folder)
-        plan = make_plan(scenario, folder, backing.free_addresses, keep_addresses=True)
-        backing.prepare(plan)
+        fleet_backend = ProcessFleetBackend(folder)
+        plan = make_plan(scenario, folder, fleet_backend.free_addresses, keep_addresses=True)
+        fleet_backend.prepare(plan)
         loop = EventLoop(RealBackend())
         plan.endpoints = [msgspec.structs.replace(spec, records_path="") for spec in plan.endpoints]
-        runner = ScenarioRunner(loop, plan, backing, deque(maxlen=MAX_OBSERVATIONS))
+        runner = ScenarioRunner(loop, plan, fleet_backend, deque(maxlen=MAX_OBSERVATIONS))
         screen = _screen(loop, plan)
         signal.signal(signal.SIGTERM, signal.default_int_handler)
         with contextlib.suppress(KeyboardInterrupt):
             try:
                 loop.run(_run, loop, runner, screen)
             finally:
-                backing.end()
+                fleet_backend.end()
 
 
 def _demo_scenario(settings: str, fleet: FleetSettings, rate: float, nodes: int, seconds: int) -> Scenario:
--- a/orchidlane/simulation/scenario.cue
+++ b/orchidlane/simulation/scenario.cue
@@ -1,4 +1,4 @@
-// What a scripted day may be. A script is unified with #Day.
+// Schema of scenarios: a file is unified with #Day. Spans are durations, chances probabilities.
 
 #Duration: =~"^[0-9]+(\\.[0-9]+)?(us|ms|s|m|h)$"
 #Chance:   number & >=0 & <=1
@@ -9,7 +9,7 @@
 		"cut_peers" | "peer_faults" | "node_faults" | "late_list"
 	which:        *[] | [...int]
 	for:          *"0s" | #Duration
-	back:         *"500ms" | #Duration // until a killed one starts anew
+	back:         *"500ms" | #Duration // until a killed process is started again
 	reset_before: *0 | #Chance
 	reset_after:  *0 | #Chance
 	cut:          *0 | #Chance
@@ -24,25 +24,25 @@
 	class:  string
 	share:  number & >0
 	method: "GET" | "PUT" | "POST"
-	target: string // {} stands for the request's name
+	target: string // {} is replaced by the request's name
 	work:   #Duration
 	body:   *0 | int & >=0
 }
 
 #Day: {
-	fleet:     string // a fleet's settings; its addresses are replaced
+	fleet:     string // the file of a fleet's settings; its addresses are replaced
 	gateways:  int & >=1 & <=400
 	racks:     int & >=1
 	rack_size: int & >=1
 	cores:     *2 | number & >0
 	customers: int & >=1
-	rate:      number & >0 // requests a second
+	rate:      number & >0 // requests per second
 	span:      #Duration
 	kinds:     [...#Kind]
 	list_delay: *["200ms", "900ms"] | [#Duration, #Duration]
 	peer_loss:  *0.02 | #Chance
-	takes:      *0 | number & >=0 // takes a second over RESP
-	upgrades:   *0 | int & >=0 & <=50 // of a random day, beside its other troubles
+	takes:      *0 | number & >=0 // quota requests per second over RESP
+	upgrades:   *0 | int & >=0 & <=50 // upgrades in a scenario of random faults, beside the faults
 	answer_slack:  *"100ms" | #Duration
 	arrival_slack: *"100ms" | #Duration
 	steps:     [...#Step]
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -165,8 +165,8 @@
 
 
 def test_the_audit_reports_an_endpoint_overloaded_during_slow_start(monkeypatch):
-    monkeypatch.setattr(endpoint_registry, "is_warm", lambda state, endpoint: True)
-    monkeypatch.setattr(retries, "_admission_latency_bound_us", lambda state, request: 1e12)
+    monkeypatch.setattr(endpoint_registry, "is_warm", lambda *_: True)
+    monkeypatch.setattr(retries, "_admission_latency_bound_us", lambda *_: 1e12)
     steps = make_step(0.5, "kill_node", 0, 1, 2, 3, 4, back=0.1)
     verdict = simulate(make_scenario(steps, request_rate=500.0, customer_count=500, cores=1.0), 1)
     assert verdict.overloaded_endpoints
