--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -14,7 +14,7 @@
 from orchidlane.gateway.control.settings import FleetSettings, GatewayEntry
 from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.lifecycle.state_errors import INVALID_STATE_ERRORS
-from orchidlane.gateway.telemetry.policy_host import PolicyNames
+from orchidlane.gateway.telemetry.policy_source import PolicyNames
 from orchidlane.gateway.telemetry.state_stream import StateStream
 from orchidlane.hot_restart.account_recovery import PreviousIncarnation, recover_accounts
 from orchidlane.policy.accounts import Account
--- a/orchidlane/gateway/lifecycle/gateway_parts.py
+++ b/orchidlane/gateway/lifecycle/gateway_parts.py
@@ -24,7 +24,7 @@
 from orchidlane.gateway.telemetry.admin_api import AdminApi, AdminSources
 from orchidlane.gateway.telemetry.counters import Gauge
 from orchidlane.gateway.telemetry.metrics import MetricsPage
-from orchidlane.gateway.telemetry.policy_host import PolicyNames
+from orchidlane.gateway.telemetry.policy_source import PolicyNames
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording import track_accounts
 from orchidlane.runtime import EventLoop, TaskGroup
@@ -138,7 +138,7 @@
 
     sources = AdminSources(
         gateway_name=gateway.entry.name,
-        host=gateway.policy_driver,
+        policy_source=gateway.policy_driver,
         metrics=gateway.metrics,
         find_customer=find_customer,
         describe_moment=gateway.describe_state,
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -32,7 +32,7 @@
 from orchidlane.gateway.server.http_server import ClientConnection, HttpServer
 from orchidlane.gateway.server.resp_server import Session
 from orchidlane.gateway.telemetry.metrics import MetricsPage
-from orchidlane.gateway.telemetry.policy_host import PolicyNames
+from orchidlane.gateway.telemetry.policy_source import PolicyNames
 from orchidlane.gateway.telemetry.traffic_recorder import TrafficRecorder
 from orchidlane.hot_restart import new_process, old_process
 from orchidlane.runtime import BACKGROUND, CONTROL, PEERS, EventLoop, Task, TaskGroup
--- a/orchidlane/gateway/telemetry/admin_api.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -17,7 +17,7 @@
 from orchidlane.gateway.control.customers import Customer
 from orchidlane.gateway.server.accept_loop import accept_clients
 from orchidlane.gateway.telemetry.metrics import MetricsPage
-from orchidlane.gateway.telemetry.policy_host import PolicyHost, PolicyNames
+from orchidlane.gateway.telemetry.policy_source import PolicyNames, PolicySource
 from orchidlane.gateway.telemetry.policy_views import ViewedCustomer, encode_view
 from orchidlane.gateway.telemetry.state_stream import StateStream
 from orchidlane.http1 import Data, End, ProtocolError, Request
@@ -53,7 +53,7 @@
     """Where the admin API reads what it serves."""
 
     gateway_name: str
-    host: PolicyHost
+    policy_source: PolicySource
     metrics: MetricsPage
     find_customer: Callable[[bytes], Customer | None]  # by name, number or key
     describe_moment: Callable[[], dict[str, Any]]
@@ -187,10 +187,10 @@
             viewed = ViewedCustomer(
                 customer.number, customer.plan, customer.replica_set_start, customer.replica_set_size
             )
-        host = self.sources.host
+        policy_source = self.sources.policy_source
         names = self.sources.names()
         return _Response(
-            200, encode_view(host.gateway, self.sources.gateway_name, self.loop.now(), names, viewed)
+            200, encode_view(policy_source.gateway, self.sources.gateway_name, self.loop.now(), names, viewed)
         )
 
     def _send_state(self, stream: Stream) -> None:
@@ -199,7 +199,7 @@
         deadline = now + STATE_TIMEOUT_US
         sources = self.sources
         state = StateStream(
-            sources.host, sources.gateway_name, now, 0, sources.names(), sources.describe_moment()
+            sources.policy_source, sources.gateway_name, now, 0, sources.names(), sources.describe_moment()
         )
         headers = [
             (b"content-type", b"application/octet-stream"),
--- a/orchidlane/gateway/telemetry/policy_host.py
+++ b/orchidlane/gateway/telemetry/policy_source.py
@@ -1,4 +1,4 @@
-"""What telemetry needs of the policy's host; owned here, so that telemetry does not import forwarding."""
+"""What telemetry needs of the running policy; defined here, so that telemetry does not import forwarding."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from orchidlane.runtime import EventLoop
 
 
-class PolicyHost(Protocol):
+class PolicySource(Protocol):
     """The running policy with its settings and the loop that it runs on."""
 
     loop: EventLoop
--- a/orchidlane/gateway/telemetry/policy_views.py
+++ b/orchidlane/gateway/telemetry/policy_views.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from orchidlane import policy, recording
-from orchidlane.gateway.telemetry.policy_host import PolicyNames
+from orchidlane.gateway.telemetry.policy_source import PolicyNames
 from orchidlane.policy.gateway import Gateway
 
 VIEW_FORMAT = 1
--- a/orchidlane/gateway/telemetry/state_stream.py
+++ b/orchidlane/gateway/telemetry/state_stream.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from orchidlane import recording
-from orchidlane.gateway.telemetry.policy_host import PolicyHost, PolicyNames
+from orchidlane.gateway.telemetry.policy_source import PolicyNames, PolicySource
 
 
 class StateStream:
@@ -17,15 +17,15 @@
 
     def __init__(
         self,
-        host: PolicyHost,
+        policy_source: PolicySource,
         gateway_name: str,
         started_at_us: int,
         number: int,
         names: PolicyNames,
         context: dict[str, Any],
     ) -> None:
-        self._loop = host.loop
-        self._snapshot = recording.Snapshot(host.gateway)
+        self._loop = policy_source.loop
+        self._snapshot = recording.Snapshot(policy_source.gateway)
         self._pages = self._snapshot.pages()
         self._done = False
         header = recording.Header(
@@ -34,7 +34,7 @@
             gateway=gateway_name,
             started_at_us=started_at_us,
             number=number,
-            settings=recording.settings_to_stored(host.settings),
+            settings=recording.settings_to_stored(policy_source.settings),
             state=self._snapshot.state,
             class_names=names.classes,
             plan_names=names.plans,
--- a/orchidlane/gateway/telemetry/traffic_recorder.py
+++ b/orchidlane/gateway/telemetry/traffic_recorder.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from orchidlane import policy, recording
-from orchidlane.gateway.telemetry.policy_host import PolicyHost, PolicyNames
+from orchidlane.gateway.telemetry.policy_source import PolicyNames, PolicySource
 from orchidlane.gateway.telemetry.state_stream import StateStream
 from orchidlane.recording.segments import SEGMENT_SUFFIX, pack_response
 from orchidlane.runtime import EventLoop
@@ -32,7 +32,7 @@
         loop: EventLoop,
         folder: str,
         gateway_name: str,
-        host: PolicyHost,
+        policy_source: PolicySource,
         names: PolicyNames,
         log: Any,
         describe_moment: Callable[[], dict[str, Any]],
@@ -40,7 +40,7 @@
         self.loop = loop
         self.folder = folder
         self.gateway_name = gateway_name
-        self.host = host
+        self.policy_source = policy_source
         self.names = names
         self.log = log
         self.describe_moment = describe_moment
@@ -103,10 +103,15 @@
         self.number += 1
         self.path = self._segment_path(self.number)
         self._state = StateStream(
-            self.host, self.gateway_name, self.started_at_us, self.number, self.names, self.describe_moment()
+            self.policy_source,
+            self.gateway_name,
+            self.started_at_us,
+            self.number,
+            self.names,
+            self.describe_moment(),
         )
         data = self._state.header
-        if not self.host.gateway.accounts:
+        if not self.policy_source.gateway.accounts:
             data += b"".join(self._state)  # complete from the start, however soon a crash comes
         self._segment_bytes = 0
         self._write(data)
--- a/tests/harness/golden_writers.py
+++ b/tests/harness/golden_writers.py
@@ -57,7 +57,7 @@
 from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver
 from orchidlane.gateway.peers import datagrams
 from orchidlane.gateway.rollout_agent import storage
-from orchidlane.gateway.telemetry.policy_host import PolicyNames
+from orchidlane.gateway.telemetry.policy_source import PolicyNames
 from orchidlane.hot_restart import messages as restart_messages
 from orchidlane.hot_restart import rolling_upgrade
 from orchidlane.policy import gossip_codec
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -12,7 +12,7 @@
 
 from orchidlane import policy, recording
 from orchidlane.gateway.telemetry.plan_counts import count_by_plan
-from orchidlane.gateway.telemetry.policy_host import PolicyNames
+from orchidlane.gateway.telemetry.policy_source import PolicyNames
 from orchidlane.gateway.telemetry.policy_views import ViewedCustomer, decode_view, encode_view
 from orchidlane.gateway.telemetry.predictions import predict_request
 from orchidlane.policy import quota
