--- a/orchidlane/runtime/__init__.py
+++ b/orchidlane/runtime/__init__.py
@@ -11,7 +11,6 @@
 from orchidlane.runtime.lingering_close import LingeringConnections
 from orchidlane.runtime.real_backend import RealBackend
 from orchidlane.runtime.scheduler import EventLoop
-from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
 from orchidlane.runtime.task_group import TaskGroup
 from orchidlane.runtime.tasks import BACKGROUND, CONTROL, PEERS, REQUESTS, Process, Task
 
@@ -31,10 +30,8 @@
     "EventLoopError",
     "LingeringConnections",
     "Listener",
-    "NetworkFaults",
     "Process",
     "RealBackend",
-    "SimulatedBackend",
     "Stream",
     "Task",
     "TaskGroup",
--- a/orchidlane/simulation/random_faults.py
+++ b/orchidlane/simulation/random_faults.py
@@ -12,7 +12,7 @@
 import structlog
 
 from orchidlane.config import Duration
-from orchidlane.runtime import NetworkFaults
+from orchidlane.runtime.simulated_backend import NetworkFaults
 from orchidlane.simulation.scenario import FaultKind, Scenario, Step
 from orchidlane.simulation.simulated_fleet import simulate
 
--- a/orchidlane/simulation/rollout_faults.py
+++ b/orchidlane/simulation/rollout_faults.py
@@ -8,7 +8,8 @@
 
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.rollout_agent.agent import RolloutAgent
-from orchidlane.runtime import EventLoop, Process, SimulatedBackend
+from orchidlane.runtime import EventLoop, Process
+from orchidlane.runtime.simulated_backend import SimulatedBackend
 
 SECOND = 1_000_000
 NORMAL_DELAY_US = (100, 900)
--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -26,7 +26,8 @@
 from orchidlane.gateway.rollout_agent.admin_messages import CommandOutcome, CommandRequest, RolloutStatus
 from orchidlane.gateway.rollout_agent.agent import RolloutAgent
 from orchidlane.rollout.version import ContentHashes, content_hash
-from orchidlane.runtime import EventLoop, NetworkFaults, Process, SimulatedBackend
+from orchidlane.runtime import EventLoop, Process
+from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
 from orchidlane.simulation.rollout_checker import (
     CHECK_INTERVAL_US,
     SECRET,
--- a/orchidlane/simulation/simulated_fleet.py
+++ b/orchidlane/simulation/simulated_fleet.py
@@ -12,8 +12,9 @@
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.hot_restart import new_process
-from orchidlane.runtime import EventLoop, NetworkFaults, Process, SimulatedBackend
+from orchidlane.runtime import EventLoop, Process
 from orchidlane.runtime.backend import Address, format_address
+from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
 from orchidlane.simulation.audit import Verdict
 from orchidlane.simulation.endpoint_spec import EndpointSpec
 from orchidlane.simulation.fake_endpoint import FakeEndpoint
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,7 +16,8 @@
 from harness.policy_harness import PolicyHarness
 from harness.single_gateway import GatewayFiles, write_gateway_files
 
-from orchidlane.runtime import EventLoop, NetworkFaults, RealBackend, SimulatedBackend
+from orchidlane.runtime import EventLoop, RealBackend
+from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
 
 WHOLE_MACHINE = (
     "cli",
--- a/tests/harness/fleet_harness.py
+++ b/tests/harness/fleet_harness.py
@@ -29,11 +29,10 @@
     ConnectionFailedError,
     DeadlineExceededError,
     EventLoop,
-    NetworkFaults,
     Process,
-    SimulatedBackend,
     TaskGroup,
 )
+from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
 
 START_TIME_US = 200 * MS  # of the gateways, before the load
 CLIENT_TIMEOUT_US = 2 * SECOND
--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -17,15 +17,8 @@
 from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.routes import build, load_description
-from orchidlane.runtime import (
-    CONTROL,
-    ConnectionClosedError,
-    DeadlineExceededError,
-    EventLoop,
-    NetworkFaults,
-    SimulatedBackend,
-    TaskGroup,
-)
+from orchidlane.runtime import CONTROL, ConnectionClosedError, DeadlineExceededError, EventLoop, TaskGroup
+from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
 from orchidlane.simulation.fake_discovery import FakeDiscovery
 
 MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
--- a/tests/harness/platform_harness.py
+++ b/tests/harness/platform_harness.py
@@ -9,15 +9,8 @@
 from harness.gateway_harness import GatewayHarness
 from orchidlane.platform.configuration import Configuration, parse_configuration
 from orchidlane.platform.lifecycle import PlatformGateway
-from orchidlane.runtime import (
-    CONTROL,
-    ConnectionClosedError,
-    EventLoop,
-    NetworkFaults,
-    RealBackend,
-    SimulatedBackend,
-    TaskGroup,
-)
+from orchidlane.runtime import CONTROL, ConnectionClosedError, EventLoop, RealBackend, TaskGroup
+from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
 
 MS, SECOND = 1_000, 1_000_000
 ZONES = ["hall-1", "hall-2"]
--- a/tests/harness/roll_harness.py
+++ b/tests/harness/roll_harness.py
@@ -10,7 +10,8 @@
 from orchidlane.config import Duration
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver
-from orchidlane.runtime import CONTROL, EventLoop, Process, SimulatedBackend
+from orchidlane.runtime import CONTROL, EventLoop, Process
+from orchidlane.runtime.simulated_backend import SimulatedBackend
 from orchidlane.simulation.scenario_plan import make_plan
 from orchidlane.simulation.scenario_runner import ScenarioRunner
 from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
--- a/tests/test_account_recovery.py
+++ b/tests/test_account_recovery.py
@@ -21,7 +21,8 @@
 from orchidlane.policy.accounts import Account, AccountKey, ReplicaCount
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording.state_dump import account_to_row
-from orchidlane.runtime import EventLoop, SimulatedBackend
+from orchidlane.runtime import EventLoop
+from orchidlane.runtime.simulated_backend import SimulatedBackend
 from orchidlane.simulation.audit import Verdict
 from orchidlane.simulation.scenario_plan import make_plan
 from orchidlane.simulation.scenario_runner import ScenarioRunner
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -8,15 +8,8 @@
 import pytest
 from harness.event_loop import MS, SECOND, run_with_log
 
-from orchidlane.runtime import (
-    BACKGROUND,
-    REQUESTS,
-    Cancelled,
-    DeadlineExceededError,
-    EventLoop,
-    SimulatedBackend,
-    TaskGroup,
-)
+from orchidlane.runtime import BACKGROUND, REQUESTS, Cancelled, DeadlineExceededError, EventLoop, TaskGroup
+from orchidlane.runtime.simulated_backend import SimulatedBackend
 
 
 def test_a_child_that_fails_cancels_its_siblings_and_is_raised(loop: EventLoop) -> None:
--- a/tests/test_live_tools.py
+++ b/tests/test_live_tools.py
@@ -14,7 +14,8 @@
 
 from orchidlane import recording
 from orchidlane.cli.main import main
-from orchidlane.runtime import EventLoop, RealBackend, SimulatedBackend
+from orchidlane.runtime import EventLoop, RealBackend
+from orchidlane.runtime.simulated_backend import SimulatedBackend
 from orchidlane.simulation.process_backend import ProcessFleetBackend
 from orchidlane.simulation.scenario_plan import make_plan
 from orchidlane.simulation.scenario_runner import ScenarioRunner, run_in_loop
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -58,6 +58,7 @@
             "hot_restart",
             "limits",
             "recording",
+            "runtime.simulated_backend",
             "resp",
             "rollout",
             "routes",
--- a/tests/test_recording_audit.py
+++ b/tests/test_recording_audit.py
@@ -14,7 +14,8 @@
 
 from orchidlane import policy, recording
 from orchidlane.policy import endpoint_selection, retries
-from orchidlane.runtime import EventLoop, SimulatedBackend
+from orchidlane.runtime import EventLoop
+from orchidlane.runtime.simulated_backend import SimulatedBackend
 from orchidlane.simulation.scenario_plan import make_plan
 from orchidlane.simulation.scenario_runner import ScenarioRunner
 from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
--- a/tests/test_rollout_storage.py
+++ b/tests/test_rollout_storage.py
@@ -7,7 +7,8 @@
 from orchidlane.gateway.rollout_agent.storage import CorruptFileError, RolloutStorage, VoterFile
 from orchidlane.rollout.messages import Ballot
 from orchidlane.rollout.voter_state import SeenVoteCount, VoterState
-from orchidlane.runtime import EventLoop, SimulatedBackend
+from orchidlane.runtime import EventLoop
+from orchidlane.runtime.simulated_backend import SimulatedBackend
 
 PATH = "state/gw-0.voter"
 VOTER_FILE = VoterFile(VoterState(7, Ballot(3, 1, 7), Ballot(2, 0, 5), "n" * 64, 4, {1: SeenVoteCount(8, 2)}))
--- a/tests/test_simulated_backend.py
+++ b/tests/test_simulated_backend.py
@@ -4,7 +4,8 @@
 
 from harness.event_loop import MS, SECOND, run_with_log
 
-from orchidlane.runtime import EventLoop, SimulatedBackend, TaskGroup
+from orchidlane.runtime import EventLoop, TaskGroup
+from orchidlane.runtime.simulated_backend import SimulatedBackend
 
 
 def test_a_frozen_process_runs_its_due_timers_once_thawed() -> None:
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -17,7 +17,8 @@
 from orchidlane.gateway.telemetry.predictions import predict_request
 from orchidlane.policy import quota
 from orchidlane.policy.gateway import Gateway
-from orchidlane.runtime import EventLoop, SimulatedBackend
+from orchidlane.runtime import EventLoop
+from orchidlane.runtime.simulated_backend import SimulatedBackend
 from orchidlane.simulation.scenario_plan import make_plan
 from orchidlane.simulation.scenario_runner import ScenarioRunner
 from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
