--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
+import logging
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
+import structlog
 from harness.known_red import (  # noqa: F401  hooks of the tests that are known to fail
     mark,
     pytest_collection_finish,
@@ -62,6 +65,14 @@
     return PolicyHarness()
 
 
+@pytest.fixture
+def quiet_log() -> Iterator[None]:
+    """Log critical errors only."""
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
+    yield
+    structlog.reset_defaults()
+
+
 @pytest.fixture
 def gateway_files(tmp_path: Path) -> GatewayFiles:
     """The example's files for one gateway process."""
--- a/tests/harness/descriptions.py
+++ b/tests/harness/descriptions.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from harness.gateway_harness import MATERIALS
+from harness.constants import MATERIALS
 from orchidlane.routes import build, load_description
 
 DESCRIPTION = (MATERIALS / "openapi.yaml").read_bytes()
--- a/tests/harness/discovery_harness.py
+++ b/tests/harness/discovery_harness.py
@@ -6,20 +6,14 @@
 from contextlib import suppress
 from typing import Any
 
-from harness.platform_harness import MS, OK, SECOND, PlatformHarness, RealPlatformHarness
+from harness.constants import MS, SECOND
+from harness.platform_harness import PlatformHarness, RealPlatformHarness, serve_every_request
 from orchidlane.runtime import ConnectionClosedError, Stream
 
 REAL_TIMEOUT_US = 20 * SECOND
 TRICKLE_INTERVAL_US = 200 * MS
 
 
-def serve_every_request(harness: PlatformHarness, index: int, stream: Stream) -> None:
-    """Serve the requests of a connection at an endpoint."""
-    while True:
-        harness.read_request(index, stream)
-        stream.send(OK)
-
-
 def run(
     backend: type[PlatformHarness],
     test: Callable[[PlatformHarness], None],
@@ -27,9 +21,7 @@
     **changes: Any,
 ) -> PlatformHarness:
     """Run a test with one endpoint that serves every request, unless others are given."""
-    harness = backend(*(handlers or (serve_every_request,)), **changes)
-    harness.run(test)
-    return harness
+    return backend.run_test(*(handlers or (serve_every_request,)), test=test, **changes)
 
 
 def drain_endpoint(harness: PlatformHarness, generation: int = 2) -> None:
--- a/tests/harness/event_loop.py
+++ b/tests/harness/event_loop.py
@@ -6,9 +6,6 @@
 
 from orchidlane.runtime import EventLoop
 
-MS = 1_000  # microseconds
-SECOND = 1_000_000
-
 
 def run_with_log(loop: EventLoop, work: Callable[[list], None]) -> list:
     """Run ``work`` with an empty list on an event loop; return the list, to which the work has added."""
--- a/tests/harness/event_story.py
+++ b/tests/harness/event_story.py
@@ -8,7 +8,8 @@
 
 from click.testing import CliRunner
 
-from harness.policy_harness import SECOND, PolicyHarness, actions_of, endpoint_entry, endpoint_list
+from harness.constants import SECOND
+from harness.policy_harness import PolicyHarness, actions_of, endpoint_entry, endpoint_list
 from orchidlane import policy, recording
 from orchidlane.cli.main import main
 from orchidlane.policy import EndpointState, Outcome
--- a/tests/harness/fleet_discovery.py
+++ b/tests/harness/fleet_discovery.py
@@ -6,8 +6,9 @@
 from contextlib import suppress
 from typing import Any, NamedTuple
 
+from harness.constants import MS, SECOND
 from harness.fleet_hosts import AGENT_NETWORK, HOST_NETWORK, FakeHost, FleetTerms, fleet_address
-from harness.platform_harness import MS, SECOND, ZONES
+from harness.platform_harness import ZONES
 from orchidlane.runtime import ConnectionClosedError, EventLoop, Stream, TaskGroup
 
 HOSTS_PER_CELL = 4
--- a/tests/harness/fleet_harness.py
+++ b/tests/harness/fleet_harness.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
+from harness.constants import MS, SECOND
 from harness.fleet_discovery import DiscoveryAgents, complete_list
 from harness.fleet_hosts import (
     AGENT_NETWORK,
@@ -20,7 +21,7 @@
     HostServers,
     fleet_address,
 )
-from harness.platform_harness import MS, SECOND, call, file, settings
+from harness.platform_harness import call, file, settings
 from orchidlane.platform.configuration import Configuration, parse_configuration
 from orchidlane.platform.lifecycle import PlatformGateway
 from orchidlane.runtime import (
--- a/tests/harness/fleet_hosts.py
+++ b/tests/harness/fleet_hosts.py
@@ -6,7 +6,8 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from harness.platform_harness import MS, OK, SECOND
+from harness.constants import MS, SECOND
+from harness.platform_harness import OK
 from orchidlane import http1
 from orchidlane.runtime import ConnectionClosedError, EventLoop, Stream, TaskGroup
 
--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import hashlib
-from pathlib import Path
-from typing import Any
+from typing import Any, Self
 
 import msgspec
 import structlog
 
+from harness.constants import MATERIALS, MS, SECOND
 from orchidlane import http1
 from orchidlane.gateway.control.configuration import ConfigurationSnapshot
 from orchidlane.gateway.control.customers import load_customers
@@ -21,10 +21,8 @@
 from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
 from orchidlane.simulation.fake_discovery import FakeDiscovery
 
-MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
 GENERATION = build(load_description((MATERIALS / "openapi.yaml").read_bytes(), "o"), "o")
 KEY = b"a-key"
-MS, SECOND = 1_000, 1_000_000
 SETTINGS = (MATERIALS / "fleet.cue").read_text()
 LOW_LIMIT_PLANS = parse_settings(SETTINGS, "fleet.cue").plans
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -67,6 +65,13 @@
         self.program: GatewayProcess
         self.list: FakeDiscovery
 
+    @classmethod
+    def run_test(cls, *handlers, test, **changes) -> Self:
+        """Run one test on a harness with these endpoints and settings; return the harness."""
+        harness = cls(*handlers, **changes)
+        harness.run(test)
+        return harness
+
     def run(self, test) -> None:
         """Run ``test(harness)`` once the gateway knows its endpoints."""
         self.loop.run(self._run, test)
@@ -173,11 +178,7 @@
                 return head.status, head.headers, body
 
 
-def run(*handlers, test, **changes) -> GatewayHarness:
-    """Run one test on a harness with these endpoints and settings; return the harness."""
-    harness = GatewayHarness(*handlers, **changes)
-    harness.run(test)
-    return harness
+run = GatewayHarness.run_test
 
 
 def request(method: str, target: str, headers: str = "", body: bytes = b"", length: bool = True) -> bytes:
--- a/tests/harness/golden_events.py
+++ b/tests/harness/golden_events.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from pathlib import Path
 from typing import Any
 
 from orchidlane import policy
@@ -10,8 +9,6 @@
 from orchidlane.policy import gossip_codec
 from orchidlane.simulator_protocol import codec
 
-MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
-SECOND = 1_000_000
 ENDPOINT = bytes.fromhex("0a124a072b23")
 OTHER_ENDPOINT = bytes.fromhex("0a9011f25423")
 SECRET = b"0123456789abcdef"
--- a/tests/harness/golden_session.py
+++ b/tests/harness/golden_session.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 from harness import session_records
+from harness.constants import MS, SECOND
 from harness.session_clients import SessionClients
 from harness.session_records import (
     CACHED,
@@ -24,10 +25,8 @@
     ERROR,
     FAILED,
     GONE,
-    MS,
     NOT_SENT,
     READY,
-    SECOND,
     SERVED,
     START_US,
     TIMED_OUT,
--- a/tests/harness/golden_writers.py
+++ b/tests/harness/golden_writers.py
@@ -232,17 +232,13 @@
     "account-store.olr": write_account_store,
     "view.msgpack": lambda: pack(golden_view()),
     "node-list-cache.json": lambda: golden_tracker().encode_cache(),
-    "roll-states.json": lambda: encode_as_hex(
-        {phase.value: write_roll(phase) for phase in rolling_upgrade.Phase}
-    ),
+    "roll-states.json": write_rolls,
     "hot-restart-messages.json": lambda: write_messages(golden_restart_messages(), restart_messages.encode),
     "limit-messages.json": lambda: write_messages(golden_token_messages(), pack),
     "module-message.bin": write_gossip_message,
     "datagrams.json": lambda: encode_as_hex(write_datagrams()),
     "ledger.msgpack": write_replicated_state,
-    "ledger-name.txt": lambda: version.content_hash(
-        replicated_state.encode(golden_replicated_state())
-    ).encode(),
+    "ledger-name.txt": write_replicated_state_hash,
     "content-name.txt": lambda: golden_contents("a").combined_hash.encode(),
     "voter-file.bin": lambda: write_rollout_file("voter"),
     "running-file.bin": lambda: write_rollout_file("running"),
--- a/tests/harness/hot_restart_harness.py
+++ b/tests/harness/hot_restart_harness.py
@@ -10,8 +10,8 @@
 
 import structlog
 
-from harness.gateway_harness import GENERATION, GET, MS, OK, REPORT, SETTINGS, GatewayHarness
-from harness.policy_harness import SECOND
+from harness.constants import MS, SECOND
+from harness.gateway_harness import GENERATION, GET, OK, REPORT, SETTINGS, GatewayHarness
 from orchidlane import http1
 from orchidlane.config import Duration
 from orchidlane.gateway.control.configuration import ConfigurationSnapshot
--- a/tests/harness/platform_endpoints.py
+++ b/tests/harness/platform_endpoints.py
@@ -4,12 +4,7 @@
 
 from harness.platform_harness import OK, PlatformHarness
 
-
-def run(*handlers, test, **changes) -> PlatformHarness:
-    """Run one test on a gateway with these endpoints and settings; return the harness."""
-    harness = PlatformHarness(*handlers, **changes)
-    harness.run(test)
-    return harness
+run = PlatformHarness.run_test
 
 
 def serves(harness, index, stream):
--- a/tests/harness/platform_harness.py
+++ b/tests/harness/platform_harness.py
@@ -6,13 +6,13 @@
 import os
 from contextlib import suppress
 
+from harness.constants import MS, SECOND
 from harness.gateway_harness import GatewayHarness
 from orchidlane.platform.configuration import Configuration, parse_configuration
 from orchidlane.platform.lifecycle import PlatformGateway
 from orchidlane.runtime import CONTROL, ConnectionClosedError, EventLoop, RealBackend, TaskGroup
 from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
 
-MS, SECOND = 1_000, 1_000_000
 ZONES = ["hall-1", "hall-2"]
 DISCOVERY = ("127.0.0.1", 8500)
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -259,6 +259,13 @@
 NUMBERS = iter(range(10**9))
 
 
+def serve_every_request(harness, index, stream) -> None:
+    """Serve the requests of a connection at an endpoint."""
+    while True:
+        harness.read_request(index, stream)
+        stream.send(OK)
+
+
 def call(
     name: str = "read",
     *,
--- a/tests/harness/policy_harness.py
+++ b/tests/harness/policy_harness.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
+from harness.constants import SECOND
 from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
 
-SECOND = 1_000_000  # microseconds
 START_US = 1_000 * SECOND  # a clock time well after any start
 
 IDEMPOTENT = policy.RequestClass(
--- a/tests/harness/process_fleets.py
+++ b/tests/harness/process_fleets.py
@@ -2,16 +2,11 @@
 
 from __future__ import annotations
 
-from pathlib import Path
-
-import msgspec
-
+from harness.constants import SECOND
+from harness.scenarios import ALL_RULES_HOLD, load_example
 from orchidlane.config import Duration
 from orchidlane.simulation.process_fleet import run_process_fleet
-from orchidlane.simulation.scenario import load_scenario
 
-MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
-SECOND = 1_000_000
 COST = "{class: sheet-read, cost: 2}"
 EDITED = "{class: sheet-read, cost: 3}"
 MIN_SERVED = 20  # of a run that says anything
@@ -36,8 +31,8 @@
         for name, settings in (plans or {}).items():
             value["plans"][name] |= settings
 
-    day = msgspec.structs.replace(
-        load_scenario(str(MATERIALS / "random.cue")),
+    scenario = load_example(
+        "random.cue",
         duration=Duration(300 * SECOND),
         steps=(),
         gateway_count=gateways,
@@ -45,7 +40,7 @@
         quota_request_rate=0.0,
         customer_count=customers,
     )
-    return run_process_fleet(day, str(tmp_path), script, edit_settings, seed)
+    return run_process_fleet(scenario, str(tmp_path), script, edit_settings, seed)
 
 
 def run_fleet_of_nine(tmp_path, script, **change):
@@ -56,7 +51,7 @@
 def assert_rules_hold(verdict) -> None:
     """All five rules hold, over enough answers."""
     report = verdict.as_json()
-    assert verdict.rules == dict.fromkeys("12345", True), report
+    assert verdict.rules == ALL_RULES_HOLD, report
     assert verdict.responses.get("200", 0) > MIN_SERVED, report
 
 
--- a/tests/harness/race_harness.py
+++ b/tests/harness/race_harness.py
@@ -8,25 +8,15 @@
 
 from contextlib import suppress
 
-from harness.platform_harness import OK, SECOND, RealPlatformHarness, call
+from harness.constants import SECOND
+from harness.platform_harness import OK, RealPlatformHarness, call
 from orchidlane.runtime import ConnectionClosedError
 
 CLOSE = "Connection: close"
 UNREAD_BYTES = b"x" * 100_000  # more than the gateway reads ahead, less than its machine takes
 
 
-def run(*handlers, test, **changes) -> RealPlatformHarness:
-    """Run one test on a gateway with these endpoints and settings; return the harness."""
-    harness = RealPlatformHarness(*handlers, **changes)
-    harness.run(test)
-    return harness
-
-
-def serves(harness, index, stream):
-    """Serve each request at once."""
-    while True:
-        harness.read_request(index, stream)
-        stream.send(OK)
+run = RealPlatformHarness.run_test
 
 
 def responds_when_told(harness, index, stream):
--- a/tests/harness/roll_harness.py
+++ b/tests/harness/roll_harness.py
@@ -7,6 +7,8 @@
 
 import msgspec
 
+from harness.constants import MS, SECOND
+from harness.scenarios import ALL_RULES_HOLD
 from orchidlane.config import Duration
 from orchidlane.gateway.lifecycle.process import GatewayProcess
 from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver
@@ -16,8 +18,6 @@
 from orchidlane.simulation.scenario_runner import ScenarioRunner
 from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
 
-MS = 1_000
-SECOND = 1_000_000
 COMMANDS = ("old", "new")
 REQUESTS_BEFORE_ROLL = 120
 
@@ -128,5 +128,5 @@
 
         self.loop.run(run_both)
         (verdict,) = verdicts
-        assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
+        assert verdict.rules == ALL_RULES_HOLD, verdict.as_json()
         return verdict
--- a/tests/harness/scenarios.py
+++ b/tests/harness/scenarios.py
@@ -1,30 +1,16 @@
-"""Shorthands for tests that run scenarios: the example fleet, steps with plain numbers, and no log output."""
+"""Shorthands for tests that run scenarios: the example fleet, steps with plain numbers."""
 
 from __future__ import annotations
 
-import logging
-from pathlib import Path
-
 import msgspec
-import pytest
-import structlog
 
+from harness.constants import MATERIALS, SECOND
 from orchidlane.config import Duration
 from orchidlane.simulation.scenario import FaultKind, Scenario, Step, load_scenario
 
-MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
-SECOND = 1_000_000
 ALL_RULES_HOLD = dict.fromkeys("12345", True)
 
 
-@pytest.fixture(autouse=True)
-def quiet_log():
-    """Log critical errors only."""
-    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
-    yield
-    structlog.reset_defaults()
-
-
 def load_example(name: str, **changes) -> Scenario:
     """Return a scenario of the examples, changed."""
     return msgspec.structs.replace(load_scenario(str(MATERIALS / name)), **changes)
--- a/tests/harness/session_clients.py
+++ b/tests/harness/session_clients.py
@@ -4,9 +4,8 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
+from harness.constants import MS, SECOND
 from harness.session_records import (
-    MS,
-    SECOND,
     SERVED,
     START_US,
     count_recovered_event,
--- a/tests/harness/session_records.py
+++ b/tests/harness/session_records.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
+from harness.constants import SECOND
 from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
 from orchidlane.simulator_protocol import codec, settings_json
 
-MS, SECOND = 1_000, 1_000_000
 START_US = 1_000 * SECOND
 # Outcomes of attempts
 SERVED, ERROR, ENDPOINT_FULL, TIMED_OUT, CONNECT_FAILED, CONNECTION_BROKEN, CANCELLED, NOT_SENT = (
--- a/tests/harness/single_gateway.py
+++ b/tests/harness/single_gateway.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-MATERIALS = Path(__file__).parent.parent.parent / "examples" / "materials"
+from harness.constants import MATERIALS
+
 EXAMPLE_PORTS = (8080, 8180, 8280, 8300, 8380)  # of the first gateway, and of the endpoint list
 LOG_READS = 600
 LOG_READ_INTERVAL_SECONDS = 0.02
--- a/tests/processes/test_rollout_processes.py
+++ b/tests/processes/test_rollout_processes.py
@@ -10,15 +10,8 @@
 
 import msgspec
 import pytest
-from harness.process_fleets import (
-    COST,
-    EDITED,
-    SECOND,
-    all_run,
-    assert_rules_hold,
-    run_fleet,
-    run_fleet_of_nine,
-)
+from harness.constants import SECOND
+from harness.process_fleets import COST, EDITED, all_run, assert_rules_hold, run_fleet, run_fleet_of_nine
 
 from orchidlane.gateway.control.customers import CustomerRecord, make_customer
 from orchidlane.gateway.control.settings_loader import parse_host_port
--- a/tests/processes/test_rollout_stages.py
+++ b/tests/processes/test_rollout_stages.py
@@ -2,12 +2,11 @@
 
 from __future__ import annotations
 
-import msgspec
 import pytest
 from harness.process_fleets import COST, EDITED, all_run, assert_rules_hold, run_fleet_of_nine
 
 from orchidlane.gateway.rollout_agent.storage import RolloutStorage
-from orchidlane.rollout.replicated_state import ReplicatedState
+from orchidlane.rollout import replicated_state
 from orchidlane.runtime import RealBackend
 
 GOOD_UPLOAD, BAD_UPLOAD = "worth: 2, cost: 2}", "worth: 2, cost: 40}"  # beyond any plan's burst
@@ -34,7 +33,7 @@
 def ranks_of_stage(fleet, voter: int) -> set[int]:
     """Return the gateways that should run the rollout's version, by the voter's file."""
     file = RolloutStorage(RealBackend(), str(fleet.folder / f"gw-{voter}")).read_voter()
-    rollout = msgspec.msgpack.decode(file.accepted_state, type=ReplicatedState).rollout
+    rollout = replicated_state.decode(file.accepted_state).rollout
     return {rank for rank in range(fleet.count) if rollout.includes(rank)}
 
 
--- a/tests/test_account_recovery.py
+++ b/tests/test_account_recovery.py
@@ -6,11 +6,12 @@
 
 import msgspec
 import pytest
-from harness.gateway_harness import GET, MS, GatewayHarness
+from harness.constants import MS, SECOND
+from harness.gateway_harness import GET, GatewayHarness
 from harness.gateway_harness import SETTINGS as FLEET
 from harness.hot_restart_harness import slow
-from harness.policy_harness import PLAIN_PLAN, SECOND, SETTINGS
-from harness.scenarios import make_scenario, quiet_log  # noqa: F401
+from harness.policy_harness import PLAIN_PLAN, SETTINGS
+from harness.scenarios import make_scenario
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -28,6 +29,8 @@
 from orchidlane.simulation.scenario_runner import ScenarioRunner
 from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 START = 10**15
 PLANS = ("basico", "amplio")
 ALMOST_FULL = 30  # of a burst of 40: below a quarter a customer is exhausted, quota.EXHAUSTED_BELOW_SHARE
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,15 +5,9 @@
 import dataclasses
 
 import pytest
+from harness.constants import SECOND
 from harness.gossip_harness import NOW_TICKS, confirmed, customer_row, peer_messages, receive, send_requests
-from harness.policy_harness import (
-    PLAIN_PLAN,
-    SECOND,
-    PolicyHarness,
-    actions_of,
-    endpoint_entry,
-    endpoint_list,
-)
+from harness.policy_harness import PLAIN_PLAN, PolicyHarness, actions_of, endpoint_entry, endpoint_list
 
 from orchidlane import policy
 
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -8,7 +8,8 @@
 import test_endpoint_races as endpoint_races
 import test_lingering as lingering
 import test_shutdown_races as shutdown_races
-from harness.platform_harness import SECOND, PlatformHarness
+from harness.constants import SECOND
+from harness.platform_harness import PlatformHarness
 
 from orchidlane.gateway.control.json_stream import JsonObjectSplitter
 from orchidlane.gateway.forwarding.connection_pool import ConnectionPool
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import pytest
+from harness.constants import SECOND
 from harness.gossip_harness import customer_row, receive
-from harness.policy_harness import SECOND, START_US, PolicyHarness, actions_of
+from harness.policy_harness import START_US, PolicyHarness, actions_of
 
 from orchidlane import policy
 from orchidlane.policy import Outcome, admission, gossip_codec, quota, replica_set
--- a/tests/test_connection_races.py
+++ b/tests/test_connection_races.py
@@ -9,7 +9,8 @@
 import dataclasses
 
 import pytest
-from harness.platform_harness import MS, SECOND, RealPlatformHarness, call, settings
+from harness.constants import MS, SECOND
+from harness.platform_harness import RealPlatformHarness, call, serve_every_request, settings
 from harness.race_harness import (
     CLOSE,
     UNREAD_BYTES,
@@ -19,7 +20,6 @@
     responds_when_told,
     run,
     send_what_fits,
-    serves,
     silent,
 )
 
@@ -47,7 +47,7 @@
         send_what_fits(client, raw.replace(b"Plan", CLOSE.encode() + b"\r\nPlan") + UNREAD_BYTES)
         assert read_to_end(harness, client).startswith(b"HTTP/1.1 4")
 
-    assert not run(serves, test=test).seen
+    assert not run(serve_every_request, test=test).seen
 
 
 def test_a_request_that_came_just_before_eviction_is_served():
@@ -57,7 +57,7 @@
         assert not server._close_idle()
         assert harness.answer(client)[0] == 200
 
-    run(serves, test=test)
+    run(serve_every_request, test=test)
 
 
 def test_a_request_just_after_eviction_finds_a_closed_connection_and_is_not_forwarded():
@@ -68,7 +68,7 @@
         assert read_to_end(harness, client) == b""
         assert not server.connections
 
-    assert len(run(serves, test=test).seen) == 1
+    assert len(run(serve_every_request, test=test).seen) == 1
 
 
 def test_a_request_that_came_as_the_idle_timeout_expired_is_served():
@@ -82,7 +82,7 @@
             pass
         assert harness.answer(client)[0] == 200
 
-    run(serves, test=test)
+    run(serve_every_request, test=test)
 
 
 def test_an_idle_timeout_closes_without_a_reset():
@@ -94,7 +94,7 @@
         client.send(call())  # crosses the close
         assert read_to_end(harness, client) == b""
 
-    assert len(run(serves, test=test).seen) == 1
+    assert len(run(serve_every_request, test=test).seen) == 1
 
 
 def test_a_request_beyond_the_in_flight_limit_is_rejected_at_once_and_not_delayed():
@@ -136,7 +136,7 @@
         assert not harness.gateway.policy_driver.requests
         assert not harness.gateway.policy_driver.gateway.attempts
 
-    assert not run(serves, test=test).seen
+    assert not run(serve_every_request, test=test).seen
 
 
 @pytest.mark.parametrize("leave", LEAVE)
@@ -195,4 +195,4 @@
             )
         )
 
-    assert not run(serves, test=test).seen
+    assert not run(serve_every_request, test=test).seen
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -1,8 +1,8 @@
 """Connection reuse: which idle connections are used for another request."""
 
-from orchidlane.gateway.forwarding.connection_reuse import HALF_LIFE_US, ReuseStatistics
+from harness.constants import MS, SECOND
 
-MS, SECOND = 1_000, 1_000_000
+from orchidlane.gateway.forwarding.connection_reuse import HALF_LIFE_US, ReuseStatistics
 
 
 def feed(reuse: ReuseStatistics, idle: int | None, number: int, lost: int, now: int = 0) -> None:
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import pytest
+from harness.constants import SECOND
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -10,7 +11,6 @@
 
 SECRET = b"0123456789abcdef"
 NOW = 1_000_000_000
-SECOND = 1_000_000
 
 
 def make_inbox(rate=1000.0) -> Inbox:
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -4,14 +4,9 @@
 
 import os
 
-from harness.scenarios import (
-    ALL_RULES_HOLD,
-    SECOND,
-    load_example,
-    make_scenario,
-    make_step,
-    quiet_log,  # noqa: F401
-)
+import pytest
+from harness.constants import SECOND
+from harness.scenarios import ALL_RULES_HOLD, load_example, make_scenario, make_step
 
 from orchidlane import policy
 from orchidlane.config import Duration
@@ -25,6 +20,8 @@
 from orchidlane.simulation.random_faults import broken_seeds, run_seeds
 from orchidlane.simulation.simulated_fleet import simulate
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 SEEDS = range(1, 201)
 REGRESSION_SEEDS = (194, 244, 341)  # broke once: see CHANGELOG
 UPGRADE_REGRESSION_SEEDS = (99, 102, 103, 105, 158, 163, 2067)  # broke once: see CHANGELOG
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -5,10 +5,9 @@
 import json
 
 import pytest
+from harness.constants import MS, SECOND
 from harness.discovery_harness import drain_endpoint, is_drain_known, run, timeout_us, trickle
 from harness.platform_harness import (
-    MS,
-    SECOND,
     Discovery,
     PlatformHarness,
     RealPlatformHarness,
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -5,6 +5,7 @@
 import random
 
 import pytest
+from harness.constants import SECOND
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -12,8 +13,6 @@
 from orchidlane.rollout.dissemination import Dissemination, FetchState
 from orchidlane.rollout.messages import Ballot
 
-SECOND = 1_000_000
-
 
 def dissemination() -> Dissemination:
     """Return gateway 4 of 5, with three voters and a lease of 2 s."""
--- a/tests/test_endpoint_races.py
+++ b/tests/test_endpoint_races.py
@@ -9,12 +9,12 @@
 from contextlib import suppress
 
 import pytest
-from harness.platform_harness import MS, OK, SECOND, RealPlatformHarness, call, settings
+from harness.constants import MS, SECOND
+from harness.platform_harness import OK, RealPlatformHarness, call, serve_every_request, settings
 from harness.race_harness import (
     endpoint_streams,
     read_to_end,
     run,
-    serves,
 )
 
 from orchidlane.runtime import ConnectionClosedError
@@ -55,7 +55,7 @@
 
     def counted(harness, index, stream):
         harness.streams = [*getattr(harness, "streams", []), stream]
-        serves(harness, index, stream)
+        serve_every_request(harness, index, stream)
 
     assert len(run(counted, test=test).seen) == 2
 
@@ -86,7 +86,7 @@
 
     def counted(harness, index, stream):
         harness.streams = [*getattr(harness, "streams", []), stream]
-        serves(harness, index, stream)
+        serve_every_request(harness, index, stream)
 
     assert len(run(counted, test=test).seen) == 2
 
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from harness.policy_harness import SECOND, START_US, PolicyHarness, actions_of, endpoint_entry, endpoint_list
+from harness.constants import SECOND
+from harness.policy_harness import START_US, PolicyHarness, actions_of, endpoint_entry, endpoint_list
 
 from orchidlane import policy
 from orchidlane.policy import Outcome
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -6,7 +6,8 @@
 import sys
 
 import pytest
-from harness.event_loop import MS, SECOND, run_with_log
+from harness.constants import MS, SECOND
+from harness.event_loop import run_with_log
 
 from orchidlane.runtime import BACKGROUND, REQUESTS, Cancelled, DeadlineExceededError, EventLoop, TaskGroup
 from orchidlane.runtime.simulated_backend import SimulatedBackend
--- a/tests/test_fleet_totals.py
+++ b/tests/test_fleet_totals.py
@@ -6,9 +6,9 @@
 from typing import NamedTuple
 
 import pytest
+from harness.constants import MS, SECOND
 from harness.fleet_harness import Customer, SimulatedFleet
 from harness.fleet_hosts import FleetTerms
-from harness.platform_harness import MS, SECOND
 
 from orchidlane.policy import admission, endpoint_registry, gossip, quota, token_owner
 from orchidlane.recording.reference_quota import ReferenceQuota
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -3,16 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from harness.gateway_harness import (
-    GET,
-    LOW_LIMIT_PLANS,
-    MS,
-    OK,
-    SECOND,
-    good,
-    request,
-    run,
-)
+from harness.constants import MS, SECOND
+from harness.gateway_harness import GET, LOW_LIMIT_PLANS, OK, good, request, run
 
 from orchidlane import http1
 
--- a/tests/test_gateway_endpoints.py
+++ b/tests/test_gateway_endpoints.py
@@ -2,15 +2,8 @@
 
 from __future__ import annotations
 
-from harness.gateway_harness import (
-    GET,
-    MS,
-    SECOND,
-    good,
-    request,
-    run,
-    silent,
-)
+from harness.constants import MS, SECOND
+from harness.gateway_harness import GET, good, request, run, silent
 
 
 def test_a_request_to_a_silent_endpoint_fails_within_its_deadline():
--- a/tests/test_gateway_lifecycle.py
+++ b/tests/test_gateway_lifecycle.py
@@ -3,14 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from harness.gateway_harness import (
-    GET,
-    MS,
-    OK,
-    SECOND,
-    good,
-    run,
-)
+from harness.constants import MS, SECOND
+from harness.gateway_harness import GET, OK, good, run
 
 from orchidlane.http1 import header
 
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -3,18 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from harness.gateway_harness import (
-    GET,
-    MS,
-    OK,
-    REPORT,
-    SECOND,
-    UPLOAD,
-    good,
-    request,
-    resets_after,
-    run,
-)
+from harness.constants import MS, SECOND
+from harness.gateway_harness import GET, OK, REPORT, UPLOAD, good, request, resets_after, run
 
 from orchidlane.runtime import ConnectionClosedError
 
--- a/tests/test_golden_command.py
+++ b/tests/test_golden_command.py
@@ -12,6 +12,7 @@
 
 import click
 import pytest
+from harness.constants import MATERIALS
 from harness.event_story import run_command
 from harness.gateway_harness import (
     GET,
@@ -22,7 +23,6 @@
     resets_after,
 )
 from harness.golden_admin import request_admin
-from harness.golden_events import MATERIALS
 from harness.golden_files import check_golden
 
 from orchidlane.cli.main import main
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -6,10 +6,11 @@
 from pathlib import Path
 
 import msgspec
+from harness.constants import SECOND
 from harness.gateway_harness import (
     good,
 )
-from harness.golden_events import SECOND, SECRET, customer_row, message_values, seal_datagram
+from harness.golden_events import SECRET, customer_row, message_values, seal_datagram
 from harness.golden_files import check_golden
 from harness.golden_samples import samples
 from harness.platform_harness import PlatformHarness, call, settings
--- a/tests/test_golden_responses.py
+++ b/tests/test_golden_responses.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 import msgspec
+from harness.constants import SECOND
 from harness.gateway_harness import (
     GET,
     KEY,
@@ -19,7 +20,6 @@
     resets_after,
 )
 from harness.golden_admin import request_admin, without_build
-from harness.golden_events import SECOND
 from harness.golden_files import check_golden
 
 from orchidlane import resp
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -14,6 +14,7 @@
 from functools import cache
 
 import pytest
+from harness.constants import SECOND
 from harness.golden_files import check_golden
 from harness.golden_session import Session
 from harness.session_records import (
@@ -21,7 +22,6 @@
     FAIL,
     POLICY_FAILURE,
     REJECT,
-    SECOND,
     SEND,
     SEND_PEER_MESSAGE,
     SET_TIMER,
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -6,6 +6,7 @@
 import sys
 
 import pytest
+from harness.constants import SECOND
 from harness.gossip_harness import (
     NOW_MS,
     NOW_TICKS,
@@ -17,7 +18,7 @@
     receive_at,
     send_requests,
 )
-from harness.policy_harness import PLAIN_PLAN, SECOND, PolicyHarness
+from harness.policy_harness import PLAIN_PLAN, PolicyHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -4,10 +4,9 @@
 
 import msgspec
 import pytest
-from harness.gateway_harness import GET, MS, good
+from harness.constants import MS, SECOND
+from harness.gateway_harness import GET, good
 from harness.hot_restart_harness import HotRestartHarness, counted_units, slow
-from harness.policy_harness import SECOND
-from harness.scenarios import quiet_log  # noqa: F401
 
 from orchidlane import recording
 from orchidlane.gateway.lifecycle.new_side import NewSide
@@ -15,6 +14,8 @@
 from orchidlane.policy import admission, quota
 from orchidlane.policy.gateway import Gateway
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 
 def test_hot_restart_passes_probation_and_answers_every_request_once():
     def test(harness: HotRestartHarness) -> None:
--- a/tests/test_hot_restart_clients.py
+++ b/tests/test_hot_restart_clients.py
@@ -6,14 +6,16 @@
 from collections import Counter
 from typing import NamedTuple
 
-from harness.gateway_harness import GET, MS, OK, REPORT, GatewayHarness, good, request
+import pytest
+from harness.constants import MS, SECOND
+from harness.gateway_harness import GET, OK, REPORT, GatewayHarness, good, request
 from harness.hot_restart_harness import HotRestartHarness, counted_units
-from harness.policy_harness import SECOND
-from harness.scenarios import quiet_log  # noqa: F401
 
 from orchidlane import http1
 from orchidlane.gateway.lifecycle.new_side import NewSide
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 
 class SplitRequest(NamedTuple):
     """What a client sends before a hot restart and after it, and how many responses follow."""
--- a/tests/test_hot_restart_faults.py
+++ b/tests/test_hot_restart_faults.py
@@ -3,10 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from harness.gateway_harness import GET, MS, REPORT
+from harness.constants import MS, SECOND
+from harness.gateway_harness import GET, REPORT
 from harness.hot_restart_harness import HotRestartHarness, Sabotage, counted_units, slow
-from harness.policy_harness import SECOND
-from harness.scenarios import quiet_log  # noqa: F401
 
 from orchidlane.gateway.lifecycle.new_side import NewSide
 from orchidlane.gateway.lifecycle.process import GatewayProcess
@@ -14,6 +13,8 @@
 from orchidlane.hot_restart import messages, new_process
 from orchidlane.runtime import DeadlineExceededError
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 EVENTS = (
     new_process.OfferReceived,
     new_process.CopyCompleteReceived,
--- a/tests/test_hot_restart_model.py
+++ b/tests/test_hot_restart_model.py
@@ -4,11 +4,12 @@
 
 import pytest
 from harness.hot_restart_model import initial_state
-from harness.scenarios import quiet_log  # noqa: F401
 
 from orchidlane.hot_restart import new_process, old_process
 from orchidlane.simulation.state_exploration import explore
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 
 def test_never_both_serve_and_one_can_always_serve():
     result = explore(initial_state())
--- a/tests/test_hot_restart_real.py
+++ b/tests/test_hot_restart_real.py
@@ -10,7 +10,7 @@
 
 import pytest
 from harness.event_story import run_command
-from harness.scenarios import make_scenario, quiet_log  # noqa: F401
+from harness.scenarios import ALL_RULES_HOLD, make_scenario
 
 from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.simulation.background_load import run_during_load
@@ -19,6 +19,8 @@
 from orchidlane.simulation.scenario_plan import make_plan
 from orchidlane.simulation.scenario_runner import ScenarioRunner
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 
 @pytest.fixture(scope="module")
 def builds(tmp_path_factory) -> dict[str, str]:
@@ -62,7 +64,7 @@
     exit_codes = [(name, code) for name, code, _ in outcomes]
     assert exit_codes == [(name, int(bool(name))) for name in builds_in_turn], outcomes
     report = verdict.as_json()
-    assert verdict.rules == dict.fromkeys("12345", True), report
+    assert verdict.rules == ALL_RULES_HOLD, report
     assert (report["missing"], report["doubled"], report["late"]) == (0, 0, 0)
     assert verdict.responses["200"] > 300
     assert verdict.responses.get("reset", 0) == 0, report
@@ -129,5 +131,5 @@
     assert roll.outputs["resumed"].endswith("done\n")
     assert "returned: gateway" in roll.outputs["broken"]
     assert "its process ended" in roll.outputs["broken"]
-    assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
+    assert verdict.rules == ALL_RULES_HOLD, verdict.as_json()
     assert verdict.responses.get("reset", 0) == 0, verdict.as_json()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 import pytest
-from harness.scenarios import SECOND, make_scenario, make_step, quiet_log  # noqa: F401
+from harness.scenarios import ALL_RULES_HOLD, make_scenario, make_step
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -27,6 +27,8 @@
 from orchidlane.limits.tokens import ClaimId
 from orchidlane.simulation.simulated_fleet import simulate
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 LIFETIME = 10
 NOW = 1_000
 NAME = token_name(1, b"t")
@@ -245,7 +247,7 @@
     verdict = simulate(
         make_scenario(*faults, span=7, quota_request_rate=80.0, request_rate=5.0, customer_count=200), 3
     )
-    assert verdict.rules == dict.fromkeys("12345", True), verdict.as_json()
+    assert verdict.rules == ALL_RULES_HOLD, verdict.as_json()
     assert verdict.quota_responses["granted"] > 100
     assert sum(counted.values()) > 100
     assert max(counted.values()) == 1
@@ -253,7 +255,7 @@
 
 def test_demand_of_seven_times_the_quota_over_both_servers_of_all_gateways_stays_within_it():
     verdict = simulate(make_scenario(span=6, quota_request_rate=60.0, request_rate=60.0, customer_count=4), 2)
-    assert verdict.rules == dict.fromkeys("12345", True)
+    assert verdict.rules == ALL_RULES_HOLD
     assert verdict.quota_responses["refused"] > 20
     assert verdict.responses["429"] > 20
     assert verdict.units_beyond_quota <= 0.1 * verdict.units_used
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -7,7 +7,7 @@
 from typing import Any, NoReturn
 
 import pytest
-from harness.event_loop import MS, SECOND
+from harness.constants import MS, SECOND
 
 from orchidlane.runtime import (
     ConnectionClosedError,
--- a/tests/test_live_tools.py
+++ b/tests/test_live_tools.py
@@ -9,8 +9,9 @@
 
 import pytest
 from click.testing import CliRunner
+from harness.constants import MATERIALS
 from harness.event_story import run_command
-from harness.scenarios import MATERIALS, load_example, make_scenario, quiet_log  # noqa: F401
+from harness.scenarios import load_example, make_scenario
 
 from orchidlane import recording
 from orchidlane.cli.main import main
@@ -21,6 +22,8 @@
 from orchidlane.simulation.scenario_runner import ScenarioRunner, run_in_loop
 from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 CLIENT_REQUESTS_BEFORE_TOOLS = 40
 
 
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from harness.constants import SECOND
 from harness.gossip_harness import (
     NOW_TICKS,
     confirmed,
@@ -11,7 +12,7 @@
     receive,
     send_requests,
 )
-from harness.policy_harness import SECOND, START_US, PolicyHarness, actions_of
+from harness.policy_harness import START_US, PolicyHarness, actions_of
 
 from orchidlane import policy
 from orchidlane.policy import gossip_codec
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -5,11 +5,10 @@
 import json
 
 import pytest
+from harness.constants import MS, SECOND
 from harness.platform_endpoints import run, serves
 from harness.platform_harness import (
     DISCOVERY,
-    MS,
-    SECOND,
     Discovery,
     PlatformHarness,
     call,
--- a/tests/test_platform_endpoints.py
+++ b/tests/test_platform_endpoints.py
@@ -3,14 +3,9 @@
 from __future__ import annotations
 
 import pytest
+from harness.constants import MS
 from harness.platform_endpoints import responds_with, run, serves
-from harness.platform_harness import (
-    MS,
-    OK,
-    PlatformHarness,
-    call,
-    instance,
-)
+from harness.platform_harness import OK, PlatformHarness, call, instance
 
 
 @pytest.mark.parametrize("status", [b"503 Busy", b"504 Late"])
--- a/tests/test_platform_lifecycle.py
+++ b/tests/test_platform_lifecycle.py
@@ -6,14 +6,9 @@
 from contextlib import suppress
 
 import pytest
+from harness.constants import MS, SECOND
 from harness.platform_endpoints import run, serves, silent
-from harness.platform_harness import (
-    MS,
-    SECOND,
-    PlatformHarness,
-    call,
-    settings,
-)
+from harness.platform_harness import PlatformHarness, call, settings
 
 from orchidlane.platform.rate_limited_log import RateLimitedLog
 from orchidlane.platform.shutdown import ACCEPT_PERIOD_US
--- a/tests/test_platform_requests.py
+++ b/tests/test_platform_requests.py
@@ -3,16 +3,10 @@
 from __future__ import annotations
 
 import pytest
+from harness.constants import MS, SECOND
 from harness.gateway_harness import resets_after
 from harness.platform_endpoints import run, serves
-from harness.platform_harness import (
-    MS,
-    OK,
-    SECOND,
-    PlatformHarness,
-    call,
-    instance,
-)
+from harness.platform_harness import OK, PlatformHarness, call, instance
 
 from orchidlane.http1 import header
 
--- a/tests/test_polling.py
+++ b/tests/test_polling.py
@@ -3,10 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from harness.platform_harness import (
-    MS,
-    SECOND,
-)
+from harness.constants import MS, SECOND
 from hypothesis import given
 from hypothesis import strategies as st
 
--- a/tests/test_recording_audit.py
+++ b/tests/test_recording_audit.py
@@ -6,11 +6,10 @@
 from pathlib import Path
 
 import pytest
+from harness.constants import MS, SECOND
 from harness.event_story import EventStory, run_command
-from harness.gateway_harness import MS
-from harness.policy_harness import SECOND
 from harness.saved_states import NAMES
-from harness.scenarios import make_scenario, make_step, quiet_log  # noqa: F401
+from harness.scenarios import make_scenario, make_step
 
 from orchidlane import policy, recording
 from orchidlane.policy import endpoint_selection, retries
@@ -20,6 +19,8 @@
 from orchidlane.simulation.scenario_runner import ScenarioRunner
 from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 
 def run_recorded(tmp_path: Path, *steps, seed: int = 1, **changes) -> dict:
     """Return the output of the audit command over the records of a simulated scenario."""
--- a/tests/test_recording_segments.py
+++ b/tests/test_recording_segments.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 import pytest
+from harness.constants import SECOND
 from harness.event_story import EventStory, run_command, write_segment
-from harness.policy_harness import SECOND
 
 from orchidlane import policy, recording
 
--- a/tests/test_resp_server.py
+++ b/tests/test_resp_server.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from harness.gateway_harness import GET, KEY, LOW_LIMIT_PLANS, MS, SECOND, SETTINGS, GatewayHarness, good
+from harness.constants import MS, SECOND
+from harness.gateway_harness import GET, KEY, LOW_LIMIT_PLANS, SETTINGS, GatewayHarness, good
 
 from orchidlane.gateway.control.settings_loader import parse_settings
 from orchidlane.resp import Decoder, ErrorReply, encode
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -3,14 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from harness.policy_harness import (
-    SECOND,
-    PolicyHarness,
-    actions_of,
-    endpoint_entry,
-    endpoint_list,
-    serve_request,
-)
+from harness.constants import SECOND
+from harness.policy_harness import PolicyHarness, actions_of, endpoint_entry, endpoint_list, serve_request
 
 from orchidlane import policy
 from orchidlane.policy import Outcome
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -4,8 +4,9 @@
 
 import msgspec
 import pytest
-from harness.roll_harness import MS, SECOND, RollHarness, Sabotage
-from harness.scenarios import make_scenario, quiet_log  # noqa: F401
+from harness.constants import MS, SECOND
+from harness.roll_harness import RollHarness, Sabotage
+from harness.scenarios import make_scenario
 
 from orchidlane.gateway.lifecycle.rolling_upgrade import UnfinishedRollError
 from orchidlane.hot_restart.rolling_upgrade import GatewayPhase, Phase
@@ -13,6 +14,8 @@
 from orchidlane.policy.state import PolicyState
 from orchidlane.runtime import CONTROL
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 REJECTING: list[PolicyState] = []  # gateways that admit nothing
 
 
--- a/tests/test_rollout_scenarios.py
+++ b/tests/test_rollout_scenarios.py
@@ -7,8 +7,8 @@
 from concurrent.futures import ProcessPoolExecutor
 
 import pytest
-from harness.gateway_harness import MATERIALS, fleet
-from harness.scenarios import quiet_log  # noqa: F401
+from harness.constants import MATERIALS
+from harness.gateway_harness import fleet
 
 from orchidlane.rollout.dissemination import Dissemination
 from orchidlane.simulation.rollout_scenarios import (
@@ -19,6 +19,8 @@
     run_scenario,
 )
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 REGRESSION_SEEDS = (
     130,
     180,
--- a/tests/test_shard_migration.py
+++ b/tests/test_shard_migration.py
@@ -6,7 +6,8 @@
 import json
 
 import pytest
-from harness.policy_harness import CEILING_PLAN, SECOND, SETTINGS, START_US, actions_of
+from harness.constants import SECOND
+from harness.policy_harness import CEILING_PLAN, SETTINGS, START_US, actions_of
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -11,13 +11,20 @@
 from contextlib import suppress
 
 import pytest
-from harness.platform_harness import MS, OK, SECOND, PlatformHarness, RealPlatformHarness, call, settings
+from harness.constants import MS, SECOND
+from harness.platform_harness import (
+    OK,
+    PlatformHarness,
+    RealPlatformHarness,
+    call,
+    serve_every_request,
+    settings,
+)
 from harness.race_harness import (
     idle_client,
     read_to_end,
     responds_when_told,
     run,
-    serves,
 )
 
 from orchidlane.platform.shutdown import ACCEPT_PERIOD_US, graceful_shutdown
@@ -53,7 +60,7 @@
             assert b"connection: close" in answer
         assert not server.connections
 
-    assert len(run(*[serves] * 6, test=test).seen) == 3 + 5
+    assert len(run(*[serve_every_request] * 6, test=test).seen) == 3 + 5
 
 
 @pytest.mark.parametrize("read", [True, False], ids=["read ahead", "at our machine"])
@@ -108,7 +115,7 @@
         assert received.count(b"connection: close") == 1
         assert not server.connections
 
-    run(*[serves] * 3, test=test)
+    run(*[serve_every_request] * 3, test=test)
 
 
 def test_a_client_that_waits_for_capacity_at_the_drain_is_closed_without_a_reset():
--- a/tests/test_simulated_backend.py
+++ b/tests/test_simulated_backend.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from harness.event_loop import MS, SECOND, run_with_log
+from harness.constants import MS, SECOND
+from harness.event_loop import run_with_log
 
 from orchidlane.runtime import EventLoop, TaskGroup
 from orchidlane.runtime.simulated_backend import SimulatedBackend
--- a/tests/test_sockets_and_files.py
+++ b/tests/test_sockets_and_files.py
@@ -11,7 +11,8 @@
 from typing import Any, NoReturn
 
 import pytest
-from harness.event_loop import MS, SECOND, run_with_log
+from harness.constants import MS, SECOND
+from harness.event_loop import run_with_log
 
 from orchidlane.runtime import (
     Address,
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -3,12 +3,13 @@
 from __future__ import annotations
 
 import pytest
+from harness.constants import MS, SECOND
 from harness.event_story import EventStory, run_command
-from harness.gateway_harness import GET, MS, GatewayHarness, good
+from harness.gateway_harness import GET, GatewayHarness, good
 from harness.golden_admin import request_admin
-from harness.policy_harness import SECOND, actions_of
+from harness.policy_harness import actions_of
 from harness.saved_states import NAMES, write_state
-from harness.scenarios import make_scenario, make_step, quiet_log  # noqa: F401
+from harness.scenarios import make_scenario
 
 from orchidlane import policy, recording
 from orchidlane.gateway.telemetry.plan_counts import count_by_plan
@@ -23,6 +24,8 @@
 from orchidlane.simulation.scenario_runner import ScenarioRunner
 from orchidlane.simulation.simulated_fleet import SimulatedFleetBackend
 
+pytestmark = pytest.mark.usefixtures("quiet_log")
+
 
 def decision_of(actions: list[policy.Action]) -> str:
     """Return the decision on a request, in the words of a prediction."""
--- a/tests/test_token_owner.py
+++ b/tests/test_token_owner.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from harness.constants import SECOND
 from harness.gossip_harness import NOW_TICKS, confirmed, customer_row, peer_messages, receive, send_requests
-from harness.policy_harness import SECOND, PolicyHarness
+from harness.policy_harness import PolicyHarness
 
 from orchidlane.policy import replica_set
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 
 import pytest
+from harness.constants import SECOND
 from harness.event_story import EventStory, run_command, write_segment
 from harness.gateway_harness import GET, GatewayHarness, good
-from harness.policy_harness import SECOND
 from harness.saved_states import write_state
 
 import orchidlane
