--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -17,11 +17,11 @@
 from benchmarks.processes import (
     API_KEY,
     SERVER_ROLES,
-    free_ports,
     pinned_processes,
     wait_until_listening,
     write_settings,
 )
+from orchidlane.simulation.loopback_addresses import free_ports
 
 REQUEST = f"GET /v1/sheets/steel HTTP/1.1\r\nHost: g\r\nX-Api-Key: {API_KEY}\r\nAccept: */*\r\n\r\n".encode()
 WARM_UP_SECONDS = 0.5
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -20,17 +20,6 @@
 CONNECT_RETRY_SECONDS = 0.05
 
 
-def free_ports(count: int) -> list[int]:
-    """Return so many TCP ports of the loopback address that nothing uses now."""
-    sockets = [socket.socket() for _ in range(count)]
-    for sock in sockets:
-        sock.bind(("127.0.0.1", 0))
-    ports = [sock.getsockname()[1] for sock in sockets]
-    for sock in sockets:
-        sock.close()
-    return ports
-
-
 def write_settings(
     folder: Path, gateway_port: int, peer_port: int, list_port: int, resp_port: int | None = None
 ) -> Path:
--- a/benchmarks/recording.py
+++ b/benchmarks/recording.py
@@ -15,11 +15,11 @@
 from benchmarks.gateway import load_http
 from benchmarks.processes import (
     SERVER_ROLES,
-    free_ports,
     pinned_processes,
     wait_until_listening,
     write_settings,
 )
+from orchidlane.simulation.loopback_addresses import free_ports
 
 CONNECTION_COUNT = 32
 WRITE_DELAY_SECONDS = 0.5  # the last entries are on disk then
--- a/benchmarks/resp.py
+++ b/benchmarks/resp.py
@@ -14,11 +14,11 @@
 from benchmarks.processes import (
     API_KEY,
     SERVER_ROLES,
-    free_ports,
     pinned_processes,
     wait_until_listening,
     write_settings,
 )
+from orchidlane.simulation.loopback_addresses import free_ports
 
 TAKE = b"*3\r\n$10\r\nLIMIT.TAKE\r\n$%d\r\n%s\r\n$1\r\n1\r\n" % (len(API_KEY), API_KEY.encode())
 GRANTED = b"*3\r\n:1\r\n"
--- a/orchidlane/simulation/process_backend.py
+++ b/orchidlane/simulation/process_backend.py
@@ -4,7 +4,6 @@
 
 import os
 import signal
-import socket
 import subprocess
 import sys
 import tempfile
@@ -17,6 +16,7 @@
 from orchidlane.runtime.backend import Address
 from orchidlane.simulation.audit import Verdict
 from orchidlane.simulation.endpoint_spec import EndpointSpec
+from orchidlane.simulation.loopback_addresses import free_addresses
 from orchidlane.simulation.scenario import Scenario
 from orchidlane.simulation.scenario_plan import (
     SECRET,
@@ -50,16 +50,7 @@
 
     def free_addresses(self, count: int) -> list[Address]:
         """Return addresses that nothing listens on, and that no earlier call returned."""
-        sockets: list[socket.socket] = []
-        addresses: list[Address] = []
-        while len(addresses) < count:
-            sockets.append(socket.socket())
-            sockets[-1].bind((loopback_host(), 0))
-            address = sockets[-1].getsockname()
-            if address not in self._allocated:
-                addresses.append(address)
-        for bound in sockets:
-            bound.close()
+        addresses = free_addresses(count, loopback_host(), self._allocated)
         self._allocated.update(addresses)
         return addresses
 
--- a/tests/harness/single_gateway.py
+++ b/tests/harness/single_gateway.py
@@ -13,6 +13,7 @@
 from pathlib import Path
 
 from harness.constants import MATERIALS
+from orchidlane.simulation.loopback_addresses import free_ports
 
 EXAMPLE_PORTS = (8080, 8180, 8280, 8300, 8380)  # of the first gateway, and of the endpoint list
 LOG_READS = 600
@@ -63,17 +64,6 @@
     return files
 
 
-def free_ports(count: int) -> list[int]:
-    """Return so many TCP ports of the loopback address that nothing uses now."""
-    sockets = [socket.socket() for _ in range(count)]
-    for sock in sockets:
-        sock.bind(("127.0.0.1", 0))
-    ports = [sock.getsockname()[1] for sock in sockets]
-    for sock in sockets:
-        sock.close()
-    return ports
-
-
 class SingleGateway:
     """A gateway process; at the end of its context it is killed."""
 
