--- a/tests/test_new_leader.py
+++ b/tests/test_new_leader.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+import re
 
 import msgspec
 import pytest
@@ -45,6 +46,15 @@
     assert ("not heard of" in progress.line) == (heard < 3)
 
 
+# Guards against "0 of 0 run it": a gateway that does not lead has no list of gateways in its status.
+def test_a_status_without_a_list_of_gateways_gives_no_exact_count():
+    status = golden_status()
+    request = CommandRequest(status.rollout_version.proposal_id, "propose", 0)
+    follower_status = msgspec.structs.replace(status, is_leader=False, gateways=())
+    line = proposal_progress(request, follower_status).line
+    assert re.search(r"(?<!at least )\b\d+ of \d+ run it", line) is None, line
+
+
 # Guards against reports of an earlier term: they tell what gateways ran before another one led.
 def test_a_voter_that_claims_to_lead_again_forgets_the_reports_of_its_earlier_term():
     rollout = RolloutSettings(8 * SECOND, 20 * SECOND, StagingSettings(0, 2, None, (), ()))
