--- a/benchmarks/canary_errors.py
+++ b/benchmarks/canary_errors.py
@@ -4,7 +4,7 @@
 
 import random
 
-from orchidlane.rollout.canary_analysis import OUTCOME_KINDS, AnswerCounts, CanaryAnalysis
+from orchidlane.rollout.canary_analysis import OUTCOME_KINDS, CanaryAnalysis, ResponseCounts
 
 BASELINE_SHARES = {"refused": 0.15, "failed": 0.01, "late": 0.02, "slow": 0.1, "attempts": 0.05}
 HARM_FACTORS = ({"failed": 16.0}, {"refused": 4.0}, {"late": 8.0}, {"slow": 4.0})
@@ -40,7 +40,7 @@
 
 def random_counts(
     rng: random.Random, size: int, baseline: dict[str, float], factors: dict[str, float]
-) -> AnswerCounts:
+) -> ResponseCounts:
     """Draw the outcomes of so many requests."""
     shares = {kind: min(1.0, share * factors.get(kind, 1.0)) for kind, share in baseline.items()}
     counts = {
@@ -49,4 +49,4 @@
         if kind != "served"
     }
     counts["failed"] = min(counts["failed"], size - counts["refused"])
-    return AnswerCounts(size, **counts)
+    return ResponseCounts(size, **counts)
--- a/benchmarks/example_policy.py
+++ b/benchmarks/example_policy.py
@@ -42,6 +42,6 @@
     return policy.RequestArrived(number, customer, 0, 0, 1.0, 2_000_000, 0, 3, False)
 
 
-def served_attempt(number: int, endpoint: bytes, duration_us: int) -> policy.AttemptEnded:
+def served_attempt(number: int, endpoint: bytes, duration_us: int) -> policy.AttemptFinished:
     """Return the end of a request's first attempt, served after so long."""
-    return policy.AttemptEnded(number, 0, endpoint, policy.Outcome.SERVED, duration_us, True, 0, 0.0, ())
+    return policy.AttemptFinished(number, 0, endpoint, policy.Outcome.SERVED, duration_us, True, 0, 0.0, ())
--- a/benchmarks/roll.py
+++ b/benchmarks/roll.py
@@ -12,7 +12,7 @@
 import time
 
 from orchidlane.hot_restart import rolling_upgrade
-from orchidlane.hot_restart.probation import AnswerCounts
+from orchidlane.hot_restart.probation import ResponseCounts
 from orchidlane.hot_restart.rolling_batches import (
     Fleet,
     Member,
@@ -42,7 +42,7 @@
     """Return the number of batches of a roll in which all goes well."""
     ranks = range(len(fleet.members))
     statuses = [
-        rolling_upgrade.StatusReceived(rank, rank + 1, True, "", AnswerCounts(100, 0, 0), False)
+        rolling_upgrade.StatusReceived(rank, rank + 1, True, "", ResponseCounts(100, 0, 0), False)
         for rank in ranks
     ]
     upgrade = rolling_upgrade.start_roll(fleet, rolling_upgrade.RollSettings(limits, soak_us=0), statuses)
@@ -50,15 +50,15 @@
     now = 0
     count = 0
     while not any(isinstance(action, rolling_upgrade.Finish) for action in actions):
-        started = [action.rank for action in actions if isinstance(action, rolling_upgrade.StartSuccessor)]
+        started = [action.rank for action in actions if isinstance(action, rolling_upgrade.StartNewProcess)]
         count += bool(started)
         actions = []
         for rank in started:
-            upgrade.handle(now, rolling_upgrade.SuccessorPrepared(rank, FIRST_SUCCESSOR_PID + rank))
+            upgrade.handle(now, rolling_upgrade.NewProcessPrepared(rank, FIRST_SUCCESSOR_PID + rank))
         for rank in started:
             now += 1
             pid = FIRST_SUCCESSOR_PID + rank
-            status = rolling_upgrade.StatusReceived(rank, pid, True, "", AnswerCounts(), True)
+            status = rolling_upgrade.StatusReceived(rank, pid, True, "", ResponseCounts(), True)
             actions += upgrade.handle(now, status)
         actions += upgrade.handle(now, rolling_upgrade.TimerFired())
     return count
--- a/orchidlane/cli/roll.py
+++ b/orchidlane/cli/roll.py
@@ -15,7 +15,7 @@
 import click
 
 from orchidlane.cli.errors import EXIT_UNUSABLE_INPUT, report_input_errors
-from orchidlane.cli.upgrade import THIS_PROGRAM, successor_command
+from orchidlane.cli.upgrade import THIS_PROGRAM, new_process_command
 from orchidlane.gateway.control.settings import FleetSettings
 from orchidlane.gateway.control.settings_loader import load_settings
 from orchidlane.gateway.lifecycle.rolling_upgrade import RollDriver, StoredRoll, UnfinishedRollError
@@ -30,7 +30,7 @@
 class LocalProcesses:
     """Starts successors on this machine, in sessions of their own: they outlive the roll.
 
-    Implements ``orchidlane.gateway.lifecycle.rolling_upgrade.SuccessorStarter``.
+    Implements ``orchidlane.gateway.lifecycle.rolling_upgrade.NewProcessStarter``.
     """
 
     def __init__(self, settings: list[str], log: IO[bytes]) -> None:
@@ -41,7 +41,7 @@
 
     def prepare(self, rank: int, new_build: bool) -> int:
         """Start a process that waits for ``release``, and return its process id."""
-        command = successor_command(self.commands[new_build], self.settings[rank], rank)
+        command = new_process_command(self.commands[new_build], self.settings[rank], rank)
         child = subprocess.Popen(
             [*WAIT_FOR_RELEASE, *command],
             stdin=subprocess.PIPE,
@@ -178,6 +178,6 @@
     click.echo(_summary(stored.state))
     click.echo(f"old  {old_command}\nnew  {new_command}")
     for entry, gateway, load in zip(fleet.gateways, stored.state.gateways, stored.loads, strict=True):
-        process = f", process {gateway.successor_pid}" if gateway.successor_pid else ""
+        process = f", process {gateway.new_process_pid}" if gateway.new_process_pid else ""
         phase = gateway.phase.value
         click.echo(f"{entry.name:12} {entry.zone:10} {phase:7} {load:7.1f} answers/s{process}")
--- a/orchidlane/cli/run.py
+++ b/orchidlane/cli/run.py
@@ -22,12 +22,12 @@
     fleet: FleetSettings,
     rank: int,
     record_folder: str | None = None,
-    take_over: bool = False,
+    is_hot_restart: bool = False,
     ready_descriptor: int = -1,
 ) -> str:
     """Run one gateway: SIGTERM and SIGINT drain it, SIGHUP reloads description and customers.
 
-    With ``take_over`` it replaces the process that runs now; the result is the reason why it did not, or
+    With ``is_hot_restart`` it replaces the process that runs now; the result is the reason why it did not, or
     empty. A line "ready" is written to ``ready_descriptor``, if not negative, once requests are served.
     Raises ValueError for a rank that the fleet does not have.
     """
@@ -37,7 +37,9 @@
     backend = RealBackend()
     loop = EventLoop(backend)
     check_rollout_settings(fleet)
-    gateway = GatewayProcess(loop, fleet, rank, secret, record_to=record_folder, take_over=take_over)
+    gateway = GatewayProcess(
+        loop, fleet, rank, secret, record_to=record_folder, is_hot_restart=is_hot_restart
+    )
     if ready_descriptor >= 0:
         gateway.when_ready = lambda: _write_ready(ready_descriptor)
     serve(loop, backend, gateway.run, gateway.stop, gateway.reload)
--- a/orchidlane/cli/upgrade.py
+++ b/orchidlane/cli/upgrade.py
@@ -31,7 +31,7 @@
     summary: str
 
 
-def successor_command(program: str, settings: str, rank: int) -> list[str]:
+def new_process_command(program: str, settings: str, rank: int) -> list[str]:
     """Return the command of a gateway's successor: of this program if none is named."""
     build = shlex.split(program) or THIS_PROGRAM
     return [*build, "gateway", settings, "--rank", str(rank), "--take-over"]
@@ -69,12 +69,12 @@
         process = f"process {status.pid}, build {status.build}"
         click.echo(f"{status.phase}, {process}; latest: {status.last_outcome}")
         return
-    command = successor_command(program, settings, rank)
-    outcome = _run_successor(command, log_to, path, fleet.hot_restart.total_timeout_us / 1e6)
+    command = new_process_command(program, settings, rank)
+    outcome = _run_new_process(command, log_to, path, fleet.hot_restart.total_timeout_us / 1e6)
     sys.exit(0 if outcome.passed else 1)
 
 
-def _run_successor(command: list[str], log_to: str | None, path: str, timeout_seconds: float) -> Outcome:
+def _run_new_process(command: list[str], log_to: str | None, path: str, timeout_seconds: float) -> Outcome:
     """Start a successor in a session of its own, and report what becomes of it."""
     with open(log_to, "a+b") if log_to else tempfile.TemporaryFile() as log:
         start = log.seek(0, os.SEEK_END)
--- a/orchidlane/gateway/forwarding/attempt.py
+++ b/orchidlane/gateway/forwarding/attempt.py
@@ -125,7 +125,7 @@
         if outcome is Outcome.ENDPOINT_FULL and self.is_first_sent:
             self.request.first_sent_at = None  # it was not executed: the next attempt counts as the first
         took_us = self.loop.now() - self.began
-        self.starter.policy_driver.attempt_ended(
+        self.starter.policy_driver.attempt_finished(
             self.request, self.number, self.endpoint, outcome, took_us, self.load_report, response
         )
 
--- a/orchidlane/gateway/forwarding/policy_driver.py
+++ b/orchidlane/gateway/forwarding/policy_driver.py
@@ -162,7 +162,7 @@
             )
         )
 
-    def attempt_ended(
+    def attempt_finished(
         self,
         request: PendingRequest,
         attempt: int,
@@ -179,7 +179,7 @@
             self._finish(request, response)
         is_answered = request.response is not None or request.client_disconnected
         self.feed(
-            policy.AttemptEnded(
+            policy.AttemptFinished(
                 request.number, attempt, endpoint, outcome, took_us, is_answered, 0, 0.0, load_report
             )
         )
--- a/orchidlane/gateway/lifecycle/new_side.py
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -13,7 +13,7 @@
 from orchidlane.gateway.control.settings_loader import hot_restart_address
 from orchidlane.gateway.lifecycle.client_transfer import HTTP, RESP, ClientReturn, ConnectionReporter
 from orchidlane.gateway.lifecycle.restart_channel import Channel
-from orchidlane.gateway.lifecycle.served_gateway import ServedGateway, count_answers
+from orchidlane.gateway.lifecycle.served_gateway import ServedGateway, count_responses
 from orchidlane.gateway.lifecycle.state_errors import INVALID_STATE_ERRORS
 from orchidlane.hot_restart import messages, new_process
 from orchidlane.hot_restart.tables import ReceivedTables, restore_policy
@@ -163,7 +163,7 @@
 
     def _send_heartbeat(self) -> None:
         gateway = self.gateway
-        answers = count_answers(gateway.metrics)
+        answers = count_responses(gateway.metrics)
         self.channel.send(
             messages.Heartbeat(*answers, gateway.sequence, gateway.policy_driver.last_request_number)
         )
@@ -322,7 +322,7 @@
         self._stop_reporting()
         if self.channel.closed:
             self.channel.stream.kill_peer()
-        self.gateway.accept_successors()
+        self.gateway.accept_hot_restarts()
 
     def _serve_alone(self, cold_start: bool) -> None:
         """Make sure that the old process is dead, and serve in its place."""
@@ -339,7 +339,7 @@
             gateway.incarnation = self.loop.now()  # a new one: what the old process sent last is not known
             gateway.sockets.adopt(self.sockets)
             gateway.start_serving(self.scope)
-        gateway.accept_successors()
+        gateway.accept_hot_restarts()
 
     # -- giving everything back
 
--- a/orchidlane/gateway/lifecycle/old_side.py
+++ b/orchidlane/gateway/lifecycle/old_side.py
@@ -21,13 +21,13 @@
 from orchidlane import policy, recording
 from orchidlane.gateway.lifecycle.client_transfer import ClientTransfer
 from orchidlane.gateway.lifecycle.restart_channel import Channel
-from orchidlane.gateway.lifecycle.served_gateway import ServedGateway, count_answers
+from orchidlane.gateway.lifecycle.served_gateway import ServedGateway, count_responses
 from orchidlane.gateway.lifecycle.state_errors import INVALID_STATE_ERRORS
 from orchidlane.gateway.lifecycle.state_handover import StateHandover
-from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
+from orchidlane.gateway.lifecycle.successor_units import NewProcessUnits
 from orchidlane.hot_restart import messages, old_process
 from orchidlane.hot_restart.handshake import GatewayIdentity
-from orchidlane.hot_restart.probation import AnswerCounts
+from orchidlane.hot_restart.probation import ResponseCounts
 from orchidlane.hot_restart.tables import forfeit_ceiling_tokens
 from orchidlane.runtime import (
     BACKGROUND,
@@ -60,12 +60,12 @@
         self.machine = old_process.OldProcess(_identity(gateway), _timeouts(gateway))
         self.channels: dict[int, Channel] = {}
         self.clients = ClientTransfer(gateway, scope, lambda: self.in_probation)
-        self.successor_units: SuccessorUnits | None = None
-        self.successor_numbers = UsedNumbers()
+        self.new_process_units: NewProcessUnits | None = None
+        self.new_process_numbers = UsedNumbers()
         self.handover_pause_us = 0  # from the handover to ``Started``
         self._state = StateHandover(gateway)
-        self._samples: deque[AnswerCounts] = deque(maxlen=MAX_BASELINE_SAMPLES)
-        self._baseline = AnswerCounts()
+        self._samples: deque[ResponseCounts] = deque(maxlen=MAX_BASELINE_SAMPLES)
+        self._baseline = ResponseCounts()
         self._handed_over_at_us = 0
         self._last_channel = 0
         self._accepting: Task | None = None
@@ -101,7 +101,7 @@
     def _sample_answers(self) -> None:
         while True:
             if self.machine.phase is old_process.Phase.SERVING:
-                self._samples.append(count_answers(self.gateway.metrics))
+                self._samples.append(count_responses(self.gateway.metrics))
             self.loop.sleep(BASELINE_INTERVAL_US)
 
     def _serve_channel(self, channel: Channel) -> None:
@@ -205,8 +205,8 @@
                 self.gateway.log.info("successor serves", pause_ms=self.handover_pause_us / 1_000)
                 self.feed(old_process.StartedReceived(channel))
             case messages.Heartbeat():
-                self.successor_numbers = UsedNumbers(message.datagram_sequence, message.last_request_id)
-                answers = AnswerCounts(message.served, message.rejected, message.failed)
+                self.new_process_numbers = UsedNumbers(message.datagram_sequence, message.last_request_id)
+                answers = ResponseCounts(message.served, message.rejected, message.failed)
                 self.feed(old_process.HeartbeatReceived(channel, answers, self._baseline))
             case messages.Failure():
                 self.feed(old_process.FailureDetected(channel, message.reason))
@@ -218,8 +218,8 @@
     ) -> None:
         match message:
             case messages.UnitsReply():
-                if self.successor_units is not None:
-                    self.successor_units.receive_reply(message)
+                if self.new_process_units is not None:
+                    self.new_process_units.receive_reply(message)
             case messages.PeerReply():
                 self.gateway.limit_service.receive(message.sender, message.body)
             case messages.CustomerCount():
@@ -236,7 +236,7 @@
 
     def status(self) -> messages.Status:
         """Return the status that tools ask for."""
-        answers = count_answers(self.gateway.metrics)
+        answers = count_responses(self.gateway.metrics)
         return messages.Status(
             self.machine.phase.value,
             recording.build_name(),
@@ -265,18 +265,18 @@
         gateway = self.gateway
         self._handed_over_at_us = self.loop.now()
         self._baseline = self._take_baseline()
-        self.successor_numbers = UsedNumbers(gateway.sequence, gateway.policy_driver.last_request_number)
+        self.new_process_numbers = UsedNumbers(gateway.sequence, gateway.policy_driver.last_request_number)
         self._state.complete(channel, copy)
-        self.successor_units = SuccessorUnits(channel)
-        gateway.delegate_units(self.successor_units)
+        self.new_process_units = NewProcessUnits(channel)
+        gateway.delegate_units(self.new_process_units)
         gateway.stop_accepting(
             lambda connection: self.clients.hand_over_http(channel, connection),
             lambda session: self.clients.hand_over_resp(channel, session),
         )
 
-    def _take_baseline(self) -> AnswerCounts:
+    def _take_baseline(self) -> ResponseCounts:
         """Return the answers since the oldest sample, or all of them if there were none since."""
-        total = count_answers(self.gateway.metrics)
+        total = count_responses(self.gateway.metrics)
         recent = total.since(self._samples[0]) if self._samples else total
         return recent if recent.total else total
 
@@ -285,13 +285,13 @@
     def _resume_serving(self) -> None:
         gateway = self.gateway
         forfeit_ceiling_tokens(gateway.policy_driver.gateway)
-        used = self.successor_numbers
+        used = self.new_process_numbers
         gateway.sequence = used.datagram_sequence + NUMBERS_SKIPPED
         gateway.policy_driver.last_request_number = (
             max(gateway.policy_driver.last_request_number, used.last_request_id) + NUMBERS_SKIPPED
         )
         gateway.resume_serving()
-        self.successor_units = None
+        self.new_process_units = None
         self.clients.take_back_idle()
 
     def _release(self, channel: Channel) -> None:
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -25,7 +25,7 @@
 from orchidlane.gateway.lifecycle.peer_datagrams import PeerDatagrams
 from orchidlane.gateway.lifecycle.served_gateway import describe_moment
 from orchidlane.gateway.lifecycle.sockets import PEER, GatewaySockets
-from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
+from orchidlane.gateway.lifecycle.successor_units import NewProcessUnits
 from orchidlane.gateway.peers.datagrams import DatagramKind, Inbox
 from orchidlane.gateway.peers.token_requests import LimitService
 from orchidlane.gateway.rollout_agent.agent import RolloutAgent
@@ -45,8 +45,8 @@
     """One gateway. ``run`` is its main task; ``stop`` and ``reload`` may be called from signals' tasks.
 
     ``sockets`` are its listeners and the datagram socket of the peers by name: what a successor inherits.
-    With ``take_over`` they come from the process that runs now; ``failure`` says afterwards why it did not
-    take over.
+    With ``is_hot_restart`` they come from the process that runs now; ``failure`` says afterwards why it did
+    not take over.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         secret: bytes,
         configuration: ConfigurationSnapshot | None = None,
         record_to: str | None = None,
-        take_over: bool = False,
+        is_hot_restart: bool = False,
     ) -> None:
         self.loop = loop
         self.fleet = fleet
@@ -65,7 +65,7 @@
         self.entry = fleet.gateways[rank]
         self.secret = secret
         self.record_to = record_to
-        self.takes_over = take_over
+        self.is_hot_restart = is_hot_restart
         self.log = structlog.get_logger().bind(gateway=self.entry.name)
         self.sources: tuple[bytes, bytes] | None = None  # contents of the description and customers files
         self.rollout_agent = RolloutAgent(self) if fleet.rollout.voting_members else None
@@ -93,7 +93,7 @@
         """Serve from the start, or the hand-over from another process, to the end of a drain."""
         with TaskGroup(self.loop) as scope:
             self.old_side = OldSide(self, scope)
-            if self.takes_over:
+            if self.is_hot_restart:
                 self.new_side = NewSide(self, scope)
                 if not self.new_side.take_over():
                     self.failure = self.new_side.failure
@@ -105,7 +105,7 @@
             self._finish()
             scope.cancel()
         self.sockets.close()
-        if self.takes_over:
+        if self.is_hot_restart:
             self.failure = self.new_side.failure
         self.log.info("ended", reason=self.failure)
 
@@ -114,7 +114,7 @@
             self.sockets.bind(name)
         self.build_parts(scope)
         self.start_serving(scope)
-        self.accept_successors()
+        self.accept_hot_restarts()
 
     def _run_until_drained(self) -> None:
         """Wait for ``stop``, then until all requests are answered or the drain's timeout is over."""
@@ -139,7 +139,7 @@
     def stop(self) -> None:
         """Begin to drain; in probation, release the new process or return everything to the old one first."""
         self.old_side.feed(old_process.StopRequested())
-        if self.takes_over and self.new_side.machine.phase is new_process.Phase.PROBATION:
+        if self.is_hot_restart and self.new_side.machine.phase is new_process.Phase.PROBATION:
             self.new_side.feed(new_process.StopRequested())
         else:
             self.stopping = True
@@ -182,7 +182,7 @@
 
     def start_serving(self, scope: TaskGroup) -> None:
         """Accept requests; sockets that are not bound or inherited yet are bound here."""
-        if not self.takes_over:
+        if not self.is_hot_restart:
             self.watch.load_cache()
         self._start_account_store(scope)
         for name in ("http", PEER, "resp", "admin"):
@@ -208,7 +208,7 @@
         if not self.fleet.state_directory or not self.fleet.account_store.write_interval_us:
             return
         self.account_store = AccountStore(self, f"{self.fleet.state_directory}/{self.entry.name}.accounts")
-        if not self.takes_over:
+        if not self.is_hot_restart:
             self.log.info("accounts restored", accounts=self.account_store.load())
             self.account_store.save_before_serving()
         scope.spawn(self.account_store.save_periodically, priority=BACKGROUND, name="account store")
@@ -239,15 +239,15 @@
 
     # -- hot restart
 
-    def accept_successors(self) -> None:
+    def accept_hot_restarts(self) -> None:
         """Listen for the next hot restart."""
         self.old_side.listen()
 
-    def delegate_units(self, units: SuccessorUnits) -> None:
+    def delegate_units(self, units: NewProcessUnits) -> None:
         """Let another process decide on units from here on; requests held here ask it."""
         self.superseded = True
         self.policy_driver.remote_quota = units
-        self.limit_service.successor = units
+        self.limit_service.new_process_grants = units
         for exchange in self.policy_driver.requests.values():
             exchange.was_unsent_at_hand_over = not exchange.attempts
 
@@ -279,8 +279,8 @@
 
     def send_limits_datagram(self, rank: int, body: bytes) -> None:
         """Send a token request or reply, through the process that serves in this gateway's name."""
-        if self.old_side.successor_units is not None and self.superseded:
-            self.old_side.successor_units.send_datagram(rank, body)
+        if self.old_side.new_process_units is not None and self.superseded:
+            self.old_side.new_process_units.send_datagram(rank, body)
         elif rank == self.rank:
             self.new_side.send_own_reply(body)  # to a request of the process before us
         else:
--- a/orchidlane/gateway/lifecycle/rolling_upgrade.py
+++ b/orchidlane/gateway/lifecycle/rolling_upgrade.py
@@ -16,7 +16,7 @@
 from orchidlane.gateway.control.settings_loader import hot_restart_address
 from orchidlane.gateway.lifecycle.status_query import request_status
 from orchidlane.hot_restart import messages, rolling_upgrade
-from orchidlane.hot_restart.probation import AnswerCounts
+from orchidlane.hot_restart.probation import ResponseCounts
 from orchidlane.hot_restart.rolling_batches import Fleet as Layout
 from orchidlane.hot_restart.rolling_batches import Member, RiskLimits
 from orchidlane.runtime import CONTROL, EventLoop, TaskGroup
@@ -27,7 +27,7 @@
 SERVING = "serving"  # phase in a status in which no other process takes part
 
 
-class SuccessorStarter(Protocol):
+class NewProcessStarter(Protocol):
     """Starts the successors' processes."""
 
     def prepare(self, rank: int, new_build: bool) -> int:
@@ -63,7 +63,7 @@
     """One roll of a fleet, from its start or from where it was left."""
 
     def __init__(
-        self, loop: EventLoop, fleet: FleetSettings, starter: SuccessorStarter, report: Callable[[str], None]
+        self, loop: EventLoop, fleet: FleetSettings, starter: NewProcessStarter, report: Callable[[str], None]
     ) -> None:
         self.loop = loop
         self.fleet = fleet
@@ -106,7 +106,7 @@
         self.loop.sleep(LOAD_SAMPLE_US)
         statuses = self._request_all()
         loads = [
-            max(0, status.answers.total - before.answers.total) * 1e6 / LOAD_SAMPLE_US
+            max(0, status.responses.total - before.responses.total) * 1e6 / LOAD_SAMPLE_US
             for status, before in zip(statuses, earlier, strict=True)
         ]
         self.upgrade = rolling_upgrade.start_roll(self._layout(loads), self._settings(), statuses)
@@ -153,7 +153,7 @@
                 raise ValueError(f"{entry.name} does not answer: all gateways have to before a roll")
             if status.phase != SERVING:
                 raise ValueError(f"{entry.name} is {status.phase}: an upgrade of it is under way")
-            received.append(_status_event(rank, status, successor_alive=False))
+            received.append(_status_event(rank, status, new_process_alive=False))
         return received
 
     def _request_status(self, rank: int) -> messages.Status | None:
@@ -164,10 +164,10 @@
     def _poll(self, rank: int) -> None:
         """Request a status; whether the successor lives is looked up first: its end is never seen early."""
         gateways = self.upgrade.state.gateways
-        pid = gateways[rank].successor_pid
+        pid = gateways[rank].new_process_pid
         alive = bool(pid) and self.starter.alive(pid)
         status = self._request_status(rank)
-        if gateways[rank].successor_pid != pid:
+        if gateways[rank].new_process_pid != pid:
             return  # decided meanwhile
         if status is None:
             self._feed(rolling_upgrade.GatewayUnreachable(rank, alive))
@@ -231,22 +231,22 @@
     def _carry_out(self, actions: list[rolling_upgrade.Action]) -> None:
         for action in actions:
             match action:
-                case rolling_upgrade.StartSuccessor():
+                case rolling_upgrade.StartNewProcess():
                     pid = self.starter.prepare(action.rank, action.new_build)
-                    self._feed(rolling_upgrade.SuccessorPrepared(action.rank, pid))
+                    self._feed(rolling_upgrade.NewProcessPrepared(action.rank, pid))
                     self.starter.release(pid)
-                case rolling_upgrade.KillSuccessor():
+                case rolling_upgrade.KillNewProcess():
                     self.starter.kill(action.pid)
 
 
 def _status_event(
-    rank: int, status: messages.Status, successor_alive: bool
+    rank: int, status: messages.Status, new_process_alive: bool
 ) -> rolling_upgrade.StatusReceived:
     return rolling_upgrade.StatusReceived(
         rank=rank,
         pid=status.pid,
         serving=status.phase == SERVING,
         last_outcome=status.last_outcome,
-        answers=AnswerCounts(status.served, status.rejected, status.failed),
-        successor_alive=successor_alive,
+        responses=ResponseCounts(status.served, status.rejected, status.failed),
+        new_process_alive=new_process_alive,
     )
--- a/orchidlane/gateway/lifecycle/served_gateway.py
+++ b/orchidlane/gateway/lifecycle/served_gateway.py
@@ -10,13 +10,13 @@
 from orchidlane.gateway.control.settings import FleetSettings, GatewayEntry
 from orchidlane.gateway.forwarding.policy_driver import PolicyDriver
 from orchidlane.gateway.lifecycle.sockets import GatewaySockets
-from orchidlane.gateway.lifecycle.successor_units import SuccessorUnits
+from orchidlane.gateway.lifecycle.successor_units import NewProcessUnits
 from orchidlane.gateway.peers.datagrams import Inbox
 from orchidlane.gateway.peers.token_requests import LimitService
 from orchidlane.gateway.server.http_server import ClientConnection, HttpServer
 from orchidlane.gateway.server.resp_server import RespServer, Session
 from orchidlane.gateway.telemetry.metrics import MetricsPage
-from orchidlane.hot_restart.probation import AnswerCounts
+from orchidlane.hot_restart.probation import ResponseCounts
 from orchidlane.runtime import EventLoop, TaskGroup
 
 
@@ -51,7 +51,7 @@
     def start_serving(self, scope: TaskGroup) -> None:
         """Accept requests."""
 
-    def delegate_units(self, units: SuccessorUnits) -> None:
+    def delegate_units(self, units: NewProcessUnits) -> None:
         """Let another process decide on units from here on."""
 
     def stop_accepting(
@@ -62,19 +62,19 @@
     def resume_serving(self) -> None:
         """Serve again after another process did."""
 
-    def accept_successors(self) -> None:
+    def accept_hot_restarts(self) -> None:
         """Listen for the next hot restart."""
 
     def send_limits_datagram(self, rank: int, body: bytes) -> None:
         """Send a datagram of the token requests to a peer."""
 
 
-def count_answers(metrics: MetricsPage) -> AnswerCounts:
+def count_responses(metrics: MetricsPage) -> ResponseCounts:
     """Return the answers given so far."""
     counts = {"served": 0, "refused": 0, "failed": 0}  # the metric's values of ``kind``
     for (kind, _), count in metrics.responses.items():
         counts[kind] += count
-    return AnswerCounts(counts["served"], counts["refused"], counts["failed"])
+    return ResponseCounts(counts["served"], counts["refused"], counts["failed"])
 
 
 def describe_moment(gateway: ServedGateway) -> dict[str, Any]:
--- a/orchidlane/gateway/lifecycle/successor_units.py
+++ b/orchidlane/gateway/lifecycle/successor_units.py
@@ -21,7 +21,7 @@
     granted: bool | None = None
 
 
-class SuccessorUnits:
+class NewProcessUnits:
     """Stands in for the old process's own policy and token service after the handover."""
 
     def __init__(self, channel: Channel) -> None:
@@ -69,7 +69,7 @@
         self.channel.loop.wake(pending.task)
 
     def add_grant(self, name: bytes, customer: int, units: float, span: int | None) -> None:
-        """Pass a grant on (see ``token_requests.SuccessorGrants``)."""
+        """Pass a grant on (see ``token_requests.NewProcessGrants``)."""
         reserved_us = NO_RESERVATION if span is None else span
         self.channel.send(messages.GrantRecorded(name, customer, units, reserved_us))
 
--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -36,7 +36,7 @@
     """The gateways that would have to know do not answer; nothing was counted by this command."""
 
 
-class SuccessorGrants(Protocol):
+class NewProcessGrants(Protocol):
     """Passes grants on to the process that stores them in our place."""
 
     def add_grant(self, name: bytes, customer: int, units: float, span: int | None) -> None:
@@ -66,7 +66,7 @@
         )
         self.granted = 0
         self.rejected = 0
-        self.successor: SuccessorGrants | None = None  # owns tokens and grants from its moment on
+        self.new_process_grants: NewProcessGrants | None = None  # owns tokens and grants from its moment on
         self.queries = QueryExchange(loop, rank, self.terms, send, self._answer)
 
     def receive(self, sender: int, body: bytes) -> None:
@@ -95,7 +95,7 @@
 
     def reclaim(self) -> None:
         """Decide again after another process did: what it granted meanwhile is not known here."""
-        self.successor = None
+        self.new_process_grants = None
         self.queries.last_id += 2 * QUERY_IDS_PER_PROCESS
         self.token_owner.reliable_from_us = self.loop.now() + self.terms.token_lifetime_us
         self.grants.clear_credits()
@@ -124,7 +124,7 @@
 
     def try_take(self, customer: Customer, units: float, request_class: int) -> bool:
         """Take units: paid from the customer's credit, or asked of the policy."""
-        if self.successor is None and self._pay_from_credit(customer, units):
+        if self.new_process_grants is None and self._pay_from_credit(customer, units):
             self.granted += 1
             return True
         admitted = self.policy_driver.request_quota(customer, units, request_class)
@@ -194,8 +194,8 @@
     def _add_grant(
         self, name: bytes, customer: Customer, units: float, reserved_for_us: int | None = None
     ) -> None:
-        if self.successor is not None:
-            self.successor.add_grant(name, customer.number, units, reserved_for_us)
+        if self.new_process_grants is not None:
+            self.new_process_grants.add_grant(name, customer.number, units, reserved_for_us)
         else:
             self.grants.add_grant(self.loop.now(), name, customer.number, units, reserved_for_us)
 
@@ -269,7 +269,9 @@
     def _query(
         self, replicas: list[int], query: TokenQuery, enough: int | None = None
     ) -> dict[int, TokenReply | None]:
-        return self.queries.query(replicas, query, enough, query_self_by_peer=self.successor is not None)
+        return self.queries.query(
+            replicas, query, enough, query_self_by_peer=self.new_process_grants is not None
+        )
 
     def _answer(self, sender: int, query: TokenQuery) -> TokenReply:
         now = self.loop.now()
--- a/orchidlane/gateway/rollout_agent/answer_tally.py
+++ b/orchidlane/gateway/rollout_agent/answer_tally.py
@@ -7,7 +7,7 @@
 from orchidlane.gateway.forwarding.client_response import ClientResponse
 from orchidlane.gateway.forwarding.openapi_call import operation_call
 from orchidlane.gateway.forwarding.pending_request import PendingRequest
-from orchidlane.rollout.canary_analysis import MAX_STRATA, AnswerCounts
+from orchidlane.rollout.canary_analysis import MAX_STRATA, ResponseCounts
 
 LOAD_WINDOW_US = 2_000_000
 LOAD_SAMPLES = 8  # in the window
@@ -18,7 +18,7 @@
     """Counts since the process started."""
 
     def __init__(self) -> None:
-        self._counts: dict[str, list[int]] = {}  # by stratum, in the order of AnswerCounts
+        self._counts: dict[str, list[int]] = {}  # by stratum, in the order of ResponseCounts
         self.answers = 0
         self._load_samples: deque[tuple[int, int]] = deque(maxlen=LOAD_SAMPLES)  # time, answers
 
@@ -30,7 +30,7 @@
         if counts is None:
             if len(self._counts) >= MAX_STRATA:
                 return
-            counts = self._counts[stratum] = [0] * len(AnswerCounts.__struct_fields__)
+            counts = self._counts[stratum] = [0] * len(ResponseCounts.__struct_fields__)
         self.answers += 1
         added = (
             1,
@@ -43,9 +43,9 @@
         for place, value in enumerate(added):
             counts[place] += value
 
-    def counts(self) -> dict[str, AnswerCounts]:
+    def counts(self) -> dict[str, ResponseCounts]:
         """Return the counts by class and plan."""
-        return {stratum: AnswerCounts(*counts) for stratum, counts in self._counts.items()}
+        return {stratum: ResponseCounts(*counts) for stratum, counts in self._counts.items()}
 
     def answers_per_second(self, now: int) -> int:
         """Return the rate since the oldest sample, and take a sample when one is due."""
--- a/orchidlane/gateway/rollout_agent/canary_observer.py
+++ b/orchidlane/gateway/rollout_agent/canary_observer.py
@@ -8,14 +8,14 @@
 
 from orchidlane.gateway.rollout_agent.admin_client import AdminCallError, AdminClient
 from orchidlane.gateway.rollout_agent.answer_tally import AnswerTally
-from orchidlane.rollout.canary_analysis import AnswerCounts, CountsByStratum, counts_since
+from orchidlane.rollout.canary_analysis import CountsByStratum, ResponseCounts, counts_since
 from orchidlane.rollout.phases import CanaryObservation
 from orchidlane.rollout.replicated_state import Rollout
 from orchidlane.rollout.rollout_driver import RolloutDriver
 
 COUNTS_TIMEOUT_US = 500_000
 
-_counts_decoder = msgspec.msgpack.Decoder(dict[str, AnswerCounts])
+_counts_decoder = msgspec.msgpack.Decoder(dict[str, ResponseCounts])
 
 
 class CanaryObserver:
--- a/orchidlane/gateway/server/request_handler.py
+++ b/orchidlane/gateway/server/request_handler.py
@@ -210,7 +210,7 @@
         connection.parser.next_message()
         if connection.parser.pending_bytes:
             connection.unread_since_us = connection.last_received_at_us
-        server.loop.yield_sometimes()
+        server.loop.yield_if_due()
         return True
 
     def _is_last_response(self, connection: ClientConnection) -> bool:
--- a/orchidlane/gateway/server/resp_server.py
+++ b/orchidlane/gateway/server/resp_server.py
@@ -184,7 +184,7 @@
                     self._write(session, out)
                 if quits:
                     raise ConnectionClosedError("the client quit")
-                self.loop.yield_sometimes()
+                self.loop.yield_if_due()
         except resp.ProtocolError as error:
             out += resp.encode(ErrorReply(f"ERR Protocol error: {error}"))
             self._write(session, out)
@@ -192,7 +192,7 @@
         self._write(session, out)
         if self.draining:
             raise ConnectionClosedError("draining")
-        self.loop.yield_sometimes()
+        self.loop.yield_if_due()
 
     def _write(self, session: Session, out: bytearray) -> None:
         if out:
--- a/orchidlane/hot_restart/old_process.py
+++ b/orchidlane/hot_restart/old_process.py
@@ -24,7 +24,7 @@
 
 from orchidlane.hot_restart.handshake import GatewayIdentity, rejection_reason
 from orchidlane.hot_restart.messages import Hello
-from orchidlane.hot_restart.probation import AnswerCounts, degradation_reason
+from orchidlane.hot_restart.probation import ResponseCounts, degradation_reason
 
 
 class Phase(Enum):
@@ -78,8 +78,8 @@
     """Answers of the new process in probation, and of this one before the handover."""
 
     channel: int
-    answers: AnswerCounts
-    baseline: AnswerCounts
+    responses: ResponseCounts
+    baseline: ResponseCounts
 
 
 class FailureDetected(NamedTuple):
@@ -299,7 +299,7 @@
     def _receive_heartbeat(self, now: int, event: HeartbeatReceived) -> None:
         if not self.probation_ends_us:
             return self._reject_out_of_order(event)
-        reason = degradation_reason(event.baseline, event.answers)
+        reason = degradation_reason(event.baseline, event.responses)
         if reason is not None:
             self.phase = Phase.RECLAIMING
             self.last_outcome = f"recalled: {reason}"
--- a/orchidlane/hot_restart/probation.py
+++ b/orchidlane/hot_restart/probation.py
@@ -5,12 +5,12 @@
 from math import log
 from typing import NamedTuple
 
-MIN_ANSWERS = 20  # before the ratio of served answers says anything
+MIN_RESPONSES = 20  # before the ratio of served answers says anything
 MIN_SERVED_RATIO = 0.5  # of the predecessor's ratio of served answers
 MAX_FALSE_ALARM_PROBABILITY = 1e-3  # low, since the test is repeated
 
 
-class AnswerCounts(NamedTuple):
+class ResponseCounts(NamedTuple):
     """Answers by kind over some interval."""
 
     served: int = 0
@@ -22,12 +22,12 @@
         """Number of answers."""
         return sum(self)
 
-    def since(self, earlier: AnswerCounts) -> AnswerCounts:
+    def since(self, earlier: ResponseCounts) -> ResponseCounts:
         """Return the answers given after an earlier count."""
-        return AnswerCounts(*(now - then for now, then in zip(self, earlier, strict=True)))
+        return ResponseCounts(*(now - then for now, then in zip(self, earlier, strict=True)))
 
 
-def degradation_reason(baseline: AnswerCounts, probation: AnswerCounts) -> str | None:
+def degradation_reason(baseline: ResponseCounts, probation: ResponseCounts) -> str | None:
     """Return what is wrong with a new process, None if nothing is.
 
     The demand is the same as before, so the ratio of served answers should be, too. Few answers say nothing,
@@ -35,7 +35,7 @@
     ``MIN_SERVED_RATIO`` of the baseline's ratio would serve so few with a probability below
     ``MAX_FALSE_ALARM_PROBABILITY`` (Chernoff's bound on the tail of a binomial distribution).
     """
-    if probation.total < MIN_ANSWERS or not baseline.served:
+    if probation.total < MIN_RESPONSES or not baseline.served:
         return None
     baseline_ratio = baseline.served / baseline.total
     ratio = probation.served / probation.total
--- a/orchidlane/hot_restart/rolling_upgrade.py
+++ b/orchidlane/hot_restart/rolling_upgrade.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from orchidlane.hot_restart.probation import AnswerCounts, degradation_reason
+from orchidlane.hot_restart.probation import ResponseCounts, degradation_reason
 from orchidlane.hot_restart.rolling_batches import Fleet, RiskLimits, largest_batch
 
 MAX_REVERT_ATTEMPTS = 3  # for one gateway
@@ -55,10 +55,10 @@
     """What is known of one gateway. Field names in quotes are those of the stored file."""
 
     phase: GatewayPhase = msgspec.field(default=GatewayPhase.OLD, name="place")
-    successor_pid: int = msgspec.field(default=0, name="pid")  # 0 until the process is prepared
+    new_process_pid: int = msgspec.field(default=0, name="pid")  # 0 until the process is prepared
     started_at_us: int = msgspec.field(default=0, name="began")
     attempts: int = msgspec.field(default=0, name="tries")  # to revert it
-    baseline: AnswerCounts = msgspec.field(default=AnswerCounts(), name="before")  # before the roll
+    baseline: ResponseCounts = msgspec.field(default=ResponseCounts(), name="before")  # before the roll
     baseline_pid: int = msgspec.field(default=0, name="process")  # that gave these answers
     unreachable: bool = msgspec.field(default=False, name="silent")
     last_outcome: str = msgspec.field(default="", name="latest")  # as its status says
@@ -94,7 +94,7 @@
 # Events
 
 
-class SuccessorPrepared(NamedTuple):
+class NewProcessPrepared(NamedTuple):
     """The process of a successor exists; it runs once this event is stored."""
 
     rank: int
@@ -108,15 +108,15 @@
     pid: int
     serving: bool  # and no other process takes part
     last_outcome: str
-    answers: AnswerCounts
-    successor_alive: bool
+    responses: ResponseCounts
+    new_process_alive: bool
 
 
 class GatewayUnreachable(NamedTuple):
     """A gateway does not answer."""
 
     rank: int
-    successor_alive: bool
+    new_process_alive: bool
 
 
 class TimerFired(NamedTuple):
@@ -129,20 +129,20 @@
     reason: str
 
 
-Event = SuccessorPrepared | StatusReceived | GatewayUnreachable | TimerFired | RollbackRequested
+Event = NewProcessPrepared | StatusReceived | GatewayUnreachable | TimerFired | RollbackRequested
 
 
 # Actions
 
 
-class StartSuccessor(NamedTuple):
+class StartNewProcess(NamedTuple):
     """Start a successor of the new build, or of the old one to revert."""
 
     rank: int
     new_build: bool
 
 
-class KillSuccessor(NamedTuple):
+class KillNewProcess(NamedTuple):
     """Kill a successor that takes too long: it may never have connected."""
 
     pid: int
@@ -155,7 +155,7 @@
     reason: str
 
 
-Action = StartSuccessor | KillSuccessor | Finish
+Action = StartNewProcess | KillNewProcess | Finish
 
 
 class RollingUpgrade:
@@ -168,7 +168,7 @@
         self._urgent: list[Action] = []  # actions of the event itself, before any further step
         # Of all gateways together: a single one may have had too few answers before the roll.
         baselines = (gateway.baseline for gateway in state.gateways)
-        self._fleet_baseline = AnswerCounts(*map(sum, zip(*baselines, strict=True)))
+        self._fleet_baseline = ResponseCounts(*map(sum, zip(*baselines, strict=True)))
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Return the actions for one event."""
@@ -176,9 +176,9 @@
         if state.phase in FINAL_PHASES:
             return []
         match event:
-            case SuccessorPrepared():
+            case NewProcessPrepared():
                 gateway = state.gateways[event.rank]
-                gateway.successor_pid = event.pid
+                gateway.new_process_pid = event.pid
                 gateway.started_at_us = now
             case StatusReceived():
                 self._receive_status(now, event)
@@ -197,8 +197,8 @@
             gateway.start_unconfirmed = True
             gateway.started_at_us = now
         self.state.soak_started_at_us = now
-        unprepared = [rank for rank in self.in_progress() if not self.state.gateways[rank].successor_pid]
-        return [*self._start_successors(unprepared), *self._advance(now)]
+        unprepared = [rank for rank in self.in_progress() if not self.state.gateways[rank].new_process_pid]
+        return [*self._start_new_processes(unprepared), *self._advance(now)]
 
     def in_progress(self) -> list[int]:
         """Return the ranks whose upgrade or reversal has no outcome yet."""
@@ -219,39 +219,39 @@
 
     def _degradation_reason(self, gateway: GatewayState, status: StatusReceived) -> str | None:
         """Judge the answers since the roll began: a new process counts from zero, an old one goes on."""
-        answers = status.answers
+        answers = status.responses
         if status.pid == gateway.baseline_pid:
             answers = answers.since(gateway.baseline)
         return degradation_reason(self._fleet_baseline, answers)
 
     def _follow_upgrade(self, now: int, status: StatusReceived, gateway: GatewayState) -> None:
-        if not gateway.successor_pid:
+        if not gateway.new_process_pid:
             return
-        if status.serving and status.pid == gateway.successor_pid:
+        if status.serving and status.pid == gateway.new_process_pid:
             self._succeed(status.rank, gateway)
-        elif not status.serving or status.successor_alive:
-            self._kill_late(now, gateway, status.successor_alive)
+        elif not status.serving or status.new_process_alive:
+            self._kill_late(now, gateway, status.new_process_alive)
         elif gateway.start_unconfirmed and status.last_outcome == gateway.last_outcome:
             # it may never have run: start it again
             gateway.start_unconfirmed = False
-            gateway.successor_pid = 0
-            self._urgent.extend(self._start_successors([status.rank]))
+            gateway.new_process_pid = 0
+            self._urgent.extend(self._start_new_processes([status.rank]))
         else:
             self._fail(status.rank, gateway, status.last_outcome)
 
-    def _kill_late(self, now: int, gateway: GatewayState, successor_alive: bool) -> None:
+    def _kill_late(self, now: int, gateway: GatewayState, new_process_alive: bool) -> None:
         """Kill a successor after the timeout; the gateway's status tells the outcome, as always."""
-        if successor_alive and now - gateway.started_at_us > self.settings.upgrade_timeout_us:
-            self._urgent.append(KillSuccessor(gateway.successor_pid))
+        if new_process_alive and now - gateway.started_at_us > self.settings.upgrade_timeout_us:
+            self._urgent.append(KillNewProcess(gateway.new_process_pid))
 
     def _mark_unreachable(self, now: int, event: GatewayUnreachable) -> None:
         gateway = self.state.gateways[event.rank]
         gateway.unreachable = True
         if gateway.in_progress:
-            if gateway.successor_pid and not event.successor_alive:
+            if gateway.new_process_pid and not event.new_process_alive:
                 self._fail(event.rank, gateway, "no process of it answers")
             else:
-                self._kill_late(now, gateway, event.successor_alive)
+                self._kill_late(now, gateway, event.new_process_alive)
         elif gateway.phase is GatewayPhase.UPGRADED:
             self._roll_back(f"{_name(event.rank)} does not answer any more")
 
@@ -261,7 +261,7 @@
         upgraded = gateway.phase is GatewayPhase.UPGRADING
         gateway.phase = GatewayPhase.UPGRADED if upgraded else GatewayPhase.OLD
         gateway.attempts = 0
-        gateway.successor_pid = 0
+        gateway.new_process_pid = 0
         gateway.start_unconfirmed = False
         if upgraded:
             self.state.upgrade_order.append(rank)
@@ -270,7 +270,7 @@
             self.state.upgrade_order.remove(rank)
 
     def _fail(self, rank: int, gateway: GatewayState, reason: str) -> None:
-        gateway.successor_pid = 0
+        gateway.new_process_pid = 0
         gateway.start_unconfirmed = False
         if gateway.phase is GatewayPhase.UPGRADING:
             gateway.phase = GatewayPhase.OLD
@@ -349,12 +349,12 @@
         for rank in ranks:
             gateway = self.state.gateways[rank]
             gateway.phase = phase
-            gateway.successor_pid = 0
-        return self._start_successors(ranks)
+            gateway.new_process_pid = 0
+        return self._start_new_processes(ranks)
 
-    def _start_successors(self, ranks: list[int]) -> list[Action]:
+    def _start_new_processes(self, ranks: list[int]) -> list[Action]:
         gateways = self.state.gateways
-        return [StartSuccessor(rank, gateways[rank].phase is GatewayPhase.UPGRADING) for rank in ranks]
+        return [StartNewProcess(rank, gateways[rank].phase is GatewayPhase.UPGRADING) for rank in ranks]
 
     def _finish(self, phase: Phase) -> list[Action]:
         self.state.phase = phase
@@ -368,7 +368,7 @@
 def start_roll(fleet: Fleet, settings: RollSettings, statuses: Sequence[StatusReceived]) -> RollingUpgrade:
     """Return a roll that has not begun; ``statuses`` are those of all gateways, by rank."""
     gateways = [
-        GatewayState(baseline=status.answers, baseline_pid=status.pid, last_outcome=status.last_outcome)
+        GatewayState(baseline=status.responses, baseline_pid=status.pid, last_outcome=status.last_outcome)
         for status in statuses
     ]
     return RollingUpgrade(fleet, settings, RollState(gateways))
--- a/orchidlane/policy/events.py
+++ b/orchidlane/policy/events.py
@@ -92,16 +92,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptEnded:
-    """An attempt's outcome; ``answered`` means that the client has its final answer."""
+class AttemptFinished:
+    """An attempt's outcome; ``final_response_sent`` means that the client has its final response."""
 
     request: int
     attempt: int
     endpoint: EndpointId
     outcome: Outcome
     duration_us: int
-    answered: bool
-    use: int
+    final_response_sent: bool
+    reported_usage: int
     true_units: float
     load_report: tuple[float, ...]
 
@@ -131,7 +131,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HealthCheckEnded:
+class HealthCheckFinished:
     """A health check's outcome."""
 
     endpoint: EndpointId
@@ -149,7 +149,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CounterAnswered:
+class CounterCallFinished:
     """The outcome of a call to the shared counter."""
 
     name: int
@@ -184,13 +184,13 @@
     EndpointListReceived
     | RequestArrived
     | QuotaRequested
-    | AttemptEnded
+    | AttemptFinished
     | ResponseStreamStarted
     | ClientDisconnected
     | TimerFired
-    | HealthCheckEnded
+    | HealthCheckFinished
     | PeerMessageReceived
-    | CounterAnswered
+    | CounterCallFinished
     | CountRecovered
     | ReplicaSetChanged
 )
--- a/orchidlane/policy/gateway.py
+++ b/orchidlane/policy/gateway.py
@@ -11,7 +11,7 @@
 from orchidlane.policy.actions import Action, SetTimer, WatchEndpoints
 from orchidlane.policy.constants import GOSSIP_ROUND_TIMER, REPLY_TIMEOUT_TIMER, REQUEST_TIMER_OFFSET
 from orchidlane.policy.events import (
-    AttemptEnded,
+    AttemptFinished,
     ClientDisconnected,
     CountRecovered,
     EndpointListReceived,
@@ -42,8 +42,8 @@
         match event:
             case RequestArrived():
                 retries.request_arrived(self, event)
-            case AttemptEnded():
-                retries.attempt_ended(self, event)
+            case AttemptFinished():
+                retries.attempt_finished(self, event)
             case PeerMessageReceived():
                 gossip.peer_message_received(self, event)
             case TimerFired():
--- a/orchidlane/policy/health.py
+++ b/orchidlane/policy/health.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from orchidlane.policy.endpoints import INITIAL_LOAD, Endpoint
-from orchidlane.policy.events import AttemptEnded, Outcome
+from orchidlane.policy.events import AttemptFinished, Outcome
 from orchidlane.policy.state import INITIAL_LATENCY_SHARE, Attempt, PolicyState
 
 SMOOTHING = 0.15  # weight of the newest latency in a moving average
@@ -26,7 +26,7 @@
     return latency_us
 
 
-def record_outcome(state: PolicyState, attempt: Attempt, request_class: int, event: AttemptEnded) -> None:
+def record_outcome(state: PolicyState, attempt: Attempt, request_class: int, event: AttemptFinished) -> None:
     """Update the estimates of the attempt's endpoint, its zone and the fleet by its outcome."""
     endpoint = attempt.endpoint
     zone_health = state.zone_health[endpoint.entry.zone]
@@ -44,7 +44,7 @@
             estimate.failure_score = min(estimate.failure_score + 1, MAX_FAILURE_SCORE)
 
 
-def _record_latency(state: PolicyState, attempt: Attempt, request_class: int, event: AttemptEnded) -> None:
+def _record_latency(state: PolicyState, attempt: Attempt, request_class: int, event: AttemptFinished) -> None:
     endpoint = attempt.endpoint
     baseline_us = state.baseline_latency_us[request_class]
     slowness = min(MAX_SLOWNESS, event.duration_us / baseline_us)
--- a/orchidlane/policy/retries.py
+++ b/orchidlane/policy/retries.py
@@ -10,7 +10,7 @@
 from orchidlane.policy.constants import REQUEST_TIMER_OFFSET, US_PER_MS
 from orchidlane.policy.endpoint_selection import DEADLINE_MARGIN_US, choose_endpoint
 from orchidlane.policy.endpoints import ESTIMATE_DECAY_US, INITIAL_LOAD, Endpoint
-from orchidlane.policy.events import AttemptEnded, ClientDisconnected, Outcome, RequestArrived
+from orchidlane.policy.events import AttemptFinished, ClientDisconnected, Outcome, RequestArrived
 from orchidlane.policy.settings import DeduplicationScope, Idempotency
 from orchidlane.policy.state import MAX_RETRY_BUDGET, Attempt, PendingRequest, PolicyState
 
@@ -35,17 +35,17 @@
     admission.evict_idle_accounts(state)
 
 
-def attempt_ended(state: PolicyState, event: AttemptEnded) -> None:
+def attempt_finished(state: PolicyState, event: AttemptFinished) -> None:
     """Learn from an outcome, then forget the request, retry it or answer it."""
     if (event.request, event.attempt) not in state.attempts:
         return
-    attempt, sent_request = state.end_attempt(event.request, event.attempt)
+    attempt, sent_request = state.finish_attempt(event.request, event.attempt)
     health.record_outcome(state, attempt, sent_request.event.request_class, event)
     attempt.possibly_executed = event.outcome not in NOT_EXECUTED_OUTCOMES
     request = state.requests.get(event.request)
     if request is None:
         return  # it had its final answer
-    if event.answered:
+    if event.final_response_sent:
         _forget(state, request)
         return
     # Failures must not multiply the load; an attempt that was not executed costs nothing.
--- a/orchidlane/policy/state.py
+++ b/orchidlane/policy/state.py
@@ -108,7 +108,7 @@
         self.attempts[request.event.request, len(request.attempts)] = attempt, request
         request.attempts.append(attempt)
 
-    def end_attempt(self, request_id: int, number: int) -> tuple[Attempt, PendingRequest]:
+    def finish_attempt(self, request_id: int, number: int) -> tuple[Attempt, PendingRequest]:
         """Count an attempt as ended; return it and its request. Raises KeyError where it is not in flight."""
         attempt, request = self.attempts.pop((request_id, number))
         assert request.account is not None
--- a/orchidlane/recording/codec.py
+++ b/orchidlane/recording/codec.py
@@ -19,13 +19,13 @@
     1: policy.EndpointListReceived,
     2: policy.RequestArrived,
     3: policy.QuotaRequested,
-    4: policy.AttemptEnded,
+    4: policy.AttemptFinished,
     5: policy.ResponseStreamStarted,
     6: policy.ClientDisconnected,
     7: policy.TimerFired,
-    8: policy.HealthCheckEnded,
+    8: policy.HealthCheckFinished,
     9: policy.PeerMessageReceived,
-    10: policy.CounterAnswered,
+    10: policy.CounterCallFinished,
     11: policy.CountRecovered,
     12: policy.ReplicaSetChanged,
 }
@@ -73,11 +73,11 @@
 _FIELD_CONVERTERS: dict[tuple[type, str], Callable[[Any], Any]] = {
     (policy.EndpointListReceived, "kind"): policy.EndpointListKind,
     (policy.EndpointListReceived, "entries"): _endpoint_entries,
-    (policy.AttemptEnded, "outcome"): policy.Outcome,
-    (policy.AttemptEnded, "load_report"): tuple,
-    (policy.HealthCheckEnded, "outcome"): policy.Outcome,
-    (policy.HealthCheckEnded, "load_report"): tuple,
-    (policy.CounterAnswered, "outcome"): policy.Outcome,
+    (policy.AttemptFinished, "outcome"): policy.Outcome,
+    (policy.AttemptFinished, "load_report"): tuple,
+    (policy.HealthCheckFinished, "outcome"): policy.Outcome,
+    (policy.HealthCheckFinished, "load_report"): tuple,
+    (policy.CounterCallFinished, "outcome"): policy.Outcome,
 }
 _EVENT_NUMBERS = {event_type: number for number, event_type in EVENT_TYPES.items()}
 _ACTION_NUMBERS = {action_type: number for number, action_type in ACTION_TYPES.items()}
--- a/orchidlane/recording/description.py
+++ b/orchidlane/recording/description.py
@@ -13,12 +13,14 @@
 from orchidlane import policy
 
 TYPE_NAMES: dict[type, str] = {
+    policy.AttemptFinished: "AttemptEnded",
+    policy.CounterCallFinished: "CounterAnswered",
     policy.EndpointListReceived: "ServerListed",
     policy.EndpointEntry: "ServerEntry",
     policy.QuotaRequested: "TakeArrived",
     policy.ResponseStreamStarted: "StreamStarted",
     policy.ClientDisconnected: "ClientGone",
-    policy.HealthCheckEnded: "ProbeEnded",
+    policy.HealthCheckFinished: "ProbeEnded",
     policy.PeerMessageReceived: "PeerMessage",
     policy.CountRecovered: "Counted",
     policy.ReplicaSetChanged: "SetMoved",
@@ -45,6 +47,8 @@
     "replica_set_size": "set_size",
     "is_retry": "is_repeat",
     "duration_us": "took",
+    "final_response_sent": "answered",
+    "reported_usage": "use",
     "load_report": "report",
     "timeout_at_us": "give_up_at",
     "retry_after_us": "retry_after",
--- a/orchidlane/recording/incarnation_audit.py
+++ b/orchidlane/recording/incarnation_audit.py
@@ -118,8 +118,8 @@
                 self.open[event.request] = OpenRequest(event, deadline_at)
             case policy.EndpointListReceived():
                 self._apply_endpoint_list(event, now)
-            case policy.AttemptEnded():
-                self._end_attempt(event, now)
+            case policy.AttemptFinished():
+                self._finish_attempt(event, now)
             case policy.ClientDisconnected():
                 self.open.pop(event.request, None)
 
@@ -142,14 +142,14 @@
         for entry in event.entries:
             self._set_phase(entry.endpoint, entry.state, _Location(entry.zone, entry.cell), now)
 
-    def _end_attempt(self, event: policy.AttemptEnded, now: int) -> None:
+    def _finish_attempt(self, event: policy.AttemptFinished, now: int) -> None:
         request = self.open.get(event.request)
         if request is None:
             return
         if event.attempt < len(request.attempts):
             possibly_executed = event.outcome not in NOT_EXECUTED_OUTCOMES
             request.attempts[event.attempt].possibly_executed = possibly_executed
-        if event.outcome is Outcome.SERVED and event.answered:
+        if event.outcome is Outcome.SERVED and event.final_response_sent:
             self._end_request(event.request, request, now)
 
     def _end_request(self, number: int, request: OpenRequest, now: int) -> None:
--- a/orchidlane/recording/what_if.py
+++ b/orchidlane/recording/what_if.py
@@ -47,7 +47,7 @@
 class _RecordedAttempt(NamedTuple):
     """How an attempt ended in the record, and how long after it was sent."""
 
-    event: policy.AttemptEnded
+    event: policy.AttemptFinished
     elapsed_us: int
 
 
@@ -126,7 +126,7 @@
             match entry.event:
                 case policy.RequestArrived() | policy.QuotaRequested() as event:
                     self.arrivals[event.request] = event
-                case policy.AttemptEnded() as event:
+                case policy.AttemptFinished() as event:
                     started_at = sent_at.get((event.request, event.attempt), entry.at_us - event.duration_us)
                     attempt = _RecordedAttempt(event, entry.at_us - started_at)
                     self._recorded_attempts[event.request, event.attempt] = attempt
@@ -147,7 +147,7 @@
     def _outside_events(self) -> Iterator[tuple[int, policy.Event]]:
         for entry in self._entries:
             match entry.event:
-                case None | policy.TimerFired() | policy.AttemptEnded():
+                case None | policy.TimerFired() | policy.AttemptFinished():
                     continue
                 case event:
                     yield entry.at_us, event
@@ -174,7 +174,7 @@
         recorded = self._recorded_attempts.get((send.request, number))
         if recorded is not None:
             event = recorded.event
-            self._schedule(now + recorded.elapsed_us, _attempt_ended(send, number, event))
+            self._schedule(now + recorded.elapsed_us, _attempt_finished(send, number, event))
             return
         arrival = self.arrivals.get(send.request)
         duration_us = DEFAULT_DURATION_US
@@ -183,31 +183,31 @@
         self._schedule(now + duration_us, _attempt_served(send, number, duration_us))
 
 
-def _attempt_ended(
-    send: policy.SendAttempt, number: int, recorded: policy.AttemptEnded
-) -> policy.AttemptEnded:
-    return policy.AttemptEnded(
+def _attempt_finished(
+    send: policy.SendAttempt, number: int, recorded: policy.AttemptFinished
+) -> policy.AttemptFinished:
+    return policy.AttemptFinished(
         request=send.request,
         attempt=number,
         endpoint=send.endpoint,
         outcome=recorded.outcome,
         duration_us=recorded.duration_us,
-        answered=recorded.answered,
-        use=0,
+        final_response_sent=recorded.final_response_sent,
+        reported_usage=0,
         true_units=0.0,
         load_report=recorded.load_report,
     )
 
 
-def _attempt_served(send: policy.SendAttempt, number: int, duration_us: int) -> policy.AttemptEnded:
-    return policy.AttemptEnded(
+def _attempt_served(send: policy.SendAttempt, number: int, duration_us: int) -> policy.AttemptFinished:
+    return policy.AttemptFinished(
         request=send.request,
         attempt=number,
         endpoint=send.endpoint,
         outcome=Outcome.SERVED,
         duration_us=duration_us,
-        answered=True,
-        use=0,
+        final_response_sent=True,
+        reported_usage=0,
         true_units=0.0,
         load_report=(),
     )
--- a/orchidlane/rollout/canary_analysis.py
+++ b/orchidlane/rollout/canary_analysis.py
@@ -25,16 +25,16 @@
 HARMLESS_RATIO = 1.25  # of bad answers: two groups of gateways are never quite alike
 HARM_RATIOS = (2.0, 4.0, 16.0)  # of bad answers, for which evidence is gathered
 MAX_STRATA = 64  # the first by name
-MIN_ANSWERS = 50  # of each side before a stage may pass
+MIN_RESPONSES = 50  # of each side before a stage may pass
 MAX_EXPONENT = 700.0  # of a float
 
 Stratum = str
 
 
-class AnswerCounts(msgspec.Struct, frozen=True, array_like=True):
+class ResponseCounts(msgspec.Struct, frozen=True, array_like=True):
     """Final answers of one stratum in some time."""
 
-    answers: int = 0
+    responses: int = 0
     refused: int = 0
     failed: int = 0
     late: int = 0
@@ -44,23 +44,23 @@
     @property
     def served(self) -> int:
         """Answers that were neither refused nor failed."""
-        return self.answers - self.refused - self.failed
+        return self.responses - self.refused - self.failed
 
-    def plus(self, other: AnswerCounts) -> AnswerCounts:
+    def plus(self, other: ResponseCounts) -> ResponseCounts:
         """Return the sums."""
-        return AnswerCounts(*(a + b for a, b in zip(_values(self), _values(other), strict=True)))
+        return ResponseCounts(*(a + b for a, b in zip(_values(self), _values(other), strict=True)))
 
-    def since(self, earlier: AnswerCounts) -> AnswerCounts:
+    def since(self, earlier: ResponseCounts) -> ResponseCounts:
         """Return the differences; a count that went back is of another incarnation, and taken as it is."""
         differences = [a - b for a, b in zip(_values(self), _values(earlier), strict=True)]
-        return self if min(differences) < 0 else AnswerCounts(*differences)
+        return self if min(differences) < 0 else ResponseCounts(*differences)
 
 
-def _values(counts: AnswerCounts) -> tuple[int, ...]:
+def _values(counts: ResponseCounts) -> tuple[int, ...]:
     return msgspec.structs.astuple(counts)
 
 
-CountsByStratum = Mapping[Stratum, AnswerCounts]
+CountsByStratum = Mapping[Stratum, ResponseCounts]
 SERVED = "served"
 OUTCOME_KINDS = ("refused", "failed", "late", "slow", "attempts", SERVED)
 
@@ -69,7 +69,7 @@
     """What the evidence shows so far; ``harm`` is "" while it shows none."""
 
     harm: str = ""
-    has_enough_answers: bool = False
+    has_enough_responses: bool = False
 
 
 class CanaryAnalysis:
@@ -78,19 +78,19 @@
     def __init__(self) -> None:
         # for each of HARM_RATIOS
         self._log_likelihood_ratios: dict[tuple[Stratum, str], list[float]] = {}
-        self.new_answers = 0
-        self.old_answers = 0
+        self.new_responses = 0
+        self.old_responses = 0
 
     def observe(self, new: CountsByStratum, old: CountsByStratum) -> Verdict:
         """Weigh what both sides answered since the last observation."""
         for stratum in sorted(new.keys() & old.keys())[:MAX_STRATA]:
             self._add_evidence(stratum, new[stratum], old[stratum])
-        self.new_answers += sum(counts.answers for counts in new.values())
-        self.old_answers += sum(counts.answers for counts in old.values())
-        return Verdict(self.harm(), min(self.new_answers, self.old_answers) >= MIN_ANSWERS)
+        self.new_responses += sum(counts.responses for counts in new.values())
+        self.old_responses += sum(counts.responses for counts in old.values())
+        return Verdict(self.harm(), min(self.new_responses, self.old_responses) >= MIN_RESPONSES)
 
-    def _add_evidence(self, stratum: Stratum, new: AnswerCounts, old: AnswerCounts) -> None:
-        if not new.answers or not old.answers:
+    def _add_evidence(self, stratum: Stratum, new: ResponseCounts, old: ResponseCounts) -> None:
+        if not new.responses or not old.responses:
             return
         for kind in OUTCOME_KINDS:
             new_bad = getattr(new, kind)
@@ -101,7 +101,7 @@
                 if kind == SERVED:
                     # Fewer served tells what more refused can't, where many are refused on both sides.
                     ratios = (1 / HARMLESS_RATIO, 1 / harm_ratio)
-                logs[number] += _log_likelihood_ratio(new_bad, old_bad, new.answers, old.answers, *ratios)
+                logs[number] += _log_likelihood_ratio(new_bad, old_bad, new.responses, old.responses, *ratios)
 
     def harm(self) -> str:
         """Return the harm that the evidence shows most clearly; "" while it shows none."""
@@ -121,31 +121,36 @@
 
 
 def _log_likelihood_ratio(
-    new_bad: int, old_bad: int, new_answers: int, old_answers: int, harmless_ratio: float, harm_ratio: float
+    new_bad: int,
+    old_bad: int,
+    new_responses: int,
+    old_responses: int,
+    harmless_ratio: float,
+    harm_ratio: float,
 ) -> float:
     """Return the log of how much likelier the new side's part of the bad answers is under a harm."""
-    harmless_part = harmless_ratio * new_answers / (harmless_ratio * new_answers + old_answers)
-    harmful_part = harm_ratio * new_answers / (harm_ratio * new_answers + old_answers)
+    harmless_part = harmless_ratio * new_responses / (harmless_ratio * new_responses + old_responses)
+    harmful_part = harm_ratio * new_responses / (harm_ratio * new_responses + old_responses)
     return new_bad * log(harmful_part / harmless_part) + old_bad * log(
         (1 - harmful_part) / (1 - harmless_part)
     )
 
 
-def merge_counts(counts: Iterable[CountsByStratum]) -> dict[Stratum, AnswerCounts]:
+def merge_counts(counts: Iterable[CountsByStratum]) -> dict[Stratum, ResponseCounts]:
     """Return the sums over several gateways."""
-    merged: dict[Stratum, AnswerCounts] = {}
+    merged: dict[Stratum, ResponseCounts] = {}
     for of_gateway in counts:
         for stratum, added in of_gateway.items():
-            merged[stratum] = merged.get(stratum, AnswerCounts()).plus(added)
+            merged[stratum] = merged.get(stratum, ResponseCounts()).plus(added)
     return merged
 
 
-def counts_since(now: CountsByStratum, earlier: CountsByStratum) -> dict[Stratum, AnswerCounts]:
+def counts_since(now: CountsByStratum, earlier: CountsByStratum) -> dict[Stratum, ResponseCounts]:
     """Return what one gateway answered between two observations."""
-    return {stratum: counts.since(earlier.get(stratum, AnswerCounts())) for stratum, counts in now.items()}
+    return {stratum: counts.since(earlier.get(stratum, ResponseCounts())) for stratum, counts in now.items()}
 
 
-def expected_answers_to_detect(harmful_share: float, baseline_share: float) -> float:
+def expected_responses_to_detect(harmful_share: float, baseline_share: float) -> float:
     """Return about how many answers of each side it takes to detect a harm, in one stratum.
 
     ``baseline_share`` is the share of bad answers on the old side, ``harmful_share`` on the new one.
--- a/orchidlane/rollout/phases.py
+++ b/orchidlane/rollout/phases.py
@@ -53,7 +53,7 @@
         self.harm = ""
         self._silent_since: dict[int, int] = {}
         self._soak_started_at = now
-        self._has_enough_answers = False
+        self._has_enough_responses = False
         self._is_soaking = False
 
     def update_stage(self, now: int, target_ranks: bytes, ranks_behind: Iterable[int]) -> None:
@@ -61,7 +61,7 @@
         if target_ranks != self.target_ranks:
             self.target_ranks = target_ranks
             self._is_soaking = False
-            self._has_enough_answers = False
+            self._has_enough_responses = False
             self.analysis = CanaryAnalysis()  # other gateways are compared from here on
         if not self._is_soaking and not list(ranks_behind):
             self._is_soaking = True
@@ -72,7 +72,7 @@
         new = merge_counts(observation.new.values())
         old = merge_counts(observation.old.values())
         verdict = self.analysis.observe(new, old)
-        self._has_enough_answers = verdict.has_enough_answers
+        self._has_enough_responses = verdict.has_enough_responses
         self.harm = self.harm or verdict.harm
         self._silent_since = {rank: self._silent_since.get(rank, now) for rank in observation.silent}
         timed_out = [rank for rank, since in self._silent_since.items() if now - since > SILENCE_TIMEOUT_US]
@@ -86,7 +86,7 @@
         soaked_us = now - self._soak_started_at
         if not self._is_soaking or soaked_us < self.settings.soak_us:
             return None
-        if self._has_enough_answers:
+        if self._has_enough_responses:
             return ""
         if soaked_us > MAX_SOAKS_WITHOUT_VERDICT * self.settings.soak_us:
             return "too few answers to tell whether it does harm"
--- a/orchidlane/runtime/real_backend/datagram_socket.py
+++ b/orchidlane/runtime/real_backend/datagram_socket.py
@@ -39,7 +39,7 @@
             except OSError:  # such as ECONNREFUSED, the answer to an earlier send of ours
                 self.poller.loop.sleep(ERROR_BACKOFF_US)
             else:
-                self.poller.loop.yield_sometimes()
+                self.poller.loop.yield_if_due()
                 return data, sender
 
     def send(self, data: bytes, address: Address) -> None:
--- a/orchidlane/runtime/real_backend/listener.py
+++ b/orchidlane/runtime/real_backend/listener.py
@@ -33,7 +33,7 @@
 
         Raises ConnectionClosedError, DeadlineExceededError, ConnectionFailedError when out of descriptors.
         """
-        self.poller.loop.yield_sometimes()
+        self.poller.loop.yield_if_due()
         while True:
             try:
                 if (stream := self.try_accept()) is not None:
--- a/orchidlane/runtime/real_backend/stream.py
+++ b/orchidlane/runtime/real_backend/stream.py
@@ -59,7 +59,7 @@
 
         Raises ConnectionClosedError, DeadlineExceededError.
         """
-        self.poller.loop.yield_sometimes()  # before the read: a cancellation must not lose what was read
+        self.poller.loop.yield_if_due()  # before the read: a cancellation must not lose what was read
         while True:
             data = None if self.is_input_exhausted and not self.is_closed else self.try_recv(max_bytes)
             if data is not None:
@@ -110,7 +110,7 @@
                 if not (sent := self._send_some(remaining)):
                     self.wait_write(deadline)
                 remaining = remaining[sent:]
-        self.poller.loop.yield_sometimes()
+        self.poller.loop.yield_if_due()
 
     def try_send(self, data: bytes) -> int:
         """Send what the kernel takes without waiting; return the number of bytes.
--- a/orchidlane/runtime/scheduler.py
+++ b/orchidlane/runtime/scheduler.py
@@ -107,7 +107,7 @@
         task.is_done = True
         task.process.tasks.pop(task, None)
         if task.owner is not None:
-            task.owner.child_ended(task)
+            task.owner.child_finished(task)
         elif task.error is not None:
             self.on_unowned_failure(task, task.error)
 
@@ -202,7 +202,7 @@
         if task.is_cancelled or task.interruptions:
             self._raise_interruption(task)
 
-    def yield_sometimes(self) -> None:
+    def yield_if_due(self) -> None:
         """Let other tasks run after many operations that did not wait; each such operation calls this."""
         task = self.current
         if task is not None:
--- a/orchidlane/runtime/simulated_backend/datagram_socket.py
+++ b/orchidlane/runtime/simulated_backend/datagram_socket.py
@@ -29,7 +29,7 @@
         Raises ConnectionClosedError, DeadlineExceededError.
         """
         self._wait_for(self._inbox, deadline)
-        self.network.loop.yield_sometimes()
+        self.network.loop.yield_if_due()
         return self._inbox.popleft()
 
     def send(self, data: bytes, address: Address) -> None:
--- a/orchidlane/runtime/simulated_backend/listener.py
+++ b/orchidlane/runtime/simulated_backend/listener.py
@@ -39,7 +39,7 @@
 
         Raises ConnectionClosedError, DeadlineExceededError.
         """
-        self.network.loop.yield_sometimes()
+        self.network.loop.yield_if_due()
         self._wait_for(self._queue, deadline)
         return self._take_next()
 
--- a/orchidlane/runtime/simulated_backend/stream.py
+++ b/orchidlane/runtime/simulated_backend/stream.py
@@ -67,7 +67,7 @@
 
         Raises ConnectionClosedError, DeadlineExceededError.
         """
-        self.network.loop.yield_sometimes()
+        self.network.loop.yield_if_due()
         while True:
             data = self.try_recv(max_bytes)
             if data is not None:
@@ -127,7 +127,7 @@
                     self.network.loop.park(deadline)
                 finally:
                     self.writer = None
-        self.network.loop.yield_sometimes()
+        self.network.loop.yield_if_due()
 
     def try_send(self, data: bytes) -> int:
         """Send what fits into the window without waiting; return the number of bytes.
--- a/orchidlane/runtime/task_group.py
+++ b/orchidlane/runtime/task_group.py
@@ -38,7 +38,7 @@
         for task in list(self.children):
             self.loop.cancel(task)
 
-    def child_ended(self, task: Task) -> None:
+    def child_finished(self, task: Task) -> None:
         """Note the end of a task; the event loop calls this."""
         self.children.pop(task, None)
         if task.error is not None and self.failure is None:
--- a/orchidlane/runtime/tasks.py
+++ b/orchidlane/runtime/tasks.py
@@ -22,7 +22,7 @@
 
     children: dict[Task, None]  # the event loop adds each task that it starts
 
-    def child_ended(self, task: Task) -> None:
+    def child_finished(self, task: Task) -> None:
         """Note that a task of this owner has ended."""
 
 
@@ -95,7 +95,7 @@
     def wake(self, task: Task, value: Any = None) -> None:
         """Let a parked task go on with ``value``."""
 
-    def yield_sometimes(self) -> None:
+    def yield_if_due(self) -> None:
         """Let other tasks run after many operations that did not wait."""
 
     def call_at(self, when: int, call: Callable[[Any], None], argument: Any = None) -> Any:
--- a/orchidlane/simulation/fleet_backend.py
+++ b/orchidlane/simulation/fleet_backend.py
@@ -31,7 +31,7 @@
     def begin_upgrade(self, rank: int) -> None:
         """Start the successor of a gateway."""
 
-    def kill_successor(self, rank: int) -> None:
+    def kill_new_process(self, rank: int) -> None:
         """Kill the successor of a gateway."""
 
     def upgrade_result(self, rank: int, loop: EventLoop) -> bool | None:
--- a/orchidlane/simulation/process_backend.py
+++ b/orchidlane/simulation/process_backend.py
@@ -29,7 +29,7 @@
 from orchidlane.simulation.scenario_runner import ScenarioRunner, run_in_loop
 from orchidlane.simulation.successors import (
     TAKE_OVER_TIMEOUT_S,
-    addresses_with_successor,
+    addresses_with_new_process,
     kill_serving_process,
 )
 
@@ -98,7 +98,7 @@
         arguments = (*self.gateway_arguments(rank), "--take-over")
         self.successors[rank] = self.start_process(f"gw-{rank}", *arguments)
 
-    def kill_successor(self, rank: int) -> None:
+    def kill_new_process(self, rank: int) -> None:
         """Kill the successor of a gateway."""
         self.successors[rank].kill()
 
@@ -162,7 +162,7 @@
     def end(self) -> None:
         """End everything that runs, also successors that ``orchidlane upgrade`` has started."""
         addresses = self._hot_restart_addresses()
-        upgrading = addresses_with_successor(addresses)
+        upgrading = addresses_with_new_process(addresses)
         self._end_started_processes()
         for address in addresses:
             kill_serving_process(address, TAKE_OVER_TIMEOUT_S if address in upgrading else 0.0)
--- a/orchidlane/simulation/scenario_faults.py
+++ b/orchidlane/simulation/scenario_faults.py
@@ -101,7 +101,7 @@
         deadline = self.loop.now() + timeout_us
         while (replaced := self.fleet_backend.upgrade_result(rank, self.loop)) is None:
             if timeout_us and self.loop.now() >= deadline:
-                self.fleet_backend.kill_successor(rank)
+                self.fleet_backend.kill_new_process(rank)
             self.loop.sleep(UPGRADE_POLL_INTERVAL_US)
         return replaced
 
--- a/orchidlane/simulation/simulated_fleet.py
+++ b/orchidlane/simulation/simulated_fleet.py
@@ -69,11 +69,11 @@
         return msgspec.structs.replace(self.plan.fleet, gateways=tuple(entries))
 
     def make_gateway_process(
-        self, fleet: FleetSettings, rank: int, take_over: bool = False
+        self, fleet: FleetSettings, rank: int, is_hot_restart: bool = False
     ) -> GatewayProcess:
         """Return a gateway that does not run yet."""
         snapshot = ConfigurationSnapshot(self.plan.generation, self.customers, structlog.get_logger(), False)
-        return GatewayProcess(self.loop, fleet, rank, SECRET, snapshot, self.record_to, take_over)
+        return GatewayProcess(self.loop, fleet, rank, SECRET, snapshot, self.record_to, is_hot_restart)
 
     def _run_gateway(self, fleet: FleetSettings, rank: int) -> None:
         self.gateway_processes[rank] = self.make_gateway_process(fleet, rank)
@@ -83,13 +83,13 @@
         """Start the successor of a gateway."""
         gateways: list[GatewayProcess] = []
 
-        def run_successor() -> None:
+        def run_new_process() -> None:
             gateways.append(self.make_gateway_process(self.gateway_settings(rank), rank, True))
             gateways[0].run()
 
-        self.successors[rank] = Successor(self.backend.start(f"gw-{rank}", run_successor), gateways)
+        self.successors[rank] = Successor(self.backend.start(f"gw-{rank}", run_new_process), gateways)
 
-    def kill_successor(self, rank: int) -> None:
+    def kill_new_process(self, rank: int) -> None:
         """Kill the successor of a gateway."""
         self.backend.kill(self.successors[rank].process)
 
--- a/orchidlane/simulation/successors.py
+++ b/orchidlane/simulation/successors.py
@@ -21,7 +21,7 @@
 EXIT_TIMEOUT_S = 15.0
 
 
-def addresses_with_successor(addresses: Iterable[Address]) -> list[Address]:
+def addresses_with_new_process(addresses: Iterable[Address]) -> list[Address]:
     """Return the hot restart addresses at which an upgrade is in progress."""
     statuses = {address: request_status_in_own_loop(address, STATUS_TIMEOUT_US) for address in addresses}
     return [
@@ -31,13 +31,13 @@
     ]
 
 
-def kill_serving_process(address: Address, take_over_timeout_s: float = 0.0) -> None:
+def kill_serving_process(address: Address, hot_restart_timeout_s: float = 0.0) -> None:
     """Kill whatever process answers at a hot restart address, until none does for the time given.
 
     Raises TimeoutError where one goes on to answer, PermissionError where it is another user's.
     """
     give_up_at = time.monotonic() + EXIT_TIMEOUT_S
-    silent_until = time.monotonic() + take_over_timeout_s
+    silent_until = time.monotonic() + hot_restart_timeout_s
     while True:
         status = request_status_in_own_loop(address, STATUS_TIMEOUT_US)
         if status is not None:
--- a/orchidlane/simulator_protocol/codec.py
+++ b/orchidlane/simulator_protocol/codec.py
@@ -32,12 +32,12 @@
     CLIENT_DISCONNECTED = 3
     STREAM_STARTED = 4
     REQUEST_ARRIVED = 5
-    ATTEMPT_ENDED = 6
+    ATTEMPT_FINISHED = 6
     GATEWAY_STARTED = 7
     GATEWAY_STOPPED = 8
     ENDPOINT_LIST = 9
-    COUNTER_ANSWERED = 10
-    HEALTH_CHECK_ENDED = 11
+    COUNTER_CALL_FINISHED = 10
+    HEALTH_CHECK_FINISHED = 11
     ENDPOINT_ENTRIES = 12
 
 
@@ -62,13 +62,13 @@
 _ENDPOINT_ENTRIES = struct.Struct("<HII")
 _ENDPOINT_LIST = struct.Struct("<HBHQ")
 _REQUEST_ARRIVED = struct.Struct("<HIBHQIfffH")
-_ATTEMPT_ENDED = struct.Struct("<HIH6sHIBHHB4f")
+_ATTEMPT_FINISHED = struct.Struct("<HIH6sHIBHHB4f")
 _STREAM_STARTED = struct.Struct("<HIH6sI")
 _CLIENT_DISCONNECTED = struct.Struct("<HI")
 _TIMER_FIRED = struct.Struct("<HQ")
 _PEER_MESSAGE = struct.Struct("<HHII")
-_HEALTH_CHECK_ENDED = struct.Struct("<HIH6sB4f")
-_COUNTER_ANSWERED = struct.Struct("<HfIHQ")
+_HEALTH_CHECK_FINISHED = struct.Struct("<HIH6sB4f")
+_COUNTER_CALL_FINISHED = struct.Struct("<HfIHQ")
 
 # Fields of actions with their code
 _SEND_ATTEMPT = struct.Struct("<BHI6sQ")
@@ -193,17 +193,29 @@
     return GatewayEvent(gateway, event)
 
 
-def _read_attempt_ended(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
-    fields = _ATTEMPT_ENDED.unpack_from(body, offset)
-    gateway, request, attempt, endpoint, outcome, duration_us, answered, use, units, count, *report = fields
-    event = policy.AttemptEnded(
+def _read_attempt_finished(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    fields = _ATTEMPT_FINISHED.unpack_from(body, offset)
+    (
+        gateway,
+        request,
+        attempt,
+        endpoint,
+        outcome,
+        duration_us,
+        final_response_sent,
+        reported_usage,
+        units,
+        count,
+        *report,
+    ) = fields
+    event = policy.AttemptFinished(
         request,
         attempt,
         endpoint,
         _outcome(outcome),
         duration_us,
-        answered=bool(answered),
-        use=use,
+        final_response_sent=bool(final_response_sent),
+        reported_usage=reported_usage,
         true_units=float(units),
         load_report=tuple(report[:count]),
     )
@@ -231,15 +243,15 @@
     return GatewayEvent(gateway, policy.PeerMessageReceived(sender, message))
 
 
-def _read_health_check_ended(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
-    gateway, duration_us, outcome, endpoint, count, *report = _HEALTH_CHECK_ENDED.unpack_from(body, offset)
-    event = policy.HealthCheckEnded(endpoint, _outcome(outcome), duration_us, tuple(report[:count]))
+def _read_health_check_finished(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    gateway, duration_us, outcome, endpoint, count, *report = _HEALTH_CHECK_FINISHED.unpack_from(body, offset)
+    event = policy.HealthCheckFinished(endpoint, _outcome(outcome), duration_us, tuple(report[:count]))
     return GatewayEvent(gateway, event)
 
 
-def _read_counter_answered(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
-    gateway, value, duration_us, outcome, name = _COUNTER_ANSWERED.unpack_from(body, offset)
-    return GatewayEvent(gateway, policy.CounterAnswered(name, _outcome(outcome), value, duration_us))
+def _read_counter_call_finished(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    gateway, value, duration_us, outcome, name = _COUNTER_CALL_FINISHED.unpack_from(body, offset)
+    return GatewayEvent(gateway, policy.CounterCallFinished(name, _outcome(outcome), value, duration_us))
 
 
 _READERS: dict[int, Reader] = {
@@ -248,12 +260,12 @@
     EventCode.CLIENT_DISCONNECTED: _read_client_disconnected,
     EventCode.STREAM_STARTED: _read_stream_started,
     EventCode.REQUEST_ARRIVED: _read_request_arrived,
-    EventCode.ATTEMPT_ENDED: _read_attempt_ended,
+    EventCode.ATTEMPT_FINISHED: _read_attempt_finished,
     EventCode.GATEWAY_STARTED: _read_gateway_started,
     EventCode.GATEWAY_STOPPED: _read_gateway_stopped,
     EventCode.ENDPOINT_LIST: _read_endpoint_list,
-    EventCode.COUNTER_ANSWERED: _read_counter_answered,
-    EventCode.HEALTH_CHECK_ENDED: _read_health_check_ended,
+    EventCode.COUNTER_CALL_FINISHED: _read_counter_call_finished,
+    EventCode.HEALTH_CHECK_FINISHED: _read_health_check_finished,
     EventCode.ENDPOINT_ENTRIES: _read_endpoint_entries,
 }
 
--- a/tests/harness/event_story.py
+++ b/tests/harness/event_story.py
@@ -89,12 +89,12 @@
         self.number += 1
         return policy.QuotaRequested(self.number, self.rng.randrange(6), 0, 0, 1.0, 0, 3)
 
-    def _attempt_outcome(self) -> policy.AttemptEnded:
+    def _attempt_outcome(self) -> policy.AttemptFinished:
         index = self.rng.randrange(len(self.attempts_in_flight))
         attempt = self.attempts_in_flight.pop(index)
         outcome = self.rng.choice(list(Outcome))
         served = outcome is Outcome.SERVED
-        return policy.AttemptEnded(*attempt, outcome, 50_000, served, 0, 0.0, ())
+        return policy.AttemptFinished(*attempt, outcome, 50_000, served, 0, 0.0, ())
 
     def _endpoint_change(self) -> policy.EndpointListReceived:
         state = self.rng.choice(list(EndpointState))
--- a/tests/harness/golden_events.py
+++ b/tests/harness/golden_events.py
@@ -69,9 +69,15 @@
     return [event.request, event.customer, event.plan, event.request_class, *counts]
 
 
-def outcome_values(event: policy.AttemptEnded) -> list:
+def outcome_values(event: policy.AttemptFinished) -> list:
     """Return an attempt's outcome as plain values."""
-    ended = [event.outcome.value, event.duration_us, event.answered, event.use, event.true_units]
+    ended = [
+        event.outcome.value,
+        event.duration_us,
+        event.final_response_sent,
+        event.reported_usage,
+        event.true_units,
+    ]
     return [event.request, event.attempt, event.endpoint.hex(), *ended, list(event.load_report)]
 
 
@@ -107,10 +113,15 @@
         event.duration_us,
     ],
     policy.RequestArrived: request_values,
-    policy.AttemptEnded: outcome_values,
+    policy.AttemptFinished: outcome_values,
     policy.EndpointListReceived: list_values,
-    policy.CounterAnswered: lambda event: [event.name, event.outcome.value, event.value, event.duration_us],
-    policy.HealthCheckEnded: lambda event: [
+    policy.CounterCallFinished: lambda event: [
+        event.name,
+        event.outcome.value,
+        event.value,
+        event.duration_us,
+    ],
+    policy.HealthCheckFinished: lambda event: [
         event.endpoint.hex(),
         event.outcome.value,
         event.duration_us,
--- a/tests/harness/golden_gateways.py
+++ b/tests/harness/golden_gateways.py
@@ -14,7 +14,7 @@
 from orchidlane.gateway.peers import token_messages
 from orchidlane.hot_restart import messages as restart_messages
 from orchidlane.hot_restart import rolling_upgrade
-from orchidlane.hot_restart.probation import AnswerCounts
+from orchidlane.hot_restart.probation import ResponseCounts
 from orchidlane.limits import GrantOutcome
 
 
@@ -50,7 +50,7 @@
             4_000 + number,
             START_US + number,
             2,
-            AnswerCounts(900, 30, 4),
+            ResponseCounts(900, 30, 4),
             3_000 + number,
             True,
             "done",
--- a/tests/harness/golden_policy.py
+++ b/tests/harness/golden_policy.py
@@ -76,15 +76,15 @@
         policy.RequestArrived(1, 7, 2, 1, 1.5, 2_000_000, 1, 3, True),
         policy.QuotaRequested(2, 7, 2, 3, 2.5, 1, 3),
         *(
-            policy.AttemptEnded(1, 4, b"10.0.0.1:80", outcome, 50_000, True, 9, 2.25, (0.5, 1.5))
+            policy.AttemptFinished(1, 4, b"10.0.0.1:80", outcome, 50_000, True, 9, 2.25, (0.5, 1.5))
             for outcome in policy.Outcome
         ),
         policy.ResponseStreamStarted(1, 5, b"10.0.0.1:80", 60_000),
         policy.ClientDisconnected(3),
         policy.TimerFired(17),
-        *(policy.HealthCheckEnded(b"10.0.0.2:80", outcome, 700, (0.25,)) for outcome in policy.Outcome),
+        *(policy.HealthCheckFinished(b"10.0.0.2:80", outcome, 700, (0.25,)) for outcome in policy.Outcome),
         policy.PeerMessageReceived(2, bytes(range(0, 256, 5))),
-        *(policy.CounterAnswered(8, outcome, 6.5, 800) for outcome in policy.Outcome),
+        *(policy.CounterCallFinished(8, outcome, 6.5, 800) for outcome in policy.Outcome),
         policy.CountRecovered(7, 2, 1, 3, 15_900, 3.25),
         policy.ReplicaSetChanged(7, 2, 1, 3),
     ]
--- a/tests/harness/golden_rollouts.py
+++ b/tests/harness/golden_rollouts.py
@@ -167,9 +167,9 @@
     )
 
 
-def golden_answer_counts() -> dict[str, canary_analysis.AnswerCounts]:
+def golden_response_counts() -> dict[str, canary_analysis.ResponseCounts]:
     """Return what a gateway answered, by class and plan."""
-    counts = canary_analysis.AnswerCounts
+    counts = canary_analysis.ResponseCounts
     return {"safe plain": counts(900, 30, 4, 5, 6, 7), "unsafe capped": counts(80, 3, 2, 1, 9, 8)}
 
 
--- a/tests/harness/golden_writers.py
+++ b/tests/harness/golden_writers.py
@@ -41,11 +41,11 @@
     pack,
 )
 from harness.golden_rollouts import (
-    golden_answer_counts,
     golden_command_outcome,
     golden_command_request,
     golden_contents,
     golden_replicated_state,
+    golden_response_counts,
     golden_rollout_messages,
     golden_running_file,
     golden_status,
@@ -248,7 +248,7 @@
     "admin-status.msgpack": lambda: pack(golden_status()),
     "admin-status.json": lambda: msgspec.json.encode(golden_status()),
     "admin-history.json": lambda: msgspec.json.encode(golden_status().history),
-    "admin-counts.msgpack": lambda: pack(golden_answer_counts()),
+    "admin-counts.msgpack": lambda: pack(golden_response_counts()),
 }
 
 
--- a/tests/harness/gossip_harness.py
+++ b/tests/harness/gossip_harness.py
@@ -89,7 +89,7 @@
     for number in range(first_request, first_request + count):
         for send in actions_of(harness.request(number, **request), policy.SendAttempt):
             sent += 1
-            harness.end_attempt(number, send.endpoint, policy.Outcome.SERVED, duration_us=1_000)
+            harness.finish_attempt(number, send.endpoint, policy.Outcome.SERVED, duration_us=1_000)
     return sent
 
 
--- a/tests/harness/hot_restart_harness.py
+++ b/tests/harness/hot_restart_harness.py
@@ -65,11 +65,11 @@
         self.longest_answer_us = 0
         self.running_clients = 0
 
-    def _gateway(self, rank: int, take_over: bool = False, sabotage: Sabotage | None = None) -> None:
+    def _gateway(self, rank: int, is_hot_restart: bool = False, sabotage: Sabotage | None = None) -> None:
         configuration = ConfigurationSnapshot(GENERATION, self.customers, structlog.get_logger(), False)
         secret = b"0123456789abcdef"
         self.program = GatewayProcess(
-            self.loop, self.fleet, rank, secret, configuration, self.record_to, take_over
+            self.loop, self.fleet, rank, secret, configuration, self.record_to, is_hot_restart
         )
         self.gateways.append(self.program)
         if sabotage is not None:
--- a/tests/harness/hot_restart_model.py
+++ b/tests/harness/hot_restart_model.py
@@ -13,12 +13,12 @@
 from orchidlane.hot_restart import new_process, old_process
 from orchidlane.hot_restart.handshake import GatewayIdentity
 from orchidlane.hot_restart.messages import PROTOCOL_VERSION, Hello
-from orchidlane.hot_restart.probation import AnswerCounts
+from orchidlane.hot_restart.probation import ResponseCounts
 
 LAYOUT = GatewayIdentity("gw", 0, 3, ("p",))
 HELLO = Hello(PROTOCOL_VERSION, "b", "gw", 0, 3, ("p",))
 LATE_US = 10**12  # a time at which every deadline is over
-HEALTHY, DEGRADED = AnswerCounts(50, 1, 0), AnswerCounts(0, 50, 0)
+HEALTHY, DEGRADED = ResponseCounts(50, 1, 0), ResponseCounts(0, 50, 0)
 
 
 MAX_QUEUED_MESSAGES = 3
--- a/tests/harness/policy_harness.py
+++ b/tests/harness/policy_harness.py
@@ -151,20 +151,22 @@
             )
         )
 
-    def end_attempt(
+    def finish_attempt(
         self,
         request: int,
         endpoint: bytes,
         outcome: policy.Outcome,
         attempt: int = 0,
         duration_us: int = 50_000,
-        answered: bool | None = None,
+        final_response_sent: bool | None = None,
     ) -> list[policy.Action]:
-        """Feed an attempt's outcome, by default answered if it was served; return the actions."""
-        if answered is None:
-            answered = outcome is policy.Outcome.SERVED
+        """Feed an attempt's outcome, by default the final one if it was served; return the actions."""
+        if final_response_sent is None:
+            final_response_sent = outcome is policy.Outcome.SERVED
         return self.feed(
-            policy.AttemptEnded(request, attempt, endpoint, outcome, duration_us, answered, 0, 0.0, ())
+            policy.AttemptFinished(
+                request, attempt, endpoint, outcome, duration_us, final_response_sent, 0, 0.0, ()
+            )
         )
 
     def final_answers(self, request: int) -> list[policy.Action]:
@@ -184,5 +186,5 @@
         return None
     harness.advance(10_000)
     endpoint = sends[0].endpoint
-    harness.end_attempt(request, endpoint, policy.Outcome.SERVED, duration_us=duration_us(endpoint))
+    harness.finish_attempt(request, endpoint, policy.Outcome.SERVED, duration_us=duration_us(endpoint))
     return sends[0]
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -9,24 +9,24 @@
 from orchidlane.rollout.canary_analysis import (
     FALSE_POSITIVE_RATE,
     HARMLESS_RATIO,
-    MIN_ANSWERS,
+    MIN_RESPONSES,
     OUTCOME_KINDS,
-    AnswerCounts,
     CanaryAnalysis,
+    ResponseCounts,
     counts_since,
-    expected_answers_to_detect,
+    expected_responses_to_detect,
     merge_counts,
 )
 
 STRATA = ("sheet-read basico", "sheet-read amplio", "report-issue amplio")
 
 
-def draw(rng: random.Random, answers: int, bad: dict[str, float]) -> AnswerCounts:
+def draw(rng: random.Random, answers: int, bad: dict[str, float]) -> ResponseCounts:
     """Return counts of so many answers, each kind of fault by its probability."""
     kinds = [kind for kind in OUTCOME_KINDS if kind != "served"]
     counts = {kind: sum(rng.random() < bad.get(kind, 0.0) for _ in range(answers)) for kind in kinds}
     counts["failed"] = min(counts["failed"], answers - counts["refused"])
-    return AnswerCounts(answers, **counts)
+    return ResponseCounts(answers, **counts)
 
 
 def harm_of_phase(seed: int, harm: dict[str, float], observations: int = 40) -> str:
@@ -75,7 +75,7 @@
     analysis, harm_text = CanaryAnalysis(), ""
     for _ in range(30):
         harm_text = analysis.observe(
-            {"a": AnswerCounts(10, refused=10)}, {"a": AnswerCounts(40, refused=26)}
+            {"a": ResponseCounts(10, refused=10)}, {"a": ResponseCounts(40, refused=26)}
         ).harm
         if harm_text:
             break
@@ -86,7 +86,7 @@
     """4,900 failures in 10,000 answers where none failed before."""
     analysis = CanaryAnalysis()
     verdict = analysis.observe(
-        {"a": AnswerCounts(10_000, failed=4_900)}, {"a": AnswerCounts(10_000, failed=0)}
+        {"a": ResponseCounts(10_000, failed=4_900)}, {"a": ResponseCounts(10_000, failed=0)}
     )
     assert verdict.harm.endswith(" in a than where the old version runs")
 
@@ -94,18 +94,20 @@
 def test_equal_failures_on_both_sides_are_no_harm():
     analysis = CanaryAnalysis()
     for _ in range(50):
-        verdict = analysis.observe({"a": AnswerCounts(100, failed=60)}, {"a": AnswerCounts(300, failed=180)})
+        verdict = analysis.observe(
+            {"a": ResponseCounts(100, failed=60)}, {"a": ResponseCounts(300, failed=180)}
+        )
     assert verdict.harm == ""
-    assert verdict.has_enough_answers
+    assert verdict.has_enough_responses
 
 
 def test_few_answers_neither_show_harm_nor_pass_a_phase():
     analysis = CanaryAnalysis()
-    assert analysis.observe({"a": AnswerCounts(3, failed=3)}, {"a": AnswerCounts(5)}) == ("", False)
-    assert analysis.observe({"a": AnswerCounts(MIN_ANSWERS)}, {}) == ("", False), (
+    assert analysis.observe({"a": ResponseCounts(3, failed=3)}, {"a": ResponseCounts(5)}) == ("", False)
+    assert analysis.observe({"a": ResponseCounts(MIN_RESPONSES)}, {}) == ("", False), (
         "a base version without answers is no progress"
     )
-    assert analysis.observe({}, {"a": AnswerCounts(MIN_ANSWERS)}).has_enough_answers
+    assert analysis.observe({}, {"a": ResponseCounts(MIN_RESPONSES)}).has_enough_responses
 
 
 def test_harm_in_one_stratum_of_many_is_detected():
@@ -121,7 +123,7 @@
 
 
 def test_harm_is_detected_within_the_expected_number_of_answers():
-    wanted = expected_answers_to_detect(0.20, 0.02)
+    wanted = expected_responses_to_detect(0.20, 0.02)
     assert 50 < wanted < 400
     rng, spans = random.Random(3), []
     for _ in range(50):
@@ -132,15 +134,15 @@
             answers += 10
         spans.append(answers)
     assert sorted(spans)[25] < 2 * wanted
-    assert expected_answers_to_detect(0.02, 0.02) == float("inf")
+    assert expected_responses_to_detect(0.02, 0.02) == float("inf")
 
 
 def test_counts_of_another_incarnation_are_taken_as_they_are():
-    assert counts_since({"a": AnswerCounts(10, failed=2)}, {"a": AnswerCounts(4, failed=1)}) == {
-        "a": AnswerCounts(6, failed=1)
+    assert counts_since({"a": ResponseCounts(10, failed=2)}, {"a": ResponseCounts(4, failed=1)}) == {
+        "a": ResponseCounts(6, failed=1)
     }
-    assert counts_since({"a": AnswerCounts(3)}, {"a": AnswerCounts(400)}) == {"a": AnswerCounts(3)}
-    assert merge_counts([{"a": AnswerCounts(1)}, {"a": AnswerCounts(2), "b": AnswerCounts(5)}]) == {
-        "a": AnswerCounts(3),
-        "b": AnswerCounts(5),
+    assert counts_since({"a": ResponseCounts(3)}, {"a": ResponseCounts(400)}) == {"a": ResponseCounts(3)}
+    assert merge_counts([{"a": ResponseCounts(1)}, {"a": ResponseCounts(2), "b": ResponseCounts(5)}]) == {
+        "a": ResponseCounts(3),
+        "b": ResponseCounts(5),
     }
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -44,7 +44,7 @@
     for request in range(1, 601):  # 6 s, far more than the ceiling permits
         for send in actions_of(harness.request(request, customer=1, plan=2), policy.SendAttempt):
             sent += 1
-            harness.end_attempt(request, send.endpoint, Outcome.SERVED, duration_us=1_000)
+            harness.finish_attempt(request, send.endpoint, Outcome.SERVED, duration_us=1_000)
         harness.advance(10_000)
     assert 0 < sent <= 8 / 3 * 6
 
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -129,14 +129,14 @@
 
 
 def test_the_audit_reports_a_duplicate_effect(monkeypatch):
-    ended = PolicyDriver.attempt_ended
+    ended = PolicyDriver.attempt_finished
 
     def lies(self, exchange, attempt, server, outcome, took, report=(), answer=None):
         if outcome is policy.Outcome.CONNECTION_BROKEN:
             outcome = policy.Outcome.NOT_SENT
         ended(self, exchange, attempt, server, outcome, took, report, answer)
 
-    monkeypatch.setattr(PolicyDriver, "attempt_ended", lies)
+    monkeypatch.setattr(PolicyDriver, "attempt_finished", lies)
     monkeypatch.setattr(attempts, "rejection_reason", lambda *_: None)
     steps = make_step(0, "node_faults", *ENDPOINTS, span=9, reset_after=0.3)
     verdict = simulate(make_scenario(steps, span=4), 1)
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -19,7 +19,7 @@
         for send in actions_of(harness.request(request, customer=request), policy.SendAttempt):
             assert send.endpoint == endpoint_entry(2).endpoint
             for retry in actions_of(
-                harness.end_attempt(request, send.endpoint, Outcome.ENDPOINT_FULL), policy.SendAttempt
+                harness.finish_attempt(request, send.endpoint, Outcome.ENDPOINT_FULL), policy.SendAttempt
             ):
                 assert retry.endpoint == endpoint_entry(2).endpoint
 
@@ -45,7 +45,7 @@
     for request in range(1, 401):
         for send in actions_of(harness.request(request, customer=request), policy.SendAttempt):
             sent["cold" if send.endpoint == cold.endpoint else "warm"] += 1
-            harness.end_attempt(request, send.endpoint, Outcome.SERVED, duration_us=1_000)
+            harness.finish_attempt(request, send.endpoint, Outcome.SERVED, duration_us=1_000)
         harness.advance(5_000)
     ramp = 0.25 + 0.75 * 2 / 10  # two seconds into ten
     assert sent["warm"] > 300
@@ -75,7 +75,7 @@
                 harness.request(request, customer=request, replica_set_size=1), policy.SendAttempt
             ):
                 sent[send.endpoint == cold.endpoint] += 1
-                harness.end_attempt(request, send.endpoint, Outcome.SERVED, duration_us=30_000)
+                harness.finish_attempt(request, send.endpoint, Outcome.SERVED, duration_us=30_000)
     assert 0.2 * sent[False] / 4 < sent[True] < 0.4 * sent[False] / 4
 
 
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -67,12 +67,12 @@
         while send.endpoint == refusing:
             attempts_there += 1
             send = actions_of(
-                harness.end_attempt(request, refusing, Outcome.CONNECT_FAILED, attempt=attempt),
+                harness.finish_attempt(request, refusing, Outcome.CONNECT_FAILED, attempt=attempt),
                 policy.SendAttempt,
             )[0]
             attempt += 1
         harness.advance(5_000)
-        harness.end_attempt(request, send.endpoint, Outcome.SERVED, attempt=attempt, duration_us=30_000)
+        harness.finish_attempt(request, send.endpoint, Outcome.SERVED, attempt=attempt, duration_us=30_000)
     assert attempts_there <= 5
 
 
@@ -88,7 +88,9 @@
             attempts_there += lost
             outcome = Outcome.CONNECT_FAILED if lost else Outcome.SERVED
             out = actions_of(
-                harness.end_attempt(request, out[0].endpoint, outcome, attempt=attempt, duration_us=30_000),
+                harness.finish_attempt(
+                    request, out[0].endpoint, outcome, attempt=attempt, duration_us=30_000
+                ),
                 policy.SendAttempt,
             )
             attempt += 1
@@ -107,7 +109,7 @@
     ]
     harness.advance(2 * SECOND)
     for request, endpoint in zip(range(100, 120), sent, strict=True):
-        harness.end_attempt(request, endpoint, Outcome.TIMED_OUT, duration_us=2 * SECOND)
+        harness.finish_attempt(request, endpoint, Outcome.TIMED_OUT, duration_us=2 * SECOND)
     assert all(serve_request(harness, request, lambda _: 60_000) for request in range(200, 220))
 
 
@@ -117,7 +119,7 @@
         out, attempt = actions_of(harness.request(request, customer=request), policy.SendAttempt), 0
         while out:
             out = actions_of(
-                harness.end_attempt(request, out[0].endpoint, Outcome.CONNECT_FAILED, attempt=attempt),
+                harness.finish_attempt(request, out[0].endpoint, Outcome.CONNECT_FAILED, attempt=attempt),
                 policy.SendAttempt,
             )
             attempt += 1
@@ -168,6 +170,6 @@
     harness = PolicyHarness()
     for number in range(1, 9):
         (send,) = actions_of(harness.request(number, request_class=2, customer=number), policy.SendAttempt)
-        harness.end_attempt(number, send.endpoint, policy.Outcome.CONNECTION_BROKEN)
+        harness.finish_attempt(number, send.endpoint, policy.Outcome.CONNECTION_BROKEN)
     assert all(host.failure_score > 0 for host in harness.gateway.endpoints.values())
     assert actions_of(harness.request(20, customer=20), policy.SendAttempt)
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -152,7 +152,7 @@
 def test_a_busy_task_does_not_starve_others(loop: EventLoop) -> None:
     def busy(log: list) -> None:
         for _ in range(2_000):
-            loop.yield_sometimes()
+            loop.yield_if_due()
         log.append("busy")
 
     def work(log: list) -> None:
--- a/tests/test_foreign_successors.py
+++ b/tests/test_foreign_successors.py
@@ -19,7 +19,7 @@
 
 from orchidlane.simulation.process_backend import ProcessFleetBackend, loopback_host
 from orchidlane.simulation.scenario_plan import make_plan
-from orchidlane.simulation.successors import addresses_with_successor
+from orchidlane.simulation.successors import addresses_with_new_process
 
 PROGRAM = (sys.executable, "-m", "orchidlane")
 TIMEOUT_S = 60.0
@@ -119,7 +119,7 @@
     command = upgrade_command(tmp_path / "gw-0.cue")
     with subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL) as upgrading:
         deadline = time.monotonic() + TIMEOUT_S
-        while not addresses_with_successor([(f"{tmp_path}/gw-0.upgrade", 0)]):
+        while not addresses_with_new_process([(f"{tmp_path}/gw-0.upgrade", 0)]):
             assert time.monotonic() < deadline
         one_gateway.end()
         upgrading.wait(TIMEOUT_S)
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -41,7 +41,7 @@
         "how things stand": admin_messages.RolloutStatus,
         "a gateway's state": admin_messages.GatewayStatus,
         "what became of a command": admin_messages.CommandOutcome,
-        "answers counted": canary_analysis.AnswerCounts,
+        "answers counted": canary_analysis.ResponseCounts,
         "ledger": replicated_state.ReplicatedState,
         "certificate": version.Certificate,
         "change": replicated_state.Rollout,
--- a/tests/test_golden_rollouts.py
+++ b/tests/test_golden_rollouts.py
@@ -8,11 +8,11 @@
 import pytest
 from harness.golden_policy import SECRET, fields_with_default, golden, golden_examples
 from harness.golden_rollouts import (
-    golden_answer_counts,
     golden_command_outcome,
     golden_command_request,
     golden_contents,
     golden_replicated_state,
+    golden_response_counts,
     golden_rollout_messages,
     golden_running_file,
     golden_status,
@@ -90,8 +90,8 @@
     )
     assert read(golden("admin-status.msgpack"), type=admin_messages.RolloutStatus) == golden_status()
     assert (
-        read(golden("admin-counts.msgpack"), type=dict[str, canary_analysis.AnswerCounts])
-        == golden_answer_counts()
+        read(golden("admin-counts.msgpack"), type=dict[str, canary_analysis.ResponseCounts])
+        == golden_response_counts()
     )
     for body in (golden_command_request(), golden_command_outcome(), golden_status().gateways[1]):
         assert fields_with_default(body) == []
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -141,7 +141,7 @@
         == set(get_args(policy.Action))
         == set(recording.ACTION_TYPES.values())
     )
-    for kind in (policy.AttemptEnded, policy.HealthCheckEnded, policy.CounterAnswered):
+    for kind in (policy.AttemptFinished, policy.HealthCheckFinished, policy.CounterCallFinished):
         assert {one.outcome for one in events if type(one) is kind} == set(policy.Outcome)
     listed = [event for event in events if isinstance(event, policy.EndpointListReceived)]
     assert {event.kind for event in listed} == set(policy.EndpointListKind)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -144,7 +144,9 @@
             harness.until(lambda: harness.ask(GET)[0] == 200)
             # More than forwarded is what it admitted and could not send any more
             assert counted_units(gateway) >= harness.forwarded_units()
-            found.append(gateway.old_side.machine.last_outcome + (" new" if gateway.takes_over else " old"))
+            found.append(
+                gateway.old_side.machine.last_outcome + (" new" if gateway.is_hot_restart else " old")
+            )
 
         found: list[str] = []
         harness.run(test)
--- a/tests/test_recording_audit.py
+++ b/tests/test_recording_audit.py
@@ -60,14 +60,14 @@
 
 def test_the_audit_of_records_reports_a_retry_that_is_not_idempotent(tmp_path, monkeypatch):
     def retry_always(state, event):
-        state.end_attempt(event.request, event.attempt)
+        state.finish_attempt(event.request, event.attempt)
         request = state.requests.get(event.request)
-        if request and event.answered:
+        if request and event.final_response_sent:
             retries._forget(state, request)
         elif request:
             retries._advance(state, request)
 
-    monkeypatch.setattr(retries, "attempt_ended", retry_always)
+    monkeypatch.setattr(retries, "attempt_finished", retry_always)
     monkeypatch.setattr(endpoint_selection, "_may_send", lambda *_: True)
     steps = make_step(0, "node_faults", *range(6), span=9, reset_after=0.3)
     output = run_recorded(tmp_path, steps, span=3)
@@ -102,10 +102,10 @@
             action.endpoint for action in self.arrived[2] if isinstance(action, policy.SendAttempt)
         )
         story.bench.now += 100 * MS
-        self.attempt_ended = policy.AttemptEnded(
+        self.attempt_finished = policy.AttemptFinished(
             1, 0, self.endpoint, policy.Outcome.SERVED, 100, True, 0, 0.0, ()
         )
-        story.feed(self.attempt_ended)
+        story.feed(self.attempt_finished)
         self.served = story.log[-1]
         self.timers = [(self.began_at + i * 500 * MS, policy.TimerFired(0), []) for i in range(1, 12)]
 
@@ -144,12 +144,12 @@
 
 
 def test_a_response_after_the_deadline_is_late(record):
-    late_end = (record.timers[-1][0], record.attempt_ended, [])
+    late_end = (record.timers[-1][0], record.attempt_finished, [])
     assert record.faults(record.arrived, *record.timers, late_end) == {"late": 1}
 
 
 def test_a_second_response_is_doubled(record):
-    failed_too = (record.served[0], record.attempt_ended, [policy.FailRequest(1)])
+    failed_too = (record.served[0], record.attempt_finished, [policy.FailRequest(1)])
     assert record.faults(record.arrived, failed_too) == {"doubled": 1}
 
 
@@ -157,7 +157,7 @@
     at, event, _ = record.arrived
     drained = (at, policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 2, ()), [])
     late = (at + 900 * MS, event, [policy.SendAttempt(1, record.endpoint, 0)])
-    late_end = (late[0], record.attempt_ended, [])
+    late_end = (late[0], record.attempt_finished, [])
     assert record.faults(drained, late, late_end) == {"sent after drain": 1}
 
 
--- a/tests/test_recording_segments.py
+++ b/tests/test_recording_segments.py
@@ -124,7 +124,7 @@
     assert {
         policy.RequestArrived,
         policy.QuotaRequested,
-        policy.AttemptEnded,
+        policy.AttemptFinished,
         policy.PeerMessageReceived,
     } <= kinds
     for entry in entries:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -37,7 +37,7 @@
 def test_a_timeout_at_the_deadline_is_answered_once(harness):
     send = actions_of(harness.request(1, request_class=NOT_IDEMPOTENT_CLASS), policy.SendAttempt)[0]
     harness.now += 2 * SECOND
-    harness.end_attempt(1, send.endpoint, Outcome.TIMED_OUT, duration_us=2 * SECOND)
+    harness.finish_attempt(1, send.endpoint, Outcome.TIMED_OUT, duration_us=2 * SECOND)
     assert harness.final_answers(1) == [policy.FailRequest(1)]
     harness.advance(5 * SECOND)
     assert len(harness.final_answers(1)) == 1
@@ -45,17 +45,17 @@
 
 def test_no_action_follows_a_final_answer_or_a_client_disconnect(harness):
     send = actions_of(harness.request(1), policy.SendAttempt)[0]
-    harness.end_attempt(1, send.endpoint, Outcome.SERVED)
+    harness.finish_attempt(1, send.endpoint, Outcome.SERVED)
     other = actions_of(harness.request(2), policy.SendAttempt)[0]
     harness.feed(policy.ClientDisconnected(2))
-    harness.end_attempt(2, other.endpoint, Outcome.ERROR)
+    harness.finish_attempt(2, other.endpoint, Outcome.ERROR)
     assert not actions_of(
         harness.advance(3 * SECOND), (policy.SendAttempt, policy.RejectRequest, policy.FailRequest)
     )
 
 
 def test_events_of_unknown_requests_are_ignored(harness):
-    assert harness.end_attempt(99, endpoint_entry(1).endpoint, Outcome.SERVED) == []
+    assert harness.finish_attempt(99, endpoint_entry(1).endpoint, Outcome.SERVED) == []
     assert harness.feed(policy.TimerFired(99)) == []
     assert harness.feed(policy.ClientDisconnected(99)) == []
 
@@ -64,7 +64,7 @@
 def test_a_possibly_executed_request_that_is_not_idempotent_fails_without_retry(harness, outcome):
     send = actions_of(harness.request(1, request_class=NOT_IDEMPOTENT_CLASS), policy.SendAttempt)[0]
     harness.now += 10_000
-    actions = harness.end_attempt(1, send.endpoint, outcome)
+    actions = harness.finish_attempt(1, send.endpoint, outcome)
     assert not actions_of(actions, (policy.SendAttempt, policy.RejectRequest))
     assert actions_of(actions, policy.FailRequest) == [policy.FailRequest(1)]
 
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("outcome", NOT_EXECUTED)
 def test_a_request_that_is_not_idempotent_is_retried_if_it_was_not_executed(harness, outcome):
     send = actions_of(harness.request(1, request_class=NOT_IDEMPOTENT_CLASS), policy.SendAttempt)[0]
-    assert actions_of(harness.end_attempt(1, send.endpoint, outcome), policy.SendAttempt)
+    assert actions_of(harness.finish_attempt(1, send.endpoint, outcome), policy.SendAttempt)
 
 
 def test_a_request_that_is_not_idempotent_is_not_hedged(harness):
@@ -89,7 +89,7 @@
         send = actions_of(harness.request(1, request_class=kind), policy.SendAttempt)[0]
         harness.now += 10_000
         retries = actions_of(
-            harness.end_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
+            harness.finish_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
         )
         assert [where[a.endpoint] for a in retries] == [where[send.endpoint]]
 
@@ -101,7 +101,7 @@
     harness.feed(endpoint_list(endpoint_entry(2, cell=2)))
     harness.now += 10_000
     assert not actions_of(
-        harness.end_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
+        harness.finish_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
     )
     harness.advance(2 * SECOND)
     assert harness.final_answers(1) == [policy.FailRequest(1)]
@@ -113,7 +113,7 @@
     )[0]
     harness.now += SECOND + 1
     assert not actions_of(
-        harness.end_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
+        harness.finish_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
     )
     harness.advance(4 * SECOND)
     assert harness.final_answers(1) == [policy.RejectRequest(1, 0)]
@@ -129,8 +129,8 @@
 def test_no_more_than_the_maximum_of_attempts_is_made():
     harness = PolicyHarness(max_attempts=2)
     send = actions_of(harness.request(1), policy.SendAttempt)[0]
-    send = actions_of(harness.end_attempt(1, send.endpoint, Outcome.ENDPOINT_FULL), policy.SendAttempt)[0]
-    actions = harness.end_attempt(1, send.endpoint, Outcome.ENDPOINT_FULL, attempt=1)
+    send = actions_of(harness.finish_attempt(1, send.endpoint, Outcome.ENDPOINT_FULL), policy.SendAttempt)[0]
+    actions = harness.finish_attempt(1, send.endpoint, Outcome.ENDPOINT_FULL, attempt=1)
     assert actions_of(actions, (policy.SendAttempt, policy.RejectRequest)) == [policy.RejectRequest(1, 0)]
 
 
@@ -143,7 +143,7 @@
         while out:
             sends += 1
             out = actions_of(
-                harness.end_attempt(request, out[0].endpoint, Outcome.ERROR, attempt=attempt),
+                harness.finish_attempt(request, out[0].endpoint, Outcome.ERROR, attempt=attempt),
                 policy.SendAttempt,
             )
             attempt += 1
--- a/tests/test_rolling_upgrade_model.py
+++ b/tests/test_rolling_upgrade_model.py
@@ -10,14 +10,14 @@
 import pytest
 
 from orchidlane.hot_restart import rolling_upgrade
-from orchidlane.hot_restart.probation import AnswerCounts
+from orchidlane.hot_restart.probation import ResponseCounts
 from orchidlane.hot_restart.rolling_batches import Fleet, Member, RiskLimits, is_allowed
 from orchidlane.simulation.state_exploration import explore
 
 LIMITS = RiskLimits(fleet_share=0.7, replica_set_share=1.0, max_zones=2, load_share=1.0)
 FLEET = Fleet(tuple(Member(rank, "h", 1.0) for rank in range(3)), ())
 SETTINGS = rolling_upgrade.RollSettings(LIMITS, soak_us=10, upgrade_timeout_us=1_000)
-HEALTHY, DEGRADED = AnswerCounts(50, 0, 0), AnswerCounts(50, 0, 500)
+HEALTHY, DEGRADED = ResponseCounts(50, 0, 0), ResponseCounts(50, 0, 500)
 AFTER_ALL_TIMEOUTS = 100_000  # a time at which every timeout is over
 
 
@@ -121,17 +121,17 @@
 
     def _carry_out(self, action: rolling_upgrade.Action) -> None:
         self.pending = self.pending[1:]
-        if isinstance(action, rolling_upgrade.StartSuccessor):
+        if isinstance(action, rolling_upgrade.StartNewProcess):
             gateway = self.gateways[action.rank]
             gateway.successor = 3 - gateway.pid
             gateway.successor_new_build = action.new_build
             gateway.running = False
             gateway.hanging = False
-            self._feed(0, rolling_upgrade.SuccessorPrepared(action.rank, gateway.successor))
+            self._feed(0, rolling_upgrade.NewProcessPrepared(action.rank, gateway.successor))
             gateway.running = True
             if gateway.unreachable:
                 gateway.successor = 0  # nobody hands over to it
-        elif isinstance(action, rolling_upgrade.KillSuccessor):
+        elif isinstance(action, rolling_upgrade.KillNewProcess):
             for rank, gateway in enumerate(self.gateways):
                 if gateway.successor == action.pid and gateway.hanging:
                     self._finish_upgrade(rank, False)
@@ -148,7 +148,7 @@
         gateway.running = False
         gateway.hanging = False
 
-    def _poll(self, rank: int, now: int, answers: AnswerCounts = HEALTHY) -> None:
+    def _poll(self, rank: int, now: int, answers: ResponseCounts = HEALTHY) -> None:
         gateway = self.gateways[rank]
         if gateway.unreachable:
             self._feed(now, rolling_upgrade.GatewayUnreachable(rank, bool(gateway.successor)))
@@ -181,7 +181,7 @@
     """Treats a successor that it finds dead as one that never ran."""
 
     def _fail(self, _rank: int, gateway: rolling_upgrade.GatewayState, _reason: str) -> None:
-        gateway.successor_pid = 0
+        gateway.new_process_pid = 0
         gateway.phase = rolling_upgrade.GatewayPhase.OLD
 
 
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -130,10 +130,14 @@
     ended = got[3][1]
     assert ended.endpoint == ENDPOINT
     assert (ended.request, ended.attempt, ended.duration_us) == (0x5D3A91C4, 0, 18500)
-    assert (ended.outcome, ended.answered, ended.use) == (policy.Outcome.SERVED, True, 0x56)
+    assert (ended.outcome, ended.final_response_sent, ended.reported_usage) == (
+        policy.Outcome.SERVED,
+        True,
+        0x56,
+    )
     assert ended.true_units == 3.0
     assert ended.load_report == pytest.approx((0.62, 14.5, 7.0))
-    assert got[4] == (3, policy.CounterAnswered(0x89F690, policy.Outcome.SERVED, 38.0, 0x866))
+    assert got[4] == (3, policy.CounterCallFinished(0x89F690, policy.Outcome.SERVED, 38.0, 0x866))
 
 
 def test_the_protocols_example_of_an_endpoint_list_is_decoded():
