--- a/benchmarks/canary_errors.py
+++ b/benchmarks/canary_errors.py
@@ -33,7 +33,7 @@
         load = rng.randint(2, 30)
         canary = random_counts(rng, rng.randint(0, load), baseline, harm)
         control = random_counts(rng, 2 * load, baseline, {})
-        if analysis.observe({"one": canary}, {"one": control}).harm:
+        if analysis.observe({"one": canary}, {"one": control}).regression:
             return True
     return False
 
--- a/orchidlane/gateway/rollout_agent/canary_observer.py
+++ b/orchidlane/gateway/rollout_agent/canary_observer.py
@@ -45,8 +45,8 @@
         if controller is None or controller.number != number:
             return
         controller.observe(self.client.loop.now(), CanaryObservation(new, old, silent))
-        if controller.harm:
-            self.log.error("a stage does harm", version=rollout.version.label(), reason=controller.harm)
+        if controller.regression:
+            self.log.error("a stage does harm", version=rollout.version.label(), reason=controller.regression)
 
     def _counts_of_side(
         self, ranks: list[int], is_new: bool, silent: list[int]
--- a/orchidlane/rollout/bootstrap.py
+++ b/orchidlane/rollout/bootstrap.py
@@ -1,8 +1,9 @@
-"""Creation of the first replicated state by all voters together. Decides without I/O.
+"""Creation of the first replicated state by all voters together. Contains decisions only, without I/O.
 
-Before it exists every gateway uses its own files. It is created only when every voter that the settings name
-reports an unused store and files with the same contents, each with its vote for version 0. A voter that later
-loses its disk can therefore not take part in a second creation beside a voter that remembers the first.
+Until the first state exists, every gateway uses its own files. The state is created only when every voter
+named in the settings reports an unused store and files with the same contents, together with its vote for
+version 0. All voters are needed so that the state is never created twice: a voter that later loses its disk
+finds at least one voter that already has the first state.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 
 
 def initial_version(contents: ContentHashes) -> Version:
-    """Return version 0, which has the contents of the files."""
+    """Return version 0, made of the contents of the gateways' own files."""
     return Version(0, contents, 0, "files", "as the files had it")
 
 
 def admission_request(secret: bytes, rank: int, store_id: int, contents: ContentHashes) -> AdmissionRequest:
-    """Return the request of a voter whose store is no member."""
+    """Return the admission request of a voter whose store is not a member."""
     member = VotingMember(rank, store_id)
     vote = cast_vote(secret, member, initial_version(contents), 0, True, "")
     return AdmissionRequest(store_id, _prefix(contents), vote.seal)
@@ -42,17 +43,20 @@
     requests: Mapping[int, AdmissionRequest],
     contents: ContentHashes,
 ) -> ReplicatedState | str:
-    """Return the first state, or the reason why it can't be created yet."""
-    unreachable = [rank for rank in voters if rank not in requests]
-    if unreachable:
-        return f"voters not heard of: {unreachable}"
+    """Return the first state, or the reason why it can't be created yet.
+
+    ``requests`` are the admission requests received, by rank; ``contents`` are those of the local files.
+    """
+    missing = [rank for rank in voters if rank not in requests]
+    if missing:
+        return f"no admission request received from voters {missing}"
     differing = [rank for rank in voters if requests[rank].contents_prefix != _prefix(contents)]
     if differing:
-        return f"voters whose files differ from ours: {differing}"
+        return f"files differ from the local ones at voters {differing}"
     version = initial_version(contents)
     votes = tuple(Vote(rank, requests[rank].store_id, True, "", requests[rank].seal) for rank in voters)
     if not all(is_valid_vote(secret, vote, version, 0) for vote in votes):
-        return "a vote is not sealed for what our files have"
+        return "the seal of a vote does not match the contents of the local files"
     members = tuple(vote.member for vote in votes)
     entry = HistoryEntry(version, DONE)
     return ReplicatedState(1, members, Certificate(version, 0, members, votes), history=(entry,))
--- a/orchidlane/rollout/commands.py
+++ b/orchidlane/rollout/commands.py
@@ -1,12 +1,14 @@
 """Commands: the transitions from one replicated state to the next.
 
-    none ──Propose──> VOTING ──Approve──> ADOPTING ──Finish──> none, its version is the current one
-                        │ Stop              │ Propose that reverts it: the new one is VOTING, this one halted
-                        └──> none           └──> approved, it replaces the halted one; stopped, that goes on
-
-A command is data and ``apply`` is pure: the same command on the same state gives the same bytes anywhere.
-Every command of a leader names its term, and a state of a later term rejects it; a leader that was replaced
-can therefore change nothing.
+    none ──Propose──> VOTING ──Approve──> ADOPTING ──Finish──> none; its version is the current one
+                        │ Stop              │ Propose a version that reverts it: that rollout is VOTING and
+                        └──> none           │ this one is halted
+                                            ├── the reverting one is approved: it replaces the halted one
+                                            └── the reverting one is stopped: the halted one continues
+
+A command is data and ``apply`` is pure: the same command on the same state gives the same bytes everywhere.
+Every command of a leader names the leader's term, and a state of a later term rejects it. A leader that was
+replaced can therefore change nothing.
 """
 
 from __future__ import annotations
@@ -19,8 +21,8 @@
 from orchidlane.rollout.replicated_state import (
     DONE,
     MAX_HISTORY_ENTRIES,
-    REFUSED,
-    UNDONE,
+    REJECTED,
+    REVERTED,
     HistoryEntry,
     ReplicatedState,
     Rollout,
@@ -44,11 +46,13 @@
     term: int
 
     def apply(self, state: ReplicatedState) -> ReplicatedState:
-        """Return the next state; voting starts anew in each term. Raises CommandRejectedError."""
+        """Return the next state; a vote in progress starts again. Raises CommandRejectedError."""
         if state.term >= self.term:
-            raise CommandRejectedError(f"term {state.term} has begun, led by gateway {state.leader}")
+            raise CommandRejectedError(
+                f"term {state.term} has already started, led by gateway {state.leader}"
+            )
         if self.rank not in {member.rank for member in state.members}:
-            raise CommandRejectedError(f"gateway {self.rank} is no voter any more")
+            raise CommandRejectedError(f"gateway {self.rank} is no longer a voter")
         rollout = state.rollout
         if rollout is not None and rollout.phase is RolloutPhase.VOTING:
             rollout = msgspec.structs.replace(rollout, term=self.term)
@@ -56,9 +60,9 @@
 
 
 class ProposeVersion(msgspec.Struct, frozen=True):
-    """Start a rollout; ``base`` is the latest version that its author knew of.
+    """Start a rollout. ``base`` is the number of the latest version that its author had seen.
 
-    ``proposal_id`` makes it idempotent.
+    ``proposal_id`` identifies a proposal that is sent again, so that it starts one rollout only.
     """
 
     term: int
@@ -73,12 +77,12 @@
     def apply(self, state: ReplicatedState) -> ReplicatedState:
         """Return the next state. Raises CommandRejectedError.
 
-        There is one rollout at a time, but for one that takes back the rollout in progress.
+        There is one rollout at a time, except that a second one may revert the rollout in progress.
         """
         _require_term(state, self.term)
-        for known in state.versions():
-            if known.proposal_id == self.proposal_id:
-                raise CommandRejectedError(f"known already as version {known.number}")
+        for version in state.versions():
+            if version.proposal_id == self.proposal_id:
+                raise CommandRejectedError(f"already proposed as version {version.number}")
         active = state.rollout
         if active is None:
             latest = state.current.version
@@ -98,25 +102,27 @@
         if not active.version.number == self.reverts != 0:
             other = active.version
             raise CommandRejectedError(
-                f"version {other.number} of {other.author} is on its way: {other.reason}"
+                f"version {other.number} of {other.author} is still being rolled out: {other.reason}"
             )
         if state.halted_rollout is not None or active.version.reverts:
-            raise CommandRejectedError("what takes a change back is itself on its way")
+            raise CommandRejectedError("a rollout that reverts a version can't be reverted itself")
         if active.phase is not RolloutPhase.ADOPTING:
             raise CommandRejectedError(
-                f"version {active.version.number} is not approved yet: stop it instead"
+                f"version {active.version.number} is not approved yet: stop it instead of reverting it"
             )
         if self.contents != state.current.version.contents:
-            raise CommandRejectedError("to take a change back on its way, the prior contents are wanted")
+            raise CommandRejectedError(
+                "reverting a rollout in progress requires the contents of the current version"
+            )
 
     def _check_base(self, latest: Version) -> None:
         if self.base != latest.number:
             raise CommandRejectedError(
-                f"made from version {self.base}, but {latest.number} of {latest.author} came since:"
+                f"made from version {self.base}, but version {latest.number} of {latest.author} is later:"
                 f" {latest.reason}"
             )
         if self.contents == latest.contents:
-            raise CommandRejectedError(f"version {latest.number} has these contents already")
+            raise CommandRejectedError(f"version {latest.number} already has these contents")
 
     def _make_version(self, number: int) -> Version:
         return Version(
@@ -132,7 +138,10 @@
 
 
 class ApproveVersion(msgspec.Struct, frozen=True):
-    """A quorum approved the version: the first gateways should run it. The votes' seals were checked."""
+    """A quorum approved the version: the first gateways should run it.
+
+    The sender has checked the seals of the votes.
+    """
 
     term: int
     number: int
@@ -140,11 +149,11 @@
     target_ranks: bytes = msgspec.field(name="reach")
 
     def apply(self, state: ReplicatedState) -> ReplicatedState:
-        """Return the next state; a rollout that it takes back is over. Raises CommandRejectedError."""
+        """Return the next state; the halted rollout, if any, is replaced. Raises CommandRejectedError."""
         rollout = _require_voting(state, self.term, self.number)
         approving = tuple(vote for vote in self.votes if vote.approves)
         if not has_quorum(state.members, {vote.member for vote in approving}):
-            raise CommandRejectedError("no quorum said yes")
+            raise CommandRejectedError("no quorum of the members approved the version")
         certificate = Certificate(rollout.version, rollout.term, state.members, approving)
         rollout = msgspec.structs.replace(
             rollout,
@@ -155,7 +164,7 @@
         history = state.history
         if state.halted_rollout is not None:
             halted = state.halted_rollout.version
-            history = (*history, HistoryEntry(halted, UNDONE, f"by version {rollout.version.number}"))
+            history = (*history, HistoryEntry(halted, REVERTED, f"by version {rollout.version.number}"))
         return _next_state(state, rollout=rollout, halted_rollout=None, history=history)
 
 
@@ -170,15 +179,15 @@
         """Return the next state; gateways are only added. Raises CommandRejectedError."""
         rollout = _require_adopting(state, self.term, self.number)
         if rollout.pause_reason:
-            raise CommandRejectedError(f"it is stopped: {rollout.pause_reason}")
+            raise CommandRejectedError(f"the rollout is paused: {rollout.pause_reason}")
         union = bytes(a | b for a, b in zip(rollout.target_ranks, self.target_ranks, strict=True))
         if union == rollout.target_ranks:
-            raise CommandRejectedError("nobody is added")
+            raise CommandRejectedError("the rollout already includes all of these gateways")
         return _next_state(state, rollout=msgspec.structs.replace(rollout, target_ranks=union))
 
 
 class StopRollout(msgspec.Struct, frozen=True):
-    """End a rollout that is voted on, or pause one that is being adopted."""
+    """Reject a version that is voted on, or pause the rollout of one that is being adopted."""
 
     term: int
     number: int
@@ -191,16 +200,16 @@
         rollout = _require_rollout(state, self.number)
         reason = self.reason[:MAX_TEXT_CHARACTERS]
         if rollout.phase is RolloutPhase.VOTING:
-            history = (*state.history, HistoryEntry(rollout.version, REFUSED, reason))
+            history = (*state.history, HistoryEntry(rollout.version, REJECTED, reason))
             return _next_state(state, rollout=state.halted_rollout, halted_rollout=None, history=history)
         if rollout.pause_reason:
-            raise CommandRejectedError(f"it is stopped already: {rollout.pause_reason}")
+            raise CommandRejectedError(f"the rollout is already paused: {rollout.pause_reason}")
         paused = msgspec.structs.replace(rollout, pause_reason=reason or "by command")
         return _next_state(state, rollout=paused)
 
 
 class ResumeRollout(msgspec.Struct, frozen=True):
-    """Let a paused rollout go on."""
+    """Continue a paused rollout."""
 
     term: int
     number: int
@@ -210,7 +219,7 @@
         """Return the next state. Raises CommandRejectedError."""
         rollout = _require_adopting(state, self.term, self.number)
         if not rollout.pause_reason:
-            raise CommandRejectedError("it is not stopped")
+            raise CommandRejectedError("the rollout is not paused")
         return _next_state(state, rollout=msgspec.structs.replace(rollout, pause_reason=""))
 
 
@@ -222,7 +231,7 @@
     reason: str = msgspec.field(name="why")
 
     def apply(self, state: ReplicatedState) -> ReplicatedState:
-        """Return the next state; a version that follows is voted on at once. Raises CommandRejectedError."""
+        """Return the next state; the vote on a following version starts. Raises CommandRejectedError."""
         rollout = _require_adopting(state, self.term, self.number)
         assert rollout.certificate is not None
         done = rollout.version
@@ -248,7 +257,7 @@
 
 
 class ChangeMembership(msgspec.Struct, frozen=True):
-    """A member votes with another store, a rank becomes a member, or (store 0) it leaves."""
+    """A rank becomes a member, a member gets another store, or (with store 0) a member leaves."""
 
     term: int
     rank: int
@@ -257,24 +266,25 @@
     def apply(self, state: ReplicatedState) -> ReplicatedState:
         """Return the next state. Raises CommandRejectedError.
 
-        One member changes at a time; until that is settled the old and the new members both have to agree.
+        One member changes at a time. Until the change is settled, a majority of the old members and a
+        majority of the new ones have to agree on each state.
         """
         _require_term(state, self.term)
         if state.previous_members:
-            raise CommandRejectedError("the last membership change is not settled")
+            raise CommandRejectedError("the previous membership change is not settled yet")
         members = tuple(member for member in state.members if member.rank != self.rank)
         if self.store_id:
             added = VotingMember(self.rank, self.store_id)
             members = tuple(sorted((*members, added), key=lambda member: member.rank))
         if members == state.members:
-            raise CommandRejectedError("the members are so already")
+            raise CommandRejectedError("the membership is already as requested")
         if not members:
-            raise CommandRejectedError("the last voter can't leave")
+            raise CommandRejectedError("the last member can't leave")
         return _next_state(state, members=members, previous_members=state.members)
 
 
 class SettleMembership(msgspec.Struct, frozen=True):
-    """The state with this index is chosen: the previous members no longer have to agree."""
+    """The state with this index is chosen, so the previous members no longer have to agree."""
 
     term: int
     index: int
@@ -283,7 +293,9 @@
         """Return the next state. Raises CommandRejectedError."""
         _require_term(state, self.term)
         if state.index != self.index or not state.previous_members:
-            raise CommandRejectedError("another state was chosen since")
+            raise CommandRejectedError(
+                "another state was chosen since, or no membership change is in progress"
+            )
         return _next_state(state, previous_members=())
 
 
@@ -307,7 +319,7 @@
 
 def _require_rollout(state: ReplicatedState, number: int) -> Rollout:
     if state.rollout is None or state.rollout.version.number != number:
-        raise CommandRejectedError(f"version {number} is not on its way")
+        raise CommandRejectedError(f"version {number} is not being rolled out")
     return state.rollout
 
 
@@ -315,7 +327,7 @@
     _require_term(state, term)
     rollout = _require_rollout(state, number)
     if rollout.phase is not RolloutPhase.VOTING or rollout.term != term:
-        raise CommandRejectedError(f"version {number} is not asked about in term {term}")
+        raise CommandRejectedError(f"version {number} is not being voted on in term {term}")
     return rollout
 
 
@@ -323,7 +335,7 @@
     _require_term(state, term)
     rollout = _require_rollout(state, number)
     if rollout.phase is not RolloutPhase.ADOPTING:
-        raise CommandRejectedError(f"version {number} is not approved")
+        raise CommandRejectedError(f"version {number} is not approved, so it is not being adopted")
     return rollout
 
 
--- a/orchidlane/rollout/consensus.py
+++ b/orchidlane/rollout/consensus.py
@@ -2,20 +2,20 @@
 
 The state is one register. A proposer prepares a ballot at the voters, takes the state that was accepted under
 the highest ballot, applies its command and has the result accepted. Safety needs no log, no snapshot and no
-election; the leader (``leader``) only keeps proposers out of each other's way.
+leader; the leader (``leader``) only avoids that proposers overrule each other's ballots.
 
     acceptor    Prepare b: b > promised -> promised = b, Promise | else Nack
                 Accept b:  b >= promised -> accepted = b, Accepted | else Nack
-    proposer    IDLE -> PREPARING -> ACCEPTING -> IDLE; a Nack: BACKING_OFF, then PREPARING with a higher
-    ballot
+    proposer    no attempt -> PREPARING -> ACCEPTING -> no attempt
+                after a Nack: BACKING_OFF, then PREPARING with a higher ballot
 
-Invariants, searched in the tests:
+Invariants, which the tests check by model checking:
 
-- Q1 two states of one index are never both chosen;
-- Q2 a promise or a vote is never taken back: ``Persist`` is on disk before anything after it is sent;
+- Q1 two different states with the same index are never both chosen;
+- Q2 a promise or a vote is never withdrawn: ``Persist`` is on disk before any later action is carried out;
 - Q3 membership: a state that changes the members, and every state until that is settled, is chosen by a
-  majority of the old members and of the new. A member is a rank and the store that it votes with, and a
-  ballot names the store: a voter that lost its disk is another voter, and no member.
+  majority of the old members and a majority of the new ones. A member is a rank with the store that it votes
+  with, and a ballot names the store: a voter that lost its disk has another store, and is not a member.
 """
 
 from __future__ import annotations
@@ -52,33 +52,35 @@
     VoterState,
 )
 
-PROPOSAL_TIMEOUT_US = 3_000_000
-INITIAL_BACKOFF_US = 25_000  # after a Nack; doubled each time, of which a random part is waited
+PROPOSAL_TIMEOUT_US = 3_000_000  # after which an attempt is given up
+INITIAL_BACKOFF_US = 25_000  # longest delay after a Nack, before it is doubled for each Nack in a row
 MAX_BACKOFF_DOUBLINGS = 6
 
 
 class Voter(Acceptor):
-    """Acceptor and proposer of one voter. Each event returns the actions that it leads to, in order."""
+    """Acceptor and proposer of one voter. Each event returns the actions to carry out, in order."""
 
     def __init__(self, start: VoterStart) -> None:
         super().__init__(start)
-        self.chosen_ballot = ZERO_BALLOT  # of the chosen state, if it was chosen by our attempt
+        self.chosen_ballot = ZERO_BALLOT  # of the chosen state, if an attempt of this voter led to it
         self.attempt: ProposalAttempt | None = None
 
     # -- events
 
     def propose(self, now: int, command: Command) -> list[Action]:
-        """Attempt to have a command carried out; one at a time."""
+        """Start an attempt to have a command carried out; there is one attempt at a time."""
         if not self.may_vote:
-            return [CommandDropped(command, "no vote here")]
+            return [
+                CommandDropped(command, "this voter may not vote: its store is not admitted or not verified")
+            ]
         if self.attempt is not None:
-            return [CommandDropped(command, "another step is on its way")]
+            return [CommandDropped(command, "another command of this voter is in progress")]
         return self._collect_actions(lambda: self._start_prepare(now, ProposalAttempt(command, now)))
 
     def receive(
         self, now: int, sender: int, message: Message, named_state: ReplicatedState | None = None
     ) -> list[Action]:
-        """Handle a message of another voter, with the state whose hash it carries."""
+        """Handle a message of another voter; ``named_state`` is the state whose hash the message carries."""
         return self._collect_actions(lambda: self._on_message(now, sender, message, named_state))
 
     def _on_message(
@@ -101,32 +103,36 @@
                 self._on_vote_count(sender, message)
 
     def learn_chosen(self, state: ReplicatedState) -> list[Action]:
-        """Take note of a chosen state that another gateway knows."""
+        """Record a chosen state that was received from another gateway."""
         if self.chosen_state is None or state.index > self.chosen_state.index:
             self.chosen_state = state
         return []
 
     def tick(self, now: int) -> list[Action]:
-        """Resend, start again or give up, whatever is due."""
+        """Carry out what is due: resend a request, start the attempt again, or give it up."""
         return self._collect_actions(lambda: self._on_tick(now))
 
     def persist_failed(self, previous: VoterState, accepted_state: ReplicatedState | None) -> list[Action]:
-        """Return to what is on disk, as if the failed write had never been decided."""
+        """Return to what the disk holds, as if the write that failed had not been requested."""
         self.voter_state = previous
         self.accepted_state = accepted_state
         attempt = self.attempt
         self.attempt = None
-        return [CommandDropped(attempt.command, "this voter's disk failed")] if attempt is not None else []
+        return (
+            [CommandDropped(attempt.command, "a write to this voter's disk failed")]
+            if attempt is not None
+            else []
+        )
 
     def reset_store(self) -> None:
-        """Take a new store and give up what was attempted with the present one."""
+        """Create a new store and give up the attempt that was made with the present one."""
         super().reset_store()
         self.attempt = None
 
     # -- proposer
 
     def _start_prepare(self, now: int, attempt: ProposalAttempt) -> None:
-        """Prepare a ballot above all that this voter knows of."""
+        """Prepare a ballot that is higher than all that this voter has seen."""
         own = self.voter_state
         attempt.restart(Ballot(own.promised.round + 1, self.rank, own.store_id), now)
         self.attempt = attempt
@@ -135,23 +141,23 @@
         self._send_requests(attempt)
 
     def _send_requests(self, attempt: ProposalAttempt) -> None:
-        """Send the request of the present phase to all that did not answer it."""
+        """Send the request of the present phase to all members that have not responded to it."""
         vote_count = self.voter_state.vote_count
         message: Message
-        answered: Iterable[VotingMember]
+        responded: Iterable[VotingMember]
         if attempt.phase is ProposerPhase.PREPARING:
             message = Prepare(attempt.ballot, vote_count)
-            answered = attempt.promises
+            responded = attempt.promises
         else:
             message = Accept(attempt.ballot, attempt.state_hash, vote_count)
-            answered = attempt.acceptances
-        answered_ranks = {member.rank for member in answered}
+            responded = attempt.acceptances
+        responded_ranks = {member.rank for member in responded}
         ranks = {member.rank for members in self._configurations(attempt) for member in members}
-        for rank in sorted(ranks - answered_ranks - {self.rank}):
+        for rank in sorted(ranks - responded_ranks - {self.rank}):
             self._send(rank, message)
 
     def _configurations(self, attempt: ProposalAttempt) -> list[tuple[VotingMember, ...]]:
-        """Return the sets of members of each of which a majority is needed."""
+        """Return the sets of members; the attempt needs a majority of each of them."""
         assert self.chosen_state is not None
         states = [attempt.state]
         if attempt.state is None:
@@ -191,20 +197,20 @@
         return all(has_quorum(members, voters) for members in self._configurations(attempt))
 
     def _prepare_new_members(self, attempt: ProposalAttempt, sender: int) -> None:
-        """Send Prepare to members that only the sender's accepted state names."""
-        answered = {member.rank for member in attempt.promises}
-        known = {member.rank for member in (self.chosen_state.members if self.chosen_state else ())}
+        """Send Prepare to members that are named only by the state that the sender has accepted."""
+        promised = {member.rank for member in attempt.promises}
+        prepared = {member.rank for member in (self.chosen_state.members if self.chosen_state else ())}
         member = next((member for member in attempt.promises if member.rank == sender), self.member)
         promise = attempt.promises.get(member)
         if promise is None or promise.state is None:
             return
         for member in (*promise.state.members, *promise.state.previous_members):
-            if member.rank not in answered | known | {self.rank}:
+            if member.rank not in promised | prepared | {self.rank}:
                 self._send(member.rank, Prepare(attempt.ballot, self.voter_state.vote_count))
 
     def _start_accept(self, now: int, attempt: ProposalAttempt) -> None:
-        """Have the result of the command accepted, or the base once more where it is rejected."""
-        if self.voter_state.promised > attempt.ballot:  # Q1: our own acceptor is bound by its promise
+        """Request acceptance of the command's result, or of the base state where the command is rejected."""
+        if self.voter_state.promised > attempt.ballot:  # Q1: the voter's own acceptor has promised more
             self._back_off(now, attempt)
             return
         state = self._apply_command(attempt, self._base_state(attempt))
@@ -221,7 +227,7 @@
         self._complete_if_chosen(attempt)
 
     def _base_state(self, attempt: ProposalAttempt) -> ReplicatedState:
-        """Return the state that was accepted under the highest ballot, or the first state."""
+        """Return the state that was accepted under the highest ballot, or the chosen one if none was."""
         assert self.chosen_state is not None
         latest = max(attempt.promises.values(), key=lambda promise: promise.ballot)
         if latest.state is None or latest.ballot == ZERO_BALLOT:
@@ -229,7 +235,7 @@
         return latest.state
 
     def _apply_command(self, attempt: ProposalAttempt, base: ReplicatedState) -> ReplicatedState:
-        """Return the next state, or the base where the command is rejected."""
+        """Return the state that the command leads to, or the base where the command is rejected."""
         try:
             state = attempt.command.apply(base)
         except CommandRejectedError as error:
@@ -237,11 +243,11 @@
             attempt.rejection = str(error)
             attempt.is_final = not isinstance(error, StaleTermError)
         else:
-            broken = replicated_state.broken_invariant(base, state)
-            assert not broken, broken
+            violation = replicated_state.broken_invariant(base, state)
+            assert not violation, violation
         if base.previous_members and base != self.chosen_state and not state.previous_members:
             attempt.rejection = (
-                "the last membership change is not settled"  # Q3: the base is not known to be chosen
+                "the previous membership change is not settled yet"  # Q3: the base may not have been chosen
             )
             return base
         return state
@@ -260,7 +266,7 @@
         self.attempt = None
         self.chosen_state = attempt.state
         self.chosen_ballot = attempt.ballot
-        # The votes that the state rests on are witnessed on disk.
+        # The vote counts of the members that accepted the state are written to disk.
         self._update(seen_vote_counts=dict(self.voter_state.seen_vote_counts))
         command = None if attempt.rejection else attempt.command
         self._actions.append(
@@ -282,7 +288,10 @@
             self._back_off(now, attempt)
 
     def _back_off(self, now: int, attempt: ProposalAttempt) -> None:
-        """Start again after a random delay, longer each time: else two proposers could stop each other."""
+        """Start again after a random delay that is longer each time.
+
+        Without it, two proposers could keep overruling each other's ballots.
+        """
         attempt.phase = ProposerPhase.BACKING_OFF
         attempt.backoffs += 1
         max_delay_us = INITIAL_BACKOFF_US << min(attempt.backoffs, MAX_BACKOFF_DOUBLINGS)
@@ -296,7 +305,7 @@
             return
         if now - attempt.started_at > PROPOSAL_TIMEOUT_US or not self.may_vote:
             self.attempt = None
-            self._actions.append(CommandDropped(attempt.command, "no quorum of voters answers"))
+            self._actions.append(CommandDropped(attempt.command, "no quorum of the voters responded in time"))
         elif attempt.phase is ProposerPhase.BACKING_OFF:
             if now >= attempt.sent_at:
                 self._start_prepare(now, attempt)
--- a/orchidlane/rollout/errors.py
+++ b/orchidlane/rollout/errors.py
@@ -1,24 +1,24 @@
-"""Errors of the fleet's configuration versions."""
+"""Errors that concern the fleet's configuration versions."""
 
 from __future__ import annotations
 
 
 class RolloutError(Exception):
-    """Base of the errors below."""
+    """Base class of all errors of this package."""
 
 
 class CommandRejectedError(RolloutError):
-    """The replicated state does not admit a command; the message tells why."""
+    """The replicated state does not allow a command; the message says why."""
 
 
 class StaleTermError(CommandRejectedError):
-    """The command's term is over; the present leader may still carry it out."""
+    """The term of the command is over; the leader of the present term may still carry it out."""
 
 
 class RollbackConflictError(RolloutError):
-    """An edit can't be reverted alone, since some of its units were edited again.
+    """An edit can't be reverted, since some of the units that it changed were edited again.
 
-    ``paths`` names these units.
+    ``paths`` are the paths of these units.
     """
 
     def __init__(self, paths: list[tuple[str, ...]]) -> None:
--- a/orchidlane/rollout/leader.py
+++ b/orchidlane/rollout/leader.py
@@ -1,13 +1,13 @@
-"""Election of a leader among the voters, and what the leader does next. Decides without I/O.
+"""Election of a leader among the voters, and the leader's next command. Contains decisions only, without I/O.
 
-A leader is needed for progress alone; what it may do is fenced by the term of the replicated state. A voter
-that receives no heartbeat for a while claims the next term. Heartbeats that a quorum acknowledges prove, as
-of when they were sent, that no later state was chosen: from that moment every gateway's lease counts
-(``dissemination``).
+A leader is needed for progress, not for safety: the term of the replicated state fences its commands. A
+voter that receives no heartbeat for a while claims the next term. A heartbeat that a quorum acknowledges
+proves that no later state had been chosen when the heartbeat was sent; the leases of all gateways count from
+that moment (``dissemination``).
 
-A rollout goes on by what the replicated state says and what voters and gateways send repeatedly, so that the
-next leader goes on from there: votes go to the leader of the term, reports until the leader acknowledged
-them.
+A rollout depends only on the replicated state and on messages that voters and gateways repeat, so that a new
+leader can continue it: votes are sent to the leader of the term, and adoption reports until the leader has
+acknowledged them.
 """
 
 from __future__ import annotations
@@ -28,25 +28,26 @@
 from orchidlane.rollout.voter_state import Send
 
 MAX_QUEUED_COMMANDS = 8
-MAX_CLAIM_BACKOFF_DOUBLINGS = 4  # of the random part of the delay between two claims
+MAX_CLAIM_BACKOFF_DOUBLINGS = 4  # of the random part of the delay before a claim
 MAX_OUTSTANDING_HEARTBEATS = 16
-ADMISSION_REQUEST_TTL_US = 2_000_000
+ADMISSION_REQUEST_TTL_US = 2_000_000  # after which an admission request is ignored
 
 
 @dataclass(frozen=True)
 class LeadershipSettings:
-    """Intervals of leader election in microseconds, and how rollouts are driven."""
+    """Intervals of leader election in microseconds, and the settings of rollouts."""
 
     heartbeat_interval_us: int
-    election_timeout_us: int  # without a heartbeat, until another voter claims to lead
+    election_timeout_us: int  # time without a heartbeat after which another voter may claim to lead
     rollout: RolloutSettings
 
 
 def longest_election_us(heartbeat_interval_us: int, election_timeout_us: int) -> int:
-    """Return how long a dead leader's last confirmation may lie back when the next leader has its first.
+    """Return the longest time from the last confirmation of a leader that dies to the next leader's first.
 
-    It is a heartbeat old when the leader dies. Then a voter claims after at most twice the timeout, and where
-    its claim is lost to another one, again after a delay that may be half as long again.
+    The last confirmation is up to one heartbeat interval old when the leader dies. A voter then claims after
+    at most twice the timeout; where its claim fails because of a concurrent one, it claims again after at
+    most one and a half times that delay.
     """
     first_claim_us = _longest_claim_delay_us(election_timeout_us, 0)
     second_claim_us = _longest_claim_delay_us(election_timeout_us, 1)
@@ -54,12 +55,12 @@
 
 
 def _longest_claim_delay_us(election_timeout_us: int, claims: int) -> int:
-    """Return the longest delay before a claim, after so many claims in a row."""
+    """Return the longest delay before a claim that follows ``claims`` unsuccessful ones."""
     return election_timeout_us * (1 + (1 << min(claims, MAX_CLAIM_BACKOFF_DOUBLINGS)))
 
 
 class ReceivedRequest(NamedTuple):
-    """A voter's request to be admitted, and when it came."""
+    """An admission request of a voter, and when it was received."""
 
     request: AdmissionRequest
     received_at: int
@@ -67,7 +68,7 @@
 
 @dataclass
 class SentHeartbeat:
-    """A heartbeat of ours, and the members that acknowledged it."""
+    """A heartbeat that this voter sent as leader, and the members that acknowledged it."""
 
     sent_at: int
     acknowledged: set[VotingMember] = field(default_factory=set)
@@ -76,7 +77,7 @@
 class Leadership:
     """One voter's part in leader election, and the leader's commands. Times are microseconds of its clock.
 
-    ``confirmed_at`` is the latest moment at which a quorum is known to have confirmed our state as leader.
+    ``confirmed_at`` is the latest moment at which a quorum is known to have confirmed this voter as leader.
     """
 
     def __init__(
@@ -97,17 +98,17 @@
         self.confirmed_at: int | None = None
         self._claimed_term = -1
         self._claimed_at = now
-        self._claims = 0  # of ours since the last heartbeat of a leader
+        self._claims = 0  # claims of this voter since the last heartbeat of a leader
         self._leader_seen_at = now
-        self._followed_rank = -1  # whose heartbeat was the latest
-        self._election_delay_us = self._draw_election_delay()
-        self._heartbeats: dict[int, SentHeartbeat] = {}  # by sequence
+        self._followed_rank = -1  # rank of the sender of the latest heartbeat
+        self._election_delay_us = self._random_election_delay()
+        self._heartbeats: dict[int, SentHeartbeat] = {}  # by sequence number
         self._heartbeat_sequence = 0
         self._heartbeat_sent_at = now
 
     @property
     def state(self) -> ReplicatedState | None:
-        """The latest state that this voter knows."""
+        """The latest state that this voter knows to be chosen."""
         return self.voter.chosen_state
 
     @property
@@ -122,16 +123,19 @@
         )
 
     def claim_immediately(self) -> None:
-        """Claim without a delay: we created the first state, so that nobody leads yet."""
+        """Claim without a delay: this voter created the first state, so there is no leader yet."""
         self._election_delay_us = -1
 
-    def _draw_election_delay(self) -> int:
-        """Return a random delay, longer after each claim: on a slow network claims could stop each other."""
+    def _random_election_delay(self) -> int:
+        """Return a random delay, longer after each claim.
+
+        With a constant range, claims on a slow network could keep overruling each other.
+        """
         factor = 1 << min(self._claims, MAX_CLAIM_BACKOFF_DOUBLINGS)
         return int(self.settings.election_timeout_us * (1 + factor * self.random.random()))
 
     def _us_without_quorum(self, now: int) -> int:
-        """Return for how long we have led without a quorum's acknowledgement."""
+        """Return how long this voter has led without the acknowledgement of a quorum."""
         return now - max(self.confirmed_at or 0, self._claimed_at)
 
     # -- heartbeats
@@ -139,8 +143,8 @@
     def heartbeats(self, now: int) -> list[Send]:
         """Return the heartbeats to the other members, when they are due.
 
-        A leader that is not acknowledged sends none: else one that is heard and hears nobody would keep the
-        others from claiming.
+        A leader that no quorum acknowledges stops sending them. Otherwise a leader that can send but not
+        receive would keep the others from claiming.
         """
         state = self.state
         if not self.is_leader or state is None:
@@ -180,30 +184,30 @@
             self.confirmed_at = max(heartbeat.sent_at, self.confirmed_at or heartbeat.sent_at)
 
     def receive_heartbeat(self, now: int, sender: int, heartbeat: Heartbeat) -> list[Send]:
-        """Follow the sender; acknowledge where no later ballot was promised."""
+        """Follow the sender, and acknowledge unless a later ballot was promised."""
         state = self.state
         if state is not None and heartbeat.term < state.term:
             return []
         self._claims = 0
         self._leader_seen_at = now
-        self._election_delay_us = self._draw_election_delay()
+        self._election_delay_us = self._random_election_delay()
         self._followed_rank = sender
         if not self.voter.may_vote or heartbeat.ballot < self.voter.voter_state.promised:
             return []
         return [Send(sender, HeartbeatAck(heartbeat.sequence, self.voter.voter_state.store_id))]
 
     def receive_heartbeat_ack(self, sender: int, message: HeartbeatAck) -> None:
-        """Count the acknowledgement of a heartbeat of ours."""
+        """Record the acknowledgement of a heartbeat that this voter sent."""
         heartbeat = self._heartbeats.get(message.sequence)
         if heartbeat is not None:
             heartbeat.acknowledged.add(VotingMember(sender, message.store_id))
             self._confirm_if_acknowledged(heartbeat)
 
     def accepts_ballot_of(self, now: int, sender: int) -> bool:
-        """Tell whether a voter's Prepare is looked at: not while another voter leads and is heard.
+        """Return whether to handle a Prepare of this sender: not while another voter leads and is connected.
 
-        A voter that hears nobody claims again and again, and each of its ballots would stop the leader. To
-        ignore a ballot has the effect of a lost datagram.
+        A voter that receives nothing claims again and again, and each of its ballots would overrule the
+        leader. Ignoring a ballot has the same effect as losing the datagram, so it is safe.
         """
         timeout_us = self.settings.election_timeout_us
         if self.is_leader:
@@ -213,11 +217,11 @@
     # -- commands
 
     def receive_admission_request(self, now: int, sender: int, request: AdmissionRequest) -> None:
-        """Take note of a voter whose store is no member."""
+        """Record the admission request of a voter whose store is not a member."""
         self.admission_requests[sender] = ReceivedRequest(request, now)
 
     def recent_admission_requests(self, now: int) -> dict[int, AdmissionRequest]:
-        """Return the requests that are not too old, by rank."""
+        """Return the admission requests that have not expired, by rank."""
         return {
             rank: received.request
             for rank, received in self.admission_requests.items()
@@ -225,7 +229,7 @@
         }
 
     def enqueue(self, command: Command) -> bool:
-        """Queue a command, whose term is filled in later; False where too many wait."""
+        """Queue a command, and set its term when it is attempted; return False where the queue is full."""
         if len(self.commands) >= MAX_QUEUED_COMMANDS:
             return False
         self.commands.append(command)
@@ -243,7 +247,7 @@
             return self._claim(now, state)
         max_us_without_quorum = 3 * self.settings.election_timeout_us + self._election_delay_us
         if self._us_without_quorum(now) > max_us_without_quorum:
-            return self._claim(now, state)  # a later ballot was promised: the heartbeats are not acknowledged
+            return self._claim(now, state)  # acknowledgements end once a later ballot is promised
         self.driver.track_progress(now, state)
         return (
             self._membership_command(now, state)
@@ -254,12 +258,12 @@
     def _claim(self, now: int, state: ReplicatedState) -> Command:
         self._claims += 1
         self._leader_seen_at = now
-        self._election_delay_us = self._draw_election_delay()
+        self._election_delay_us = self._random_election_delay()
         self._claimed_at = now
         self._claimed_term = state.term + 1
         self.confirmed_at = None
         self.driver.votes.clear()
-        self.driver.reports.clear()  # of an earlier term of ours: each gateway reports anew to a new leader
+        self.driver.reports.clear()  # of an earlier term; each gateway reports again to a new leader
         return ClaimLeadership(self.voter.rank, self._claimed_term)
 
     def _membership_command(self, now: int, state: ReplicatedState) -> Command | None:
--- a/orchidlane/rollout/messages.py
+++ b/orchidlane/rollout/messages.py
@@ -1,7 +1,7 @@
-"""Messages between gateways about the replicated state: bodies of sealed datagrams of a kind of their own.
+"""Messages between gateways about the replicated state: the bodies of the sealed datagrams of rollouts.
 
-Each fits into one datagram, whatever the size of the fleet or of a content: states and contents are named by
-their hash and fetched over HTTP.
+Each message fits into one datagram, whatever the size of the fleet or of the contents: states and contents
+are named by their hash and fetched over HTTP.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Ballot(NamedTuple):
-    """A proposal number. Rank and store make it unique; ballots are compared in the order of the fields."""
+    """A proposal number. Rank and store make it unique; ballots are compared field by field in order."""
 
     round: int
     rank: int
@@ -26,17 +26,17 @@
 
 
 class GossipRequest(msgspec.Struct, frozen=True, array_like=True, tag=0):
-    """Ask for the latest state; the nonce comes back, so that the sender can bound its age."""
+    """Request for the latest state. The response repeats the nonce, by which its age is bounded."""
 
     nonce: int
     index: int
 
 
 class GossipResponse(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """The latest state that the sender knows.
+    """Response: the latest state that the sender holds.
 
-    A quorum confirmed it ``age_us`` microseconds ago (-1: never). ``is_unbootstrapped``: the sender is a
-    voter and there is no state yet.
+    A quorum confirmed the state ``age_us`` microseconds ago (-1: never). ``is_unbootstrapped``: the sender is
+    a voter that has no state and has never voted.
     """
 
     nonce: int
@@ -47,17 +47,17 @@
 
 
 class NewStateHint(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A state with this index exists: the receiver should ask for it."""
+    """A state with this index exists: the receiver should request it."""
 
     index: int
 
 
 class AdoptionReport(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """To the leader: the version that a gateway runs, and what keeps it from the one that it should run."""
+    """To the leader: the version that a gateway runs, and why it does not run its target version."""
 
     running_number: int
     target_number: int
-    answers_per_second: int = 0
+    responses_per_second: int = 0
     reason: str = ""
 
 
@@ -69,9 +69,9 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Phase 1 request: promise to accept no earlier ballot, and tell what was accepted.
+    """Phase 1 request: promise to accept no earlier ballot, and report what was accepted.
 
-    ``vote_count`` includes the promise that the sender gave itself.
+    ``vote_count`` is that of the sender, and includes its own promise.
     """
 
     ballot: Ballot
@@ -96,7 +96,7 @@
 
 
 class Accept(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Phase 2 request: accept the state with this hash, as the sender did."""
+    """Phase 2 request: accept the state with this hash, which the sender has accepted itself."""
 
     ballot: Ballot
     state_hash: str
@@ -104,7 +104,7 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """Phase 2 response: the state is accepted and on disk."""
+    """Phase 2 response: the sender has accepted the state and written that to disk."""
 
     ballot: Ballot
     store_id: int
@@ -112,7 +112,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """The sender leads; ``ballot`` is the one under which the latest state that it knows was chosen."""
+    """The sender leads; ``ballot`` is the one under which the latest state that it has was chosen."""
 
     term: int
     ballot: Ballot
@@ -122,7 +122,7 @@
 
 
 class HeartbeatAck(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """No later ballot was promised when the heartbeat came."""
+    """The sender had promised no later ballot when it received the heartbeat."""
 
     sequence: int
     store_id: int
@@ -140,9 +140,9 @@
 
 
 class AdmissionRequest(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """A voter whose store is no member asks to be admitted.
+    """Request of a voter whose store is not a member to be admitted.
 
-    It carries a prefix of the combined hash of its files, and the seal of its vote for them as version 0.
+    Contains a prefix of the combined hash of its files, and the seal of its vote for them as version 0.
     """
 
     store_id: int
@@ -151,13 +151,13 @@
 
 
 class VoteCountRequest(msgspec.Struct, frozen=True, array_like=True, tag=14):
-    """A voter that started asks for the latest vote of this store that the receiver has seen."""
+    """Request of a voter that has started, for the highest vote count of its store that was seen."""
 
     store_id: int
 
 
 class VoteCountResponse(msgspec.Struct, frozen=True, array_like=True, tag=15):
-    """The highest vote count seen; ``may_vote``: whether the sender votes itself."""
+    """Response: the highest vote count seen (0: none), and whether the sender may vote itself."""
 
     store_id: int
     vote_count: int
--- a/orchidlane/rollout/replicated_state.py
+++ b/orchidlane/rollout/replicated_state.py
@@ -1,12 +1,13 @@
-"""The one value that the voters agree on. ``commands`` leads from one state to the next.
+"""The state that the voters agree on; ``commands`` has its transitions.
 
-Invariants, checked by ``broken_invariant`` and searched in the tests:
+Invariants, which ``broken_invariant`` checks for each transition, and the tests for random commands:
 
-- I1 the index, the term and the latest number only grow;
-- I2 the current version and one that is adopted have a certificate by a quorum of the members of their time;
-- I3 at most one rollout is in progress, beside one that it takes back;
-- I4 a version that takes back a rollout in progress has the contents of the version before that one;
-- I5 members change one at a time, and not while the previous change of them is not settled.
+- I1 the index grows by one; the term and the latest number never decrease;
+- I2 the current version and one that is being adopted have a certificate, by a quorum of those who were the
+  members at its approval;
+- I3 at most one rollout is in progress, besides a halted one that it reverts;
+- I4 a version that reverts a rollout in progress has the contents of the version before that rollout;
+- I5 members change one at a time, and only once the previous change is settled.
 """
 
 from __future__ import annotations
@@ -18,26 +19,26 @@
 
 from orchidlane.rollout.version import Certificate, Version, VotingMember, has_quorum
 
-MAX_HISTORY_ENTRIES = 16  # the contents of these versions are kept
+MAX_HISTORY_ENTRIES = 16  # gateways keep the contents of these versions
 
-# What became of a version, as it is stored
+# Outcomes of a version, as they are stored
 DONE = "done"
-REFUSED = "refused"
-UNDONE = "undone"
+REJECTED = "refused"
+REVERTED = "undone"
 
 
 class RolloutPhase(Enum):
-    """How far a rollout has come; the values are stored."""
+    """The phases of a rollout; the values are stored."""
 
     VOTING = "asked"
     ADOPTING = "adopting"
 
 
 class Rollout(msgspec.Struct, frozen=True):
-    """A version on its way to the gateways.
+    """The rollout of a version, from the vote on it until all gateways have adopted it.
 
-    ``target_ranks`` are the gateways that should run it (see ``encode_ranks``); a rollout with a
-    ``pause_reason`` is not extended.
+    ``target_ranks`` are the gateways that should run the version (see ``encode_ranks``). A rollout with a
+    ``pause_reason`` is not extended to more gateways.
     """
 
     version: Version
@@ -48,12 +49,12 @@
     pause_reason: str = msgspec.field(default="", name="paused")
 
     def includes(self, rank: int) -> bool:
-        """Tell whether a gateway should run its version."""
+        """Return whether a gateway should run the version of this rollout."""
         return self.phase is RolloutPhase.ADOPTING and has_rank(self.target_ranks, rank)
 
 
 class HistoryEntry(msgspec.Struct, frozen=True):
-    """What became of a version: DONE, REFUSED or UNDONE."""
+    """The outcome of a version: DONE, REJECTED or REVERTED."""
 
     version: Version
     outcome: str = msgspec.field(name="state")
@@ -61,17 +62,17 @@
 
 
 class ReplicatedState(msgspec.Struct, frozen=True):
-    """What the voters agree on; all else follows from it."""
+    """The state that the voters agree on; everything else about rollouts is derived from it."""
 
     index: int
     members: tuple[VotingMember, ...] = msgspec.field(name="seats")
     current: Certificate
     term: int = 0
-    leader: int = -1  # rank, -1: none yet
+    leader: int = -1  # rank; -1: none yet
     # the members before their last change, until that is settled
     previous_members: tuple[VotingMember, ...] = msgspec.field(default=(), name="before")
     rollout: Rollout | None = msgspec.field(default=None, name="change")
-    # what the rollout takes back
+    # the rollout that ``rollout`` reverts, if it reverts one in progress
     halted_rollout: Rollout | None = msgspec.field(default=None, name="halted")
     latest_number: int = msgspec.field(default=0, name="latest")
     history: tuple[HistoryEntry, ...] = ()
@@ -85,13 +86,13 @@
         return self.current
 
     def versions(self) -> list[Version]:
-        """Return all versions that it names, the latest first."""
-        known = {entry.version.number: entry.version for entry in self.history}
-        known[self.current.version.number] = self.current.version
+        """Return all versions that the state contains, the latest first."""
+        by_number = {entry.version.number: entry.version for entry in self.history}
+        by_number[self.current.version.number] = self.current.version
         for rollout in (self.rollout, self.halted_rollout):
             if rollout is not None:
-                known[rollout.version.number] = rollout.version
-        return [known[number] for number in sorted(known, reverse=True)]
+                by_number[rollout.version.number] = rollout.version
+        return [by_number[number] for number in sorted(by_number, reverse=True)]
 
 
 def encode(state: ReplicatedState) -> bytes:
@@ -105,7 +106,7 @@
 
 
 def encode_ranks(ranks: Iterable[int], gateways: int) -> bytes:
-    """Encode a set of ranks as a bit map."""
+    """Encode a set of ranks as a bitmap, which has the same length for all ranks of a fleet."""
     bits = bytearray(-(-gateways // 8))
     for rank in ranks:
         bits[rank >> 3] |= 1 << (rank & 7)
@@ -113,27 +114,27 @@
 
 
 def has_rank(bits: bytes, rank: int) -> bool:
-    """Tell whether a rank is in such a bit map."""
+    """Return whether a rank is in a bitmap of ``encode_ranks``."""
     return 0 <= rank < 8 * len(bits) and bool(bits[rank >> 3] >> (rank & 7) & 1)
 
 
 def broken_invariant(before: ReplicatedState, after: ReplicatedState) -> str:
-    """Return which invariant the step from one state to the next broke; "" if none."""
+    """Return which invariant the transition between two states violates; "" if none."""
     if (
         after.index != before.index + 1
         or after.term < before.term
         or after.latest_number < before.latest_number
     ):
-        return "I1: something went back"
+        return "I1: the index did not grow by one, or the term or the latest number decreased"
     if any(_lacks_certificate(rollout) for rollout in (after.rollout, after.halted_rollout)):
-        return "I2: adopted without a quorum's certificate"
+        return "I2: a version is being adopted without the certificate of a quorum"
     if after.halted_rollout is not None:
         if after.rollout is None:
-            return "I3: a rollout is halted without one that takes it back"
+            return "I3: a rollout is halted, but none reverts it"
         if after.rollout.version.contents != after.current.version.contents:
-            return "I4: a version that takes back a rollout has other contents than the prior version"
+            return "I4: a version that reverts a rollout does not have the contents of the current version"
     if _breaks_membership_change(before, after):
-        return "I5: more than one member changed"
+        return "I5: more than one member changed, or the previous change was not settled"
     return ""
 
 
@@ -151,5 +152,5 @@
     changed = set(after.members) ^ set(before.members)
     if not changed:
         return False
-    several = len({member.rank for member in changed}) > 1
-    return bool(before.previous_members) or several or after.previous_members != before.members
+    changes_several = len({member.rank for member in changed}) > 1
+    return bool(before.previous_members) or changes_several or after.previous_members != before.members
--- a/orchidlane/rollout/rollback.py
+++ b/orchidlane/rollout/rollback.py
@@ -1,9 +1,10 @@
-"""Reverting an edit, also where later edits touched other things. Decides without I/O.
+"""Reverting an edit, also after later edits of other units. Contains decisions only, without I/O.
 
-A content is compared as units that are edited by themselves: the operations of a description, its classes and
-components; the customers of a customers' file. The edit from one version to the next is the units that
-differ. It is reverted in a later version by giving each of these units its prior value, if the later version
-still has the edit's value. A unit that was edited again since is a conflict, and named by its path.
+A content is divided into units that are edited independently: the operations of a description, its request
+classes and components; the customers of a customers' file. The edit from one version to the next consists of
+the units that differ. To revert it in a later version, each of these units gets its prior value back,
+provided that it still has the value that the edit gave it. A unit that was edited again since is a conflict,
+and reported by its path.
 """
 
 from __future__ import annotations
@@ -22,13 +23,14 @@
 UnitPath = tuple[str, ...]
 Tree = dict[str, Any]
 Units = dict[UnitPath, Any]
-UNIT_DEPTHS = {"paths": 3, "components": 3, "x-orchidlane": 3}  # path length of units below a top-level key
-MISSING = object()
+# Length of the paths of units, by the top-level key that they start with; elsewhere a top-level key is a unit
+UNIT_DEPTHS = {"paths": 3, "components": 3, "x-orchidlane": 3}
+MISSING = object()  # the value of a unit that a content does not have
 
 
 @dataclass(frozen=True)
 class ContentFormat:
-    """How a kind of content is read, compared and written."""
+    """How a kind of content is parsed, divided into units and written."""
 
     parse: Callable[[bytes], Tree]
     units: Callable[[Tree], Units]
@@ -36,7 +38,7 @@
 
 
 def revert_description_edit(before: bytes, after: bytes, latest: bytes) -> bytes:
-    """Return the latest description without the edit from ``before`` to ``after``.
+    """Return the latest description with the edit from ``before`` to ``after`` reverted.
 
     Raises RollbackConflictError and DescriptionError.
     """
@@ -44,7 +46,10 @@
 
 
 def revert_customers_edit(before: bytes, after: bytes, latest: bytes) -> bytes:
-    """Return the latest customers' file without the edit. Raises RollbackConflictError and ValueError."""
+    """Return the latest customers' file with the edit reverted.
+
+    Raises RollbackConflictError and ValueError.
+    """
     return _revert_edit(before, after, latest, CUSTOMERS)
 
 
@@ -57,23 +62,23 @@
     prior = content.units(prior_tree)
     edited = content.units(edited_tree)
     current = content.units(latest_tree)
-    touched = _touched_units(prior, edited)
-    _check_conflicts(touched, prior, edited, current)
+    changed_paths = _changed_units(prior, edited)
+    _check_conflicts(changed_paths, prior, edited, current)
     tree = copy.deepcopy(latest_tree)
-    for path in sorted(touched):
+    for path in sorted(changed_paths):
         _set_unit(tree, path, prior.get(path, MISSING))
     return before if tree == prior_tree else content.write(tree)
 
 
-def _touched_units(prior: Units, edited: Units) -> list[UnitPath]:
+def _changed_units(prior: Units, edited: Units) -> list[UnitPath]:
     paths = prior.keys() | edited.keys()
     return [path for path in paths if prior.get(path, MISSING) != edited.get(path, MISSING)]
 
 
-def _check_conflicts(touched: list[UnitPath], prior: Units, edited: Units, current: Units) -> None:
+def _check_conflicts(changed_paths: list[UnitPath], prior: Units, edited: Units, current: Units) -> None:
     conflicts = [
         path
-        for path in touched
+        for path in changed_paths
         if current.get(path, MISSING) not in (edited.get(path, MISSING), prior.get(path, MISSING))
     ]
     if conflicts:
@@ -81,18 +86,18 @@
 
 
 def _set_unit(tree: Tree, path: UnitPath, value: Any) -> None:
-    """Give a unit a value, or remove it with the parents that are empty then."""
+    """Set the value of a unit, or remove the unit and those of its parents that become empty."""
     *parents, last = path
-    inner = [tree]
+    branch = [tree]
     for key in parents:
-        inner.append(inner[-1].setdefault(key, {}))
+        branch.append(branch[-1].setdefault(key, {}))
     if value is not MISSING:
-        inner[-1][last] = value
+        branch[-1][last] = value
         return
-    inner[-1].pop(last, None)
-    for outer, key, child in reversed(list(zip(inner, parents, inner[1:], strict=False))):
+    branch[-1].pop(last, None)
+    for parent, key, child in reversed(list(zip(branch, parents, branch[1:], strict=False))):
         if not child:
-            outer.pop(key, None)
+            parent.pop(key, None)
 
 
 # Descriptions
@@ -107,8 +112,8 @@
 
     def walk(path: UnitPath, value: Any, depth: int) -> None:
         if depth > 1 and isinstance(value, dict) and value:
-            for key, inner in value.items():
-                walk((*path, str(key)), inner, depth - 1)
+            for key, child in value.items():
+                walk((*path, str(key)), child, depth - 1)
         else:
             units[path] = value
 
--- a/orchidlane/rollout/rollout_driver.py
+++ b/orchidlane/rollout/rollout_driver.py
@@ -1,4 +1,4 @@
-"""The leader's next command on a rollout: approval, extension by stages, end. Decides without I/O."""
+"""The leader's next command on a rollout: to approve, extend, finish or revert it. Decisions only, no I/O."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from orchidlane.rollout.version import Vote, is_valid_vote, quorum_size
 from orchidlane.rollout.voter_state import Send
 
-CLOCK_DRIFT_FACTOR = 1.02  # how much faster one gateway's clock may run than another's
-MAX_NAMED_GATEWAYS = 5  # in a reason
+CLOCK_DRIFT_FACTOR = 1.02  # the leader's clock may run faster than another gateway's by this factor
+MAX_GATEWAYS_IN_REASON = 5
 
 
 @dataclass(frozen=True)
@@ -39,18 +39,18 @@
 
 
 class GatewayReport(NamedTuple):
-    """What a gateway reported last; ``running_since``: when it first reported its present version."""
+    """The latest report of a gateway; ``running_since``: when it first reported the version that it runs."""
 
     running_number: int
     target_number: int
     reason: str
-    answers_per_second: int
+    responses_per_second: int
     received_at: int
     running_since: int
 
 
 class Progress(NamedTuple):
-    """Where a rollout stands; a change of it restarts the timeouts."""
+    """The progress of a rollout; when it changes, the timeouts start again."""
 
     term: int
     number: int
@@ -59,14 +59,14 @@
 
 
 class Sides(NamedTuple):
-    """Ranks that run a rollout's version, and ranks that run the version before."""
+    """Ranks of gateways that run a rollout's version, and of gateways on the previous version."""
 
     new: list[int]
     old: list[int]
 
 
 class RolloutDriver:
-    """What a leader knows of the rollout in progress. Times are microseconds of its own clock."""
+    """What a leader has received on the rollout in progress. Times are microseconds of its own clock."""
 
     def __init__(self, gateway_count: int, secret: bytes, settings: RolloutSettings, now: int) -> None:
         self.gateway_count = gateway_count
@@ -81,21 +81,21 @@
     # -- messages
 
     def receive_report(self, now: int, sender: int, report: AdoptionReport) -> list[Send]:
-        """Take note of what a gateway runs, and acknowledge."""
-        known = self.reports.get(sender)
-        is_same = known is not None and known.running_number == report.running_number
+        """Record and acknowledge the report of a gateway."""
+        previous = self.reports.get(sender)
+        runs_same = previous is not None and previous.running_number == report.running_number
         self.reports[sender] = GatewayReport(
             report.running_number,
             report.target_number,
             report.reason,
-            report.answers_per_second,
+            report.responses_per_second,
             received_at=now,
-            running_since=known.running_since if known is not None and is_same else now,
+            running_since=previous.running_since if previous is not None and runs_same else now,
         )
         return [Send(sender, AdoptionReportAck(report.running_number, report.target_number))]
 
     def receive_vote(self, sender: int, message: VersionVote, state: ReplicatedState | None) -> None:
-        """Take note of a valid vote on the version that is voted on, in this term."""
+        """Record a vote if it is valid and cast on the version that is voted on, in the present term."""
         rollout = state.rollout if state is not None else None
         if rollout is None or rollout.phase is not RolloutPhase.VOTING:
             return
@@ -108,12 +108,12 @@
     # -- what gateways run
 
     def loads(self) -> list[float]:
-        """Return the answers a second of each gateway, by its latest report."""
+        """Return the responses per second of each gateway by rank, from its latest report; 0 without one."""
         reports = [self.reports.get(rank) for rank in range(self.gateway_count)]
-        return [float(report.answers_per_second) if report is not None else 0.0 for report in reports]
+        return [float(report.responses_per_second) if report is not None else 0.0 for report in reports]
 
     def sample_sides(self, rollout: Rollout, round_number: int) -> Sides:
-        """Return a sample of the gateways that run a rollout's version, and of those on the one before."""
+        """Return a sample of the gateways that run a rollout's version, and of those on the previous one."""
         number = rollout.version.number
         running = {rank: report.running_number for rank, report in self.reports.items()}
         new = [rank for rank in sorted(running) if running[rank] == number]
@@ -121,7 +121,7 @@
         return Sides(phases.sample(new, round_number), phases.sample(old, round_number))
 
     def ranks_behind(self, rollout: Rollout) -> list[int]:
-        """Return the gateways that should run a rollout's version and did not report that they do."""
+        """Return the gateways that should run a rollout's version and have not reported that they do."""
         running = {rank: report.running_number for rank, report in self.reports.items()}
         return [rank for rank in self._target_ranks(rollout) if running.get(rank) != rollout.version.number]
 
@@ -131,7 +131,7 @@
     # -- the next command
 
     def track_progress(self, now: int, state: ReplicatedState) -> None:
-        """Note since when the rollout stands where it does, by our own clock."""
+        """Record when the rollout made progress; drop votes and stages that no longer apply."""
         rollout = state.rollout
         progress = None
         if rollout is not None:
@@ -148,7 +148,7 @@
         self._progress_since = now
 
     def next_command(self, now: int, state: ReplicatedState) -> Command | None:
-        """Return the command that takes the rollout further, if one is due."""
+        """Return the command that advances the rollout, if one is due."""
         rollout = state.rollout
         if rollout is None:
             return None
@@ -157,7 +157,7 @@
         return self._advance(now, state, rollout)
 
     def _count_votes(self, now: int, state: ReplicatedState, rollout: Rollout) -> Command | None:
-        """Approve or stop by the votes that came, or by the silence of the others."""
+        """Approve or stop the rollout once the votes received decide on it, or stop it after the timeout."""
         number = rollout.version.number
         members = set(state.members)
         quorum = quorum_size(state.members)
@@ -172,23 +172,30 @@
             return StopRollout(state.term, number, reasons)
         if now - self._progress_since > self.settings.vote_timeout_us:
             silent = sorted({member.rank for member in members} - {vote.rank for vote in votes})
-            reason = f"no quorum said yes; silent: {silent}; {reasons}"
+            reason = f"no quorum approved the version; no vote from gateways {silent}; {reasons}"
             return StopRollout(state.term, number, reason)
         return None
 
     def _first_ranks(self, state: ReplicatedState, rollout: Rollout) -> list[int]:
-        """Return the first stage; all gateways for a rollback, and for a migration, which goes by shares."""
+        """Return the ranks of the first stage.
+
+        A rollback is adopted by all gateways at once, and so is a migration of customers, which has stages of
+        its own (``shard_migration``).
+        """
         keeps_customers = rollout.version.contents.customers == state.current.version.contents.customers
         if self.settings.staging.soak_us and keeps_customers and not rollout.version.reverts:
             return phases.first_batch(self.settings.staging, self.loads())
         return list(range(self.gateway_count))
 
     def _advance(self, now: int, state: ReplicatedState, rollout: Rollout) -> Command | None:
-        """Extend or end a rollout, once all gateways of the stage run it or can't serve by anything else."""
+        """Extend or finish a rollout once all gateways of the stage run it or no longer serve.
+
+        Gateways that have not adopted the version serve nothing after a lease.
+        """
         behind = self.ranks_behind(rollout)
         lease_is_over = now - self._progress_since > self.settings.lease_us * CLOCK_DRIFT_FACTOR
-        reached = self._target_ranks(rollout)
-        if len(reached) == self.gateway_count:
+        target_ranks = self._target_ranks(rollout)
+        if len(target_ranks) == self.gateway_count:
             if behind and not lease_is_over:
                 return None
             return FinishRollout(state.term, rollout.version.number, _behind_reason(behind))
@@ -199,21 +206,21 @@
             return _rollback_command(state, rollout, verdict)
         if verdict is None or rollout.pause_reason:
             return None
-        added = phases.next_batch(self.settings.staging, self.loads(), reached)
-        target_ranks = encode_ranks(added, self.gateway_count)
-        return ExtendRollout(state.term, rollout.version.number, target_ranks)
+        added = phases.next_batch(self.settings.staging, self.loads(), target_ranks)
+        added_ranks = encode_ranks(added, self.gateway_count)
+        return ExtendRollout(state.term, rollout.version.number, added_ranks)
 
 
 def _behind_reason(behind: list[int]) -> str:
     if not behind:
         return ""
-    names = ", ".join(map(str, behind[:MAX_NAMED_GATEWAYS]))
-    more = " ..." if len(behind) > MAX_NAMED_GATEWAYS else ""
-    return f"not confirmed, and not serving: {len(behind)}: {names}{more}"
+    names = ", ".join(map(str, behind[:MAX_GATEWAYS_IN_REASON]))
+    ellipsis = " ..." if len(behind) > MAX_GATEWAYS_IN_REASON else ""
+    return f"not confirmed, and not serving: {len(behind)}: {names}{ellipsis}"
 
 
 def _rollback_command(state: ReplicatedState, rollout: Rollout, reason: str) -> Command:
-    """Propose the prior contents: a stage does harm."""
+    """Return the proposal that reverts a rollout whose stage failed."""
     number = rollout.version.number
     return ProposeVersion(
         term=state.term,
@@ -221,6 +228,6 @@
         contents=state.current.version.contents,
         base=number,
         author="the fleet",
-        reason=f"stopped at harm: {reason}",
+        reason=f"reverted after a regression: {reason}",
         reverts=number,
     )
--- a/orchidlane/rollout/shard_migration.py
+++ b/orchidlane/rollout/shard_migration.py
@@ -1,17 +1,18 @@
-"""Migration of customers to other replica sets, as versions that follow each other. Decides without I/O.
+"""Migration of customers to other replica sets, as a sequence of versions. Decisions only, without I/O.
 
-Each gateway of a replica set fills its part of a ceiling's token store by itself. With two maps side by side
-both sets would have all parts, and a subscriber could spend a ceiling's burst twice. So quotas shrink before
-they grow:
+Each gateway of a replica set refills its share of a ceiling's token bucket by itself. If gateways served by
+the old and the new replica set side by side, both sets would have all shares, and a customer could spend the
+ceiling's burst twice. Shares are therefore given up before new ones are filled, by two versions:
 
-1. hold: the customers that migrate have their new set and are served nowhere. A gateway that adopts this
-   version gives up its part for good and tells the new token owner what was spent.
-2. grow: once all gateways run that version, or serve nothing (a lease), they are served again. The new parts
-   begin empty and fill at the ceiling's rate.
+1. Suspend: the customers that migrate have their new replica set and are not served anywhere. A gateway
+   that adopts this version gives up its share and notifies the new token owner of what was spent.
+2. Resume: once all gateways run the first version, or no longer serve because their lease is over, the
+   customers are served again. The new shares start empty and fill at the ceiling's rate.
 
-So the parts of all gateways never exceed what the ceiling's store would hold: a part that is given up, or
-lost with a gateway that died, comes back by the rate alone. The price: a customer that migrates is rejected
-between the two versions, and then waits for its store to fill. A share of these customers migrates at a time.
+The shares of all gateways together therefore never exceed what the ceiling's bucket would hold: a share that
+is given up, or lost with a gateway that died, is refilled only at the rate. The cost is that a customer that
+migrates is rejected between the two versions, and then has to wait until its bucket fills. To limit this,
+only some of the customers migrate at a time.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 
 from orchidlane.rollout.compatibility import Assignments, migrating_customers
 
-MAX_MIGRATION_STAGES = 7
+MAX_MIGRATION_STAGES = 7  # in one migration; a stage has two versions
 
 
 def migration_files(old: Assignments, new: Assignments, customers: bytes, share: float) -> list[bytes]:
-    """Return the customers' files of all versions from the old map to the new one.
+    """Return the customers' files of all versions that lead from the old assignments to the new ones.
 
-    ``customers`` is the new file and the last one returned, ``share`` the part of the customers with a
-    ceiling that migrates at once.
+    ``customers`` is the new file, which is returned last. ``share`` is the fraction of the migrating
+    customers, those with a ceiling, that migrates in one stage.
     """
     migrating = sorted(migrating_customers(old, new))
     if not migrating:
@@ -53,7 +54,7 @@
     waiting: set[int],
     suspended: set[int],
 ) -> bytes:
-    """Return a file in which customers that wait have their old set, and suspended ones their new one."""
+    """Return a file with the old replica sets of waiting customers and the new ones of suspended ones."""
     customers = []
     for entry in entries:
         number = entry["id"]
--- a/orchidlane/rollout/voter_state.py
+++ b/orchidlane/rollout/voter_state.py
@@ -1,4 +1,4 @@
-"""What a voter keeps on disk, what it asks to have done, and its attempt to have a command carried out."""
+"""A voter's state on disk, the actions that it requests, and its attempt to carry out a command."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SeenVoteCount(NamedTuple):
-    """The highest vote count of a store that another voter has seen."""
+    """The highest vote count that was seen of another voter's store."""
 
     store_id: int
     vote_count: int
@@ -34,8 +34,8 @@
 class VoterState(msgspec.Struct, frozen=True):
     """What a voter has on disk.
 
-    ``vote_count`` grows with every promise, acceptance and vote. The counts of other voters' stores that were
-    seen tell whether such a store was later replaced by an older copy.
+    ``vote_count`` grows with every promise, acceptance and vote. ``seen_vote_counts`` has the counts that
+    were seen of other voters' stores; they show whether such a store was replaced by an older copy.
     """
 
     store_id: int = msgspec.field(name="store")
@@ -43,13 +43,13 @@
     accepted: Ballot = ZERO_BALLOT
     accepted_hash: str = msgspec.field(default="", name="name")
     vote_count: int = msgspec.field(default=0, name="mark")
-    # by rank
+    # by rank of the other voter
     seen_vote_counts: dict[int, SeenVoteCount] = msgspec.field(default_factory=dict, name="marks")
     latest_vote: CastVote | None = msgspec.field(default=None, name="said")
 
 
 class VoterStart(NamedTuple):
-    """What a voter begins with; ``now`` is in microseconds of its own clock.
+    """What a voter starts with; ``now`` is in microseconds of its own clock.
 
     ``verifies_store`` is set for the disk of an earlier incarnation, which may be an old copy.
     """
@@ -67,13 +67,13 @@
 
 
 class Persist(NamedTuple):
-    """Write to disk before any later action is carried out; ``Voter.persist_failed`` where that fails."""
+    """Write to disk before any later action is carried out; on failure call ``Voter.persist_failed``."""
 
     voter_state: VoterState
 
 
 class StoreBlob(NamedTuple):
-    """Have a state ready, to be fetched by its hash from here on."""
+    """Store a replicated state, so that other gateways can fetch it by its hash."""
 
     content_hash: str
     data: bytes
@@ -87,7 +87,7 @@
 
 
 class StateChosen(NamedTuple):
-    """A state is chosen, by the command that led to it unless that was rejected."""
+    """A state is chosen; ``command`` led to it, or is None where it was rejected (see ``rejection``)."""
 
     state: ReplicatedState
     state_hash: str
@@ -97,7 +97,7 @@
 
 
 class CommandDropped(NamedTuple):
-    """The command was not carried out here. Unless ``is_final``, another attempt may still succeed."""
+    """This voter did not carry out the command. Unless ``is_final``, another attempt may still succeed."""
 
     command: Command
     reason: str
@@ -105,7 +105,7 @@
 
 
 class LogWarning(NamedTuple):
-    """Write a line to the log."""
+    """Log a warning."""
 
     text: str
 
@@ -117,7 +117,7 @@
 
 
 class ProposerPhase(Enum):
-    """How far an attempt has come."""
+    """The phase of an attempt."""
 
     PREPARING = 0
     ACCEPTING = 1
@@ -125,7 +125,10 @@
 
 
 class AcceptedValue(NamedTuple):
-    """What a voter had accepted when it gave its promise; no state: nothing, or it is the first one."""
+    """What a voter had accepted when it gave its promise.
+
+    ``state`` is None where it had accepted none since the first state.
+    """
 
     ballot: Ballot
     state_hash: str
@@ -133,12 +136,12 @@
 
 
 class ProposalAttempt:
-    """The attempt to have one command carried out."""
+    """An attempt to have one command carried out."""
 
     def __init__(self, command: Command, now: int) -> None:
         self.command = command
         self.started_at = now
-        self.sent_at = now  # while backing off: when to start again
+        self.sent_at = now  # when the last request was sent; while backing off: when to start again
         self.phase = ProposerPhase.PREPARING
         self.ballot = ZERO_BALLOT
         self.promises: dict[VotingMember, AcceptedValue] = {}
@@ -146,11 +149,11 @@
         self.state: ReplicatedState | None = None
         self.state_hash = ""
         self.rejection = ""
-        self.is_final = False  # rejected for good
+        self.is_final = False  # whether the rejection is final
         self.backoffs = 0
 
     def restart(self, ballot: Ballot, now: int) -> None:
-        """Begin anew with a higher ballot."""
+        """Start again with a higher ballot."""
         self.ballot = ballot
         self.phase = ProposerPhase.PREPARING
         self.sent_at = now
--- a/tests/harness/consensus_model.py
+++ b/tests/harness/consensus_model.py
@@ -1,8 +1,11 @@
-"""A model of three voters: two commands at once, up to two faults, datagrams in any order.
+"""A model of three voters: two concurrent commands, up to two faults, and datagrams in any order.
 
-Faults: a voter dies and restarts with its disk, an old copy or an empty one; a write fails; a datagram is
-duplicated. A lost datagram is one that is never delivered. Invariants: two states of one index are never both
-chosen, and a command is applied in its own term alone.
+The faults are "restart" (a voter dies and restarts with its disk), "old disk copy" and "empty disk" (the same
+with such a disk), "failed write" and "duplicate datagram". A lost datagram needs no fault: it is one that is
+never delivered.
+
+Invariants: two different states with the same index are never both chosen, and a command is applied only in
+its own term.
 """
 
 from __future__ import annotations
@@ -32,18 +35,18 @@
 )
 
 VOTERS = range(3)
-FIRST = ReplicatedState(
+FIRST_STATE = ReplicatedState(
     1,
     tuple(VotingMember(rank, 100 + rank) for rank in VOTERS),
     Certificate(Version(0, ContentHashes("r", "c"), 0), 0, (), ()),
     term=1,
     leader=0,
 )
-NOW = 1_000_000
+NOW_US = 1_000_000
 
 
 class InvariantViolationError(AssertionError):
-    """A state that must never be reached."""
+    """The search reached a state that violates an invariant."""
 
 
 class Datagram(NamedTuple):
@@ -55,32 +58,32 @@
 
 
 class ModelState:
-    """One state: the voters, their disks, the datagrams in flight, and what was chosen."""
+    """One state of the model: the voters, their disks, the datagrams in flight, and the states chosen."""
 
     def __init__(self, voter_type: type[Voter]) -> None:
         self.voter_type = voter_type
-        # Shared by all states: a hash determines its content
-        self.states_by_hash = {content_hash(replicated_state.encode(FIRST)): FIRST}
+        # Shared by all model states, as a hash determines its content
+        self.states_by_hash = {content_hash(replicated_state.encode(FIRST_STATE)): FIRST_STATE}
         self.disks = {rank: VoterState(100 + rank) for rank in VOTERS}
         self.old_disks = dict(self.disks)
         self.voters = {
-            rank: voter_type(VoterStart(rank, self.disks[rank], None, FIRST, FixedRandom(), 0))
+            rank: voter_type(VoterStart(rank, self.disks[rank], None, FIRST_STATE, FixedRandom(), 0))
             for rank in VOTERS
         }
         self.datagrams: frozenset[Datagram] = frozenset()
-        self.chosen: dict[int, str] = {}
+        self.chosen: dict[int, str] = {}  # index -> hash
         self.faults = 0
-        self.started: frozenset[int] = frozenset()
+        self.started: frozenset[int] = frozenset()  # ranks that have proposed their command
 
     def copy(self) -> ModelState:
-        """Return a state that can change by itself."""
+        """Return a copy that can be changed independently."""
         other = copy.copy(self)
         other.disks, other.old_disks, other.chosen = dict(self.disks), dict(self.old_disks), dict(self.chosen)
         other.voters = {rank: _copy(voter) for rank, voter in self.voters.items()}
         return other
 
     def key(self) -> Any:
-        """Return what distinguishes this state from others."""
+        """Return a value that is equal for equal states only."""
         return (
             tuple(_key(voter) for voter in self.voters.values()),
             self.datagrams,
@@ -90,7 +93,7 @@
         )
 
     def carry_out(self, rank: int, actions: list[Any], write_fails: bool = False) -> None:
-        """Carry out a voter's actions; where a write fails, those after it are dropped."""
+        """Carry out a voter's actions; where a write fails, the actions after it are dropped."""
         voter = self.voters[rank]
         for action in actions:
             match action:
@@ -110,47 +113,47 @@
     def _choose(self, chosen: StateChosen) -> None:
         index = chosen.state.index
         if self.chosen.setdefault(index, chosen.state_hash) != chosen.state_hash:
-            raise InvariantViolationError(f"Q1: two states of index {index}")
+            raise InvariantViolationError(f"Q1: two different chosen states with index {index}")
         command = chosen.command
         if command is None or isinstance(command, ClaimLeadership):
             return
         if command.term != chosen.state.term:
             raise InvariantViolationError(
-                f"fencing: a command of term {command.term} in term {chosen.state.term}"
+                f"fencing: a command of term {command.term} was applied in term {chosen.state.term}"
             )
 
     def deliver(self, datagram: Datagram, write_fails: bool = False) -> None:
-        """Deliver a datagram, and carry out what follows."""
+        """Deliver a datagram, and carry out the actions of its receiver."""
         message = datagram.message
         has_state = isinstance(message, Promise | Accept)
         state = self.states_by_hash.get(message.state_hash) if has_state else None
         voter = self.voters[datagram.receiver]
-        self.carry_out(datagram.receiver, voter.receive(NOW, datagram.sender, message, state), write_fails)
+        self.carry_out(datagram.receiver, voter.receive(NOW_US, datagram.sender, message, state), write_fails)
 
     def drop_idle_datagrams(self) -> None:
-        """Drop datagrams that change nothing now and never will: replies to an attempt that is over."""
+        """Drop responses to attempts that are over: they can't change anything any more."""
         for datagram in list(self.datagrams):
             attempt = self.voters[datagram.receiver].attempt
-            is_reply = isinstance(datagram.message, Promise | Accepted | Nack)
+            is_response = isinstance(datagram.message, Promise | Accepted | Nack)
             is_over = attempt is None or attempt.ballot != datagram.message.ballot
             is_late = isinstance(datagram.message, Promise) and (
                 is_over or attempt.phase is not ProposerPhase.PREPARING
             )
-            if is_reply and (is_over or is_late):
+            if is_response and (is_over or is_late):
                 self.datagrams -= {datagram}
 
     def restart(self, rank: int, voter_state: VoterState) -> None:
-        """Restart a voter with what its disk has."""
+        """Restart a voter with this state on its disk."""
         self.disks[rank] = voter_state
-        chosen = FIRST  # its chosen state may be as old as that
+        chosen = FIRST_STATE  # the oldest chosen state that it may have
         accepted = self.states_by_hash.get(voter_state.accepted_hash)
         start = VoterStart(rank, voter_state, accepted, chosen, FixedRandom(), 0, verifies_store=True)
         self.voters[rank] = self.voter_type(start)
 
     def verify_store(self, rank: int) -> None:
-        """Let a voter verify its store with both others, which then accept nothing of its past incarnation.
+        """Let a voter verify its store with both others, and drop the datagrams of its earlier incarnation.
 
-        The incarnation in datagrams ensures that (``gateway/peers/datagrams.py``).
+        The gateways drop those by the incarnation in each datagram (``gateway/peers/datagrams.py``).
         """
         voter = self.voters[rank]
         self.datagrams = frozenset(datagram for datagram in self.datagrams if datagram.sender != rank)
@@ -160,19 +163,19 @@
                 own_id = voter.voter_state.store_id
                 seen = vote_count if store_id == own_id else 0
                 response = VoteCountResponse(own_id, seen, True)
-                self.carry_out(rank, voter.receive(NOW, other, response))
-        self.carry_out(rank, voter.tick(NOW))
+                self.carry_out(rank, voter.receive(NOW_US, other, response))
+        self.carry_out(rank, voter.tick(NOW_US))
 
 
 class FixedRandom(random.Random):
-    """Gives the same numbers in each state."""
+    """Returns the same numbers in each state, so that equal states have equal successors."""
 
     def random(self) -> float:
         """Return one half."""
         return 0.5
 
     def getrandbits(self, _bits: int) -> int:
-        """Return a number of no meaning."""
+        """Return an arbitrary number."""
         return 900
 
 
@@ -214,21 +217,21 @@
     )
 
 
-def moves(
-    state: ModelState, plan: dict[int, Command], max_faults: int, faults: tuple[str, ...]
+def next_states(
+    state: ModelState, commands_by_rank: dict[int, Command], max_faults: int, faults: tuple[str, ...]
 ) -> Iterator[ModelState]:
-    """Return every next state."""
-    for rank, command in plan.items():
+    """Yield every state that can follow: a command is proposed, a datagram delivered, a store verified."""
+    for rank, command in commands_by_rank.items():
         if rank not in state.started and state.voters[rank].may_vote:
             after = state.copy()
             after.started |= {rank}
-            after.carry_out(rank, after.voters[rank].propose(NOW, command))
+            after.carry_out(rank, after.voters[rank].propose(NOW_US, command))
             yield after
     for datagram in state.datagrams:
         after = state.copy()
         after.datagrams -= {datagram}
         after.deliver(datagram)
-        if "old disk" not in faults:
+        if "old disk copy" not in faults:
             after.drop_idle_datagrams()
         yield after
     for rank, voter in state.voters.items():
@@ -237,30 +240,30 @@
             after.verify_store(rank)
             yield after
     if state.faults < max_faults:
-        yield from failures(state, faults)
+        yield from faulty_states(state, faults)
 
 
-def failures(state: ModelState, faults: tuple[str, ...]) -> Iterator[ModelState]:
-    """Return every next state that a fault leads to."""
+def faulty_states(state: ModelState, faults: tuple[str, ...]) -> Iterator[ModelState]:
+    """Yield every state that can follow by a fault."""
     for rank in VOTERS:
-        restored = {
-            "dies": state.disks[rank],
-            "old disk": state.old_disks[rank],
-            "no disk": VoterState(500 + rank),
+        disk_after = {
+            "restart": state.disks[rank],
+            "old disk copy": state.old_disks[rank],
+            "empty disk": VoterState(500 + rank),
         }
         for name in faults:
-            if name in restored:
+            if name in disk_after:
                 after = state.copy()
                 after.faults += 1
-                after.restart(rank, restored[name])
+                after.restart(rank, disk_after[name])
                 yield after
-    for datagram in state.datagrams if "write" in faults else ():
+    for datagram in state.datagrams if "failed write" in faults else ():
         after = state.copy()
         after.faults += 1
         after.datagrams -= {datagram}
         after.deliver(datagram, write_fails=True)
         yield after
-    for datagram in state.datagrams if "twice" in faults else ():
+    for datagram in state.datagrams if "duplicate datagram" in faults else ():
         after = state.copy()
         after.faults += 1
         after.deliver(datagram)
@@ -268,13 +271,15 @@
 
 
 def search(
-    plan: dict[int, Command],
+    commands_by_rank: dict[int, Command],
     faults: tuple[str, ...],
     max_faults: int,
     voter_type: type[Voter] = Voter,
     bound: int = 60_000,
 ) -> tuple[int, set[int]]:
-    """Return the number of states, and the indexes that were ever chosen.
+    """Search all reachable states, and return their number and the indexes of the states chosen in them.
+
+    ``commands_by_rank`` has the command that each rank proposes. The search stops after ``bound`` states.
 
     Raises InvariantViolationError where a state violates an invariant.
     """
@@ -282,7 +287,7 @@
     seen, queue, indexes = {first.key()}, deque([first]), set()
     while queue and len(seen) < bound:
         state = queue.popleft()
-        for after in moves(state, plan, max_faults, faults):
+        for after in next_states(state, commands_by_rank, max_faults, faults):
             key = after.key()
             if key not in seen:
                 seen.add(key)
--- a/tests/harness/descriptions.py
+++ b/tests/harness/descriptions.py
@@ -1,4 +1,4 @@
-"""API descriptions with changed costs of operations."""
+"""API descriptions with other costs of operations."""
 
 from __future__ import annotations
 
@@ -17,6 +17,6 @@
 
 
 def operation_costs(data: bytes) -> dict[str, float]:
-    """Return the costs by operation."""
+    """Return the cost of each operation by its name."""
     generation = build(load_description(data, "o"), "o")
     return {operation.name: operation.cost for operation in generation.operations}
--- a/tests/processes/test_rollout_processes.py
+++ b/tests/processes/test_rollout_processes.py
@@ -44,7 +44,7 @@
     observed: dict = {}
     verdict, fleet = run_fleet(tmp_path, script)
     assert_rules_hold(verdict)
-    assert "has these contents already" in observed["again"][1], observed
+    assert "already has these contents" in observed["again"][1], observed
     assert fleet.served_versions().keys() <= {0, 1, 2}
     assert fleet.served_versions(observed["done"], observed["undone"]).keys() <= {1, 2}
     assert fleet.served_versions(observed["undone"]).keys() <= {2}
@@ -183,7 +183,7 @@
     assert_rules_hold(verdict)
     assert "gw-6" not in fleet.served_versions(observed["asleep"]).get(1, set()), "requests in its buffers"
     assert fleet.served_versions(observed["undone"]).keys() <= {2}
-    assert "the disk is an old one" in observed["old disk"][1], observed["old disk"][0]
+    assert "the disk is an old copy" in observed["old disk"][1], observed["old disk"][0]
 
 
 def test_a_voter_with_an_empty_or_truncated_disk_waits_until_it_is_admitted(tmp_path):
@@ -342,4 +342,4 @@
     assert [code for code, _ in observed["upgrades"]] == [0, 0], observed["upgrades"]
     assert observed["end"][0] == 0, observed["end"]
     assert fleet.served_versions(observed["all"]).keys() <= {2}
-    assert not any("the disk is an old one" in log or "Traceback" in log for log in observed["logs"])
+    assert not any("the disk is an old copy" in log or "Traceback" in log for log in observed["logs"])
--- a/tests/processes/test_rollout_stages.py
+++ b/tests/processes/test_rollout_stages.py
@@ -103,7 +103,7 @@
     history = observed["status"]["history"]
     assert "undone" in [entry["state"] for entry in history]
     reason = history[-1]["version"]["reason"]
-    assert "stopped at harm: " in reason, reason
+    assert "reverted after a regression: " in reason, reason
     assert "test-upload" in reason, reason
     assert history[-1]["version"]["parts"] == history[0]["version"]["parts"]
     assert len(fleet.served_versions().get(1, set())) <= 5, "more than two stages went by it"
--- a/tests/test_consensus_model.py
+++ b/tests/test_consensus_model.py
@@ -1,4 +1,4 @@
-"""Model checking of three voters; ``harness/consensus_model.py`` has the model, its faults and invariants."""
+"""Model checking of three voters; ``harness/consensus_model.py`` has the model and its invariants."""
 
 from __future__ import annotations
 
@@ -20,22 +20,24 @@
     assert 2 in chosen
 
 
-@pytest.mark.parametrize("fault", ["dies", "old disk", "no disk", "write", "twice"])
-def test_two_concurrent_claims_choose_one_state_with_two_faults_of_a_kind(fault):
+@pytest.mark.parametrize(
+    "fault", ["restart", "old disk copy", "empty disk", "failed write", "duplicate datagram"]
+)
+def test_two_concurrent_claims_choose_one_state_under_two_faults(fault):
     states, chosen = search(TWO_CLAIMS, (fault,), 2)
     assert states > 5_000
     assert 2 in chosen
 
 
 def test_a_membership_change_and_a_concurrent_claim_choose_one_state():
-    plan = {0: ChangeMembership(1, 2, 502), 1: ClaimLeadership(1, 2)}
-    states, chosen = search(plan, ("no disk", "dies"), 2)
+    commands_by_rank = {0: ChangeMembership(1, 2, 502), 1: ClaimLeadership(1, 2)}
+    states, chosen = search(commands_by_rank, ("empty disk", "restart"), 2)
     assert states > 5_000
     assert 2 in chosen
 
 
 class ForgetfulVoter(Voter):
-    """Accepts and stores nothing of it: the next promise has nothing accepted."""
+    """Responds that it accepted a state, but does not store that: its next promise reports none."""
 
     def _on_accept(self, sender, message, state):
         super()._on_accept(sender, message, state)
@@ -45,7 +47,7 @@
 
 
 class SelfOverrulingVoter(Voter):
-    """Its proposer continues whatever its acceptor has promised since; the search found this once."""
+    """Its proposer ignores what its acceptor has promised since, a fault that the search once found."""
 
     def _start_accept(self, now, attempt):
         promised = min(self.voter_state.promised, attempt.ballot)
@@ -54,14 +56,14 @@
 
 
 class TrustingVoter(Voter):
-    """Continues with any disk."""
+    """Votes again with any disk, even if others have seen later votes of its store."""
 
     def _on_vote_count(self, sender, _message):
         self._check_responses[sender] = True
 
 
 class PromiscuousVoter(Voter):
-    """Accepts what it promised not to."""
+    """Accepts a state under an earlier ballot than it has promised."""
 
     def _on_accept(self, sender, message, state):
         own = self.voter_state
@@ -71,22 +73,22 @@
 
 
 @pytest.mark.parametrize(
-    ("broken", "faults", "max_faults"),
+    ("broken_voter", "faults", "max_faults"),
     [
         (ForgetfulVoter, (), 0),
         (PromiscuousVoter, (), 0),
         (SelfOverrulingVoter, (), 0),
-        (TrustingVoter, ("old disk",), 1),
+        (TrustingVoter, ("old disk copy",), 1),
     ],
 )
-def test_a_broken_voter_violates_agreement(broken, faults, max_faults):
+def test_the_search_detects_a_voter_that_violates_agreement(broken_voter, faults, max_faults):
     with pytest.raises(InvariantViolationError, match="Q1"):
-        search(TWO_CLAIMS, faults, max_faults, broken, bound=400_000)
+        search(TWO_CLAIMS, faults, max_faults, broken_voter, bound=400_000)
 
 
-def test_a_leader_without_fencing_violates_it(monkeypatch):
-    plan = {0: StopRollout(1, 7, "a command of the first term"), 1: ClaimLeadership(1, 2)}
-    search(plan, ("dies",), 1)
+def test_the_search_detects_that_commands_are_not_fenced_by_their_term(monkeypatch):
+    commands_by_rank = {0: StopRollout(1, 7, "a command of the first term"), 1: ClaimLeadership(1, 2)}
+    search(commands_by_rank, ("restart",), 1)
     monkeypatch.setattr(commands, "_require_term", lambda _state, _term: None)
     monkeypatch.setattr(
         StopRollout,
@@ -94,4 +96,4 @@
         lambda _self, state: commands._next_state(state, latest_number=state.latest_number + 1),
     )
     with pytest.raises(InvariantViolationError, match="fencing"):
-        search(plan, ("dies",), 1)
+        search(commands_by_rank, ("restart",), 1)
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -20,13 +20,13 @@
 
 
 def poll(gateway: Dissemination, now: int) -> tuple[int, messages.GossipRequest]:
-    """Return the request of the next gossip round, with its receiver."""
+    """Return the request of the next poll, with the rank of its receiver."""
     send = gateway.tick(now)[0]
     assert isinstance(send.message, messages.GossipRequest)
     return send.rank, send.message
 
 
-def test_a_gateway_without_a_state_serves_once_a_majority_of_voters_has_none():
+def test_a_gateway_without_a_state_serves_once_most_voters_have_none():
     gateway = dissemination()
     assert gateway.rejection_reason(0)
     now = 0
@@ -39,53 +39,58 @@
     assert gateway.rejection_reason(now + 3 * SECOND)
 
 
-def test_the_lease_counts_from_the_request_however_late_the_response():
+def test_the_lease_counts_from_the_request_however_late_the_response_is():
     gateway = dissemination()
-    gateway.learn_state(3, "name", 0)
+    gateway.learn_state(3, "hash 3", 0)
     gateway.set_running(True)
     assert gateway.rejection_reason(2 * SECOND) == ""
-    assert gateway.rejection_reason(2 * SECOND + 1) == "the rules are not confirmed any more"
+    assert gateway.rejection_reason(2 * SECOND + 1) == "no quorum confirms the version any more"
     _, request = poll(gateway, 10 * SECOND)
-    response = messages.GossipResponse(request.nonce, 3, "name", SECOND)
-    gateway.receive(20 * SECOND, 0, response)  # it was buffered meanwhile
+    response = messages.GossipResponse(request.nonce, 3, "hash 3", SECOND)
+    gateway.receive(20 * SECOND, 0, response)  # the response was delayed by 10 s
     assert gateway.rejection_reason(20 * SECOND)
     assert gateway.rejection_reason(11 * SECOND) == ""
     _, request = poll(gateway, 20 * SECOND)
-    gateway.receive(20 * SECOND, 0, messages.GossipResponse(request.nonce ^ 1, 3, "name", 0))
-    assert gateway.rejection_reason(20 * SECOND), "a response to no request of ours does not count"
+    gateway.receive(20 * SECOND, 0, messages.GossipResponse(request.nonce ^ 1, 3, "hash 3", 0))
+    assert gateway.rejection_reason(20 * SECOND), "a response to a request that was not sent must not count"
 
 
-def test_a_gateway_behind_its_target_serves_until_its_own_lease_ends():
+def test_a_gateway_behind_its_target_serves_until_its_lease_is_over():
     gateway = dissemination()
-    gateway.learn_state(3, "name", 0)
+    gateway.learn_state(3, "hash 3", 0)
     gateway.set_running(True)
-    gateway.learn_state(4, "later", SECOND)
+    gateway.learn_state(4, "hash 4", SECOND)
     gateway.set_running(False)
     gateway.record_confirmation(3 * SECOND)
     assert gateway.rejection_reason(2 * SECOND) == ""
-    assert gateway.rejection_reason(3 * SECOND) == "other rules are wanted, which are not here yet"
+    assert (
+        gateway.rejection_reason(3 * SECOND)
+        == "another version is assigned to this gateway and not adopted yet"
+    )
     gateway.set_running(True)
     assert gateway.rejection_reason(4 * SECOND) == ""
 
 
-def test_a_restarted_gateway_serves_by_its_target_alone():
+def test_a_restarted_gateway_serves_only_by_its_target_version():
     gateway = dissemination()
-    gateway.learn_state(3, "name", SECOND)
+    gateway.learn_state(3, "hash 3", SECOND)
     gateway.set_running(False)
-    assert gateway.rejection_reason(SECOND) == "other rules are wanted, which are not here yet"
+    assert (
+        gateway.rejection_reason(SECOND) == "another version is assigned to this gateway and not adopted yet"
+    )
 
 
-def test_a_later_state_is_fetched_and_hinted_to_two_gateways_at_any_fleet_size():
+def test_a_later_state_is_fetched_and_two_gateways_get_a_hint():
     gateway = Dissemination(4, 340, (0, 1, 2), 2 * SECOND, SECOND // 2, random.Random(1))
-    gateway.learn_state(3, "name", 0)
+    gateway.learn_state(3, "hash 3", 0)
     _, request = poll(gateway, SECOND)
-    assert gateway.receive(SECOND, 7, messages.GossipResponse(request.nonce, 5, "new", 100)) == [
-        FetchState(7, "new", 5, SECOND - 100)
+    assert gateway.receive(SECOND, 7, messages.GossipResponse(request.nonce, 5, "hash 5", 100)) == [
+        FetchState(7, "hash 5", 5, SECOND - 100)
     ]
-    hints = gateway.learn_state(5, "new", SECOND - 100)
+    hints = gateway.learn_state(5, "hash 5", SECOND - 100)
     assert len(hints) == 2
     assert all(isinstance(send.message, messages.NewStateHint) for send in hints)
-    assert gateway.learn_state(5, "new", None) == []
+    assert gateway.learn_state(5, "hash 5", None) == []
 
 
 BALLOT = Ballot(1 << 40, 399, 1 << 53)
@@ -114,5 +119,5 @@
 
 
 @given(st.binary(max_size=256))
-def test_arbitrary_datagrams_are_decoded_without_an_error(data):
+def test_decoding_an_arbitrary_datagram_raises_no_error(data):
     messages.decode(data)
--- a/tests/test_new_leader.py
+++ b/tests/test_new_leader.py
@@ -1,4 +1,4 @@
-"""A new leader: what it says of a rollout before the gateways have reported to it."""
+"""What the status of a rollout shows before all gateways have reported to a new leader."""
 
 from __future__ import annotations
 
@@ -22,31 +22,33 @@
 from orchidlane.rollout.voter_state import VoterStart, VoterState
 
 
-# Guards against "1 of 9 run it" followed by "0 of 9": the leader had died and the next one had no reports.
+# Guards against "1 of 9 run it" followed by "0 of 9": the leader had died, and the new leader, which had not
+# received any reports yet, counted the gateways without a report as not running the version.
 @pytest.mark.parametrize(
-    ("heard", "words"),
+    ("reported", "expected"),
     [
         (0, "at least 0 of 3 run it, 3 not heard of"),
         (2, "at least 2 of 3 run it, 1 not heard of"),
         (3, "3 of 3 run it"),
     ],
 )
-def test_a_leader_that_has_not_heard_of_all_gateways_says_so(heard, words):
+def test_a_leader_without_the_reports_of_all_gateways_says_so(reported, expected):
     status = golden_status()
     version = status.rollout_version
     gateways = tuple(
         GatewayStatus(rank, version.number, version.number, last_seen_us_ago=1, running_for_us=1)
-        if rank < heard
+        if rank < reported
         else GatewayStatus(rank)
         for rank in range(3)
     )
     request = CommandRequest(version.proposal_id, "propose", 0)
     progress = proposal_progress(request, msgspec.structs.replace(status, gateways=gateways))
-    assert words in progress.line
-    assert ("not heard of" in progress.line) == (heard < 3)
+    assert expected in progress.line
+    assert ("not heard of" in progress.line) == (reported < 3)
 
 
-# Guards against "0 of 0 run it": a gateway that does not lead has no list of gateways in its status.
+# Guards against "0 of 0 run it": the status of a gateway that does not lead has no list of gateways, and the
+# command computed an exact count from that.
 def test_a_status_without_a_list_of_gateways_gives_no_exact_count():
     status = golden_status()
     request = CommandRequest(status.rollout_version.proposal_id, "propose", 0)
@@ -55,8 +57,9 @@
     assert re.search(r"(?<!at least )\b\d+ of \d+ run it", line) is None, line
 
 
-# Guards against reports of an earlier term: they tell what gateways ran before another one led.
-def test_a_voter_that_claims_to_lead_again_forgets_the_reports_of_its_earlier_term():
+# Guards against decisions by outdated reports: those of an earlier term show what the gateways ran before
+# another voter led in between.
+def test_a_voter_that_claims_again_drops_the_reports_of_its_earlier_term():
     rollout = RolloutSettings(8 * SECOND, 20 * SECOND, StagingSettings(0, 2, None, (), ()))
     settings = LeadershipSettings(SECOND // 10, SECOND, rollout)
     start = VoterStart(0, VoterState(100), None, first_state(), random.Random(1), 0)
--- a/tests/test_rollback.py
+++ b/tests/test_rollback.py
@@ -1,4 +1,4 @@
-"""Reverting edits of descriptions and customers' files, also below later edits."""
+"""Reverting edits of descriptions and customers' files, also after later edits."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     )
 
 
-def test_reverting_an_edit_that_was_edited_again_is_a_conflict():
+def test_reverting_an_edit_whose_operation_was_edited_again_is_a_conflict():
     first = with_cost(DESCRIPTION, b"readCurve", 7)
     second = with_cost(first, b"readCurve", 8)
     with pytest.raises(
@@ -39,24 +39,25 @@
 
 def test_reverting_removes_added_operations_and_restores_removed_ones():
     start = DESCRIPTION.index(b"  /sheets/latest:")
-    without = DESCRIPTION[:start] + DESCRIPTION[DESCRIPTION.index(b"  /tests/{test}:") :]
-    later = with_cost(without, b"readSheet", 5)
-    reverted = operation_costs(revert_description_edit(DESCRIPTION, without, later))
+    without_latest = DESCRIPTION[:start] + DESCRIPTION[DESCRIPTION.index(b"  /tests/{test}:") :]
+    later = with_cost(without_latest, b"readSheet", 5)
+    reverted = operation_costs(revert_description_edit(DESCRIPTION, without_latest, later))
     assert reverted["readLatest"] == operation_costs(DESCRIPTION)["readLatest"]
     assert reverted["readSheet"] == 5
     later = with_cost(DESCRIPTION, b"readSheet", 5)
-    assert "readLatest" not in operation_costs(revert_description_edit(without, DESCRIPTION, later))
+    assert "readLatest" not in operation_costs(revert_description_edit(without_latest, DESCRIPTION, later))
 
 
 def customers(**plans: str) -> bytes:
+    """Return a customers' file; ``c1="basico"`` is customer 1 with that plan."""
     entries = [{"id": int(key[1:]), "plan": plan, "keys": []} for key, plan in plans.items()]
     return msgspec.json.encode({"customers": entries})
 
 
-def test_customers_are_reverted_one_by_one():
+def test_edits_of_different_customers_are_reverted_independently():
     before, after = customers(c1="basico"), customers(c1="basico", c2="basico")
-    now = customers(c1="amplio", c2="basico")
-    assert msgspec.json.decode(revert_customers_edit(before, after, now)) == msgspec.json.decode(
+    latest = customers(c1="amplio", c2="basico")
+    assert msgspec.json.decode(revert_customers_edit(before, after, latest)) == msgspec.json.decode(
         customers(c1="amplio")
     )
     with pytest.raises(RollbackConflictError, match="edited again since: 2"):
--- a/tests/test_rollout_scenarios.py
+++ b/tests/test_rollout_scenarios.py
@@ -1,4 +1,4 @@
-"""Rollouts under random faults, one scenario for each seed; see ``simulation/rollout_scenarios.py``."""
+"""Rollouts under random faults, one scenario per seed; see ``simulation/rollout_scenarios.py``."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
     440,
     516,
     530,
-)  # without convergence once: see docs/rollout.md
+)  # seeds with which the gateways once did not converge to one version: see docs/rollout.md
 SEEDS = sorted({*range(1, int(os.environ.get("CHANGE_SEEDS", "48")) + 1), *REGRESSION_SEEDS})
 RULES = (MATERIALS / "openapi.yaml").read_bytes()
 CUSTOMERS = (MATERIALS / "customers.json").read_bytes()
 
 
 def describe_edit(edit: int) -> bytes:
-    """The description with a cost of its own for each edit; -1: one that can't be used."""
+    """Return a description whose cost depends on the number of the edit; an invalid one for -1."""
     if edit < 0:
         return b"openapi: [\n"
     return RULES.replace(b"{class: sheet-read, cost: 2}", b"{class: sheet-read, cost: %d}" % (2 + edit))
@@ -76,8 +76,8 @@
     run(RolloutScenario(7, 4, 3, faults=frozenset([kind])))
 
 
-def test_the_checker_finds_gateways_that_serve_a_reverted_version(monkeypatch):
-    """Gateways that ignore their lease are detected."""
+def test_the_checker_detects_gateways_that_serve_a_reverted_version(monkeypatch):
+    """Gateways that serve after their lease is over violate an invariant."""
 
     def run_seeds() -> None:
         for seed in range(20):
--- a/tests/test_shard_migration.py
+++ b/tests/test_shard_migration.py
@@ -1,4 +1,4 @@
-"""Migration of customers to other replica sets: never more tokens than the ceiling's one bucket holds."""
+"""Migration of customers to other replica sets: the shares never exceed the ceiling's token bucket."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from orchidlane.rollout.shard_migration import migration_files
 
 GATEWAYS, REPLICA_SET_SIZE, CUSTOMER = 6, 3, 7
-OLD_SET, HELD, NEW_SET = range(3)  # phases of a gateway
-REPLICA_SET_START = {OLD_SET: 0, HELD: 3, NEW_SET: 3}
+OLD_SET, SUSPENDED, NEW_SET = range(3)  # phases of a gateway in a migration
+REPLICA_SET_START = {OLD_SET: 0, SUSPENDED: 3, NEW_SET: 3}
 
 
 class MigratingFleet:
-    """Six gateways in their phases of one migration; a customer with a ceiling requests quota at any."""
+    """Six gateways in a migration of one customer with a ceiling, which requests quota at any of them."""
 
-    def __init__(self, holds_first: bool = True) -> None:
+    def __init__(self, suspends_first: bool = True) -> None:
         plan = dataclasses.replace(CEILING_PLAN, rate=0.0, burst=0.0)
-        self.now, self.holds_first = START_US, holds_first
+        self.now, self.suspends_first = START_US, suspends_first
         changes = {"replica_count": GATEWAYS, "plans": (plan,)}
         self.gateways = [
             Gateway(dataclasses.replace(SETTINGS, replica=rank, **changes), rank, self.now - 60 * SECOND)
@@ -35,26 +35,29 @@
         self.phases = [OLD_SET] * GATEWAYS
         self.plan = plan
         self.granted: list[tuple[int, float]] = []
-        self.number = 0
+        self.request_number = 0
 
     def adopt(self, rank: int) -> None:
-        """Enter the next phase, once all are in the one before; without a hold, the last one at once."""
-        if not self.holds_first:
+        """Enter the next phase once all gateways have reached the present one.
+
+        Without ``suspends_first``, enter the last phase at once.
+        """
+        if not self.suspends_first:
             self.phases[rank] = NEW_SET
-        elif self.phases[rank] < NEW_SET and all(at >= self.phases[rank] for at in self.phases):
+        elif self.phases[rank] < NEW_SET and all(phase >= self.phases[rank] for phase in self.phases):
             self.phases[rank] += 1
-            changed = policy.ReplicaSetChanged(
+            event = policy.ReplicaSetChanged(
                 CUSTOMER, 0, REPLICA_SET_START[self.phases[rank]], REPLICA_SET_SIZE
             )
-            self.gateways[rank].handle(self.now, changed)
+            self.gateways[rank].handle(self.now, event)
 
     def request_quota(self, rank: int, units: float) -> None:
-        """Request quota at a gateway, unless it holds the customer's requests."""
-        if self.phases[rank] == HELD:
+        """Request quota at a gateway, unless the customer is suspended there."""
+        if self.phases[rank] == SUSPENDED:
             return
-        self.number += 1
+        self.request_number += 1
         event = policy.QuotaRequested(
-            self.number, CUSTOMER, 0, 0, units, REPLICA_SET_START[self.phases[rank]], REPLICA_SET_SIZE
+            self.request_number, CUSTOMER, 0, 0, units, REPLICA_SET_START[self.phases[rank]], REPLICA_SET_SIZE
         )
         if any(
             isinstance(action, policy.GrantQuota) for action in self.gateways[rank].handle(self.now, event)
@@ -62,13 +65,14 @@
             self.granted.append((self.now, units))
 
     def worst_excess(self) -> float:
-        """Return the most that was granted beyond what one token bucket holds, over all spans."""
-        remaining, at, worst = self.plan.ceiling_burst, START_US, 0.0
-        for when, units in self.granted:
+        """Return by how many units at most the grants exceeded what one token bucket would have allowed."""
+        remaining, refilled_at, worst = self.plan.ceiling_burst, START_US, 0.0
+        for granted_at, units in self.granted:
             remaining = min(
-                self.plan.ceiling_burst, remaining + self.plan.ceiling_rate * (when - at) / SECOND
+                self.plan.ceiling_burst,
+                remaining + self.plan.ceiling_rate * (granted_at - refilled_at) / SECOND,
             )
-            remaining, at = remaining - units, when
+            remaining, refilled_at = remaining - units, granted_at
             worst = max(worst, -remaining)
         return worst
 
@@ -83,7 +87,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(STEPS)
-def test_shares_of_a_ceiling_stay_within_the_whole_in_any_order_of_steps(steps):
+def test_shares_stay_within_the_ceiling_in_any_order_of_steps(steps):
     fleet = MigratingFleet()
     for action, rank, amount in steps:
         apply_step(fleet, action, rank, amount)
@@ -95,8 +99,8 @@
     if action == "adopt":
         fleet.adopt(rank)
     elif action == "all adopt":
-        for every_rank in range(GATEWAYS):
-            fleet.adopt(every_rank)
+        for each_rank in range(GATEWAYS):
+            fleet.adopt(each_rank)
     elif action == "wait":
         fleet.now += amount * SECOND // 4
     else:
@@ -104,8 +108,8 @@
 
 
 def test_the_check_detects_shares_that_grow_before_others_shrink():
-    """Without the phase in which the customer is held, each gateway follows the new sets by itself."""
-    fleet = MigratingFleet(holds_first=False)
+    """Without the phase in which the customer is suspended, both replica sets have all shares at once."""
+    fleet = MigratingFleet(suspends_first=False)
     for rank in range(REPLICA_SET_SIZE):
         for _ in range(40):
             fleet.request_quota(rank, 0.5)
@@ -124,7 +128,7 @@
     event = policy.RequestArrived(99, CUSTOMER, 0, 0, 1.0, SECOND, 0, REPLICA_SET_SIZE, False)
     (rejection,) = actions_of(fleet.gateways[5].handle(fleet.now, event), policy.RejectRequest)
     assert rejection.over_quota
-    assert rejection.retry_after_us == 0  # it never comes back here
+    assert rejection.retry_after_us == 0  # this gateway will never have quota, so there is no time to wait
 
 
 def test_a_migrated_share_starts_empty_and_fills_at_its_rate():
@@ -139,38 +143,41 @@
     for rank in (3, 4, 5):
         for _ in range(40):
             fleet.request_quota(rank, 0.5)
-    # The shares of three gateways hold the whole burst, but for a rest below one request in each
+    # The three shares hold the whole burst; in each, a remainder smaller than one request is not granted
     granted = sum(units for _, units in fleet.granted)
     assert fleet.plan.ceiling_burst - 1.5 <= granted <= fleet.plan.ceiling_burst
 
 
-def account(first: int, ceiling: bool = True) -> CustomerAssignment:
+def assignment(first_replica: int, ceiling: bool = True) -> CustomerAssignment:
     """Return a customer's assignment to a replica set."""
-    return CustomerAssignment("amplio", first, 3, ceiling)
+    return CustomerAssignment("amplio", first_replica, 3, ceiling)
 
 
 @pytest.mark.parametrize(("share", "stages"), [(1.0, 1), (0.5, 2), (0.25, 4), (0.01, 6)])
-def test_customers_migrate_by_shares_and_each_is_held_before_it_is_served(share, stages):
-    old = {n: account(0) for n in range(16)} | {99: account(0, ceiling=False)}
-    new = {n: account(3) for n in range(16)} | {99: account(3, ceiling=False), 50: account(1)}
-    entries = [{"id": n, "plan": "amplio", "keys": [], "first": one.first_replica} for n, one in new.items()]
+def test_customers_migrate_in_stages_and_are_suspended_first(share, stages):
+    old = {n: assignment(0) for n in range(16)} | {99: assignment(0, ceiling=False)}
+    new = {n: assignment(3) for n in range(16)} | {99: assignment(3, ceiling=False), 50: assignment(1)}
+    entries = [
+        {"id": n, "plan": "amplio", "keys": [], "first": assigned.first_replica}
+        for n, assigned in new.items()
+    ]
     data = json.dumps({"customers": entries}).encode()
-    files = [json.loads(one)["customers"] for one in migration_files(old, new, data, share)]
+    files = [json.loads(file)["customers"] for file in migration_files(old, new, data, share)]
     assert len(files) == 2 * stages
     assert files[-1] == entries
-    before = {n: one.first_replica for n, one in old.items()}
-    held: set[int] = set()
+    before = {n: assigned.first_replica for n, assigned in old.items()}
+    suspended: set[int] = set()
     for number, file in enumerate(files):
-        by_id = {one["id"]: one for one in file}
-        now_held = {n for n, one in by_id.items() if one.get("held")}
+        by_id = {entry["id"]: entry for entry in file}
+        now_suspended = {n for n, entry in by_id.items() if entry.get("held")}
         changed = {n for n in range(16) if by_id[n]["first"] != before[n]}
-        assert changed == now_held if number % 2 == 0 else not changed and not now_held
-        assert len(now_held) <= -(-16 // stages)
-        held |= now_held
+        assert changed == now_suspended if number % 2 == 0 else not changed and not now_suspended
+        assert len(now_suspended) <= -(-16 // stages)
+        suspended |= now_suspended
         before = {n: by_id[n]["first"] for n in by_id}
-    assert held == set(range(16))
+    assert suspended == set(range(16))
 
 
 def test_customers_without_a_ceiling_migrate_at_once():
-    old, new = {1: account(0, ceiling=False)}, {1: account(3, ceiling=False)}
+    old, new = {1: assignment(0, ceiling=False)}, {1: assignment(3, ceiling=False)}
     assert migration_files(old, new, b"x", 0.25) == [b"x"]
