--- a/orchidlane/gateway/control/__init__.py
+++ b/orchidlane/gateway/control/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway is configured with: settings, customers, endpoint list, configuration snapshots."""
+"""The configuration of a gateway: settings, customers, endpoint list, configuration snapshots."""
--- a/orchidlane/gateway/control/configuration.py
+++ b/orchidlane/gateway/control/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that requests are handled by: an immutable snapshot, replaced on each change."""
+"""Configuration snapshots: what requests are handled by, replaced as a whole on each change."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @dataclass
 class ConfigurationSnapshot:
-    """What requests are handled by; replaced as a whole, never changed in place.
+    """The routes, customers and log settings that requests are handled by; never changed in place.
 
-    ``version`` names the fleet's version that it belongs to, "" where the fleet has none.
+    ``version`` is the name of the fleet's configuration version, "" where the fleet has none.
     """
 
     generation: Generation
@@ -26,18 +26,21 @@
 
 
 class ContentError(Exception):
-    """Contents of a fleet version that no snapshot can be built from."""
+    """The contents of a configuration version are not valid, so that no snapshot can be built from them."""
 
 
 def read_source_files(backend: Backend, fleet: FleetSettings) -> tuple[bytes, bytes]:
-    """Read the files of the description and of the customers. Raises OSError."""
+    """Read the API description and the customers' file and return their contents. Raises OSError."""
     return _read(backend, fleet.description), _read(backend, fleet.customers)
 
 
 def build_snapshot(
     description: bytes, customers: bytes, fleet: FleetSettings, number: int, log: Any
 ) -> ConfigurationSnapshot:
-    """Build a snapshot from a description and customers. Raises DescriptionError, CustomersError."""
+    """Build a snapshot from the contents of an API description and a customers' file.
+
+    Raises DescriptionError, CustomersError.
+    """
     generation = build(load_description(description, fleet.description), fleet.description, number)
     directory = load_customers(customers, fleet.customers, fleet)
     return ConfigurationSnapshot(generation, directory, log, fleet.log_requests)
--- a/orchidlane/gateway/control/customers.py
+++ b/orchidlane/gateway/control/customers.py
@@ -1,4 +1,4 @@
-"""Customers: an immutable directory, looked up by the digest of an API key."""
+"""Customers: an immutable directory, looked up by the digest of an API key, by name or by number."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from orchidlane.gateway.control.settings import FleetSettings
 
-CUSTOMER_NUMBER_LIMIT = 1 << 33  # numbers lie below it
-CUSTOMER_NUMBER_DIGITS_LIMIT = 12  # digits are fewer
+CUSTOMER_NUMBER_LIMIT = 1 << 33  # exclusive upper bound of customer numbers
+CUSTOMER_NUMBER_LENGTH_LIMIT = 12  # exclusive upper bound of the decimal digits that are parsed
 HASH_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash
 HASH_SHIFT = 12
 
@@ -19,8 +19,8 @@
 class CustomerRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One entry of the customers' file; ``keys`` are SHA-256 digests in hexadecimal.
 
-    ``replica_set_start`` of -1 leaves the location of the replica set to the customer's number. While
-    ``migrating`` is set, the replica set moves and nothing is served.
+    With a ``replica_set_start`` of -1, the customer's number decides where its replica set starts. While
+    ``migrating`` is set, the replica set is being moved and the customer's requests are not served.
     """
 
     id: int
@@ -32,14 +32,14 @@
 
 
 class CustomersFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The customers' file."""
+    """The contents of the customers' file."""
 
     customers: tuple[CustomerRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer as requests refer to it: its number, plan and replica set."""
+    """A customer's number, plan and replica set, resolved against the fleet's settings."""
 
     number: int
     plan: int
@@ -50,7 +50,7 @@
 
 
 class CustomersError(Exception):
-    """The customers' file is not valid; the message says where and why."""
+    """The customers' file is not valid; the message contains the location and the reason."""
 
 
 class CustomerDirectory:
@@ -74,22 +74,22 @@
         return self._by_number.values()
 
     def by_key(self, key: bytes) -> Customer | None:
-        """Return the customer of an API key as it came with a request."""
+        """Return the customer that has an API key."""
         return self._by_digest.get(hashlib.sha256(key).digest())
 
     def by_name_or_key(self, name: bytes) -> Customer | None:
-        """Return the customer of a name or, failing that, of an API key."""
+        """Return the customer that has a name or, where none has it, that has it as an API key."""
         return self._by_name.get(name) or self.by_key(name)
 
     def by_number(self, digits: bytes) -> Customer | None:
         """Return the customer whose number is given in decimal digits."""
-        if not digits.isdigit() or len(digits) >= CUSTOMER_NUMBER_DIGITS_LIMIT:
+        if not digits.isdigit() or len(digits) >= CUSTOMER_NUMBER_LENGTH_LIMIT:
             return None
         return self._by_number.get(int(digits))
 
 
 class _DirectoryBuilder:
-    """Collects records into a directory and checks that nothing is given twice."""
+    """Builds a directory from records and checks that numbers, names and keys are unique."""
 
     def __init__(self, file: str, fleet: FleetSettings) -> None:
         self.file = file
@@ -100,34 +100,36 @@
         self.by_number: dict[int, Customer] = {}
 
     def add(self, index: int, record: CustomerRecord) -> None:
-        """Add the record at an index of the file. Raises CustomersError."""
+        """Add the record at ``index`` of the file. Raises CustomersError."""
         location = f"{self.file}: customers[{index}]"
         if not 0 <= record.id < CUSTOMER_NUMBER_LIMIT or record.id in self.by_number:
             limit = CUSTOMER_NUMBER_LIMIT - 1
-            raise CustomersError(f"{location}.id: found {record.id}, allowed: once, 0 to {limit}")
+            raise CustomersError(f"{location}.id: found {record.id}, allowed: each number once, 0 to {limit}")
         if record.plan not in self.plans:
             allowed = ", ".join(self.plans)
             raise CustomersError(f"{location}.plan: found {record.plan!r}, allowed: {allowed}")
         customer = make_customer(record, self.fleet, self.plans)
         self.by_number[record.id] = customer
         if record.name and self.by_name.setdefault(record.name.encode(), customer) is not customer:
-            raise CustomersError(f"{location}.name: another customer has it")
+            raise CustomersError(f"{location}.name: another customer has the same name")
         for key in record.keys:
             digest = _parse_digest(key, location)
             if digest in self.by_digest:
-                raise CustomersError(f"{location}.keys: a key that another customer has")
+                raise CustomersError(
+                    f"{location}.keys: found a digest that is already listed, allowed: each digest once"
+                )
             self.by_digest[digest] = customer
 
 
 def load_customers(text: bytes, file: str, fleet: FleetSettings) -> CustomerDirectory:
-    """Parse the text of a customers' file; ``file`` is for messages. Raises CustomersError."""
+    """Parse the text of a customers' file; ``file`` is its path for error texts. Raises CustomersError."""
     try:
         records = msgspec.json.decode(text, type=CustomersFile).customers
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise CustomersError(f"{file}: {error}") from None
     max_customers = fleet.resource_limits.max_customers
     if len(records) > max_customers:
-        raise CustomersError(f"{file}: {len(records)} customers, allowed: {max_customers}")
+        raise CustomersError(f"{file}: found {len(records)} customers, allowed: at most {max_customers}")
     builder = _DirectoryBuilder(file, fleet)
     for index, record in enumerate(records):
         builder.add(index, record)
@@ -135,7 +137,10 @@
 
 
 def make_customer(record: CustomerRecord, fleet: FleetSettings, plans: list[str]) -> Customer:
-    """Place a customer's replica set: its plan says how many gateways, its number or record where."""
+    """Return the customer of a record.
+
+    The plan gives the size of the replica set; the record or, by a hash, the number gives its first gateway.
+    """
     count = len(fleet.gateways)
     size = min(fleet.plans[record.plan].replica_set_size or count, count)
     start = record.replica_set_start
@@ -150,5 +155,5 @@
     except ValueError:
         digest = b""
     if len(digest) != hashlib.sha256().digest_size:
-        raise CustomersError(f"{location}.keys: not the 64 hexadecimal digits of a SHA-256 digest")
+        raise CustomersError(f"{location}.keys: found no SHA-256 digest, allowed: 64 hexadecimal digits each")
     return digest
--- a/orchidlane/gateway/control/endpoint_list.py
+++ b/orchidlane/gateway/control/endpoint_list.py
@@ -1,10 +1,11 @@
-"""The endpoint list: watch events put into the order that the policy relies on. Does no I/O.
-
-The list is a stream of JSON lines. A ``whole`` event replaces the list, a ``changes`` event adds to it; each
-has the list's epoch and a version that grows within it. A list that went back in version would bring removed
-endpoints back (rule 3), so events out of order are not applied: an older version of the same epoch is
-ignored, and changes of another epoch, or after a gap, make the watch start again from a complete list. A
-complete list of a new epoch is applied even if it is empty: it says that every endpoint is gone.
+"""The endpoint list: applies watch events and passes them on to the policy in order. Does no I/O.
+
+The watch is a stream of JSON lines. A ``whole`` event replaces the list, a ``changes`` event changes some of
+its endpoints; each has the list's epoch and a version that increases within the epoch. An older version would
+bring removed endpoints back, to which nothing may be sent (rule 3), so events out of order are not applied:
+an older version of the same epoch is ignored, and changes of another epoch, or after a gap, make the watch
+start again from a complete list. A complete list of a new epoch is applied even if it is empty: then every
+endpoint is gone.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class EndpointRecord(msgspec.Struct, frozen=True):
-    """One endpoint; ``started_at_us`` is microseconds of the time of day, 0 means long ago."""
+    """One endpoint; ``started_at_us`` is microseconds since the Unix epoch, 0 where it started long ago."""
 
     address: str
     state: Literal["ready", "draining", "gone"] = msgspec.field(name="phase")
@@ -37,7 +38,7 @@
 
 
 class WatchEvent(msgspec.Struct, frozen=True):
-    """One line of the watch; ``base_version`` is the version that changes add to."""
+    """One line of the watch; ``base_version`` is the list version that a ``changes`` event applies to."""
 
     kind: Literal["whole", "changes"]
     epoch: str
@@ -47,7 +48,7 @@
 
 
 class CachedEndpointList(msgspec.Struct, frozen=True):
-    """The list as it is cached on disk for a restart."""
+    """The list as it is cached on disk, for the start after an exit."""
 
     format: int
     epoch: str
@@ -56,7 +57,10 @@
 
 
 class TransferredEndpointList(msgspec.Struct, frozen=True):
-    """The list as a hot restart hands it to the new process."""
+    """The list as the old process of a hot restart transfers it to the new one.
+
+    ``numbers`` has the number of each zone and cell, so that the policy's state stays valid.
+    """
 
     epoch: str
     version: int
@@ -65,12 +69,12 @@
 
 
 class WatchEventError(Exception):
-    """A watch event that can't be applied: the watch has to start again from a complete list."""
+    """A watch event can't be applied; the watch has to start again from a complete list."""
 
 
 @dataclass
 class EndpointListTracker:
-    """The current list; ``zone`` is the gateway's own, which gets number 0."""
+    """The current endpoint list; ``zone`` is the gateway's own zone, which gets number 0."""
 
     zone: str
     max_endpoints: int
@@ -84,7 +88,7 @@
         self._zone_number(self.zone)
 
     def apply_line(self, line: bytes) -> policy.EndpointListReceived | None:
-        """Apply a watch event; return the policy's event, None where it is ignored.
+        """Apply a line of the watch; return the event for the policy, None where the line is ignored.
 
         Raises WatchEventError.
         """
@@ -106,7 +110,7 @@
 
     def _apply_changes(self, event: WatchEvent, same_epoch: bool) -> policy.EndpointListReceived | None:
         if not same_epoch or event.base_version > self.version:
-            raise WatchEventError("changes to a list that is not known")
+            raise WatchEventError("the changes apply to a list version that this gateway does not have")
         if event.version == self.version:
             self.ignored_events += 1
             return None
@@ -121,22 +125,22 @@
 
     def _check_size(self, size: int) -> None:
         if size > self.max_endpoints:
-            raise WatchEventError(f"{size} endpoints, allowed: {self.max_endpoints}")
+            raise WatchEventError(f"{size} endpoints in the list, allowed: {self.max_endpoints}")
 
     def state(self, endpoint: bytes) -> str:
-        """Return the latest known state of an endpoint: ready, draining or gone."""
+        """Return an endpoint's latest known state: ready, draining or gone."""
         record = self.endpoints.get(endpoint.decode())
         return record.state if record else "gone"
 
     def encode_cache(self) -> bytes:
-        """Return the list as ``load_cache`` reads it."""
+        """Return the list in the form that ``load_cache`` reads."""
         cached = CachedEndpointList(CACHE_FORMAT, self.epoch, self.version, tuple(self.endpoints.values()))
         return msgspec.json.encode(cached)
 
     def load_cache(self, text: bytes) -> policy.EndpointListReceived | None:
-        """Start with a cached list; return the policy's event, None where the cache can't be read.
+        """Load a cached list; return the event for the policy, None where the cache is not valid.
 
-        The version is not restored: the first complete list of the service is applied, older or newer.
+        The version is not restored, so that the first complete list is applied, whether older or newer.
         """
         try:
             cached = msgspec.json.decode(text, type=CachedEndpointList)
@@ -148,7 +152,7 @@
         return self._policy_event(policy.EndpointListKind.CACHED, cached.endpoints)
 
     def export_state(self) -> dict[str, object]:
-        """Return what a new process needs to continue with this list."""
+        """Return what the new process of a hot restart needs to continue with this list."""
         return {
             "epoch": self.epoch,
             "version": self.version,
@@ -157,7 +161,7 @@
         }
 
     def import_state(self, exported: dict[str, object]) -> None:
-        """Continue with the list of another process of this gateway. Raises msgspec.ValidationError."""
+        """Load the list that the old process of a hot restart exported. Raises msgspec.ValidationError."""
         transferred = msgspec.convert(exported, TransferredEndpointList)
         self.epoch = transferred.epoch
         self.version = transferred.version
@@ -184,11 +188,11 @@
         return self._number("zone:" + zone)
 
     def _number(self, name: str) -> int:
-        """Return the stable number of a zone or cell, at most twice as many as endpoints."""
+        """Return the stable number of a zone or cell; at most twice ``max_endpoints`` are given."""
         number = self._numbers.get(name)
         if number is None:
             if len(self._numbers) > 2 * self.max_endpoints:
-                raise WatchEventError("too many zones and cells")
+                raise WatchEventError("too many zones and cells, allowed: twice as many as endpoints")
             number = len(self._numbers)
             self._numbers[name] = number
         return number
@@ -198,4 +202,4 @@
     try:
         return msgspec.json.decode(line, type=WatchEvent)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise WatchEventError(f"not a line of an endpoint list: {error}") from None
+        raise WatchEventError(f"not a valid line of the endpoint list: {error}") from None
--- a/orchidlane/gateway/control/endpoint_watch.py
+++ b/orchidlane/gateway/control/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Watches the endpoint list: one long HTTP response with a JSON line for each watch event."""
+"""Watches the endpoint list: one long-lived HTTP response with a JSON line for each watch event."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class EndpointWatch:
-    """Keeps a tracker up to date; ``notify`` is called with each event for the policy."""
+    """Keeps the endpoint list up to date and cached; ``notify`` is called with each event for the policy."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._cached_digest = b""
 
     def load_cache(self) -> None:
-        """Start with the cached list, if there is one that can be read."""
+        """Load the cached list, if there is a valid one."""
         text = self.loop.backend.read_file(self.cache_path) if self.cache_path else None
         if text is None:
             return
@@ -56,16 +56,16 @@
             self.notify(event)
 
     def run(self) -> None:
-        """Watch the list for ever, with backoff after failures; meanwhile the list stays as it is."""
+        """Watch the list indefinitely, with backoff after failures, during which the list stays unchanged."""
         delay_us = MIN_RETRY_DELAY_US
         while True:
-            began = self.loop.now()
+            started_at = self.loop.now()
             try:
                 self._watch()
             except (EventLoopError, ProtocolError, LineTooLongError, WatchEventError):
                 self.failures += 1
                 self.notify(policy.EndpointListReceived(policy.EndpointListKind.FAILED, 0, ()))
-            lasted_us = self.loop.now() - began
+            lasted_us = self.loop.now() - started_at
             delay_us = (
                 MIN_RETRY_DELAY_US
                 if lasted_us > MAX_RETRY_DELAY_US
@@ -92,7 +92,7 @@
         return http1.request_head("GET", target.encode(), headers)
 
     def run_cache_writer(self) -> None:
-        """Write the list to the cache for ever, whenever it has changed: background work."""
+        """Write the list to the cache whenever it has changed, indefinitely (a background task)."""
         while True:
             self.loop.sleep(CACHE_INTERVAL_US)
             if self.cache_path and self.tracker.endpoints:
--- a/orchidlane/gateway/control/policy_settings.py
+++ b/orchidlane/gateway/control/policy_settings.py
@@ -12,7 +12,7 @@
 
 
 def policy_settings(fleet: FleetSettings, rank: int, generation: Generation) -> policy.Settings:
-    """Return the policy's settings for the gateway of a rank, with the description's classes."""
+    """Return the policy's settings for the gateway with a rank, with the request classes of a generation."""
     endpoints = fleet.endpoints
     reports = endpoints.load_report_names
     return policy.Settings(
--- a/orchidlane/gateway/control/settings.py
+++ b/orchidlane/gateway/control/settings.py
@@ -1,7 +1,8 @@
-"""The settings of a fleet, as typed records.
+"""The settings of a fleet as typed records.
 
 A record's fields have the code's names; ``name=`` gives the key that settings files use where it differs.
-The schema of the files, with defaults and bounds, is ``schema.cue``. Durations are in microseconds, sizes in
+The schema of the files, with defaults and limits, is ``schema.cue``; ``#Name`` in a docstring is its
+definition there. Durations are in microseconds, sizes in
 bytes.
 """
 
@@ -15,7 +16,7 @@
 
 
 class Ceiling(msgspec.Struct, frozen=True):
-    """``#Ceiling``: a hard limit above a customer's quota, in units."""
+    """``#Ceiling``: a hard limit above a customer's quota; units, and units per second for ``rate``."""
 
     rate: float
     burst: float
@@ -31,12 +32,12 @@
     price: float
     over_quota_credit: float = msgspec.field(name="beyond_earns")
     over_quota_charge: float = msgspec.field(name="beyond_costs")
-    replica_set_size: int = msgspec.field(name="spread")  # 0: all gateways
+    replica_set_size: int = msgspec.field(name="spread")  # 0 for all gateways
     ceiling: Ceiling | None = None
 
 
 class GatewayEntry(msgspec.Struct, frozen=True):
-    """``#Gateway``: the addresses of one gateway; its rank is its place in the list."""
+    """``#Gateway``: the addresses of one gateway; its rank is its index in the list."""
 
     name: str
     listen: str
@@ -47,7 +48,7 @@
 
 
 class EndpointSettings(msgspec.Struct, frozen=True):
-    """``#Nodes``: where the endpoint list is and how endpoints start, drain and report load."""
+    """``#Nodes``: the endpoint list service, and how endpoints start, drain and report load."""
 
     list_address: str = msgspec.field(name="list")
     drain_grace_us: Duration = msgspec.field(name="drain_grace")
@@ -68,7 +69,7 @@
 
 
 class ResourceLimits(msgspec.Struct, frozen=True):
-    """``#Bounds``: what one gateway holds at most."""
+    """``#Bounds``: resource limits of one gateway."""
 
     max_connections: int = msgspec.field(name="connections")
     max_requests_in_flight: int = msgspec.field(name="open")
@@ -86,7 +87,7 @@
 
     @property
     def max_endpoint_connections(self) -> int:
-        """Connections to all endpoints together: each may have as many as it may."""
+        """Maximum connections to all endpoints together: the limit of one endpoint times their number."""
         return self.max_endpoints * self.max_connections_per_endpoint
 
 
@@ -106,22 +107,22 @@
 
     @property
     def first_request_us(self) -> int:
-        """0: a new client may be silent for as long as one between two requests."""
+        """0: a new client may be silent for as long as a client between two requests."""
         return 0
 
     @property
     def endpoint_reuse_delay_us(self) -> int:
-        """0: endpoints answer once, so a connection is reused at once."""
+        """0: endpoints send one response to a request, so a connection can be reused at once."""
         return 0
 
     @property
     def error_delay_us(self) -> int:
-        """0: an error response leaves at once."""
+        """0: an error response is sent at once."""
         return 0
 
     @property
     def min_client_idle_us(self) -> int:
-        """0: any idle client may be closed to make room."""
+        """0: any idle client connection may be closed to make room for a new one."""
         return 0
 
 
@@ -153,18 +154,18 @@
 
     @property
     def total_timeout_us(self) -> int:
-        """How long one hot restart may take in all, the start of the new process included."""
+        """The longest time of a whole hot restart, with the start of the new process."""
         return int(self.transfer_timeout_us) + int(self.probation_us) + PROCESS_START_TIMEOUT_US
 
 
 class AccountStoreSettings(msgspec.Struct, frozen=True):
-    """``#Restart``: the accounts' copy on disk; an interval of 0 turns it off."""
+    """``#Restart``: the copy of the accounts on disk; a write interval of 0 disables it."""
 
     write_interval_us: Duration = msgspec.field(name="every")
 
 
 class RollingUpgradeSettings(msgspec.Struct, frozen=True):
-    """``#Roll``: how much of the fleet one batch of an upgrade may hold."""
+    """``#Roll``: limits on each batch of a rolling upgrade."""
 
     max_share: float = msgspec.field(name="share")
     max_replica_set_share: float = msgspec.field(name="set_share")
@@ -190,11 +191,11 @@
 
 
 class FleetSettings(msgspec.Struct, frozen=True):
-    """``#Fleet``: everything that a settings file says."""
+    """``#Fleet``: the whole of a settings file."""
 
     description: str
     customers: str
-    state_directory: str = msgspec.field(name="state")  # "": nothing is written
+    state_directory: str = msgspec.field(name="state")  # "" where nothing is stored
     gateways: tuple[GatewayEntry, ...]
     plans: dict[str, Plan]
     endpoints: EndpointSettings = msgspec.field(name="nodes")
--- a/orchidlane/gateway/control/settings_loader.py
+++ b/orchidlane/gateway/control/settings_loader.py
@@ -1,4 +1,4 @@
-"""Reads settings files and what they refer to: addresses, the hot restart's socket, the shared secret."""
+"""Reads settings files, and the addresses and the shared secret that they refer to."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 MIN_SECRET_BYTES = 16
 MAX_SECRET_FILE_BYTES = 4096
 OTHERS_PERMISSIONS = 0o007
-MAX_UNIX_PATH_BYTES = 107  # unix(7): sun_path less its final zero
+MAX_UNIX_PATH_BYTES = 107  # unix(7): sun_path without the terminating null byte
 
 
 @cache
 def schema_text() -> str:
-    """Return the text of the schema."""
+    """Return the text of the settings schema."""
     return SCHEMA_PATH.read_text()
 
 
 def load_settings(path: str) -> FleetSettings:
-    """Read a settings file; its relative paths are taken from its own directory.
+    """Read a settings file; paths in it are relative to its directory.
 
     Raises ConfigError where the settings are not valid, OSError where the file can't be read.
     """
@@ -43,18 +43,18 @@
 
 
 def parse_settings(text: str, file: str) -> FleetSettings:
-    """Parse the text of a settings file; ``file`` is for messages. Raises ConfigError."""
+    """Parse the text of a settings file; ``file`` is its path for error texts. Raises ConfigError."""
     return config.load(text, file, schema_text(), "#Fleet", FleetSettings)
 
 
 def parse_host_port(text: str) -> Address:
-    """Split ``host:port``, which the schema has checked."""
+    """Parse ``host:port``, whose form the schema has checked."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 def hot_restart_address(fleet: FleetSettings, entry: GatewayEntry) -> Address | None:
-    """Return the Unix socket of a gateway's hot restart, None without a state directory.
+    """Return the address of a gateway's Unix socket for hot restarts, None without a state directory.
 
     Raises ValueError where the path is too long for a Unix socket.
     """
@@ -69,14 +69,14 @@
 
 
 def read_secret(path: str) -> bytes:
-    """Read the fleet's key for datagrams.
+    """Read the secret that authenticates the fleet's datagrams.
 
-    Raises ValueError where it is too short or other users may read it, OSError where it can't be read.
+    Raises ValueError where it is too short or other users have access to it, OSError where it can't be read.
     """
     with open(path, "rb") as file:
         if os.fstat(file.fileno()).st_mode & OTHERS_PERMISSIONS:
-            raise ValueError(f"{path}: others may read this secret; take their rights off it")
+            raise ValueError(f"{path}: other users have access to this secret, allowed: owner and group only")
         secret = file.read(MAX_SECRET_FILE_BYTES).strip()
     if len(secret) < MIN_SECRET_BYTES:
-        raise ValueError(f"{path}: a secret has at least {MIN_SECRET_BYTES} bytes")
+        raise ValueError(f"{path}: the secret is too short, allowed: at least {MIN_SECRET_BYTES} bytes")
     return secret
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -11,11 +11,11 @@
 NOW, SECOND = 1_000_000_000, 1_000_000
 
 
-def line(kind="whole", version=1, epoch="e", after=0, **phases) -> bytes:
-    """Encode a watch event with endpoints by name and phase."""
+def line(kind="whole", version=1, epoch="e", after=0, **states) -> bytes:
+    """Encode a watch event; ``states`` are endpoints' states by name, "n" and the port."""
     entries = [
-        {"address": f"127.0.0.1:{name[1:]}", "phase": phase, "zone": "z", "cell": "c"}
-        for name, phase in phases.items()
+        {"address": f"127.0.0.1:{name[1:]}", "phase": state, "zone": "z", "cell": "c"}
+        for name, state in states.items()
     ]
     return msgspec.json.encode(
         {"kind": kind, "epoch": epoch, "version": version, "after": after, "nodes": entries}
--- a/tests/test_json_stream.py
+++ b/tests/test_json_stream.py
@@ -1,4 +1,4 @@
-"""Objects of a JSON stream are split however their bytes arrive."""
+"""The JSON object splitter, which reads the endpoint list watch."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from orchidlane.gateway.control.json_stream import JsonObjectSplitter, LineTooLongError
 
-LINES = [
+EVENTS = [
     {"generation": 41, "reset": True, "instances": [instance(1), instance(2, "leaving")]},
     {"generation": 42, "reset": False, "instances": [{**instance(3), "zone": 'a "}{" \\ b'}]},
     {"generation": 43, "reset": False, "instances": []},
@@ -27,15 +27,15 @@
 )
 def test_objects_are_split_however_their_bytes_arrive(indents, sizes, data):
     text = b""
-    for line, indent in zip(LINES, indents, strict=True):
-        text += json.dumps(line, indent=indent).encode() + data.draw(
+    for event, indent in zip(EVENTS, indents, strict=True):
+        text += json.dumps(event, indent=indent).encode() + data.draw(
             st.sampled_from([b"\n", b"\r\n", b"\n\n"])
         )
     splitter, objects = JsonObjectSplitter(1 << 20), []
     for size in [*sizes, len(text)]:
         objects += splitter.feed(text[:size])
         text = text[size:]
-    assert [json.loads(data) for data in objects if data.strip()] == LINES
+    assert [json.loads(data) for data in objects if data.strip()] == EVENTS
 
 
 def test_blank_lines_are_reported_between_objects_and_not_within():
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("piece", [b"x", b"{\n"])
-def test_input_without_an_end_is_too_long(piece):
+def test_a_line_or_object_without_an_end_is_rejected(piece):
     splitter = JsonObjectSplitter(100)
 
     def feed_pieces() -> None:
