--- a/orchidlane/gateway/forwarding/__init__.py
+++ b/orchidlane/gateway/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarding: one pending request, its attempts over pooled connections, and the policy that decides."""
+"""Forwarding: pending requests, their attempts over pooled connections, and the driver of the policy."""
--- a/orchidlane/gateway/forwarding/attempt.py
+++ b/orchidlane/gateway/forwarding/attempt.py
@@ -1,13 +1,15 @@
-"""Attempts: a request is sent to one endpoint, and the policy is notified of the outcome, truthfully.
-
-connection refused or not made in time               not connected
-nothing written                                      never sent
-a complete head of a response                        what the protocol says (``EndpointAdapter.outcome``)
-a reset or an end after a byte was sent              broken, possibly executed
-no response in time after a byte was sent            timed out
-
-A reset before the last byte of a request counts as the protocol has it: some endpoints may have executed half
-a request, others never do.
+"""Attempts: send a request to one endpoint and notify the policy of the outcome.
+
+What happened                                        Outcome
+connection refused or not established in time        CONNECT_FAILED
+nothing written                                      NOT_SENT
+complete response head received                      by the protocol (``EndpointAdapter.outcome``)
+connection reset or closed after a byte was sent     CONNECTION_BROKEN: possibly executed
+no response in time after a byte was sent            TIMED_OUT
+
+The outcome of a reset before the last byte of a request depends on the protocol
+(``EndpointAdapter.incomplete_request_outcome``): some endpoints may execute an incomplete request, others
+never do.
 """
 
 from __future__ import annotations
@@ -41,7 +43,7 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended; ``is_reusable`` says whether its connection can be reused."""
+    """The result of an attempt; ``is_reusable`` is whether its connection can carry another request."""
 
     outcome: Outcome
     response: ClientResponse | None = None
@@ -52,7 +54,7 @@
 
 
 class AttemptStarter:
-    """Starts attempts; ``host`` has to be set before the first one."""
+    """Starts attempts; ``policy_driver`` has to be set before the first one."""
 
     def __init__(
         self, loop: EventLoop, limits: GatewayLimits, scope: TaskGroup, endpoints: EndpointAdapter
@@ -60,25 +62,25 @@
         self.loop = loop
         self.scope = scope
         self.endpoints = endpoints
-        self.times = limits.timeouts
+        self.timeouts = limits.timeouts
         self.max_buffered_response_bytes = limits.resource_limits.max_buffered_response_bytes
         self.policy_driver: PolicyDriver
         self.pool = ConnectionPool(loop, limits, scope)
         scope.spawn(self.pool.run_sweeper, priority=BACKGROUND, name="sweep")
 
     def start_attempt(self, request: PendingRequest, number: int, action: policy.SendAttempt) -> None:
-        """Start an attempt in a task of its own."""
+        """Start an attempt in its own task."""
         attempt = Attempt(self, request, number, action)
         self.policy_driver.attempts[request.number, number] = attempt
         attempt.task = self.scope.spawn(attempt.run, priority=request.task.priority, name="attempt")
 
 
 class Attempt:
-    """One attempt from its decision to its outcome.
+    """One attempt, from the policy's decision to send it to its outcome.
 
-    ``was_sent`` is whether a byte may have reached the endpoint, ``is_first_sent`` whether it is the
-    request's first attempt that was possibly executed, ``has_ended`` whether the policy was notified of the
-    outcome.
+    ``was_sent`` is whether a byte may have reached the endpoint, ``is_first_sent_attempt`` whether this is
+    the request's first attempt that was possibly executed, ``is_finished`` whether the policy was notified of
+    the outcome.
     """
 
     def __init__(
@@ -90,15 +92,15 @@
         self.number = number
         self.endpoint = action.endpoint
         self.deadline = action.timeout_at_us or request.deadline
-        self.began = self.loop.now()
+        self.started_at = self.loop.now()
         self.was_sent = False
-        self.is_first_sent = False
-        self.has_ended = False
+        self.is_first_sent_attempt = False
+        self.is_finished = False
         self.load_report: tuple[float, ...] = ()
         self.task: Task
 
     def cancel(self) -> None:
-        """Stop waiting; the endpoint sees its connection closed."""
+        """Stop the attempt's task, which closes the connection to the endpoint."""
         self.loop.cancel(self.task)
 
     def run(self) -> None:
@@ -108,8 +110,8 @@
         except Cancelled:
             if self.loop.process.is_dead:
                 raise
-            if not self.has_ended:
-                self._end(Outcome.CANCELLED if self.was_sent else Outcome.NOT_SENT, None)
+            if not self.is_finished:
+                self._finish(Outcome.CANCELLED if self.was_sent else Outcome.NOT_SENT, None)
             raise
         except Exception as error:
             on_failure = self.starter.policy_driver.on_failure
@@ -117,24 +119,25 @@
                 raise
             on_failure("attempt", error)
             result = AttemptResult(Outcome.CONNECTION_BROKEN) if self.was_sent else NOT_SENT
-        if not self.has_ended:
-            self._end(result.outcome, result.response)
-
-    def _end(self, outcome: Outcome, response: ClientResponse | None) -> None:
-        self.has_ended = True
-        if outcome is Outcome.ENDPOINT_FULL and self.is_first_sent:
-            self.request.first_sent_at = None  # it was not executed: the next attempt counts as the first
-        took_us = self.loop.now() - self.began
+        if not self.is_finished:
+            self._finish(result.outcome, result.response)
+
+    def _finish(self, outcome: Outcome, response: ClientResponse | None) -> None:
+        self.is_finished = True
+        if outcome is Outcome.ENDPOINT_FULL and self.is_first_sent_attempt:
+            # not executed, so the next attempt counts as the first one sent
+            self.request.first_sent_at = None
+        took_us = self.loop.now() - self.started_at
         self.starter.policy_driver.attempt_finished(
             self.request, self.number, self.endpoint, outcome, took_us, self.load_report, response
         )
 
     def _run(self) -> AttemptResult:
         body = self.request.body
-        if not self._is_charged():
+        if not self._charge_units():
             return NOT_SENT
         if not body.is_replayable:
-            return NOT_SENT  # its beginning was dropped after an earlier attempt
+            return NOT_SENT  # the start of the body was dropped after an earlier attempt had read it
         try:
             body.wait_settled(self.deadline)
         except DeadlineExceededError:
@@ -153,12 +156,12 @@
         reason = rejection_reason(self.loop.now(), self._pending_send())
         if reason is not None:
             pool.release_unused(self.endpoint, connection)
-            if reason is RejectionReason.CLIENT_LEFT:  # its server task may not have run since: it waits, too
+            if reason is RejectionReason.CLIENT_LEFT:  # the client's own task may not have run since it left
                 self.starter.policy_driver.client_disconnected(self.request)
             return NOT_SENT
-        return self._run_over(connection)
+        return self._run_on_connection(connection)
 
-    def _run_over(self, connection: EndpointConnection) -> AttemptResult:
+    def _run_on_connection(self, connection: EndpointConnection) -> AttemptResult:
         is_reusable = False
         try:
             result = self._exchange(connection)
@@ -170,8 +173,12 @@
                 self.starter.pool.drop(self.endpoint, connection)
         return result
 
-    def _is_charged(self) -> bool:
-        """Charge a request that was unsent at a hand-over: the new process counts its units first."""
+    def _charge_units(self) -> bool:
+        """Charge the units of a request that was unsent at the hand-over of a hot restart.
+
+        Return False where the new process, which counts the units, did not grant them; such a request is not
+        sent.
+        """
         request = self.request
         remote_quota = self.starter.policy_driver.remote_quota
         if remote_quota is not None and request.was_unsent_at_hand_over and not request.is_charged:
@@ -191,17 +198,17 @@
             self.request.has_client_left(),
         )
 
-    # -- over one connection
+    # -- the exchange over one connection
 
     def _exchange(self, connection: EndpointConnection) -> AttemptResult:
         stream = connection.stream
         sent_before = stream.sent_bytes
-        self.began = self.loop.now()
+        self.started_at = self.loop.now()
         connection.parser.expect_response_to(self.request.head.method)
         connection.has_response_bytes = False
         exchange = EndpointExchange(self.loop, connection, self.request, self.deadline)
         try:
-            was_early = exchange.send(self._request_head())
+            responded_early = exchange.send(self._request_head())
         except DeadlineExceededError:
             self.was_sent = stream.sent_bytes > sent_before
             return self._timed_out_in_send()
@@ -211,7 +218,7 @@
             if not self.was_sent or incomplete is not Outcome.CONNECTION_BROKEN:
                 self.was_sent = False
                 return NOT_SENT if incomplete is Outcome.CONNECTION_BROKEN else AttemptResult(incomplete)
-            was_early = True  # a response may have come before the reset
+            responded_early = True  # a response may have arrived before the reset
         except Cancelled:
             self.was_sent = stream.sent_bytes > sent_before
             self._mark_sent()
@@ -225,8 +232,8 @@
         except (ConnectionClosedError, http1.ProtocolError):
             result = AttemptResult(Outcome.CONNECTION_BROKEN)
         was_lost = not connection.has_response_bytes
-        self.starter.pool.reuse.record(connection.idle_us, was_lost, self.loop.now())
-        return result._replace(is_reusable=False) if was_early else result
+        self.starter.pool.reuse_statistics.record(connection.idle_us, was_lost, self.loop.now())
+        return result._replace(is_reusable=False) if responded_early else result
 
     def _request_head(self) -> bytes:
         time_left_us = max(1, self.deadline - self.loop.now())
@@ -240,8 +247,8 @@
 
     def _mark_sent(self) -> None:
         if self.was_sent and self.request.first_sent_at is None:
-            self.request.first_sent_at = self.began
-            self.is_first_sent = True
+            self.request.first_sent_at = self.started_at
+            self.is_first_sent_attempt = True
 
     def _receive(self, exchange: EndpointExchange) -> AttemptResult:
         endpoints = self.starter.endpoints
@@ -270,10 +277,10 @@
     def _stream(
         self, exchange: EndpointExchange, head: Response, response: ClientResponse, pieces: list[bytes]
     ) -> AttemptResult:
-        """Give the client the response now: the policy is notified that it was served, the rest follows."""
+        """Notify the policy that the request was served, then stream the rest of the body to the client."""
         stream = ResponseStream(self.loop, pieces)
         response.stream = stream
-        self._end(Outcome.SERVED, response)
+        self._finish(Outcome.SERVED, response)
         if self.request.response is not response:
             return AttemptResult(Outcome.SERVED)
         try:
@@ -291,5 +298,5 @@
         return AttemptResult(Outcome.SERVED, None, exchange.finish(head))
 
     def _next_stream_event(self, exchange: EndpointExchange) -> http1.Event:
-        exchange.deadline = self.loop.now() + self.starter.times.body_progress_us
+        exchange.deadline = self.loop.now() + self.starter.timeouts.body_progress_us
         return exchange.next_event()
--- a/orchidlane/gateway/forwarding/call.py
+++ b/orchidlane/gateway/forwarding/call.py
@@ -1,4 +1,4 @@
-"""What a request asks for, in the policy's terms."""
+"""The meaning of a request in the policy's terms: class, customer, units, timeout."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """The meaning of a request's head; ``timeout_us`` counts from the request's begin.
+    """The meaning of a request's head.
 
-    ``class_index`` is the index of the request class in the policy's settings, ``target`` what endpoints are
-    asked for.
+    ``class_index`` is the index of the request class in the policy's settings; ``target`` is the request
+    target that is sent to endpoints; ``timeout_us`` counts from the start of the request.
     """
 
     class_index: int
@@ -29,7 +29,7 @@
 
     @property
     def number(self) -> int:
-        """The customer's number, as in ``QuotaOwner``."""
+        """The customer's number, under the name that ``QuotaOwner`` has for it."""
         return self.customer
 
 
--- a/orchidlane/gateway/forwarding/client_response.py
+++ b/orchidlane/gateway/forwarding/client_response.py
@@ -1,4 +1,4 @@
-"""The final response to a client: complete, or the beginning of a stream."""
+"""The final response to a client, complete or as the start of a stream."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from orchidlane import http1
 from orchidlane.runtime import EventLoop, Task
 
-MAX_STREAM_PIECES = 8  # on their way from the endpoint to the client
+MAX_QUEUED_PIECES = 8  # received from the endpoint and not yet sent to the client
 
 
 class ResponseStream:
@@ -24,15 +24,15 @@
         self._writer: Task | None = None
 
     def put(self, data: bytes) -> None:
-        """Add a piece; waits while the queue is full."""
-        while len(self._queue) >= MAX_STREAM_PIECES and not self.is_broken:
+        """Add a piece of the body; wait while the queue is full."""
+        while len(self._queue) >= MAX_QUEUED_PIECES and not self.is_broken:
             self._writer = self.loop.current
             self.loop.park()
         self._queue.append(data)
         self._wake_reader()
 
     def end(self, broken: bool, trailers: http1.Headers = ()) -> None:
-        """Mark the stream as complete, or as broken: the rest will never come."""
+        """Mark the stream as complete, or as broken where the rest of the body is lost."""
         self._is_complete = True
         self.trailers = trailers
         self.is_broken = self.is_broken or broken
@@ -40,7 +40,7 @@
         self._wake_writer()
 
     def take(self, deadline: int) -> bytes | None:
-        """Wait for the next piece and return it, None at the end. Raises DeadlineExceededError."""
+        """Wait for the next piece and return it, None after the last one. Raises DeadlineExceededError."""
         while not self._queue:
             if self._is_complete or self.is_broken:
                 return None
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class ClientResponse:
-    """A final response; ``kind`` is served, refused or failed, as the metrics have it."""
+    """A final response; ``kind`` is its label in the metrics: served, refused (rejected) or failed."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
--- a/orchidlane/gateway/forwarding/connection_pool.py
+++ b/orchidlane/gateway/forwarding/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to the endpoints: idle ones are reused, and all are bounded."""
+"""Pool of connections to endpoints: idle ones are reused, and their number is bounded."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 )
 
 SWEEP_INTERVAL_US = 1_000_000
-RESPONSE_HEAD_FACTOR = 2  # a response's head may be so many times as long as a request's
+RESPONSE_HEAD_FACTOR = 2  # a response head may be this many times as long as a request head
 
 
 class PoolExhaustedError(Exception):
-    """All connections that the gateway may have are in use; this says nothing about the endpoint."""
+    """The gateway's connections to all endpoints together are at their limit; the endpoint may be healthy."""
 
 
 class EndpointConnection:
     """A connection to an endpoint with its parser.
 
-    ``has_response_bytes`` is whether a byte of a response to the current request came; ``idle_us`` is how
-    long the connection was idle before that request, None for a new one.
+    ``has_response_bytes`` is whether a byte of the response to the current request was received; ``idle_us``
+    is how long the connection was idle before that request, None for a new connection.
     """
 
     __slots__ = ("address", "has_response_bytes", "idle_since", "idle_us", "parser", "stream")
@@ -45,12 +45,12 @@
 
 
 class ConnectionPool:
-    """Connections by endpoint; the one that became idle last is reused first."""
+    """Connections by endpoint; the most recently used idle connection is reused first."""
 
     def __init__(self, loop: EventLoop, limits: GatewayLimits, scope: TaskGroup) -> None:
         resource_limits = limits.resource_limits
         self.loop = loop
-        self.times = limits.timeouts
+        self.timeouts = limits.timeouts
         self.lingering = LingeringConnections(
             loop, scope, limits.timeouts.linger_us, resource_limits.max_lingering_connections
         )
@@ -61,45 +61,45 @@
             max_header_lines=resource_limits.max_request_headers,
         )
         self.open_connections = 0
-        self.reuse = ReuseStatistics(loop.now())
+        self.reuse_statistics = ReuseStatistics(loop.now())
         self._idle: dict[bytes, deque[EndpointConnection]] = {}
-        self._count: dict[bytes, int] = {}
+        self._open_by_endpoint: dict[bytes, int] = {}
 
     def acquire(
         self, endpoint: bytes, address: Address, is_non_idempotent: bool, deadline: int
     ) -> EndpointConnection:
         """Return a connection to the endpoint at its current address, idle or new.
 
-        Raises ConnectionFailedError (also beyond the endpoint's bound), DeadlineExceededError, and
-        PoolExhaustedError beyond the bound of all; then no byte has left.
+        Raises ConnectionFailedError (also at the endpoint's connection limit), DeadlineExceededError, and
+        PoolExhaustedError at the limit for all endpoints together. In each case no byte was sent.
         """
         connection = self._acquire_idle(endpoint, address, is_non_idempotent)
         if connection is not None:
             return connection
-        if self._count.get(endpoint, 0) >= self.max_per_endpoint:
-            raise ConnectionFailedError("as many connections as the settings allow")
-        if self.open_connections >= self.max_total and not self._retire_one():
+        if self._open_by_endpoint.get(endpoint, 0) >= self.max_per_endpoint:
+            raise ConnectionFailedError("the endpoint has as many connections as the settings allow")
+        if self.open_connections >= self.max_total and not self._retire_any_idle():
             raise PoolExhaustedError
-        self._count[endpoint] = self._count.get(endpoint, 0) + 1
+        self._open_by_endpoint[endpoint] = self._open_by_endpoint.get(endpoint, 0) + 1
         self.open_connections += 1
         try:
-            connect_deadline = min(deadline, self.loop.now() + self.times.endpoint_connect_us)
+            connect_deadline = min(deadline, self.loop.now() + self.timeouts.endpoint_connect_us)
             stream = self.loop.backend.connect(address, connect_deadline)
         except BaseException:
-            self._uncount(endpoint)
+            self._count_closed(endpoint)
             raise
         return EndpointConnection(stream, self.parser_limits, address)
 
     def _acquire_idle(
         self, endpoint: bytes, address: Address, is_non_idempotent: bool
     ) -> EndpointConnection | None:
-        times = self.times
-        max_idle_us = times.non_idempotent_idle_us if is_non_idempotent else times.endpoint_idle_us
+        timeouts = self.timeouts
+        max_idle_us = timeouts.non_idempotent_idle_us if is_non_idempotent else timeouts.endpoint_idle_us
         idle = self._idle.get(endpoint)
         while idle and (index := self._latest_reusable(idle)) is not None:
             connection = idle[index]
             if is_non_idempotent and not self._may_reuse(connection, is_non_idempotent):
-                return None  # others may still use it
+                return None  # idempotent requests may still use it
             del idle[index]
             if connection.address == address and self._is_fresh(connection, max_idle_us):
                 connection.idle_us = self.loop.now() - connection.idle_since
@@ -108,19 +108,21 @@
         return None
 
     def _latest_reusable(self, idle: deque[EndpointConnection]) -> int | None:
-        """Return the index of the connection that became idle last, but not just now.
+        """Return the index of the most recently idle connection that is past the reuse delay.
 
-        A second response that comes a little late would be taken for the next request's.
+        Without the delay, a second response that arrives a little late would be matched to the next request.
         """
-        latest = self.loop.now() - self.times.endpoint_reuse_delay_us
-        return next((at for at in range(len(idle) - 1, -1, -1) if idle[at].idle_since <= latest), None)
+        latest_idle_since = self.loop.now() - self.timeouts.endpoint_reuse_delay_us
+        return next(
+            (i for i in range(len(idle) - 1, -1, -1) if idle[i].idle_since <= latest_idle_since), None
+        )
 
     def _may_reuse(self, connection: EndpointConnection, is_non_idempotent: bool) -> bool:
         now = self.loop.now()
-        return self.reuse.may_reuse(now - connection.idle_since, is_non_idempotent, now)
+        return self.reuse_statistics.may_reuse(now - connection.idle_since, is_non_idempotent, now)
 
     def _is_fresh(self, connection: EndpointConnection, max_idle_us: int) -> bool:
-        """Return whether the endpoint has not closed the connection so far."""
+        """Return whether a connection was not idle for too long and was not closed by the endpoint."""
         if self.loop.now() - connection.idle_since > max_idle_us:
             return False
         if not self._may_reuse(connection, is_non_idempotent=False):
@@ -130,8 +132,8 @@
         except ConnectionClosedError:
             return False
 
-    def _retire_one(self) -> bool:
-        """Close an idle connection of any endpoint; return False where none is idle."""
+    def _retire_any_idle(self) -> bool:
+        """Close one idle connection of any endpoint; return False where none is idle."""
         for endpoint, idle in self._idle.items():
             if idle:
                 self.retire(endpoint, idle.popleft())
@@ -139,14 +141,14 @@
         return False
 
     def release(self, endpoint: bytes, connection: EndpointConnection) -> None:
-        """Return a connection that is idle after a complete response."""
+        """Put a connection back into the pool after a complete response."""
         connection.idle_since = self.loop.now()
         self._idle.setdefault(endpoint, deque()).append(connection)
 
     def release_unused(self, endpoint: bytes, connection: EndpointConnection) -> None:
-        """Return a connection to which nothing was written.
+        """Put a connection back into the pool to which nothing was written.
 
-        It keeps its age: the endpoint counts from the last request, or from the connection's begin.
+        Its idle time goes on: the endpoint measures it from the last request, or from the connection's start.
         """
         if connection.idle_us is None:
             self.release(endpoint, connection)
@@ -154,33 +156,36 @@
         insort(self._idle.setdefault(endpoint, deque()), connection, key=_idle_since)
 
     def drop(self, endpoint: bytes, connection: EndpointConnection) -> None:
-        """Close a connection at once, with a request in flight or out of step: this says that we gave up."""
+        """Close a connection at once that can't be reused.
+
+        Where a request is in flight on it, this signals to the endpoint that the gateway gave it up.
+        """
         connection.stream.close()
-        self._uncount(endpoint)
+        self._count_closed(endpoint)
 
     def retire(self, endpoint: bytes, connection: EndpointConnection) -> None:
-        """Close an idle connection in order."""
+        """Close an idle connection with a lingering close."""
         self.lingering.close(connection.stream)
-        self._uncount(endpoint)
+        self._count_closed(endpoint)
 
-    def _uncount(self, endpoint: bytes) -> None:
+    def _count_closed(self, endpoint: bytes) -> None:
         self.open_connections -= 1
-        self._count[endpoint] -= 1
-        if not self._count[endpoint]:
-            del self._count[endpoint]
+        self._open_by_endpoint[endpoint] -= 1
+        if not self._open_by_endpoint[endpoint]:
+            del self._open_by_endpoint[endpoint]
             self._idle.pop(endpoint, None)
 
     def run_sweeper(self) -> None:
-        """Close connections that were idle for long, for ever: background work."""
+        """Close connections that were idle for too long, indefinitely (a background task)."""
         while True:
             self.loop.sleep(SWEEP_INTERVAL_US)
             for endpoint in list(self._idle):
                 idle = self._idle.get(endpoint)
-                while idle and self.loop.now() - idle[0].idle_since > self.times.endpoint_idle_us:
+                while idle and self.loop.now() - idle[0].idle_since > self.timeouts.endpoint_idle_us:
                     self.retire(endpoint, idle.popleft())
 
     def retire_idle(self, endpoint: bytes) -> None:
-        """Close the idle connections of an endpoint that is gone."""
+        """Close the idle connections of an endpoint that has left the endpoint list."""
         idle = self._idle.get(endpoint)
         while idle:
             self.retire(endpoint, idle.popleft())
--- a/orchidlane/gateway/forwarding/endpoint_exchange.py
+++ b/orchidlane/gateway/forwarding/endpoint_exchange.py
@@ -8,15 +8,15 @@
 from orchidlane.http1 import End, Response
 from orchidlane.runtime import ConnectionClosedError, DeadlineExceededError, EventLoop
 
-WRITE_SLICE_US = 50_000  # a write waits so long before an early response is looked for
-MAX_INTERIM_RESPONSES = 64  # before a final one: an endpoint that sends more is broken
-MAX_DRAINED_BYTES = 16_384  # of a body that nobody wants
+WRITE_SLICE_US = 50_000  # a blocked write looks for an early response at this interval
+MAX_INTERIM_RESPONSES = 64  # before a final response; an endpoint that sends more is faulty
+MAX_DRAINED_BYTES = 16_384  # longest body that is read and discarded to reuse its connection
 FIRST_FINAL_STATUS = 200
 CONTINUE = 100
 
 
 class EndpointExchange:
-    """Sends a request and reads its response; everything ends at ``deadline``, a clock time."""
+    """Sends a request and reads its response; gives up at ``deadline``, a time of the loop's clock."""
 
     def __init__(
         self, loop: EventLoop, connection: EndpointConnection, request: PendingRequest, deadline: int
@@ -29,7 +29,7 @@
     # -- the request
 
     def send(self, head: bytes) -> bool:
-        """Send head and body; return True where the endpoint responded before it had all.
+        """Send head and body; return True where the endpoint responded before the request was complete.
 
         Raises DeadlineExceededError, ConnectionClosedError.
         """
@@ -48,7 +48,7 @@
         return body.length is None and self._write(http1.last_chunk(body.trailers))
 
     def _complete_request(self, head: bytes) -> bytes:
-        """Return head and body in one piece: most requests are one write."""
+        """Return head and body in one piece, so that most requests take a single write."""
         body = self.request.body
         parts = [head]
         number = 0
@@ -69,7 +69,7 @@
         return data is not None
 
     def _write(self, data: bytes) -> bool:
-        """Write; return True where the endpoint has begun to respond meanwhile."""
+        """Write ``data``; return True, without writing the rest, once the endpoint starts to respond."""
         stream = self.connection.stream
         while data:
             sent_before = stream.sent_bytes
@@ -88,7 +88,7 @@
     # -- the response
 
     def receive_final_head(self, forwards_interim_responses: bool) -> Response:
-        """Read the head of the final response; pass interim ones to the client where that is wanted.
+        """Read the head of the final response; forward interim responses to the client if asked to.
 
         Raises DeadlineExceededError, ConnectionClosedError, ProtocolError.
         """
@@ -97,10 +97,10 @@
             assert isinstance(event, Response)
             if event.status >= FIRST_FINAL_STATUS:
                 return event
-            # the gateway itself sends 100 to clients; others are forwarded (RFC 9110 section 15.2)
+            # the gateway sends 100 Continue itself and forwards other 1xx responses (RFC 9110 section 15.2)
             if event.status > CONTINUE and forwards_interim_responses:
                 self.request.add_interim_response(event)
-        raise http1.ProtocolError(502, "interim answers without end")
+        raise http1.ProtocolError(502, "too many interim responses before the final response")
 
     def next_event(self) -> http1.Event:
         """Read the next event of the response.
@@ -114,13 +114,15 @@
             parser.receive(data)
             connection.has_response_bytes = connection.has_response_bytes or bool(data)
             if not data and (event := parser.next_event()) is None:
-                raise ConnectionClosedError("the endpoint ended the connection before its response")
+                raise ConnectionClosedError(
+                    "the endpoint closed the connection before its response was complete"
+                )
             if event is not None:
                 return event
         return event
 
     def drain(self, head: Response) -> bool:
-        """Read a short body that nobody wants; return whether the connection can be reused."""
+        """Read and discard a short body; return whether the connection can be reused."""
         if not head.keep_alive or head.body_length is None or head.body_length > MAX_DRAINED_BYTES:
             return False
         while not isinstance(self.next_event(), End):
@@ -128,7 +130,7 @@
         return self.finish(head)
 
     def finish(self, head: Response) -> bool:
-        """Note the response's end; return whether the connection can be reused."""
+        """Prepare the parser for the next response; return whether the connection can be reused."""
         if not head.keep_alive or self.connection.parser.pending_bytes:
             return False
         self.connection.parser.next_message()
--- a/orchidlane/gateway/forwarding/last_check.py
+++ b/orchidlane/gateway/forwarding/last_check.py
@@ -1,8 +1,8 @@
 """The last check before the first byte of an attempt is sent. Does no I/O.
 
-The policy decides at the time of an event; then a connection may take a while to be made, and the process may
-stand still. What was right at the decision can break a rule now. An attempt that may not be sent any more
-ends as never sent, which is true, and the policy decides anew.
+The policy decides at the time of an event; after that, connecting may take a while and the process may be
+paused, so that an attempt that was allowed then would break one of the five rules now. An attempt that may no
+longer be sent finishes as not sent, and the policy decides again.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from orchidlane import policy
 
-WINDOW_MARGIN_US = 30_000  # before a deduplication window ends: for the way to the endpoint
+WINDOW_MARGIN_US = 30_000  # before the end of a deduplication window, for the transfer to the endpoint
 
 
 class RejectionReason(StrEnum):
@@ -27,11 +27,11 @@
 
 
 class PendingSend(NamedTuple):
-    """What is known of an attempt that is about to be sent; times in microseconds.
+    """An attempt that is about to be sent; times are in microseconds of the loop's clock.
 
-    ``endpoint_state`` is ready, draining or gone. ``first_sent_at`` is when the first byte was sent of the
-    request's first attempt that was possibly executed, None where none was. ``has_client_left`` is whether
-    the client's connection has ended, by the state of its socket.
+    ``endpoint_state`` is ready, draining or gone. ``first_sent_at`` is when the request's first attempt that
+    was possibly executed sent its first byte, None where there was none. ``has_client_left`` is whether the
+    client's connection is closed, by the state of its socket.
     """
 
     endpoint_state: str
@@ -43,7 +43,7 @@
 
 
 def rejection_reason(now: int, pending: PendingSend) -> RejectionReason | None:
-    """Return why the attempt may not be sent any more, or None."""
+    """Return why the attempt may no longer be sent, None where it may be."""
     if pending.has_client_left:
         return RejectionReason.CLIENT_LEFT
     if now >= pending.deadline:
--- a/orchidlane/gateway/forwarding/openapi_call.py
+++ b/orchidlane/gateway/forwarding/openapi_call.py
@@ -1,4 +1,4 @@
-"""The call of an operation of an OpenAPI description, read from a request's head."""
+"""Calls of the operations of an OpenAPI description, parsed from request heads."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OperationCall(Call):
-    """A call of one operation by one customer, under a version of the fleet's configuration."""
+    """A call of one operation by one customer; ``version`` is the fleet's configuration version."""
 
     match: Match
     owner: Customer
@@ -25,21 +25,21 @@
 
 
 def operation_call(request: PendingRequest) -> OperationCall:
-    """Return the call of a request to the OpenAPI gateway."""
+    """Return a request's call, which in the OpenAPI gateway is an operation's."""
     assert isinstance(request.call, OperationCall)
     return request.call
 
 
 def api_key(head: Request, match: Match) -> bytes | None:
-    """Return the API key from the first place that the description names and the request fills."""
+    """Return the API key: the first header or query parameter for keys that is set in the request."""
     for name in match.operation.key_headers:
         value = http1.header(head.headers, name)
         if value:
             return _without_scheme(value) if name == b"authorization" else value
-    for wanted in match.operation.key_queries:
+    for key_name in match.operation.key_queries:
         for part in head.target.partition(b"?")[2].split(b"&"):
             name, _, value = part.partition(b"=")
-            if unquote_to_bytes(name) == wanted.encode() and value:
+            if unquote_to_bytes(name) == key_name.encode() and value:
                 return unquote_to_bytes(value.replace(b"+", b" "))
     return None
 
@@ -50,13 +50,13 @@
 
 
 def has_idempotency_key(head: Request, match: Match) -> bool:
-    """Return whether a request has the idempotency key that its operation asks for."""
+    """Return whether a request has an idempotency key, or its operation declares no header for one."""
     name = match.operation.idempotency_header
     return name is None or bool(http1.header(head.headers, name))
 
 
 def endpoint_target(target: bytes, match: Match) -> bytes:
-    """Return the target in the canonical form that was matched, without the customer's API key."""
+    """Return the target with the canonical path that was matched, and without the customer's API key."""
     query = target.partition(b"?")[2]
     key_names = [name.encode() for name in match.operation.key_queries]
     if key_names:
--- a/orchidlane/gateway/forwarding/openapi_clients.py
+++ b/orchidlane/gateway/forwarding/openapi_clients.py
@@ -1,4 +1,4 @@
-"""The clients' side of the OpenAPI gateway: operations and customers, problems as JSON."""
+"""The client side of the OpenAPI gateway: finds operations and customers, and builds error responses."""
 
 from __future__ import annotations
 
@@ -33,14 +33,15 @@
     """Counts final responses."""
 
     def count_response(self, kind: str, class_name: str, took_us: int, /) -> None:
-        """Count a final response, so long after the request's first byte."""
+        """Count a final response, ``took_us`` microseconds after the request's first byte."""
 
 
 class OpenApiClientAdapter:
     """Parses requests by the current snapshot's description and customers.
 
     See ``orchidlane.gateway.forwarding.protocol_adapter.ClientAdapter``. ``reason_not_to_serve`` returns ""
-    while requests may be served. ``on_response`` is called with each final response.
+    while requests may be served. ``on_response`` is called with each request, its final response and the
+    microseconds that it took.
     """
 
     needs_complete_request = False
@@ -62,7 +63,7 @@
         self.reason_not_to_serve = reason_not_to_serve
 
     def parse_request(self, head: Request, in_flight: int) -> Call | ClientResponse:
-        """Return the call of a head, or the response that ends it."""
+        """Return the call of a head, or the response to a request that is not forwarded."""
         snapshot = self.snapshot()
         if reason := self.reason_not_to_serve():
             return problem(503, f"Not served: {reason}. {RETRY_IS_HARMLESS}", RETRY_AFTER_1_S)
@@ -72,9 +73,13 @@
         key = api_key(head, match)
         customer = snapshot.customers.by_key(key) if key is not None else None
         if customer is None:
-            return problem(401, "No key of a customer.", ((b"www-authenticate", b"ApiKey"),))
+            return problem(
+                401,
+                "The request has no API key, or one that belongs to no customer.",
+                ((b"www-authenticate", b"ApiKey"),),
+            )
         if customer.migrating:
-            detail = f"The subscriber's set of gateways is on the move. {RETRY_IS_HARMLESS}"
+            detail = f"The customer's replica set is being moved to other gateways. {RETRY_IS_HARMLESS}"
             return problem(503, detail, RETRY_AFTER_1_S)
         return self._build_call(head, match, customer, snapshot, in_flight)
 
@@ -85,12 +90,12 @@
         request_class = snapshot.generation.classes[operation.class_index]
         needs_key = request_class.idempotency is policy.Idempotency.IDEMPOTENT_WITH_KEY
         if needs_key and not has_idempotency_key(head, match):
-            return problem(400, "This operation needs an idempotency key.")
+            return problem(400, "This operation requires an idempotency key.")
         timeout_us = client_timeout_us(operation, head.headers, request_class.deadline_us)
         if timeout_us is None:
-            return problem(400, "The time to give up after is no whole number of milliseconds.")
+            return problem(400, "The client timeout must be 1 to 999999999, in whole milliseconds.")
         if in_flight >= self.fleet.resource_limits.max_requests_in_flight:
-            return problem(503, "Too many requests under way.", RETRY_AFTER_1_S)
+            return problem(503, "The gateway has too many requests in flight.", RETRY_AFTER_1_S)
         return OperationCall(
             class_index=operation.class_index,
             request_class=request_class,
@@ -107,19 +112,19 @@
         )
 
     def invalid_request(self, status: int, detail: str) -> ClientResponse:
-        """Return a problem."""
+        """Return the error response to a request that is not valid HTTP."""
         return problem(status, detail)
 
     def rejected(self, action: policy.RejectRequest) -> ClientResponse:
-        """Return 429 beyond a quota, else 503."""
+        """Return 429 over the quota, else 503."""
         return error_responses.rejected(action)
 
     def failed(self) -> ClientResponse:
-        """Return 502: an effect can't be ruled out."""
+        """Return 502: the request was possibly executed."""
         return error_responses.failed()
 
     def before_response(self, request: PendingRequest, response: ClientResponse, took_us: int) -> None:
-        """Count, record and log a response; add what is left of the customer's quota."""
+        """Count, record and log a response; add headers with the customer's remaining quota."""
         recorder = self.driver().recorder
         class_name = operation_call(request).match.operation.class_name
         self.metrics.count_response(response.kind, class_name, took_us)
@@ -131,10 +136,10 @@
         _log_response(self.snapshot(), request, response, took_us)
 
     def request_ended(self, request: PendingRequest) -> None:
-        """Do nothing: nothing is kept for a request."""
+        """Do nothing: this adapter keeps no state for a request."""
 
     def _add_quota_headers(self, request: PendingRequest, response: ClientResponse) -> None:
-        """Add the version and the remaining quota (draft-ietf-httpapi-ratelimit-headers), where known."""
+        """Add the configuration version and the remaining quota (draft-ietf-httpapi-ratelimit-headers)."""
         driver = self.driver()
         call = operation_call(request)
         customer = call.owner
@@ -161,7 +166,7 @@
 def _log_response(
     snapshot: ConfigurationSnapshot, request: PendingRequest, response: ClientResponse, took_us: int
 ) -> None:
-    """Log one line for a request if the settings ask for it; never a key, target or body."""
+    """Log one line for a request if ``log_requests`` is set; never log a key, a target or a body."""
     if not snapshot.log_requests:
         return
     call = operation_call(request)
--- a/orchidlane/gateway/forwarding/openapi_endpoints.py
+++ b/orchidlane/gateway/forwarding/openapi_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints' side of the OpenAPI gateway: requests of attempts, outcomes of responses."""
+"""The endpoint side of the OpenAPI gateway: builds requests to endpoints and evaluates their responses."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 MAX_CACHED_OPERATIONS = 20_000
 VIA_PROTOCOL = b"1.1 "
-OWN_HEADER_PREFIX = b"orchidlane-"
+GATEWAY_HEADER_PREFIX = b"orchidlane-"
 BODY_METHODS = ("POST", "PUT", "PATCH")
 NOT_MODIFIED = 304
 
 
 class OpenApiEndpointAdapter:
-    """Sends what a description's operations want; outcomes by the header names of the settings.
+    """Builds request heads by a description's operations; reads responses by the settings' header names.
 
     See ``orchidlane.gateway.forwarding.protocol_adapter.EndpointAdapter``.
     """
@@ -43,7 +43,7 @@
         self._dropped_headers: dict[Operation, frozenset[bytes]] = {}
 
     def address(self, endpoint: bytes) -> Address | None:
-        """Return the endpoint's address, which is its name."""
+        """Return the endpoint's address, which is parsed from its name (host:port)."""
         return parse_host_port(endpoint.decode())
 
     def state(self, endpoint: bytes) -> str:
@@ -53,7 +53,7 @@
     def outcome(self, head: Response) -> Outcome:
         """Return the outcome of a response.
 
-        A 503 with the rejection header did not run; any other 5xx was possibly executed.
+        A request with a 503 and the rejection header was not executed; with any other 5xx it possibly was.
         """
         if head.status < 500:
             return Outcome.SERVED
@@ -61,11 +61,11 @@
         return Outcome.ENDPOINT_FULL if is_rejected else Outcome.ERROR
 
     def _headers_to_drop(self, operation: Operation) -> frozenset[bytes]:
-        """Return the clients' headers that endpoints don't get: keys, and what each hop says for itself."""
+        """Return the client headers that are not forwarded: API keys, and what the gateway itself sets."""
         names = self._dropped_headers.get(operation)
         if names is None:
-            own = (b"content-length", b"host", b"expect", b"via", operation.give_up_header or b"")
-            names = frozenset((*own, *operation.key_headers))
+            set_by_gateway = (b"content-length", b"host", b"expect", b"via", operation.give_up_header or b"")
+            names = frozenset((*set_by_gateway, *operation.key_headers))
             self._dropped_headers[operation] = names
             if len(self._dropped_headers) > MAX_CACHED_OPERATIONS:
                 self._dropped_headers.clear()
@@ -81,7 +81,7 @@
         headers = [
             header
             for header in http1.end_to_end(request.head.headers)
-            if header[0] not in drop and not header[0].startswith(OWN_HEADER_PREFIX)
+            if header[0] not in drop and not header[0].startswith(GATEWAY_HEADER_PREFIX)
         ]
         headers.append((b"host", endpoint))
         client_via = http1.header(request.head.headers, b"via")
@@ -108,7 +108,7 @@
         return ClientResponse(head.status, headers)
 
     def load_report(self, head: Response) -> tuple[float, ...]:
-        """Return the values of ``name=value, ...``; none where one is missing or not a number."""
+        """Parse ``name=value, ...``; return no values where one is missing or not a number."""
         text = http1.header(head.headers, self.load_report_header) if self.load_report_names else None
         if text is None:
             return ()
--- a/orchidlane/gateway/forwarding/policy_driver.py
+++ b/orchidlane/gateway/forwarding/policy_driver.py
@@ -1,4 +1,4 @@
-"""Drives the policy: passes events to it and carries out its actions. Decides nothing itself."""
+"""Drives the policy: passes events to it and carries out its actions, without decisions of its own."""
 
 from __future__ import annotations
 
@@ -15,48 +15,49 @@
 
 
 class RemoteQuota(Protocol):
-    """The new process of a hot restart, which decides on units in this one's place."""
+    """The new process of a hot restart, which grants units in place of the old one."""
 
     def take(self, customer: QuotaOwner, units: float, kind: int) -> bool:
-        """Ask for units and wait for the reply; without one they are not granted."""
+        """Request units and return whether they are granted; without a reply they are not."""
 
 
 class RunningAttempt(Protocol):
     """An attempt that can be cancelled."""
 
     def cancel(self) -> None:
-        """Stop waiting; the endpoint sees its connection closed."""
+        """Stop the attempt, which closes the connection to the endpoint."""
 
 
 class OutcomeCounter(Protocol):
-    """Counts what becomes of requests."""
+    """Counts outcomes of attempts, and malformed requests."""
 
     malformed: int
 
     def count_outcome(self, outcome: policy.Outcome, /) -> None:
-        """Count an attempt that ended."""
+        """Count an attempt that finished."""
 
 
 class EventRecorder(Protocol):
-    """Records what the policy is notified of and what it decides."""
+    """Records the policy's events and actions."""
 
     def record_event(self, now: int, event: policy.Event, actions: list[policy.Action], /) -> None:
-        """Record an event with the policy's actions."""
+        """Record an event with the actions that the policy responded with."""
 
     def record_response(self, request: int, status: int, kind: str, took_us: int, /) -> None:
         """Record a final response."""
 
     def finish(self) -> None:
-        """Write what has gathered: the gateway ends."""
+        """Write what is still buffered; called before the gateway exits."""
 
 
 class PolicyDriver:
-    """The policy of one gateway and the requests that it knows.
+    """The policy of one gateway and its pending requests.
 
-    ``begin`` starts an attempt, ``send_to_peer`` sends bytes to a peer. Neither may feed an event within the
-    call: an action is carried out before the next event. ``on_units_spent`` is called with each customer
-    whose count has just grown, ``on_failure`` with each exception that is contained; without it they are
-    raised. While ``remote_quota`` is set, another process decides on units.
+    ``start_attempt`` starts an attempt, ``send_to_peer`` sends bytes to a peer. Neither may feed an event
+    while it is called: all actions of an event are carried out before the next event. ``on_units_spent`` is
+    called with the number of each customer whose spent units grow. ``on_failure`` is called with the failed
+    part and each exception that is handled here; without it, exceptions are raised. While ``remote_quota`` is
+    set, another process grants units.
     """
 
     def __init__(
@@ -83,9 +84,9 @@
         self.remote_quota: RemoteQuota | None = None
         self.on_units_spent: Callable[[int], None] | None = None
         self.on_failure: Callable[[str, Exception], None] | None = None
-        self._feeding = False
-        self._is_granted: bool | None = None  # the reply to the quota request that is being fed
-        self._quota_customer = -1  # whose request that is
+        self._is_feeding = False
+        self._is_granted: bool | None = None  # the decision on the quota request that is being fed
+        self._quota_customer = -1  # the customer's number of that quota request
 
     def start(self) -> None:
         """Carry out the policy's first actions."""
@@ -98,8 +99,8 @@
 
     def feed(self, event: policy.Event) -> None:
         """Pass an event to the policy and carry out its actions."""
-        assert not self._feeding, "an action fed an event"
-        self._feeding = True
+        assert not self._is_feeding, "an event was fed while the actions of another one are carried out"
+        self._is_feeding = True
         try:
             now = self.loop.now()
             actions = self.gateway.handle(now, event)
@@ -113,17 +114,17 @@
             if isinstance(event, policy.RequestArrived):
                 self._respond(event.request, self.clients.failed())
         finally:
-            self._feeding = False
+            self._is_feeding = False
 
     def next_number(self) -> int:
-        """Return a request number that this gateway has not used yet."""
+        """Return the next unused request number of this gateway."""
         self.last_request_number += 1
         return self.last_request_number
 
     def request_quota(self, customer: QuotaOwner, units: float, class_index: int) -> bool:
-        """Ask for units without forwarding a request.
+        """Request units without forwarding a request; return whether they are granted.
 
-        The policy replies at once; where another process decides, this waits for its reply.
+        The policy decides at once; where another process grants units, this waits for its reply.
         """
         if self.remote_quota is not None:
             return self.remote_quota.take(customer, units, class_index)
@@ -139,13 +140,13 @@
         self._is_granted = None
         self._quota_customer = customer.number
         self.feed(event)
-        assert self._is_granted is not None, "a quota request without a reply"
+        assert self._is_granted is not None, "the policy made no decision on a quota request"
         return self._is_granted
 
-    # -- events of a request
+    # -- events of pending requests
 
     def request_arrived(self, request: PendingRequest, time_left_us: int) -> None:
-        """Notify the policy of a request that was read as far as its head."""
+        """Notify the policy of a request whose head, at least, was read."""
         call = request.call
         self.requests[request.number] = request
         self.feed(
@@ -172,15 +173,15 @@
         load_report: tuple[float, ...] = (),
         response: ClientResponse | None = None,
     ) -> None:
-        """Notify the policy of an attempt's outcome; a response ends the request."""
+        """Notify the policy of an attempt's outcome; a response finishes the request."""
         self.attempts.pop((request.number, attempt), None)
         self.metrics.count_outcome(outcome)
         if response is not None:
             self._finish(request, response)
-        is_answered = request.response is not None or request.client_disconnected
+        is_finished = request.response is not None or request.client_disconnected
         self.feed(
             policy.AttemptFinished(
-                request.number, attempt, endpoint, outcome, took_us, is_answered, 0, 0.0, load_report
+                request.number, attempt, endpoint, outcome, took_us, is_finished, 0, 0.0, load_report
             )
         )
 
@@ -192,13 +193,13 @@
             self.feed(policy.ClientDisconnected(request.number))
 
     def fail_overdue(self, request: PendingRequest) -> None:
-        """End a request whose time is over without a response, whatever has held it up."""
+        """Fail a request that has no response by its deadline, whatever delays it."""
         if request.response is None and not request.client_disconnected:
             self._finish(request, self.clients.failed())
             self.feed(policy.ClientDisconnected(request.number))
 
     def _finish(self, request: PendingRequest, response: ClientResponse) -> None:
-        """Set the final response: the one place that does."""
+        """Set the final response, unless the request is finished. Nothing else may set it."""
         if request.response is None and not request.client_disconnected:
             request.response = response
             self._forget(request)
@@ -218,18 +219,20 @@
                 case policy.SetTimer():
                     self.loop.call_at(self.loop.now() + action.delay_us, self._timer_fired, action.token)
                 case policy.SendPeerMessage():
-                    if self.remote_quota is None:  # peers hear one process of a gateway
+                    if self.remote_quota is None:  # only one process of a gateway sends to peers
                         self.send_to_peer(action.peer, action.body)
                 case policy.GrantQuota() | policy.RejectRequest() | policy.FailRequest():
-                    self._decide(action)
+                    self._carry_out_decision(action)
                 case policy.CancelAttempt():
                     self._cancel_attempt(action)
                 case policy.WatchEndpoints() | policy.FetchEndpoints():
-                    pass  # the endpoint list is watched from the start
+                    pass  # the gateway watches the endpoint list from its start
                 case policy.CheckHealth():
                     raise AssertionError("the settings do not permit health checks")
 
-    def _decide(self, decision: policy.GrantQuota | policy.RejectRequest | policy.FailRequest) -> None:
+    def _carry_out_decision(
+        self, decision: policy.GrantQuota | policy.RejectRequest | policy.FailRequest
+    ) -> None:
         match decision:
             case policy.GrantQuota():
                 self._is_granted = True
@@ -248,7 +251,7 @@
         number = request.attempts
         request.attempts += 1
         self.start_attempt(request, number, action)
-        self.loop.wake(request.task)  # a client that waits for 100 Continue may go on
+        self.loop.wake(request.task)  # sends 100 Continue to a client that waits for it
 
     def _timer_fired(self, token: int) -> None:
         self.feed(policy.TimerFired(token))
@@ -259,7 +262,7 @@
             self._finish(request, response)
 
     def _cancel_attempt(self, action: policy.CancelAttempt) -> None:
-        """Cancel an attempt, also one of a request that has ended."""
+        """Cancel an attempt, even if its request is already finished."""
         attempt = self.attempts.get((action.request, action.attempt))
         if attempt is not None:
             attempt.cancel()
--- a/orchidlane/gateway/forwarding/protocol_adapter.py
+++ b/orchidlane/gateway/forwarding/protocol_adapter.py
@@ -1,8 +1,9 @@
-"""What differs between the protocols that a gateway serves.
+"""Interfaces of the protocol adapters, which hold what differs between the protocols of a gateway.
 
 Forwarding is the same for each protocol: the server reads a request, the policy decides, attempts are made,
-and one response leaves. The adapters say what a head means and how responses are put. The OpenAPI gateway
-(``openapi_adapter.py``) and the operators' platform (``orchidlane.platform``) implement them.
+and one final response is sent. The adapters parse heads and build responses. The OpenAPI gateway
+(``openapi_clients.py``, ``openapi_endpoints.py``) and the operators' platform (``orchidlane.platform``)
+implement them.
 """
 
 from __future__ import annotations
@@ -16,59 +17,62 @@
 
 
 class ResourceLimits(Protocol):
-    """What the server and the attempts hold at most; sizes in bytes."""
+    """Limits on what the server and the attempts hold; sizes in bytes."""
 
     @property
     def max_connections(self) -> int:
-        """Connections of clients."""
+        """Maximum connections of clients."""
 
     @property
     def max_connections_per_endpoint(self) -> int:
-        """Connections to one endpoint."""
+        """Maximum connections to one endpoint."""
 
     @property
     def max_endpoint_connections(self) -> int:
-        """Connections to all endpoints together."""
+        """Maximum connections to all endpoints together."""
 
     @property
     def max_request_line_bytes(self) -> int:
-        """A request's first line."""
+        """Maximum size of a request line."""
 
     @property
     def max_request_head_bytes(self) -> int:
-        """A request's head; a response's may be twice as long."""
+        """Maximum size of a request head; a response head may be twice as long."""
 
     @property
     def max_request_headers(self) -> int:
-        """Header lines of a head."""
+        """Maximum number of header lines in a head."""
 
     @property
     def max_request_body_bytes(self) -> int:
-        """A request's body."""
+        """Maximum size of a request body."""
 
     @property
     def max_replay_bytes(self) -> int:
-        """What is kept of a body for further attempts."""
+        """Maximum size of a request body that is kept for further attempts."""
 
     @property
     def max_buffered_response_bytes(self) -> int:
-        """What is buffered of a response."""
+        """Maximum size of a response body that is buffered."""
 
     @property
     def max_pipelined_bytes(self) -> int:
-        """What is read of a client's further requests while one is in flight."""
+        """Maximum bytes of pipelined requests that are read while a request is in flight."""
 
     @property
     def max_lingering_connections(self) -> int:
-        """Closing connections of clients, and as many of endpoints; beyond it they close at once."""
+        """Maximum connections in a lingering close: this many of clients, and as many of endpoints.
+
+        Beyond it, the connection that has lingered longest is closed at once.
+        """
 
 
 class Timeouts(Protocol):
-    """How long things may take, in microseconds."""
+    """Timeouts in microseconds."""
 
     @property
     def first_request_us(self) -> int:
-        """From a new connection to its first complete request; 0: as any other request."""
+        """From a new connection to its first complete request; 0: the timeouts of any other request apply."""
 
     @property
     def request_head_us(self) -> int:
@@ -80,23 +84,23 @@
 
     @property
     def error_delay_us(self) -> int:
-        """Until the response to a request that is not valid; 0: at once."""
+        """Delay of the response to a request that is not valid; 0: none."""
 
     @property
     def client_idle_us(self) -> int:
-        """Between two requests of a client."""
+        """Between two requests over a client's connection."""
 
     @property
     def min_client_idle_us(self) -> int:
-        """A connection that was idle for less is not closed to make room."""
+        """A client's connection that was idle for less is not closed to make room for a new one."""
 
     @property
     def client_write_us(self) -> int:
-        """A write of a response."""
+        """For one write of a response."""
 
     @property
     def endpoint_connect_us(self) -> int:
-        """Until a connection to an endpoint is made."""
+        """To establish a connection to an endpoint."""
 
     @property
     def endpoint_idle_us(self) -> int:
@@ -104,19 +108,19 @@
 
     @property
     def endpoint_reuse_delay_us(self) -> int:
-        """A connection to an endpoint carries no request sooner after a response."""
+        """From a response to the earliest reuse of its connection."""
 
     @property
     def non_idempotent_idle_us(self) -> int:
-        """As ``endpoint_idle_us``, before a request that is not idempotent."""
+        """Like ``endpoint_idle_us``, for requests that are not idempotent."""
 
     @property
     def response_margin_us(self) -> int:
-        """Taken off the client's timeout for the response's way back."""
+        """Subtracted from the client's timeout for the transfer of the response."""
 
     @property
     def linger_us(self) -> int:
-        """From our end of a connection to its close, unless the other side ends first."""
+        """Longest lingering close, from the gateway's FIN on; it is shorter if the other side closes."""
 
 
 class GatewayLimits(Protocol):
@@ -124,48 +128,51 @@
 
     @property
     def resource_limits(self) -> ResourceLimits:
-        """What is held at most."""
+        """Limits on what the gateway holds."""
 
     @property
     def timeouts(self) -> Timeouts:
-        """How long things may take."""
+        """Timeouts of the steps of a request."""
 
 
 class ClientAdapter(Protocol):
-    """How clients' requests are parsed and answered."""
+    """Parses clients' requests and builds the responses to them."""
 
-    needs_complete_request: bool  # a request begins with its last byte instead of its head
+    needs_complete_request: bool  # the policy is notified of a request at its last byte, not its head
 
     def parse_request(self, head: http1.Request, in_flight: int, /) -> Call | ClientResponse:
-        """Return the call of a head, or the response that ends it; ``in_flight`` counts open requests."""
+        """Return the call of a head, or the response to a request that is not forwarded.
+
+        ``in_flight`` is the number of requests in flight.
+        """
 
     def invalid_request(self, status: int, detail: str, /) -> ClientResponse:
-        """Return the response to what is not a valid request."""
+        """Return the response to a request that is not valid HTTP."""
 
     def rejected(self, action: policy.RejectRequest, /) -> ClientResponse:
-        """Return the response to a request that the policy rejects: a retry is harmless."""
+        """Return the response to a request that the policy rejects; it says that a retry is harmless."""
 
     def failed(self) -> ClientResponse:
         """Return the response to a request that was possibly executed."""
 
     def before_response(self, request: PendingRequest, response: ClientResponse, took_us: int, /) -> None:
-        """Note a response that is about to leave, so long after the request came; may add headers."""
+        """Handle a response, ``took_us`` after its request arrived, before it is sent; may add headers."""
 
     def request_ended(self, request: PendingRequest, /) -> None:
-        """Note the end of a request, whether it was answered or not."""
+        """Handle the end of a request, whether or not it got a response."""
 
 
 class EndpointAdapter(Protocol):
-    """How endpoints are asked, and their responses understood."""
+    """Builds requests to endpoints and evaluates their responses."""
 
     forwards_interim_responses: bool
-    forwards_streams: bool  # a response that is too large to buffer, or has no length, is passed on in pieces
+    forwards_streams: bool  # a response that is too large to buffer is forwarded in pieces
     incomplete_request_outcome: (
         policy.Outcome
-    )  # the connection broke before a request's last byte was written
+    )  # of a connection that closes before the request's last byte is written
 
     def address(self, endpoint: bytes, /) -> Address | None:
-        """Return the endpoint's latest address, None where it has none."""
+        """Return the endpoint's latest address, None where it is unknown."""
 
     def state(self, endpoint: bytes, /) -> str:
         """Return the endpoint's latest known state: ready, draining or gone."""
@@ -173,13 +180,13 @@
     def request_head(
         self, request: PendingRequest, attempt: int, endpoint: bytes, time_left_us: int, /
     ) -> bytes:
-        """Return the head of an attempt that is given up after ``time_left_us``."""
+        """Return the request head of an attempt, which is given up after ``time_left_us``."""
 
     def outcome(self, head: http1.Response, /) -> policy.Outcome:
         """Return the outcome of a final response."""
 
     def load_report(self, head: http1.Response, /) -> tuple[float, ...]:
-        """Return the endpoint's load report; empty where there is none that is valid."""
+        """Return the endpoint's load report; empty where there is none or it is not valid."""
 
     def client_response(self, request: PendingRequest, head: http1.Response, /) -> ClientResponse:
-        """Return the client's response, without the body, which follows."""
+        """Return the response to the client, whose body is added later."""
--- a/orchidlane/gateway/forwarding/request_body.py
+++ b/orchidlane/gateway/forwarding/request_body.py
@@ -1,4 +1,4 @@
-"""The body of a client's request, kept for further attempts as far as a bound allows."""
+"""The body of a client's request, kept for further attempts up to a size limit."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class RequestBody:
-    """A body as it arrives: kept up to ``max_replay_bytes`` for further attempts, beyond it passed on once.
+    """A body as it arrives: up to ``max_replay_bytes`` it is kept for further attempts.
 
-    One task adds pieces, one attempt at a time reads them. ``is_replayable`` ends when a piece is dropped.
-    ``length`` is None where the request does not tell it.
+    Of a larger body, pieces are dropped once an attempt has read them, and ``is_replayable`` becomes False.
+    One task adds pieces, one attempt at a time reads them. ``length`` is None for a chunked body.
     """
 
     def __init__(self, loop: EventLoop, max_replay_bytes: int, length: int | None) -> None:
@@ -31,16 +31,16 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no more can be added for now."""
+        """Whether the body is at its size limit, so that no piece can be added now."""
         return self._kept_bytes >= self.max_replay_bytes
 
     @property
     def is_settled(self) -> bool:
-        """Whether an attempt may begin: the body is complete, or as much of it as is kept."""
+        """Whether an attempt may start: the body is complete, or at its size limit."""
         return self.is_complete or self.is_full
 
     def add(self, data: bytes) -> None:
-        """Add a piece."""
+        """Add a piece of the body."""
         self._pieces.append(data)
         self._kept_bytes += len(data)
         self._wake_reader()
@@ -58,7 +58,7 @@
             self.loop.wake(task)
 
     def wait_settled(self, deadline: int) -> None:
-        """Wait until an attempt may begin. Raises DeadlineExceededError."""
+        """Wait until an attempt may start. Raises DeadlineExceededError."""
         while not self.is_settled:
             self._wait(deadline)
 
@@ -72,7 +72,8 @@
     def piece(self, number: int, deadline: int) -> bytes | None:
         """Wait for piece ``number`` and return it, None after the last one. Raises DeadlineExceededError.
 
-        Pieces are read in order. Once more has come than is kept, those that were read are dropped.
+        Pieces have to be read in order. While the body is at its size limit and not complete, pieces before
+        ``number`` are dropped.
         """
         self._read_pieces = max(self._read_pieces, number)
         self._drop_read_pieces()
@@ -94,5 +95,5 @@
             self.loop.wake(task)
 
     def wake_when_not_full(self, task: Task) -> None:
-        """Wake the task once more can be added."""
+        """Wake the task once a piece can be added."""
         self._writer = task
--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -1,4 +1,4 @@
-"""One gateway in a simulated backend, with endpoints that do exactly what a test says."""
+"""One gateway in a simulated backend, with endpoints whose behaviour each test defines."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def fleet(**changes) -> FleetSettings:
-    """Return the example's settings with a plan of high limits and some changes, by the keys of files."""
+    """Return the example's settings with high limits for one plan and with changes by settings keys."""
     settings = parse_settings(SETTINGS, "fleet.cue")
     high_limits = msgspec.structs.replace(settings.plans["basico"], rate=1_000.0, burst=3_000.0)
     settings = msgspec.structs.replace(settings, plans={**settings.plans, "basico": high_limits})
@@ -37,7 +37,7 @@
 
 
 def replace_settings(record: msgspec.Struct, changes: dict[str, Any]) -> Any:
-    """Return a settings record with some keys changed; a dict changes keys of the record that is there."""
+    """Return a settings record with changes by settings keys; a dict changes keys of a nested record."""
     fields = {field.encode_name: field.name for field in msgspec.structs.fields(record)}
     values = {}
     for key, value in changes.items():
@@ -48,42 +48,45 @@
 
 
 class GatewayHarness:
-    """The backend of one test: ``handlers`` serve the endpoints' connections, one handler for each."""
+    """One gateway and its endpoints: each of ``handlers`` serves the connections of one endpoint.
 
-    def __init__(self, *handlers, racks: list[str] | None = None, seed: int = 1, **changes) -> None:
+    ``cells`` are the cells of the endpoints, by default the same one; ``changes`` are to the settings.
+    """
+
+    def __init__(self, *handlers, cells: list[str] | None = None, seed: int = 1, **changes) -> None:
         self.backend = SimulatedBackend(
             seed, NetworkFaults(delay_us=(100, 200), slow_probability=0.0, datagram_loss_probability=0.0)
         )
         self.loop = EventLoop(self.backend)
         self.fleet = fleet(**changes)
         self.handlers = handlers
-        self.racks = racks or ["r"] * len(handlers)
-        self.seen: list[tuple[int, bytes]] = []  # endpoint, method and target of a request that it read
+        self.cells = cells or ["r"] * len(handlers)
+        self.seen: list[tuple[int, bytes]] = []  # endpoint index, and method and target of each request read
         digest = hashlib.sha256(KEY).hexdigest()
         text = b'{"customers":[{"id":1,"plan":"basico","keys":["%s"]}]}' % digest.encode()
         self.customers = load_customers(text, "customers.json", self.fleet)
         self.program: GatewayProcess
-        self.list: FakeDiscovery
+        self.fake_discovery: FakeDiscovery
 
     @classmethod
     def run_test(cls, *handlers, test, **changes) -> Self:
-        """Run one test on a harness with these endpoints and settings; return the harness."""
+        """Run ``test`` on a new harness with these endpoints and settings; return the harness."""
         harness = cls(*handlers, **changes)
         harness.run(test)
         return harness
 
     def run(self, test) -> None:
-        """Run ``test(harness)`` once the gateway knows its endpoints."""
+        """Run ``test(harness)`` once the gateway has received its endpoint list."""
         self.loop.run(self._run, test)
 
     def _run(self, test) -> None:
-        self.list = FakeDiscovery(self.loop, ("127.0.0.1", 8300), (1 * MS, 2 * MS), lambda _: None)
+        self.fake_discovery = FakeDiscovery(self.loop, ("127.0.0.1", 8300), (1 * MS, 2 * MS), lambda _: None)
         with TaskGroup(self.loop) as scope:
             self.scope = scope
-            scope.spawn(self.list.serve, priority=CONTROL)
+            scope.spawn(self.fake_discovery.serve, priority=CONTROL)
             for index in range(len(self.handlers)):
                 scope.spawn(self._serve, index)
-                self.set_phase(index, "ready")
+                self.set_endpoint_state(index, "ready")
             self.start()
             self.loop.sleep(300 * MS)
             test(self)
@@ -91,7 +94,7 @@
             self.backend.kill(self.process)
 
     def start(self, rank: int = 0) -> None:
-        """Start the gateway as a process of its own."""
+        """Start the gateway in its own process."""
         self.process = self.backend.start("gw-0", self._gateway, rank)
 
     def _gateway(self, rank: int) -> None:
@@ -103,10 +106,12 @@
         """Return the address at which an endpoint listens."""
         return "127.0.0.1", 9000 + index
 
-    def set_phase(self, index: int, phase: str, launched: int = 0) -> None:
-        """Set the phase of an endpoint in the endpoint list."""
-        node = EndpointRecord(f"127.0.0.1:{9000 + index}", phase, "hall-1", self.racks[index], launched)
-        self.list.set_endpoint(f"node-{index}", node)
+    def set_endpoint_state(self, index: int, state: str, started_at_us: int = 0) -> None:
+        """Set the state of an endpoint in the endpoint list: ready, draining or gone."""
+        record = EndpointRecord(
+            f"127.0.0.1:{9000 + index}", state, "hall-1", self.cells[index], started_at_us
+        )
+        self.fake_discovery.set_endpoint(f"node-{index}", record)
 
     def _serve(self, index: int) -> None:
         listener = self.backend.listen(self.address(index))
@@ -115,9 +120,9 @@
                 stream = listener.accept()
             except ConnectionClosedError:
                 return
-            self.scope.spawn(self._connection, index, stream)
+            self.scope.spawn(self._serve_connection, index, stream)
 
-    def _connection(self, index: int, stream) -> None:
+    def _serve_connection(self, index: int, stream) -> None:
         try:
             self.handlers[index](self, index, stream)
         except Exception:
@@ -149,13 +154,13 @@
         return self.backend.connect(("127.0.0.1", 8080))
 
     def ask(self, raw: bytes, wait: int = 8 * SECOND) -> tuple[int, http1.Headers, bytes]:
-        """Send a request on its own connection; return status (0: no answer), headers and body."""
+        """Send a request on a new connection; return status (0 for no response), headers and body."""
         stream = self.connect()
         stream.send(raw)
         return self.answer(stream, raw.split(b" ")[0].decode("latin-1"), wait)
 
     def answer(self, stream, method: str = "GET", wait: int = 8 * SECOND, parser=None):
-        """Read the next final answer on a connection, like ``ask``."""
+        """Read the next final response on a connection; return the same as ``ask``."""
         parser = parser or http1.ResponseParser()
         parser.expect_response_to(method)
         deadline = self.loop.now() + wait
@@ -182,7 +187,7 @@
 
 
 def request(method: str, target: str, headers: str = "", body: bytes = b"", length: bool = True) -> bytes:
-    """Encode a request with the customer's key."""
+    """Encode a request with the customer's API key."""
     lines = f"{method} {target} HTTP/1.1\r\nHost: g\r\nX-Api-Key: {KEY.decode()}\r\n{headers}"
     if body and length:
         lines += f"Content-Length: {len(body)}\r\n"
@@ -208,6 +213,6 @@
 
 
 def silent(harness: GatewayHarness, index: int, stream) -> None:
-    """Read a request and never answer."""
+    """Read a request and never respond."""
     harness.read_request(index, stream)
     harness.loop.sleep(60 * SECOND)
--- a/tests/harness/race_harness.py
+++ b/tests/harness/race_harness.py
@@ -1,7 +1,7 @@
-"""A platform's gateway over real connections, on which tests force the order of events.
+"""A platform gateway over real connections, with helpers to force the order of events.
 
-All parties are tasks of one event loop in one process: what a test sends without waiting has arrived at the
-gateway's machine before the gateway runs again.
+All parties are tasks of one event loop in one process: bytes that a test sends without waiting are in the
+gateway's socket buffer before the gateway runs again.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from orchidlane.runtime import ConnectionClosedError
 
 CLOSE = "Connection: close"
-UNREAD_BYTES = b"x" * 100_000  # more than the gateway reads ahead, less than its machine takes
+UNREAD_BYTES = b"x" * 100_000  # more than the gateway reads ahead, less than its socket buffer holds
 
 
 run = RealPlatformHarness.run_test
 
 
-def responds_when_told(harness, index, stream):
-    """Respond once the test sets ``harness.answer_now``."""
+def responds_when_allowed(harness, index, stream):
+    """Respond once the test sets ``harness.may_respond``."""
     while True:
         harness.read_request(index, stream)
-        harness.until(lambda: harness.answer_now)
+        harness.until(lambda: harness.may_respond)
         stream.send(OK)
 
 
@@ -37,53 +37,56 @@
 
 
 def read_to_end(harness, stream) -> bytes:
-    """Return all bytes up to an orderly close. Raises ConnectionClosedError for a reset."""
-    found = b""
+    """Return all bytes up to an orderly close. Raises ConnectionClosedError on a reset."""
+    received = b""
     while data := stream.recv(deadline=harness.loop.now() + 5 * SECOND):
-        found += data
-    return found
+        received += data
+    return received
 
 
 def endpoint_streams(harness) -> list:
     """Return the gateway's connections to endpoints."""
     streams = harness.backend.descriptors()
-    return [one for one in streams if getattr(one, "peer", ("", 0)) == (harness.at, 9000)]
+    return [stream for stream in streams if getattr(stream, "peer", ("", 0)) == (harness.at, 9000)]
 
 
 def send_what_fits(stream, data: bytes) -> None:
-    """Send as much as the connection takes without a wait."""
-    while data and (done := stream.try_send(data)):
-        data = data[done:]
+    """Send as much as the socket buffers take without waiting."""
+    while data and (sent_bytes := stream.try_send(data)):
+        data = data[sent_bytes:]
 
 
 class Gate:
-    """Delays connections to endpoints, from the ``first`` on, after they were made and before their use."""
+    """Delays new connections to endpoints until ``open``, from the one with index ``first`` on.
+
+    They are delayed after they are established and before the gateway uses them.
+    """
 
     def __init__(self, harness, first: int = 0) -> None:
         self.harness, self.first = harness, first
-        self.made, self.is_open = 0, False
+        self.connection_count, self.is_open = 0, False
         self.waiting: list = []
         self.connect, harness.backend.connect = harness.backend.connect, self
 
-    def __call__(self, to, deadline=None):
-        """Connect, and wait for ``open`` where the connection is to be delayed."""
-        stream = self.connect(to, deadline)
-        if to[1] >= 9000:
-            self.made += 1
-            if self.made > self.first and not self.is_open:
+    def __call__(self, address, deadline=None):
+        """Connect, then wait for ``open`` if the connection is to be delayed."""
+        stream = self.connect(address, deadline)
+        if address[1] >= 9000:
+            self.connection_count += 1
+            if self.connection_count > self.first and not self.is_open:
                 self.waiting.append(self.harness.loop.current)
                 self.harness.loop.park(deadline)
         return stream
 
     def open(self) -> None:
-        """Let the waiting tasks go on before anything that arrives from now on is read."""
+        """Wake the waiting tasks, before bytes that arrive from now on are read."""
         self.is_open = True
         for task in self.waiting:
             self.harness.loop.wake(task)
 
 
 def idle_client(harness):
-    """Return a client that was served and is idle for long enough to be closed for capacity."""
+    """Return a client that was served and then idle for long enough to be closed to make room."""
     client = harness.connect()
     client.send(call())
     assert harness.answer(client)[0] == 200
--- a/tests/harness/single_gateway.py
+++ b/tests/harness/single_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway process with the example's files, and what it logged."""
+"""One real gateway process, run with a copy of the example's files, and its log."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from harness.constants import MATERIALS
 from orchidlane.simulation.loopback_addresses import free_ports
 
-EXAMPLE_PORTS = (8080, 8180, 8280, 8300, 8380)  # of the first gateway, and of the endpoint list
-LOG_READS = 600
+EXAMPLE_PORTS = (8080, 8180, 8280, 8300, 8380)  # of the first gateway and of the endpoint list service
+MAX_LOG_READS = 600
 LOG_READ_INTERVAL_SECONDS = 0.02
 EXIT_TIMEOUT_SECONDS = 10
 RECEIVE_BYTES = 1 << 16
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayFiles:
-    """The example's files in a folder of the test, with ports that nothing else uses."""
+    """A copy of the example's files in a folder of the test, with ports that no other process uses."""
 
     folder: Path
     http_port: int
@@ -65,7 +65,7 @@
 
 
 class SingleGateway:
-    """A gateway process; at the end of its context it is killed."""
+    """A gateway process; it is killed when its context exits."""
 
     def __init__(self, files: GatewayFiles, max_descriptors: int | None = None) -> None:
         self.files = files
@@ -91,13 +91,16 @@
         self.kill()
 
     def kill(self) -> None:
-        """Kill the process, if it runs, and wait for its end."""
+        """Kill the process, if it is running, and wait until it has exited."""
         self.process.kill()
         self.process.wait()
 
     def wait_until_logged(self, event: str) -> str:
-        """Wait until an event is logged and return the log. Raises AssertionError after 12 s or its end."""
-        for _ in range(LOG_READS):
+        """Wait until an event is logged and return the log.
+
+        Raises AssertionError after 12 s, or once the process has exited without the event.
+        """
+        for _ in range(MAX_LOG_READS):
             if f'"event": "{event}"' in self.log.read_text():
                 return self.log.read_text()
             if self.process.poll() is not None:
@@ -106,7 +109,7 @@
         raise AssertionError(self.log.read_text())
 
     def wait_until_exited(self) -> int:
-        """Wait for the end of the process and return its exit code."""
+        """Wait until the process has exited and return its exit code."""
         return self.process.wait(EXIT_TIMEOUT_SECONDS)
 
     def get(self, path: str) -> bytes:
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -62,21 +62,21 @@
     test(EventLoop(RealBackend(1)), *arguments)
 
 
-HELD_BACK = connection_races.test_a_client_that_leaves_behind_pipelined_bytes_is_detected
-CONNECTS = connection_races.test_a_request_of_a_client_that_leaves_while_its_attempt_connects_is_not_sent
+HELD_BACK = connection_races.test_a_client_that_leaves_after_pipelined_bytes_is_detected
+CONNECTS = connection_races.test_a_request_is_not_sent_if_its_client_leaves_during_the_connect
 BROKEN = {
     "no lingering": (
         LingeringConnections,
         "close",
         closes_at_once,
-        connection_races.test_a_last_response_is_complete_with_unread_bytes_behind_its_request,
+        connection_races.test_a_last_response_is_complete_despite_unread_pipelined_bytes,
         (),
     ),
     "no lingering of hosts'": (
         LingeringConnections,
         "close",
         closes_at_once,
-        endpoint_races.test_an_endpoint_that_writes_as_its_idle_connection_closes_is_not_reset,
+        endpoint_races.test_closing_an_idle_connection_does_not_reset_a_writing_endpoint,
         (),
     ),
     "lingering without a bound": (
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -1,42 +1,44 @@
-"""Connection reuse: which idle connections are used for another request."""
+"""Connection reuse: which idle connections may carry another request."""
 
 from harness.constants import MS, SECOND
 
 from orchidlane.gateway.forwarding.connection_reuse import HALF_LIFE_US, ReuseStatistics
 
 
-def feed(reuse: ReuseStatistics, idle: int | None, number: int, lost: int, now: int = 0) -> None:
-    """Record requests on connections that were idle for a time, the first ones as lost."""
-    for index in range(number):
-        reuse.record(idle, index < lost, now)
+def record_requests(
+    statistics: ReuseStatistics, idle_us: int | None, request_count: int, lost_count: int, now: int = 0
+) -> None:
+    """Record requests over connections that were idle for ``idle_us``, the first ``lost_count`` as lost."""
+    for index in range(request_count):
+        statistics.record(idle_us, index < lost_count, now)
 
 
-def test_an_idle_class_that_loses_requests_is_not_reused_and_shorter_ones_are():
-    reuse = ReuseStatistics(0)
-    feed(reuse, 2 * SECOND, 30, 3)
-    feed(reuse, 5 * MS, 300, 0)
-    assert not reuse.may_reuse(2 * SECOND, False, 0)
-    assert reuse.may_reuse(5 * MS, True, 0)
+def test_a_lossy_idle_class_is_not_reused_and_a_shorter_one_is():
+    statistics = ReuseStatistics(0)
+    record_requests(statistics, 2 * SECOND, 30, 3)
+    record_requests(statistics, 5 * MS, 300, 0)
+    assert not statistics.may_reuse(2 * SECOND, False, 0)
+    assert statistics.may_reuse(5 * MS, True, 0)
 
 
 def test_losses_of_new_connections_are_not_counted_against_reused_ones():
-    reuse = ReuseStatistics(0)
-    feed(reuse, 5 * MS, 200, 10)
-    assert not reuse.may_reuse(5 * MS, False, 0)
-    feed(reuse, None, 200, 9)
-    assert reuse.may_reuse(5 * MS, False, 0)
+    statistics = ReuseStatistics(0)
+    record_requests(statistics, 5 * MS, 200, 10)
+    assert not statistics.may_reuse(5 * MS, False, 0)
+    record_requests(statistics, None, 200, 9)
+    assert statistics.may_reuse(5 * MS, False, 0)
 
 
 def test_fewer_losses_are_tolerated_before_non_idempotent_requests():
-    reuse = ReuseStatistics(0)
-    feed(reuse, 5 * MS, 100, 1)
-    assert reuse.may_reuse(5 * MS, False, 0)
-    assert not reuse.may_reuse(5 * MS, True, 0)
+    statistics = ReuseStatistics(0)
+    record_requests(statistics, 5 * MS, 100, 1)
+    assert statistics.may_reuse(5 * MS, False, 0)
+    assert not statistics.may_reuse(5 * MS, True, 0)
 
 
 def test_an_idle_class_is_reused_after_its_losses_have_decayed():
-    reuse = ReuseStatistics(0)
-    feed(reuse, SECOND, 5, 1)
-    assert not reuse.may_reuse(SECOND, False, 0)
-    assert reuse.may_reuse(SECOND, False, 4 * HALF_LIFE_US)
-    assert reuse.may_reuse(SECOND, True, 10**15)
+    statistics = ReuseStatistics(0)
+    record_requests(statistics, SECOND, 5, 1)
+    assert not statistics.may_reuse(SECOND, False, 0)
+    assert statistics.may_reuse(SECOND, False, 4 * HALF_LIFE_US)
+    assert statistics.may_reuse(SECOND, True, 10**15)
--- a/tests/test_gateway_endpoints.py
+++ b/tests/test_gateway_endpoints.py
@@ -1,4 +1,4 @@
-"""Hard cases of endpoints, the endpoint list and peers, over the simulated network."""
+"""Edge cases of endpoints, the endpoint list and peers, over the simulated network."""
 
 from __future__ import annotations
 
@@ -8,30 +8,32 @@
 
 def test_a_request_to_a_silent_endpoint_fails_within_its_deadline():
     def test(harness):
-        began = harness.loop.now()
+        started_at = harness.loop.now()
         status, _, _ = harness.ask(request("GET", "/v1/sheets/a", "Give-Up-After-Ms: 700\r\n"))
         assert status == 503
-        assert harness.loop.now() - began <= 700 * MS
+        assert harness.loop.now() - started_at <= 700 * MS
 
     run(silent, test=test)
 
 
 def test_a_draining_endpoint_gets_no_request():
     def test(harness):
-        harness.set_phase(0, "draining")
+        harness.set_endpoint_state(0, "draining")
         harness.loop.sleep(50 * MS)
         assert harness.ask(request("GET", "/v1/sheets/a", "Give-Up-After-Ms: 600\r\n"))[0] == 503
 
     assert run(good, test=test).seen == []
 
 
-def test_a_gateway_that_stood_still_sends_nothing_to_an_endpoint_that_drains_meanwhile():
+def test_a_paused_gateway_sends_nothing_to_an_endpoint_drained_in_the_pause():
+    """Guards against a decision from before the pause that is carried out after it (rule 3)."""
+
     def test(harness):
-        harness.loop.freeze(harness.process)
+        harness.loop.freeze(harness.process)  # as SIGSTOP does
         stream = harness.connect()
         stream.send(GET)
         harness.loop.sleep(SECOND)
-        harness.set_phase(0, "draining")
+        harness.set_endpoint_state(0, "draining")
         harness.loop.sleep(SECOND)
         harness.loop.thaw(harness.process)
         assert harness.answer(stream, wait=3 * SECOND)[0] == 503
@@ -42,12 +44,12 @@
 
 def test_a_request_waits_for_an_empty_endpoint_list_to_fill_again():
     def test(harness):
-        harness.set_phase(0, "gone")
+        harness.set_endpoint_state(0, "gone")
         harness.loop.sleep(50 * MS)
         stream = harness.connect()
         stream.send(GET)
         harness.loop.sleep(300 * MS)
-        harness.set_phase(0, "ready")
+        harness.set_endpoint_state(0, "ready")
         assert harness.answer(stream)[0] == 200
 
     run(good, test=test)
--- a/tests/test_gateway_lifecycle.py
+++ b/tests/test_gateway_lifecycle.py
@@ -9,12 +9,12 @@
 from orchidlane.http1 import header
 
 
-def test_a_restarted_gateway_begins_with_its_cached_endpoint_list():
+def test_a_restarted_gateway_starts_with_its_cached_endpoint_list():
     def test(harness):
         harness.loop.sleep(2 * SECOND)
         harness.backend.kill(harness.process)
-        harness.list.listener.close()
-        for stream in list(harness.list.watchers):
+        harness.fake_discovery.listener.close()
+        for stream in list(harness.fake_discovery.watchers):
             stream.abort()
         harness.start()
         harness.loop.sleep(300 * MS)
@@ -23,7 +23,7 @@
     run(good, test=test, state="state")
 
 
-def test_sigterm_answers_accepted_requests_and_accepts_no_more():
+def test_a_stopping_gateway_serves_accepted_requests_and_no_more():
     def slow(harness, index, stream):
         harness.read_request(index, stream)
         harness.loop.sleep(500 * MS)
@@ -47,8 +47,11 @@
     run(slow, test=test)
 
 
-def test_a_process_ends_with_its_lingering_connections_and_no_later():
-    """Its end would reset them, and with bytes still on the way a last response might be lost."""
+def test_a_process_exits_once_its_lingering_connections_are_closed():
+    """Guards against a lost last response: the exit of a process resets its connections.
+
+    A reset that crosses bytes of the client makes the client's system discard what it received before.
+    """
 
     def test(harness):
         stream = harness.connect()
@@ -57,11 +60,13 @@
         harness.program.stop()
         harness.loop.sleep(100 * MS)
         assert harness.answer(stream)[0] == 200
-        stream.send(GET)  # crosses the close
+        stream.send(GET)  # sent before the client sees the close
         harness.loop.sleep(100 * MS)
         assert harness.process.tasks
-        assert stream.recv(deadline=harness.loop.now() + SECOND) == b""  # a close, no reset
-        harness.loop.sleep(int(harness.program.fleet.timeouts.linger_us))  # the client keeps its side open
+        assert stream.recv(deadline=harness.loop.now() + SECOND) == b""  # an orderly close, no reset
+        harness.loop.sleep(
+            int(harness.program.fleet.timeouts.linger_us)
+        )  # the client does not close its side
         assert not harness.process.tasks
 
     run(good, test=test)
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""One real gateway process: signals, upgrades of settings, many idle connections, the descriptor limit."""
+"""One real gateway process: signals, hot restarts, many idle connections, the descriptor limit."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from harness.single_gateway import GatewayFiles, SingleGateway
 
 MAX_IDLE_CONNECTIONS = 10_000
-OTHER_DESCRIPTORS = 500  # of this process
+RESERVED_DESCRIPTORS = 500  # of the test's own process, for all but idle connections
 
 
 @pytest.fixture
@@ -40,16 +40,16 @@
     gateway.wait_until_logged("ended")
 
 
-def run_upgrade(files: GatewayFiles) -> tuple[int, str]:
-    """Upgrade the gateway; return the command's exit code and output."""
+def run_hot_restart(files: GatewayFiles) -> tuple[int, str]:
+    """Run the command for a hot restart of the gateway; return its exit code and output."""
     log = files.folder / "new.log"
     command = [sys.executable, "-m", "orchidlane", "upgrade", str(files.settings), "--log", str(log)]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=60)
-    return done.returncode, done.stdout + done.stderr
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=60)
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-def test_upgrade_takes_new_settings_and_classes_and_rejects_invalid_ones(gateway_files: GatewayFiles):
-    """Invalid files are reported, and the old process goes on."""
+def test_a_hot_restart_applies_new_files_and_rejects_invalid_ones(gateway_files: GatewayFiles):
+    """With invalid files the command reports the error and the old process keeps running."""
     files = gateway_files
     original = files.description.read_text()
     lines = files.settings.read_text().splitlines()
@@ -59,17 +59,17 @@
     files.settings.write_text(settings)
     with SingleGateway(files) as old:
         files.settings.write_text(settings.replace("rate: 4,", "rate: -4,"))
-        code, output = run_upgrade(files)
+        code, output = run_hot_restart(files)
         assert (code, "plans.basico.rate: found -4" in output) == (2, True), output
         files.settings.write_text(settings)
         files.description.write_text(original.replace("effect: safe", "effect: often"))
-        code, output = run_upgrade(files)
+        code, output = run_hot_restart(files)
         assert (code, "found effect 'often'" in output) == (1, True), output
         assert old.get("/v1/extra").startswith(b"HTTP/1.1 404 ")
         assert old.process.poll() is None
         changed = original.replace("/sheets/latest:", "/extra:")
         files.description.write_text(changed.replace("aim: 400ms", "aim: 410ms"))
-        code, output = run_upgrade(files)
+        code, output = run_hot_restart(files)
         assert code == 0, output
         assert old.wait_until_exited() == 0
         assert old.get("/v1/extra").startswith(b"HTTP/1.1 401 ")
@@ -79,7 +79,7 @@
 
 def test_ten_thousand_idle_connections_leave_capacity_for_a_request(gateway: SingleGateway):
     descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    count = min(MAX_IDLE_CONNECTIONS, descriptors - OTHER_DESCRIPTORS) - 1
+    count = min(MAX_IDLE_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS) - 1
     connections = [gateway.connect() for _ in range(count)]
     assert gateway.get("/v1/nothing").startswith(b"HTTP/1.1 404 ")
     page = gateway.get_admin("/metrics").decode()
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -62,8 +62,8 @@
 )
 def test_an_invalid_request_gets_an_error_and_is_not_forwarded(raw, status):
     def test(harness):
-        got, headers, body = harness.ask(raw)
-        assert got == status
+        received_status, headers, body = harness.ask(raw)
+        assert received_status == status
         assert header(headers, b"content-type") == b"application/problem+json"
         assert json.loads(body)["status"] == status
 
@@ -72,11 +72,11 @@
 
 def test_a_request_beyond_the_quota_gets_429_and_may_be_retried():
     def test(harness):
-        answers = [harness.ask(GET) for _ in range(30)]
-        rejected = [answer for answer in answers if answer[0] == 429]
+        responses = [harness.ask(GET) for _ in range(30)]
+        rejected = [response for response in responses if response[0] == 429]
         assert rejected
         assert all(int(header(headers, b"retry-after")) >= 1 for _, headers, _ in rejected)
         assert b"harmless" in rejected[0][2]
-        assert len(harness.seen) == len(answers) - len(rejected)
+        assert len(harness.seen) == len(responses) - len(rejected)
 
     run(good, test=test, plans=LOW_LIMIT_PLANS)
--- a/tests/test_hot_restart_clients.py
+++ b/tests/test_hot_restart_clients.py
@@ -82,13 +82,13 @@
 def test_request_waiting_for_an_endpoint_is_counted_by_the_new_process():
     def test(harness: HotRestartHarness) -> None:
         assert harness.ask(GET)[0] == 200
-        harness.set_phase(0, "gone")
+        harness.set_endpoint_state(0, "gone")
         harness.loop.sleep(50 * MS)
         stream = harness.connect()
         stream.send(GET)
         harness.loop.sleep(50 * MS)
         harness.upgrade()
-        harness.set_phase(0, "ready")
+        harness.set_endpoint_state(0, "ready")
         assert harness.answer(stream)[0] == 200
         assert counted_units(harness.gateways[1]) == harness.forwarded_units() == 2
 
--- a/tests/test_last_check.py
+++ b/tests/test_last_check.py
@@ -11,7 +11,7 @@
 
 
 def pending(**changes) -> PendingSend:
-    """Return an attempt that may be sent, with some changes."""
+    """Return an attempt that may be sent, with changes to its fields."""
     values = {
         "endpoint_state": "ready",
         "deadline": NOW + SECOND,
@@ -38,5 +38,5 @@
         ({"has_client_left": True, "first_sent_at": NOW - SECOND // 2}, "client"),
     ],
 )
-def test_an_attempt_that_would_break_a_rule_is_not_sent(changes, reason):
+def test_an_attempt_is_sent_only_if_it_breaks_no_rule(changes, reason):
     assert rejection_reason(NOW, pending(**changes)) == reason
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -23,7 +23,7 @@
 from harness.race_harness import (
     idle_client,
     read_to_end,
-    responds_when_told,
+    responds_when_allowed,
     run,
 )
 
@@ -68,7 +68,7 @@
     """The one in flight is not the last: those sent along with it had arrived too, read by us or not yet."""
 
     def test(harness: RealPlatformHarness) -> None:
-        harness.answer_now = False
+        harness.may_respond = False
         server = harness.gateway.http_server
         if not read:  # the first of them reaches the limit of pipelined bytes
             server.resource_limits = dataclasses.replace(server.resource_limits, max_pipelined_bytes=1)
@@ -78,14 +78,14 @@
         harness.until(lambda: harness.seen and client.sent_bytes and harness.gateway.policy_driver.requests)
         harness.gateway.stopping = True
         server.drain()
-        harness.answer_now = True
+        harness.may_respond = True
         answers = read_to_end(harness, client)
         assert answers.count(b"HTTP/1.1 200") == 3
         assert answers.count(b"connection: close") == 1
         assert b"close" in answers.rpartition(b"HTTP/1.1")[2]
         assert not server.connections
 
-    assert len(run(*[responds_when_told] * 3, test=test).seen) == 3
+    assert len(run(*[responds_when_allowed] * 3, test=test).seen) == 3
 
 
 def test_a_client_that_keeps_sending_is_closed_at_the_end_of_the_shutdown():
@@ -120,7 +120,7 @@
 
 def test_a_client_that_waits_for_capacity_at_the_drain_is_closed_without_a_reset():
     def test(harness: RealPlatformHarness) -> None:
-        harness.answer_now = False
+        harness.may_respond = False
         server = harness.gateway.http_server
         server.resource_limits = dataclasses.replace(server.resource_limits, max_connections=1)
         busy, crowded = harness.connect(), harness.connect()
@@ -132,15 +132,15 @@
         )  # it was accepted
         server.drain()
         assert read_to_end(harness, crowded) == b""
-        harness.answer_now = True
+        harness.may_respond = True
         assert harness.answer(busy)[0] == 200
 
-    assert len(run(responds_when_told, test=test).seen) == 1
+    assert len(run(responds_when_allowed, test=test).seen) == 1
 
 
 def test_sigterm_with_a_request_at_each_stage_answers_each_exactly_once():
     def test(harness: RealPlatformHarness) -> None:
-        harness.answer_now = False
+        harness.may_respond = False
         streams = {name: harness.connect() for name in ("sent", "half read", "at rest", "after")}
         body = b"x" * 40
         raw = call("put", body=body, left="1.500")
@@ -154,13 +154,13 @@
         streams["half read"].send(raw[-20:])
         harness.until(lambda: len(harness.seen) == 3)
         harness.loop.sleep(ACCEPT_PERIOD_US)
-        harness.answer_now = True
+        harness.may_respond = True
         for name, stream in streams.items():
             answer = read_to_end(harness, stream)
             assert answer.count(b"HTTP/1.1 200") == (name != "at rest"), name
         harness.until(lambda: harness.ended)
 
-    assert len(run(responds_when_told, responds_when_told, responds_when_told, test=test).seen) == 3
+    assert len(run(responds_when_allowed, responds_when_allowed, responds_when_allowed, test=test).seen) == 3
 
 
 @pytest.mark.parametrize("longest", [1 * MS, 150 * MS, SECOND, 3 * SECOND, 60 * SECOND])
