--- a/orchidlane/gateway/control/customers.py
+++ b/orchidlane/gateway/control/customers.py
@@ -11,7 +11,7 @@
 from orchidlane.gateway.control.settings import FleetSettings
 
 CUSTOMER_NUMBER_LIMIT = 1 << 33  # exclusive upper bound of customer numbers
-CUSTOMER_NUMBER_LENGTH_LIMIT = 12  # exclusive upper bound of the decimal digits that are parsed
+CUSTOMER_NUMBER_LENGTH_LIMIT = 12  # in decimal digits; exclusive upper bound of what is parsed
 HASH_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash
 HASH_SHIFT = 12
 
@@ -78,7 +78,7 @@
         return self._by_digest.get(hashlib.sha256(key).digest())
 
     def by_name_or_key(self, name: bytes) -> Customer | None:
-        """Return the customer that has a name or, where none has it, that has it as an API key."""
+        """Return the customer with this name or, where there is none, with this API key."""
         return self._by_name.get(name) or self.by_key(name)
 
     def by_number(self, digits: bytes) -> Customer | None:
--- a/orchidlane/gateway/control/endpoint_list.py
+++ b/orchidlane/gateway/control/endpoint_list.py
@@ -48,7 +48,7 @@
 
 
 class CachedEndpointList(msgspec.Struct, frozen=True):
-    """The list as it is cached on disk, for the start after an exit."""
+    """The list as it is cached on disk, for the next start of the gateway."""
 
     format: int
     epoch: str
@@ -94,12 +94,12 @@
         """
         event = _decode_event(line)
         self._check_size(len(event.endpoints))
-        same_epoch = event.epoch == self.epoch
-        if same_epoch and event.version < self.version:
+        is_same_epoch = event.epoch == self.epoch
+        if is_same_epoch and event.version < self.version:
             self.ignored_events += 1
             return None
         if event.kind == "changes":
-            return self._apply_changes(event, same_epoch)
+            return self._apply_changes(event, is_same_epoch)
         return self._apply_complete_list(event)
 
     def _apply_complete_list(self, event: WatchEvent) -> policy.EndpointListReceived:
@@ -108,8 +108,8 @@
         self.endpoints = {record.address: record for record in event.endpoints if record.state != "gone"}
         return self._policy_event(policy.EndpointListKind.COMPLETE, event.endpoints)
 
-    def _apply_changes(self, event: WatchEvent, same_epoch: bool) -> policy.EndpointListReceived | None:
-        if not same_epoch or event.base_version > self.version:
+    def _apply_changes(self, event: WatchEvent, is_same_epoch: bool) -> policy.EndpointListReceived | None:
+        if not is_same_epoch or event.base_version > self.version:
             raise WatchEventError("the changes apply to a list version that this gateway does not have")
         if event.version == self.version:
             self.ignored_events += 1
--- a/orchidlane/gateway/control/policy_settings.py
+++ b/orchidlane/gateway/control/policy_settings.py
@@ -12,9 +12,9 @@
 
 
 def policy_settings(fleet: FleetSettings, rank: int, generation: Generation) -> policy.Settings:
-    """Return the policy's settings for the gateway with a rank, with the request classes of a generation."""
+    """Return the policy settings of the gateway at ``rank``, with the request classes of ``generation``."""
     endpoints = fleet.endpoints
-    reports = endpoints.load_report_names
+    load_report_names = endpoints.load_report_names
     return policy.Settings(
         replica=rank,
         replica_count=len(fleet.gateways),
@@ -35,8 +35,10 @@
         has_shared_counter=False,
         polls_endpoint_list=True,
         poll_timeout_us=POLL_TIMEOUT_US,
-        load_report_source=policy.LoadReportSource.INLINE if reports else policy.LoadReportSource.NONE,
-        load_report_names=reports,
+        load_report_source=policy.LoadReportSource.INLINE
+        if load_report_names
+        else policy.LoadReportSource.NONE,
+        load_report_names=load_report_names,
         slow_start_initial_share=endpoints.slow_start_initial_share,
         slow_start_duration_us=int(endpoints.slow_start_duration_us),
         overload_multiple=endpoints.overload_multiple,
--- a/orchidlane/gateway/control/settings.py
+++ b/orchidlane/gateway/control/settings.py
@@ -1,9 +1,8 @@
 """The settings of a fleet as typed records.
 
 A record's fields have the code's names; ``name=`` gives the key that settings files use where it differs.
-The schema of the files, with defaults and limits, is ``schema.cue``; ``#Name`` in a docstring is its
-definition there. Durations are in microseconds, sizes in
-bytes.
+The schema of the files, with defaults and limits, is ``schema.cue``; ``#Name`` in a docstring refers to the
+definition there. Durations are in microseconds, sizes in bytes.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 
 class Ceiling(msgspec.Struct, frozen=True):
-    """``#Ceiling``: a hard limit above a customer's quota; units, and units per second for ``rate``."""
+    """``#Ceiling``: a hard limit above a customer's quota; in units, ``rate`` in units per second."""
 
     rate: float
     burst: float
@@ -87,7 +86,7 @@
 
     @property
     def max_endpoint_connections(self) -> int:
-        """Maximum connections to all endpoints together: the limit of one endpoint times their number."""
+        """Maximum connections to all endpoints together: ``max_endpoints`` times the limit of each."""
         return self.max_endpoints * self.max_connections_per_endpoint
 
 
--- a/orchidlane/gateway/forwarding/openapi_clients.py
+++ b/orchidlane/gateway/forwarding/openapi_clients.py
@@ -112,7 +112,7 @@
         )
 
     def invalid_request(self, status: int, detail: str) -> ClientResponse:
-        """Return the error response to a request that is not valid HTTP."""
+        """Return the response to a request that is not valid HTTP."""
         return problem(status, detail)
 
     def rejected(self, action: policy.RejectRequest) -> ClientResponse:
--- a/tests/harness/gateway_harness.py
+++ b/tests/harness/gateway_harness.py
@@ -50,7 +50,7 @@
 class GatewayHarness:
     """One gateway and its endpoints: each of ``handlers`` serves the connections of one endpoint.
 
-    ``cells`` are the cells of the endpoints, by default the same one; ``changes`` are to the settings.
+    ``cells`` has the cell of each endpoint, by default the same; ``changes`` are changes to the settings.
     """
 
     def __init__(self, *handlers, cells: list[str] | None = None, seed: int = 1, **changes) -> None:
--- a/tests/test_connection_races.py
+++ b/tests/test_connection_races.py
@@ -53,6 +53,8 @@
 
 
 def test_a_request_that_came_just_before_eviction_is_served():
+    """Guards against eviction of a connection whose next request is in the socket buffer, not read yet."""
+
     def test(harness: RealPlatformHarness) -> None:
         client, server = idle_client(harness), harness.gateway.http_server
         client.send(call())
@@ -74,6 +76,8 @@
 
 
 def test_a_request_that_came_as_the_idle_timeout_expired_is_served():
+    """Guards against a timeout that closes a connection with a request in its socket buffer."""
+
     def test(harness: RealPlatformHarness) -> None:
         server = harness.gateway.http_server
         server.timeouts = dataclasses.replace(server.timeouts, client_idle_us=30 * MS)
--- a/tests/test_endpoint_races.py
+++ b/tests/test_endpoint_races.py
@@ -21,6 +21,8 @@
 
 
 def test_closing_an_idle_connection_does_not_reset_a_writing_endpoint():
+    """Guards against a close without lingering: bytes that arrive afterwards would cause a reset."""
+
     def test(harness: RealPlatformHarness) -> None:
         assert harness.ask(call())[0] == 200
         endpoint_stream = harness.endpoint_stream
@@ -42,6 +44,8 @@
 
 @pytest.mark.parametrize("ending", ["half_close", "abort", "half a line"])
 def test_an_idle_connection_that_its_endpoint_just_closed_is_not_reused(ending):
+    """Guards against a request on a connection whose close, or unexpected bytes, were not read yet."""
+
     def test(harness: RealPlatformHarness) -> None:
         assert harness.ask(call("bill"))[0] == 200
         client = harness.connect()
