--- a/tests/test_rollout_commands.py
+++ b/tests/test_rollout_commands.py
@@ -210,8 +210,8 @@
 def test_reverting_a_rollout_in_progress_replaces_it_by_the_prior_contents():
     state = approved(proposed(led_state()), target_ranks=encode_ranks([1], 5))
     with pytest.raises(CommandRejectedError, match="requires the contents of the current version"):
-        ProposeVersion(1, "undo", THIRD, 1, "me", "harm", reverts=1).apply(state)
-    reverting = ProposeVersion(1, "undo", OLD, 1, "me", "harm", reverts=1).apply(state)
+        ProposeVersion(1, "undo", THIRD, 1, "me", "a regression", reverts=1).apply(state)
+    reverting = ProposeVersion(1, "undo", OLD, 1, "me", "a regression", reverts=1).apply(state)
     assert (
         reverting.target_certificate(1).version.number == 1
     )  # until a quorum has approved the reverting one
