--- a/orchidlane/hot_restart/account_recovery.py
+++ b/orchidlane/hot_restart/account_recovery.py
@@ -1,13 +1,14 @@
 """Restores accounts that an earlier incarnation of a gateway saved. No I/O.
 
-Counts only grow, so what was saved was certainly spent. What was spent since is not known, and could be all
-that there was: the remaining units then, and the refill until the earlier incarnation ended. So a customer
-begins with nothing remaining, refilling from the latest moment at which the earlier incarnation may still
-have spent. The limit is lowered for this, which is local, and not the merged total raised, which peers would
-learn. Gossip from a gateway of the replica set that stayed up lifts the limit to where it is.
-
-Of a ceiling's tokens nothing is known, so each part fills from nothing, as at any start. The gateway's own
-count begins anew: that of the earlier incarnation is within the merged total.
+Counts only grow, so the saved units were certainly spent. How many units were spent after the save is
+unknown. It may be every unit that was available: those remaining at the save and the refill until the earlier
+incarnation stopped. Therefore a customer starts with no units remaining, and the refill starts at the latest
+time at which the earlier incarnation may still have spent units. This is done by lowering the limit, which
+has only a local effect; a raised merged total would be sent to peers. Gossip from a gateway of the replica
+set that kept running raises the limit to its true value.
+
+The ceiling tokens in use are unknown, so each gateway's share of a ceiling fills from zero, as at any start.
+The gateway's own count restarts at zero: the merged total includes that of the earlier incarnation.
 """
 
 from __future__ import annotations
@@ -20,19 +21,22 @@
 
 
 class PreviousIncarnation(NamedTuple):
-    """What is known of the incarnation that saved the accounts; times are microseconds of the clock."""
+    """The incarnation that saved the accounts; times are in microseconds of the gateway's clock."""
 
     rank: int
-    plan_names: Sequence[str]  # by its plan numbers
+    plan_names: Sequence[str]  # indexed by that incarnation's plan numbers
     saved_at_us: int
-    valid_until_us: int  # it may have spent until then; ``saved_at_us`` after a clean shutdown
+    valid_until_us: int  # it may have spent units until then; ``saved_at_us`` after a clean shutdown
     clean_shutdown: bool
 
 
 def recover_accounts(
     rows: Iterable[Any], previous: PreviousIncarnation, plans: Sequence[str], now: int
 ) -> Iterator[Account]:
-    """Yield the accounts to begin with, without those whose plan is gone. Raises what bad rows cause."""
+    """Yield the accounts to start with; accounts of a plan that no longer exists are left out.
+
+    Passes on any exception that decoding an invalid row raises.
+    """
     plan_numbers = {name: number for number, name in enumerate(plans)}
     for row in rows:
         account = account_from_row(row)
@@ -45,7 +49,7 @@
 
 
 def _reset(account: Account, previous: PreviousIncarnation, now: int) -> None:
-    clock_went_back = now < previous.saved_at_us  # then the time that has passed is not known
+    clock_went_back = now < previous.saved_at_us  # the time since the save is then unknown
     keeps_remaining = previous.clean_shutdown and not clock_went_back
     remaining = account.remaining if keeps_remaining else 0.0
     account.limit = account.spent_total + max(0.0, remaining)
--- a/orchidlane/hot_restart/messages.py
+++ b/orchidlane/hot_restart/messages.py
@@ -2,10 +2,11 @@
 
     frame: u32 length, u32 CRC-32 of the body, body (MessagePack); little-endian
 
-The frame is that of a record's segments. Each body is an array: the number of the message's type, then its
-fields. Numbers are never reused, fields are only appended with a default; ``PROTOCOL_VERSION`` grows when an
-old process could no longer understand a new one. A message that passes a descriptor says so; the descriptor
-travels beside the frame's first byte (``Stream.send_with_handle``).
+Frames have the same format as in the segments of a record (``orchidlane.recording.frames``). Each body is an
+array: the type number of the message, then its fields. Type numbers are never reused, and fields are only
+appended, with a default. ``PROTOCOL_VERSION`` is incremented when an old process could no longer understand a
+new one. The docstring of a message says whether it passes a descriptor; the descriptor is sent with the first
+byte of the frame (``Stream.send_with_handle``).
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class RespSessionState(NamedTuple):
-    """What a RESP connection has agreed on."""
+    """Session state that a RESP client has negotiated on its connection."""
 
     version: int
     name: bytes
@@ -41,7 +42,7 @@
 
 
 class Hello(Message, frozen=True, tag=1):
-    """First message: the sender, and what its settings must share with the old process."""
+    """First message: the sender's build, and the settings that it must share with the old process."""
 
     protocol_version: int
     build: str
@@ -56,11 +57,11 @@
 
 
 class Started(Message, frozen=True, tag=3):
-    """The new process serves."""
+    """The new process has started to serve."""
 
 
 class Heartbeat(Message, frozen=True, tag=4):
-    """Sent periodically in probation: answers so far by kind, and the numbers used so far."""
+    """Sent periodically in probation: counts of responses by kind, and the latest numbers in use."""
 
     served: int
     rejected: int
@@ -70,27 +71,27 @@
 
 
 class Failure(Message, frozen=True, tag=5):
-    """The new process gives up by itself."""
+    """The new process has failed and gives up the hot restart."""
 
     reason: str
 
 
 class UnitsReply(Message, frozen=True, tag=6):
-    """Answer to ``UnitsRequest``."""
+    """Reply to ``UnitsRequest``."""
 
     request_id: int
     granted: bool
 
 
 class PeerReply(Message, frozen=True, tag=7):
-    """A peer's answer to a token request of the old process."""
+    """A peer's response to a token request of the old process."""
 
     sender: int
     body: bytes
 
 
 class CustomerCount(Message, frozen=True, tag=8):
-    """This gateway's own count of a customer; sent before the counted request is forwarded."""
+    """This gateway's own count of spent units of a customer; sent before the counted request is forwarded."""
 
     customer: int
     plan: int
@@ -101,19 +102,25 @@
 
 
 class ReadStarted(Message, frozen=True, tag=16):
-    """Bytes of this connection are about to be read; until its next message only the sender has them."""
+    """Bytes are about to be read from this connection.
+
+    Until the next message about the connection, only the sender has these bytes.
+    """
 
     connection_id: int
 
 
 class RequestStarted(Message, frozen=True, tag=9):
-    """A request of the connection is in progress; over RESP, at least one of those last sent as unread."""
+    """A request of the connection is in progress.
+
+    Over RESP: at least one of the requests in the bytes that the latest ``ConnectionIdle`` sent as unread.
+    """
 
     connection_id: int
 
 
 class ResponseStarted(Message, frozen=True, tag=10):
-    """The answer to the connection's request is about to be written."""
+    """The response to the connection's request is about to be written."""
 
     connection_id: int
 
@@ -121,8 +128,8 @@
 class ConnectionIdle(Message, frozen=True, tag=11):
     """No request of the connection is in progress.
 
-    ``unread`` is what was read of the next request or requests. With ``returned`` the connection belongs to
-    the old process again. ``session`` is sent for RESP only.
+    ``unread`` holds the bytes that were read from the socket but belong to later requests. With ``returned``
+    the connection belongs to the old process again. ``session`` is sent for RESP only.
     """
 
     connection_id: int
@@ -132,20 +139,20 @@
 
 
 class ConnectionOpened(Message, frozen=True, tag=12):
-    """A new client; passes a descriptor of its connection."""
+    """A client has connected; passes a descriptor of its connection."""
 
     connection_id: int
     protocol: str
 
 
 class ConnectionClosed(Message, frozen=True, tag=13):
-    """A connection is over."""
+    """A connection is closed."""
 
     connection_id: int
 
 
 class ConnectionAdopted(Message, frozen=True, tag=14):
-    """Answer to ``ConnectionHandover``: whether the descriptor arrived."""
+    """Reply to ``ConnectionHandover``: whether the descriptor was received."""
 
     connection_id: int
     adopted: bool
@@ -159,13 +166,13 @@
 
 
 class Offer(Message, frozen=True, tag=20):
-    """The handshake is accepted. The new process goes on with this clock, incarnation and generation."""
+    """The handshake is accepted. The new process continues with this clock, incarnation and generation."""
 
     build: str
     clock_base_us: int
     incarnation: int
     generation: int
-    socket_names: tuple[str, ...]  # of the listeners and the datagram socket that follow
+    socket_names: tuple[str, ...]  # of the listeners and the datagram socket, in the order sent
 
 
 class InheritedSocket(Message, frozen=True, tag=21):
@@ -175,7 +182,7 @@
 
 
 class TableRows(Message, frozen=True, tag=22):
-    """Current rows of a table, and keys removed from it; a later row of a key replaces an earlier one."""
+    """Current rows of a table, and keys removed from it; the latest row of a key replaces earlier ones."""
 
     table: str
     rows: list[Any]
@@ -183,23 +190,23 @@
 
 
 class CopyComplete(Message, frozen=True, tag=23):
-    """Every row was sent once; changes since then follow."""
+    """Every row was sent once; rows that changed since then follow."""
 
 
 class FinalState(Message, frozen=True, tag=24):
-    """The handover: all earlier state was sent, and from here on the new process decides."""
+    """The handover: the last part of the state. From here on the new process decides."""
 
     policy_state: StateDump  # without accounts
     limits: dict[str, Any]
     endpoints: dict[str, Any]
-    peers: list[Any]  # received datagrams by peer: rank, incarnation, latest number, bitmap of earlier ones
+    peers: list[Any]  # received datagrams by peer: rank, incarnation, latest sequence, bitmap of earlier ones
     datagram_sequence: int
     last_request_id: int
     class_names: tuple[str, ...] = ()
 
 
 class ConnectionHandover(Message, frozen=True, tag=25):
-    """A client between two requests, with the bytes read of the next one; passes a descriptor."""
+    """An idle client connection, with the bytes read of its next request; passes its descriptor."""
 
     connection_id: int
     protocol: str
@@ -210,7 +217,7 @@
 
 
 class UnitsRequest(Message, frozen=True, tag=26):
-    """Asks for units of a customer's quota for a request that the old process still has in progress."""
+    """Requests units of a customer's quota for a request that is still in progress in the old process."""
 
     request_id: int
     customer: int
@@ -222,14 +229,17 @@
 
 
 class SendDatagram(Message, frozen=True, tag=27):
-    """A datagram of the old process's token requests, to be sealed and sent by the new process."""
+    """A datagram with token requests of the old process, to be sealed and sent by the new process."""
 
     rank: int
     body: bytes
 
 
 class GrantRecorded(Message, frozen=True, tag=28):
-    """A grant that the old process made of units it had been given; ``reserved_us`` -1: no reservation."""
+    """A grant that the old process made from units granted by the new one.
+
+    ``reserved_us`` is the duration of the reservation in microseconds, -1 for no reservation.
+    """
 
     name: bytes
     customer: int
@@ -238,30 +248,30 @@
 
 
 class Abort(Message, frozen=True, tag=29):
-    """The old process ends the restart and goes on by itself."""
+    """The old process aborts the hot restart and continues to serve."""
 
     reason: str
 
 
 class Reclaim(Message, frozen=True, tag=30):
-    """Probation failed: stop serving, return the clients, and exit."""
+    """Probation has failed: the new process is to stop serving, return the clients and exit."""
 
     reason: str
 
 
 class Release(Message, frozen=True, tag=31):
-    """Probation is passed; the old process exits once its own requests are answered."""
+    """Probation has passed; the old process exits once its own requests have received their responses."""
 
 
-# Sent by command-line tools, and the answer
+# Sent by command-line tools, and the response
 
 
 class StatusRequest(Message, frozen=True, tag=40):
-    """Asks a gateway how its hot restart stands; answered by ``Status``."""
+    """Requests the status of a gateway's hot restart; the response is ``Status``."""
 
 
 class Status(Message, frozen=True, tag=41):
-    """Phase, build and process of the gateway, the outcome of its latest upgrade, its answers by kind."""
+    """Phase, build and process of a gateway, outcome of its latest hot restart, responses by kind."""
 
     phase: str
     build: str
@@ -308,7 +318,7 @@
 
 
 class ProtocolError(Exception):
-    """The peer sent bytes that are no message of the protocol, or a message out of order."""
+    """The other process sent bytes that are not a message of the protocol, or a message out of order."""
 
 
 def encode(message: Message) -> bytes:
@@ -317,7 +327,7 @@
 
 
 class Parser:
-    """Incremental parser of frames: bytes in, messages out."""
+    """Incremental parser: takes received bytes and returns messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -327,14 +337,14 @@
         self._buffer += data
 
     def next_message(self) -> AnyMessage | None:
-        """Return the next message, None until more bytes are received. Raises ProtocolError."""
+        """Return the next message, None if more bytes are needed. Raises ProtocolError."""
         body = self._next_body()
         if body is None:
             return None
         try:
             message: AnyMessage = _DECODER.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise ProtocolError(f"no message of the protocol: {error}") from None
+            raise ProtocolError(f"not a message of the hot restart protocol: {error}") from None
         return message
 
     def _next_body(self) -> bytes | None:
@@ -342,12 +352,12 @@
             return None
         length, checksum = FRAME_HEADER.unpack_from(self._buffer)
         if length > MAX_FRAME_BYTES:
-            raise ProtocolError("a frame of impossible length")
+            raise ProtocolError("frame length exceeds the maximum of 64 MiB")
         end = FRAME_HEADER.size + length
         if len(self._buffer) < end:
             return None
         body = bytes(self._buffer[FRAME_HEADER.size : end])
         del self._buffer[:end]
         if zlib.crc32(body) != checksum:
-            raise ProtocolError("a frame does not fit its checksum")
+            raise ProtocolError("frame checksum does not match its body")
         return body
--- a/orchidlane/hot_restart/new_process.py
+++ b/orchidlane/hot_restart/new_process.py
@@ -1,17 +1,18 @@
 """The new process of a hot restart as a state machine: events with a clock in, actions out. No I/O.
 
-    CONNECTING --offer-->          RECEIVING    sockets and rows arrive
+    CONNECTING --offer-->          RECEIVING    sockets and rows are received
     RECEIVING  --copy complete-->  CHECKING     the self-check runs
     CHECKING   --passed-->         READY
-    READY      --final state-->    PROBATION    it serves, and reports before it does what could be lost
+    READY      --final state-->    PROBATION    it serves, and reports each step before taking it, so that the
+                                                old process can recover if this one dies
     PROBATION  --release-->        INDEPENDENT
-    PROBATION  --reclaim-->        RETURNING    it has stopped serving; it exits with its last request
+    PROBATION  --reclaim-->        RETURNING    it has stopped serving; it exits after its last request
 
 The channel is the fence (see ``old_process``): the old process closes its end only when it dies or after
-``Abort``. A channel that closes without ``Abort`` therefore means that the old process is dead, and what has
-arrived decides. Without the sockets the new process exits; with them and before the handover it serves alone
-like a cold start, since what was spent meanwhile is not known; after the handover it has everything. Before
-it serves alone it makes sure that the old process is dead.
+``Abort``. A channel that closes without ``Abort`` therefore means that the old process is dead, and the next
+step depends on what was received. Without the sockets the new process exits. With the sockets but before the
+handover, it serves alone as after a cold start, since the units spent since the copy are unknown. After the
+handover it has the whole state. Before it serves alone it makes sure that the old process is dead.
 """
 
 from __future__ import annotations
@@ -36,10 +37,10 @@
 
 
 class Timeouts(NamedTuple):
-    """How long each step may take, in microseconds, and the interval of heartbeats."""
+    """How long each step may take, and the interval of heartbeats, in microseconds."""
 
     offer_us: int = 5_000_000
-    copy_us: int = 60_000_000  # of the state, and then of the self-check
+    copy_us: int = 60_000_000  # for the copy of the state, and again for the self-check
     handover_us: int = 10_000_000  # from ready to the final state
     heartbeat_interval_us: int = 200_000
 
@@ -48,11 +49,11 @@
 
 
 class OfferReceived(NamedTuple):
-    """The old process accepts; sockets and rows follow."""
+    """The old process accepted the handshake; sockets and rows follow."""
 
 
 class CopyCompleteReceived(NamedTuple):
-    """Every row was sent once, and all sockets before it."""
+    """All sockets were received, and every row at least once."""
 
 
 class SelfCheckPassed(NamedTuple):
@@ -66,21 +67,21 @@
 
 
 class FinalStateReceived(NamedTuple):
-    """The handover: the state was built from what arrived."""
+    """The handover: the state was built from what was received."""
 
 
 class ReclaimReceived(NamedTuple):
-    """The old process wants everything back."""
+    """The old process requests all clients back."""
 
     reason: str
 
 
 class ReleaseReceived(NamedTuple):
-    """Probation is passed."""
+    """Probation has passed."""
 
 
 class AbortReceived(NamedTuple):
-    """The old process goes on by itself."""
+    """The old process aborted the hot restart and continues to serve."""
 
     reason: str
 
@@ -94,11 +95,11 @@
 
 
 class Drained(NamedTuple):
-    """The last request is answered, and the clients are gone or returned."""
+    """The last request is finished, and every client is disconnected or returned."""
 
 
 class StopRequested(NamedTuple):
-    """The process is asked to exit (SIGTERM)."""
+    """The process is requested to exit (SIGTERM)."""
 
 
 # Actions
@@ -109,7 +110,7 @@
 
 
 class RunSelfCheck(NamedTuple):
-    """Check that everything arrived and that this build can use it."""
+    """Check that everything was received and that this build can use it."""
 
 
 class SendReady(NamedTuple):
@@ -125,21 +126,24 @@
 
 
 class ServeAlone(NamedTuple):
-    """Make sure that the old process is dead, then serve: from what arrived, or as after a cold start."""
+    """Make sure that the old process is dead, then serve from the received state or after a cold start."""
 
     cold_start: bool
 
 
 class StopServing(NamedTuple):
-    """Accept no more requests, return idle clients, and say so; the others follow as they become idle."""
+    """Accept no more requests, return idle clients, and send ``ServingStopped``.
+
+    The other clients are returned as they become idle.
+    """
 
 
 class EndProbation(NamedTuple):
-    """Report nothing more; requests of the old process are answered until it is gone."""
+    """Send no more reports; still respond to the old process's messages until it exits."""
 
 
 class Exit(NamedTuple):
-    """Exit this process; it serves nothing."""
+    """Exit this process; it does not serve."""
 
     reason: str
 
@@ -180,7 +184,7 @@
 
 @dataclass
 class NewProcess:
-    """One process that wants to take over; feed events, carry out the actions in their order."""
+    """The process that is to replace the old one: feed it events, carry out the actions in their order."""
 
     timeouts: Timeouts = field(default_factory=Timeouts)
     phase: Phase = Phase.CONNECTING
@@ -194,7 +198,10 @@
         return self.actions
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Return the actions for one event; an event without a transition in this phase is ignored."""
+        """Return the actions for one event; an event without a transition in this phase is ignored.
+
+        ``now`` is the clock in microseconds.
+        """
         self.actions = []
         handler = TRANSITIONS.get((self.phase, type(event)))
         if handler is not None:
@@ -205,7 +212,7 @@
         self.deadline_us = now + delay_us
         self.actions.append(SetTimer(delay_us))
 
-    # -- until the handover
+    # -- before the handover
 
     def _receive(self, now: int, _event: OfferReceived) -> None:
         self.phase = Phase.RECEIVING
@@ -225,11 +232,11 @@
         self._exit(event.reason)
 
     def _give_up_disconnected(self, _now: int, _event: ChannelClosed) -> None:
-        self._exit("the old side ended before it passed anything")
+        self._exit("the old process exited before it accepted the handshake")
 
     def _check_deadline(self, now: int, _event: TimerFired) -> None:
         if now >= self.deadline_us:
-            self._exit(f"the old side hangs: {self.phase.value}")
+            self._exit(f"the hot restart timed out in phase {self.phase.value}")
 
     def _exit(self, reason: str) -> None:
         self.phase = Phase.ENDED
@@ -252,7 +259,7 @@
             self._set_deadline(now, self.timeouts.heartbeat_interval_us)
 
     def _become_independent(self, _now: int, _event: ReleaseReceived | ChannelClosed) -> None:
-        """Released, or the old process died in probation: all that it handed over stays here."""
+        """End the probation: the old process released this one, or died and can't reclaim anything."""
         self.phase = Phase.INDEPENDENT
         self.actions.append(EndProbation())
 
@@ -264,7 +271,7 @@
         self._exit("recalled")
 
     def _serve_again(self, _now: int, _event: ChannelClosed) -> None:
-        """The old process died while everything was returned to it: nobody else is left to serve."""
+        """Serve again: the old process died while clients were returned to it, so no process serves."""
         self.phase = Phase.INDEPENDENT
         self.actions.append(ServeAlone(cold_start=False))
 
--- a/orchidlane/hot_restart/old_process.py
+++ b/orchidlane/hot_restart/old_process.py
@@ -1,18 +1,21 @@
 """The old process of a hot restart as a state machine: events with a clock in, actions out. No I/O.
 
-    SERVING    --hello-->               OFFERED      the state is copied while it serves
+    SERVING    --hello-->               OFFERED      the state is copied while the old process serves
     OFFERED    --ready-->               COMMITTED    from here on the new process decides, on probation
-    OFFERED    --anything else-->       SERVING      nothing has happened
-    COMMITTED  --probation passed-->    DRAINING     the new process is released; we exit with our requests
-    COMMITTED  --degraded-->            RECLAIMING   it is asked to return everything
-    COMMITTED  --no heartbeat-->        FENCING      it is killed
-    COMMITTED, RECLAIMING --stopped-->  RETURNED     we serve again; it answers what it still has in progress
+    OFFERED    --anything else-->       SERVING      the hot restart is abandoned without any effect
+    COMMITTED  --probation passed-->    DRAINING     the new process is released; the old one finishes its
+                                                     requests and exits
+    COMMITTED  --degraded-->            RECLAIMING   the new process is requested to return everything
+    COMMITTED  --no heartbeat-->        FENCING      the new process is killed
+    COMMITTED, RECLAIMING --stopped-->  RETURNED     the old process serves again; the new one finishes its
+                                                     requests
     any of these --channel closed-->    SERVING
 
-The channel is the fence. A new process that serves never closes its end before it has stopped, and the kernel
-closes the end of a process that died. So a closed channel, or ``ServingStopped``, proves that nobody else
-serves; until then we don't, whatever time has passed, and a process that hangs is killed first. Our own end
-is closed only after ``Abort`` or by our death, so that the new process can tell the two apart.
+The channel is the fence. A new process that serves never closes its end before it has stopped serving, and
+the kernel closes the end of a process that died. So a closed channel, or ``ServingStopped``, proves that the
+new process does not serve. Until then the old process does not serve either, however much time has passed; a
+new process that hangs is killed first. The old process's end is closed only after ``Abort`` or by its death,
+so that the new process can distinguish the two.
 """
 
 from __future__ import annotations
@@ -43,20 +46,20 @@
 class Timeouts(NamedTuple):
     """How long each step may take, in microseconds."""
 
-    copy_us: int = 60_000_000  # of the state, and the self-check
+    copy_us: int = 60_000_000  # the copy of the state and the self-check together
     start_us: int = 2_000_000  # from the handover to ``Started``
-    heartbeat_us: int = 1_500_000  # between two heartbeats: without one the new process hangs
-    max_tick_delay_us: int = 250_000  # a timer that is later says that this process stood still
+    heartbeat_us: int = 1_500_000  # between two heartbeats; after that the new process counts as hanging
+    max_tick_delay_us: int = 250_000  # a timer that fires later than this shows that this process was stalled
     probation_us: int = 5_000_000
-    reclaim_us: int = 1_000_000  # to stop serving
-    drain_us: int = 15_000_000  # to answer what is in progress after that
+    reclaim_us: int = 1_000_000  # from ``Reclaim`` until the new process has stopped serving
+    drain_us: int = 15_000_000  # after that, for the new process to finish its requests
 
 
 # Events
 
 
 class HelloReceived(NamedTuple):
-    """A process asks to take over, on a channel of its own."""
+    """A process requests a hot restart, on a channel of its own."""
 
     channel: int
     hello: Hello
@@ -69,13 +72,13 @@
 
 
 class StartedReceived(NamedTuple):
-    """The new process serves."""
+    """The new process has started to serve."""
 
     channel: int
 
 
 class HeartbeatReceived(NamedTuple):
-    """Answers of the new process in probation, and of this one before the handover."""
+    """Responses of the new process in probation, and of this one before the handover."""
 
     channel: int
     responses: ResponseCounts
@@ -83,7 +86,7 @@
 
 
 class FailureDetected(NamedTuple):
-    """The new process gives up, or sent something invalid."""
+    """The new process reported a failure, or sent something invalid."""
 
     channel: int
     reason: str
@@ -96,7 +99,7 @@
 
 
 class ChannelClosed(NamedTuple):
-    """The new process's end of the channel is closed: it is dead or does not serve."""
+    """The new process's end of the channel is closed: the process is dead or does not serve."""
 
     channel: int
 
@@ -106,11 +109,11 @@
 
 
 class Drained(NamedTuple):
-    """The last request is answered, and the clients are gone or handed over."""
+    """The last request is finished, and every client is disconnected or handed over."""
 
 
 class StopRequested(NamedTuple):
-    """The process is asked to exit (SIGTERM)."""
+    """The process is requested to exit (SIGTERM)."""
 
 
 # Actions
@@ -123,7 +126,7 @@
 
 
 class Reject(NamedTuple):
-    """Send ``Abort`` with the reason and close the channel; drop the copy."""
+    """Send ``Abort`` with the reason, close the channel, and cancel the copy of the state."""
 
     channel: int
     reason: str
@@ -149,25 +152,25 @@
 
 
 class ResumeServing(NamedTuple):
-    """Serve again: nobody else does. Idle clients are ours again."""
+    """Serve again, since no other process does. Idle clients belong to this process again."""
 
     reason: str
 
 
 class AnswerOrphanedClients(NamedTuple):
-    """The new process is gone: close the channel, and answer the clients that it owed an answer."""
+    """The new process is dead: close the channel, and respond to clients that still wait for its response."""
 
     channel: int
 
 
 class Release(NamedTuple):
-    """Send ``Release``, and close the retained connections."""
+    """Send ``Release``, and close the retained descriptors of handed-over connections."""
 
     channel: int
 
 
 class Exit(NamedTuple):
-    """Nothing is left to do here."""
+    """Exit this process: it has nothing left to do."""
 
 
 class SetTimer(NamedTuple):
@@ -200,8 +203,8 @@
     | Exit
     | SetTimer
 )
-OrderedEvent = ReadyReceived | StartedReceived | HeartbeatReceived
-EVENT_NAMES: dict[type, str] = {
+OrderedEvent = ReadyReceived | StartedReceived | HeartbeatReceived  # each is valid in certain phases only
+ORDERED_EVENT_NAMES: dict[type, str] = {
     ReadyReceived: "ready",
     StartedReceived: "started",
     HeartbeatReceived: "heartbeat",
@@ -210,19 +213,22 @@
 
 @dataclass
 class OldProcess:
-    """One gateway that may be upgraded; feed events, carry out the actions in their order."""
+    """The running process of a gateway: feed it events, carry out the actions in their order."""
 
     identity: GatewayIdentity
     timeouts: Timeouts = field(default_factory=Timeouts)
     phase: Phase = Phase.SERVING
-    channel: int | None = None
+    channel: int | None = None  # of the new process, None if there is none
     deadline_us: int = 0  # of the current step
-    probation_ends_us: int = 0  # 0 until the new process has started
-    last_outcome: str = "none"  # of the latest upgrade
+    probation_ends_us: int = 0  # 0 until the new process has started to serve
+    last_outcome: str = "none"  # of the latest hot restart
     actions: list[Action] = field(default_factory=list)
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Return the actions for one event; events of other channels are ignored."""
+        """Return the actions for one event; events of other channels are ignored.
+
+        ``now`` is the clock in microseconds.
+        """
         self.actions = []
         match event:
             case HelloReceived():
@@ -257,7 +263,7 @@
         self.deadline_us = now + delay_us
         self.actions.append(SetTimer(delay_us))
 
-    # -- until the handover
+    # -- before the handover
 
     def _hand_over(self, now: int, event: ReadyReceived) -> None:
         self.phase = Phase.COMMITTED
@@ -270,19 +276,19 @@
         self.actions.append(Reject(event.channel, event.reason))
 
     def _abandon_disconnected(self, now: int, event: ChannelClosed) -> None:
-        self._abandon(now, FailureDetected(event.channel, "its process ended"))
+        self._abandon(now, FailureDetected(event.channel, "the new process exited"))
 
     def _check_copy_deadline(self, now: int, _event: TimerFired) -> None:
         if now < self.deadline_us:
             return
         assert self.channel is not None
-        self.actions.append(Reject(self.channel, "it took too long"))
-        self._return_to_serving("abandoned: it took too long")
+        self.actions.append(Reject(self.channel, "the copy or the self-check took too long"))
+        self._return_to_serving("abandoned: the copy or the self-check took too long")
 
     def _withdraw_offer(self, _now: int, _event: StopRequested) -> None:
         assert self.channel is not None
-        self.actions.append(Reject(self.channel, "the gateway is asked to end"))
-        self._return_to_serving("abandoned: the gateway was asked to end")
+        self.actions.append(Reject(self.channel, "the old process was requested to exit"))
+        self._return_to_serving("abandoned: the old process was requested to exit")
 
     def _return_to_serving(self, outcome: str) -> None:
         self.phase = Phase.SERVING
@@ -310,19 +316,26 @@
         return self._set_deadline(now, self.timeouts.heartbeat_us)
 
     def _check_heartbeat_deadline(self, now: int, _event: TimerFired) -> None:
-        """Fence at the deadline. A late timer says that we stood still: received messages may wait."""
+        """Kill the new process at the deadline.
+
+        A late timer shows that this process was stalled: heartbeats may have arrived that it has not yet
+        read, so the deadline is extended.
+        """
         if now > self.deadline_us + self.timeouts.max_tick_delay_us:
             self._set_deadline(now, self.timeouts.heartbeat_us)
         elif now >= self.deadline_us:
-            self._fence("it hangs")
+            self._fence("the new process did not report in time")
 
     def _fence_failed(self, _now: int, event: FailureDetected) -> None:
-        """It failed and still has everything, or sends garbage: it is not asked to return anything."""
+        """Kill a new process that failed while it has all clients, or that sent something invalid.
+
+        It is not requested to return anything.
+        """
         self._fence(event.reason)
 
     def _reject_out_of_order(self, event: OrderedEvent) -> None:
-        """A message out of order is treated like garbage."""
-        reason = f"{EVENT_NAMES[type(event)]} while {self.phase.value}"
+        """Treat a message out of order like an invalid one."""
+        reason = f"{ORDERED_EVENT_NAMES[type(event)]} message out of order in phase {self.phase.value}"
         if self.phase is Phase.OFFERED:
             self._abandon(0, FailureDetected(event.channel, reason))
         elif self.phase is Phase.COMMITTED:
@@ -331,21 +344,21 @@
     def _fence(self, reason: str) -> None:
         assert self.channel is not None
         self.phase = Phase.FENCING
-        self.last_outcome = f"ended by force: {reason}"
+        self.last_outcome = f"killed: {reason}"
         self.actions.append(KillNewProcess(self.channel))
 
     # -- reclaim, exit
 
     def _reclaim(self, _now: int, event: ChannelClosed) -> None:
         if self.phase is Phase.COMMITTED:
-            self.last_outcome = "taken back: its process ended"
+            self.last_outcome = "resumed: the new process exited"
         self._return_to_serving(self.last_outcome)
         self.actions.append(ResumeServing(self.last_outcome))
         self.actions.append(AnswerOrphanedClients(event.channel))
 
     def _resume_while_draining(self, now: int, _event: ServingStoppedReceived) -> None:
         if self.phase is Phase.COMMITTED:
-            self.last_outcome = "given back: it was asked to end"
+            self.last_outcome = "returned: the new process was requested to exit"
         self.phase = Phase.RETURNED
         self.actions.append(ResumeServing(self.last_outcome))
         self._set_deadline(now, self.timeouts.drain_us)
@@ -364,8 +377,8 @@
         self.actions.append(Exit())
 
     def _release_early(self, _now: int, _event: StopRequested) -> None:
-        """SIGTERM in probation: the new process goes on without the rest of it."""
-        self._release("let go early: the old one was asked to end")
+        """Release the new process before its probation is over, since this process was requested to exit."""
+        self._release("released early: the old process was requested to exit")
 
     def _release(self, outcome: str) -> None:
         assert self.channel is not None
--- a/orchidlane/hot_restart/pre_copy.py
+++ b/orchidlane/hot_restart/pre_copy.py
@@ -1,8 +1,9 @@
-"""Copies tables that go on changing: every row once, then again what changed, until little is left.
+"""Copies tables while they change: every row once, then changed rows in rounds until few are left.
 
-As live migration does with memory pages (Clark et al., "Live Migration of Virtual Machines", NSDI 2005,
-section 3): the pause at the handover is then that of the last few rows, whatever the size of the tables.
-Rounds are bounded, since rows that change faster than they are sent would be sent for ever.
+This is the pre-copy method of live migration for memory pages (Clark et al., "Live Migration of Virtual
+Machines", NSDI 2005, section 3). The pause at the handover then depends only on the last few rows, whatever
+the size of the tables. The number of rounds is bounded: rows that change faster than they are sent would
+otherwise be sent indefinitely.
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 from typing import Any, NamedTuple, Protocol
 
 PAGE_ROWS = 256
-MAX_ROUNDS = 5  # after the first, which sends every row
-MAX_FINAL_ROWS = 64  # that may be left to the handover
+MAX_ROUNDS = 5  # of changed rows, after the initial copy of every row
+MAX_FINAL_ROWS = 64  # changed rows that may be left for the handover
 
 
 class Table(Protocol):
@@ -24,14 +25,14 @@
         """Return all current keys."""
 
     def row(self, key: Hashable) -> Any:
-        """Return the row of a key as plain values, None if there is none now."""
+        """Return the current row of a key as plain values, None if there is none."""
 
-    def watch(self, touched: dict[Hashable, None] | None) -> None:
-        """Add each key that is changed, inserted or removed from now on to ``touched``; None ends it."""
+    def watch(self, changed: dict[Hashable, None] | None) -> None:
+        """Add each key that is changed, inserted or removed from now on to ``changed``; None stops this."""
 
 
 class Page(NamedTuple):
-    """Some rows of one table, and keys that were removed from it."""
+    """Up to ``PAGE_ROWS`` rows of one table, and keys that were removed from it."""
 
     table: str
     rows: list[Any]
@@ -39,7 +40,7 @@
 
 
 class PreCopy:
-    """The copy of some tables: send each ``next_page`` until it is None, then all ``final_pages``."""
+    """The copy of several tables: send ``next_page`` until it returns None, then all ``final_pages``."""
 
     def __init__(self, tables: Iterable[Table]) -> None:
         self.tables = list(tables)
@@ -52,12 +53,12 @@
             table.watch(changed)
 
     def next_page(self) -> Page | None:
-        """Return the next page; None once few enough rows are left for the handover."""
+        """Return the next page; None once few enough rows are left, or after ``MAX_ROUNDS`` rounds."""
         while True:
             for table, unsent in zip(self.tables, self._unsent, strict=True):
                 if unsent:
                     keys = unsent[-PAGE_ROWS:]
-                    del unsent[-PAGE_ROWS:]  # at the end: a page costs its own rows, however many are left
+                    del unsent[-PAGE_ROWS:]  # from the end, so that the cost does not depend on the length
                     return self._make_page(table, keys)
             if self.rounds >= MAX_ROUNDS or sum(map(len, self._changed)) <= MAX_FINAL_ROWS:
                 return None
@@ -71,11 +72,11 @@
             table.watch(self._changed[index])
 
     def allow_more_rounds(self) -> None:
-        """Allow two more rounds, for what changed while the new process checked itself."""
+        """Allow two more rounds, for rows that changed during the self-check of the new process."""
         self.rounds = min(self.rounds, MAX_ROUNDS - 2)
 
     def final_pages(self) -> list[Page]:
-        """Return all that changed since it was sent last, and stop watching the tables."""
+        """Return all rows that changed since they were last sent, and stop watching the tables."""
         pages = []
         for index, table in enumerate(self.tables):
             keys = list(dict.fromkeys([*self._unsent[index], *self._changed[index]]))
--- a/orchidlane/hot_restart/probation.py
+++ b/orchidlane/hot_restart/probation.py
@@ -1,17 +1,17 @@
-"""Judges a new process in probation by the answers of its predecessor. No I/O."""
+"""Decides whether a new process is degraded, by comparing its responses with the old process's. No I/O."""
 
 from __future__ import annotations
 
 from math import log
 from typing import NamedTuple
 
-MIN_RESPONSES = 20  # before the ratio of served answers says anything
-MIN_SERVED_RATIO = 0.5  # of the predecessor's ratio of served answers
-MAX_FALSE_ALARM_PROBABILITY = 1e-3  # low, since the test is repeated
+MIN_RESPONSES = 20  # the ratio of served responses is not judged with fewer
+MIN_SERVED_RATIO = 0.5  # as a fraction of the baseline's ratio of served responses
+MAX_FALSE_ALARM_PROBABILITY = 1e-3  # low, since the test is repeated at every heartbeat or status
 
 
 class ResponseCounts(NamedTuple):
-    """Answers by kind over some interval."""
+    """Responses by kind over an interval."""
 
     served: int = 0
     rejected: int = 0
@@ -19,35 +19,36 @@
 
     @property
     def total(self) -> int:
-        """Number of answers."""
+        """Number of all responses."""
         return sum(self)
 
     def since(self, earlier: ResponseCounts) -> ResponseCounts:
-        """Return the answers given after an earlier count."""
+        """Return the responses given since an earlier count."""
         return ResponseCounts(*(now - then for now, then in zip(self, earlier, strict=True)))
 
 
 def degradation_reason(baseline: ResponseCounts, probation: ResponseCounts) -> str | None:
-    """Return what is wrong with a new process, None if nothing is.
+    """Return how a new process is degraded, None if it is not.
 
-    The demand is the same as before, so the ratio of served answers should be, too. Few answers say nothing,
-    and a predecessor that served nobody is no baseline. A process is degraded if even one that serves
-    ``MIN_SERVED_RATIO`` of the baseline's ratio would serve so few with a probability below
-    ``MAX_FALSE_ALARM_PROBABILITY`` (Chernoff's bound on the tail of a binomial distribution).
+    The demand is the same as before, so the ratio of served responses should be the same, too. There is no
+    result with fewer than ``MIN_RESPONSES`` responses, nor with a baseline in which nothing was served.
+    Otherwise the process is compared with one whose ratio is ``MIN_SERVED_RATIO`` of the baseline's: it is
+    degraded if that one would serve so few with a probability below ``MAX_FALSE_ALARM_PROBABILITY``
+    (Chernoff bound on the tail of a binomial distribution).
     """
     if probation.total < MIN_RESPONSES or not baseline.served:
         return None
     baseline_ratio = baseline.served / baseline.total
     ratio = probation.served / probation.total
-    least_ratio = MIN_SERVED_RATIO * baseline_ratio
-    if ratio >= least_ratio:
+    min_ratio = MIN_SERVED_RATIO * baseline_ratio
+    if ratio >= min_ratio:
         return None
-    if probation.total * _divergence(ratio, least_ratio) <= -log(MAX_FALSE_ALARM_PROBABILITY):
+    if probation.total * _divergence(ratio, min_ratio) <= -log(MAX_FALSE_ALARM_PROBABILITY):
         return None
-    return f"served {probation.served} of {probation.total} answers, {baseline_ratio:.0%} before"
+    return f"served {probation.served} of {probation.total} responses, {baseline_ratio:.0%} before"
 
 
 def _divergence(observed: float, expected: float) -> float:
     """Return the Kullback-Leibler divergence of two Bernoulli distributions, in nats."""
-    part = observed * log(observed / expected) if observed else 0.0
-    return part + (1 - observed) * log((1 - observed) / (1 - expected))
+    served_term = observed * log(observed / expected) if observed else 0.0
+    return served_term + (1 - observed) * log((1 - observed) / (1 - expected))
--- a/orchidlane/hot_restart/rolling_batches.py
+++ b/orchidlane/hot_restart/rolling_batches.py
@@ -1,12 +1,13 @@
 """Selects the gateways that may be upgraded together. No I/O.
 
-A bad successor is rolled back, but until then its gateway is at risk. So what is at risk at once is bounded:
-a share of all gateways, of each customer's replica set, of the load, and a number of zones. A customer's
-replica set is an arc of the ring of ranks (``Plan.spread`` ranks from any first one), so that all sets are
-checked by the distances between the ranks at risk, whatever the number of customers.
-
-The largest batch within these limits is a packing problem. ``largest_batch`` tries a few orders and keeps the
-best; ``benchmarks/roll.py`` compares it with ``batch_size_bound``.
+A degraded new process is rolled back, but until then its gateway is at risk. Therefore the number of gateways
+at risk at the same time is limited: to a share of all gateways, of each customer's replica set and of the
+load, and to a number of zones. A customer's replica set is an arc of the ring of ranks: consecutive ranks
+from any first one, as many as the plan's replica set size. So all sets are checked by the distances between
+the ranks at risk, whatever the number of customers.
+
+To find the largest batch within these limits is a packing problem. ``largest_batch`` tries several orders and
+keeps the best result; ``benchmarks/roll.py`` compares it with ``batch_size_bound``.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-MAX_RING_STARTS = 8  # ranks from which an order goes round the ring
+RING_STARTS = 8  # approximate number of ranks at which an order along the ring starts; always less than twice
 
 
 class Member(NamedTuple):
@@ -23,11 +24,11 @@
 
     rank: int
     zone: str
-    load: float  # answers per second, or any other measure that adds up
+    load: float  # responses per second, or any other additive measure
 
 
 class RiskLimits(NamedTuple):
-    """How much may be at risk at once; a single gateway always may."""
+    """How much may be at risk at the same time; a single gateway always may."""
 
     fleet_share: float = 0.25  # of all gateways
     replica_set_share: float = 0.5  # of the members of any customer's replica set
@@ -48,7 +49,10 @@
 
 
 def is_allowed(fleet: Fleet, limits: RiskLimits, at_risk: Iterable[int]) -> bool:
-    """Return whether these ranks may be at risk together. One always may, or no upgrade could ever start."""
+    """Return whether these ranks may be at risk together.
+
+    A single rank always may, since otherwise no upgrade could start.
+    """
     ranks = sorted(at_risk)
     if len(ranks) <= 1:
         return True
@@ -60,41 +64,42 @@
     if len({fleet.members[rank].zone for rank in ranks}) > limits.max_zones:
         return False
     return all(
-        _replica_sets_allow(ranks, size, min(set_size, size), _max_of_set(limits, set_size))
+        _replica_sets_allow(ranks, size, min(set_size, size), _max_at_risk_of_set(limits, set_size))
         for set_size in fleet.replica_set_sizes
     )
 
 
-def _max_of_set(limits: RiskLimits, set_size: int) -> int:
+def _max_at_risk_of_set(limits: RiskLimits, set_size: int) -> int:
+    """Return how many members of a replica set of this size may be at risk at the same time."""
     return max(1, int(limits.replica_set_share * set_size))
 
 
-def _replica_sets_allow(ranks: Sequence[int], size: int, set_size: int, max_of_set: int) -> bool:
-    """Return whether no arc of ``set_size`` ranks has more than ``max_of_set`` of the sorted ``ranks``."""
-    if len(ranks) <= max_of_set:
+def _replica_sets_allow(ranks: Sequence[int], size: int, set_size: int, max_at_risk: int) -> bool:
+    """Return whether no arc of ``set_size`` ranks has more than ``max_at_risk`` of the sorted ``ranks``."""
+    if len(ranks) <= max_at_risk:
         return True
     if set_size >= size:
         return False
-    distances = (
-        ranks[(i + max_of_set) % len(ranks)] + size * ((i + max_of_set) // len(ranks)) - rank
+    distances = (  # from each rank to the one that is ``max_at_risk`` places further round the ring
+        ranks[(i + max_at_risk) % len(ranks)] + size * ((i + max_at_risk) // len(ranks)) - rank
         for i, rank in enumerate(ranks)
     )
     return min(distances) >= set_size
 
 
 def largest_batch(
-    fleet: Fleet, limits: RiskLimits, wanted: Sequence[int], at_risk: Iterable[int], max_size: int
+    fleet: Fleet, limits: RiskLimits, candidates: Sequence[int], at_risk: Iterable[int], max_size: int
 ) -> list[int]:
-    """Return the largest batch found of the wanted ranks, beside those that are at risk already.
+    """Return the largest batch found of the candidate ranks, given the ranks that are already at risk.
 
-    The first of the best orders wins, so that the same fleet gives the same batch.
+    Of batches of equal size the first is returned, so that the same fleet gives the same batch.
     """
-    if not wanted:
+    if not candidates:
         return []
-    risk = set(at_risk)
+    ranks_at_risk = set(at_risk)
     best: list[int] = []
-    for order in _orders(fleet, wanted):
-        batch = _pack(fleet, limits, order, risk, max_size)
+    for order in _orders(fleet, candidates):
+        batch = _pack(fleet, limits, order, ranks_at_risk, max_size)
         if len(batch) > len(best):
             best = batch
         if len(best) == max_size:
@@ -102,17 +107,22 @@
     return best
 
 
-def _orders(fleet: Fleet, wanted: Sequence[int]) -> list[list[int]]:
-    """Return orders zone by zone, the least loaded first; then along the ring from a few starts."""
+def _orders(fleet: Fleet, candidates: Sequence[int]) -> list[list[int]]:
+    """Return orders of the candidates to try.
+
+    For each zone: its gateways first, and the least loaded first. Then orders along the ring from several
+    starting points: the gateways of the first one's zone first.
+    """
     members = fleet.members
-    zones = sorted({members[rank].zone for rank in wanted})
+    zones = sorted({members[rank].zone for rank in candidates})
     orders = [
-        sorted(wanted, key=lambda rank: (members[rank].zone != zone, members[rank].load)) for zone in zones
+        sorted(candidates, key=lambda rank: (members[rank].zone != zone, members[rank].load))
+        for zone in zones
     ]
-    step = max(1, len(wanted) // MAX_RING_STARTS)
-    for start in range(0, len(wanted), step):
-        first_zone = members[wanted[start]].zone
-        ring = [*wanted[start:], *wanted[:start]]
+    step = max(1, len(candidates) // RING_STARTS)
+    for start in range(0, len(candidates), step):
+        first_zone = members[candidates[start]].zone
+        ring = [*candidates[start:], *candidates[:start]]
         orders.append(sorted(ring, key=lambda rank: members[rank].zone != first_zone))
     return orders
 
@@ -120,7 +130,7 @@
 def _pack(
     fleet: Fleet, limits: RiskLimits, order: Iterable[int], at_risk: set[int], max_size: int
 ) -> list[int]:
-    """Take each rank of an order that fits beside those at risk and those taken before."""
+    """Add each rank of an order that is allowed together with those at risk and those added before."""
     batch: list[int] = []
     for rank in order:
         if len(batch) == max_size:
@@ -132,12 +142,15 @@
 
 
 def batch_size_bound(fleet: Fleet, limits: RiskLimits) -> int:
-    """Return an upper bound on the size of any batch: by number, replica sets, zones and lightest loads."""
+    """Return an upper bound on the size of any batch.
+
+    It is the least of the bounds by the number of gateways, replica sets, zones, and the lightest loads.
+    """
     size = len(fleet.members)
     bounds = [max(1, int(limits.fleet_share * size))]
     for set_size in fleet.replica_set_sizes:
-        max_of_set = _max_of_set(limits, set_size)
-        bounds.append(max(1, size * max_of_set // set_size) if set_size < size else max_of_set)
+        max_at_risk = _max_at_risk_of_set(limits, set_size)
+        bounds.append(max(1, size * max_at_risk // set_size) if set_size < size else max_at_risk)
     zone_sizes = Counter(member.zone for member in fleet.members)
     bounds.append(sum(sorted(zone_sizes.values())[-limits.max_zones :]))
     bounds.append(max(1, _count_lightest(fleet, limits)))
--- a/orchidlane/hot_restart/rolling_upgrade.py
+++ b/orchidlane/hot_restart/rolling_upgrade.py
@@ -1,16 +1,22 @@
-"""Upgrades a fleet batch by batch, stops at the first sign of harm and rolls back. No I/O.
+"""Upgrades a fleet batch by batch, stops at the first failure and rolls back. No I/O.
 
     ROLLING --batch upgraded--> SOAKING --soak over--> ROLLING ... --all upgraded--> DONE
-       | harm                      | harm
+       | failure                   | failure
        +------> ROLLING_BACK <-----+ --none upgraded--> ROLLED_BACK, or STUCK if one could not be reverted
 
-The first batch is one gateway, of median load, so that its probation says something; each next one may be
-larger by ``RollSettings.batch_growth``, within ``RiskLimits``. An unreachable gateway counts as at risk. Harm
-is: an upgrade that fails, an upgraded gateway that becomes unreachable, and any gateway that serves much less
-of its requests than before (``probation.degradation_reason``; gossip of a new build may hurt the others).
+"Roll" is short for rolling upgrade. Each gateway is upgraded to the new build by a hot restart, and reverted
+to the old build by another one.
 
-All that is known is one value, ``RollState``, which is stored whenever it changes: a roll that was killed
-resumes from it. The outcome of an upgrade that was in progress then is learnt from its gateway's status.
+The first batch is one gateway, of median load, so that it gives enough responses in probation. Each batch may
+be larger than the one before by the factor ``RollSettings.batch_growth``, within ``RiskLimits``. An
+unreachable gateway counts as at risk. A failure is: an upgrade that fails, an upgraded gateway that becomes
+unreachable, or any gateway that serves a much smaller share of its requests than before
+(``probation.degradation_reason``). Gateways that run the old build are included, since gossip from the new
+build may degrade them.
+
+The whole state is one value, ``RollState``, which is stored whenever it changes. A roll whose process was
+killed resumes from it. The outcome of an upgrade that was in progress at that time is read from the status of
+its gateway.
 """
 
 from __future__ import annotations
@@ -24,7 +30,7 @@
 from orchidlane.hot_restart.probation import ResponseCounts, degradation_reason
 from orchidlane.hot_restart.rolling_batches import Fleet, RiskLimits, largest_batch
 
-MAX_REVERT_ATTEMPTS = 3  # for one gateway
+MAX_REVERT_ATTEMPTS = 3  # for each gateway
 
 
 class Phase(Enum):
@@ -48,38 +54,40 @@
     UPGRADING = "going"
     UPGRADED = "new"
     REVERTING = "coming"
-    STUCK = "stuck"  # upgraded, and could not be reverted
+    STUCK = "stuck"  # runs the new build and could not be reverted
 
 
 class GatewayState(msgspec.Struct):
-    """What is known of one gateway. Field names in quotes are those of the stored file."""
+    """State of one gateway in a roll. ``name=`` gives the name of a field in the stored file."""
 
     phase: GatewayPhase = msgspec.field(default=GatewayPhase.OLD, name="place")
-    new_process_pid: int = msgspec.field(default=0, name="pid")  # 0 until the process is prepared
+    new_process_pid: int = msgspec.field(default=0, name="pid")  # 0 while no new process is prepared
+    # when the new process was prepared, or the roll was resumed
     started_at_us: int = msgspec.field(default=0, name="began")
-    attempts: int = msgspec.field(default=0, name="tries")  # to revert it
+    attempts: int = msgspec.field(default=0, name="tries")  # failed attempts to revert it
     baseline: ResponseCounts = msgspec.field(default=ResponseCounts(), name="before")  # before the roll
-    baseline_pid: int = msgspec.field(default=0, name="process")  # that gave these answers
+    baseline_pid: int = msgspec.field(default=0, name="process")  # process that counted the baseline
     unreachable: bool = msgspec.field(default=False, name="silent")
-    last_outcome: str = msgspec.field(default="", name="latest")  # as its status says
-    start_unconfirmed: bool = msgspec.field(default=False, name="again")  # the roll was killed meanwhile
+    last_outcome: str = msgspec.field(default="", name="latest")  # of its latest hot restart
+    # the roll was killed after it prepared the new process, which may therefore never have run
+    start_unconfirmed: bool = msgspec.field(default=False, name="again")
 
     @property
     def in_progress(self) -> bool:
-        """Whether an upgrade or a reversal has no outcome yet."""
+        """Whether an upgrade or a reversal is in progress."""
         return self.phase in (GatewayPhase.UPGRADING, GatewayPhase.REVERTING)
 
 
 class RollState(msgspec.Struct):
-    """The state of a roll. Field names in quotes are those of the stored file."""
+    """State of a roll. ``name=`` gives the name of a field in the stored file."""
 
     gateways: list[GatewayState] = msgspec.field(name="ones")
     phase: Phase = Phase.ROLLING
-    soak_started_at_us: int = msgspec.field(default=0, name="since")  # by the roll's own clock
+    soak_started_at_us: int = msgspec.field(default=0, name="since")  # by the clock of the roll's process
     upgraded_since_soak: bool = msgspec.field(default=False, name="fresh")
-    batch_size: int = msgspec.field(default=1, name="batch")  # of the next batch, at most
-    upgrade_order: list[int] = msgspec.field(default_factory=list, name="order")  # ranks, the earliest first
-    reason: str = msgspec.field(default="", name="why")
+    batch_size: int = msgspec.field(default=1, name="batch")  # maximum size of the next batch
+    upgrade_order: list[int] = msgspec.field(default_factory=list, name="order")  # upgraded ranks, in order
+    reason: str = msgspec.field(default="", name="why")  # of the rollback
 
 
 class RollSettings(msgspec.Struct, frozen=True):
@@ -87,15 +95,15 @@
 
     limits: RiskLimits = RiskLimits()
     soak_us: int = 5_000_000  # after each batch
-    upgrade_timeout_us: int = 95_000_000  # for one gateway
-    batch_growth: int = 2
+    upgrade_timeout_us: int = 95_000_000  # for each gateway
+    batch_growth: int = 2  # factor from one batch to the next
 
 
 # Events
 
 
 class NewProcessPrepared(NamedTuple):
-    """The process of a successor exists; it runs once this event is stored."""
+    """A new process exists but does not run yet; it is released once this event is stored."""
 
     rank: int
     pid: int
@@ -106,25 +114,25 @@
 
     rank: int
     pid: int
-    serving: bool  # and no other process takes part
+    serving: bool  # whether it serves and no hot restart is in progress
     last_outcome: str
     responses: ResponseCounts
     new_process_alive: bool
 
 
 class GatewayUnreachable(NamedTuple):
-    """A gateway does not answer."""
+    """A gateway does not respond to status requests."""
 
     rank: int
     new_process_alive: bool
 
 
 class TimerFired(NamedTuple):
-    """Time has passed."""
+    """Time has passed; nothing else is known to have changed."""
 
 
 class RollbackRequested(NamedTuple):
-    """The operator wants the old build back."""
+    """The operator requests a rollback to the old build."""
 
     reason: str
 
@@ -136,20 +144,20 @@
 
 
 class StartNewProcess(NamedTuple):
-    """Start a successor of the new build, or of the old one to revert."""
+    """Start a new process: of the new build to upgrade, of the old build to revert."""
 
     rank: int
     new_build: bool
 
 
 class KillNewProcess(NamedTuple):
-    """Kill a successor that takes too long: it may never have connected."""
+    """Kill a new process that takes too long; it may never have connected to the old one."""
 
     pid: int
 
 
 class Finish(NamedTuple):
-    """The roll is over."""
+    """The roll has finished."""
 
     phase: Phase
     reason: str
@@ -159,19 +167,20 @@
 
 
 class RollingUpgrade:
-    """Decides the roll of a fleet; feed events, carry out the actions in their order."""
+    """Controls the roll of a fleet: feed it events, carry out the actions in their order."""
 
     def __init__(self, fleet: Fleet, settings: RollSettings, state: RollState) -> None:
         self.fleet = fleet
         self.settings = settings
         self.state = state
-        self._urgent: list[Action] = []  # actions of the event itself, before any further step
-        # Of all gateways together: a single one may have had too few answers before the roll.
+        # Actions that the current event requires at once; the next step of the roll waits for the next event.
+        self._immediate_actions: list[Action] = []
+        # The sum over all gateways, since a single one may have had too few responses before the roll.
         baselines = (gateway.baseline for gateway in state.gateways)
         self._fleet_baseline = ResponseCounts(*map(sum, zip(*baselines, strict=True)))
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Return the actions for one event."""
+        """Return the actions for one event; ``now`` is the clock in microseconds."""
         state = self.state
         if state.phase in FINAL_PHASES:
             return []
@@ -191,7 +200,7 @@
         return self._advance(now)
 
     def resume(self, now: int) -> list[Action]:
-        """Return the actions to go on from a state that was stored."""
+        """Return the actions with which to continue from a stored state."""
         for rank in self.in_progress():
             gateway = self.state.gateways[rank]
             gateway.start_unconfirmed = True
@@ -201,7 +210,7 @@
         return [*self._start_new_processes(unprepared), *self._advance(now)]
 
     def in_progress(self) -> list[int]:
-        """Return the ranks whose upgrade or reversal has no outcome yet."""
+        """Return the ranks whose upgrade or reversal is in progress."""
         return [rank for rank, gateway in enumerate(self.state.gateways) if gateway.in_progress]
 
     # -- status of one gateway
@@ -214,15 +223,18 @@
         gateway.last_outcome = status.last_outcome
         reason = self._degradation_reason(gateway, status)
         if reason is not None:
-            self._roll_back(f"{_name(status.rank)} {reason}")
+            self._roll_back(f"{_gateway_name(status.rank)} {reason}")
         return None
 
     def _degradation_reason(self, gateway: GatewayState, status: StatusReceived) -> str | None:
-        """Judge the answers since the roll began: a new process counts from zero, an old one goes on."""
-        answers = status.responses
+        """Compare the responses since the start of the roll with the baseline of the fleet.
+
+        A new process counts from zero; the count of a process that ran before the roll includes its baseline.
+        """
+        responses = status.responses
         if status.pid == gateway.baseline_pid:
-            answers = answers.since(gateway.baseline)
-        return degradation_reason(self._fleet_baseline, answers)
+            responses = responses.since(gateway.baseline)
+        return degradation_reason(self._fleet_baseline, responses)
 
     def _follow_upgrade(self, now: int, status: StatusReceived, gateway: GatewayState) -> None:
         if not gateway.new_process_pid:
@@ -230,30 +242,30 @@
         if status.serving and status.pid == gateway.new_process_pid:
             self._succeed(status.rank, gateway)
         elif not status.serving or status.new_process_alive:
-            self._kill_late(now, gateway, status.new_process_alive)
+            self._kill_overdue(now, gateway, status.new_process_alive)
         elif gateway.start_unconfirmed and status.last_outcome == gateway.last_outcome:
-            # it may never have run: start it again
+            # The new process may never have run, so another one is started.
             gateway.start_unconfirmed = False
             gateway.new_process_pid = 0
-            self._urgent.extend(self._start_new_processes([status.rank]))
+            self._immediate_actions.extend(self._start_new_processes([status.rank]))
         else:
             self._fail(status.rank, gateway, status.last_outcome)
 
-    def _kill_late(self, now: int, gateway: GatewayState, new_process_alive: bool) -> None:
-        """Kill a successor after the timeout; the gateway's status tells the outcome, as always."""
+    def _kill_overdue(self, now: int, gateway: GatewayState, new_process_alive: bool) -> None:
+        """Kill a new process after the timeout; the outcome is then read from the gateway's status."""
         if new_process_alive and now - gateway.started_at_us > self.settings.upgrade_timeout_us:
-            self._urgent.append(KillNewProcess(gateway.new_process_pid))
+            self._immediate_actions.append(KillNewProcess(gateway.new_process_pid))
 
     def _mark_unreachable(self, now: int, event: GatewayUnreachable) -> None:
         gateway = self.state.gateways[event.rank]
         gateway.unreachable = True
         if gateway.in_progress:
             if gateway.new_process_pid and not event.new_process_alive:
-                self._fail(event.rank, gateway, "no process of it answers")
+                self._fail(event.rank, gateway, "the gateway is unreachable and its new process has exited")
             else:
-                self._kill_late(now, gateway, event.new_process_alive)
+                self._kill_overdue(now, gateway, event.new_process_alive)
         elif gateway.phase is GatewayPhase.UPGRADED:
-            self._roll_back(f"{_name(event.rank)} does not answer any more")
+            self._roll_back(f"{_gateway_name(event.rank)} became unreachable after its upgrade")
 
     # -- outcomes
 
@@ -274,14 +286,14 @@
         gateway.start_unconfirmed = False
         if gateway.phase is GatewayPhase.UPGRADING:
             gateway.phase = GatewayPhase.OLD
-            return self._roll_back(f"{_name(rank)}: {reason}")
+            return self._roll_back(f"{_gateway_name(rank)}: {reason}")
         gateway.attempts += 1
         can_retry = gateway.attempts < MAX_REVERT_ATTEMPTS
         gateway.phase = GatewayPhase.UPGRADED if can_retry else GatewayPhase.STUCK
         return None
 
     def _roll_back(self, reason: str) -> None:
-        """Begin the rollback; only the first reason is kept."""
+        """Start the rollback; only the first reason is kept."""
         if self.state.phase is not Phase.ROLLING_BACK:
             self.state.phase = Phase.ROLLING_BACK
             self.state.reason = reason
@@ -290,10 +302,10 @@
 
     def _advance(self, now: int) -> list[Action]:
         state = self.state
-        if self._urgent:
-            urgent = self._urgent
-            self._urgent = []
-            return urgent
+        if self._immediate_actions:
+            immediate_actions = self._immediate_actions
+            self._immediate_actions = []
+            return immediate_actions
         if state.phase is Phase.ROLLING_BACK:
             return self._revert_next()
         if self.in_progress():
@@ -311,23 +323,25 @@
 
     def _start_next_batch(self) -> list[Action]:
         gateways = self.state.gateways
-        wanted = [rank for rank, gateway in enumerate(gateways) if gateway.phase is GatewayPhase.OLD]
-        if not wanted:
+        candidates = [rank for rank, gateway in enumerate(gateways) if gateway.phase is GatewayPhase.OLD]
+        if not candidates:
             return self._finish(Phase.DONE)
-        wanted = [rank for rank in wanted if not gateways[rank].unreachable]
+        candidates = [rank for rank in candidates if not gateways[rank].unreachable]
         if not self.state.upgrade_order:
-            wanted = self._choose_canary(wanted)
+            candidates = self._choose_canary(candidates)
         unreachable = [rank for rank, gateway in enumerate(gateways) if gateway.unreachable]
-        batch = largest_batch(self.fleet, self.settings.limits, wanted, unreachable, self.state.batch_size)
+        batch = largest_batch(
+            self.fleet, self.settings.limits, candidates, unreachable, self.state.batch_size
+        )
         return self._start(batch, GatewayPhase.UPGRADING)
 
-    def _choose_canary(self, wanted: list[int]) -> list[int]:
-        """Choose the gateway of median load: enough answers to judge it by, few clients at risk."""
-        by_load = sorted(wanted, key=lambda rank: (self.fleet.members[rank].load, rank))
+    def _choose_canary(self, candidates: list[int]) -> list[int]:
+        """Choose the gateway of median load: enough responses to judge it by, and few clients at risk."""
+        by_load = sorted(candidates, key=lambda rank: (self.fleet.members[rank].load, rank))
         return by_load[len(by_load) // 2 :][:1]
 
     def _revert_next(self) -> list[Action]:
-        """Revert the latest upgrades first, as many as may be at risk, once no upgrade is in progress."""
+        """Revert as many gateways as may be at risk, the latest first, once no upgrade is in progress."""
         gateways = self.state.gateways
         if any(gateway.phase is GatewayPhase.UPGRADING for gateway in gateways):
             return []
@@ -337,7 +351,7 @@
             if gateways[rank].phase is GatewayPhase.UPGRADED
         ]
         reverting = [rank for rank, gateway in enumerate(gateways) if gateway.phase is GatewayPhase.REVERTING]
-        if upgraded:  # unreachable ones don't count as at risk here: this is to bring them back
+        if upgraded:  # unreachable gateways don't count as at risk here, since a revert is to recover them
             batch = largest_batch(self.fleet, self.settings.limits, upgraded, reverting, len(gateways))
             return self._start(batch, GatewayPhase.REVERTING)
         if reverting:
@@ -361,12 +375,12 @@
         return [Finish(phase, self.state.reason)]
 
 
-def _name(rank: int) -> str:
+def _gateway_name(rank: int) -> str:
     return f"gateway {rank}"
 
 
 def start_roll(fleet: Fleet, settings: RollSettings, statuses: Sequence[StatusReceived]) -> RollingUpgrade:
-    """Return a roll that has not begun; ``statuses`` are those of all gateways, by rank."""
+    """Return a roll before its first step; ``statuses`` are those of all gateways, by rank."""
     gateways = [
         GatewayState(baseline=status.responses, baseline_pid=status.pid, last_outcome=status.last_outcome)
         for status in statuses
--- a/orchidlane/hot_restart/tables.py
+++ b/orchidlane/hot_restart/tables.py
@@ -1,8 +1,8 @@
 """Tables that ``PreCopy`` copies, and the state that a new process builds from their rows.
 
-Requests in flight at the handover stay with the old process, so a new process begins without any: no endpoint
-has one, and a customer's requests in flight become admissions that peers made lately, which the policy counts
-as in flight for the usual duration.
+Requests in flight at the handover stay with the old process, so a new process starts with none: each
+endpoint's count of requests in flight starts at zero. A customer's requests in flight are recorded as recent
+admissions of peers, which the policy counts as in flight for the usual duration of a request.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
     def __init__(self, gateway: Gateway) -> None:
         track_accounts(gateway)
         self._accounts: ObservableAccounts = gateway.accounts  # type: ignore[assignment]
-        self._touched: dict[Hashable, None] | None = None
+        self._changed: dict[Hashable, None] | None = None  # None: not watched
 
     def keys(self) -> Iterable[Hashable]:
-        """Return the customers' numbers."""
+        """Return the numbers of all customers with an account."""
         return list(self._accounts)
 
     def row(self, key: Any) -> Any:
@@ -46,22 +46,22 @@
         account = dict.get(self._accounts, key)
         return account_to_row(account) if account is not None else None
 
-    def watch(self, touched: dict[Hashable, None] | None) -> None:
-        """Observe the dictionary through which the policy reaches its accounts."""
-        if self._touched is None and touched is not None:
+    def watch(self, changed: dict[Hashable, None] | None) -> None:
+        """Record each account that the policy accesses in ``changed``; None stops this."""
+        if self._changed is None and changed is not None:
             self._accounts.add_observer(self)
-        elif touched is None and self._touched is not None:
+        elif changed is None and self._changed is not None:
             self._accounts.remove_observer(self)
-        self._touched = touched
+        self._changed = changed
 
     def before_access(self, customer: int) -> None:
-        """Note an account that the policy has looked up: it may change."""
-        if self._touched is not None:
-            self._touched[customer] = None
+        """Record an account that the policy is about to access, since it may change."""
+        if self._changed is not None:
+            self._changed[customer] = None
 
 
 class NamedTable:
-    """Tokens or grants by name."""
+    """Tokens of a token owner, or grants, by name."""
 
     def __init__(self, name: str, entries: TokenOwner | GrantStore) -> None:
         self.name = name
@@ -75,13 +75,13 @@
         """Return the row of an entry, None if there is none."""
         return self._entries.row(key)
 
-    def watch(self, touched: dict[Hashable, None] | None) -> None:
-        """Have the store note the names that it changes."""
-        self._entries.touched = touched
+    def watch(self, changed: dict[Hashable, None] | None) -> None:
+        """Let the store record the names of entries that it changes in ``changed``; None stops this."""
+        self._entries.touched = changed
 
 
 class ReceivedTables:
-    """What a new process has received so far; a row may be received again."""
+    """The rows that a new process has received so far; a row may be received several times."""
 
     def __init__(self, token_owner: TokenOwner, grants: GrantStore) -> None:
         self.accounts: dict[int, Account] = {}
@@ -89,7 +89,11 @@
         self.grants = grants
 
     def apply(self, table: str, rows: list[Any], removed: list[Any], now: int) -> None:
-        """Store rows of one table and remove keys from it. Raises ValueError, KeyError, TypeError."""
+        """Store rows of one table and remove keys from it.
+
+        ``now`` is the clock in microseconds. Raises ValueError, KeyError or TypeError if a table's name or a
+        row is invalid.
+        """
         if table == AccountsTable.name:
             self._apply_accounts(rows, removed, now)
             return
@@ -102,8 +106,8 @@
     def _apply_accounts(self, rows: list[Any], removed: list[Any], now: int) -> None:
         for row in rows:
             account = account_from_row(row)
-            in_flight_as_peers = (now for _ in range(account.in_flight))
-            account.peer_admissions_at_us = (*account.peer_admissions_at_us, *in_flight_as_peers)
+            in_flight_admitted_at_us = (now for _ in range(account.in_flight))
+            account.peer_admissions_at_us = (*account.peer_admissions_at_us, *in_flight_admitted_at_us)
             account.in_flight = 0
             self.accounts[account.customer] = account
         for customer in removed:
@@ -126,36 +130,35 @@
 ) -> Gateway:
     """Build a new process's policy.
 
-    ``old_classes`` has for each class of the new settings its number in the old process, None for a new one.
-    Raises FormatError, KeyError.
+    ``old_classes`` has, for each request class of the new settings, its number in the old process, None for a
+    class that the old process did not have. Raises FormatError or KeyError if the state is invalid.
     """
     scalars = state.scalars
-    usual = scalars["usual"]
+    old_baseline_us = scalars["usual"]
     changed = scalars["changed"]
     exhausted = scalars.get("closed", ())
     gateway = restore_gateway(settings, state)
     initial = Gateway(settings, 0, gateway.now).baseline_latency_us
     gateway.baseline_latency_us = [
-        initial[new] if old is None else usual[old] for new, old in enumerate(old_classes)
+        initial[new] if old is None else old_baseline_us[old] for new, old in enumerate(old_classes)
     ]
     gateway.accounts = ObservableAccounts(accounts)
-    gateway.idle_queue.extend(accounts)  # in any order: it only says which account is examined next
+    gateway.idle_queue.extend(accounts)  # any order will do: it only decides which account is examined next
     gateway.pending_changes = {customer: None for customer in changed if customer in accounts}
-    gateway.exhausted_customers = {
-        customer: 0 for customer in exhausted if customer in accounts
-    }  # announced anew
+    # 0: attached to no message so far, so that each exhausted customer is announced again
+    gateway.exhausted_customers = {customer: 0 for customer in exhausted if customer in accounts}
     for endpoint in gateway.endpoints.values():
         endpoint.in_flight = 0
     return gateway
 
 
 def forfeit_ceiling_tokens(gateway: Gateway) -> None:
-    """Reset what another process may have used while it decided in this one's place.
+    """Reset the ceiling tokens, which another process may have used while it decided in this one's place.
 
-    Its counts were reported as they grew; of ceilings nobody knows what was used, so each part fills from
-    nothing, as at a start.
+    The other process reported its counts as they grew, but not its use of ceiling tokens. So this gateway's
+    share of each ceiling fills from zero, as at a start.
     """
-    gateway.started_at_us = gateway.now  # for customers without an account, too
+    gateway.started_at_us = gateway.now  # also covers customers without an account
     for account in gateway.accounts.values():
         account.ceiling_tokens = 0.0
         account.requested_tokens = 0.0
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -64,7 +64,7 @@
         gateway = harness.settle()
         assert set(harness.statuses) == {200}
         first, second = sorted(harness.gateways[1:], key=lambda one: bool(one.failure))
-        assert "another upgrade is under way" in second.failure
+        assert "another hot restart is in progress" in second.failure
         assert gateway is first
 
     HotRestartHarness(slow, slow, slow, slow).run(test)
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize(
     ("change", "reason"),
     [
-        ({"protocol_version": 99}, "format 99"),
+        ({"protocol_version": 99}, "protocol version 99"),
         ({"rank": 1}, "rank 0"),
         ({"gateway_count": 5}, "need a restart"),
         ({"plan_names": ("other",)}, "need a restart"),
--- a/tests/test_hot_restart_real.py
+++ b/tests/test_hot_restart_real.py
@@ -130,6 +130,6 @@
     assert roll.outputs["status"].startswith(("rolling", "soaking")), roll.outputs
     assert roll.outputs["resumed"].endswith("done\n")
     assert "returned: gateway" in roll.outputs["broken"]
-    assert "its process ended" in roll.outputs["broken"]
+    assert "the new process exited" in roll.outputs["broken"]
     assert verdict.rules == ALL_RULES_HOLD, verdict.as_json()
     assert verdict.responses.get("reset", 0) == 0, verdict.as_json()
