--- a/tests/harness/hot_restart_model.py
+++ b/tests/harness/hot_restart_model.py
@@ -1,7 +1,7 @@
 """A model of a hot restart: both state machines and the channel between them, for a search of all states.
 
-Crashes, hangs and garbage may happen anywhere. Invariants: at most one of the two serves, and from every
-state one that serves is reached, unless both are dead.
+A process may crash, hang or send garbage in any state. Invariants: at most one of the two processes serves,
+and from every state a state can be reached in which one of them serves, unless both are dead.
 """
 
 from __future__ import annotations
@@ -15,14 +15,13 @@
 from orchidlane.hot_restart.messages import PROTOCOL_VERSION, Hello
 from orchidlane.hot_restart.probation import ResponseCounts
 
-LAYOUT = GatewayIdentity("gw", 0, 3, ("p",))
+IDENTITY = GatewayIdentity("gw", 0, 3, ("p",))
 HELLO = Hello(PROTOCOL_VERSION, "b", "gw", 0, 3, ("p",))
-LATE_US = 10**12  # a time at which every deadline is over
+LATE_US = 10**12  # a time after every deadline
 HEALTHY, DEGRADED = ResponseCounts(50, 1, 0), ResponseCounts(0, 50, 0)
 
-
 MAX_QUEUED_MESSAGES = 3
-SIDE_FLAGS = ("alive", "hanging", "closed", "noticed", "serves", "waits")
+SIDE_FLAGS = ("alive", "hanging", "closed", "saw_close", "serves", "timer_set")
 OLD_MESSAGES: dict[type, tuple[str, ...]] = {  # by the action that sends them
     old_process.SendOffer: ("offer", "copy complete"),
     old_process.Reject: ("abort",),
@@ -44,22 +43,22 @@
     """Both processes and the two directions of their channel; index 0 is the old process, 1 the new one."""
 
     def __init__(self, faults: int = 2) -> None:
-        self.old = old_process.OldProcess(LAYOUT)
+        self.old = old_process.OldProcess(IDENTITY)
         self.new = new_process.NewProcess()
         self.to_new: tuple[str, ...] = ()
         self.to_old: tuple[str, ...] = ()
         self.alive = [True, True]
         self.hanging = [False, False]
-        self.closed = [False, False]  # whose end of the channel
-        self.noticed = [False, False]  # that the other's end is closed
+        self.closed = [False, False]  # whether this process has closed its end of the channel
+        self.saw_close = [False, False]  # whether this process has seen that the other end is closed
         self.serves = [True, False]
-        self.waits = [False, False]  # for a tick
-        self.checking = False
-        self.stopped = False
-        self.faults = faults
+        self.timer_set = [False, False]
+        self.checking = False  # whether the self-check of the new process runs
+        self.stopped = False  # whether a process was requested to exit
+        self.faults = faults  # that may still happen
 
     def key(self) -> Any:
-        """Return what distinguishes this state from others."""
+        """Return the values that distinguish this state from others."""
         old, new = self.old, self.new
         return (
             old.phase,
@@ -71,33 +70,33 @@
             *self.alive,
             *self.hanging,
             *self.closed,
-            *self.noticed,
+            *self.saw_close,
             *self.serves,
-            *self.waits,
+            *self.timer_set,
             self.checking,
             self.stopped,
             self.faults,
         )
 
     def broken_invariant(self) -> str | None:
-        """Return which invariant this state violates."""
+        """Return the invariant that this state violates, None if it violates none."""
         if all(self.serves):
             return "both serve"
         return None
 
     def is_good(self) -> bool:
-        """One serves and has nothing more to do with the other; or both are dead."""
-        alone = self.old.phase is old_process.Phase.SERVING and self.serves[0]
-        free = self.new.phase is new_process.Phase.INDEPENDENT and self.serves[1]
-        return alone or free or not any(self.alive)
+        """Return whether one process serves and is independent of the other, or both are dead."""
+        old_serves = self.old.phase is old_process.Phase.SERVING and self.serves[0]
+        independent = self.new.phase is new_process.Phase.INDEPENDENT and self.serves[1]
+        return old_serves or independent or not any(self.alive)
 
     def moves(self) -> Iterable[tuple[str, Model]]:
-        """Return every next state, and what led to it."""
+        """Return every next state, and the name of the step that leads to it."""
         for name, change in (*self._old_steps(), *self._new_steps(), *self._wake_ups(), *self._faults()):
             after = copy.copy(self)
             after.old, after.new = copy.copy(self.old), copy.copy(self.new)
-            for name_ in SIDE_FLAGS:
-                setattr(after, name_, list(getattr(self, name_)))
+            for flag in SIDE_FLAGS:
+                setattr(after, flag, list(getattr(self, flag)))
             change(after)
             yield name, after
 
@@ -109,9 +108,9 @@
             return
         if self.to_old:
             yield f"old receives {self.to_old[0]}", Model.old_receives
-        elif self.closed[1] and not self.noticed[0] and not self.closed[0]:
-            yield "old receives the close", lambda m: m.notice_closed(0)
-        if self.waits[0]:
+        elif self.closed[1] and not self.saw_close[0] and not self.closed[0]:
+            yield "old receives the close", lambda m: m.see_close(0)
+        if self.timer_set[0]:
             yield "old's timer fires", lambda m: m.feed_old(m.old.deadline_us, old_process.TimerFired())
             yield "old's timer fires late", lambda m: m.feed_old(LATE_US, old_process.TimerFired())
         if self.old.phase is old_process.Phase.DRAINING:
@@ -122,13 +121,13 @@
             return
         if self.to_new:
             yield f"new receives {self.to_new[0]}", Model.new_receives
-        elif self.closed[0] and not self.noticed[1] and not self.closed[1]:
-            yield "new receives the close", lambda m: m.notice_closed(1)
-        if self.waits[1]:
+        elif self.closed[0] and not self.saw_close[1] and not self.closed[1]:
+            yield "new receives the close", lambda m: m.see_close(1)
+        if self.timer_set[1]:
             yield "new's timer fires", lambda m: m.feed_new(LATE_US, new_process.TimerFired())
         if self.checking:
-            yield "new passes its check", lambda m: m.end_self_check(new_process.SelfCheckPassed())
-            yield "new fails its check", lambda m: m.end_self_check(new_process.FailureDetected("no"))
+            yield "new passes its check", lambda m: m.finish_self_check(new_process.SelfCheckPassed())
+            yield "new fails its check", lambda m: m.finish_self_check(new_process.FailureDetected("no"))
         if self.new.phase is new_process.Phase.RETURNING:
             yield "new is drained", lambda m: m.feed_new(0, new_process.Drained())
         if self.new.phase is new_process.Phase.PROBATION and len(self.to_old) < MAX_QUEUED_MESSAGES:
@@ -168,7 +167,7 @@
         change()
 
     def send(self, side: int, message: str) -> None:
-        """Send a message to the other process, if the channel is open."""
+        """Send a message to the other process, unless the sender has closed its end of the channel."""
         if self.closed[side]:
             return
         if side:
@@ -177,14 +176,14 @@
             self.to_new = (*self.to_new, message)
 
     def die(self, side: int) -> None:
-        """End a process."""
+        """Let a process die; its end of the channel closes."""
         self.alive[side] = self.serves[side] = False
         self.closed[side] = True
         self.checking = self.checking and side == 0
 
-    def notice_closed(self, side: int) -> None:
-        """Let a process find that the other closed the channel."""
-        self.noticed[side] = True
+    def see_close(self, side: int) -> None:
+        """Let a process see that the other one closed its end of the channel."""
+        self.saw_close[side] = True
         if side:
             self.feed_new(0, new_process.ChannelClosed())
         else:
@@ -220,9 +219,10 @@
         self.feed_new(0, events[message])
 
     def feed_old(self, now: int, event: old_process.Event) -> None:
-        """Feed the old process an event, and carry out its actions."""
-        self.waits[0] = False if isinstance(event, old_process.TimerFired) else self.waits[0]
-        self.old.deadline_us = min(self.old.deadline_us, 1)  # the clock's figure makes no other state
+        """Feed an event to the old process, and carry out the resulting actions."""
+        self.timer_set[0] = False if isinstance(event, old_process.TimerFired) else self.timer_set[0]
+        # The key does not include the deadline, so it must not grow with the clock.
+        self.old.deadline_us = min(self.old.deadline_us, 1)
         for action in self.old.handle(now, event):
             for message in OLD_MESSAGES.get(type(action), ()):
                 self.send(0, message)
@@ -238,16 +238,16 @@
                 case old_process.Exit():
                     self.die(0)
                 case old_process.SetTimer():
-                    self.waits[0] = True
+                    self.timer_set[0] = True
 
-    def end_self_check(self, event: new_process.Event) -> None:
-        """End the self-check of the new process with an outcome."""
+    def finish_self_check(self, event: new_process.Event) -> None:
+        """Finish the self-check of the new process with this outcome."""
         self.checking = False
         self.feed_new(0, event)
 
     def feed_new(self, now: int, event: new_process.Event) -> None:
-        """Feed the new process an event, and carry out its actions."""
-        self.waits[1] = False if isinstance(event, new_process.TimerFired) else self.waits[1]
+        """Feed an event to the new process, and carry out the resulting actions."""
+        self.timer_set[1] = False if isinstance(event, new_process.TimerFired) else self.timer_set[1]
         self.carry_out(self.new.handle(now, event))
 
     def carry_out(self, actions: Iterable[new_process.Action]) -> None:
@@ -269,7 +269,7 @@
                 case new_process.Exit():
                     self.die(1)
                 case new_process.SetTimer():
-                    self.waits[1] = True
+                    self.timer_set[1] = True
 
     def _send_heartbeat(self) -> None:
         if len(self.to_old) < MAX_QUEUED_MESSAGES:
@@ -282,7 +282,7 @@
 
 
 def initial_state(faults: int = 2) -> Model:
-    """Return the state in which the new process has started."""
+    """Return the state in which the new process has just started."""
     model = Model(faults)
     model.carry_out(model.new.start(0))
     return model
--- a/tests/test_account_recovery.py
+++ b/tests/test_account_recovery.py
@@ -1,4 +1,4 @@
-"""A gateway that restarts with the accounts that its earlier incarnation saved: no quota is spent twice."""
+"""Restarts of a gateway with the accounts that its earlier incarnation saved: no quota is spent twice."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 from harness.constants import MS, SECOND
 from harness.gateway_harness import GET, GatewayHarness
-from harness.gateway_harness import SETTINGS as FLEET
+from harness.gateway_harness import SETTINGS as FLEET_SETTINGS
 from harness.hot_restart_harness import slow
 from harness.policy_harness import PLAIN_PLAN, SETTINGS
 from harness.scenarios import make_scenario
@@ -33,18 +33,20 @@
 
 START = 10**15
 PLANS = ("basico", "amplio")
-ALMOST_FULL = 30  # of a burst of 40: below a quarter a customer is exhausted, quota.EXHAUSTED_BELOW_SHARE
+# Units granted from a burst of 40: a customer is rejected once less than a quarter of its burst remains
+# (``quota.EXHAUSTED_BELOW_SHARE``).
+ALMOST_FULL = 30
 
 
 def make_gateway(rate: float, burst: float) -> Gateway:
-    """Return a gateway alone in its fleet, with one plan."""
+    """Return the only gateway of a fleet, with one plan."""
     plan = dataclasses.replace(PLAIN_PLAN, rate=rate, burst=burst)
     settings = dataclasses.replace(SETTINGS, replica_count=1, may_gossip=False, plans=(plan,))
     return Gateway(settings, 1, START)
 
 
 def admits(gateway: Gateway, now: int, units: float) -> bool:
-    """Request quota; return whether it was granted."""
+    """Request units of quota, and return whether they were granted."""
     event = policy.QuotaRequested(now, 1, 0, 0, units, 0, 1)
     return any(isinstance(action, policy.GrantQuota) for action in gateway.handle(now, event))
 
@@ -55,26 +57,28 @@
     st.integers(0, 20_000),
     st.integers(0, 5_000),
 )
-def test_no_incarnation_spends_what_an_earlier_one_may_have_spent(requests, saved_before, gap, valid_for):
-    """Whatever was requested and whenever it was saved, both together stay within one token bucket."""
+def test_two_incarnations_together_stay_within_one_token_bucket(
+    requests, save_before_request, gap_ms, valid_ms
+):
+    """Check this for any requests, any time of the save, and any duration between the incarnations."""
     rate, burst = 5.0, 12.0
     gateway, now, row, saved_at = make_gateway(rate, burst), START, None, START
     spent: list[tuple[int, float]] = []
-    for number, (span, units) in enumerate(requests):
-        now += span * MS
-        if number == saved_before or row is None:
+    for number, (pause_ms, units) in enumerate(requests):
+        now += pause_ms * MS
+        if number == save_before_request or row is None:
             account = gateway.accounts.get(1)
             row, saved_at = (account_to_row(account) if account else None), now
-        if row is not None and now > saved_at + valid_for * MS:
-            break  # it would have been renewed by then
+        if row is not None and now > saved_at + valid_ms * MS:
+            break  # the gateway would have saved its accounts again by then
         if admits(gateway, now, units):
             spent.append((now, units))
     if row is None:
         return
-    now = max(now, saved_at) + gap * MS
+    now = max(now, saved_at) + gap_ms * MS
     restarted = make_gateway(rate, burst)
     (account,) = recover_accounts(
-        [row], PreviousIncarnation(0, ["a"], saved_at, saved_at + valid_for * MS, False), ["a"], now
+        [row], PreviousIncarnation(0, ["a"], saved_at, saved_at + valid_ms * MS, False), ["a"], now
     )
     restarted.accounts[1] = account
     restarted.idle_queue.append(1)
@@ -83,63 +87,75 @@
             spent.append((now, 1.0))
         now += 100 * MS
     remaining, last = burst, START
-    for when, units in spent:
-        remaining, last = min(burst, remaining + rate * (when - last) / SECOND) - units, when
+    for spent_at, units in spent:
+        remaining, last = min(burst, remaining + rate * (spent_at - last) / SECOND) - units, spent_at
         assert remaining > -1e-6
 
 
-def test_counts_are_recovered_and_the_rest_is_reset():
+def test_counts_are_recovered_and_other_state_is_reset():
     counts = {0: ReplicaCount(5, 10.0), 1: ReplicaCount(6, 20.0)}
     account = Account(7, AccountKey(1, 0, 3), 90.0, START, counts, 30.0, 30.0, (1, 0), False, 2)
     account.ceiling_tokens, account.peer_admissions_at_us, account.announced_at_us = 9.0, (START,), START
     row = account_to_row(account)
     previous = PreviousIncarnation(0, PLANS, START, START + 4 * SECOND, False)
-    (found,) = recover_accounts([row], previous, ("amplio", "other"), START + 9 * SECOND)
-    assert (found.plan, found.remaining, found.refilled_at_us) == (0, 0.0, START + 4 * SECOND)
-    assert (found.replica_counts, found.recently_changed, found.spent_total, found.counted_total) == (
+    (recovered,) = recover_accounts([row], previous, ("amplio", "other"), START + 9 * SECOND)
+    assert (recovered.plan, recovered.remaining, recovered.refilled_at_us) == (0, 0.0, START + 4 * SECOND)
+    assert (
+        recovered.replica_counts,
+        recovered.recently_changed,
+        recovered.spent_total,
+        recovered.counted_total,
+    ) == (
         {1: (6, 20.0)},
         (1,),
         30.0,
         30.0,
     )
-    assert (found.unconfirmed, found.in_flight, found.ceiling_tokens, found.peer_admissions_at_us) == (
+    assert (
+        recovered.unconfirmed,
+        recovered.in_flight,
+        recovered.ceiling_tokens,
+        recovered.peer_admissions_at_us,
+    ) == (
         True,
         0,
         0.0,
         (),
     )
-    (clean,) = recover_accounts(
+    (after_clean_shutdown,) = recover_accounts(
         [row], previous._replace(valid_until_us=START, clean_shutdown=True), PLANS, START + 9 * SECOND
     )
-    assert (clean.remaining, clean.refilled_at_us) == (60.0, START)
-    (back,) = recover_accounts([row], previous._replace(clean_shutdown=True), PLANS, START - SECOND)
-    assert (back.remaining, back.refilled_at_us) == (0.0, START - SECOND)
+    assert (after_clean_shutdown.remaining, after_clean_shutdown.refilled_at_us) == (60.0, START)
+    (clock_went_back,) = recover_accounts(
+        [row], previous._replace(clean_shutdown=True), PLANS, START - SECOND
+    )
+    assert (clock_went_back.remaining, clock_went_back.refilled_at_us) == (0.0, START - SECOND)
     assert list(recover_accounts([row], previous, ("another",), START)) == []
 
 
 class SingleGateway(GatewayHarness):
-    """One gateway in its fleet, with a folder for its state."""
+    """The only gateway of a fleet, with a state directory."""
 
     def __init__(self, *handlers) -> None:
-        example = parse_settings(FLEET, "fleet.cue")
+        example = parse_settings(FLEET_SETTINGS, "fleet.cue")
         plans = {"basico": msgspec.structs.replace(example.plans["basico"], rate=2.0, burst=40.0)}
         super().__init__(*handlers, state="/sim", gateways=example.gateways[:1], plans=plans)
 
     def spend(self, count: int) -> int:
-        """Send so many requests, one after another; return how many were served."""
+        """Send ``count`` requests, one after another; return how many were served."""
         return sum(self.ask(GET)[0] == 200 for _ in range(count))
 
 
 def restart(harness: GatewayHarness) -> None:
-    """Start the gateway again."""
+    """Start the gateway again, and wait until it serves."""
     harness.start()
     harness.loop.sleep(300 * MS)
 
 
-def test_a_killed_gateway_gives_no_customer_a_second_burst():
+def test_killed_gateway_gives_no_customer_a_second_burst():
     def test(harness: SingleGateway) -> None:
         assert harness.spend(20) == 20
-        harness.loop.sleep(6 * SECOND)  # it is saved; 32 units remain
+        harness.loop.sleep(6 * SECOND)  # the account is saved; 32 units remain
         assert harness.spend(20) == 20
         harness.backend.kill(harness.process)
         restart(harness)
@@ -150,7 +166,7 @@
     SingleGateway(slow, slow).run(test)
 
 
-def test_clean_restart_continues_exactly():
+def test_clean_restart_keeps_the_remaining_units():
     def test(harness: SingleGateway) -> None:
         assert harness.spend(20) == 20
         harness.program.stop()
@@ -163,17 +179,17 @@
     SingleGateway(slow, slow).run(test)
 
 
-@pytest.mark.parametrize("spoil", [b"", b"garbage", b"OLREC1\n", None])
-def test_unreadable_accounts_are_ignored_and_an_expired_file_is_removed(spoil):
+@pytest.mark.parametrize("damaged", [b"", b"garbage", b"OLREC1\n", None])
+def test_unreadable_accounts_are_ignored_and_an_expired_file_is_removed(damaged):
     def test(harness: SingleGateway) -> None:
         path = "/sim/gw-0.accounts"
         assert harness.spend(10) == 10
         harness.loop.sleep(6 * SECOND)
         harness.backend.kill(harness.process)
         data = harness.backend.files[path]
-        harness.backend.files[path] = data[: len(data) // 2] if spoil is None else spoil
+        harness.backend.files[path] = data[: len(data) // 2] if damaged is None else damaged
         restart(harness)
-        assert harness.spend(40) >= ALMOST_FULL  # as without any
+        assert harness.spend(40) >= ALMOST_FULL  # as without saved accounts
         assert harness.backend.files[path] != data
 
         def disk_full(_path: str, _data: bytes) -> None:
@@ -188,45 +204,45 @@
 
 
 class KilledFleet:
-    """A simulated fleet whose three gateways are killed together four times."""
+    """A simulated fleet whose three gateways are killed at the same time, four times."""
 
     def __init__(self, save_interval_us: int) -> None:
         backend = SimulatedBackend(11)
         self.loop = EventLoop(backend)
-        self.backing = SimulatedFleetBackend(self.loop, backend)
+        self.fleet_backend = SimulatedFleetBackend(self.loop, backend)
         scenario = make_scenario(span=12, request_rate=160.0, customer_count=6, quota_request_rate=0.0)
-        plan = make_plan(scenario, "sim", self.backing.free_addresses)
+        plan = make_plan(scenario, "sim", self.fleet_backend.free_addresses)
         interval = Duration(save_interval_us)
         account_store = msgspec.structs.replace(plan.fleet.account_store, write_interval_us=interval)
         plan.fleet = msgspec.structs.replace(plan.fleet, account_store=account_store)
-        self.backing.prepare(plan)
-        self.runner = ScenarioRunner(self.loop, plan, self.backing)
+        self.fleet_backend.prepare(plan)
+        self.runner = ScenarioRunner(self.loop, plan, self.fleet_backend)
 
     def kill_and_restart_all(self) -> None:
-        """Kill all gateways and start them again, four times."""
+        """Kill all gateways at the same time and start them again, four times."""
         while self.runner.http_clients is None:
             self.loop.sleep(50 * MS)
         for _ in range(4):
             self.loop.sleep(2_500 * MS)
             for rank in range(3):
-                self.backing.end_gateway(rank, kill=True)
+                self.fleet_backend.end_gateway(rank, kill=True)
             for rank in range(3):
-                self.backing.start_gateway(rank)
+                self.fleet_backend.start_gateway(rank)
 
     def run(self) -> Verdict:
         """Return the audit's verdict."""
         verdicts: list[Verdict] = []
 
-        def work() -> None:
+        def run_both() -> None:
             self.loop.spawn(self.kill_and_restart_all, process=self.loop.main_process)
             verdicts.append(self.runner.run())
 
-        self.loop.run(work)
+        self.loop.run(run_both)
         return verdicts[0]
 
 
-def test_fleet_killed_together_exceeds_its_quotas_less_with_saved_accounts():
-    """The same scenario of kills with and without saved accounts."""
+def test_saved_accounts_reduce_what_a_killed_fleet_grants_beyond_quota():
+    """Run the same scenario of kills with and without saved accounts."""
     without_saved = KilledFleet(save_interval_us=0).run().units_beyond_quota
     verdict = KilledFleet(save_interval_us=SECOND).run()
     with_saved = verdict.units_beyond_quota
--- a/tests/test_foreign_successors.py
+++ b/tests/test_foreign_successors.py
@@ -1,4 +1,4 @@
-"""Successors that `orchidlane upgrade` starts end with the fleet whose gateways they replaced."""
+"""New processes that `orchidlane upgrade` starts exit with the fleet whose gateways they replaced."""
 
 from __future__ import annotations
 
@@ -26,23 +26,26 @@
 EXIT_TIMEOUT_S = 5.0
 
 
-def processes_that_name(folder: Path) -> list[int]:
-    """Return the processes that have the folder in their arguments."""
-    found = []
+def processes_with_argument(folder: Path) -> list[int]:
+    """Return the ids of the processes that have the folder in their arguments."""
+    pids = []
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         try:
             arguments = path.read_bytes()
         except OSError:
-            continue  # it has ended
+            continue  # the process has exited
         if os.fsencode(folder) in arguments:
-            found.append(int(path.parent.name))
-    return found
+            pids.append(int(path.parent.name))
+    return pids
 
 
-def all_end(folder: Path) -> bool:
-    """Return whether no process names the folder soon: one that was killed takes a moment to go."""
+def all_exit(folder: Path) -> bool:
+    """Return whether all processes with the folder in their arguments exit within ``EXIT_TIMEOUT_S``.
+
+    A killed process takes a moment to disappear.
+    """
     deadline = time.monotonic() + EXIT_TIMEOUT_S
-    while processes_that_name(folder):
+    while processes_with_argument(folder):
         if time.monotonic() > deadline:
             return False
         time.sleep(0.02)
@@ -56,26 +59,26 @@
         try:
             socket.create_connection(address).close()
         except OSError:
-            assert time.monotonic() < deadline, f"nobody listens at {address}"
+            assert time.monotonic() < deadline, f"no process listens at {address}"
             time.sleep(0.05)
         else:
             return
 
 
 def upgrade_command(settings: Path) -> list[str]:
-    """Return the command that upgrades gateway 0 to a successor in a session of its own."""
+    """Return the command that hot restarts gateway 0; its new process has a session of its own."""
     return [*PROGRAM, "upgrade", str(settings), "--rank", "0"]
 
 
 def upgrade(settings: Path) -> None:
-    """Run the upgrade to its end."""
+    """Run the hot restart of gateway 0 until it has succeeded."""
     done = subprocess.run(upgrade_command(settings), capture_output=True, text=True, timeout=TIMEOUT_S)
     assert done.returncode == 0, done.stdout + done.stderr
 
 
 @pytest.fixture
 def one_gateway(tmp_path) -> ProcessFleetBackend:
-    """Return a fleet of one gateway that serves."""
+    """Return a fleet of one gateway, which serves."""
     fleet_backend = ProcessFleetBackend(str(tmp_path))
     plan = make_plan(make_scenario(gateway_count=1), str(tmp_path), fleet_backend.free_addresses)
     plan.settings_text = plan.settings_text.replace('trial: "5s"', 'trial: "1s"')
@@ -87,13 +90,13 @@
 
 @pytest.fixture
 def short_folder() -> Iterator[Path]:
-    """Return a folder in which the path of a Unix socket stays short enough."""
+    """Return a folder whose path is short enough for a Unix socket in it."""
     with tempfile.TemporaryDirectory() as folder:
         yield Path(folder)
 
 
-# Guards against a clean-up that fails, and ends nothing, where no Unix socket can have so long a path.
-def test_a_fleet_in_a_folder_with_a_long_path_is_ended(tmp_path):
+# Guards against a clean-up that fails and stops no process, since the path is too long for a Unix socket.
+def test_fleet_in_a_folder_with_a_long_path_is_stopped(tmp_path):
     folder = tmp_path / ("long" * 30)
     folder.mkdir()
     fleet_backend = ProcessFleetBackend(str(folder))
@@ -101,21 +104,21 @@
     fleet_backend.prepare(plan)
     fleet_backend.start_gateway(0)
     fleet_backend.end()
-    assert all_end(folder)
+    assert all_exit(folder)
 
 
-# Guards against a successor that holds the port and answers 503 after its fleet has ended.
+# Guards against a new process that keeps the port and responds with 503 after its fleet has been stopped.
 @pytest.mark.parametrize("upgrades", [1, 2])
-def test_a_successor_that_a_command_started_ends_with_its_fleet(tmp_path, one_gateway, upgrades):
+def test_new_process_started_by_the_command_exits_with_its_fleet(tmp_path, one_gateway, upgrades):
     for _ in range(upgrades):
         upgrade(tmp_path / "gw-0.cue")
-    assert processes_that_name(tmp_path)
+    assert processes_with_argument(tmp_path)
     one_gateway.end()
-    assert all_end(tmp_path)
+    assert all_exit(tmp_path)
 
 
-# Guards against one on probation, which takes over once its predecessor is killed.
-def test_a_successor_on_probation_ends_with_its_fleet(tmp_path, one_gateway):
+# Guards against a new process on probation that serves alone once its old process is killed.
+def test_new_process_on_probation_exits_with_its_fleet(tmp_path, one_gateway):
     command = upgrade_command(tmp_path / "gw-0.cue")
     with subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL) as upgrading:
         deadline = time.monotonic() + TIMEOUT_S
@@ -123,12 +126,14 @@
             assert time.monotonic() < deadline
         one_gateway.end()
         upgrading.wait(TIMEOUT_S)
-    assert all_end(tmp_path)
+    assert all_exit(tmp_path)
 
 
-# Guards against the first report: `orchidlane up` was ended by a signal and the new gw-0 lived on.
-@pytest.mark.parametrize("numbers", [["SIGTERM"], ["SIGINT"], ["SIGHUP"], ["SIGTERM", "SIGTERM"]], ids=str)
-def test_a_successor_ends_with_orchidlane_up_whichever_signal_ends_that(tmp_path, short_folder, numbers):
+# Guards against a new process of gw-0 that keeps running after a signal has stopped `orchidlane up`.
+@pytest.mark.parametrize(
+    "signal_names", [["SIGTERM"], ["SIGINT"], ["SIGHUP"], ["SIGTERM", "SIGTERM"]], ids=str
+)
+def test_new_process_exits_with_orchidlane_up_after_any_signal(tmp_path, short_folder, signal_names):
     materials = tmp_path / "materials"
     shutil.copytree(MATERIALS, materials)
     fleet_file = materials / "fleet.cue"
@@ -139,8 +144,8 @@
         await_listener((loopback_host(), 8080))
         folder = next(short_folder.glob("orchidlane-*"))
         upgrade(folder / "gw-0.cue")
-        for number in numbers:
-            up.send_signal(signal.Signals[number])
+        for name in signal_names:
+            up.send_signal(signal.Signals[name])
         up.wait(TIMEOUT_S)
-    assert all_end(folder)
+    assert all_exit(folder)
     assert not folder.exists()
--- a/tests/test_hot_restart_model.py
+++ b/tests/test_hot_restart_model.py
@@ -1,4 +1,4 @@
-"""Model checking of a hot restart; ``harness/hot_restart_model.py`` has the model and its invariants."""
+"""Model checking of a hot restart; ``harness/hot_restart_model.py`` defines the model and its invariants."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 pytestmark = pytest.mark.usefixtures("quiet_log")
 
 
-def test_never_both_serve_and_one_can_always_serve():
+def test_at_most_one_process_serves_and_one_can_always_serve():
     result = explore(initial_state())
     assert result.violations == []
     assert result.stuck_paths == []
@@ -19,39 +19,39 @@
 
 
 @pytest.mark.parametrize(
-    ("phase", "event", "instead"),
+    ("phase", "event", "broken_handler"),
     [
-        # resumes serving at the first missed heartbeat, without making sure
+        # Resumes serving at the first missed heartbeat without killing the new process.
         (
             old_process.Phase.COMMITTED,
             old_process.TimerFired,
-            lambda process, _now, _event: process.actions.append(old_process.ResumeServing("silent")),
+            lambda process, _now, _event: process.actions.append(old_process.ResumeServing("no heartbeat")),
         ),
-        # resumes serving on the word of a failed new process alone
+        # Resumes serving when the new process reports a failure, without killing it.
         (
             old_process.Phase.COMMITTED,
             old_process.FailureDetected,
-            lambda process, _now, _event: process.actions.append(old_process.ResumeServing("unfit")),
+            lambda process, _now, _event: process.actions.append(old_process.ResumeServing("failed")),
         ),
     ],
 )
-def test_old_process_that_does_not_fence_is_found(monkeypatch, phase, event, instead):
-    monkeypatch.setitem(old_process.TRANSITIONS, (phase, event), instead)
+def test_search_finds_an_old_process_that_does_not_fence(monkeypatch, phase, event, broken_handler):
+    monkeypatch.setitem(old_process.TRANSITIONS, (phase, event), broken_handler)
     assert explore(initial_state()).violations[0][0] == "both serve"
 
 
-def test_old_process_that_forgets_a_dead_new_process_is_found(monkeypatch):
+def test_search_finds_an_old_process_that_ignores_a_closed_channel(monkeypatch):
     monkeypatch.delitem(old_process.TRANSITIONS, (old_process.Phase.FENCING, old_process.ChannelClosed))
     assert explore(initial_state()).stuck_paths
 
 
-def test_new_process_that_ignores_a_reclaim_is_found(monkeypatch):
+def test_new_process_that_ignores_a_reclaim_is_killed_at_the_deadline(monkeypatch):
     monkeypatch.setitem(
         new_process.TRANSITIONS,
         (new_process.Phase.PROBATION, new_process.ReclaimReceived),
         lambda process, _now, _event: process.actions.append(new_process.SendHeartbeat()),
     )
     result = explore(initial_state())
-    assert (result.stuck_paths, result.violations) == ([], [])  # it is killed after a while
+    assert (result.stuck_paths, result.violations) == ([], [])  # the old process kills it at the deadline
     monkeypatch.delitem(old_process.TRANSITIONS, (old_process.Phase.RECLAIMING, old_process.TimerFired))
     assert explore(initial_state()).stuck_paths
--- a/tests/test_rolling_batches.py
+++ b/tests/test_rolling_batches.py
@@ -1,4 +1,4 @@
-"""Batches of a rolling upgrade, checked against every customer's replica set."""
+"""Batches of a rolling upgrade, checked against the replica sets of all customers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def is_allowed_by_every_set(fleet: Fleet, limits: RiskLimits, at_risk: set[int]) -> bool:
-    """Return what ``is_allowed`` does, by checking each customer's replica set."""
+    """Return what ``is_allowed`` should return, found by checking each replica set by itself."""
     size = len(fleet.members)
     if len(at_risk) <= 1:
         return True
@@ -48,7 +48,7 @@
 
 
 @given(fleets(), st.data())
-def test_ranks_are_allowed_if_no_replica_set_forbids_them(fleet_and_limits, data):
+def test_ranks_are_allowed_exactly_if_every_replica_set_allows_them(fleet_and_limits, data):
     fleet, limits = fleet_and_limits
     at_risk = data.draw(st.sets(st.integers(0, len(fleet.members) - 1)))
     assert is_allowed(fleet, limits, at_risk) == is_allowed_by_every_set(fleet, limits, at_risk)
@@ -56,11 +56,11 @@
 
 @settings(max_examples=60)
 @given(fleets())
-def test_batch_is_allowed_and_within_the_bound(fleet_and_limits):
+def test_batch_is_allowed_and_no_larger_than_the_upper_bound(fleet_and_limits):
     fleet, limits = fleet_and_limits
-    wanted = list(range(len(fleet.members)))
-    batch = largest_batch(fleet, limits, wanted, (), len(wanted))
+    candidates = list(range(len(fleet.members)))
+    batch = largest_batch(fleet, limits, candidates, (), len(candidates))
     assert 1 <= len(batch) <= batch_size_bound(fleet, limits)
     assert is_allowed_by_every_set(fleet, limits, set(batch))
-    assert largest_batch(fleet, limits, wanted, (), 1) == batch[:1] or len(batch) > 1
-    assert not set(largest_batch(fleet, limits, wanted[1:], [0], len(wanted))) & {0}
+    assert largest_batch(fleet, limits, candidates, (), 1) == batch[:1] or len(batch) > 1
+    assert not set(largest_batch(fleet, limits, candidates[1:], [0], len(candidates))) & {0}
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""Rolling upgrades of a simulated fleet under load, with broken builds and a killed driver."""
+"""Rolling upgrades of a simulated fleet under load, with broken new builds and killed drivers."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 pytestmark = pytest.mark.usefixtures("quiet_log")
 
-REJECTING: list[PolicyState] = []  # gateways that admit nothing
+REJECTING: list[PolicyState] = []  # policies that admit no request
 
 
 @pytest.fixture
 def rejecting(monkeypatch):
-    """Gateways that are in REJECTING admit nothing, for one test."""
+    """Let the policies in ``REJECTING`` admit no request, for the duration of one test."""
     admits = admission.admits
 
     def admits_or_rejects(state, event, account) -> bool:
@@ -33,7 +33,7 @@
 
 
 def crash(gateway) -> None:
-    """Crash 100 ms after it began to serve."""
+    """Crash the gateway 100 ms after it has started to serve."""
     while not gateway.ready:
         gateway.loop.sleep(10 * MS)
     gateway.loop.sleep(100 * MS)
@@ -41,34 +41,34 @@
 
 
 def reject_everything(gateway) -> None:
-    """Admit nothing from the start."""
+    """Let the gateway admit no request from its start on."""
     while not gateway.ready:
         gateway.loop.sleep(MS)
     REJECTING.append(gateway.policy_driver.gateway)
 
 
 def hang_before_hello(gateway) -> None:
-    """Never connect to the old process."""
+    """Stall the gateway before it connects to the old process."""
     gateway.loop.freeze(gateway.loop.process)
 
 
-def make_fleet(broken: dict[int, Sabotage] | None = None) -> RollHarness:
-    return RollHarness(make_scenario(span=14, request_rate=120.0, gateway_count=8), broken)
+def make_harness(sabotages: dict[int, Sabotage] | None = None) -> RollHarness:
+    return RollHarness(make_scenario(span=14, request_rate=120.0, gateway_count=8), sabotages)
 
 
-def test_roll_of_eight_gateways_under_load_loses_nothing():
+def test_roll_of_eight_gateways_under_load_loses_no_request():
     def drive(harness: RollHarness) -> None:
-        assert harness.begin().run().phase is Phase.DONE
+        assert harness.start_roll().run().phase is Phase.DONE
         assert harness.builds() == [True] * 8
         with pytest.raises(ValueError, match="no unfinished roll"):
             harness.make_driver().resume()
 
-    harness = make_fleet()
+    harness = make_harness()
     verdict = harness.run(drive)
     assert harness.starter.started[0][1]
     assert len(harness.starter.started) == 8
-    batches = [line for line in harness.reports if line == "rolling -> soaking"]
-    assert 4 <= len(batches) <= 6  # 1, then 2 at once at most
+    soaks = [line for line in harness.reports if line == "rolling -> soaking"]
+    assert 4 <= len(soaks) <= 6  # batches: 1 gateway first, then at most 2
     assert verdict.responses.get("reset", 0) == 0
 
 
@@ -80,14 +80,14 @@
     states = []
 
     def drive(harness: RollHarness) -> None:
-        driver = harness.begin()
+        driver = harness.start_roll()
         driver.upgrade.settings = msgspec.structs.replace(
             driver.upgrade.settings, upgrade_timeout_us=4 * SECOND
         )
         states.append(driver.run())
         assert harness.builds() == [False] * 8
 
-    harness = make_fleet({3: sabotage})
+    harness = make_harness({3: sabotage})
     harness.run(drive)
     (state,) = states
     assert state.phase is Phase.ROLLED_BACK
@@ -98,58 +98,58 @@
 
 
 class KillAtWrite:
-    """Runs a roll as a process that is killed at its n-th write of its state.
+    """Runs a roll in a process that is killed at a given write of its state.
 
-    An odd one is killed before the write reaches the disk, an even one after.
+    At a write with an odd number the process is killed before the data reaches the disk, otherwise after.
     """
 
-    def __init__(self, harness: RollHarness, at: int) -> None:
+    def __init__(self, harness: RollHarness, fatal_write: int) -> None:
         self.harness = harness
-        self.at = at
+        self.fatal_write = fatal_write
         self.writes = 0
         self.write_file = harness.backend.write_file
         harness.backend.write_file = self.write_and_kill
-        process = harness.backend.start("roll", lambda: harness.begin().run())
+        process = harness.backend.start("roll", lambda: harness.start_roll().run())
         while not process.is_dead:
             harness.loop.sleep(20 * MS)
         harness.backend.write_file = self.write_file
         harness.starter.kill_unreleased()
 
     def write_and_kill(self, path: str, data: bytes) -> None:
-        """Write, and kill the roll at its n-th write."""
+        """Write a file, and kill the roll at the given write of its state."""
         if not path.endswith("roll.json"):
             self.write_file(path, data)
             return
         loop = self.harness.loop
         self.writes += 1
-        if self.writes == self.at and self.at % 2:
+        if self.writes == self.fatal_write and self.fatal_write % 2:
             self.harness.backend.kill(loop.process)
         self.write_file(path, data)
-        if self.writes == self.at:
+        if self.writes == self.fatal_write:
             self.harness.backend.kill(loop.process)
             loop.sleep(1)
 
 
-@pytest.mark.parametrize("at", [1, 4, 7])
-def test_killed_roll_is_resumed_from_its_stored_state(at):
+@pytest.mark.parametrize("fatal_write", [1, 4, 7])
+def test_killed_roll_is_resumed_from_its_stored_state(fatal_write):
     def drive(harness: RollHarness) -> None:
-        KillAtWrite(harness, at)
+        KillAtWrite(harness, fatal_write)
         driver = harness.make_driver()
         if driver.load_stored() is None:
-            state = harness.begin().run()
+            state = harness.start_roll().run()
         else:
             with pytest.raises(UnfinishedRollError, match="resume or recall"):
-                harness.begin()
+                harness.start_roll()
             state = driver.run(driver.resume())
         assert state.phase is Phase.DONE
         assert harness.builds() == [True] * 8
 
-    make_fleet().run(drive)
+    make_harness().run(drive)
 
 
 def test_interrupted_roll_is_rolled_back_on_request():
     def drive(harness: RollHarness) -> None:
-        driver = harness.begin()
+        driver = harness.start_roll()
         running = harness.loop.spawn(driver.run, priority=CONTROL)
         gateways = driver.upgrade.state.gateways
         while sum(gateway.phase is GatewayPhase.UPGRADED for gateway in gateways) < 3:
@@ -160,4 +160,4 @@
         assert (state.phase, state.reason) == (Phase.ROLLED_BACK, "asked for")
         assert harness.builds() == [False] * 8
 
-    make_fleet().run(drive)
+    make_harness().run(drive)
