--- a/orchidlane/hot_restart/rolling_batches.py
+++ b/orchidlane/hot_restart/rolling_batches.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-RING_STARTS = 8  # approximate number of ranks at which an order along the ring starts; always less than twice
+RING_STARTS = 8  # orders along the ring to try: one for each of fewer candidates than this, else 8 to 15
 
 
 class Member(NamedTuple):
@@ -90,7 +90,7 @@
 def largest_batch(
     fleet: Fleet, limits: RiskLimits, candidates: Sequence[int], at_risk: Iterable[int], max_size: int
 ) -> list[int]:
-    """Return the largest batch found of the candidate ranks, given the ranks that are already at risk.
+    """Return the largest batch of candidates that is found, given the ranks that are already at risk.
 
     Of batches of equal size the first is returned, so that the same fleet gives the same batch.
     """
@@ -110,8 +110,9 @@
 def _orders(fleet: Fleet, candidates: Sequence[int]) -> list[list[int]]:
     """Return orders of the candidates to try.
 
-    For each zone: its gateways first, and the least loaded first. Then orders along the ring from several
-    starting points: the gateways of the first one's zone first.
+    First, for each zone, an order with the gateways of that zone first, each part by increasing load. Then
+    orders along the ring from several starting ranks, each with the gateways in the zone of its starting rank
+    first.
     """
     members = fleet.members
     zones = sorted({members[rank].zone for rank in candidates})
--- a/tests/harness/roll_harness.py
+++ b/tests/harness/roll_harness.py
@@ -27,7 +27,8 @@
 class SimulatedNewProcesses:
     """Starts new processes in the simulated backend.
 
-    ``sabotages`` has, by the number of a process of the new build in starting order, what breaks it.
+    ``sabotages`` maps the index of a process of the new build, in the order in which these processes are
+    prepared, to the function that breaks it.
     """
 
     def __init__(self, fleet_backend: SimulatedFleetBackend, sabotages: dict[int, Sabotage]) -> None:
