--- a/orchidlane/gateway/lifecycle/__init__.py
+++ b/orchidlane/gateway/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The lifecycle of a gateway process: start, reload, hot restart, shutdown, stored accounts."""
+"""The lifecycle of a gateway process: start, reload, hot restart, shutdown and stored accounts."""
--- a/orchidlane/gateway/lifecycle/client_transfer.py
+++ b/orchidlane/gateway/lifecycle/client_transfer.py
@@ -1,4 +1,4 @@
-"""Client connections in a hot restart: handed over, retained in probation, reported, and taken back."""
+"""Client connections in a hot restart: handed over, retained during probation, reported, and taken back."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ConnectionState(Enum):
-    """What the new process last reported of a connection."""
+    """What the new process last reported about a connection."""
 
     IDLE = "idle"
     READING = "reading"
@@ -42,7 +42,7 @@
 
 @dataclass
 class RetainedConnection:
-    """A descriptor of a client's connection that the old process keeps in probation."""
+    """A descriptor of a client's connection that the old process keeps during probation."""
 
     handle: Handle
     protocol: str
@@ -54,7 +54,7 @@
 
 
 class ClientTransfer:
-    """The old process's part: hands clients over, and takes back those that it has retained."""
+    """The old process's part: hands clients over, and takes back those whose descriptors it has retained."""
 
     def __init__(self, gateway: ServedGateway, scope: TaskGroup, in_probation: Callable[[], bool]) -> None:
         self.gateway = gateway
@@ -76,7 +76,7 @@
         self._hand_over(channel, connection.stream, connection_id(HTTP, connection.number), retained)
 
     def hand_over_resp(self, channel: Channel, session: Session) -> None:
-        """Hand an idle RESP connection over; one that is out of step is closed."""
+        """Hand an idle RESP connection over; close it if its unread bytes can't be part of a command."""
         unread = session.decoder.unread_bytes()
         if unread is None:
             session.stream.close()
@@ -106,7 +106,7 @@
     # -- reports of the new process
 
     def receive(self, channel: Channel, message: messages.AnyMessage) -> None:
-        """Follow what becomes of a connection in the new process; other messages are ignored."""
+        """Update the state of a connection from a report of the new process; ignore other messages."""
         match message:
             case messages.ReadStarted():
                 self._set_state(message.connection_id, ConnectionState.READING)
@@ -119,7 +119,7 @@
             case messages.ConnectionOpened():
                 self._receive_opened(channel, message)
             case messages.ConnectionClosed():
-                self._drop(message.connection_id)
+                self._release(message.connection_id)
             case messages.ConnectionAdopted():
                 if not message.adopted:
                     self._close(message.connection_id)
@@ -154,27 +154,27 @@
             session=RespSessionState(2, b"", not needs_password),
         )
 
-    def _drop(self, identifier: int) -> None:
-        """Release our descriptor; the connection goes on in the new process."""
+    def _release(self, identifier: int) -> None:
+        """Close the retained descriptor; the new process keeps the connection open."""
         retained = self.retained.pop(identifier, None)
         if retained is not None:
             self.gateway.loop.backend.close_handle(retained.handle)
 
     def _close(self, identifier: int) -> None:
-        """Close a connection that did not arrive."""
+        """Close a connection whose descriptor did not reach the new process."""
         retained = self.retained.pop(identifier, None)
         if retained is not None:
             self.gateway.loop.backend.adopt_stream(retained.handle).close()
 
-    def drop_all(self) -> None:
-        """Release all descriptors: probation is passed."""
+    def release_all(self) -> None:
+        """Close all retained descriptors once probation has passed."""
         for identifier in list(self.retained):
-            self._drop(identifier)
+            self._release(identifier)
 
     # -- taking back
 
     def take_back_idle(self) -> None:
-        """Serve the idle clients again."""
+        """Serve the idle clients in this process again."""
         for identifier, retained in list(self.retained.items()):
             if retained.state is ConnectionState.IDLE:
                 self._take_back(identifier)
@@ -184,43 +184,50 @@
         stream = self.gateway.loop.backend.adopt_stream(retained.handle)
         if retained.protocol == HTTP:
             server = self.gateway.http_server
-            since = retained.unread_since_us
-            server.adopt(stream, retained.unread, since, retained.last_received_at_us, server.next_number())
+            unread_since_us = retained.unread_since_us
+            server.adopt(
+                stream, retained.unread, unread_since_us, retained.last_received_at_us, server.next_number()
+            )
         else:
             resp = self.gateway.resp_server
             resp.adopt(stream, retained.unread, retained.session, resp.next_number())
 
-    def answer_orphaned(self) -> None:
-        """Answer the clients that a dead process owed an answer, with one that promises nothing.
+    def respond_to_orphans(self) -> None:
+        """Respond to the clients whose requests were in progress in the new process when it died.
 
-        Where the answer had begun nobody knows how much of it was sent, so that connection is closed.
+        The response does not say whether the request was carried out. If the new process had started its
+        response, it is unknown how much of it was sent, so that connection is closed without another one.
         """
         for identifier, retained in list(self.retained.items()):
-            if retained.state is ConnectionState.IDLE:  # it is owed nothing
+            if retained.state is ConnectionState.IDLE:
                 self._take_back(identifier)
                 continue
             stream = self.gateway.loop.backend.adopt_stream(retained.handle)
             if retained.state is ConnectionState.RESPONDING:
                 stream.close()
             else:
-                self.scope.spawn(self._answer_failed, retained, stream, priority=REQUESTS, name="settle")
+                self.scope.spawn(
+                    self._respond_failed, retained, stream, priority=REQUESTS, name="orphan response"
+                )
         self.retained.clear()
 
-    def _answer_failed(self, retained: RetainedConnection, stream: Stream) -> None:
+    def _respond_failed(self, retained: RetainedConnection, stream: Stream) -> None:
         try:
             if retained.protocol == HTTP:
                 self.gateway.http_server.respond_to_orphan(stream, failed())
             else:
                 resp = self.gateway.resp_server
-                began = retained.state is ConnectionState.REQUEST_STARTED
-                unread = retained.unread if began else None
+                is_started = retained.state is ConnectionState.REQUEST_STARTED
+                unread = retained.unread if is_started else None
                 resp.respond_to_orphan(stream, unread, retained.session, resp.next_number())
         except (ConnectionClosedError, DeadlineExceededError):
             stream.close()
 
 
 class ConnectionReporter:
-    """Reports the new process's clients to the old one, before what could be lost with us happens.
+    """Reports the new process's connections to the old one, each step before it happens.
+
+    If the new process dies, the old one knows from the reports which clients it can take back.
 
     Implements ``client_connection.ConnectionObserver``.
     """
@@ -230,12 +237,15 @@
         self.protocol = protocol
 
     def connection_opened(self, number: int, stream: Stream) -> None:
-        """Report a new client."""
+        """Report a new connection, with a descriptor of it."""
         identifier = connection_id(self.protocol, number)
         self.channel.send(messages.ConnectionOpened(identifier, self.protocol), stream.duplicate())
 
     def read_started(self, number: int) -> None:
-        """Report that bytes are about to be read, and wait until that is sent: they would be lost with us."""
+        """Report that bytes are about to be read, and wait until the report is sent.
+
+        Bytes that this process has read are lost if it dies, so the old process must know about them.
+        """
         self.channel.send(messages.ReadStarted(connection_id(self.protocol, number)))
         if self.channel.has_backlog:
             with contextlib.suppress(DeadlineExceededError):
@@ -246,11 +256,11 @@
         self.channel.send(messages.RequestStarted(connection_id(self.protocol, number)))
 
     def response_started(self, number: int) -> None:
-        """Report that an answer is about to be written."""
+        """Report that a response is about to be written."""
         self.channel.send(messages.ResponseStarted(connection_id(self.protocol, number)))
 
     def connection_idle(self, number: int, unread: bytes, session: RespSessionState | None = None) -> None:
-        """Report that no request is in progress, with what was read of the next one."""
+        """Report that no request is in progress, with the bytes read of the next one."""
         identifier = connection_id(self.protocol, number)
         self.channel.send(messages.ConnectionIdle(identifier, unread=unread, session=session))
 
@@ -260,14 +270,14 @@
 
 
 class ClientReturn:
-    """The new process's part: adopts clients, and returns them as they become idle."""
+    """The new process's part: adopts clients, and on reclaim returns each as it becomes idle."""
 
     def __init__(self, gateway: ServedGateway, channel: Channel) -> None:
         self.gateway = gateway
         self.channel = channel
 
     def adopt(self, message: messages.ConnectionHandover) -> None:
-        """Serve a client of the old process."""
+        """Serve a client that the old process hands over."""
         handle = self.channel.stream.receive_handle()
         self.channel.send(messages.ConnectionAdopted(message.connection_id, handle is not None))
         if handle is None:
@@ -275,8 +285,10 @@
         stream = self.gateway.loop.backend.adopt_stream(handle)
         number = connection_number(message.connection_id)
         if message.protocol == HTTP:
-            since = message.unread_since_us
-            self.gateway.http_server.adopt(stream, message.unread, since, message.last_received_at_us, number)
+            unread_since_us = message.unread_since_us
+            self.gateway.http_server.adopt(
+                stream, message.unread, unread_since_us, message.last_received_at_us, number
+            )
         else:
             self.gateway.resp_server.adopt(stream, message.unread, message.session, number)
 
@@ -287,7 +299,7 @@
         connection.stream.release()
 
     def return_resp(self, session: Session) -> None:
-        """Return an idle RESP connection; one that is out of step is closed."""
+        """Return an idle RESP connection; close it if its unread bytes can't be part of a command."""
         identifier = connection_id(RESP, session.number)
         unread = session.decoder.unread_bytes()
         if unread is None:
--- a/orchidlane/gateway/lifecycle/configuration_loader.py
+++ b/orchidlane/gateway/lifecycle/configuration_loader.py
@@ -1,4 +1,4 @@
-"""The configuration of one gateway process: read at the start, and anew while it serves."""
+"""The configuration of one gateway process: read at the start, and reloaded while it serves."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class ConfiguredGateway(Protocol):
-    """What the loader uses of its gateway process.
+    """Attributes of the gateway process that the loader uses.
 
-    ``sources`` are the contents of the files that ``configuration`` was last read from.
+    ``sources`` holds the contents of the files from which ``configuration`` was last read.
     """
 
     loop: EventLoop
@@ -26,13 +26,16 @@
 
 
 class ConfigurationLoader:
-    """Reads the API description and the customers' file."""
+    """Reads the API description and the customers file."""
 
     def __init__(self, gateway: ConfiguredGateway) -> None:
         self._gateway = gateway
 
     def load(self, number: int) -> ConfigurationSnapshot:
-        """Return what an earlier incarnation ran with, or what the files say, as generation ``number``.
+        """Return the configuration as generation ``number``.
+
+        In a fleet with replicated configuration it is the one that an earlier process ran, if that can be
+        restored; otherwise it is read from the files.
 
         Raises DescriptionError, CustomersError, OSError.
         """
@@ -48,15 +51,15 @@
         return snapshot
 
     def load_in_thread(self, number: int) -> ConfigurationSnapshot:
-        """Return the same as ``load``, while other tasks run."""
+        """Return the same as ``load``; other tasks run in the meantime."""
         return self._gateway.loop.backend.run_in_thread(lambda: self.load(number))
 
     def reload(self) -> None:
-        """Read the files anew while serving; an invalid configuration is logged and changes nothing."""
+        """Read the files again while serving; an invalid configuration is logged and changes nothing."""
         gateway = self._gateway
         number = gateway.configuration.generation.number + 1
         if gateway.rollout_agent is not None and gateway.rollout_agent.state is not None:
-            self._reject("the fleet follows its replicated state: propose the change")
+            self._reject("this fleet replicates its configuration: use 'orchidlane change propose' instead")
             return
         try:
             snapshot = gateway.loop.backend.run_in_thread(lambda: self._read(number))
@@ -73,5 +76,8 @@
     def _check_classes(self, snapshot: ConfigurationSnapshot) -> None:
         gateway = self._gateway
         if snapshot.generation.classes != gateway.configuration.generation.classes:
-            problem = DescriptionProblem("x-orchidlane", "other classes need a restart of the gateway")
+            problem = DescriptionProblem(
+                "x-orchidlane",
+                "the request classes differ from the running ones; changing them requires a restart",
+            )
             raise DescriptionError(gateway.fleet.description, [problem])
--- a/orchidlane/gateway/lifecycle/gateway_parts.py
+++ b/orchidlane/gateway/lifecycle/gateway_parts.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a gateway process; none of them does anything before the process starts serving."""
+"""Builds the parts of a gateway process; they stay inactive until the process starts serving."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class BuiltGateway(Protocol):
-    """What the parts use of their gateway process."""
+    """Attributes of the gateway process that its parts use."""
 
     loop: EventLoop
     fleet: FleetSettings
@@ -60,17 +60,17 @@
     limit_service: LimitService
 
     def state_names(self) -> PolicyNames:
-        """Return the names that a state's numbers stand for: classes, plans."""
+        """Return the names of the request classes and plans, which a stored state holds as numbers."""
 
     def describe_state(self) -> dict[str, Any]:
-        """Return the moment, incarnation and generations that a stored state belongs to."""
+        """Return the time, incarnation and generations of a stored state."""
 
     def unready_reason(self) -> str:
-        """Return why requests must not be served yet; empty if they may."""
+        """Return why requests must not be served yet; empty if they may be."""
 
 
 def build_inbox(gateway: BuiltGateway) -> Inbox:
-    """Return the check of received datagrams, with a rate limit for each kind."""
+    """Return the filter for received datagrams, with a rate limit for each kind."""
     fleet = gateway.fleet
     rate_limits = [fleet.peers.messages_per_second, fleet.quotas.messages_per_second]
     if gateway.rollout_agent is not None:
@@ -79,15 +79,21 @@
 
 
 def build_forwarding(gateway: BuiltGateway, settings: policy.Settings, scope: TaskGroup) -> Forwarding:
-    """Return the policy with its driver, and the HTTP server that feeds it."""
+    """Return the policy driver with its policy, and the HTTP server that feeds requests to it."""
     loop, fleet = gateway.loop, gateway.fleet
     endpoints = OpenApiEndpointAdapter(fleet, gateway.entry.name, gateway.incarnation, gateway.tracker)
     clients = _build_clients(gateway)
-    rules = Gateway(settings, loop.backend.random.getrandbits(64), loop.now())
-    track_accounts(rules)
+    policy_gateway = Gateway(settings, loop.backend.random.getrandbits(64), loop.now())
+    track_accounts(policy_gateway)
     attempts = AttemptStarter(loop, fleet, scope, endpoints)
     policy_driver = PolicyDriver(
-        loop, settings, rules, gateway.metrics, clients, attempts.start_attempt, gateway.peer_datagrams.send
+        loop,
+        settings,
+        policy_gateway,
+        gateway.metrics,
+        clients,
+        attempts.start_attempt,
+        gateway.peer_datagrams.send,
     )
     attempts.policy_driver = policy_driver
     return Forwarding(policy_driver, HttpServer(loop, fleet, policy_driver, clients, scope))
@@ -106,7 +112,7 @@
 
 
 def build_resp_server(gateway: BuiltGateway, scope: TaskGroup) -> RespServer:
-    """Return the server of the limits' commands."""
+    """Return the server for quota commands over RESP."""
     return RespServer(
         gateway.loop,
         gateway.fleet,
@@ -118,7 +124,7 @@
 
 
 def build_gauges(gateway: BuiltGateway) -> dict[str, Gauge]:
-    """Return the gauges of the metrics page by their names there."""
+    """Return the gauges of the metrics page, by metric name."""
     return {
         "connections": Gauge("Clients' connections", lambda: len(gateway.http_server.connections)),
         "open_requests": Gauge("Requests under way", lambda: len(gateway.policy_driver.requests)),
@@ -130,11 +136,11 @@
 
 
 def build_admin_api(gateway: BuiltGateway) -> AdminApi:
-    """Return the admin API, with the rollouts' part where the fleet has voters."""
+    """Return the admin API, with the rollout endpoints if the fleet has voters."""
 
-    def find_customer(word: bytes) -> Customer | None:
+    def find_customer(name_key_or_number: bytes) -> Customer | None:
         customers = gateway.configuration.customers
-        return customers.by_name_or_key(word) or customers.by_number(word)
+        return customers.by_name_or_key(name_key_or_number) or customers.by_number(name_key_or_number)
 
     sources = AdminSources(
         gateway_name=gateway.entry.name,
--- a/orchidlane/gateway/lifecycle/new_side.py
+++ b/orchidlane/gateway/lifecycle/new_side.py
@@ -1,7 +1,8 @@
-"""The new process's side of a hot restart; ``orchidlane.hot_restart.new_process`` decides.
+"""The new process's side of a hot restart; the state machine is ``orchidlane.hot_restart.new_process``.
 
-It connects to the old process's Unix socket, gets the listeners and the state, checks itself, and serves from
-the handover on. In probation it reports to the old process (see ``old_side``) before it acts.
+The new process connects to the old process's Unix socket, receives the listeners and the state, runs a
+self-check, and serves from the handover on. During probation it reports each step to the old process (see
+``old_side``) before it takes it.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 
 class NewSide:
-    """Takes a running gateway over."""
+    """Takes over serving from the old process of the same gateway."""
 
     def __init__(self, gateway: ServedGateway, scope: TaskGroup) -> None:
         self.gateway = gateway
@@ -47,31 +48,33 @@
         self.sockets: dict[str, Handle] = {}
         self.expected_sockets: tuple[str, ...] = ()
         self.received_tables: ReceivedTables
-        self.class_map: dict[int, int] = {}  # the old process's numbers of request classes to ours
-        self.failure = ""  # why nothing became of it
-        self._waiting: Task | None = None
-        self._built = False
-        self._returning = False
-
-    def take_over(self) -> bool:
-        """Connect, and wait until we serve; return False if we never will, ``failure`` says why."""
+        self.class_map: dict[int, int] = {}  # the old process's class index to this one's
+        self.failure = ""  # why this process does not serve; empty while it may
+        self._waiting_task: Task | None = None
+        self._has_built_parts = False
+        self._is_returning = False
+
+    def await_serving(self) -> bool:
+        """Connect, and wait until this process serves; if it can't, set ``failure`` and return False."""
         address = hot_restart_address(self.gateway.fleet, self.gateway.entry)
         if address is None:
-            self.failure = "the settings have no folder for the state, where the old process listens"
+            self.failure = (
+                "the setting 'state' must name a directory: the old process listens on a Unix socket there"
+            )
             return False
         try:
             stream = self.loop.backend.connect(address, self.loop.now() + CONNECT_TIMEOUT_US)
         except (ConnectionFailedError, DeadlineExceededError) as error:
-            self.failure = f"nobody answers at {format_address(address)}: {error}"
+            self.failure = f"cannot connect to the old process at {format_address(address)}: {error}"
             return False
         self.channel = Channel(self.loop, stream, 0, self.scope)
         self.clients = ClientReturn(self.gateway, self.channel)
-        self.scope.spawn(self._serve_channel, priority=CONTROL, name="upgrade channel")
+        self.scope.spawn(self._serve_channel, priority=CONTROL, name="hot restart channel")
         self._carry_out_all(self.machine.start(self.loop.now()))
-        self._waiting = self.loop.current
+        self._waiting_task = self.loop.current
         while self.machine.phase not in SETTLED_PHASES:
             self.loop.park()
-        self._waiting = None
+        self._waiting_task = None
         return not self.failure
 
     def _serve_channel(self) -> None:
@@ -81,24 +84,26 @@
                     self._receive(message)
             except (messages.ProtocolError, *INVALID_STATE_ERRORS) as error:
                 self._fail(f"garbage: {type(error).__name__} {error}")
-                self.channel.await_end()
+                self.channel.discard_until_closed()
             self.feed(new_process.ChannelClosed())
         except Cancelled:
             raise
-        except Exception as error:  # a fault of this build shows here: it gives up rather than hang
+        except Exception as error:  # a fault in this build: give up instead of hanging
             self._fail(f"{type(error).__name__}: {error}")
             raise
 
     def feed(self, event: new_process.Event) -> None:
-        """Feed one event to the state machine and carry its actions out."""
+        """Feed an event to the state machine and carry out its actions."""
         previous = self.machine.phase
         actions = self.machine.handle(self.loop.now(), event)
         phase = self.machine.phase
         if phase is not previous:
-            self.gateway.log.info("take-over", phase=phase.value, was=previous.value)
+            self.gateway.log.info(
+                "hot restart phase changed", phase=phase.value, previous_phase=previous.value
+            )
         self._carry_out_all(actions)
-        if self._waiting is not None:
-            self.loop.wake(self._waiting)
+        if self._waiting_task is not None:
+            self.loop.wake(self._waiting_task)
 
     def _fail(self, reason: str) -> None:
         self.feed(new_process.FailureDetected(reason))
@@ -120,8 +125,8 @@
             case new_process.Exit():
                 self._exit(action.reason)
             case new_process.SetTimer():
-                due = self.loop.now() + action.delay_us
-                self.loop.call_at(due, lambda _: self.feed(new_process.TimerFired()))
+                fire_at_us = self.loop.now() + action.delay_us
+                self.loop.call_at(fire_at_us, lambda _: self.feed(new_process.TimerFired()))
             case _:
                 self._change_serving(action)
 
@@ -138,10 +143,10 @@
 
     def _exit(self, reason: str) -> None:
         self.failure = reason
-        self.gateway.log.error("take-over ended", reason=reason)
+        self.gateway.log.error("hot restart failed", reason=reason)
         self.channel.send(messages.Failure(reason))
         self.gateway.stopping = True
-        self.scope.spawn(self._close, priority=CONTROL, name="take-over ends")
+        self.scope.spawn(self._close, priority=CONTROL, name="close hot restart channel")
 
     def _close(self) -> None:
         with contextlib.suppress(DeadlineExceededError):
@@ -163,9 +168,9 @@
 
     def _send_heartbeat(self) -> None:
         gateway = self.gateway
-        answers = count_responses(gateway.metrics)
+        responses = count_responses(gateway.metrics)
         self.channel.send(
-            messages.Heartbeat(*answers, gateway.sequence, gateway.policy_driver.last_request_number)
+            messages.Heartbeat(*responses, gateway.sequence, gateway.policy_driver.last_request_number)
         )
 
     # -- messages of the old process
@@ -193,7 +198,7 @@
                 self._receive_in_probation(message)
 
     def _receive_in_probation(self, message: messages.AnyMessage) -> None:
-        """Receive what the old process sends for its clients and its requests in progress."""
+        """Receive a message about the old process's clients or about its requests in progress."""
         match message:
             case messages.ConnectionHandover():
                 self.clients.adopt(message)
@@ -207,14 +212,14 @@
                 self._fail("a message that only the new process may send")
 
     def _receive_offer(self, offer: messages.Offer) -> None:
-        """Go on with the old process's clock and incarnation; read and check our own configuration."""
+        """Adopt the old process's clock and incarnation; load and check the configuration of this process."""
         gateway = self.gateway
         self.loop.backend.follow_clock(offer.clock_base_us)
         gateway.incarnation = offer.incarnation
         self.expected_sockets = offer.socket_names
         gateway.load_configuration(offer.generation + 1)
         gateway.build_parts(self.scope)
-        self._built = True
+        self._has_built_parts = True
         self.received_tables = ReceivedTables(gateway.limit_service.token_owner, gateway.limit_service.grants)
         self.feed(new_process.OfferReceived())
 
@@ -226,7 +231,7 @@
             self.sockets[message.name] = handle
 
     def _run_self_check(self) -> None:
-        """Check that all sockets arrived, and that the policy of this build acts on a request."""
+        """Check that all sockets arrived, and that the policy of this build returns actions for a request."""
         missing = [name for name in self.expected_sockets if name not in self.sockets]
         if missing:
             return self._fail(f"these listeners did not come: {', '.join(missing)}")
@@ -239,7 +244,7 @@
         return self.feed(new_process.SelfCheckPassed())
 
     def _receive_final_state(self, final: messages.FinalState) -> None:
-        """Go on from all that the old process had."""
+        """Restore the complete state of the old process: policy, limits, endpoints and peers."""
         gateway = self.gateway
         old_numbers = {name: number for number, name in enumerate(final.class_names)}
         names = gateway.configuration.generation.class_names
@@ -248,9 +253,11 @@
         }
         old_classes = [old_numbers.get(name) for name in names]
         accounts = self.received_tables.accounts
-        rules = restore_policy(gateway.policy_driver.settings, final.policy_state, accounts, old_classes)
-        recording.track_accounts(rules)
-        gateway.policy_driver.resume(rules, final.last_request_id)
+        policy_gateway = restore_policy(
+            gateway.policy_driver.settings, final.policy_state, accounts, old_classes
+        )
+        recording.track_accounts(policy_gateway)
+        gateway.policy_driver.resume(policy_gateway, final.last_request_id)
         gateway.limit_service.load_state(final.limits)
         gateway.tracker.import_state(final.endpoints)
         gateway.inbox.load_peer_rows([tuple(row) for row in final.peers])
@@ -269,7 +276,7 @@
         class_index = self.class_map.get(request.class_index)
         granted = (
             class_index is not None
-            and not self._returning
+            and not self._is_returning
             and self.gateway.policy_driver.request_quota(customer, request.units, class_index)
         )
         self.channel.send(messages.UnitsReply(request.request_id, granted))
@@ -282,13 +289,13 @@
             self.gateway.send_limits_datagram(message.rank, message.body)
 
     def send_own_reply(self, body: bytes) -> None:
-        """Send the answer of our own token service to a token request of the old process."""
+        """Send the reply of this process's token service to a token request of the old process."""
         self.channel.send(messages.PeerReply(self.gateway.rank, body))
 
     def _record_grant(self, grant: messages.GrantRecorded) -> None:
-        span = None if grant.reserved_us < 0 else grant.reserved_us
+        reserved_us = None if grant.reserved_us < 0 else grant.reserved_us
         grants = self.gateway.limit_service.grants
-        grants.add_grant(self.loop.now(), grant.name, grant.customer, grant.units, span)
+        grants.add_grant(self.loop.now(), grant.name, grant.customer, grant.units, reserved_us)
 
     # -- probation
 
@@ -297,19 +304,19 @@
         gateway.http_server.observer = ConnectionReporter(self.channel, HTTP)
         gateway.resp_server.observer = ConnectionReporter(self.channel, RESP)
         gateway.policy_driver.on_units_spent = self._report_count
-        gateway.limit_service.queries.on_foreign_reply = self._pass_reply
+        gateway.limit_service.queries.on_foreign_reply = self._forward_reply
         gateway.sockets.adopt(self.sockets)
         gateway.start_serving(self.scope)
         self.channel.send(messages.Started())
 
     def _report_count(self, customer: int) -> None:
-        """Report a count before the counted request is forwarded: the old process may have to go on."""
-        rules = self.gateway.policy_driver.gateway
-        account = rules.accounts[customer]
-        incarnation, value = account.replica_counts[rules.replica]
+        """Report a count before its request is forwarded, as the old process may have to take over again."""
+        policy_gateway = self.gateway.policy_driver.gateway
+        account = policy_gateway.accounts[customer]
+        incarnation, value = account.replica_counts[policy_gateway.replica]
         self.channel.send(messages.CustomerCount(customer, *account.key, incarnation, value))
 
-    def _pass_reply(self, sender: int, body: bytes) -> None:
+    def _forward_reply(self, sender: int, body: bytes) -> None:
         self.channel.send(messages.PeerReply(sender, body))
 
     def _stop_reporting(self) -> None:
@@ -325,30 +332,31 @@
         self.gateway.accept_hot_restarts()
 
     def _serve_alone(self, cold_start: bool) -> None:
-        """Make sure that the old process is dead, and serve in its place."""
+        """Kill the old process if it still runs, and serve in its place."""
         gateway = self.gateway
         self.channel.stream.kill_peer()
         self._stop_reporting()
-        self._returning = False
+        self._is_returning = False
         if not cold_start:
             gateway.resume_serving()
-        elif not self._built or "http" not in self.sockets:
-            self.failure = "the old side ended before it had passed its listeners"
+        elif not self._has_built_parts or "http" not in self.sockets:
+            self.failure = "the old process exited before it handed over its listeners"
             return
         else:
-            gateway.incarnation = self.loop.now()  # a new one: what the old process sent last is not known
+            # The old process's last sequence number and counts are unknown, so a new incarnation starts.
+            gateway.incarnation = self.loop.now()
             gateway.sockets.adopt(self.sockets)
             gateway.start_serving(self.scope)
         gateway.accept_hot_restarts()
 
-    # -- giving everything back
+    # -- returning clients to the old process
 
     def _stop_serving(self) -> None:
-        self._returning = True
+        self._is_returning = True
         self.gateway.stop_accepting(self.clients.return_http, self.clients.return_resp)
         self.gateway.superseded = True
         self.channel.send(messages.ServingStopped())
-        self.scope.spawn(self._await_drained, priority=CONTROL, name="returning")
+        self.scope.spawn(self._await_drained, priority=CONTROL, name="drain before return")
 
     def _await_drained(self) -> None:
         while self.gateway.http_server.connections or self.gateway.resp_server.connections:
--- a/orchidlane/gateway/lifecycle/peer_datagrams.py
+++ b/orchidlane/gateway/lifecycle/peer_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between the gateways of a fleet: sent in this gateway's name, received and passed on by kind."""
+"""Datagrams between the gateways of a fleet: sends them, and dispatches received ones by kind."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DatagramGateway(Protocol):
-    """What the exchange of datagrams uses of its gateway process."""
+    """Attributes of the gateway process that the datagram exchange uses."""
 
     loop: EventLoop
     fleet: FleetSettings
@@ -42,16 +42,16 @@
         self._addresses = [parse_host_port(entry.peer) for entry in gateway.fleet.gateways]  # by rank
 
     def send(self, rank: int, body: bytes, kind: int = DatagramKind.POLICY) -> None:
-        """Send a datagram to a peer, unless another process serves in our place."""
+        """Send a datagram to a peer, unless another process serves in place of this one."""
         gateway = self._gateway
         if gateway.superseded:
             return
         gateway.sequence += 1
         gateway.metrics.datagrams_sent += 1
-        sealed = encode_datagram(
+        datagram = encode_datagram(
             gateway.secret, gateway.rank, rank, gateway.incarnation, gateway.sequence, body, kind
         )
-        gateway.sockets[PEER].send(sealed, self._addresses[rank])
+        gateway.sockets[PEER].send(datagram, self._addresses[rank])
 
     def receive_all(self) -> None:
         """Receive datagrams until the task is cancelled."""
@@ -62,9 +62,9 @@
             accepted = gateway.inbox.accept(gateway.loop.now(), data[: MAX_DATAGRAM_BYTES + 1])
             if accepted is not None:
                 gateway.metrics.datagrams_received += 1
-                self._pass_on(*accepted)
+                self._dispatch(*accepted)
 
-    def _pass_on(self, kind: int, sender: int, body: bytes) -> None:
+    def _dispatch(self, kind: int, sender: int, body: bytes) -> None:
         gateway = self._gateway
         if kind == DatagramKind.POLICY:
             gateway.policy_driver.feed(policy.PeerMessageReceived(sender, body))
--- a/orchidlane/gateway/lifecycle/process.py
+++ b/orchidlane/gateway/lifecycle/process.py
@@ -1,7 +1,7 @@
 """The gateway process: starts, serves, takes part in hot restarts, drains and exits.
 
-``gateway_parts`` builds its parts, ``configuration_loader`` reads and reloads its configuration and
-``peer_datagrams`` exchanges datagrams with the other gateways.
+``gateway_parts`` builds the parts of the process, ``configuration_loader`` reads and reloads its
+configuration, and ``peer_datagrams`` exchanges datagrams with the other gateways.
 """
 
 from __future__ import annotations
@@ -42,11 +42,11 @@
 
 
 class GatewayProcess:
-    """One gateway. ``run`` is its main task; ``stop`` and ``reload`` may be called from signals' tasks.
+    """One gateway. ``run`` is its main task; ``stop`` and ``reload`` may be called from tasks of signals.
 
-    ``sockets`` are its listeners and the datagram socket of the peers by name: what a successor inherits.
-    With ``is_hot_restart`` they come from the process that runs now; ``failure`` says afterwards why it did
-    not take over.
+    ``sockets`` holds the listeners and the datagram socket for peers, by name; a hot restart hands them over.
+    With ``is_hot_restart`` they come from the process that serves now. After ``run``, ``failure`` says why
+    the hot restart failed, or is empty.
     """
 
     def __init__(
@@ -75,11 +75,11 @@
         self.metrics = MetricsPage()
         self.stopping = False
         self.ready = False
-        self.superseded = False  # another process serves in our place
+        self.superseded = False  # another process serves in place of this one
         self.failure = ""
-        self.when_ready: Callable[[], None] = lambda: None  # called once, when requests are served
+        self.when_ready: Callable[[], None] = lambda: None  # called once, when this process starts serving
         self.incarnation = loop.now()
-        self.sequence = 0  # of the latest datagram
+        self.sequence = 0  # of the last datagram sent
         self.sockets = GatewaySockets(loop, fleet, self.entry)
         self.peer_datagrams = PeerDatagrams(self)
         self.policy_driver: PolicyDriver
@@ -87,15 +87,15 @@
         self.inbox: Inbox
         self.account_store: AccountStore | None = None
         self.tracker = EndpointListTracker(self.entry.zone, fleet.resource_limits.max_endpoints)
-        self._receiving: Task
+        self._receive_task: Task
 
     def run(self) -> None:
-        """Serve from the start, or the hand-over from another process, to the end of a drain."""
+        """Serve from the start, or from the handover of a hot restart, until the drain is complete."""
         with TaskGroup(self.loop) as scope:
             self.old_side = OldSide(self, scope)
             if self.is_hot_restart:
                 self.new_side = NewSide(self, scope)
-                if not self.new_side.take_over():
+                if not self.new_side.await_serving():
                     self.failure = self.new_side.failure
                     scope.cancel()
                     return
@@ -107,7 +107,7 @@
         self.sockets.close()
         if self.is_hot_restart:
             self.failure = self.new_side.failure
-        self.log.info("ended", reason=self.failure)
+        self.log.info("stopped", reason=self.failure)
 
     def _start(self, scope: TaskGroup) -> None:
         for name in ("http", PEER):
@@ -117,7 +117,7 @@
         self.accept_hot_restarts()
 
     def _run_until_drained(self) -> None:
-        """Wait for ``stop``, then until all requests are answered or the drain's timeout is over."""
+        """Wait for ``stop``, then until all requests are answered or the drain times out."""
         while not self.stopping:
             self.loop.sleep(STOP_POLL_INTERVAL_US)
         self.http_server.drain()
@@ -137,7 +137,11 @@
             self.account_store.save_final()
 
     def stop(self) -> None:
-        """Begin to drain; in probation, release the new process or return everything to the old one first."""
+        """Start to drain.
+
+        During the probation of a hot restart, the old process first releases the new one, and the new process
+        first returns its clients to the old one.
+        """
         self.old_side.feed(old_process.StopRequested())
         if self.is_hot_restart and self.new_side.machine.phase is new_process.Phase.PROBATION:
             self.new_side.feed(new_process.StopRequested())
@@ -147,7 +151,7 @@
     # -- configuration
 
     def load_configuration(self, number: int) -> None:
-        """Read the configuration in a thread of its own.
+        """Read the configuration in a separate thread, unless it was passed to the constructor.
 
         Raises DescriptionError, CustomersError, OSError.
         """
@@ -155,13 +159,13 @@
             self.configuration = self._configuration_loader.load_in_thread(number)
 
     def reload(self) -> None:
-        """Read description and customers anew while serving; what is invalid changes nothing."""
+        """Read the description and customers files again; an invalid configuration changes nothing."""
         self._configuration_loader.reload()
 
     # -- parts
 
     def build_parts(self, scope: TaskGroup) -> None:
-        """Make all parts; none of them does anything yet."""
+        """Create all parts of the process; they stay inactive until ``start_serving``."""
         self.scope = scope
         settings = policy_settings(self.fleet, self.rank, self.configuration.generation)
         self.inbox = gateway_parts.build_inbox(self)
@@ -175,13 +179,13 @@
         self.watch = gateway_parts.build_endpoint_watch(self)
 
     def unready_reason(self) -> str:
-        """Return why requests must not be served yet; empty if they may."""
+        """Return why requests must not be served yet; empty if they may be."""
         return self.rollout_agent.rejection_reason() if self.rollout_agent is not None else ""
 
     # -- serving
 
     def start_serving(self, scope: TaskGroup) -> None:
-        """Accept requests; sockets that are not bound or inherited yet are bound here."""
+        """Accept requests, and bind the sockets that are neither bound nor inherited yet."""
         if not self.is_hot_restart:
             self.watch.load_cache()
         self._start_account_store(scope)
@@ -194,7 +198,7 @@
             self.rollout_agent.start(scope)
         scope.spawn(self.watch.run, priority=CONTROL, name="endpoint list")
         scope.spawn(self.watch.run_cache_writer, priority=BACKGROUND, name="endpoint list cache")
-        self._receive_from_others()
+        self._receive_from_peers_and_admin()
         self.http_server.listen(self.sockets["http"])
         if "resp" in self.sockets:
             self.resp_server.listen(self.sockets["resp"])
@@ -204,7 +208,7 @@
         self.log.info("started", listen=self.entry.listen, rank=self.rank, pid=os.getpid())
 
     def _start_account_store(self, scope: TaskGroup) -> None:
-        """Restore the accounts of an earlier incarnation, unless another process sent its own."""
+        """Restore the saved accounts and save them periodically; a hot restart has received them already."""
         if not self.fleet.state_directory or not self.fleet.account_store.write_interval_us:
             return
         self.account_store = AccountStore(self, f"{self.fleet.state_directory}/{self.entry.name}.accounts")
@@ -220,18 +224,18 @@
         self.policy_driver.recorder = recorder
         scope.spawn(recorder.run, priority=BACKGROUND, name="recorder")
 
-    def _receive_from_others(self) -> None:
-        """Receive datagrams of peers, and requests of the admin API."""
-        self._receiving = self.scope.spawn(self.peer_datagrams.receive_all, priority=PEERS, name="peers")
+    def _receive_from_peers_and_admin(self) -> None:
+        """Receive datagrams from peers and requests to the admin API."""
+        self._receive_task = self.scope.spawn(self.peer_datagrams.receive_all, priority=PEERS, name="peers")
         if "admin" in self.sockets:
             self.admin.listen(self.sockets["admin"], self.scope)
 
     def state_names(self) -> PolicyNames:
-        """Return the names that a state's numbers stand for: classes, plans."""
+        """Return the names of the request classes and plans, which a stored state holds as numbers."""
         return PolicyNames(self.configuration.generation.class_names, tuple(self.fleet.plans))
 
     def describe_state(self) -> dict[str, Any]:
-        """Return the moment, incarnation and generations that a stored state belongs to."""
+        """Return the time, incarnation and generations of a stored state."""
         description = describe_moment(self)
         if self.rollout_agent is not None:
             description["version"] = self.rollout_agent.agent_state.running_label
@@ -244,7 +248,7 @@
         self.old_side.listen()
 
     def delegate_units(self, units: NewProcessUnits) -> None:
-        """Let another process decide on units from here on; requests held here ask it."""
+        """Let the new process grant units from now on; requests in progress here request theirs from it."""
         self.superseded = True
         self.policy_driver.remote_quota = units
         self.limit_service.new_process_grants = units
@@ -254,8 +258,8 @@
     def stop_accepting(
         self, hand_over_http: Callable[[ClientConnection], None], hand_over_resp: Callable[[Session], None]
     ) -> None:
-        """Accept nothing more on any socket; clients are handed over between two requests."""
-        self.loop.cancel(self._receiving)
+        """Stop accepting on all sockets; each client is handed over between two requests."""
+        self.loop.cancel(self._receive_task)
         if self.rollout_agent is not None:
             self.rollout_agent.stop()
         self.admin.stop_accepting()
@@ -264,11 +268,11 @@
             self.resp_server.stop_accepting(hand_over_resp)
 
     def resume_serving(self) -> None:
-        """Serve again after another process did."""
+        """Serve again after another process served in place of this one."""
         self.superseded = False
         self.policy_driver.remote_quota = None
         self.limit_service.reclaim()
-        self._receive_from_others()
+        self._receive_from_peers_and_admin()
         if self.rollout_agent is not None:
             self.rollout_agent.start(self.scope)
         self.http_server.resume()
@@ -278,14 +282,14 @@
     # -- peers
 
     def send_limits_datagram(self, rank: int, body: bytes) -> None:
-        """Send a token request or reply, through the process that serves in this gateway's name."""
+        """Send a token request or reply through the process that serves this gateway's datagram socket."""
         if self.old_side.new_process_units is not None and self.superseded:
             self.old_side.new_process_units.send_datagram(rank, body)
         elif rank == self.rank:
-            self.new_side.send_own_reply(body)  # to a request of the process before us
+            self.new_side.send_own_reply(body)  # replies to the old process's token request
         else:
             self.peer_datagrams.send(rank, body, DatagramKind.LIMITS)
 
     def send_rollout_datagram(self, rank: int, body: bytes) -> None:
-        """Send a datagram about the fleet's versions."""
+        """Send a datagram of a rollout."""
         self.peer_datagrams.send(rank, body, DatagramKind.ROLLOUT)
--- a/orchidlane/gateway/lifecycle/restart_channel.py
+++ b/orchidlane/gateway/lifecycle/restart_channel.py
@@ -18,11 +18,11 @@
 from orchidlane.runtime.backend import Handle
 
 WRITE_TIMEOUT_US = 5_000_000
-MAX_QUEUED_MESSAGES = 200_000  # beyond that the other process hangs, and messages are dropped
+MAX_QUEUED_MESSAGES = 200_000  # with more, the other process must be hanging; further messages are dropped
 
 
 class Channel:
-    """One end of the Unix socket; a message may pass a descriptor."""
+    """One end of the Unix socket; a message may carry a descriptor."""
 
     def __init__(self, loop: EventLoop, stream: Stream, number: int, scope: TaskGroup) -> None:
         self.loop = loop
@@ -31,11 +31,14 @@
         self.closed = False
         self._queue: deque[tuple[bytes, Handle | None]] = deque()
         self._parser = messages.Parser()
-        self._flushing: list[Task] = []
-        self._writer = scope.spawn(self._write, priority=CONTROL, name="upgrade writer")
+        self._flush_waiters: list[Task] = []
+        self._writer = scope.spawn(self._write, priority=CONTROL, name="hot restart channel writer")
 
     def send(self, message: messages.Message, handle: Handle | None = None) -> None:
-        """Send in order, at once if the socket takes it: the peer then reads it even if we die next."""
+        """Send a message in order, at once if the socket accepts it.
+
+        The other process can read what the socket has accepted even if this process dies right after.
+        """
         data = messages.encode(message)
         if not self.closed and not self._queue:
             try:
@@ -66,11 +69,11 @@
                 if handle is not None:
                     self.loop.backend.close_handle(handle)
             self._queue.clear()
-            self._wake_flushing()
+            self._wake_flush_waiters()
 
     def _write_next(self) -> None:
         while not self._queue:
-            self._wake_flushing()
+            self._wake_flush_waiters()
             self.loop.park()
         data, handle = self._queue[0]
         deadline = self.loop.now() + WRITE_TIMEOUT_US
@@ -80,27 +83,27 @@
             self.stream.send_with_handle(data, handle, deadline)
         self._queue.popleft()
 
-    def _wake_flushing(self) -> None:
-        waiting = self._flushing
-        self._flushing = []
-        for task in waiting:
+    def _wake_flush_waiters(self) -> None:
+        waiters = self._flush_waiters
+        self._flush_waiters = []
+        for task in waiters:
             self.loop.wake(task)
 
     @property
     def has_backlog(self) -> bool:
-        """Whether messages wait: the peer does not know yet what was sent."""
+        """Whether messages are queued that the other process can't read yet."""
         return bool(self._queue) and not self.closed
 
     def flush(self) -> None:
-        """Wait until all is sent, or never will be. Raises DeadlineExceededError."""
+        """Wait until all messages are sent or the channel is closed. Raises DeadlineExceededError."""
         task = self.loop.current
         assert task is not None
         while self._queue and not self.closed:
-            self._flushing.append(task)
+            self._flush_waiters.append(task)
             self.loop.park(self.loop.now() + WRITE_TIMEOUT_US)
 
     def received(self) -> Iterator[messages.AnyMessage]:
-        """Yield messages until the peer's end closes. Raises ProtocolError."""
+        """Yield messages until the other process closes its end. Raises ProtocolError."""
         while True:
             message = self._parser.next_message()
             if message is not None:
@@ -114,8 +117,8 @@
                 return
             self._parser.receive(data)
 
-    def await_end(self) -> None:
-        """Discard what is received until the peer's end closes."""
+    def discard_until_closed(self) -> None:
+        """Discard received bytes until the other process closes its end."""
         try:
             while self.stream.recv():
                 pass
@@ -123,7 +126,7 @@
             pass
 
     def close(self) -> None:
-        """Close this end."""
+        """Close the local end."""
         self.closed = True
         self.stream.close()
         self.loop.cancel(self._writer)
--- a/orchidlane/gateway/lifecycle/rolling_upgrade.py
+++ b/orchidlane/gateway/lifecycle/rolling_upgrade.py
@@ -1,8 +1,9 @@
-"""Carries out the roll of a fleet; ``orchidlane.hot_restart.rolling_upgrade`` decides.
+"""Carries out a rolling upgrade; the state machine is ``orchidlane.hot_restart.rolling_upgrade``.
 
-The state is stored before anything follows from it. A successor is prepared first and released only once its
-process id is stored, so that a roll that is killed anywhere can be resumed: whatever runs is known. The
-gateways' status is requested over their Unix sockets, a few at a time.
+Each state is stored before its actions are carried out. A new process is first prepared, and released only
+once its process id is stored. A rolling upgrade that is killed at any point can therefore be resumed: every
+process that it started is on record. The gateways' status is requested over their Unix sockets, with a limit
+on concurrent requests.
 """
 
 from __future__ import annotations
@@ -24,16 +25,16 @@
 STATUS_INTERVAL_US = 200_000
 MAX_CONCURRENT_STATUS_REQUESTS = 16
 LOAD_SAMPLE_US = 2_000_000
-SERVING = "serving"  # phase in a status in which no other process takes part
+SERVING = "serving"  # phase in the status of a gateway without a hot restart in progress
 
 
 class NewProcessStarter(Protocol):
-    """Starts the successors' processes."""
+    """Starts the new processes of a rolling upgrade."""
 
     def prepare(self, rank: int, new_build: bool) -> int:
-        """Create a process that becomes the successor once released, and return its process id.
+        """Create a process that takes over a gateway once it is released, and return its process id.
 
-        It must never run if we exit before.
+        The process must never run if this one exits before the release.
         """
 
     def release(self, pid: int) -> None:
@@ -47,20 +48,20 @@
 
 
 class StoredRoll(msgspec.Struct):
-    """What a roll stores: a resumed one needs nothing else but the settings."""
+    """The stored state of a rolling upgrade; with the settings it is all that a resumption needs."""
 
     names: list[str]
     commands: tuple[str, str] = msgspec.field(name="programs")  # of the old and of the new build
-    loads: list[float]  # answers per second of each gateway
+    loads: list[float]  # responses per second of each gateway
     state: rolling_upgrade.RollState
 
 
 class UnfinishedRollError(ValueError):
-    """A roll was begun and is not over."""
+    """An earlier rolling upgrade has not finished."""
 
 
 class RollDriver:
-    """One roll of a fleet, from its start or from where it was left."""
+    """Drives one rolling upgrade ("roll" in the command), from its start or from its stored state."""
 
     def __init__(
         self, loop: EventLoop, fleet: FleetSettings, starter: NewProcessStarter, report: Callable[[str], None]
@@ -73,12 +74,15 @@
         self.stored: StoredRoll
         self.upgrade: rolling_upgrade.RollingUpgrade
         self._last_written = b""
-        self._next_rank = 0  # whose status is requested next
+        self._next_rank = 0  # the gateway whose status is requested next
 
     # -- start and resumption
 
     def load_stored(self) -> StoredRoll | None:
-        """Return what an earlier roll stored. Raises ValueError if it is unreadable or another fleet's."""
+        """Return the last stored state, if any.
+
+        Raises ValueError if it is unreadable or belongs to another fleet.
+        """
         data = self.loop.backend.read_file(self.path)
         if data is None:
             return None
@@ -87,40 +91,42 @@
         except msgspec.DecodeError as error:
             raise ValueError(f"{self.path}: {error}") from None
         if stored.names != self._names() or len(stored.state.gateways) != len(stored.names):
-            raise ValueError(f"{self.path}: it is of other gateways than the settings'")
+            raise ValueError(f"{self.path}: the gateways of this roll differ from those of the settings")
         return stored
 
     def _names(self) -> list[str]:
         return [entry.name for entry in self.fleet.gateways]
 
     def begin(self, commands: tuple[str, str]) -> None:
-        """Request the status of all gateways twice, for their loads, and store the new roll.
+        """Start a rolling upgrade and store its state.
+
+        The status of each gateway is requested twice, to measure its load.
 
-        Raises UnfinishedRollError, and ValueError if a gateway can't be upgraded now.
+        Raises UnfinishedRollError, and ValueError if a gateway can't be restarted now.
         """
-        unfinished = self.load_stored()
-        if unfinished is not None and unfinished.state.phase not in rolling_upgrade.FINAL_PHASES:
-            phase = unfinished.state.phase.value
+        stored = self.load_stored()
+        if stored is not None and stored.state.phase not in rolling_upgrade.FINAL_PHASES:
+            phase = stored.state.phase.value
             raise UnfinishedRollError(f"{self.path}: a roll is {phase}; resume or recall it first")
-        earlier = self._request_all()
+        first_statuses = self._request_all()
         self.loop.sleep(LOAD_SAMPLE_US)
         statuses = self._request_all()
         loads = [
             max(0, status.responses.total - before.responses.total) * 1e6 / LOAD_SAMPLE_US
-            for status, before in zip(statuses, earlier, strict=True)
+            for status, before in zip(statuses, first_statuses, strict=True)
         ]
         self.upgrade = rolling_upgrade.start_roll(self._layout(loads), self._settings(), statuses)
         self.stored = StoredRoll(self._names(), commands, loads, self.upgrade.state)
         self._store()
 
     def resume(self) -> list[rolling_upgrade.Action]:
-        """Go on from where an earlier roll was left. Raises ValueError if there is none."""
-        unfinished = self.load_stored()
-        if unfinished is None or unfinished.state.phase in rolling_upgrade.FINAL_PHASES:
+        """Continue an unfinished rolling upgrade. Raises ValueError if there is none."""
+        stored = self.load_stored()
+        if stored is None or stored.state.phase in rolling_upgrade.FINAL_PHASES:
             raise ValueError(f"{self.path}: no unfinished roll")
-        self.stored = unfinished
+        self.stored = stored
         self.upgrade = rolling_upgrade.RollingUpgrade(
-            self._layout(unfinished.loads), self._settings(), unfinished.state
+            self._layout(stored.loads), self._settings(), stored.state
         )
         actions = self.upgrade.resume(self.loop.now())
         self._store()
@@ -133,14 +139,17 @@
         return Layout(members, tuple(sorted(set_sizes)))
 
     def _settings(self) -> rolling_upgrade.RollSettings:
-        terms = self.fleet.rolling_upgrade
+        settings = self.fleet.rolling_upgrade
         return rolling_upgrade.RollSettings(
             limits=RiskLimits(
-                terms.max_share, terms.max_replica_set_share, terms.max_zones, terms.max_load_share
+                settings.max_share,
+                settings.max_replica_set_share,
+                settings.max_zones,
+                settings.max_load_share,
             ),
-            soak_us=int(terms.soak_us),
+            soak_us=int(settings.soak_us),
             upgrade_timeout_us=self.fleet.hot_restart.total_timeout_us,
-            batch_growth=terms.max_batch_growth,
+            batch_growth=settings.max_batch_growth,
         )
 
     # -- status
@@ -150,9 +159,11 @@
         for rank, entry in enumerate(self.fleet.gateways):
             status = self._request_status(rank)
             if status is None:
-                raise ValueError(f"{entry.name} does not answer: all gateways have to before a roll")
+                raise ValueError(
+                    f"{entry.name} does not respond: a roll requires the status of every gateway"
+                )
             if status.phase != SERVING:
-                raise ValueError(f"{entry.name} is {status.phase}: an upgrade of it is under way")
+                raise ValueError(f"{entry.name} is {status.phase}: a hot restart of it is in progress")
             received.append(_status_event(rank, status, new_process_alive=False))
         return received
 
@@ -162,20 +173,24 @@
         return request_status(self.loop, address)
 
     def _poll(self, rank: int) -> None:
-        """Request a status; whether the successor lives is looked up first: its end is never seen early."""
+        """Request a gateway's status and feed it to the state machine.
+
+        Whether the new process lives is checked before the status is requested. In the opposite order, a new
+        process that exits in between would look dead beside a status from before its exit.
+        """
         gateways = self.upgrade.state.gateways
         pid = gateways[rank].new_process_pid
         alive = bool(pid) and self.starter.alive(pid)
         status = self._request_status(rank)
         if gateways[rank].new_process_pid != pid:
-            return  # decided meanwhile
+            return  # another event changed the new process during the request
         if status is None:
             self._feed(rolling_upgrade.GatewayUnreachable(rank, alive))
         else:
             self._feed(_status_event(rank, status, alive))
 
     def _ranks_to_poll(self) -> list[int]:
-        """Return the ranks in progress, and as many of the others in turn as may be requested at once."""
+        """Return the ranks in progress, then other ranks in turn up to the limit of concurrent requests."""
         ranks = self.upgrade.in_progress()[:MAX_CONCURRENT_STATUS_REQUESTS]
         size = len(self.fleet.gateways)
         for _ in range(min(size, MAX_CONCURRENT_STATUS_REQUESTS - len(ranks))):
@@ -184,19 +199,19 @@
             self._next_rank = (self._next_rank + 1) % size
         return ranks
 
-    # -- the run
+    # -- running
 
     def run(
         self, actions: list[rolling_upgrade.Action] | None = None, rollback_reason: str = ""
     ) -> rolling_upgrade.RollState:
-        """Run until the roll is over; with a reason, roll back at once."""
+        """Run until the rolling upgrade has finished; with a reason, roll back at once."""
         self._carry_out(actions or [])
         if rollback_reason:
             self._feed(rolling_upgrade.RollbackRequested(rollback_reason))
         while self.upgrade.state.phase not in rolling_upgrade.FINAL_PHASES:
             with TaskGroup(self.loop) as scope:
                 for rank in self._ranks_to_poll():
-                    scope.spawn(self._poll, rank, priority=CONTROL, name="look")
+                    scope.spawn(self._poll, rank, priority=CONTROL, name="status request")
             self._feed(rolling_upgrade.TimerFired())
             self.loop.sleep(STATUS_INTERVAL_US)
         return self.upgrade.state
--- a/orchidlane/gateway/lifecycle/served_gateway.py
+++ b/orchidlane/gateway/lifecycle/served_gateway.py
@@ -1,4 +1,4 @@
-"""What the two sides of a hot restart use of the gateway process that they belong to."""
+"""The interface of the gateway process that both sides of a hot restart use."""
 
 from __future__ import annotations
 
@@ -43,42 +43,42 @@
     superseded: bool
 
     def load_configuration(self, number: int) -> None:
-        """Read description and customers as the configuration of this number."""
+        """Read the description and customers files as the configuration generation of this number."""
 
     def build_parts(self, scope: TaskGroup) -> None:
-        """Make all parts; none of them does anything yet."""
+        """Create all parts of the process; they stay inactive until ``start_serving``."""
 
     def start_serving(self, scope: TaskGroup) -> None:
         """Accept requests."""
 
     def delegate_units(self, units: NewProcessUnits) -> None:
-        """Let another process decide on units from here on."""
+        """Let the new process grant units from now on."""
 
     def stop_accepting(
         self, hand_over_http: Callable[[ClientConnection], None], hand_over_resp: Callable[[Session], None]
     ) -> None:
-        """Accept nothing more, and pass each client on between two requests."""
+        """Stop accepting on all sockets, and hand each client over between two requests."""
 
     def resume_serving(self) -> None:
-        """Serve again after another process did."""
+        """Serve again after another process served in place of this one."""
 
     def accept_hot_restarts(self) -> None:
         """Listen for the next hot restart."""
 
     def send_limits_datagram(self, rank: int, body: bytes) -> None:
-        """Send a datagram of the token requests to a peer."""
+        """Send a token request or reply to a peer."""
 
 
 def count_responses(metrics: MetricsPage) -> ResponseCounts:
-    """Return the answers given so far."""
-    counts = {"served": 0, "refused": 0, "failed": 0}  # the metric's values of ``kind``
+    """Return the number of responses sent so far, by result."""
+    counts = {"served": 0, "refused": 0, "failed": 0}  # the values of the metric's label ``kind``
     for (kind, _), count in metrics.responses.items():
         counts[kind] += count
     return ResponseCounts(counts["served"], counts["refused"], counts["failed"])
 
 
 def describe_moment(gateway: ServedGateway) -> dict[str, Any]:
-    """Return the moment, incarnation and generations of a gateway, under the names that are stored."""
+    """Return the time, incarnation and generations of a gateway, under their stored names."""
     tracker = gateway.tracker
     return {
         "now": gateway.loop.now(),
--- a/orchidlane/gateway/lifecycle/sockets.py
+++ b/orchidlane/gateway/lifecycle/sockets.py
@@ -1,4 +1,7 @@
-"""The sockets of a gateway by name: listeners, the datagram socket of its peers, and the hot restart's."""
+"""The sockets of a gateway by name: listeners, and the datagram socket for its peers.
+
+The listener named "upgrade" is the Unix socket on which a gateway accepts hot restarts.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +12,11 @@
 from orchidlane.runtime import EventLoop
 from orchidlane.runtime.backend import Address, Handle
 
-PEER = "peer"  # datagrams; all others are listeners
+PEER = "peer"  # the datagram socket; all others are listeners
 
 
 class GatewaySockets:
-    """Bound from the settings, or adopted from the process before this one."""
+    """Open sockets, bound to the addresses in the settings or adopted from the old process."""
 
     def __init__(self, loop: EventLoop, fleet: FleetSettings, entry: GatewayEntry) -> None:
         self.loop = loop
@@ -36,10 +39,10 @@
         """Bind a socket, if the settings have an address for it and it is not open yet."""
         if name in self._sockets:
             return
-        at = self._address(name)
-        if at is not None:
+        address = self._address(name)
+        if address is not None:
             backend = self.loop.backend
-            self._sockets[name] = backend.bind_datagrams(at) if name == PEER else backend.listen(at)
+            self._sockets[name] = backend.bind_datagrams(address) if name == PEER else backend.listen(address)
 
     def _address(self, name: str) -> Address | None:
         if name == "upgrade":
@@ -49,13 +52,13 @@
         return parse_host_port(text) if text else None
 
     def adopt(self, handles: dict[str, Handle]) -> None:
-        """Take over the sockets of another process."""
+        """Adopt the sockets of the old process from their descriptors."""
         backend = self.loop.backend
         for name, handle in handles.items():
-            adopt = backend.adopt_datagrams if name == PEER else backend.adopt_listener
-            self._sockets[name] = adopt(handle)
+            adopt_handle = backend.adopt_datagrams if name == PEER else backend.adopt_listener
+            self._sockets[name] = adopt_handle(handle)
 
     def close(self) -> None:
-        """Close all of them."""
+        """Close all sockets."""
         for socket in self._sockets.values():
             socket.close()
--- a/orchidlane/gateway/lifecycle/state_errors.py
+++ b/orchidlane/gateway/lifecycle/state_errors.py
@@ -1,4 +1,4 @@
-"""Errors that state from outside causes where it does not fit: rows of another process or of a file."""
+"""Errors that invalid state from another process or from a file may cause while it is restored."""
 
 from __future__ import annotations
 
--- a/orchidlane/gateway/lifecycle/state_handover.py
+++ b/orchidlane/gateway/lifecycle/state_handover.py
@@ -1,4 +1,4 @@
-"""The old process's state on its way to the new one: offered, copied while it changes, then completed."""
+"""Transfer of the old process's state to the new one: offer, copy while it changes, completion."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class StateHandover:
-    """The copy that goes to one channel at a time."""
+    """Copies the state to at most one channel at a time."""
 
     def __init__(self, gateway: ServedGateway) -> None:
         self.gateway = gateway
         self._copy: PreCopy | None = None
-        self._channel: int | None = None  # that the copy goes to
+        self._channel: int | None = None  # number of the channel that receives the copy
 
     def offer(self, channel: Channel) -> None:
-        """Pass the sockets, then copy the state while traffic goes on. Raises DeadlineExceededError."""
+        """Send the sockets, then copy the state while traffic continues. Raises DeadlineExceededError."""
         self._send_offer(channel)
         limits = self.gateway.limit_service
         copy = PreCopy(
@@ -55,13 +55,13 @@
             channel.send(messages.InheritedSocket(name), gateway.sockets[name].duplicate())
 
     def cancel(self, channel: int) -> None:
-        """Drop the copy if it goes to this channel."""
+        """Cancel the copy if this channel receives it."""
         if self._copy is not None and channel == self._channel:
             self._copy.close()
             self._copy = None
 
     def copy_changes(self, channel: Channel) -> PreCopy:
-        """Copy what changed since, until little is left, and return the copy.
+        """Copy the rows that have changed since they were sent, until few are left, and return the copy.
 
         Raises DeadlineExceededError.
         """
@@ -74,7 +74,7 @@
         return copy
 
     def complete(self, channel: Channel, copy: PreCopy) -> None:
-        """Send all that is left, without giving way."""
+        """Send the rest of the state without yielding to other tasks."""
         gateway = self.gateway
         for page in copy.final_pages():
             channel.send(messages.TableRows(*page))
--- a/orchidlane/gateway/lifecycle/status_query.py
+++ b/orchidlane/gateway/lifecycle/status_query.py
@@ -1,4 +1,4 @@
-"""Asks a gateway how its hot restart stands, over the Unix socket where it accepts successors."""
+"""Requests the hot restart status of a gateway, over the Unix socket where it accepts new processes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def request_status(
     loop: EventLoop, address: Address, timeout_us: int = STATUS_TIMEOUT_US
 ) -> messages.Status | None:
-    """Return the status, None if there is no valid answer in time."""
+    """Return the status, or None if there is no valid response within the timeout (microseconds)."""
     deadline = loop.now() + timeout_us
     try:
         stream = loop.backend.connect(address, deadline)
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -37,7 +37,7 @@
     assert gateway.get("/v1/extra").startswith(b"HTTP/1.1 401 ")
     gateway.process.send_signal(signal.SIGTERM)
     assert gateway.wait_until_exited() == 0
-    gateway.wait_until_logged("ended")
+    gateway.wait_until_logged("stopped")
 
 
 def run_hot_restart(files: GatewayFiles) -> tuple[int, str]:
