--- a/orchidlane/gateway/lifecycle/client_transfer.py
+++ b/orchidlane/gateway/lifecycle/client_transfer.py
@@ -196,7 +196,7 @@
         """Respond to the clients whose requests were in progress in the new process when it died.
 
         The response does not say whether the request was carried out. If the new process had started its
-        response, it is unknown how much of it was sent, so that connection is closed without another one.
+        response, it is unknown how much of it was sent, so the connection is closed instead.
         """
         for identifier, retained in list(self.retained.items()):
             if retained.state is ConnectionState.IDLE:
--- a/orchidlane/gateway/lifecycle/rolling_upgrade.py
+++ b/orchidlane/gateway/lifecycle/rolling_upgrade.py
@@ -18,7 +18,7 @@
 from orchidlane.gateway.lifecycle.status_query import request_status
 from orchidlane.hot_restart import messages, rolling_upgrade
 from orchidlane.hot_restart.probation import ResponseCounts
-from orchidlane.hot_restart.rolling_batches import Fleet as Layout
+from orchidlane.hot_restart.rolling_batches import Fleet as FleetLayout
 from orchidlane.hot_restart.rolling_batches import Member, RiskLimits
 from orchidlane.runtime import CONTROL, EventLoop, TaskGroup
 
@@ -132,11 +132,11 @@
         self._store()
         return actions
 
-    def _layout(self, loads: list[float]) -> Layout:
+    def _layout(self, loads: list[float]) -> FleetLayout:
         zones = [entry.zone for entry in self.fleet.gateways]
         members = tuple(Member(rank, zones[rank], load) for rank, load in enumerate(loads))
         set_sizes = {plan.replica_set_size for plan in self.fleet.plans.values()}
-        return Layout(members, tuple(sorted(set_sizes)))
+        return FleetLayout(members, tuple(sorted(set_sizes)))
 
     def _settings(self) -> rolling_upgrade.RollSettings:
         settings = self.fleet.rolling_upgrade
--- a/tests/harness/hot_restart_harness.py
+++ b/tests/harness/hot_restart_harness.py
@@ -1,4 +1,4 @@
-"""A gateway in the simulated backend that is hot restarted under load; new processes may be broken."""
+"""A gateway in the simulated backend that is hot restarted under load, also by broken new processes."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 WARM_UP_REQUESTS = 40
 SETTLED_PHASES = (old_process.Phase.SERVING, old_process.Phase.ENDED)
 
-Sabotage = Callable[[GatewayProcess], None]
-Handler = Callable[[GatewayHarness, int, Stream], None]  # serves a connection of an endpoint
+Sabotage = Callable[[GatewayProcess], None]  # makes a new process fail
+Handler = Callable[[GatewayHarness, int, Stream], None]  # serves one connection of a fake endpoint
 
 
 @dataclass
-class ClientAnswer:
-    """The response that a client got: status 0 where its connection ended without one."""
+class ClientResponse:
+    """The response that a client received; status 0 if its connection closed without one."""
 
     status: int
-    closes: bool
+    closes_connection: bool
 
 
 class HotRestartHarness(GatewayHarness):
-    """One gateway, its hot restarts, and clients that count their responses.
+    """One gateway, its hot restarts, and clients that count their responses by status.
 
-    ``gateways`` are the incarnations of the gateway in the order of their start, ``processes`` the processes
-    of the event loop that run them.
+    ``gateways`` holds the gateway processes in the order of their start, ``processes`` the event loop's
+    processes that run them. ``statuses`` counts the clients' responses by status, 0 for a missing response.
     """
 
     def __init__(
@@ -51,18 +51,18 @@
         **changes: Any,
     ) -> None:
         self.record_to = record_to
-        if single_gateway:  # tokens have no other owners
+        if single_gateway:  # so that it owns every token
             changes["gateways"] = parse_settings(SETTINGS, "fleet.cue").gateways[:1]
-        upgrade = {
+        hot_restart = {
             "trial": Duration(probation),
             "silence": Duration(600 * MS),
             "warm": Duration(2 * SECOND),
         }
-        super().__init__(*handlers, state="/sim", upgrade=upgrade, **changes)
+        super().__init__(*handlers, state="/sim", upgrade=hot_restart, **changes)
         self.gateways: list[GatewayProcess] = []
         self.processes: list[Process] = []
         self.statuses: Counter[int] = Counter()
-        self.longest_answer_us = 0
+        self.longest_response_us = 0
         self.running_clients = 0
 
     def _gateway(self, rank: int, is_hot_restart: bool = False, sabotage: Sabotage | None = None) -> None:
@@ -76,7 +76,7 @@
             sabotage(self.program)
         try:
             self.program.run()
-        except RuntimeError:  # a process that ends with a traceback
+        except RuntimeError:  # an uncaught error ends the whole process
             self.backend.kill(self.loop.process)
 
     def start(self, rank: int = 0) -> None:
@@ -84,57 +84,57 @@
         self.process = self.backend.start("gw-0", self._gateway, rank)
         self.processes.append(self.process)
 
-    def start_upgrade(self, sabotage: Sabotage | None = None) -> None:
-        """Start a new process that takes over; ``sabotage`` breaks it."""
+    def start_hot_restart(self, sabotage: Sabotage | None = None) -> None:
+        """Start a new process for a hot restart; ``sabotage`` makes it fail."""
         self.process = self.backend.start("gw-0", self._gateway, 0, True, sabotage)
         self.processes.append(self.process)
 
-    def upgrade(self) -> GatewayProcess:
+    def hot_restart(self) -> GatewayProcess:
         """Start a new process, wait until it serves, and return it."""
-        number = len(self.gateways)
-        self.start_upgrade()
-        self.until(lambda: len(self.gateways) > number and self.gateways[number] in self.serving())
-        return self.gateways[number]
+        index = len(self.gateways)
+        self.start_hot_restart()
+        self.wait_until(lambda: len(self.gateways) > index and self.gateways[index] in self.serving())
+        return self.gateways[index]
 
     # -- load
 
-    def load(self, duration: int, clients: int = 3) -> None:
-        """Start clients, half of which keep their connections, after some requests one by one."""
+    def start_load(self, duration: int, clients: int = 3) -> None:
+        """Send warm-up requests one by one, then start clients, half of which keep their connections."""
         for _ in range(WARM_UP_REQUESTS):
             assert self.ask(GET)[0] == 200
         for number in range(clients):
-            self.scope.spawn(self._client, self.loop.now() + duration, number % 2 == 0)
+            self.scope.spawn(self._run_client, self.loop.now() + duration, number % 2 == 0)
             self.running_clients += 1
 
-    def _client(self, until: int, keeps_connection: bool) -> None:
+    def _run_client(self, stop_at_us: int, keeps_connection: bool) -> None:
         stream, parser = None, None
         number = 0
-        while self.loop.now() < until:
+        while self.loop.now() < stop_at_us:
             number += 1
             started_at = self.loop.now()
-            answer = ClientAnswer(0, True)
+            response = ClientResponse(0, True)
             with contextlib.suppress(EventLoopError):
                 if stream is None:
                     stream, parser = self.connect(), http1.ResponseParser()
                 raw = REPORT if number % 4 == 0 else GET
                 stream.send(raw)
-                answer = self._read_answer(stream, raw, parser)
-            self.statuses[answer.status] += 1
-            self.longest_answer_us = max(self.longest_answer_us, self.loop.now() - started_at)
-            if answer.status and keeps_connection and not answer.closes:
+                response = self._read_response(stream, raw, parser)
+            self.statuses[response.status] += 1
+            self.longest_response_us = max(self.longest_response_us, self.loop.now() - started_at)
+            if response.status and keeps_connection and not response.closes_connection:
                 parser.next_message()
             elif stream is not None:
-                self._close(stream, answer.status)
+                self._close(stream, response.status)
                 stream = None
             self.loop.sleep(self.backend.random.randint(5 * MS, 25 * MS))
         self.running_clients -= 1
 
-    def _read_answer(self, stream: Stream, raw: bytes, parser: http1.ResponseParser) -> ClientAnswer:
+    def _read_response(self, stream: Stream, raw: bytes, parser: http1.ResponseParser) -> ClientResponse:
         status, headers, _ = self.answer(stream, raw.split(b" ")[0].decode(), parser=parser)
-        return ClientAnswer(status, (b"connection", b"close") in headers)
+        return ClientResponse(status, (b"connection", b"close") in headers)
 
     def _close(self, stream: Stream, status: int) -> None:
-        """Close a connection; nothing may come after the last response."""
+        """Close a connection, and check that no bytes follow its last response."""
         if status:
             with contextlib.suppress(EventLoopError):
                 data = stream.recv(deadline=self.loop.now() + 20 * MS)
@@ -143,11 +143,11 @@
 
     # -- observations
 
-    def until(self, condition: Callable[[], bool], timeout: int = 30 * SECOND) -> None:
-        """Wait for a condition."""
+    def wait_until(self, condition: Callable[[], bool], timeout: int = 30 * SECOND) -> None:
+        """Wait until a condition holds, for at most ``timeout`` microseconds."""
         deadline = self.loop.now() + timeout
         while not condition():
-            assert self.loop.now() < deadline, "the condition never held"
+            assert self.loop.now() < deadline, "the condition did not hold in time"
             self.loop.sleep(10 * MS)
 
     def serving(self) -> list[GatewayProcess]:
@@ -158,11 +158,11 @@
             if not process.is_dead and process.tasks and _accepts_requests(gateway)
         ]
 
-    def settle(self) -> GatewayProcess:
-        """Wait for the end of load and upgrade, and return the one process that serves."""
-        self.until(lambda: not self.running_clients)
-        self.until(self._is_settled)
-        self.until(lambda: len(self.serving()) == 1)
+    def await_settled(self) -> GatewayProcess:
+        """Wait until the load and the hot restart are over, and return the one process that serves."""
+        self.wait_until(lambda: not self.running_clients)
+        self.wait_until(self._is_settled)
+        self.wait_until(lambda: len(self.serving()) == 1)
         self.loop.sleep(500 * MS)
         (gateway,) = self.serving()
         assert self.ask(GET)[0] == 200
@@ -171,8 +171,8 @@
 
     def _is_settled(self) -> bool:
         pairs = zip(self.gateways, self.processes, strict=False)
-        living = [gateway for gateway, process in pairs if not process.is_dead]
-        return all(gateway.old_side.machine.phase in SETTLED_PHASES for gateway in living)
+        alive = [gateway for gateway, process in pairs if not process.is_dead]
+        return all(gateway.old_side.machine.phase in SETTLED_PHASES for gateway in alive)
 
     def forwarded_units(self) -> int:
         """Return the units of the requests that the endpoints read."""
@@ -194,6 +194,6 @@
 
 
 def counted_units(gateway: GatewayProcess) -> float:
-    """Return the units that a gateway has counted for the one customer."""
+    """Return the units that a gateway has counted for the customer of the tests."""
     account = gateway.policy_driver.gateway.accounts[1]
     return account.replica_counts[0][1]
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restarts of a gateway in the simulated backend: outcomes, rejections, probation, handover."""
+"""Hot restarts of a gateway in the simulated backend: outcomes, rejection, probation and handover."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 def test_hot_restart_passes_probation_and_answers_every_request_once():
     def test(harness: HotRestartHarness) -> None:
-        harness.load(5 * SECOND, clients=6)
+        harness.start_load(5 * SECOND, clients=6)
         harness.loop.sleep(SECOND)
-        harness.start_upgrade()
-        gateway = harness.settle()
+        harness.start_hot_restart()
+        gateway = harness.await_settled()
         assert set(harness.statuses) == {200}
         assert harness.statuses[200] > 400
-        assert harness.longest_answer_us < 60 * MS
+        assert harness.longest_response_us < 60 * MS
         assert counted_units(gateway) == harness.forwarded_units()
         old, new = harness.gateways
         assert (old.old_side.machine.phase, old.old_side.machine.last_outcome) == (
@@ -41,14 +41,14 @@
     HotRestartHarness(slow, slow, slow, slow).run(test)
 
 
-def test_hot_restarts_can_follow_each_other():
+def test_consecutive_hot_restarts_lose_no_request():
     def test(harness: HotRestartHarness) -> None:
-        harness.load(12 * SECOND)
+        harness.start_load(12 * SECOND)
         for number in range(1, 6):
             harness.loop.sleep(200 * MS)
-            harness.upgrade()
-            harness.until(lambda n=number: not harness.processes[n - 1].tasks)
-        gateway = harness.settle()
+            harness.hot_restart()
+            harness.wait_until(lambda n=number: not harness.processes[n - 1].tasks)
+        gateway = harness.await_settled()
         assert gateway is harness.gateways[-1]
         assert set(harness.statuses) == {200}
         assert counted_units(gateway) == harness.forwarded_units()
@@ -58,14 +58,14 @@
 
 def test_second_hot_restart_is_rejected_while_one_is_in_progress():
     def test(harness: HotRestartHarness) -> None:
-        harness.load(3 * SECOND)
-        harness.start_upgrade()
-        harness.start_upgrade()
-        gateway = harness.settle()
+        harness.start_load(3 * SECOND)
+        harness.start_hot_restart()
+        harness.start_hot_restart()
+        gateway = harness.await_settled()
         assert set(harness.statuses) == {200}
-        first, second = sorted(harness.gateways[1:], key=lambda one: bool(one.failure))
-        assert "another upgrade is under way" in second.failure
-        assert gateway is first
+        accepted, rejected = sorted(harness.gateways[1:], key=lambda process: bool(process.failure))
+        assert "another upgrade is under way" in rejected.failure
+        assert gateway is accepted
 
     HotRestartHarness(slow, slow, slow, slow).run(test)
 
@@ -80,15 +80,15 @@
     ],
 )
 def test_mismatched_new_process_is_rejected_with_the_reason(monkeypatch, change, reason):
-    def send_other_hello(self) -> None:
+    def send_mismatched_hello(self) -> None:
         plans = tuple(self.gateway.fleet.plans)
         hello = messages.Hello(messages.PROTOCOL_VERSION, "b", "gw-0", 0, 3, plans)
         self.channel.send(msgspec.structs.replace(hello, **change))
 
-    monkeypatch.setattr(NewSide, "_send_hello", send_other_hello)
+    monkeypatch.setattr(NewSide, "_send_hello", send_mismatched_hello)
 
     def test(harness: HotRestartHarness) -> None:
-        harness.start_upgrade()
+        harness.start_hot_restart()
         harness.loop.sleep(SECOND)
         assert reason in harness.gateways[1].failure
         assert harness.serving() == [harness.gateways[0]]
@@ -97,26 +97,27 @@
 
 
 def test_build_that_rejects_everything_is_reclaimed_with_its_clients(monkeypatch):
+    """A new build that admits no request fails probation, and its clients return to the old process."""
     admits = admission.admits
-    broken: list[Gateway] = []
+    broken_gateways: list[Gateway] = []
 
     def rejects_if_broken(state, event, account) -> bool:
-        return False if state in broken else admits(state, event, account)
+        return False if state in broken_gateways else admits(state, event, account)
 
     monkeypatch.setattr(admission, "admits", rejects_if_broken)
     start_probation = NewSide._start_probation
 
     def start_broken(self) -> None:
-        broken.append(self.gateway.policy_driver.gateway)
+        broken_gateways.append(self.gateway.policy_driver.gateway)
         start_probation(self)
 
     monkeypatch.setattr(NewSide, "_start_probation", start_broken)
 
     def test(harness: HotRestartHarness) -> None:
-        harness.load(6 * SECOND, clients=4)
+        harness.start_load(6 * SECOND, clients=4)
         harness.loop.sleep(SECOND)
-        harness.start_upgrade()
-        gateway = harness.settle()
+        harness.start_hot_restart()
+        gateway = harness.await_settled()
         assert gateway is harness.gateways[0]
         assert gateway.old_side.machine.last_outcome.startswith("recalled: served 0 of")
         assert harness.gateways[1].failure == "recalled"
@@ -128,43 +129,45 @@
 
 
 def test_hanging_old_process_never_serves_beside_the_new_one():
-    def run(at: int) -> str:
+    """The old process is stopped at different moments of a hot restart and continues 12 s later."""
+
+    def run(delay_us: int) -> str:
         harness = HotRestartHarness(slow, slow, slow, slow)
 
         def test(harness: HotRestartHarness) -> None:
-            harness.load(2 * SECOND)
-            harness.start_upgrade()
-            harness.loop.sleep(at)
+            harness.start_load(2 * SECOND)
+            harness.start_hot_restart()
+            harness.loop.sleep(delay_us)
             harness.loop.freeze(harness.processes[0])
             harness.loop.sleep(12 * SECOND)
             harness.loop.thaw(harness.processes[0])
-            harness.until(lambda: not harness.running_clients, 90 * SECOND)
+            harness.wait_until(lambda: not harness.running_clients, 90 * SECOND)
             harness.loop.sleep(4 * SECOND)
             (gateway,) = harness.serving()
-            harness.until(lambda: harness.ask(GET)[0] == 200)
-            # More than forwarded is what it admitted and could not send any more
+            harness.wait_until(lambda: harness.ask(GET)[0] == 200)
+            # Requests that were admitted and could not be sent any more are counted as well
             assert counted_units(gateway) >= harness.forwarded_units()
-            found.append(
+            outcomes.append(
                 gateway.old_side.machine.last_outcome + (" new" if gateway.is_hot_restart else " old")
             )
 
-        found: list[str] = []
+        outcomes: list[str] = []
         harness.run(test)
-        return found[0]
+        return outcomes[0]
 
-    ends = {run(at) for at in (300, 600, 900, 1_200, 2_000, 300 * MS, 900 * MS)}
-    assert {end.split()[-1] for end in ends} == {"old", "new"}, ends
+    outcomes = {run(delay_us) for delay_us in (300, 600, 900, 1_200, 2_000, 300 * MS, 900 * MS)}
+    assert {outcome.split()[-1] for outcome in outcomes} == {"old", "new"}, outcomes
 
 
 @pytest.mark.parametrize("side", ["old", "new"])
 def test_stop_in_probation_leaves_the_other_process_serving_without_loss(side):
     def test(harness: HotRestartHarness) -> None:
-        harness.load(4 * SECOND)
-        harness.upgrade()
+        harness.start_load(4 * SECOND)
+        harness.hot_restart()
         harness.loop.sleep(100 * MS)
         stopped = harness.gateways[0 if side == "old" else 1]
         stopped.stop()
-        gateway = harness.settle()
+        gateway = harness.await_settled()
         assert gateway is not stopped
         assert set(harness.statuses) == {200}
         assert counted_units(gateway) == harness.forwarded_units()
@@ -172,12 +175,14 @@
     HotRestartHarness(slow, slow, slow, slow).run(test)
 
 
-def test_old_process_continues_where_descriptors_are_lost():
+def test_old_process_keeps_serving_if_descriptors_are_lost():
+    """The kernel drops a descriptor on its way if the receiver may not open any more."""
+
     def test(harness: HotRestartHarness) -> None:
-        harness.load(3 * SECOND)
+        harness.start_load(3 * SECOND)
         harness.backend.is_out_of_descriptors = True
-        harness.start_upgrade()
-        gateway = harness.settle()
+        harness.start_hot_restart()
+        gateway = harness.await_settled()
         assert gateway is harness.gateways[0]
         assert "no descriptor left" in gateway.old_side.machine.last_outcome
         assert set(harness.statuses) == {200}
@@ -190,10 +195,10 @@
         policy_gateway = harness.program.policy_driver.gateway
         for customer in range(100_000):
             account = quota.update_account_key(policy_gateway, customer + 10, 0, 0, 3)
-            account.spent_total, account.unconfirmed = 1.0, True  # unconfirmed: none is evicted meanwhile
-        harness.load(2 * SECOND)
-        harness.start_upgrade()
-        gateway = harness.settle()
+            account.spent_total, account.unconfirmed = 1.0, True  # unconfirmed accounts are not evicted
+        harness.start_load(2 * SECOND)
+        harness.start_hot_restart()
+        gateway = harness.await_settled()
         assert gateway is harness.gateways[1]
         assert set(harness.statuses) == {200}
         assert len(gateway.policy_driver.gateway.accounts) == 100_001
@@ -203,12 +208,12 @@
 
 
 def test_recording_across_a_hot_restart_replays_without_difference(tmp_path):
-    """Each process of a gateway writes records of its own, which begin with the state that it had."""
+    """Each process of a gateway writes its own recording, which starts with the state that it had."""
 
     def test(harness: HotRestartHarness) -> None:
-        harness.load(3 * SECOND)
-        harness.start_upgrade()
-        harness.settle()
+        harness.start_load(3 * SECOND)
+        harness.start_hot_restart()
+        harness.await_settled()
 
     harness = HotRestartHarness(slow, slow, slow, slow, record_to="rec")
     harness.run(test)
--- a/tests/test_hot_restart_clients.py
+++ b/tests/test_hot_restart_clients.py
@@ -1,4 +1,4 @@
-"""Clients and their requests in progress at a hot restart: each request is answered once."""
+"""Clients with requests in progress at a hot restart: each request gets one response."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class SplitRequest(NamedTuple):
-    """What a client sends before a hot restart and after it, and how many responses follow."""
+    """The bytes that a client sends before and after a hot restart, and the responses that follow."""
 
     before: bytes
     after: bytes
@@ -35,7 +35,7 @@
 }
 
 
-def slow_to_answer(harness: GatewayHarness, index: int, stream) -> None:
+def respond_after_60_ms(harness: GatewayHarness, index: int, stream) -> None:
     """Serve each request after 60 ms."""
     while True:
         harness.read_request(index, stream)
@@ -44,7 +44,7 @@
 
 
 def assert_responses(harness: HotRestartHarness, stream, count: int, name: str) -> None:
-    """Assert that so many responses follow on a connection, each of status 200."""
+    """Assert that ``count`` responses follow on a connection, each with status 200."""
     parser = http1.ResponseParser()
     for _ in range(count):
         assert harness.answer(stream, parser=parser)[0] == 200, name
@@ -52,7 +52,7 @@
 
 
 def test_request_in_progress_of_any_kind_is_answered_once():
-    """The process is replaced while clients of all kinds have a request in progress."""
+    """Guards against requests that are lost or carried out twice when a hot restart splits their bytes."""
 
     def test(harness: HotRestartHarness) -> None:
         streams = {}
@@ -61,22 +61,22 @@
             if split.before:
                 streams[name].send(split.before)
         harness.loop.sleep(20 * MS)
-        harness.upgrade()
+        harness.hot_restart()
         for name, split in REQUESTS_IN_PROGRESS.items():
             if split.after:
                 streams[name].send(split.after)
         for name, split in REQUESTS_IN_PROGRESS.items():
             assert_responses(harness, streams[name], split.responses, name)
-        harness.until(lambda: not harness.processes[0].tasks)
+        harness.wait_until(lambda: not harness.processes[0].tasks)
         harness.loop.sleep(2 * SECOND)
-        for name, stream in streams.items():  # all of them continue with the new process
+        for name, stream in streams.items():  # the new process serves all of them
             stream.send(GET)
             assert harness.answer(stream)[0] == 200, name
-        seen = Counter(line.split(b" ")[0] for _, line in harness.seen)
-        assert (seen[b"PUT"], seen[b"POST"]) == (1, 1)
+        methods = Counter(line.split(b" ")[0] for _, line in harness.seen)
+        assert (methods[b"PUT"], methods[b"POST"]) == (1, 1)
         assert counted_units(harness.gateways[1]) == 2 + 1 + 3 + 3 + 1 + 5
 
-    HotRestartHarness(*[slow_to_answer] * 6).run(test)
+    HotRestartHarness(*[respond_after_60_ms] * 6).run(test)
 
 
 def test_request_waiting_for_an_endpoint_is_counted_by_the_new_process():
@@ -87,7 +87,7 @@
         stream = harness.connect()
         stream.send(GET)
         harness.loop.sleep(50 * MS)
-        harness.upgrade()
+        harness.hot_restart()
         harness.set_endpoint_state(0, "ready")
         assert harness.answer(stream)[0] == 200
         assert counted_units(harness.gateways[1]) == harness.forwarded_units() == 2
@@ -96,19 +96,19 @@
 
 
 def test_clients_that_cannot_be_adopted_are_closed_between_requests(monkeypatch):
-    begin = NewSide._start_probation
+    start_probation = NewSide._start_probation
 
-    def without_descriptors(self) -> None:
-        begin(self)
+    def start_without_descriptors(self) -> None:
+        start_probation(self)
         self.loop.backend.is_out_of_descriptors = True
 
-    monkeypatch.setattr(NewSide, "_start_probation", without_descriptors)
+    monkeypatch.setattr(NewSide, "_start_probation", start_without_descriptors)
 
     def test(harness: HotRestartHarness) -> None:
         idle = harness.connect()
         idle.send(GET)
         assert harness.answer(idle)[0] == 200
-        harness.upgrade()
+        harness.hot_restart()
         assert idle.recv(deadline=harness.loop.now() + SECOND) == b""
         assert harness.ask(GET)[0] == 200
 
@@ -129,7 +129,7 @@
             return stream.recv(deadline=harness.loop.now() + 3 * SECOND)
 
         stream, idle = connect(), connect()
-        harness.loop.sleep(4 * SECOND)  # tokens are final after their lifetime
+        harness.loop.sleep(4 * SECOND)  # a token owner is reliable once its tokens' lifetime has passed
         quota_command = resp_command(b"LIMIT.TAKE", b"a-key", b"5", b"IDEMPOTENT", b"t1")
         stream.send(quota_command)
         assert reply(stream).startswith(b"*3\r\n:1\r\n")
@@ -137,8 +137,8 @@
         assert reply(idle) == b"+OK\r\n"
         idle.send(quota_command[:19])
         harness.loop.sleep(20 * MS)
-        harness.upgrade()
-        # The same token again, through the other process: nothing is counted twice
+        harness.hot_restart()
+        # The same token again, through the new process: its units are not counted twice
         idle.send(quota_command[19:])
         assert reply(idle).startswith(b"*3\r\n:1\r\n")
         idle.send(resp_command(b"CLIENT", b"GETNAME"))
@@ -152,35 +152,35 @@
     HotRestartHarness(good, single_gateway=True).run(test)
 
 
-def test_resp_sessions_of_a_dying_new_process_continue_with_commands_not_started():
-    """A command in progress gets an error; the rest of its pipeline and half a command are handed back."""
+def test_resp_sessions_survive_a_crash_of_the_new_process_in_probation():
+    """A command in progress gets an error; the old process takes back the commands that follow it."""
 
     def test(harness: HotRestartHarness) -> None:
-        harness.upgrade()
-        client, stranger = (harness.backend.connect(("127.0.0.1", 8380)) for _ in range(2))
+        harness.hot_restart()
+        client, unauthenticated = (harness.backend.connect(("127.0.0.1", 8380)) for _ in range(2))
         client.send(resp_command(b"AUTH", b"open"))
         assert client.recv(deadline=harness.loop.now() + SECOND) == b"+OK\r\n"
-        stranger.send(resp_command(b"PING")[:9])
+        unauthenticated.send(resp_command(b"PING")[:9])
         quota_command = resp_command(b"LIMIT.TAKE", b"a-key", b"2900")
         client.send(quota_command)
         assert client.recv(deadline=harness.loop.now() + SECOND).startswith(b"*3\r\n:1\r\n")
-        wait = resp_command(b"LIMIT.TAKE", b"a-key", b"1500", b"WITHIN", b"9000")
-        client.send(wait + resp_command(b"PING")[:9])
+        waiting_command = resp_command(b"LIMIT.TAKE", b"a-key", b"1500", b"WITHIN", b"9000")
+        client.send(waiting_command + resp_command(b"PING")[:9])
         harness.loop.sleep(20 * MS)
         harness.backend.kill(harness.processes[1])
-        harness.until(lambda: harness.gateways[0] in harness.serving())
+        harness.wait_until(lambda: harness.gateways[0] in harness.serving())
         assert client.recv(deadline=harness.loop.now() + SECOND).startswith(b"-ERR the process that took")
-        for stream in (client, stranger):
+        for stream in (client, unauthenticated):
             stream.send(resp_command(b"PING")[9:])
         assert client.recv(deadline=harness.loop.now() + SECOND) == b"+PONG\r\n"
-        response = stranger.recv(deadline=harness.loop.now() + SECOND)
-        assert response.startswith(b"-NOAUTH"), response  # only what it had shown the new process
+        response = unauthenticated.recv(deadline=harness.loop.now() + SECOND)
+        assert response.startswith(b"-NOAUTH"), response  # sessions keep their own authentication
 
     secret = hashlib.sha256(b"open").hexdigest()
     HotRestartHarness(good, single_gateway=True, limits={"passwords": (secret,)}).run(test)
 
 
-def test_quota_request_waiting_at_the_handover_is_decided_by_the_new_process():
+def test_quota_request_pending_at_handover_is_decided_by_the_new_process():
     def test(harness: HotRestartHarness) -> None:
         stream = harness.backend.connect(("127.0.0.1", 8380))
         stream.send(resp_command(b"LIMIT.TAKE", b"a-key", b"2900"))
@@ -188,7 +188,7 @@
         stream.recv()
         stream.send(resp_command(b"LIMIT.TAKE", b"a-key", b"1500", b"WITHIN", b"9000"))
         harness.loop.sleep(100 * MS)
-        harness.upgrade()
+        harness.hot_restart()
         data = stream.recv(deadline=harness.loop.now() + 9 * SECOND)
         assert data.startswith(b"*3\r\n:1\r\n"), data
         assert counted_units(harness.gateways[1]) == 4_400
--- a/tests/test_hot_restart_real.py
+++ b/tests/test_hot_restart_real.py
@@ -1,4 +1,4 @@
-"""Hot restarts and rolls of real processes on loopback sockets under load, some with broken builds."""
+"""Hot restarts and rolling upgrades of real processes under load, some to broken builds."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
     }
 
 
-def test_hot_restarts_of_real_processes_lose_duplicate_and_delay_nothing(tmp_path, builds):
-    """Good and broken builds in turn under steady load; the audit observes the sockets."""
+def test_hot_restarts_of_real_processes_answer_each_request_once_in_time(tmp_path, builds):
+    """Good and broken builds in turn under steady load; the audit checks what passed on the sockets."""
     builds_in_turn = [
         "",
         "does not start",
@@ -41,26 +41,26 @@
         "refuses everything",
         "",
     ]
-    backing = ProcessFleetBackend(str(tmp_path))
-    scenario = make_scenario(span=300, request_rate=60.0)  # it ends with the upgrades
-    plan = make_plan(scenario, str(tmp_path), backing.free_addresses)
+    fleet_backend = ProcessFleetBackend(str(tmp_path))
+    scenario = make_scenario(span=300, request_rate=60.0)  # the load stops after the last hot restart
+    plan = make_plan(scenario, str(tmp_path), fleet_backend.free_addresses)
     assert 'trial: "5s"' in plan.settings_text
     plan.settings_text = plan.settings_text.replace('trial: "5s"', 'trial: "1s"')
-    backing.prepare(plan)
+    fleet_backend.prepare(plan)
     loop = EventLoop(RealBackend(3))
-    runner = ScenarioRunner(loop, plan, backing)
+    runner = ScenarioRunner(loop, plan, fleet_backend)
     outcomes: list[tuple[str, int, str]] = []
 
-    def upgrade_all() -> None:
+    def run_hot_restarts() -> None:
         for name in builds_in_turn:
             arguments = ["upgrade", str(tmp_path / "gw-0.cue"), "--log", str(tmp_path / "new.log")]
             arguments += ["--program", builds[name]] if name else []
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "orchidlane", *arguments], capture_output=True, text=True, timeout=60
             )
-            outcomes.append((name, done.returncode, done.stdout.strip()))
+            outcomes.append((name, completed.returncode, completed.stdout.strip()))
 
-    verdict = run_during_load(runner, upgrade_all)
+    verdict = run_during_load(runner, run_hot_restarts)
     exit_codes = [(name, code) for name, code, _ in outcomes]
     assert exit_codes == [(name, int(bool(name))) for name in builds_in_turn], outcomes
     report = verdict.as_json()
@@ -73,7 +73,7 @@
 
 
 class RollCommands:
-    """Runs the roll command on a fleet's files, and keeps exit codes and output by a name."""
+    """Runs the ``roll`` command for a fleet, and keeps exit codes and outputs by the name of the run."""
 
     def __init__(self, tmp_path: Path, builds: dict[str, str]) -> None:
         self.builds = builds
@@ -85,48 +85,55 @@
         self.outputs: dict[str, str] = {}
 
     def run(self, name: str, *arguments: str) -> None:
-        """Run the command to its end."""
-        done = subprocess.run([*self.command, *arguments], capture_output=True, text=True, timeout=90)
-        self.exit_codes[name] = done.returncode
-        self.outputs[name] = done.stdout + done.stderr
+        """Run the command until it exits."""
+        completed = subprocess.run([*self.command, *arguments], capture_output=True, text=True, timeout=90)
+        self.exit_codes[name] = completed.returncode
+        self.outputs[name] = completed.stdout + completed.stderr
 
     def _has_new_gateway(self) -> bool:
-        """Return whether the stored state has a gateway that runs the new build."""
+        """Return whether a gateway runs the new build according to the stored state."""
         return self.stored_roll.exists() and b'"new"' in self.stored_roll.read_bytes().split(b'"ones"')[1]
 
     def run_all(self) -> None:
-        """Start a roll, kill it and resume it; then roll to a broken build."""
+        """Start a rolling upgrade, kill it and resume it; then start one to a broken build."""
         this_program = f"{sys.executable} -m orchidlane"
-        started = subprocess.Popen([*self.command, "--program", this_program], stdout=subprocess.PIPE)
+        first_roll = subprocess.Popen([*self.command, "--program", this_program], stdout=subprocess.PIPE)
         deadline = time.monotonic() + 60
         while not self._has_new_gateway():
             assert time.monotonic() < deadline
-            assert started.poll() is None
+            assert first_roll.poll() is None
             time.sleep(0.02)
-        self.run("beside", "--program", this_program)
-        started.kill()
-        started.communicate()
-        self.run("anew", "--program", this_program)
+        self.run("concurrent", "--program", this_program)
+        first_roll.kill()
+        first_roll.communicate()
+        self.run("new while unfinished", "--program", this_program)
         self.run("status", "--status")
         self.run("resumed", "--resume")
         self.run("broken", "--program", self.builds["crashes as it serves"], "--back", this_program)
-        self.run("over", "--resume")
+        self.run("resumed after the end", "--resume")
 
 
-def test_roll_of_real_processes_is_killed_resumed_and_rolled_back(tmp_path, builds):
-    """The roll is killed and resumed, then meets a broken build; the audit observes the sockets."""
-    backing = ProcessFleetBackend(str(tmp_path))
-    plan = make_plan(make_scenario(span=300, request_rate=80.0), str(tmp_path), backing.free_addresses)
+def test_roll_of_real_processes_can_be_killed_resumed_and_rolled_back(tmp_path, builds):
+    """The audit checks what passed on the sockets during all of the runs."""
+    fleet_backend = ProcessFleetBackend(str(tmp_path))
+    plan = make_plan(make_scenario(span=300, request_rate=80.0), str(tmp_path), fleet_backend.free_addresses)
     plan.settings_text = plan.settings_text.replace('trial: "5s"', 'trial: "700ms"').replace(
         'soak: "5s"', 'soak: "500ms"'
     )
-    backing.prepare(plan)
+    fleet_backend.prepare(plan)
     roll = RollCommands(tmp_path, builds)
-    verdict = run_during_load(ScenarioRunner(EventLoop(RealBackend(4)), plan, backing), roll.run_all)
-    expected = {"beside": 2, "anew": 2, "status": 0, "resumed": 0, "broken": 1, "over": 2}
+    verdict = run_during_load(ScenarioRunner(EventLoop(RealBackend(4)), plan, fleet_backend), roll.run_all)
+    expected = {
+        "concurrent": 2,
+        "new while unfinished": 2,
+        "status": 0,
+        "resumed": 0,
+        "broken": 1,
+        "resumed after the end": 2,
+    }
     assert roll.exit_codes == expected, roll.outputs
-    assert "another roll is under way" in roll.outputs["beside"]
-    assert "resume or recall it" in roll.outputs["anew"]
+    assert "another roll is under way" in roll.outputs["concurrent"]
+    assert "resume or recall it" in roll.outputs["new while unfinished"]
     assert roll.outputs["status"].startswith(("rolling", "soaking")), roll.outputs
     assert roll.outputs["resumed"].endswith("done\n")
     assert "returned: gateway" in roll.outputs["broken"]
