--- a/orchidlane/gateway/lifecycle/account_store.py
+++ b/orchidlane/gateway/lifecycle/account_store.py
@@ -152,5 +152,5 @@
         """Remove the file if it was not rewritten while it was valid."""
         was_rewritten = valid_until_us != self._valid_until_us
         if not was_rewritten and not self.gateway.superseded and not self.gateway.stopping:
-            self.gateway.log.error("expired accounts file removed", file=self.path)
+            self.gateway.log.error("removing expired accounts file", file=self.path)
             self.loop.backend.remove_file(self.path)
