--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -15,7 +15,7 @@
     GrantOutcome,
     GrantStore,
     GrantStoreFullError,
-    TokenAnswer,
+    OwnerReply,
     TokenClaim,
     TokenOwner,
     TokenState,
@@ -206,7 +206,7 @@
             if reply is None:
                 claim.add_timeout(owner)
             else:
-                claim.add_answer(owner, TokenAnswer(TokenState(reply.state), reply.claimant, reply.units))
+                claim.add_reply(owner, OwnerReply(TokenState(reply.state), reply.claimant, reply.units))
         return claim
 
     def _withdraw(self, name: bytes, customer: Customer, number: int, claim: TokenClaim) -> None:
--- a/orchidlane/hot_restart/tables.py
+++ b/orchidlane/hot_restart/tables.py
@@ -77,7 +77,7 @@
 
     def watch(self, touched: dict[Hashable, None] | None) -> None:
         """Have the store note the names that it changes."""
-        self._entries.touched = touched
+        self._entries.changed_names = touched
 
 
 class ReceivedTables:
--- a/orchidlane/limits/__init__.py
+++ b/orchidlane/limits/__init__.py
@@ -1,9 +1,9 @@
-"""Decisions on quota requests that are repeated, refunded or reserved, without I/O."""
+"""Decides, without I/O, on quota requests that are repeated with a token, refunded or reserved."""
 
 from orchidlane.limits.reservations import GrantOutcome, GrantStore, GrantStoreFullError
 from orchidlane.limits.tokens import (
     ClaimVerdict,
-    TokenAnswer,
+    OwnerReply,
     TokenClaim,
     TokenOwner,
     TokenState,
@@ -16,7 +16,7 @@
     "GrantOutcome",
     "GrantStore",
     "GrantStoreFullError",
-    "TokenAnswer",
+    "OwnerReply",
     "TokenClaim",
     "TokenOwner",
     "TokenState",
--- a/orchidlane/policy/__init__.py
+++ b/orchidlane/policy/__init__.py
@@ -1,6 +1,6 @@
-"""All decisions on requests, without I/O: events with a clock in, actions out.
+"""The policy: decides on requests without doing I/O. It takes timestamped events and returns actions.
 
-The package exports the types that its callers need; ``orchidlane.policy.gateway`` decides.
+The package exports the types that callers need; the entry point is ``orchidlane.policy.gateway.Gateway``.
 """
 
 from orchidlane.policy.actions import (
--- a/orchidlane/policy/actions.py
+++ b/orchidlane/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the policy asks its caller to carry out, in their order."""
+"""Actions: what the policy tells its caller to do. The caller carries them out in the order returned."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Start an attempt that times out at a clock time; 0 leaves that to the client."""
+    """Start an attempt that times out at a clock time; 0 means that only the client's timeout applies."""
 
     request: int
     endpoint: EndpointId
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel an attempt, by its number in the request from 0."""
+    """Cancel an attempt; ``attempt`` is its number within the request, from 0."""
 
     request: int
     attempt: int
@@ -26,14 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantQuota:
-    """The units of a ``QuotaRequested`` are counted as spent."""
+    """Grant the units of a ``QuotaRequested``; they are counted as spent."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not executed, or safe to repeat; ``retry_after_us`` is 0 where that time is not known."""
+    """Send a final response for a request that was not executed or is safe to repeat.
+
+    ``retry_after_us`` is 0 where it is unknown when a retry would succeed.
+    """
 
     request: int
     retry_after_us: int
@@ -42,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: not served, but possibly executed."""
+    """Send a final response for a request that was not served but may have been executed."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a ``TimerFired`` with this token after a delay."""
+    """Set a timer: a ``TimerFired`` with this token is due after the delay."""
 
     delay_us: int
     token: int
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send bytes to one peer, by its rank; the message may be lost."""
+    """Send bytes to the peer with this rank; the message may be lost."""
 
     peer: int
     body: bytes
--- a/orchidlane/policy/admission.py
+++ b/orchidlane/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: requests against quota, concurrency limit and ceiling; spending; eviction of idle accounts."""
+"""Admission: checks quota, concurrency limit and ceiling, counts spent units, evicts idle accounts."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from orchidlane.policy.settings import Plan
 from orchidlane.policy.state import PendingRequest, PolicyState
 
-IDLE_CHECKS_PER_REQUEST = 3  # bounds the work of eviction
-ROUNDING_TOLERANCE_UNITS = 1e-6  # of limit and total, which are sums of many amounts
+IDLE_CHECKS_PER_REQUEST = 3  # bounds the work that eviction adds to a request
+ROUNDING_TOLERANCE_UNITS = 1e-6  # limit and spent total are sums of many amounts, with rounding errors
 
 
 def quota_requested(state: PolicyState, event: QuotaRequested) -> None:
-    """Grant or reject units that are wanted without an endpoint, as for the first attempt of a request."""
+    """Grant or reject a quota request, by the rules for the first attempt of a request."""
     account = account_of(state, event)
     if admits(state, event, account):
         spend(state, account, event.units)
@@ -26,35 +26,41 @@
 
 
 def account_of(state: PolicyState, event: RequestArrived | QuotaRequested) -> Account:
-    """Return the account of a request; anew for each use, as a held request may outlive an idle account."""
+    """Return the account of a request, created if missing.
+
+    Look it up again for each use: an idle account may be evicted while its request is held.
+    """
     return quota.update_account_key(
         state, event.customer, event.plan, event.replica_set_start, event.replica_set_size
     )
 
 
 def admits(state: PolicyState, event: RequestArrived | QuotaRequested, account: Account) -> bool:
-    """Tell whether ceiling, concurrency limit and quota admit the request."""
+    """Return whether ceiling, concurrency limit and quota admit the request."""
     plan = state.settings.plans[account.plan]
     quota.refill(state, account)
     if plan.ceiling_rate and account.ceiling_tokens < event.units:
-        token_owner.report_spending(state, account)  # which requests tokens
+        token_owner.report_spending(state, account)  # the report also requests tokens
         return False
-    if plan.max_in_flight and _in_flight(state, event, account) >= plan.max_in_flight:
+    if plan.max_in_flight and _estimated_in_flight(state, event, account) >= plan.max_in_flight:
         return False
     if not plan.rate:
         return True
     return not account.exhausted and _available_units(state, account, plan) >= event.units
 
 
-def _in_flight(state: PolicyState, event: RequestArrived | QuotaRequested, account: Account) -> int:
-    """Count requests in flight here, and at peers those admitted within the baseline latency."""
+def _estimated_in_flight(state: PolicyState, event: RequestArrived | QuotaRequested, account: Account) -> int:
+    """Return the requests in flight here, plus those that peers admitted within the last baseline latency."""
     baseline_us = state.baseline_latency_us[event.request_class]
     at_peers = sum(state.now - at_us < baseline_us for at_us in account.peer_admissions_at_us)
     return account.in_flight + at_peers
 
 
 def _available_units(state: PolicyState, account: Account, plan: Plan) -> float:
-    """Return the units left to spend: until peers report, an equal share of the burst after one request."""
+    """Return the units left to spend.
+
+    After its first request, an account that no peer has reported on has only an equal share of the burst.
+    """
     available = account.remaining
     if account.unconfirmed and state.replica in account.replica_counts:
         own_spent = account.replica_counts[state.replica].value
@@ -63,7 +69,7 @@
 
 
 def spend(state: PolicyState, account: Account, units: float) -> None:
-    """Count units as spent by this gateway, and report them."""
+    """Count units as spent by this gateway, and report them to the token owner."""
     previous = account.replica_counts.get(state.replica)
     if previous is None:
         count = ReplicaCount(state.now // US_PER_MS // gossip_codec.TICK_MS, 0.0 + units)
@@ -77,7 +83,7 @@
 
 
 def count_recovered(state: PolicyState, event: CountRecovered) -> None:
-    """Merge what another process of this gateway spent: units must not be lost in an upgrade or a restart."""
+    """Merge what another process of this gateway spent, so that a hot restart or a restart loses no units."""
     account = quota.find_or_create_account(
         state, event.customer, event.plan, event.replica_set_start, event.replica_set_size
     )
@@ -87,7 +93,10 @@
 
 
 def replica_set_changed(state: PolicyState, event: ReplicaSetChanged) -> None:
-    """Empty the share of the ceiling, as a migration must create no tokens, and report to the new owner."""
+    """Empty this gateway's share of the ceiling, and report to the new token owner.
+
+    Tokens kept from the old replica set would add to those of the new one.
+    """
     account = quota.update_account_key(
         state, event.customer, event.plan, event.replica_set_start, event.replica_set_size
     )
@@ -104,28 +113,31 @@
 
 
 def refill_time_us(state: PolicyState, request: PendingRequest, account: Account) -> int:
-    """Return the time until a rejected request's units have refilled, as far as known; 0 if that is long."""
+    """Return the estimated time until a rejected request's units have refilled; 0 if longer than allowed.
+
+    The bound is the settings' ``max_retry_after_us`` and half of the latency objective.
+    """
     units = request.event.units
     plan = state.settings.plans[account.plan]
     seconds = 0.0
     if plan.rate:
-        wanted = units
+        needed_units = units
         if account.exhausted:
-            wanted = max(units, quota.READMITTED_FROM_SHARE * plan.burst)
-        seconds = (wanted - account.remaining) / plan.rate
+            needed_units = max(units, quota.READMISSION_SHARE * plan.burst)
+        seconds = (needed_units - account.remaining) / plan.rate
     if plan.ceiling_rate:
         share = quota.ceiling_share(state, account)
         if share:
             seconds = max(seconds, (units - account.ceiling_tokens) / (plan.ceiling_rate * share))
         else:
-            seconds = 0.0  # nothing refills where this gateway is no member of the set
+            seconds = 0.0  # tokens never refill on a gateway outside the replica set
     wait_us = max(0, int(seconds * US_PER_SECOND))
-    longest_us = min(state.settings.max_retry_after_us, request.request_class.latency_objective_us / 2)
-    return wait_us if wait_us <= longest_us else 0
+    max_wait_us = min(state.settings.max_retry_after_us, request.request_class.latency_objective_us / 2)
+    return wait_us if wait_us <= max_wait_us else 0
 
 
 def evict_idle_accounts(state: PolicyState) -> None:
-    """Forget some accounts that are full and idle: customers that come once must not cost memory."""
+    """Evict a few accounts that are full and idle, so that customers seen only once do not use memory."""
     for _ in range(min(IDLE_CHECKS_PER_REQUEST, len(state.idle_queue))):
         customer = state.idle_queue.popleft()
         account = state.accounts[customer]
@@ -139,7 +151,7 @@
 
 
 def _is_full(state: PolicyState, account: Account) -> bool:
-    """Tell whether an account created anew would be the same."""
+    """Return whether an account created again after an eviction would have the same quota."""
     plan = state.settings.plans[account.plan]
     if account.ceiling_tokens < plan.ceiling_burst * quota.ceiling_share(state, account):
         return False
--- a/orchidlane/policy/endpoint_registry.py
+++ b/orchidlane/policy/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Discovery: applies endpoint lists and keeps the pools that requests draw endpoints from."""
+"""Endpoint registry: applies endpoint lists from discovery to the pools of endpoints."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 
 def endpoint_list_received(state: PolicyState, event: EndpointListReceived) -> None:
-    """Bring the endpoints up to date; those that are new or restarted begin their slow start."""
+    """Update the endpoints from a list; new and restarted ones enter slow start."""
     if event.kind is EndpointListKind.FAILED:
         return
     if event.kind is not EndpointListKind.DELTA:
         _remove_unlisted(state, {entry.endpoint for entry in event.entries})
-    started = [endpoint for entry in event.entries if (endpoint := _apply_entry(state, entry))]
-    for endpoint in started:
+    ready_again = [endpoint for entry in event.entries if (endpoint := _apply_entry(state, entry))]
+    for endpoint in ready_again:
         pool = state.warm_pool if is_warm(state, endpoint) else state.slow_start_pool
         pool.add(endpoint)
         state.slow_start_queue.append(endpoint)
 
 
 def is_warm(state: PolicyState, endpoint: Endpoint) -> bool:
-    """Tell whether an endpoint's slow start is over."""
+    """Return whether an endpoint's slow start is over; a start time of 0 means no slow start."""
     started_at_us = endpoint.entry.started_at_us
     return not started_at_us or state.now - started_at_us >= state.settings.slow_start_duration_us
 
 
 def promote_warmed_up(state: PolicyState) -> None:
-    """Move the endpoints whose slow start is over to the warm pool, if they are still ready."""
+    """Move endpoints that have completed slow start to the warm pool, if they are still ready."""
     while state.slow_start_queue and is_warm(state, state.slow_start_queue[0]):
         endpoint = state.slow_start_queue.popleft()
         endpoint_id = endpoint.entry.endpoint
@@ -46,7 +46,10 @@
 
 
 def endpoints_sharing(state: PolicyState, endpoint: Endpoint, scope: DeduplicationScope) -> list[Endpoint]:
-    """Return the endpoints that drop each other's repeats with this one, in slow start or not."""
+    """Return the endpoints that deduplicate requests together with this one.
+
+    Scopes zone and cell include endpoints in slow start; scope all gives the warm pool.
+    """
     if scope is DeduplicationScope.ALL:
         return state.warm_pool.endpoints
     pools = state.cell_pools if scope is DeduplicationScope.CELL else state.zone_pools
@@ -55,13 +58,13 @@
 
 
 def _remove_unlisted(state: PolicyState, listed: set[EndpointId]) -> None:
-    for endpoint_id in [known for known in state.endpoints if known not in listed]:
+    for endpoint_id in [known_id for known_id in state.endpoints if known_id not in listed]:
         endpoint = state.endpoints[endpoint_id]
         _forget(state, endpoint, replace(endpoint.entry, state=EndpointState.GONE))
 
 
 def _apply_entry(state: PolicyState, entry: EndpointEntry) -> Endpoint | None:
-    """Apply one entry; return the endpoint where that made it ready or restarted it."""
+    """Apply one entry; return the endpoint if it has become ready or has restarted, else None."""
     endpoint = state.endpoints.get(entry.endpoint)
     is_new = endpoint is None or entry.started_at_us > endpoint.entry.started_at_us
     was_ready = endpoint is not None and endpoint.entry.state is EndpointState.READY
@@ -83,7 +86,7 @@
 
 
 def _forget(state: PolicyState, endpoint: Endpoint, entry: EndpointEntry) -> None:
-    """Drop an endpoint; its attempts still refer to it. Ever new endpoints must not cost memory."""
+    """Remove an endpoint, to free its memory; its attempts in flight still refer to it."""
     _remove_from_pools(state, endpoint)
     endpoint.entry = entry
     del state.endpoints[entry.endpoint]
--- a/orchidlane/policy/endpoint_selection.py
+++ b/orchidlane/policy/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: the allowed endpoint with the lowest expected cost, and slow start."""
+"""Endpoint selection: chooses the allowed endpoint with the lowest expected cost, and applies slow start."""
 
 from __future__ import annotations
 
@@ -9,15 +9,17 @@
 from orchidlane.policy.settings import Idempotency
 from orchidlane.policy.state import PendingRequest, PolicyState
 
-DEADLINE_MARGIN_US = 30 * US_PER_MS  # kept free before a deadline or the end of a deduplication window
-ENDPOINTS_COMPARED = 12
-COST_JITTER = 0.1  # random part of a cost, so that gateways do not all choose the same endpoint
-FAILURE_COST = 3.0  # how much slower an endpoint seems for each unit of its failure score
-SLOW_START_MARGIN = 0.9  # part of the allowed slow-start traffic that is used
+DEADLINE_MARGIN_US = (
+    30 * US_PER_MS
+)  # no attempt starts this close to a deadline or to the end of a deduplication window
+ENDPOINTS_COMPARED = 12  # random sample of a larger pool, to bound the work per attempt
+COST_JITTER = 0.1  # random share added to a cost, so that gateways do not all choose the same endpoint
+FAILURE_COST = 3.0  # share added to the expected latency per unit of failure score
+SLOW_START_MARGIN = 0.9  # share of the traffic allowed in slow start that is actually sent
 
 
 def choose_endpoint(state: PolicyState, request: PendingRequest) -> Endpoint | None:
-    """Return the endpoint that should answer soonest of those that may get the request, or None."""
+    """Return the allowed endpoint with the lowest expected cost, or None if no endpoint is allowed."""
     if endpoint := _sample_slow_start_endpoint(state, request):
         return endpoint
     executed = request.executed_attempts
@@ -37,7 +39,7 @@
 
 
 def _cost(state: PolicyState, request: PendingRequest, endpoint: Endpoint) -> float:
-    """Return the expected latency, raised by recent failures of the endpoint, its zone and this request."""
+    """Return the expected latency, increased for recent failures of endpoint, zone and request."""
     cost = health.expected_latency_us(state, endpoint, request.event.request_class)
     cost *= 1 + COST_JITTER * state.random.random()
     cost *= 1 + FAILURE_COST * endpoint.decayed_failure_score(state.now)
@@ -46,7 +48,7 @@
 
 
 def _may_send(state: PolicyState, request: PendingRequest, endpoint: Endpoint) -> bool:
-    """Tell whether the endpoint takes requests, and none may be executed twice by sending this one there."""
+    """Return whether the endpoint is ready, and sending the request there cannot execute it twice."""
     if endpoint.entry.state is not EndpointState.READY:
         return False
     executed = request.executed_attempts
@@ -63,17 +65,21 @@
 
 
 def _sample_slow_start_endpoint(state: PolicyState, request: PendingRequest) -> Endpoint | None:
-    """Slow start: the attempt's sampled value picks one of all endpoints, one in slow start by chance."""
+    """Return an endpoint in slow start for this attempt, or None to choose among the warm ones.
+
+    The attempt's sampled value picks one of all endpoints uniformly. If that endpoint is in slow start, it
+    gets the attempt with a probability that grows with its progress in the slow start.
+    """
     endpoint_registry.promote_warmed_up(state)
     warming_up = state.slow_start_pool.endpoints
     endpoint_count = len(warming_up) + len(state.warm_pool.endpoints)
-    index, draw = divmod(request.sampled_value * endpoint_count, 1)
+    index, acceptance_sample = divmod(request.sampled_value * endpoint_count, 1)
     if index >= len(warming_up):
         return None
     endpoint = warming_up[int(index)]
     settings = state.settings
     progress = max(0, state.now - endpoint.entry.started_at_us) / settings.slow_start_duration_us
     allowed_share = settings.slow_start_initial_share + (1 - settings.slow_start_initial_share) * progress
-    if draw < SLOW_START_MARGIN * allowed_share and _may_send(state, request, endpoint):
+    if acceptance_sample < SLOW_START_MARGIN * allowed_share and _may_send(state, request, endpoint):
         return endpoint
     return None
--- a/orchidlane/policy/events.py
+++ b/orchidlane/policy/events.py
@@ -1,4 +1,4 @@
-"""Events: what the policy is notified of.
+"""Events: the inputs of the policy.
 
 Times are integers in microseconds of the caller's clock. Endpoints are opaque, sortable bytes; requests and
 customers are integers.
@@ -13,7 +13,7 @@
 
 
 class Outcome(enum.Enum):
-    """How an attempt, a health check or a call to the shared counter ended."""
+    """How an attempt, a health check or a call to the shared counter finished."""
 
     SERVED = "served"
     ERROR = "error"
@@ -26,7 +26,7 @@
 
 
 class EndpointState(enum.Enum):
-    """An endpoint's state by discovery."""
+    """An endpoint's state as reported by discovery."""
 
     GONE = 0
     READY = 1
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One endpoint of a list; ``started_at_us`` 0 means long ago."""
+    """One entry of an endpoint list; ``started_at_us`` is 0 for an endpoint that is not in slow start."""
 
     endpoint: EndpointId
     state: EndpointState
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListReceived:
-    """Discovery sent an endpoint list, or could not."""
+    """Discovery sent an endpoint list, or failed to (kind ``FAILED``)."""
 
     kind: EndpointListKind
     version: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request; the replica set names the gateways that serve the customer."""
+    """A client sent a request; the replica set names the gateways that serve the customer."""
 
     request: int
     customer: int
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaRequested:
-    """Units are requested without an endpoint: the caller serves the request itself."""
+    """Units were requested without an attempt at an endpoint: the caller serves the request itself."""
 
     request: int
     customer: int
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """An attempt's outcome; ``final_response_sent`` means that the client has its final response."""
+    """An attempt finished; ``final_response_sent`` means that the client was sent its final response."""
 
     request: int
     attempt: int
@@ -118,21 +118,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left: it needs no answer."""
+    """The client disconnected, so the request needs no response."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was set has expired."""
+    """A timer set by ``SetTimer`` expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckFinished:
-    """A health check's outcome."""
+    """A health check finished."""
 
     endpoint: EndpointId
     outcome: Outcome
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """Bytes from a peer; they are not trusted."""
+    """A peer sent a message; its bytes are untrusted."""
 
     sender: int
     body: bytes
@@ -150,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterCallFinished:
-    """The outcome of a call to the shared counter."""
+    """A call to the shared counter finished."""
 
     name: int
     outcome: Outcome
@@ -160,7 +160,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CountRecovered:
-    """What another process of this gateway spent under the same rank, before or after this one."""
+    """A count was recovered that another process of this gateway spent under the same rank.
+
+    That process may have run before or after this one.
+    """
 
     customer: int
     plan: int
@@ -172,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSetChanged:
-    """A customer's replica set has changed or starts anew: no share of its ceiling is carried over."""
+    """A customer's replica set was changed or created again; no tokens of its ceiling are carried over."""
 
     customer: int
     plan: int
--- a/orchidlane/policy/gateway.py
+++ b/orchidlane/policy/gateway.py
@@ -1,8 +1,9 @@
-"""The entry points of ``orchidlane/policy/``: events with a clock in, actions out.
+"""The entry points of ``orchidlane/policy/``: takes timestamped events and returns actions.
 
-A request's life: arrived -> admitted by its quota -> sent to the endpoint that should answer soonest
--> outcome -> perhaps a retry -> exactly one final answer. Quotas are grow-only counters spread by
-gossip; see docs/design.md. Each module decides on one concern, by functions over the one ``PolicyState``.
+The states of a request: arrived -> admitted by its quota -> sent to the endpoint with the lowest expected
+cost -> outcome -> possibly a retry -> exactly one final response. Quotas are grow-only counters that are
+spread by gossip; see docs/design.md. Each module handles one concern, as functions on a shared
+``PolicyState``.
 """
 
 from __future__ import annotations
@@ -26,17 +27,20 @@
 
 
 class Gateway(PolicyState):
-    """One gateway's decisions: feed events with the clock, carry out the actions in their order."""
+    """The policy of one gateway. Call ``handle`` for each event, and carry out the actions in their order."""
 
     def start(self) -> list[Action]:
-        """Return the first actions, once the gateway is up."""
+        """Return the actions to carry out once the gateway has started."""
         actions: list[Action] = [SetTimer(gossip.GOSSIP_INTERVAL_US, GOSSIP_ROUND_TIMER)]
         if self.settings.polls_endpoint_list:
             actions.append(WatchEndpoints())
         return actions
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Decide on one event at a time in microseconds; the events not named here call for nothing."""
+        """Handle one event at clock time ``now`` in microseconds; return the actions.
+
+        Event types without a case below need no action.
+        """
         self.now = now
         self.actions = []
         match event:
--- a/orchidlane/policy/gossip.py
+++ b/orchidlane/policy/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: rounds that spread changed counts to random peers, and the merge of what peers send."""
+"""Gossip: sends changed counts to random peers in rounds, and merges the messages that peers send."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from orchidlane.policy.state import PolicyState
 
 GOSSIP_INTERVAL_US = 300 * US_PER_MS
-MAX_CLOCK_DIFFERENCE_US = 5 * US_PER_SECOND  # messages from longer ago or further ahead are dropped
+MAX_CLOCK_DIFFERENCE_US = 5 * US_PER_SECOND  # messages sent earlier or later than this are dropped
 
 
 class MergedAccount(NamedTuple):
-    """An account that a row was merged into, and the tokens that the row requests."""
+    """An account that a row was merged into, and the ceiling tokens that the row requests."""
 
     account: Account
     requested_tokens: float
 
 
 def gossip_round(state: PolicyState) -> None:
-    """Send pending deltas, and the changed counts that concern one random peer."""
+    """Send pending deltas to token owners, and changed counts to one random peer that shares them."""
     state.actions.append(SetTimer(GOSSIP_INTERVAL_US, GOSSIP_ROUND_TIMER))
     for _ in range(min(GOSSIP_FANOUT, len(state.pending_deltas))):
         token_owner.send_pending_deltas(state)
     if not state.pending_changes:
         return
     account = state.accounts[next(iter(state.pending_changes))]
-    if account.replica_set_size == 1:  # its set shrank: there is no peer to notify
+    if account.replica_set_size == 1:  # the replica set shrank to this gateway: there is no peer to notify
         del state.pending_changes[account.customer]
         return
     own_position = replica_set.position(state, state.replica, account.replica_set_start)
@@ -46,7 +46,7 @@
 
 
 def _changes_shared_with(state: PolicyState, peer: int) -> list[Account]:
-    """Return changed accounts that the peer serves too, those with the least quota remaining first."""
+    """Return the changed accounts that the peer also serves, sorted by remaining share of the burst."""
     examined = [
         state.accounts[customer] for customer in islice(state.pending_changes, MAX_CUSTOMERS_EXAMINED)
     ]
@@ -61,7 +61,11 @@
 
 
 def peer_message_received(state: PolicyState, event: PeerMessageReceived) -> None:
-    """Merge a peer's message, forward its rows as they ask for it, and reply if it wants that."""
+    """Merge a peer's message, forward its rows as they request, and reply if a reply is requested.
+
+    Messages are dropped if they are malformed or their sender or send time is out of range, and all messages
+    if this gateway is standalone.
+    """
     settings = state.settings
     message = gossip_codec.decode_message(
         event.body, state.now // US_PER_MS, settings.replica_count, len(settings.plans)
@@ -77,7 +81,9 @@
         result = _receive_row(state, row, event.sender, max(0, age_us), message.to_token_owner)
         if result is not None:
             merged.append(result)
-    if message.wants_reply and peer_messages.has_allowance(state):  # tokens are deducted once granted
+    if message.wants_reply and peer_messages.has_allowance(
+        state
+    ):  # granting deducts tokens, so the reply must be sendable
         rows = (
             peer_messages.encode_account(
                 state, account, 0, token_owner.grant_tokens(state, account, requested)
@@ -90,12 +96,16 @@
 def _receive_row(
     state: PolicyState, row: gossip_codec.CustomerRow, sender: int, age_us: int, to_token_owner: bool
 ) -> MergedAccount | None:
-    """Merge and forward one row; return its account, unless the row was only attached to the message."""
+    """Merge and forward one row; return its account and the tokens requested.
+
+    Return None for a brief row, which was only attached to the message, and for a row of a replica set that
+    does not include this gateway.
+    """
     is_brief = not (row.replica_counts or row.tokens)
     if is_brief:
         account = state.accounts.get(row.customer)
         if account and not account.unconfirmed and row.spent_total <= account.spent_total:
-            return None  # nothing new: most brief rows are received more than once
+            return None  # the total is already known: most brief rows are received more than once
     if replica_set.position(state, state.replica, row.replica_set_start) >= row.replica_set_size:
         return None
     account = merge_row(state, row, sender, age_us, to_token_owner)
@@ -110,7 +120,7 @@
 def merge_row(
     state: PolicyState, row: gossip_codec.CustomerRow, sender: int, age_us: int, to_token_owner: bool
 ) -> Account:
-    """Merge a row: of each count the later start, then the larger value; of the limits the larger one."""
+    """Merge a row: for each count the later start wins, then the larger value; of limits, the larger one."""
     account = quota.find_or_create_account(
         state, row.customer, row.plan, row.replica_set_start, row.replica_set_size
     )
@@ -120,11 +130,11 @@
     granted = 0.0 if to_token_owner else min(row.tokens, account.requested_tokens)
     account.ceiling_tokens += granted
     account.requested_tokens -= granted
-    reported = _merge_counts(state, account, row, sender if to_token_owner else None)
-    if reported:  # counts that are disseminated to the whole set need no gossip round
+    reported_growth = _merge_counts(state, account, row, sender if to_token_owner else None)
+    if reported_growth:  # to be gossiped, unlike a count that is forwarded to the whole set
         state.pending_changes[account.customer] = None
-    # The total includes counts that did not fit or were lost, so that a gateway that missed them knows.
-    account.spent_total = max(account.spent_total + reported, account.counted_total, row.spent_total)
+    # The reported total includes counts that did not fit into the row or that this gateway missed.
+    account.spent_total = max(account.spent_total + reported_growth, account.counted_total, row.spent_total)
     account.limit = max(account.limit, row.spent_total + row.remaining + plan.rate * age_us / US_PER_SECOND)
     quota.refill(state, account)
     return account
@@ -133,16 +143,19 @@
 def _merge_counts(
     state: PolicyState, account: Account, row: gossip_codec.CustomerRow, reporter: int | None
 ) -> float:
-    """Merge a row's counts; return the growth of the reporter's own, if it reports to us."""
+    """Merge a row's counts; return the growth of the reporter's own count.
+
+    ``reporter`` is the sender of a message to the token owner; None for other messages, where 0 is returned.
+    """
     admissions_kept = max(1, state.settings.plans[account.plan].max_in_flight)
-    reported = 0.0
+    reported_growth = 0.0
     for replica, start, value in row.replica_counts:
         if replica == state.replica:
-            continue  # an earlier incarnation's own count is within the total
+            continue  # the total already includes this gateway's count, whichever incarnation it is from
         growth = quota.record_count(account, replica, ReplicaCount(start, value))
         if replica == reporter:
-            reported += growth
+            reported_growth += growth
         if growth:
             admissions = (*account.peer_admissions_at_us, state.now)
             account.peer_admissions_at_us = admissions[-admissions_kept:]
-    return reported
+    return reported_growth
--- a/orchidlane/policy/gossip_codec.py
+++ b/orchidlane/policy/gossip_codec.py
@@ -1,12 +1,13 @@
-"""Byte layout of the messages between gateways: no decision, only encoding.
+"""Byte layout of the gossip messages between gateways: encoding and decoding only.
 
-A message is a header and rows. Numbers are LEB128 variable-length integers unless a size is given.
+A message is a header followed by rows. Numbers are LEB128 variable-length integers unless a size is given.
 
-    header u8 format, u8 flags (1: wants a reply, 2: to the token owner), u32 send time in ms (its low bits)
-    row    customer, plan, first gateway of its set, size of the set, how many of the set the receiver
-           forwards it to, units remaining, all units known to be spent, tokens of its ceiling requested
-           (flag 2) or granted, all in 1/16 units, number of counts, counts
-    count  position in the set (0: its first gateway), age of its start in 1/16 s, value in 1/16 units
+    header u8 format, u8 flags (1: a reply is requested, 2: to the token owner), u32 send time in ms, little
+           endian (the low 32 bits)
+    row    customer, plan, first gateway of the replica set, size of the set, number of further members that
+           the receiver forwards the row to, units remaining, all units known to be spent, ceiling tokens
+           requested (flag 2) or granted (the last three in 1/16 units), number of counts, counts
+    count  position in the replica set (0: its first gateway), age of its start in 1/16 s, value in 1/16 units
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from typing import NamedTuple
 
 FORMAT = 2
-MAX_MESSAGE_BYTES = 256  # what the transport carries
+MAX_MESSAGE_BYTES = 256  # limit of the transport
 HEADER_BYTES = 6
-SCALE = 16  # steps in a unit and in a second
-TICK_MS = 1000 // SCALE
-SEND_TIME_PERIOD_MS = 1 << 32  # send times repeat after it
+SCALE = 16  # encoded steps per unit of quota, and ticks per second
+TICK_MS = 1000 // SCALE  # unit of the start of a count
+SEND_TIME_PERIOD_MS = 1 << 32  # encoded send times wrap around after this period
 MAX_VARINT_BYTES = 9  # 63 bits
 
 FLAG_WANTS_REPLY = 1
@@ -28,7 +29,7 @@
 
 
 class CountEntry(NamedTuple):
-    """One replica's count in a row; the start in ticks."""
+    """One replica's count in a row; ``start`` is in ticks of ``TICK_MS``, ``value`` in units."""
 
     replica: int
     start: int
@@ -36,7 +37,7 @@
 
 
 class CustomerRow(NamedTuple):
-    """What a message reports of one customer."""
+    """One customer's part of a message; amounts are in units."""
 
     customer: int
     plan: int
@@ -59,11 +60,11 @@
 
 
 class _MalformedMessageError(ValueError):
-    """The bytes are no message, or name what does not exist."""
+    """The bytes are not a valid message, or refer to a plan or replica that does not exist."""
 
 
 def encode_row(row: CustomerRow, sent_at_ms: int, replica_count: int) -> bytes:
-    """Return one row as bytes; starts are encoded as ages at the send time."""
+    """Encode one row; the start of a count is encoded as its age at the send time."""
     out = bytearray()
     first = row.replica_set_start
     sent_at_ticks = sent_at_ms // TICK_MS
@@ -82,28 +83,28 @@
 
 
 def take_fitting(rows: Iterable[bytes]) -> list[bytes]:
-    """Return as many of the rows, from the first on, as one message holds."""
-    taken: list[bytes] = []
-    space = MAX_MESSAGE_BYTES - HEADER_BYTES
+    """Return the longest prefix of the rows that fits into one message."""
+    fitting: list[bytes] = []
+    free_bytes = MAX_MESSAGE_BYTES - HEADER_BYTES
     for row in rows:
-        space -= len(row)
-        if space < 0:
+        free_bytes -= len(row)
+        if free_bytes < 0:
             break
-        taken.append(row)
-    return taken
+        fitting.append(row)
+    return fitting
 
 
 def encode_message(sent_at_ms: int, wants_reply: bool, to_token_owner: bool, rows: list[bytes]) -> bytes:
-    """Return a message of encoded rows."""
+    """Encode a message from rows that are already encoded."""
     flags = FLAG_WANTS_REPLY * wants_reply | FLAG_TO_TOKEN_OWNER * to_token_owner
     sent = (sent_at_ms % SEND_TIME_PERIOD_MS).to_bytes(4, "little")
     return bytes((FORMAT, flags)) + sent + b"".join(rows)
 
 
 def decode_message(body: bytes, now_ms: int, replica_count: int, plan_count: int) -> GossipMessage | None:
-    """Return the message, or None where the bytes are none or name what does not exist.
+    """Decode a message; return None if it is malformed or refers to a plan or replica that does not exist.
 
-    Of the send times that the low bits may mean, the one nearest to now is taken.
+    The message has only the low bits of the send time; the matching time nearest to ``now_ms`` is used.
     """
     try:
         if body[0] != FORMAT or body[1] > ALL_FLAGS or not HEADER_BYTES <= len(body) <= MAX_MESSAGE_BYTES:
@@ -126,23 +127,25 @@
 def _decode_row(
     body: bytes, offset: int, sent_at_ticks: int, replica_count: int, plan_count: int
 ) -> tuple[CustomerRow, int]:
-    """Return a row, and the offset behind it. Raises IndexError, ValueError."""
+    """Decode a row; return it and the offset after it. Raises IndexError, ValueError."""
     fields = []
     for _ in range(9):
         value, offset = _read_varint(body, offset)
         fields.append(value)
-    customer, plan, first, size, forward_count, remaining, spent_total, tokens, count_number = fields
+    customer, plan, first, size, forward_count, remaining, spent_total, tokens, entry_count = fields
     if plan >= plan_count or first >= replica_count or not 1 <= size <= replica_count:
-        raise _MalformedMessageError("no such plan or replica set")
-    if forward_count >= size or count_number > size:
-        raise _MalformedMessageError("more replicas than the set has")
+        raise _MalformedMessageError("plan, or start or size of the replica set, is out of range")
+    if forward_count >= size or entry_count > size:
+        raise _MalformedMessageError(
+            "forward count must be below the replica set's size, the number of counts at most the size"
+        )
     counts = []
-    for _ in range(count_number):
+    for _ in range(entry_count):
         position, offset = _read_varint(body, offset)
         age, offset = _read_varint(body, offset)
         value, offset = _read_varint(body, offset)
         if position >= size:
-            raise _MalformedMessageError("a count of a replica outside the set")
+            raise _MalformedMessageError("position of a count must be below the replica set's size")
         replica = (first + position) % replica_count
         counts.append(CountEntry(replica, sent_at_ticks - age, value / SCALE))
     row = CustomerRow(
@@ -168,7 +171,7 @@
 
 
 def _read_varint(body: bytes, offset: int) -> tuple[int, int]:
-    """Return a number, and the offset behind it. Raises IndexError, ValueError."""
+    """Decode a variable-length integer; return it and the offset after it. Raises IndexError, ValueError."""
     byte = body[offset]
     if byte < 0x80:
         return byte, offset + 1
@@ -178,4 +181,4 @@
         value |= (byte & 0x7F) << (7 * index)
         if byte < 0x80:
             return value, offset + index + 1
-    raise _MalformedMessageError("number too long")
+    raise _MalformedMessageError("variable-length integer is longer than 9 bytes")
--- a/orchidlane/policy/quota.py
+++ b/orchidlane/policy/quota.py
@@ -1,4 +1,4 @@
-"""Quotas: accounts, the refill of their limits and ceilings, and the G-counter of what was spent."""
+"""Quotas: finds accounts, refills their limits and ceilings, and merges the G-counter of spent units."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from orchidlane.policy.constants import US_PER_SECOND
 from orchidlane.policy.state import PolicyState
 
-EXHAUSTED_BELOW_SHARE = 0.25  # of the burst: with less remaining a customer is rejected ...
-READMITTED_FROM_SHARE = 0.6  # ... until so much has refilled
-MIN_UNREACHABLE_SHARE = 0.25  # below it, lost messages and restarts explain missing replies
-MAX_COUNTS_PER_ROW = 3  # counts in a gossip row; its total includes the older ones
+EXHAUSTED_BELOW_SHARE = 0.25  # share of the burst; with less remaining, all requests are rejected
+READMISSION_SHARE = 0.6  # share of the burst to which an exhausted account refills before it is readmitted
+MIN_UNREACHABLE_SHARE = 0.25  # a smaller share is ignored: lost messages and restarts cause missing replies
+MAX_COUNTS_PER_ROW = 3  # most recent counts in a gossip row; its total includes all others
 
 
 def find_or_create_account(
     state: PolicyState, customer: int, plan: int, replica_set_start: int, replica_set_size: int
 ) -> Account:
-    """Return the customer's account, created with a full burst and, where peers share it, unconfirmed."""
+    """Return the customer's account; a new one has a full burst, and is unconfirmed if peers share it."""
     account = state.accounts.get(customer)
     if account is not None:
         return account
@@ -36,9 +36,9 @@
 def update_account_key(
     state: PolicyState, customer: int, plan: int, replica_set_start: int, replica_set_size: int
 ) -> Account:
-    """Return the customer's account, with the plan and replica set that a request names.
+    """Return the customer's account, updated to the plan and replica set of a request.
 
-    A request is more up to date than what peers report: their rows leave the key as it is.
+    A request is more up to date than a peer's row, which does not change the key of an existing account.
     """
     account = find_or_create_account(state, customer, plan, replica_set_start, replica_set_size)
     size = max(1, min(replica_set_size, state.settings.replica_count))
@@ -49,7 +49,7 @@
 
 
 def refill(state: PolicyState, account: Account) -> None:
-    """Raise the limit and the ceiling's tokens by the time elapsed, and update whether it is exhausted."""
+    """Refill the limit and the ceiling's tokens for the elapsed time, and update the exhausted state."""
     plan = state.settings.plans[account.plan]
     elapsed_us = state.now - account.refilled_at_us
     account.refilled_at_us = state.now
@@ -59,10 +59,10 @@
         account.ceiling_tokens = min(plan.ceiling_burst * share, account.ceiling_tokens + gained)
     reachable_share = _reachable_share(state, account)
     burst = plan.burst * reachable_share
-    # What was spent over quota is no debt: the limit never lies below the units spent.
+    # Units spent over quota are not a debt to refill first: the limit is never below the spent total.
     limit = max(account.spent_total, account.limit + plan.rate * reachable_share * elapsed_us / US_PER_SECOND)
     account.limit = min(limit, account.spent_total + burst)
-    threshold = READMITTED_FROM_SHARE if account.exhausted else EXHAUSTED_BELOW_SHARE
+    threshold = READMISSION_SHARE if account.exhausted else EXHAUSTED_BELOW_SHARE
     account.exhausted = account.remaining < threshold * burst
     if not account.exhausted:
         state.exhausted_customers.pop(account.customer, None)
@@ -71,7 +71,7 @@
 
 
 def _reachable_share(state: PolicyState, account: Account) -> float:
-    """Return the share of the quota that is spent here: unreachable peers may spend theirs unnoticed."""
+    """Return the reachable gateways' share of the quota; unreachable peers may spend the rest unseen."""
     unreachable = 1.0 if state.is_standalone else state.unreachable_share
     if unreachable < MIN_UNREACHABLE_SHARE:
         return 1.0
@@ -80,11 +80,12 @@
 
 
 def ceiling_share(state: PolicyState, account: Account) -> float:
-    """Return this gateway's share of the ceiling; its token bucket fills alone, from empty at its start.
+    """Return this gateway's share of the ceiling, which its own token bucket is sized and refilled by.
 
-    Half of the ceiling is the token owner's, who grants of it what others request: it deducts the tokens
-    before it sends them. A gateway that is no member of the set has none; a share of a former set would be
-    tokens beside those of the new one.
+    The token owner has half of the ceiling, from which it grants tokens that others request, and all members
+    share the other half equally. The bucket is empty when the gateway starts, and granted tokens are deducted
+    before they are sent. A gateway outside the replica set has no share: a share kept from a former set would
+    add to the tokens of the new one.
     """
     size = account.replica_set_size
     if replica_set.position(state, state.replica, account.replica_set_start) >= size:
@@ -94,9 +95,9 @@
 
 
 def record_count(account: Account, replica: int, count: ReplicaCount) -> float:
-    """Merge one replica's count: the later start wins, then the larger value. Returns the growth.
+    """Merge one replica's count: the later start wins, then the larger value. Return the growth in units.
 
-    Where the start is new, the whole value is growth: what an earlier incarnation spent stays spent.
+    For a new start the whole value is growth, as what an earlier incarnation spent stays spent.
     """
     previous = account.replica_counts.get(replica, NO_COUNT)
     if count <= previous:
--- a/orchidlane/policy/retries.py
+++ b/orchidlane/policy/retries.py
@@ -1,6 +1,6 @@
-"""Requests from arrival to their one final answer: attempts, the retry budget, load shedding.
+"""Requests from arrival to their one final response: attempts, the retry budget, load shedding.
 
-Every attempt passes ``_send_attempt``, every final answer of the gateway ``_finish``.
+``_send_attempt`` sends every attempt, and ``_finish`` every final response that the gateway itself creates.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from orchidlane.policy.settings import DeduplicationScope, Idempotency
 from orchidlane.policy.state import MAX_RETRY_BUDGET, Attempt, PendingRequest, PolicyState
 
-HELD_REQUEST_INTERVAL_US = 20 * US_PER_MS  # between two looks at a request that has no endpoint
-RETRY_BUDGET_PER_REQUEST = 0.05
-LATENCY_SLACK_SHARE = 0.15  # of what is left of the latency objective beyond the baseline latency
+HELD_REQUEST_INTERVAL_US = 20 * US_PER_MS  # delay before a request without an endpoint is tried again
+RETRY_BUDGET_PER_REQUEST = 0.05  # retries that each new request adds to the budget
+LATENCY_SLACK_SHARE = 0.15  # share of the time between baseline latency and latency objective
 
 NOT_EXECUTED_OUTCOMES = (Outcome.ENDPOINT_FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 def request_arrived(state: PolicyState, event: RequestArrived) -> None:
-    """Admit and send a new request, or answer it."""
+    """Admit a new request and send it to an endpoint, hold it, or send its final response."""
     request = PendingRequest(
         event,
         state.settings.classes[event.request_class],
@@ -36,7 +36,7 @@
 
 
 def attempt_finished(state: PolicyState, event: AttemptFinished) -> None:
-    """Learn from an outcome, then forget the request, retry it or answer it."""
+    """Update the health estimates, then retry the request, send its final response, or forget it."""
     if (event.request, event.attempt) not in state.attempts:
         return
     attempt, sent_request = state.finish_attempt(event.request, event.attempt)
@@ -44,11 +44,11 @@
     attempt.possibly_executed = event.outcome not in NOT_EXECUTED_OUTCOMES
     request = state.requests.get(event.request)
     if request is None:
-        return  # it had its final answer
+        return  # its final response was sent, or the client disconnected
     if event.final_response_sent:
         _forget(state, request)
         return
-    # Failures must not multiply the load; an attempt that was not executed costs nothing.
+    # The budget keeps failures from multiplying the load; attempts that were not executed are free.
     if attempt.possibly_executed:
         state.retry_budget -= 1
     is_repeatable = request.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
@@ -59,20 +59,20 @@
 
 
 def client_disconnected(state: PolicyState, event: ClientDisconnected) -> None:
-    """Forget a request that nobody waits for."""
+    """Forget a request whose client no longer waits for a response."""
     if request := state.requests.get(event.request):
         _forget(state, request)
 
 
 def held_request_timer_fired(state: PolicyState, request_id: int) -> None:
-    """Look again at a request that had no endpoint; other requests are left alone."""
+    """Try a held request again; a request that has finished or has an attempt in flight is left unchanged."""
     request = state.requests.get(request_id)
     if request and not request.attempts_in_flight:
         _advance(state, request)
 
 
 def _advance(state: PolicyState, request: PendingRequest) -> None:
-    """Take the next step of a request that is owed an answer."""
+    """Send the next attempt of a pending request, hold the request, or send its final response."""
     give_up_at_us = request.deadline_at_us - DEADLINE_MARGIN_US
     if state.now >= give_up_at_us or len(request.attempts) >= state.settings.max_attempts:
         _finish(state, request)
@@ -94,9 +94,10 @@
 
 
 def _is_shed(state: PolicyState, request: PendingRequest, endpoint: Endpoint) -> bool:
-    """Tell whether to shed a request, as the latency to expect is too long.
+    """Return whether to shed a request because the expected latency is too long.
 
-    Now and then one request is let pass: only an attempt can show that an overload is over.
+    One request is sent anyway once ``ESTIMATE_DECAY_US`` has passed without an attempt, since only an attempt
+    can show that an overload is over.
     """
     latency_us = health.expected_latency_us(state, endpoint, request.event.request_class)
     if latency_us <= _admission_latency_bound_us(state, request):
@@ -105,7 +106,7 @@
 
 
 def _admission_latency_bound_us(state: PolicyState, request: PendingRequest) -> float:
-    """Return the longest latency to expect at which a request is sent: it must still be in time."""
+    """Return the longest expected latency at which a new request is still sent rather than shed."""
     baseline_us = state.baseline_latency_us[request.event.request_class]
     time_left_us = min(request.request_class.latency_objective_us, request.event.time_left_us)
     return baseline_us + LATENCY_SLACK_SHARE * max(0.0, time_left_us - baseline_us)
@@ -124,7 +125,7 @@
 
 
 def _finish(state: PolicyState, request: PendingRequest, over_quota: bool = False) -> None:
-    """Give the final answer: a rejection where the client's retry is harmless, else a failure."""
+    """Send the final response: a rejection if the client may safely retry, else a failure."""
     request_id = request.event.request
     if not request.executed_attempts or _is_repeatable_by_client(request):
         retry_after_us = 0
@@ -137,7 +138,7 @@
 
 
 def _is_repeatable_by_client(request: PendingRequest) -> bool:
-    """Tell whether a request may be executed again by any endpoint."""
+    """Return whether a client's retry is safe, whichever endpoint it is sent to."""
     request_class = request.request_class
     if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
         return request_class.deduplication_scope is DeduplicationScope.ALL
@@ -145,7 +146,7 @@
 
 
 def _forget(state: PolicyState, request: PendingRequest) -> None:
-    """Drop a request that is owed nothing more, and cancel the attempt in flight."""
+    """Remove a request that needs no further response, and cancel its attempt in flight."""
     state.requests.pop(request.event.request, None)
     if state.settings.may_cancel and request.attempts_in_flight:
         state.actions.append(CancelAttempt(request.event.request, len(request.attempts) - 1))
--- a/orchidlane/policy/settings.py
+++ b/orchidlane/policy/settings.py
@@ -1,6 +1,6 @@
-"""Settings of the policy, given once at the start: request classes, plans, permissions and charges.
+"""Settings of the policy, fixed when it starts: request classes, plans, permissions and charges.
 
-Times are integers in microseconds, rates in units per second.
+Times are integers in microseconds, rates in units of quota per second.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Idempotency(enum.Enum):
-    """Whether a request may be executed twice."""
+    """Whether a request may be executed more than once."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENT_WITH_KEY = "keyed"
@@ -18,7 +18,7 @@
 
 
 class DeduplicationScope(enum.Enum):
-    """Which endpoints together drop repeats of a request with an idempotency key."""
+    """Which endpoints deduplicate requests with the same idempotency key together."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,7 +26,7 @@
 
 
 class LoadReportSource(enum.Enum):
-    """Where load reports come from."""
+    """Where load reports of endpoints come from."""
 
     INLINE = "inline"
     ON_HEALTH_CHECK = "on probe"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests."""
+    """Settings of one class of requests."""
 
     latency_objective_us: int
     deadline_us: int
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One plan; a ``rate``, ``max_in_flight`` or ``ceiling_rate`` of zero means no such limit."""
+    """One plan; a ``rate``, ``max_in_flight`` or ``ceiling_rate`` of zero disables that limit."""
 
     rate: float
     burst: float
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of one gateway."""
+    """All settings of one gateway's policy."""
 
     replica: int
     replica_count: int
--- a/orchidlane/policy/state.py
+++ b/orchidlane/policy/state.py
@@ -1,4 +1,4 @@
-"""The state that all modules of the policy share. Nothing here decides anything."""
+"""The state shared by all modules of the policy. Data types only; decisions are made elsewhere."""
 
 from __future__ import annotations
 
@@ -13,46 +13,46 @@
 from orchidlane.policy.events import EndpointId, RequestArrived
 from orchidlane.policy.settings import RequestClass, Settings
 
-PEER_INTAKE_SHARE = 0.8  # of the messages that a peer takes in: the rest is for jitter
-MAX_RETRY_BUDGET = 5.0
-INITIAL_LATENCY_SHARE = 0.25  # of the latency objective: the baseline latency before any is measured
+PEER_INTAKE_SHARE = 0.8  # used share of a peer's message rate limit; the rest absorbs jitter
+MAX_RETRY_BUDGET = 5.0  # retries
+INITIAL_LATENCY_SHARE = 0.25  # share of the latency objective; baseline latency until one is measured
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt; the endpoint may have executed the request unless the outcome rules it out."""
+    """One attempt at an endpoint, which may have executed the request unless the outcome rules that out."""
 
     endpoint: Endpoint
     sent_at_us: int
-    load: float
+    load: float  # the endpoint's load when the attempt was sent, with INITIAL_LOAD added
     in_flight: bool = True
     possibly_executed: bool = True
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that is owed a final answer."""
+    """A request that has no final response yet."""
 
     event: RequestArrived
     request_class: RequestClass
     deadline_at_us: int
-    sampled_value: float = 0.0  # drawn anew for each attempt: which endpoint in slow start it may use
-    account: Account | None = None  # known once admission looked it up
+    sampled_value: float = 0.0  # random in [0, 1) for each attempt: selects among endpoints in slow start
+    account: Account | None = None  # set when admission looks it up
     attempts: list[Attempt] = field(default_factory=list)
 
     @property
     def attempts_in_flight(self) -> list[Attempt]:
-        """Those of its attempts that have no outcome yet."""
+        """The request's attempts that have no outcome yet."""
         return [attempt for attempt in self.attempts if attempt.in_flight]
 
     @property
     def executed_attempts(self) -> list[Attempt]:
-        """Those of its attempts that the endpoint may have executed."""
+        """The request's attempts that their endpoint may have executed."""
         return [attempt for attempt in self.attempts if attempt.possibly_executed]
 
 
 class AwaitedReply(NamedTuple):
-    """A reply that a peer owes; ``owner_index`` is -1 where no other peer stands in for it."""
+    """A reply that is expected from a peer; ``owner_index`` is -1 if no stand-in replaces it."""
 
     sent_at_us: int
     replica: int
@@ -61,26 +61,28 @@
 
 
 class PolicyState:
-    """All that a gateway's decisions are made from. Times are the caller's clock in microseconds."""
+    """The whole state of one gateway's policy. Times are in microseconds of the caller's clock."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.now = now
-        self.started_at_us = now  # accounts created later refill from here, too
+        self.started_at_us = now  # new accounts refill from this time on, whenever they are created
         self.replica = settings.replica
         self.is_standalone = not settings.may_gossip
         self.actions: list[Action] = []
         # Quotas
         self.accounts: dict[int, Account] = {}
         self.idle_queue: deque[int] = deque()  # customers in the order of their next idle check
-        self.exhausted_customers: dict[int, int] = {}  # customer -> times it was attached to messages
+        self.exhausted_customers: dict[int, int] = {}  # customer -> number of messages it was attached to
         # Gossip
         self.messages_per_second = PEER_INTAKE_SHARE * settings.peer_messages_per_second
         self.message_allowance = self.messages_per_second
         self.allowance_refilled_at_us = now
-        self.pending_changes: dict[int, None] = {}  # customers whose counts changed since they were gossiped
-        self.pending_deltas: dict[int, dict[int, int]] = {}  # peer -> customer -> token owner index
+        self.pending_changes: dict[int, None] = {}  # customers whose counts were not gossiped since a change
+        self.pending_deltas: dict[
+            int, dict[int, int]
+        ] = {}  # peer -> customer -> index of the peer among the token owners
         self.awaited_replies: deque[AwaitedReply] = deque()
         self.last_seen_at_us: dict[int, int] = {}  # by peer
         self.unreachable_share = 0.0
@@ -93,15 +95,17 @@
         self.slow_start_pool = EndpointPool()
         self.cell_pools: dict[int, EndpointPool] = {}
         self.zone_pools: dict[int, EndpointPool] = {}
-        self.slow_start_queue: deque[Endpoint] = deque()  # in the order of their listing, until warmed up
+        self.slow_start_queue: deque[Endpoint] = deque()  # in the order in which they were listed
         # Requests
         self.requests: dict[int, PendingRequest] = {}
-        self.attempts: dict[tuple[int, int], tuple[Attempt, PendingRequest]] = {}  # by request and number
+        self.attempts: dict[
+            tuple[int, int], tuple[Attempt, PendingRequest]
+        ] = {}  # by request and attempt number
         self.retry_budget = MAX_RETRY_BUDGET
         self.last_attempt_at_us = now
 
     def start_attempt(self, request: PendingRequest, attempt: Attempt) -> None:
-        """Count one more attempt as in flight."""
+        """Add an attempt to its request, and count it as in flight."""
         assert request.account is not None
         attempt.endpoint.in_flight += 1
         request.account.in_flight += 1
@@ -109,7 +113,7 @@
         request.attempts.append(attempt)
 
     def finish_attempt(self, request_id: int, number: int) -> tuple[Attempt, PendingRequest]:
-        """Count an attempt as ended; return it and its request. Raises KeyError where it is not in flight."""
+        """Mark an attempt as finished; return it and its request. Raises KeyError if it is not in flight."""
         attempt, request = self.attempts.pop((request_id, number))
         assert request.account is not None
         attempt.in_flight = False
--- a/orchidlane/policy/token_owner.py
+++ b/orchidlane/policy/token_owner.py
@@ -1,7 +1,7 @@
-"""Token owners: each spending is reported to one gateway of the replica set, which adds them up.
+"""Token owners: all spending on a customer is reported to one gateway of its replica set, which sums it up.
 
-The token owner also grants tokens of a ceiling (escrow). Where it does not reply in time, the next member of
-the set stands in.
+The token owner also grants tokens of a ceiling (escrow). If it does not reply in time, the next member of the
+replica set is notified as a stand-in.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 )
 from orchidlane.policy.state import PolicyState
 
-MAX_TOKEN_OWNERS = 3  # gateways of a set that are tried
-UNREACHABLE_SMOOTHING = 0.1  # weight of the newest reply or timeout in the share of unreachable peers
+MAX_TOKEN_OWNERS = 3  # members of a replica set that a report is sent to, one after the other
+UNREACHABLE_SMOOTHING = 0.1  # weight of the latest reply or timeout in the moving average
 
 
 def report_spending(state: PolicyState, account: Account, owner_index: int = 0) -> None:
-    """Report the account to its token owner, or to a stand-in of it, as soon as the allowance permits.
+    """Report the account to its token owner, or to a stand-in, as soon as the message allowance permits.
 
-    A standalone gateway reports to nobody.
+    A standalone gateway sends no reports.
     """
     if state.is_standalone:
         return
     if owner_index >= min(MAX_TOKEN_OWNERS, account.replica_set_size):
-        # Nobody replies: from here on the share of unreachable peers is left to them instead.
+        # No owner has replied: from now on only the share of unreachable peers limits this account.
         account.unconfirmed = False
         return
     owner = replica_set.token_owner(state, account, owner_index)
@@ -44,9 +44,9 @@
 
 
 def send_pending_deltas(state: PolicyState) -> None:
-    """Send one token owner its pending deltas, the one that waits for longest, if the allowance permits.
+    """Send pending deltas to the token owner that has waited longest, if the allowance permits.
 
-    There are more admissions than messages: what does not go now is sent together later.
+    Admissions are more frequent than messages, so deltas that cannot be sent now are combined later.
     """
     if not state.pending_deltas:
         return
@@ -76,7 +76,7 @@
 
 
 def _encode_delta(state: PolicyState, account: Account) -> bytes:
-    """Return a row for the token owner; it requests the tokens that the share of the ceiling lacks."""
+    """Encode a row for the token owner; it requests the tokens missing from this gateway's ceiling share."""
     quota.refill(state, account)
     capacity = state.settings.plans[account.plan].ceiling_burst * quota.ceiling_share(state, account)
     account.requested_tokens = max(0.0, capacity - account.ceiling_tokens)
@@ -84,7 +84,7 @@
 
 
 def grant_tokens(state: PolicyState, account: Account, requested: float) -> float:
-    """Return tokens for a peer; deducted here before they are sent, so that a lost message is safe."""
+    """Return the tokens granted to a peer; deducted before sending, so that a lost message is safe."""
     is_owner = replica_set.token_owner(state, account) == state.replica
     granted = min(account.ceiling_tokens, requested) if is_owner else 0.0
     account.ceiling_tokens -= granted
@@ -92,14 +92,14 @@
 
 
 def reply_timeout_fired(state: PolicyState) -> None:
-    """Judge the oldest awaited reply: where it did not come, a stand-in of the token owner takes over."""
+    """Handle the timeout of the oldest awaited reply: if it is missing, report to the next stand-in."""
     reply = state.awaited_replies.popleft()
     if state.now - reply.sent_at_us > 2 * REPLY_TIMEOUT_US:
-        return  # this process itself stood still: nothing is known of the peer
+        return  # this process was paused, so a missing reply says nothing about the peer
     is_silent = state.last_seen_at_us.get(reply.replica, -1) < reply.sent_at_us
-    following = state.awaited_replies[0] if state.awaited_replies else None
-    # One message may await several replies: its last one counts.
-    if following is None or following.sent_at_us != reply.sent_at_us or following.replica != reply.replica:
+    next_reply = state.awaited_replies[0] if state.awaited_replies else None
+    # One message may await replies on several customers; only the last of them updates the average.
+    if next_reply is None or next_reply.sent_at_us != reply.sent_at_us or next_reply.replica != reply.replica:
         state.unreachable_share += UNREACHABLE_SMOOTHING * (is_silent - state.unreachable_share)
     if is_silent and reply.owner_index >= 0 and (account := state.accounts.get(reply.customer)):
         report_spending(state, account, reply.owner_index + 1)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,7 +17,7 @@
     GrantOutcome,
     GrantStore,
     GrantStoreFullError,
-    TokenAnswer,
+    OwnerReply,
     TokenClaim,
     TokenOwner,
     TokenState,
@@ -88,13 +88,13 @@
 def test_the_owners_answers_decide_the_verdict(states, verdict):
     claim = TokenClaim([0, 1, 2])
     for replica, state in enumerate(states):
-        claim.add_answer(replica, TokenAnswer(state, 5, 1.0))
+        claim.add_reply(replica, OwnerReply(state, 5, 1.0))
     assert claim.verdict() is verdict
 
 
 def test_owners_that_time_out_leave_no_majority():
     claim = TokenClaim([0, 1, 2])
-    claim.add_answer(0, TokenAnswer(TokenState.FRESH, 0))
+    claim.add_reply(0, OwnerReply(TokenState.FRESH, 0))
     claim.add_timeout(1)
     claim.add_timeout(2)
     assert claim.verdict() is ClaimVerdict.NO_MAJORITY
@@ -130,7 +130,7 @@
             if rng.random() < 0.2:
                 claims[claim_id].add_timeout(replica)
             else:
-                claims[claim_id].add_answer(replica, owners[replica].claim(now, NAME, claim_id))
+                claims[claim_id].add_reply(replica, owners[replica].claim(now, NAME, claim_id))
             if claims[claim_id].verdict() is ClaimVerdict.DECIDE and claim_id not in counted:
                 counted.append(claim_id)
     assert len(counted) <= 1
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -28,7 +28,7 @@
     text = quota_source.read_text()
     for constant, value in {
         "EXHAUSTED_BELOW_SHARE = 0.25": "0.9",
-        "READMITTED_FROM_SHARE = 0.6": "0.95",
+        "READMISSION_SHARE = 0.6": "0.95",
     }.items():
         assert text.count(constant) == 1
         text = text.replace(constant, constant.rpartition(" ")[0] + " " + value)
