--- a/orchidlane/limits/reservations.py
+++ b/orchidlane/limits/reservations.py
@@ -63,9 +63,8 @@
         self.max_grants = max_grants
         self.grant_lifetime_us = grant_lifetime_us
         self.credit_lifetime_us = credit_lifetime_us
-        self.changed_names: dict[Hashable, None] | None = (
-            None  # names of changed grants, while they are observed
-        )
+        # Names of changed grants, collected while an observer has set this.
+        self.changed_names: dict[Hashable, None] | None = None
         self._grants: dict[bytes, _Grant] = {}
         self._expiries: list[tuple[int, bytes]] = []  # heap of expiry or removal time, and name
         self._credits: OrderedDict[int, _Credit] = OrderedDict()  # in the order of their expiry
--- a/orchidlane/limits/tokens.py
+++ b/orchidlane/limits/tokens.py
@@ -33,8 +33,8 @@
 class TokenState(IntEnum):
     """The state of a token at one owner; the values are sent between gateways."""
 
-    FRESH = 0  # claimed by this claim
-    CLAIMED = 1  # by another claim that is not settled
+    FRESH = 0  # held by the claim that the query names
+    CLAIMED = 1  # held by another claim, not settled
     GRANTED = 2  # settled: the units were counted
     UNSURE = 3  # the owner started less than a token lifetime ago, or is full
     UNKNOWN = 4  # result of a look-up: not claimed
@@ -96,9 +96,8 @@
         self.lifetime_us = lifetime_us
         self.max_tokens = max_tokens
         self.reliable_from_us = now + lifetime_us
-        self.changed_names: dict[Hashable, None] | None = (
-            None  # names of changed tokens, while they are observed
-        )
+        # Names of changed tokens, collected while an observer has set this.
+        self.changed_names: dict[Hashable, None] | None = None
         self._entries: OrderedDict[bytes, _Entry] = OrderedDict()  # in the order of their expiry
 
     def __len__(self) -> int:
--- a/orchidlane/policy/accounts.py
+++ b/orchidlane/policy/accounts.py
@@ -38,9 +38,7 @@
     replica_counts: dict[int, ReplicaCount] = field(default_factory=dict)
     counted_total: float = 0.0  # growth of all counts, including counts of earlier incarnations
     spent_total: float = 0.0  # units known to be spent, from counts and from totals that peers reported
-    recently_changed: tuple[
-        int, ...
-    ] = ()  # replicas whose counts changed last, the most recent one at the end
+    recently_changed: tuple[int, ...] = ()  # replicas whose counts changed last, the latest at the end
     unconfirmed: bool = True  # no peer has reported this customer's count yet
     in_flight: int = 0
     peer_admissions_at_us: tuple[int, ...] = ()  # when this gateway learned of the latest admissions of peers
--- a/orchidlane/policy/actions.py
+++ b/orchidlane/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the policy tells its caller to do. The caller carries them out in the order returned."""
+"""Actions: the policy's instructions to its caller, which carries them out in the order returned."""
 
 from __future__ import annotations
 
--- a/orchidlane/policy/admission.py
+++ b/orchidlane/policy/admission.py
@@ -113,9 +113,10 @@
 
 
 def refill_time_us(state: PolicyState, request: PendingRequest, account: Account) -> int:
-    """Return the estimated time until a rejected request's units have refilled; 0 if longer than allowed.
+    """Return the estimated time until a rejected request's units have refilled, in microseconds.
 
-    The bound is the settings' ``max_retry_after_us`` and half of the latency objective.
+    Return 0 if they never refill here, or if the time exceeds the settings' ``max_retry_after_us`` or half of
+    the latency objective.
     """
     units = request.event.units
     plan = state.settings.plans[account.plan]
--- a/orchidlane/policy/endpoint_registry.py
+++ b/orchidlane/policy/endpoint_registry.py
@@ -22,8 +22,8 @@
         return
     if event.kind is not EndpointListKind.DELTA:
         _remove_unlisted(state, {entry.endpoint for entry in event.entries})
-    ready_again = [endpoint for entry in event.entries if (endpoint := _apply_entry(state, entry))]
-    for endpoint in ready_again:
+    newly_ready = [endpoint for entry in event.entries if (endpoint := _apply_entry(state, entry))]
+    for endpoint in newly_ready:
         pool = state.warm_pool if is_warm(state, endpoint) else state.slow_start_pool
         pool.add(endpoint)
         state.slow_start_queue.append(endpoint)
--- a/orchidlane/policy/endpoint_selection.py
+++ b/orchidlane/policy/endpoint_selection.py
@@ -9,9 +9,8 @@
 from orchidlane.policy.settings import Idempotency
 from orchidlane.policy.state import PendingRequest, PolicyState
 
-DEADLINE_MARGIN_US = (
-    30 * US_PER_MS
-)  # no attempt starts this close to a deadline or to the end of a deduplication window
+# No attempt starts this close to a deadline or to the end of a deduplication window.
+DEADLINE_MARGIN_US = 30 * US_PER_MS
 ENDPOINTS_COMPARED = 12  # random sample of a larger pool, to bound the work per attempt
 COST_JITTER = 0.1  # random share added to a cost, so that gateways do not all choose the same endpoint
 FAILURE_COST = 3.0  # share added to the expected latency per unit of failure score
--- a/orchidlane/policy/gossip.py
+++ b/orchidlane/policy/gossip.py
@@ -81,9 +81,8 @@
         result = _receive_row(state, row, event.sender, max(0, age_us), message.to_token_owner)
         if result is not None:
             merged.append(result)
-    if message.wants_reply and peer_messages.has_allowance(
-        state
-    ):  # granting deducts tokens, so the reply must be sendable
+    # Granting deducts tokens, so tokens are granted only if the reply can be sent.
+    if message.wants_reply and peer_messages.has_allowance(state):
         rows = (
             peer_messages.encode_account(
                 state, account, 0, token_owner.grant_tokens(state, account, requested)
--- a/orchidlane/policy/peer_messages.py
+++ b/orchidlane/policy/peer_messages.py
@@ -31,13 +31,11 @@
     owner_index: int
 
 
-ANY_REPLY = ReplyRequest(
-    customer=0, owner_index=-1
-)  # no customer; the reply only shows that the peer is reachable
+ANY_REPLY = ReplyRequest(customer=0, owner_index=-1)  # only to see whether the peer is reachable
 
 
 def has_allowance(state: PolicyState, messages: float = 1.0) -> bool:
-    """Refill the allowance; return whether it permits so many messages."""
+    """Refill the allowance; return whether it permits ``messages`` messages."""
     gained = state.messages_per_second * (state.now - state.allowance_refilled_at_us) / US_PER_SECOND
     state.message_allowance = min(state.messages_per_second, state.message_allowance + gained)
     state.allowance_refilled_at_us = state.now
--- a/orchidlane/policy/replica_set.py
+++ b/orchidlane/policy/replica_set.py
@@ -8,9 +8,7 @@
 from orchidlane.policy.accounts import Account
 from orchidlane.policy.state import PolicyState
 
-TOKEN_OWNER_STRIDE = (
-    2_654_435_761  # multiplicative hash; spreads customers over the members of their replica sets
-)
+TOKEN_OWNER_STRIDE = 2_654_435_761  # multiplicative hash: spreads customers over the members of their sets
 
 
 def position(state: PolicyState, replica: int, replica_set_start: int) -> int:
--- a/orchidlane/policy/state.py
+++ b/orchidlane/policy/state.py
@@ -80,9 +80,8 @@
         self.message_allowance = self.messages_per_second
         self.allowance_refilled_at_us = now
         self.pending_changes: dict[int, None] = {}  # customers whose counts were not gossiped since a change
-        self.pending_deltas: dict[
-            int, dict[int, int]
-        ] = {}  # peer -> customer -> index of the peer among the token owners
+        # Reports to token owners: peer -> customer -> index of the peer among the customer's token owners
+        self.pending_deltas: dict[int, dict[int, int]] = {}
         self.awaited_replies: deque[AwaitedReply] = deque()
         self.last_seen_at_us: dict[int, int] = {}  # by peer
         self.unreachable_share = 0.0
@@ -98,9 +97,8 @@
         self.slow_start_queue: deque[Endpoint] = deque()  # in the order in which they were listed
         # Requests
         self.requests: dict[int, PendingRequest] = {}
-        self.attempts: dict[
-            tuple[int, int], tuple[Attempt, PendingRequest]
-        ] = {}  # by request and attempt number
+        # In flight, by request and attempt number
+        self.attempts: dict[tuple[int, int], tuple[Attempt, PendingRequest]] = {}
         self.retry_budget = MAX_RETRY_BUDGET
         self.last_attempt_at_us = now
 
--- a/tests/harness/fleet_discovery.py
+++ b/tests/harness/fleet_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery agents of a simulated fleet: one for each gateway, which learns of changes with its own lag."""
+"""Discovery agents of a simulated fleet: one for each gateway, which sends changes with its own lag."""
 
 from __future__ import annotations
 
@@ -7,62 +7,72 @@
 from typing import Any, NamedTuple
 
 from harness.constants import MS, SECOND
-from harness.fleet_hosts import AGENT_NETWORK, HOST_NETWORK, FakeHost, FleetTerms, fleet_address
+from harness.fleet_endpoints import (
+    AGENT_NETWORK,
+    ENDPOINT_NETWORK,
+    FakeEndpoint,
+    FleetParameters,
+    fleet_address,
+)
 from harness.platform_harness import ZONES
 from orchidlane.runtime import ConnectionClosedError, EventLoop, Stream, TaskGroup
 
-HOSTS_PER_CELL = 4
+ENDPOINTS_PER_CELL = 4
 CHECK_INTERVAL_US = 50 * MS
 HEARTBEAT_INTERVAL_US = SECOND
 
 
-class HostChange(NamedTuple):
-    """A change of the list of hosts."""
+class EndpointChange(NamedTuple):
+    """A change of one entry of the endpoint list."""
 
     generation: int
     at_us: int
     entry: dict[str, Any]
 
 
-def discovery_entry(host: FakeHost) -> dict[str, Any]:
-    """Return a host's entry of the list."""
+def discovery_entry(endpoint: FakeEndpoint) -> dict[str, Any]:
+    """Return an endpoint's entry of the discovery list."""
     return {
-        "instanceId": f"s-{host.number}",
-        "hostPort": f"{fleet_address(HOST_NETWORK, host.number)}:9000",
-        "zone": ZONES[host.number % 2],
-        "cell": host.number // HOSTS_PER_CELL,
-        "lifecycle": "left" if host.removed else "active",
-        "startedAtMs": host.started_at_us // MS,
+        "instanceId": f"s-{endpoint.number}",
+        "hostPort": f"{fleet_address(ENDPOINT_NETWORK, endpoint.number)}:9000",
+        "zone": ZONES[endpoint.number % 2],
+        "cell": endpoint.number // ENDPOINTS_PER_CELL,
+        "lifecycle": "left" if endpoint.removed else "active",
+        "startedAtMs": endpoint.started_at_us // MS,
     }
 
 
-def complete_list(hosts: list[FakeHost]) -> dict[str, Any]:
-    """Return a complete list of the first generation."""
-    return {"generation": 1, "reset": True, "instances": [discovery_entry(host) for host in hosts]}
+def complete_list(endpoints: list[FakeEndpoint]) -> dict[str, Any]:
+    """Return a complete endpoint list with generation 1."""
+    return {
+        "generation": 1,
+        "reset": True,
+        "instances": [discovery_entry(endpoint) for endpoint in endpoints],
+    }
 
 
 class DiscoveryAgents:
-    """All agents, and the changes that they learn of."""
+    """All discovery agents, and the changes that they send."""
 
-    def __init__(self, loop: EventLoop, terms: FleetTerms) -> None:
-        self.loop, self.terms = loop, terms
+    def __init__(self, loop: EventLoop, parameters: FleetParameters) -> None:
+        self.loop, self.parameters = loop, parameters
         self.generation = 1
-        self.changes: list[HostChange] = []
-        self.initial_hosts: list[FakeHost] = []
+        self.changes: list[EndpointChange] = []
+        self.initial_endpoints: list[FakeEndpoint] = []
 
-    def publish(self, host: FakeHost) -> None:
-        """Add a host as it is now to the changes."""
+    def publish(self, endpoint: FakeEndpoint) -> None:
+        """Publish the current entry of an endpoint as a change."""
         self.generation += 1
-        self.changes.append(HostChange(self.generation, self.loop.now(), discovery_entry(host)))
+        self.changes.append(EndpointChange(self.generation, self.loop.now(), discovery_entry(endpoint)))
 
     def run_agent(self, scope: TaskGroup, rank: int) -> None:
-        """Serve the watches of one gateway."""
+        """Accept and serve the watches of one gateway."""
         listener = self.loop.backend.listen((fleet_address(AGENT_NETWORK, rank), 8500))
         while True:
             scope.spawn(self._serve_watch, listener.accept(), self._lag_us(rank))
 
     def _lag_us(self, rank: int) -> int:
-        return self.terms.max_discovery_lag_us * rank // max(1, self.terms.gateways - 1)
+        return self.parameters.max_discovery_lag_us * rank // max(1, self.parameters.gateways - 1)
 
     def _serve_watch(self, stream: Stream, lag_us: int) -> None:
         with suppress(ConnectionClosedError):
@@ -72,7 +82,7 @@
             if b"from=" in target:
                 line: dict[str, Any] | None = {"generation": generation, "reset": False, "instances": []}
             else:
-                line = complete_list(self.initial_hosts)
+                line = complete_list(self.initial_endpoints)
             sent_at_us = 0
             while True:
                 if line or self.loop.now() - sent_at_us >= HEARTBEAT_INTERVAL_US:
@@ -84,7 +94,7 @@
                 generation = line["generation"] if line else generation
 
     def _due_changes(self, generation: int, lag_us: int) -> dict[str, Any] | None:
-        """Return a line of all changes after a generation that an agent has learned of."""
+        """Return one line with all changes after a generation that are older than the lag, or None."""
         due = [
             change
             for change in self.changes
--- a/tests/harness/fleet_harness.py
+++ b/tests/harness/fleet_harness.py
@@ -1,7 +1,7 @@
-"""A fleet of platform gateways in the simulated backend, with hosts in slow start and clients.
+"""A fleet of platform gateways in the simulated backend, with clients, and endpoints in slow start.
 
-Each gateway has a discovery agent of its own, which learns of changes with a lag of its own. One
-seed determines the whole run.
+Each gateway has its own discovery agent, which receives changes with its own lag. The seed determines the
+whole run.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from harness.constants import MS, SECOND
 from harness.fleet_discovery import DiscoveryAgents, complete_list
-from harness.fleet_hosts import (
+from harness.fleet_endpoints import (
     AGENT_NETWORK,
     GATEWAY_NETWORK,
-    FakeHost,
-    FleetTerms,
-    HostServers,
+    EndpointServers,
+    FakeEndpoint,
+    FleetParameters,
     fleet_address,
 )
 from harness.platform_harness import call, file, settings
@@ -35,7 +35,7 @@
 )
 from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
 
-START_TIME_US = 200 * MS  # of the gateways, before the load
+START_TIME_US = 200 * MS  # for the gateways to start before the load
 CLIENT_TIMEOUT_US = 2 * SECOND
 
 
@@ -47,52 +47,52 @@
 
 
 class SimulatedFleet:
-    """Gateways, discovery agents, hosts and clients; ``run`` runs them."""
+    """Gateways, discovery agents, endpoints and clients; ``run`` starts them and the load."""
 
     def __init__(
-        self, terms: FleetTerms, plans: list[dict], customers: list[Customer], seed: int = 1
+        self, parameters: FleetParameters, plans: list[dict], customers: list[Customer], seed: int = 1
     ) -> None:
-        """Make a fleet; a customer's number is its place in the list."""
-        self.terms, self.plans, self.customers = terms, plans, customers
+        """Create a fleet; a customer's number is its index in the list."""
+        self.parameters, self.plans, self.customers = parameters, plans, customers
         self.random = random.Random(seed)
         self.backend = SimulatedBackend(
             seed, NetworkFaults(delay_us=(100, 400), slow_probability=0.0, datagram_loss_probability=0.02)
         )
         self.loop = EventLoop(self.backend)
-        self.hosts = [FakeHost(number, 0) for number in range(terms.hosts)]
-        self.agents = DiscoveryAgents(self.loop, terms)
-        self.servers = HostServers(self.loop, terms, self.random)
-        self.gateways: list[PlatformGateway | None] = [None] * terms.gateways
-        self.processes: list[Process | None] = [None] * terms.gateways
+        self.endpoints = [FakeEndpoint(number, 0) for number in range(parameters.endpoints)]
+        self.agents = DiscoveryAgents(self.loop, parameters)
+        self.servers = EndpointServers(self.loop, parameters, self.random)
+        self.gateways: list[PlatformGateway | None] = [None] * parameters.gateways
+        self.processes: list[Process | None] = [None] * parameters.gateways
         self.requests: list[tuple[int, int]] = []  # time and customer
         self.statuses: dict[int, int] = {}
         self.scope: TaskGroup
 
-    # -- hosts
+    # Endpoints
 
-    def add_host(self) -> None:
-        """Start one more host, in slow start."""
-        host = FakeHost(len(self.hosts), self.loop.now())
-        self.hosts.append(host)
-        self.scope.spawn(self.servers.run_host, self.scope, host)
-        self.agents.publish(host)
+    def add_endpoint(self) -> None:
+        """Start one more endpoint, in slow start."""
+        endpoint = FakeEndpoint(len(self.endpoints), self.loop.now())
+        self.endpoints.append(endpoint)
+        self.scope.spawn(self.servers.run_endpoint, self.scope, endpoint)
+        self.agents.publish(endpoint)
 
-    def remove_host(self, host: FakeHost) -> None:
-        """Remove a host; the requests that it has are not answered."""
-        host.removed = True
-        self.agents.publish(host)
+    def remove_endpoint(self, endpoint: FakeEndpoint) -> None:
+        """Remove an endpoint from discovery; it rejects all further requests."""
+        endpoint.removed = True
+        self.agents.publish(endpoint)
 
-    # -- gateways
+    # Gateways
 
     def start_gateway(self, rank: int) -> None:
-        """Start a gateway, for the first time or again."""
+        """Start the gateway of a rank; also used to restart it."""
 
-        def work() -> None:
+        def run_gateway() -> None:
             gateway = PlatformGateway(self.loop, self._gateway_configuration(rank), "config.json")
             self.gateways[rank] = gateway
             gateway.run()
 
-        self.processes[rank] = self.backend.start(f"n{rank}", work)
+        self.processes[rank] = self.backend.start(f"n{rank}", run_gateway)
 
     def restart_gateway(self, rank: int) -> None:
         """Kill a gateway and start it again."""
@@ -100,7 +100,7 @@
         self.start_gateway(rank)
 
     def _gateway_configuration(self, rank: int) -> Configuration:
-        gateways = self.terms.gateways
+        gateways = self.parameters.gateways
         peers = [f"{fleet_address(GATEWAY_NETWORK, number)}:7946" for number in range(gateways)]
         content = file(
             name=f"n{rank}",
@@ -110,24 +110,24 @@
             peers=peers,
             seed=f"{rank:x}",
             settings=self._gateway_settings(rank),
-            known=complete_list(self.hosts[: self.terms.hosts]),
+            known=complete_list(self.endpoints[: self.parameters.endpoints]),
         )
         return parse_configuration(json.dumps(content).encode(), "config.json")
 
     def _gateway_settings(self, rank: int) -> dict[str, Any]:
-        terms = self.terms
+        parameters = self.parameters
         rules = {
             **settings()["rules"],
-            "coldFrom": terms.slow_start_initial_share,
-            "warmWithin": terms.slow_start_us,
-            "fallMultiple": terms.overload_multiple,
-            "overloadFor": terms.overload_window_us,
+            "coldFrom": parameters.slow_start_initial_share,
+            "warmWithin": parameters.slow_start_us,
+            "fallMultiple": parameters.overload_multiple,
+            "overloadFor": parameters.overload_window_us,
         }
-        content = settings(rank=rank, balancers=terms.gateways, packages=self.plans, rules=rules)
+        content = settings(rank=rank, balancers=parameters.gateways, packages=self.plans, rules=rules)
         content["permissions"] |= {"peers": True}
         return content
 
-    # -- clients
+    # Clients
 
     def _run_clients(self, rank: int, requests_per_second: float) -> None:
         weights = [customer.share for customer in self.customers]
@@ -141,7 +141,7 @@
             client=f"{customer:016x}",
             plan=self.plans[self.customers[customer].plan]["name"],
             left="1.000",
-            extras=f"units=1,spread={self.terms.gateways},first=0",
+            extras=f"units=1,spread={self.parameters.gateways},first=0",
         )
         self.requests.append((self.loop.now(), customer))
         try:
@@ -153,30 +153,32 @@
             status = 0
         self.statuses[status] = self.statuses.get(status, 0) + 1
 
-    # -- the run
+    # Run
 
-    def run(self, during: Callable[[SimulatedFleet], None]) -> SimulatedFleet:
-        """Run the load for the duration, and ``during(fleet)`` beside it."""
-        self.loop.run(self._run, during)
+    def run(self, run_faults: Callable[[SimulatedFleet], None]) -> SimulatedFleet:
+        """Run the load for ``duration_us``, and ``run_faults(fleet)`` at the same time; return the fleet."""
+        self.loop.run(self._run, run_faults)
         return self
 
-    def _run(self, during: Callable[[SimulatedFleet], None]) -> None:
-        terms = self.terms
-        self.agents.initial_hosts = list(self.hosts)
+    def _run(self, run_faults: Callable[[SimulatedFleet], None]) -> None:
+        parameters = self.parameters
+        self.agents.initial_endpoints = list(self.endpoints)
         with TaskGroup(self.loop) as scope:
             self.scope = scope
-            for host in self.hosts:
-                scope.spawn(self.servers.run_host, scope, host)
-            for rank in range(terms.gateways):
+            for endpoint in self.endpoints:
+                scope.spawn(self.servers.run_endpoint, scope, endpoint)
+            for rank in range(parameters.gateways):
                 scope.spawn(self.agents.run_agent, scope, rank, priority=CONTROL)
                 self.start_gateway(rank)
             self.loop.sleep(START_TIME_US)
-            rate = terms.load * terms.requests_per_second * terms.hosts / terms.gateways
-            for rank in range(terms.gateways):
+            rate = (
+                parameters.load * parameters.requests_per_second * parameters.endpoints / parameters.gateways
+            )
+            for rank in range(parameters.gateways):
                 scope.spawn(self._run_clients, rank, rate)
             started_at_us = self.loop.now()
-            during(self)
-            self.loop.sleep(started_at_us + terms.duration_us - self.loop.now())
+            run_faults(self)
+            self.loop.sleep(started_at_us + parameters.duration_us - self.loop.now())
             scope.cancel()
             for process in self.processes:
                 self.backend.kill(process)
--- a/tests/harness/golden_writers.py
+++ b/tests/harness/golden_writers.py
@@ -273,12 +273,12 @@
 
 def first_state() -> bytes:
     """Return the state of a policy after random events, all of its fields filled."""
-    from harness.event_story import EventStory
+    from harness.recording_harness import PolicyFuzzer
 
-    story = EventStory(20)
+    fuzzer = PolicyFuzzer(20)
     for _ in range(38):
-        story.step()
-    gateway = story.bench.gateway
+        fuzzer.step()
+    gateway = fuzzer.harness.gateway
     customers = list(gateway.accounts)
     gateway.pending_deltas = {1: {customers[0]: 1}, 2: {customers[1]: 2}}
     gateway.exhausted_customers = dict.fromkeys(gateway.exhausted_customers, 2)
--- a/tests/harness/gossip_harness.py
+++ b/tests/harness/gossip_harness.py
@@ -1,4 +1,4 @@
-"""Gossip messages for tests of the policy: what a peer reports, and what is sent to peers."""
+"""Gossip messages for tests of the policy: messages received from peers, and messages sent to them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     wants_reply: bool = False,
     to_token_owner: bool = False,
 ) -> list[policy.Action]:
-    """Feed a peer's message that is sent now; return the actions."""
+    """Feed a peer's message that is sent now; return the resulting actions."""
     return receive_at(harness, sender, harness.now // 1_000, rows, wants_reply, to_token_owner)
 
 
@@ -33,7 +33,7 @@
     wants_reply: bool = False,
     to_token_owner: bool = False,
 ) -> list[policy.Action]:
-    """Feed a peer's message with a send time of its own; return the actions."""
+    """Feed a peer's message with a given send time; return the resulting actions."""
     encoded = [gossip_codec.encode_row(row, sent_at_ms, harness.settings.replica_count) for row in rows]
     body = gossip_codec.encode_message(sent_at_ms, wants_reply, to_token_owner, encoded)
     return harness.feed(policy.PeerMessageReceived(sender, body))
@@ -50,7 +50,7 @@
     plan: int = 0,
     tokens: float = 0.0,
 ) -> CustomerRow:
-    """Return a row that a peer sends of a customer; a count is a replica, its start in ticks, and a value."""
+    """Return a row of a peer's message; a count is a replica, a start in ticks, and a value in units."""
     return CustomerRow(
         customer,
         plan,
@@ -65,7 +65,7 @@
 
 
 def exhaust(harness: PolicyHarness, customer: int, replica_set_size: int) -> None:
-    """Receive a peer's row by which a customer is exhausted."""
+    """Receive a peer's row that makes a customer exhausted."""
     row = customer_row(
         [(1, NOW_TICKS - 9, 9.0)],
         remaining=1.0,
@@ -76,15 +76,15 @@
     receive(harness, 1, row)
 
 
-def confirmed(**changes: Any) -> PolicyHarness:
-    """Return a gateway to which a peer has sent a row of the customer."""
+def confirmed_harness(**changes: Any) -> PolicyHarness:
+    """Return a gateway that a peer has sent a row of customer 7, so that its account is confirmed."""
     harness = PolicyHarness(**changes)
     receive(harness, 1, customer_row())
     return harness
 
 
 def send_requests(harness: PolicyHarness, count: int, first_request: int = 1, **request: Any) -> int:
-    """Feed so many requests, each served at once; return how many were sent to an endpoint."""
+    """Feed ``count`` requests, each served immediately; return how many were sent to an endpoint."""
     sent = 0
     for number in range(first_request, first_request + count):
         for send in actions_of(harness.request(number, **request), policy.SendAttempt):
@@ -94,7 +94,7 @@
 
 
 def peer_messages(actions: Iterable[policy.Action]) -> list[tuple[int, Any]]:
-    """Return the decoded messages among the actions, each with its receiver."""
+    """Return the rank of the receiver and the decoded message of each message among the actions."""
     now_ms = NOW_MS + 60_000
     return [
         (send.peer, gossip_codec.decode_message(send.body, now_ms, 10**6, 9))
--- a/tests/harness/policy_harness.py
+++ b/tests/harness/policy_harness.py
@@ -1,4 +1,4 @@
-"""One gateway's policy under test, with made-up settings, a clock and timers."""
+"""The policy of one gateway under test, with fixed settings, a clock and timers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from orchidlane import policy
 from orchidlane.policy.gateway import Gateway
 
-START_US = 1_000 * SECOND  # a clock time well after any start
+START_US = 1_000 * SECOND  # well above 0, as tests also use earlier times
 
 IDEMPOTENT = policy.RequestClass(
     500_000, 2 * SECOND, 1.0, 0.0, policy.Idempotency.IDEMPOTENT, policy.DeduplicationScope.ALL, 0
@@ -90,7 +90,7 @@
 
 
 class PolicyHarness:
-    """One gateway with a clock; its timers fire while ``advance`` lets time pass."""
+    """One gateway's policy with a clock; its timers fire during ``advance``."""
 
     def __init__(self, endpoints: int = 4, now: int = START_US, seed: int = 1, **changes: Any) -> None:
         self.now = now
@@ -107,14 +107,14 @@
             self.timers.append((self.now + action.delay_us, action.token))
 
     def feed(self, event: policy.Event) -> list[policy.Action]:
-        """Feed one event now; return the actions that it led to."""
+        """Feed one event at the current time; return the resulting actions."""
         actions = list(self.gateway.handle(self.now, event))
         self._set_timers(actions)
         self.actions += actions
         return actions
 
     def advance(self, duration_us: int) -> list[policy.Action]:
-        """Let time pass and the timers fire; return the actions."""
+        """Advance the clock and fire the timers that are due; return the resulting actions."""
         end = self.now + duration_us
         actions: list[policy.Action] = []
         while due := [timer for timer in self.timers if timer[0] <= end]:
@@ -136,7 +136,7 @@
         replica_set_start: int = 0,
         replica_set_size: int = 3,
     ) -> list[policy.Action]:
-        """Feed a client's request; return the actions."""
+        """Feed a client's request; return the resulting actions."""
         return self.feed(
             policy.RequestArrived(
                 request,
@@ -160,7 +160,10 @@
         duration_us: int = 50_000,
         final_response_sent: bool | None = None,
     ) -> list[policy.Action]:
-        """Feed an attempt's outcome, by default the final one if it was served; return the actions."""
+        """Feed an attempt's outcome; return the resulting actions.
+
+        By default the client was sent its final response if the outcome is SERVED.
+        """
         if final_response_sent is None:
             final_response_sent = outcome is policy.Outcome.SERVED
         return self.feed(
@@ -169,16 +172,16 @@
             )
         )
 
-    def final_answers(self, request: int) -> list[policy.Action]:
-        """Return the final answers to one request."""
-        answers = actions_of(self.actions, (policy.RejectRequest, policy.FailRequest))
-        return [answer for answer in answers if answer.request == request]
+    def final_responses(self, request: int) -> list[policy.Action]:
+        """Return the final responses to one request."""
+        responses = actions_of(self.actions, (policy.RejectRequest, policy.FailRequest))
+        return [response for response in responses if response.request == request]
 
 
 def serve_request(
     harness: PolicyHarness, request: int, duration_us: Callable[[bytes], int]
 ) -> policy.SendAttempt | None:
-    """Feed a request, served after a duration by endpoint; return the attempt, if there was one."""
+    """Feed a request, served after an endpoint's duration; return the attempt, or None if there was none."""
     sends = actions_of(
         harness.request(request, customer=request, time_left_us=2 * SECOND), policy.SendAttempt
     )
--- a/tests/harness/event_story.py
+++ b/tests/harness/recording_harness.py
@@ -1,4 +1,4 @@
-"""Random events for a policy, and the record that a gateway would write of them."""
+"""Random events for a policy, the segments that record them, and the command that reads segments."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from orchidlane.policy import EndpointState, Outcome
 from orchidlane.policy.gossip_codec import CustomerRow, encode_message, encode_row
 
-COUNT_TICK_US = 62_500  # about one tick of the counts in messages
+COUNT_TICK_US = 62_500  # one tick of the counts in messages, 1/16 s
 
 
 class LoggedEvent(NamedTuple):
-    """An event, when it was fed, and the actions that it led to."""
+    """An event, when it was fed, and the resulting actions."""
 
     at_us: int
     event: policy.Event
@@ -27,19 +27,19 @@
 
 
 class AttemptInFlight(NamedTuple):
-    """An attempt without an outcome yet."""
+    """An attempt that has no outcome yet."""
 
     request: int
     number: int
     endpoint: bytes
 
 
-class EventStory:
-    """Random events for a policy: requests, outcomes, timers, endpoint lists and peers' messages."""
+class PolicyFuzzer:
+    """Feeds a policy random events: requests, outcomes, timers, endpoint lists and peers' messages."""
 
     def __init__(self, seed: int, **changes: Any) -> None:
         self.rng = random.Random(seed)
-        self.bench = PolicyHarness(endpoints=5, seed=seed, **changes)
+        self.harness = PolicyHarness(endpoints=5, seed=seed, **changes)
         self.number = 0
         self.attempts_in_flight: list[AttemptInFlight] = []
         self.last_attempts: dict[int, int] = {}  # number of the last attempt, by request
@@ -47,33 +47,33 @@
 
     def feed(self, event: policy.Event) -> None:
         """Feed one event, and log it with its actions."""
-        actions = self.bench.feed(event)
-        self.log.append(LoggedEvent(self.bench.now, event, actions))
+        actions = self.harness.feed(event)
+        self.log.append(LoggedEvent(self.harness.now, event, actions))
         for send in actions_of(actions, policy.SendAttempt):
             number = self.last_attempts[send.request] = self.last_attempts.get(send.request, -1) + 1
             self.attempts_in_flight.append(AttemptInFlight(send.request, number, send.endpoint))
 
     def step(self) -> None:
-        """Let a random time pass; feed the timer that is due, else a random event."""
-        self.bench.now += self.rng.randrange(40_000)
-        due = sorted(timer for timer in self.bench.timers if timer[0] <= self.bench.now)
+        """Advance the clock by a random time; feed the first timer that is due, else a random event."""
+        self.harness.now += self.rng.randrange(40_000)
+        due = sorted(timer for timer in self.harness.timers if timer[0] <= self.harness.now)
         if due:
-            self.bench.timers.remove(due[0])
+            self.harness.timers.remove(due[0])
             self.feed(policy.TimerFired(due[0][1]))
         else:
             self.feed(self._random_event())
 
     def _random_event(self) -> policy.Event:
-        draw = self.rng.random()
-        if draw < 0.4:
+        sample = self.rng.random()
+        if sample < 0.4:
             return self._request()
-        if draw < 0.5:
+        if sample < 0.5:
             return self._quota_request()
-        if draw < 0.8 and self.attempts_in_flight:
+        if sample < 0.8 and self.attempts_in_flight:
             return self._attempt_outcome()
-        if draw < 0.85:
+        if sample < 0.85:
             return policy.ClientDisconnected(self.rng.randrange(1, self.number + 2))
-        if draw < 0.92:
+        if sample < 0.92:
             return self._endpoint_change()
         return self._peer_message()
 
@@ -98,12 +98,12 @@
 
     def _endpoint_change(self) -> policy.EndpointListReceived:
         state = self.rng.choice(list(EndpointState))
-        started_at_us = self.rng.choice((0, self.bench.now))
+        started_at_us = self.rng.choice((0, self.harness.now))
         entry = endpoint_entry(self.rng.randrange(5), state, started_at_us=started_at_us)
         return endpoint_list(entry, kind=policy.EndpointListKind.DELTA)
 
     def _peer_message(self) -> policy.PeerMessageReceived:
-        rng, now_us = self.rng, self.bench.now
+        rng, now_us = self.rng, self.harness.now
         counts = ((1, now_us // COUNT_TICK_US, float(rng.randrange(9))),)
         row = CustomerRow(rng.randrange(6), 0, 0, 3, 0, 4.0, float(rng.randrange(30)), 0.0, counts)
         wants_reply, to_token_owner = rng.random() < 0.5, rng.random() < 0.5
@@ -113,32 +113,32 @@
 
 
 def write_segment(
-    story: EventStory, steps: int, path: Path, number: int = 0, started_at_us: int = 1
+    fuzzer: PolicyFuzzer, steps: int, path: Path, number: int = 0, started_at_us: int = 1
 ) -> list[LoggedEvent]:
-    """Write a segment with so many further steps of the story; return their events."""
+    """Run ``steps`` further steps of the fuzzer and write them to a segment; return their events."""
     header = recording.Header(
         format=recording.FORMAT_VERSION,
         build="x",
         gateway="gw",
         started_at_us=started_at_us,
         number=number,
-        settings=recording.settings_to_stored(story.bench.settings),
-        state=recording.dump_state(story.bench.gateway),
+        settings=recording.settings_to_stored(fuzzer.harness.settings),
+        state=recording.dump_state(fuzzer.harness.gateway),
         class_names=("a", "b", "c", "d", "e"),
         plan_names=("p", "q", "r", "s"),
     )
-    first = len(story.log)
+    first = len(fuzzer.log)
     for _ in range(steps):
-        story.step()
+        fuzzer.step()
     data = recording.pack_header(header) + recording.pack_account_page(1, [], last=True)
-    for logged in story.log[first:]:
+    for logged in fuzzer.log[first:]:
         data += recording.pack_entry(logged.at_us, logged.event, logged.actions)
     path.write_bytes(data)
-    return story.log[first:]
+    return fuzzer.log[first:]
 
 
 def run_command(*arguments: str) -> tuple[int, str]:
-    """Run the command with arguments; return its exit code and output."""
+    """Run the orchidlane command with arguments; return its exit code and output."""
     result = CliRunner().invoke(main, arguments)
     assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
     return result.exit_code, result.output
--- a/tests/harness/saved_states.py
+++ b/tests/harness/saved_states.py
@@ -4,32 +4,32 @@
 
 from pathlib import Path
 
-from harness.event_story import EventStory
+from harness.recording_harness import PolicyFuzzer
 from orchidlane import recording
 
 NAMES = tuple("abcde"), tuple("pqrs")
 
 
-def write_state(story: EventStory, path: Path, events_between_pages: int = 0, build: str = "") -> None:
+def write_state(fuzzer: PolicyFuzzer, path: Path, events_between_pages: int = 0, build: str = "") -> None:
     """Write a complete state as a gateway sends it; so many more events happen between its pages."""
-    gateway = story.bench.gateway
+    gateway = fuzzer.harness.gateway
     recording.track_accounts(gateway)
     snapshot = recording.Snapshot(gateway)
     header = recording.Header(
         format=recording.FORMAT_VERSION,
         build=build or recording.build_name(),
         gateway="gw",
-        started_at_us=story.bench.now,
+        started_at_us=fuzzer.harness.now,
         number=0,
-        settings=recording.settings_to_stored(story.bench.settings),
+        settings=recording.settings_to_stored(fuzzer.harness.settings),
         state=snapshot.state,
         class_names=NAMES[0],
         plan_names=NAMES[1],
-        context={"now": story.bench.now},
+        context={"now": fuzzer.harness.now},
     )
     data = recording.pack_header(header)
     for rows in snapshot.pages():
         data += recording.pack_account_page(0, rows, last=False)
         for _ in range(events_between_pages):
-            story.step()
+            fuzzer.step()
     path.write_bytes(data + recording.pack_account_page(0, [], last=True))
--- a/tests/test_ceiling_while_sets_differ.py
+++ b/tests/test_ceiling_while_sets_differ.py
@@ -1,4 +1,4 @@
-"""Ceilings while gateways disagree on a customer's replica set, as after a SIGHUP to some of them."""
+"""Ceilings while gateways disagree on a customer's replica set, as after a SIGHUP to only some of them."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 
 from orchidlane.policy import GrantQuota, Plan, QuotaRequested
 
-CEILING_ALONE = Plan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)  # no quota below it
+CEILING_ONLY_PLAN = Plan(0.0, 0.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)  # no rate limit besides the ceiling
 GATEWAYS = 6
 CUSTOMERS = 10
-BURST = 60  # units asked of each gateway at once
+UNITS_REQUESTED = 60  # from each gateway, one unit per request
 OLD_START, NEW_START, SET_SIZE = 0, 3, 3
-RELOADED = (3, 4, 5)  # the others never hear of the new set
+RELOADED = (3, 4, 5)  # ranks that use the new set; the others keep the old one
 
 
 def granted_units(harness: PolicyHarness, customer: int, start: int) -> int:
-    """Ask a gateway for units one by one; return how many it granted."""
+    """Request units from a gateway one by one; return how many it granted."""
     granted = 0
-    for number in range(BURST):
+    for number in range(UNITS_REQUESTED):
         event = QuotaRequested(number, customer, 0, 0, 1.0, start, SET_SIZE)
         granted += len(actions_of(harness.feed(event), GrantQuota))
     return granted
 
 
-# Guards against a ceiling passed while some gateways count by the old set and others by the new one.
+# Guards against exceeding a ceiling while some gateways use the old replica set and others the new one.
 def test_a_ceiling_holds_while_gateways_disagree_on_a_replica_set():
     gateways = [
-        PolicyHarness(replica=rank, replica_count=GATEWAYS, plans=(CEILING_ALONE,))
+        PolicyHarness(replica=rank, replica_count=GATEWAYS, plans=(CEILING_ONLY_PLAN,))
         for rank in range(GATEWAYS)
     ]
-    allowed = CEILING_ALONE.ceiling_burst + CEILING_ALONE.ceiling_slack
-    over = {}
+    allowed = CEILING_ONLY_PLAN.ceiling_burst + CEILING_ONLY_PLAN.ceiling_slack
+    granted_over_ceiling = {}
     for customer in range(CUSTOMERS):
         for harness in gateways:
             harness.advance(20 * SECOND)
@@ -40,5 +40,5 @@
             for rank, harness in enumerate(gateways)
         )
         if granted > allowed:
-            over[customer] = granted
-    assert over == {}, f"allowed: {allowed}"
+            granted_over_ceiling[customer] = granted
+    assert granted_over_ceiling == {}, f"units allowed: {allowed}"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -9,7 +9,7 @@
 
 import pytest
 from harness.constants import MATERIALS
-from harness.event_story import run_command
+from harness.recording_harness import run_command
 
 from orchidlane.cli.gateway_figures import Figure, Reading, parse_figures, rates_between
 from orchidlane.simulation.bench_scenario import map_bench_scenario
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection and the health estimates that it goes by."""
+"""Endpoint selection, and the health estimates that it uses."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     assert sum(serve_request(harness, r, lambda _: 20_000) is not None for r in range(200, 240)) > 30
 
 
-def test_an_overload_of_a_large_fleet_is_detected_from_few_attempts_per_endpoint():
+def test_few_attempts_per_endpoint_suffice_to_detect_a_fleet_overload():
     """In a large fleet a gateway sends to each endpoint once in many seconds."""
     harness = PolicyHarness(endpoints=200)
     for request in range(1, 40):
@@ -30,17 +30,19 @@
     assert serve_request(harness, 300, lambda _: 60_000) is not None
 
 
-def test_during_an_overload_one_request_passes_every_few_seconds():
-    """A gateway that sheds all requests learns nothing of the recovery."""
+def test_during_an_overload_one_request_is_sent_every_few_seconds():
+    """A gateway that sheds all requests cannot detect the recovery."""
     harness = PolicyHarness(endpoints=200)
     for request in range(1, 80):
         serve_request(harness, request, lambda _: 6 * SECOND)
-    sent = [harness.now]
+    sent_at_us = [harness.now]
     for request in range(100, 220):  # ten a second while the overload lasts
-        sent += [harness.now] * (serve_request(harness, request, lambda _: 6 * SECOND) is not None)
+        sent_at_us += [harness.now] * (serve_request(harness, request, lambda _: 6 * SECOND) is not None)
         harness.advance(90_000)
-    intervals = [later - earlier for earlier, later in zip(sent, [*sent[1:], harness.now], strict=True)]
-    assert 3 <= len(sent) <= 5
+    intervals = [
+        later - earlier for earlier, later in zip(sent_at_us, [*sent_at_us[1:], harness.now], strict=True)
+    ]
+    assert 3 <= len(sent_at_us) <= 5
     assert max(intervals) < 3.5 * SECOND
     assert min(intervals[:-1]) >= 3 * SECOND
 
@@ -76,20 +78,20 @@
     assert attempts_there <= 5
 
 
-def test_an_unreachable_zone_is_avoided_before_each_of_its_endpoints_failed():
-    """Failures count for the zone, so that its endpoints are not tried one by one."""
+def test_an_unreachable_zone_is_avoided_before_all_its_endpoints_fail():
+    """Failures count against the zone, so that its endpoints are not tried one by one."""
     harness, attempts_there = PolicyHarness(endpoints=0), 0
-    far = {endpoint_entry(i).endpoint for i in range(50)}
+    unreachable = {endpoint_entry(i).endpoint for i in range(50)}
     harness.feed(endpoint_list(*(endpoint_entry(i, zone=int(i >= 50)) for i in range(100))))
     for request in range(1, 101):
-        out, attempt = actions_of(harness.request(request, customer=request), policy.SendAttempt), 0
-        while out:
-            lost = out[0].endpoint in far
-            attempts_there += lost
-            outcome = Outcome.CONNECT_FAILED if lost else Outcome.SERVED
-            out = actions_of(
+        sends, attempt = actions_of(harness.request(request, customer=request), policy.SendAttempt), 0
+        while sends:
+            is_unreachable = sends[0].endpoint in unreachable
+            attempts_there += is_unreachable
+            outcome = Outcome.CONNECT_FAILED if is_unreachable else Outcome.SERVED
+            sends = actions_of(
                 harness.finish_attempt(
-                    request, out[0].endpoint, outcome, attempt=attempt, duration_us=30_000
+                    request, sends[0].endpoint, outcome, attempt=attempt, duration_us=30_000
                 ),
                 policy.SendAttempt,
             )
@@ -98,8 +100,8 @@
     assert attempts_there < 20
 
 
-def test_timeouts_of_silent_endpoints_do_not_raise_the_latency_expected_of_others():
-    """As when a zone is lost: its timeouts are no evidence on other zones."""
+def test_timeouts_of_silent_endpoints_do_not_cause_load_shedding():
+    """When a zone is lost, its timeouts must not raise the latency expected of other zones."""
     harness = PolicyHarness(endpoints=200)
     for request in range(1, 40):
         serve_request(harness, request, lambda _: 60_000)
@@ -113,13 +115,13 @@
     assert all(serve_request(harness, request, lambda _: 60_000) for request in range(200, 220))
 
 
-def test_no_endpoint_is_ejected_for_good_when_all_fail():
+def test_no_endpoint_is_excluded_permanently_when_all_fail():
     harness = PolicyHarness(endpoints=3)
     for request in range(1, 30):
-        out, attempt = actions_of(harness.request(request, customer=request), policy.SendAttempt), 0
-        while out:
-            out = actions_of(
-                harness.finish_attempt(request, out[0].endpoint, Outcome.CONNECT_FAILED, attempt=attempt),
+        sends, attempt = actions_of(harness.request(request, customer=request), policy.SendAttempt), 0
+        while sends:
+            sends = actions_of(
+                harness.finish_attempt(request, sends[0].endpoint, Outcome.CONNECT_FAILED, attempt=attempt),
                 policy.SendAttempt,
             )
             attempt += 1
@@ -128,14 +130,14 @@
     assert len({s.endpoint for s in sends}) == 3
 
 
-def test_equal_gateways_with_the_same_seed_decide_alike():
-    logs = []
+def test_gateways_with_equal_seeds_and_events_return_equal_actions():
+    actions_by_run = []
     for _ in range(2):
         harness = PolicyHarness(endpoints=9, seed=3)
         for request in range(1, 50):
             serve_request(harness, request, lambda s: 20_000 + 1_000 * s[3])
-        logs.append(harness.actions)
-    assert logs[0] == logs[1]
+        actions_by_run.append(harness.actions)
+    assert actions_by_run[0] == actions_by_run[1]
 
 
 def test_a_stalled_endpoint_is_avoided():
@@ -152,8 +154,8 @@
     assert stalled not in others
 
 
-def test_a_warm_endpoint_is_found_among_many_in_slow_start():
-    """The sample of endpoints to compare is drawn from the warm ones."""
+def test_a_warm_endpoint_is_chosen_among_many_in_slow_start():
+    """The sample of endpoints to compare must be drawn from the warm ones only."""
     harness = PolicyHarness(endpoints=0)
     harness.feed(
         endpoint_list(
@@ -166,10 +168,10 @@
 
 
 def test_failures_influence_the_choice_of_endpoint_but_reject_no_request():
-    """Broken connections are no evidence on latency, so no request is shed for them."""
+    """Broken connections are no evidence of a high latency, so no request is shed because of them."""
     harness = PolicyHarness()
     for number in range(1, 9):
         (send,) = actions_of(harness.request(number, request_class=2, customer=number), policy.SendAttempt)
         harness.finish_attempt(number, send.endpoint, policy.Outcome.CONNECTION_BROKEN)
-    assert all(host.failure_score > 0 for host in harness.gateway.endpoints.values())
+    assert all(endpoint.failure_score > 0 for endpoint in harness.gateway.endpoints.values())
     assert actions_of(harness.request(20, customer=20), policy.SendAttempt)
--- a/tests/test_fleet_totals.py
+++ b/tests/test_fleet_totals.py
@@ -1,4 +1,4 @@
-"""Sums over a simulated fleet: load of hosts in slow start, and admissions over quota."""
+"""Totals of a simulated fleet: load of endpoints in slow start, and admissions over quota."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 import pytest
 from harness.constants import MS, SECOND
+from harness.fleet_endpoints import FleetParameters
 from harness.fleet_harness import Customer, SimulatedFleet
-from harness.fleet_hosts import FleetTerms
 
 from orchidlane.policy import admission, endpoint_registry, gossip, quota, token_owner
 from orchidlane.recording.reference_quota import ReferenceQuota
@@ -26,57 +26,65 @@
 EQUAL_CUSTOMERS = [Customer(0, 1.0)] * 50
 
 
-def replace_hosts(fleet: SimulatedFleet) -> None:
-    """Replace six in ten hosts within two seconds, and kill and restart gateways meanwhile."""
-    leaving = fleet.hosts[: fleet.terms.hosts * 6 // 10]
-    for number, host in enumerate(leaving):
-        fleet.add_host()
+def replace_endpoints(fleet: SimulatedFleet) -> None:
+    """Replace 6 of 10 endpoints within 2 s, and restart gateways in the meantime."""
+    leaving = fleet.endpoints[: fleet.parameters.endpoints * 6 // 10]
+    for number, endpoint in enumerate(leaving):
+        fleet.add_endpoint()
         fleet.loop.sleep(2 * SECOND // len(leaving))
-        fleet.remove_host(host)
+        fleet.remove_endpoint(endpoint)
         if number % 2:
-            fleet.restart_gateway(number % fleet.terms.gateways)
+            fleet.restart_gateway(number % fleet.parameters.gateways)
 
 
 def worst_excess(fleet: SimulatedFleet) -> float:
-    """Return the worst excess of requests over the budget of any host in slow start."""
-    return max(fleet.terms.worst_excess(host) for host in fleet.hosts if host.started_at_us)
+    """Return the largest excess of requests over the budget of any endpoint that was in slow start."""
+    return max(
+        fleet.parameters.worst_excess(endpoint) for endpoint in fleet.endpoints if endpoint.started_at_us
+    )
 
 
 @pytest.mark.parametrize("load", [0.6, 0.9])
 @pytest.mark.parametrize("gateways", [5, 20, 30])
-def test_hosts_in_slow_start_are_not_overloaded_by_the_fleet(gateways, load):
-    """Even if the settings allow no more than a host in slow start can serve."""
-    terms = FleetTerms(gateways=gateways, hosts=10, load=load, overload_multiple=1.0)
-    fleet = SimulatedFleet(terms, LARGE_PLANS, EQUAL_CUSTOMERS, seed=gateways).run(replace_hosts)
-    cold = [host for host in fleet.hosts if host.started_at_us]
-    assert len(cold) == 6
-    assert all(len(host.request_times_us) > 5 for host in cold)  # else the test shows nothing
+def test_endpoints_in_slow_start_are_not_overloaded_by_the_fleet(gateways, load):
+    """The settings allow no more than an endpoint in slow start can serve (overload multiple 1)."""
+    parameters = FleetParameters(gateways=gateways, endpoints=10, load=load, overload_multiple=1.0)
+    fleet = SimulatedFleet(parameters, LARGE_PLANS, EQUAL_CUSTOMERS, seed=gateways).run(replace_endpoints)
+    warming_up = [endpoint for endpoint in fleet.endpoints if endpoint.started_at_us]
+    assert len(warming_up) == 6
+    # With fewer requests no excess could be seen.
+    assert all(len(endpoint.request_times_us) > 5 for endpoint in warming_up)
     assert worst_excess(fleet) <= 1.0
     assert fleet.statuses[200] > 0.5 * sum(fleet.statuses.values())
 
 
 def test_the_check_detects_a_fleet_without_slow_start(monkeypatch):
-    """Without the ramp the same run fails the check."""
+    """Without slow start the same run exceeds the budget of an endpoint."""
     monkeypatch.setattr(endpoint_registry, "is_warm", lambda _state, _endpoint: True)
-    terms = FleetTerms(gateways=20, hosts=10, load=0.9, overload_multiple=1.0)
-    assert worst_excess(SimulatedFleet(terms, LARGE_PLANS, EQUAL_CUSTOMERS, seed=20).run(replace_hosts)) > 1.0
+    parameters = FleetParameters(gateways=20, endpoints=10, load=0.9, overload_multiple=1.0)
+    assert (
+        worst_excess(SimulatedFleet(parameters, LARGE_PLANS, EQUAL_CUSTOMERS, seed=20).run(replace_endpoints))
+        > 1.0
+    )
 
 
 @pytest.mark.parametrize("load", [0.9, 2.5])
-def test_no_host_is_overloaded_when_all_are_in_slow_start(load):
-    """As when a zone returns: no warm host takes what the others cannot serve."""
+def test_no_endpoint_is_overloaded_when_all_are_in_slow_start(load):
+    """When a whole zone comes back, no warm endpoint takes the requests that the others cannot serve."""
 
-    def replace_all_hosts(fleet: SimulatedFleet) -> None:
-        old_hosts = list(fleet.hosts)
-        for _ in old_hosts:
-            fleet.add_host()
+    def replace_all_endpoints(fleet: SimulatedFleet) -> None:
+        old_endpoints = list(fleet.endpoints)
+        for _ in old_endpoints:
+            fleet.add_endpoint()
         fleet.loop.sleep(100 * MS)
-        for host in old_hosts:
-            fleet.remove_host(host)
+        for endpoint in old_endpoints:
+            fleet.remove_endpoint(endpoint)
 
-    terms = FleetTerms(gateways=20, hosts=6, load=load)
+    parameters = FleetParameters(gateways=20, endpoints=6, load=load)
     assert (
-        worst_excess(SimulatedFleet(terms, LARGE_PLANS, EQUAL_CUSTOMERS, seed=3).run(replace_all_hosts))
+        worst_excess(
+            SimulatedFleet(parameters, LARGE_PLANS, EQUAL_CUSTOMERS, seed=3).run(replace_all_endpoints)
+        )
         <= 1.0
     )
 
@@ -85,7 +93,8 @@
     {**PLAN, "name": "small", "perSecond": 1.0, "peakUnits": 5.0},
     {**PLAN, "name": "large", "perSecond": 6.0, "peakUnits": 12.0, "overrunCost": 0.8, "pays": 1.6},
 ]
-# Customers by plan and requests a second: most use under half of their quota, some nearly all, some far more
+# Plan and requests a second of each customer: most use less than half of their quota, some nearly all of it,
+# and some far more.
 UNEQUAL_CUSTOMERS = [
     *[Customer(0, 0.4)] * 30,
     *[Customer(0, 0.95)] * 6,
@@ -94,37 +103,37 @@
     *[Customer(1, 5.6)] * 2,
     Customer(1, 18.0),
 ]
-POLICY_DELAY_US = SECOND  # after it the reference policy sees the exact state
+POLICY_DELAY_US = SECOND  # lag after which the reference policy sees the exact state
 
 
 class DelayedExactPolicy:
-    """Admits by the exact state of a customer's quota, as it was some time ago."""
+    """Admits by the exact state of a customer's quota as it was ``POLICY_DELAY_US`` ago."""
 
     def __init__(self, rate: float, burst: float, now: int) -> None:
-        self.seen, self.true = ReferenceQuota(rate, burst, now), ReferenceQuota(rate, burst, now)
+        self.delayed, self.exact = ReferenceQuota(rate, burst, now), ReferenceQuota(rate, burst, now)
         self._admitted_at_us: deque[int] = deque()
 
     def is_over_quota(self, now: int) -> bool | None:
-        """Return whether a request is admitted over quota; None where it is rejected."""
+        """Return whether a request is admitted over quota; None if it is rejected."""
         while self._admitted_at_us and self._admitted_at_us[0] <= now - POLICY_DELAY_US:
-            self.seen.draw(self._admitted_at_us.popleft(), 1.0)
-        if self.seen.available_at(now - POLICY_DELAY_US) < 1.0:
+            self.delayed.draw(self._admitted_at_us.popleft(), 1.0)
+        if self.delayed.available_at(now - POLICY_DELAY_US) < 1.0:
             return None
-        if not self.true.try_draw(now, 1.0):
+        if not self.exact.try_draw(now, 1.0):
             return True
         self._admitted_at_us.append(now)
         return False
 
 
 class OverQuotaCosts(NamedTuple):
-    """Costs of admissions over quota, as parts of the income within quotas."""
+    """Costs of admissions over quota, as shares of the income within quotas."""
 
-    measured: float
-    delayed: float  # of the same requests under DelayedExactPolicy
+    measured: float  # of the simulated fleet
+    delayed: float  # of the same requests with DelayedExactPolicy
 
 
 def over_quota_costs(fleet: SimulatedFleet, start_us: int) -> OverQuotaCosts:
-    """Return the costs of a fleet that has run."""
+    """Return the costs of a fleet after its run."""
     income = measured = delayed = 0.0
     plans = [fleet.plans[customer.plan] for customer in fleet.customers]
     limits = [(plan["perSecond"], plan["peakUnits"], start_us) for plan in plans]
@@ -142,32 +151,33 @@
 
 
 def run_without_faults(gateways: int) -> tuple[SimulatedFleet, OverQuotaCosts]:
-    """Run a fleet of unequal customers; return it with its costs."""
+    """Run a fleet with unequal customers and without faults; return it and its costs."""
     rate = sum(share for _, share in UNEQUAL_CUSTOMERS)
-    terms = FleetTerms(gateways=gateways, hosts=10, load=rate / 800, duration_us=20 * SECOND)
-    fleet = SimulatedFleet(terms, SMALL_PLANS, UNEQUAL_CUSTOMERS, seed=gateways)
+    parameters = FleetParameters(gateways=gateways, endpoints=10, load=rate / 800, duration_us=20 * SECOND)
+    fleet = SimulatedFleet(parameters, SMALL_PLANS, UNEQUAL_CUSTOMERS, seed=gateways)
     start_us = fleet.loop.now()
     fleet.run(lambda _: None)
     return fleet, over_quota_costs(fleet, start_us)
 
 
 @pytest.mark.parametrize("gateways", [5, 20, 30])
-def test_without_faults_over_quota_admissions_cost_little_more_than_with_a_delayed_exact_counter(gateways):
+def test_over_quota_costs_are_close_to_those_of_a_delayed_exact_policy(gateways):
     fleet, costs = run_without_faults(gateways)
     assert costs.measured <= costs.delayed + 0.1, costs
     assert fleet.statuses[200] > 0.5 * sum(fleet.statuses.values()) > 500
 
 
 def test_the_check_detects_a_fleet_without_gossip(monkeypatch):
-    """Without gossip each gateway admits the whole quota."""
+    """Without gossip each gateway admits the whole quota of a customer."""
     monkeypatch.setattr(gossip, "peer_message_received", lambda _state, _event: None)
     monkeypatch.setattr(admission, "admits", admits_by_own_count)
-    monkeypatch.setattr(token_owner, "UNREACHABLE_SMOOTHING", 0.0)  # nor are unreachable peers detected
+    # Unreachable peers must not be detected either.
+    monkeypatch.setattr(token_owner, "UNREACHABLE_SMOOTHING", 0.0)
     _, costs = run_without_faults(20)
     assert costs.measured > costs.delayed + 0.1, costs
 
 
 def admits_by_own_count(state, event, account) -> bool:
-    """Admit by the account alone, as a gateway without peers."""
+    """Return whether the account alone admits the request, as on a gateway without peers."""
     quota.refill(state, account)
     return account.remaining >= event.units
--- a/tests/test_golden_command.py
+++ b/tests/test_golden_command.py
@@ -13,7 +13,6 @@
 import click
 import pytest
 from harness.constants import MATERIALS
-from harness.event_story import run_command
 from harness.gateway_harness import (
     GET,
     REPORT,
@@ -24,6 +23,7 @@
 )
 from harness.golden_admin import request_admin
 from harness.golden_files import check_golden
+from harness.recording_harness import run_command
 
 from orchidlane.cli.main import main
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -10,7 +10,7 @@
 from harness.gossip_harness import (
     NOW_MS,
     NOW_TICKS,
-    confirmed,
+    confirmed_harness,
     customer_row,
     exhaust,
     peer_messages,
@@ -25,14 +25,16 @@
 from orchidlane import policy
 from orchidlane.policy import gossip, gossip_codec
 
-COUNT = st.tuples(
+COUNT_STRATEGY = st.tuples(
     st.sampled_from([1, 2]), st.integers(NOW_TICKS - 50, NOW_TICKS - 1), st.integers(0, 40).map(float)
 )
-ROWS = st.lists(st.tuples(st.lists(COUNT, max_size=3), st.integers(0, 60).map(float)), min_size=1, max_size=4)
+ROWS_STRATEGY = st.lists(
+    st.tuples(st.lists(COUNT_STRATEGY, max_size=3), st.integers(0, 60).map(float)), min_size=1, max_size=4
+)
 
 
 def count_calls(gateways: int) -> int:
-    """Return the calls made within the package for the same events at one size of fleet and replica set."""
+    """Return the number of calls within the package for a fixed series of events in a fleet."""
     harness = PolicyHarness(replica_count=gateways, endpoints=4, peer_messages_per_second=1_000.0)
     count = 0
 
@@ -59,8 +61,8 @@
 
 
 def merge_rows(rows) -> tuple:
-    """Return counts and remaining quota after these rows, all at one instant."""
-    harness = confirmed()
+    """Return the counts and the remaining quota after merging these rows, all received at the same time."""
+    harness = confirmed_harness()
     for counts, remaining in rows:
         receive(harness, 1, customer_row(counts, remaining=remaining))
     account = harness.gateway.accounts[7]
@@ -68,18 +70,17 @@
 
 
 def test_a_reported_total_includes_counts_that_were_never_received():
-    """A gateway that missed messages, or has just started, learns from one row what is spent."""
+    """One row is enough for a gateway that has just started, or missed messages, to know what is spent."""
     harness = PolicyHarness()
     receive(harness, 1, customer_row([(2, NOW_TICKS - 9, 1.0)], remaining=1.0, spent_total=500.0))
     assert send_requests(harness, 20) == 0
 
 
 def test_a_count_of_a_new_incarnation_adds_to_what_was_spent_before():
-    harness = confirmed()
+    harness = confirmed_harness()
     receive(harness, 1, customer_row([(1, NOW_TICKS - 90, 6.0)], spent_total=6.0))
-    receive(
-        harness, 1, customer_row([(1, NOW_TICKS - 1, 1.0)], spent_total=1.0), to_token_owner=True
-    )  # it has restarted
+    # The peer has restarted.
+    receive(harness, 1, customer_row([(1, NOW_TICKS - 1, 1.0)], spent_total=1.0), to_token_owner=True)
     assert harness.gateway.accounts[7].replica_counts[1] == (NOW_TICKS - 1, 1.0)
     assert harness.gateway.accounts[7].spent_total == 7.0
 
@@ -94,7 +95,7 @@
 
 
 def test_changed_counts_are_sent_to_a_random_peer_each_round():
-    harness = confirmed()
+    harness = confirmed_harness()
     send_requests(harness, 1)
     rows = [row for _, m in peer_messages(harness.advance(SECOND)) if not m.to_token_owner for row in m.rows]
     assert [row.customer for row in rows] == [7]
@@ -102,7 +103,7 @@
 
 
 def test_a_message_that_wants_a_reply_gets_the_merged_total():
-    harness = confirmed()
+    harness = confirmed_harness()
     receive(harness, 1, customer_row([(1, NOW_TICKS - 9, 4.0)], spent_total=4.0))
     ((peer, message),) = peer_messages(
         receive(
@@ -118,13 +119,13 @@
 
 
 def test_work_per_event_does_not_grow_with_the_fleet():
-    """Scenarios of a large fleet were cut off for CPU: each event walked the whole replica set."""
+    """Guards against events that visit the whole replica set: large scenarios exceeded their CPU limit."""
     assert count_calls(400) < 4 * count_calls(4)
     assert count_calls(400) < 1.2 * count_calls(100)
 
 
 def test_malformed_and_outdated_messages_do_not_change_counts():
-    harness = confirmed()
+    harness = confirmed_harness()
     receive(harness, 1, customer_row([(1, NOW_TICKS - 9, 4.0)], spent_total=4.0))
     account = harness.gateway.accounts[7]
     before = dict(account.replica_counts), account.spent_total, harness.gateway.unreachable_share
@@ -134,14 +135,12 @@
         harness.feed(policy.PeerMessageReceived(1, good[:cut]))
     harness.feed(policy.PeerMessageReceived(1, b"\xff" * 256))
     harness.feed(policy.PeerMessageReceived(77, good))
-    harness.feed(policy.PeerMessageReceived(1, good))  # replayed and out of date
+    harness.feed(policy.PeerMessageReceived(1, good))  # replayed, with counts that are out of date
     receive_at(harness, 1, NOW_MS + 3_600_000, [customer_row([(1, NOW_TICKS - 9, 90.0)], spent_total=90.0)])
-    receive(
-        harness, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], spent_total=90.0, replica_set_size=9)
-    )  # a larger set than there are gateways
-    receive(
-        harness, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], spent_total=90.0, forward_count=3)
-    )  # forwarded beyond the set
+    # A replica set larger than the fleet.
+    receive(harness, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], spent_total=90.0, replica_set_size=9))
+    # To be forwarded to more members than the replica set has.
+    receive(harness, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], spent_total=90.0, forward_count=3))
     receive(harness, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], spent_total=90.0, plan=99))
     assert (dict(account.replica_counts), account.spent_total, harness.gateway.unreachable_share) == before
     assert list(harness.gateway.accounts) == [7]
@@ -175,7 +174,7 @@
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
-@given(ROWS)
+@given(ROWS_STRATEGY)
 def test_merging_counts_is_commutative_and_idempotent(rows):
     results = [merge_rows(order)[0] for order in itertools.islice(itertools.permutations(rows), 6)]
     results.append(merge_rows(rows + rows[::-1])[0])
@@ -183,14 +182,14 @@
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
-@given(ROWS)
+@given(ROWS_STRATEGY)
 def test_the_remaining_quota_is_between_zero_and_the_burst_after_any_merge(rows):
     assert 0 <= merge_rows(rows)[1] <= PLAIN_PLAN.burst
 
 
-def test_a_changed_replica_set_keeps_counts_and_leaves_no_pending_change_after_eviction():
-    """A customer whose replica set changed left a pending change of no account (fault of an incident)."""
-    harness = confirmed(replica_count=4)
+def test_a_changed_replica_set_keeps_counts_and_leaves_no_pending_change():
+    """In an incident, a changed replica set left a pending change of a customer whose account was evicted."""
+    harness = confirmed_harness(replica_count=4)
     assert send_requests(harness, 20, replica_set_start=0, replica_set_size=3) == 8
     assert send_requests(harness, 20, first_request=100, replica_set_start=3, replica_set_size=2) == 0
     harness.advance(20 * SECOND)
@@ -201,7 +200,7 @@
 
 
 def test_a_brief_row_without_a_change_is_not_merged(monkeypatch):
-    """Most attached rows are received more than once (150 microseconds an event with 264 gateways)."""
+    """Most attached rows are received repeatedly; merging them cost 150 us per event with 264 gateways."""
     harness = PolicyHarness(replica_count=200)
     exhaust(harness, 100, 200)
     merged, merge = [], gossip.merge_row
@@ -220,8 +219,8 @@
 
 
 def test_a_replica_set_that_shrank_to_one_gateway_does_not_stop_gossip():
-    """A client sends a known customer with a replica set of one, while peers have pending deltas of it."""
-    harness = confirmed()
+    """A request names a set of one gateway while counts of its customer wait to be sent to peers."""
+    harness = confirmed_harness()
     send_requests(harness, 1)
     harness.request(50, replica_set_size=1)
     harness.advance(SECOND)
--- a/tests/test_hot_restart_real.py
+++ b/tests/test_hot_restart_real.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from harness.event_story import run_command
+from harness.recording_harness import run_command
 from harness.scenarios import ALL_RULES_HOLD, make_scenario
 
 from orchidlane.runtime import EventLoop, RealBackend
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Idempotency tokens, reservations and refunds: decisions by interleavings, and over the network."""
+"""Idempotency tokens, reservations and refunds: in any order of events, and in a simulated fleet."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 
 def token_owner(max_tokens=10) -> TokenOwner:
-    """Return an owner that has been up for a lifetime of tokens."""
+    """Return an owner that started a token lifetime ago, so that its replies are reliable."""
     return TokenOwner(LIFETIME, max_tokens, NOW - LIFETIME)
 
 
-def test_a_repeated_claim_gets_the_same_answer_and_other_claimants_see_it():
+def test_a_repeated_claim_gets_the_same_reply_and_other_claimants_see_it():
     owner = token_owner()
     assert owner.claim(NOW, NAME, ClaimId(0, 1)) == (TokenState.FRESH, 0, 0.0)
     assert owner.claim(NOW, NAME, ClaimId(0, 1)) == (TokenState.FRESH, 0, 0.0)
@@ -48,7 +48,7 @@
     assert owner.claim(NOW, NAME, ClaimId(1, 2)) == (TokenState.GRANTED, 0, 3.0)
 
 
-def test_only_the_own_unsettled_claim_is_withdrawn():
+def test_a_claimant_withdraws_only_its_own_unsettled_claim():
     owner = token_owner()
     owner.claim(NOW, NAME, ClaimId(0, 1))
     owner.withdraw(NOW, NAME, ClaimId(1, 1))
@@ -61,7 +61,7 @@
     assert owner.look_up(NOW, NAME)[0] is TokenState.GRANTED
 
 
-def test_an_owner_that_started_lately_or_is_full_is_unsure():
+def test_an_owner_that_started_recently_or_is_full_is_unsure():
     assert (
         TokenOwner(LIFETIME, 10, NOW).claim(NOW + LIFETIME - 1, NAME, ClaimId(0, 1))[0] is TokenState.UNSURE
     )
@@ -85,7 +85,7 @@
         ([TokenState.GRANTED], ClaimVerdict.ALREADY_GRANTED),
     ],
 )
-def test_the_owners_answers_decide_the_verdict(states, verdict):
+def test_the_verdict_follows_from_the_owners_replies(states, verdict):
     claim = TokenClaim([0, 1, 2])
     for replica, state in enumerate(states):
         claim.add_reply(replica, OwnerReply(state, 5, 1.0))
@@ -111,7 +111,7 @@
 
 @given(st.integers(0, 2**32), st.integers(2, 5))
 def test_no_interleaving_counts_a_token_twice(seed, claimants):
-    """Claims, answers, settlements, restarts and losses in any order: at most owner claimant counts."""
+    """With claims, settlements, restarts and timeouts in any order, at most one claimant counts the units."""
     rng = random.Random(seed)
     owners = {replica: token_owner() for replica in range(3)}
     claims = {ClaimId(claimant, 1): TokenClaim([0, 1, 2]) for claimant in range(claimants)}
@@ -122,7 +122,7 @@
         now = min(now + (rng.random() < 0.1), NOW + LIFETIME - 1)
         event = rng.random()
         if event < 0.08:
-            owners[rng.randrange(3)] = TokenOwner(LIFETIME, 10, now)  # a restart forgets everything
+            owners[rng.randrange(3)] = TokenOwner(LIFETIME, 10, now)  # a restart loses all claims
         elif event < 0.2 and counted:
             owners[rng.randrange(3)].settle(now, NAME, counted[0], 1.0)
         elif waiting:
@@ -139,7 +139,7 @@
 # Grants and credits
 
 
-def test_each_grant_ends_once():
+def test_a_grant_is_committed_released_refunded_or_expired_only_once():
     grants = GrantStore(10, 100, 100)
     grants.add_grant(0, b"r", 1, 5.0, reserved_for_us=50)
     assert grants.commit(10, b"r", 1) is GrantOutcome.DONE
@@ -156,7 +156,7 @@
     assert grants.credit(70, 1) == 7
 
 
-def test_a_credit_is_worth_what_an_exact_bucket_has_capacity_for():
+def test_usable_credit_is_limited_to_the_free_capacity_of_the_bucket():
     grants = GrantStore(10, 100, 100)
     grants.add_grant(0, b"t", 1, 8.0)
     grants.refund(1, b"t", 1)
@@ -178,20 +178,20 @@
     assert len(grants) == 1
 
 
-command = st.tuples(
+COMMAND_STRATEGY = st.tuples(
     st.sampled_from(["grant", "reserve", "commit", "release", "refund", "pay", "wait"]),
     st.integers(0, 5),
     st.integers(1, 9),
 )
 
 
-@given(st.lists(command, max_size=60))
-def test_no_unit_is_refunded_that_was_not_granted(commands):
+@given(st.lists(COMMAND_STRATEGY, max_size=60))
+def test_refunds_never_exceed_the_granted_units(commands):
     grants = GrantStore(50, 40, 1_000)
     now = 0
     granted = 0.0
     paid = 0.0
-    ended: Counter[bytes] = Counter()
+    completions: Counter[bytes] = Counter()
     names: dict[int, bytes] = {}
     for number, (action, slot, amount) in enumerate(commands):
         name = names.get(slot, b"none")
@@ -200,23 +200,23 @@
             grants.add_grant(now, name, 1, float(amount), 20 if action == "reserve" else None)
             granted += amount
         elif action == "commit":
-            ended[name] += grants.commit(now, name, 1) is GrantOutcome.DONE
+            completions[name] += grants.commit(now, name, 1) is GrantOutcome.DONE
         elif action == "release":
-            ended[name] += grants.release(now, name, 1) is GrantOutcome.DONE
+            completions[name] += grants.release(now, name, 1) is GrantOutcome.DONE
         elif action == "refund":
-            ended[name] += grants.refund(now, name, 1) is GrantOutcome.DONE
+            completions[name] += grants.refund(now, name, 1) is GrantOutcome.DONE
         elif action == "pay":
             paid += amount * grants.pay_from_credit(now, 1, float(amount), remaining=0.0, burst=1_000.0)
         else:
             now += amount
         assert paid + grants.credit(now, 1) <= granted
-    assert all(count <= 1 for count in ended.values())
+    assert all(count <= 1 for count in completions.values())
 
 
-# Over the network, with faults
+# In a simulated fleet
 
 
-def test_no_token_is_counted_twice_over_the_fleet(monkeypatch):
+def test_no_token_is_counted_twice_in_a_fleet_with_faults(monkeypatch):
     counted: Counter[bytes] = Counter()
     take_idempotent = LimitService.take_idempotent
     request_quota = PolicyDriver.request_quota
@@ -253,7 +253,8 @@
     assert max(counted.values()) == 1
 
 
-def test_demand_of_seven_times_the_quota_over_both_servers_of_all_gateways_stays_within_it():
+def test_demand_over_http_and_resp_together_stays_within_the_quota():
+    """Guards against separate counts: both servers of all gateways get seven times the quota together."""
     verdict = simulate(make_scenario(span=6, quota_request_rate=60.0, request_rate=60.0, customer_count=4), 2)
     assert verdict.rules == ALL_RULES_HOLD
     assert verdict.quota_responses["refused"] > 20
--- a/tests/test_live_tools.py
+++ b/tests/test_live_tools.py
@@ -10,7 +10,7 @@
 import pytest
 from click.testing import CliRunner
 from harness.constants import MATERIALS
-from harness.event_story import run_command
+from harness.recording_harness import run_command
 from harness.scenarios import load_example, make_scenario
 
 from orchidlane import recording
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -1,11 +1,11 @@
-"""Messages to peers: announcements over a replica set, attached rows, size and rate."""
+"""Messages to peers: announcements to a replica set, attached rows, message size and rate."""
 
 from __future__ import annotations
 
 from harness.constants import SECOND
 from harness.gossip_harness import (
     NOW_TICKS,
-    confirmed,
+    confirmed_harness,
     customer_row,
     exhaust,
     peer_messages,
@@ -28,24 +28,24 @@
         customer_row([(1, NOW_TICKS - 9, 9.0)], remaining=1.0, spent_total=9.0, replica_set_size=set_size),
         to_token_owner=True,
     )
-    waiting = peer_messages(harness.actions)
-    assert 0 < len(waiting) <= 13
-    while waiting:
-        rank, message = waiting.pop()
+    undelivered = peer_messages(harness.actions)
+    assert 0 < len(undelivered) <= 13
+    while undelivered:
+        rank, message = undelivered.pop()
         notified.append(rank)
         other = PolicyHarness(replica_count=80, replica=rank, peer_messages_per_second=1_000.0)
-        waiting += peer_messages(receive(other, 0, *message.rows))
+        undelivered += peer_messages(receive(other, 0, *message.rows))
     assert sorted(notified) == list(range(1, set_size))
 
 
 def test_a_customer_with_quota_remaining_is_not_announced():
-    harness = confirmed()
+    harness = confirmed_harness()
     receive(harness, 1, customer_row([(1, NOW_TICKS - 9, 2.0)], spent_total=2.0), to_token_owner=True)
     assert not peer_messages(harness.actions)
 
 
 def test_messages_are_within_the_size_and_rate_limits():
-    harness = confirmed()
+    harness = confirmed_harness()
     for i in range(1, 400):
         harness.request(i, customer=i % 90)
         harness.advance(5_000)
@@ -60,30 +60,30 @@
     for i in range(1, 9):
         harness.request(i, customer=i, replica_set_start=0, replica_set_size=2)  # ranks 0 and 1
         harness.request(100 + i, customer=100 + i, replica_set_start=0, replica_set_size=9)
-    seen = [
+    sent = [
         (p, row.customer)
         for p, m in peer_messages([*harness.actions, *harness.advance(9 * SECOND)])
         for row in m.rows
     ]
-    assert seen
-    assert all(peer == 1 or customer > 100 for peer, customer in seen)
+    assert sent
+    assert all(peer == 1 or customer > 100 for peer, customer in sent)
 
 
-def test_customers_exhausted_last_are_attached_to_each_message():
+def test_the_customers_exhausted_last_are_attached_to_a_message():
     harness = PolicyHarness(replica_count=200)
     for customer in range(100, 120):
         exhaust(harness, customer, 200)
     send_requests(harness, 1, customer=7, replica_set_size=200)
     ((peer, message),) = peer_messages(harness.actions)
-    also = [row.customer for row in message.rows if row.customer != 7]
-    assert also == [119, 118, 117, 116, 115, 114]
+    attached = [row.customer for row in message.rows if row.customer != 7]
+    assert attached == [119, 118, 117, 116, 115, 114]
     other = PolicyHarness(replica=peer, replica_count=200)
     other.feed(policy.PeerMessageReceived(0, actions_of(harness.actions, policy.SendPeerMessage)[0].body))
     assert send_requests(other, 5, first_request=50, customer=119, replica_set_size=200) == 0
-    assert 119 not in other.gateway.pending_changes  # it is not gossiped as if it had been admitted there
+    assert 119 not in other.gateway.pending_changes  # the receiver spent nothing, so it has nothing to gossip
 
 
-def test_an_attached_row_is_neither_answered_nor_forwarded():
+def test_an_attached_row_gets_no_reply_and_is_not_forwarded():
     harness = PolicyHarness(replica_count=200)
     row = customer_row(remaining=1.0, spent_total=9.0, customer=8, replica_set_size=200)
     receive(
@@ -95,32 +95,32 @@
         to_token_owner=True,
     )
     sent = peer_messages(harness.actions)
-    assert len(sent) == 1  # the reply alone: the attached customer is not announced
+    assert len(sent) == 1  # only the reply: the attached customer is not announced
     assert [r.customer for r in sent[0][1].rows if r.replica_counts] == [7]
 
 
 def test_customers_of_small_sets_are_not_attached():
-    """Attached besides, they would be rejected too often."""
+    """Small sets are notified directly; with attached rows as well, too many requests were rejected."""
     harness = PolicyHarness(replica_count=12)
     exhaust(harness, 100, 12)
     send_requests(harness, 1, customer=7, replica_set_size=12)
     assert [row.customer for row in peer_messages(harness.actions)[0][1].rows] == [7]
 
 
-def test_an_exhausted_customer_is_attached_as_often_as_the_logarithm_of_its_set_size():
-    """Bytes of messages have a price; a customer that is exhausted for a second time is attached again."""
+def test_an_exhausted_customer_is_attached_to_a_limited_number_of_messages():
+    """Each time it is exhausted, the limit is the logarithm of the set's size: message bytes have a price."""
     harness = PolicyHarness(replica_count=200, peer_messages_per_second=200.0)
 
     def times_attached(first: int) -> int:
-        mark = len(harness.actions)
+        action_count = len(harness.actions)
         for customer in range(first, first + 40):
             send_requests(harness, 1, first_request=customer, customer=customer, replica_set_size=200)
-        messages = peer_messages(harness.actions[mark:])
+        messages = peer_messages(harness.actions[action_count:])
         assert len(messages) >= 20
         return sum(row.customer == 100 for _, message in messages for row in message.rows)
 
     exhaust(harness, 100, 200)
-    assert times_attached(1_000) == 6  # the logarithm of 200 is 5.3
+    assert times_attached(1_000) == 6  # the natural logarithm of 200 is 5.3
     assert times_attached(2_000) == 0
     harness.now += 8 * SECOND
     receive(
@@ -143,7 +143,7 @@
 
 
 def test_announcements_leave_messages_for_token_owners():
-    """Many customers may become exhausted at once in a large fleet."""
+    """In a large fleet many customers may be exhausted at the same time."""
     harness = PolicyHarness(replica_count=200, peer_messages_per_second=40.0)
     for customer in range(100, 200):
         row = customer_row(
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -1,17 +1,17 @@
-"""Permissions: no action of a gateway is one that its settings do not permit."""
+"""Permissions: a gateway returns no action that its settings do not permit."""
 
 from __future__ import annotations
 
 import pytest
-from harness.event_story import EventStory
 from harness.policy_harness import CEILING_PLAN, PolicyHarness, actions_of
+from harness.recording_harness import PolicyFuzzer
 
 from orchidlane.policy import CancelAttempt, CheckHealth, RejectRequest, SendPeerMessage
 
 FORBIDDEN_ACTIONS = (SendPeerMessage, CancelAttempt, CheckHealth)
 
 
-def test_a_gateway_that_may_not_gossip_sends_no_peer_message_when_a_ceiling_is_reached():
+def test_without_gossip_permission_no_message_is_sent_at_a_ceiling():
     harness = PolicyHarness(may_gossip=False, plans=(CEILING_PLAN,))
     for request in range(300):
         harness.request(request, customer=request // 10, replica_set_size=3)
@@ -19,7 +19,7 @@
     assert actions_of(harness.actions, SendPeerMessage) == []
 
 
-def test_a_gateway_that_may_not_gossip_sends_no_peer_message_below_its_ceilings():
+def test_without_gossip_permission_no_message_is_sent_below_a_ceiling():
     harness = PolicyHarness(may_gossip=False)
     for request in range(20):
         harness.request(request, customer=request, replica_set_size=3)
@@ -27,10 +27,10 @@
     assert actions_of(harness.actions, SendPeerMessage) == []
 
 
-# Guards against one more path by which an event leads to an action that the settings rule out.
+# Guards against any path by which an event leads to an action that the settings do not permit.
 @pytest.mark.parametrize("seed", range(20))
-def test_no_event_makes_a_gateway_without_permissions_do_what_needs_one(seed):
-    story = EventStory(seed, may_gossip=False, may_cancel=False, may_check_health=False)
+def test_no_event_leads_to_an_action_without_its_permission(seed):
+    fuzzer = PolicyFuzzer(seed, may_gossip=False, may_cancel=False, may_check_health=False)
     for _ in range(400):
-        story.step()
-    assert actions_of(story.bench.actions, FORBIDDEN_ACTIONS) == []
+        fuzzer.step()
+    assert actions_of(fuzzer.harness.actions, FORBIDDEN_ACTIONS) == []
--- a/tests/test_recording_audit.py
+++ b/tests/test_recording_audit.py
@@ -7,7 +7,7 @@
 
 import pytest
 from harness.constants import MS, SECOND
-from harness.event_story import EventStory, run_command
+from harness.recording_harness import PolicyFuzzer, run_command
 from harness.saved_states import NAMES
 from harness.scenarios import make_scenario, make_step
 
@@ -93,20 +93,20 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        story = EventStory(5)
-        self.began_at, self.settings = story.bench.now, story.bench.settings
-        recording.track_accounts(story.bench.gateway)
-        story.feed(policy.RequestArrived(1, 7, 0, 0, 1.0, 2 * SECOND, 0, 3, False))
-        self.arrived = story.log[-1]
+        fuzzer = PolicyFuzzer(5)
+        self.began_at, self.settings = fuzzer.harness.now, fuzzer.harness.settings
+        recording.track_accounts(fuzzer.harness.gateway)
+        fuzzer.feed(policy.RequestArrived(1, 7, 0, 0, 1.0, 2 * SECOND, 0, 3, False))
+        self.arrived = fuzzer.log[-1]
         self.endpoint = next(
             action.endpoint for action in self.arrived[2] if isinstance(action, policy.SendAttempt)
         )
-        story.bench.now += 100 * MS
+        fuzzer.harness.now += 100 * MS
         self.attempt_finished = policy.AttemptFinished(
             1, 0, self.endpoint, policy.Outcome.SERVED, 100, True, 0, 0.0, ()
         )
-        story.feed(self.attempt_finished)
-        self.served = story.log[-1]
+        fuzzer.feed(self.attempt_finished)
+        self.served = fuzzer.log[-1]
         self.timers = [(self.began_at + i * 500 * MS, policy.TimerFired(0), []) for i in range(1, 12)]
 
     def faults(self, *entries) -> dict[str, int]:
@@ -118,7 +118,7 @@
             self.began_at,
             0,
             recording.settings_to_stored(self.settings),
-            recording.dump_state(EventStory(5).bench.gateway),
+            recording.dump_state(PolicyFuzzer(5).harness.gateway),
             *NAMES,
         )
         data = recording.pack_header(header) + recording.pack_account_page(self.began_at, [], last=True)
--- a/tests/test_recording_segments.py
+++ b/tests/test_recording_segments.py
@@ -8,7 +8,7 @@
 
 import pytest
 from harness.constants import SECOND
-from harness.event_story import EventStory, run_command, write_segment
+from harness.recording_harness import PolicyFuzzer, run_command, write_segment
 
 from orchidlane import policy, recording
 
@@ -17,7 +17,7 @@
 
 def test_a_segment_truncated_at_any_byte_gives_a_prefix_and_reports_the_damage(tmp_path):
     complete = tmp_path / "a.olr"
-    log = write_segment(EventStory(5), 25, complete)
+    log = write_segment(PolicyFuzzer(5), 25, complete)
     data = complete.read_bytes()
     reader = recording.SegmentReader(str(complete))
     offsets = [entry.offset for entry in reader if entry.event is not None]
@@ -43,7 +43,7 @@
 
 def test_reading_ends_at_a_flipped_bit(tmp_path):
     complete = tmp_path / "a.olr"
-    log = write_segment(EventStory(6), 12, complete)
+    log = write_segment(PolicyFuzzer(6), 12, complete)
     data = complete.read_bytes()
     first = next(entry.offset for entry in recording.SegmentReader(str(complete)) if entry.event is not None)
     for place in range(first, len(data)):
@@ -59,13 +59,13 @@
 
 
 def test_replay_finds_no_difference_until_a_constant_changes(tmp_path, monkeypatch):
-    story, paths = EventStory(7), []
+    fuzzer, paths = PolicyFuzzer(7), []
     for number in range(3):
         path = tmp_path / f"{number}.olr"
-        write_segment(story, 200, path, number)
+        write_segment(fuzzer, 200, path, number)
         paths.append(str(path))
     found = recording.replay(paths)
-    assert (found.difference, found.segments, found.events) == (None, 3, len(story.log))
+    assert (found.difference, found.segments, found.events) == (None, 3, len(fuzzer.log))
     monkeypatch.setattr("orchidlane.policy.quota.EXHAUSTED_BELOW_SHARE", 0.5)
     other = recording.replay(paths)
     assert other.difference is not None
@@ -74,19 +74,19 @@
 
 
 def test_replay_continues_after_a_missing_segment_from_the_state_of_the_next(tmp_path):
-    story, paths = EventStory(8), []
+    fuzzer, paths = PolicyFuzzer(8), []
     for number in range(3):
         path = tmp_path / f"{number}.olr"
-        write_segment(story, 100, path, number)
+        write_segment(fuzzer, 100, path, number)
         paths.append(str(path))
     found = recording.replay([paths[0], paths[2]])
     assert (found.difference, found.segments) == (None, 2)
 
 
 def test_simulation_with_the_same_settings_changes_little_and_with_a_wider_plan_admits_more(tmp_path):
-    story = EventStory(9)
+    fuzzer = PolicyFuzzer(9)
     path = tmp_path / "0.olr"
-    write_segment(story, 600, path)
+    write_segment(fuzzer, 600, path)
     same = recording.simulate_settings([str(path)])
     assert same.recorded.keys() == same.simulated.keys()
     arrivals = sum(map(sum, same.recorded.values()))
@@ -94,16 +94,16 @@
     assert same.changed_decisions <= 0.2 * arrivals
     wide = tuple(
         dataclasses.replace(p, rate=900.0, burst=900.0, max_in_flight=0, ceiling_rate=0.0)
-        for p in story.bench.settings.plans
+        for p in fuzzer.harness.settings.plans
     )
-    other = recording.simulate_settings([str(path)], dataclasses.replace(story.bench.settings, plans=wide))
+    other = recording.simulate_settings([str(path)], dataclasses.replace(fuzzer.harness.settings, plans=wide))
     admitted = [sum(row[0] for row in table.values()) for table in (other.recorded, other.simulated)]
     assert admitted[1] > admitted[0]
 
 
 def test_the_index_finds_what_a_scan_finds(tmp_path):
     path = tmp_path / "a.olr"
-    write_segment(EventStory(11), 300, path)
+    write_segment(PolicyFuzzer(11), 300, path)
     reader = recording.SegmentReader(str(path))
     index = recording.KeyIndex(reader, recording.request_number)
     reread = recording.SegmentReader(str(path))
@@ -139,10 +139,10 @@
 
 @pytest.mark.parametrize("offset", [0, 5, 12])  # the length, the checksum, the body of a frame
 def test_replay_reports_a_flipped_bit_with_the_count_of_unchecked_events(tmp_path, offset):
-    story, paths = EventStory(7), []
+    fuzzer, paths = PolicyFuzzer(7), []
     for number in range(2):
         path = tmp_path / f"gw-1-{number}.olr"
-        write_segment(story, 100, path, number)
+        write_segment(fuzzer, 100, path, number)
         paths.append(path)
     offsets = [entry.offset for entry in recording.SegmentReader(str(paths[0])) if entry.event is not None]
     flip_bit(paths[0], offsets[60] + offset)
@@ -155,7 +155,7 @@
 
 def test_the_torn_tail_of_a_killed_gateway_is_reported_and_no_fault(tmp_path):
     path = tmp_path / "gw-1-0.olr"
-    write_segment(EventStory(7), 100, path)
+    write_segment(PolicyFuzzer(7), 100, path)
     path.write_bytes(path.read_bytes()[:-5])
     code, text = run_command("replay", str(tmp_path), "--json")
     assert code == 0
@@ -164,21 +164,21 @@
 
 
 def test_a_record_with_clock_jumps_replays_without_difference(tmp_path):
-    story = EventStory(8)
+    fuzzer = PolicyFuzzer(8)
     path = tmp_path / "gw-1-0.olr"
-    header_at = story.bench.now
+    header_at = fuzzer.harness.now
     for jump in (-3 * SECOND, 40 * SECOND, -20 * SECOND):
-        story.bench.now = header_at + jump
+        fuzzer.harness.now = header_at + jump
         for _ in range(30):
-            story.step()
-    write_segment(story, 60, path)
+            fuzzer.step()
+    write_segment(fuzzer, 60, path)
     found = recording.replay([str(path)])
     assert (found.difference, found.events) == (None, 60)
 
 
 def test_the_requests_of_a_customer_are_found_by_time(tmp_path):
     path = tmp_path / "gw-1-0.olr"
-    log = write_segment(EventStory(11), 400, path)
+    log = write_segment(PolicyFuzzer(11), 400, path)
     arrived = [
         (now, event)
         for now, event, _ in log
--- a/tests/test_recording_state.py
+++ b/tests/test_recording_state.py
@@ -4,8 +4,8 @@
 
 import msgspec
 import pytest
-from harness.event_story import EventStory
 from harness.policy_harness import PolicyHarness
+from harness.recording_harness import PolicyFuzzer
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -15,29 +15,29 @@
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 2**32), st.integers(0, 150))
 def test_a_policy_restored_at_any_time_decides_the_same(seed, cut):
-    story = EventStory(seed)
+    fuzzer = PolicyFuzzer(seed)
     for _ in range(cut):
-        story.step()
-    state = recording.dump_state(story.bench.gateway)
+        fuzzer.step()
+    state = recording.dump_state(fuzzer.harness.gateway)
     packed = msgspec.msgpack.encode(state)
     restored = recording.restore_gateway(
-        story.bench.settings, msgspec.msgpack.decode(packed, type=recording.StateDump)
+        fuzzer.harness.settings, msgspec.msgpack.decode(packed, type=recording.StateDump)
     )
-    first = len(story.log)
+    first = len(fuzzer.log)
     for _ in range(100):
-        story.step()
+        fuzzer.step()
     assert msgspec.msgpack.encode(state) == packed  # a dumped state does not change with its gateway
-    for now, event, actions in story.log[first:]:
+    for now, event, actions in fuzzer.log[first:]:
         assert restored.handle(now, event) == actions
-    assert recording.dump_state(restored) == recording.dump_state(story.bench.gateway)
+    assert recording.dump_state(restored) == recording.dump_state(fuzzer.harness.gateway)
 
 
 @given(st.integers(0, 2**32))
 def test_events_and_actions_survive_encoding(seed):
-    story = EventStory(seed)
+    fuzzer = PolicyFuzzer(seed)
     for _ in range(60):
-        story.step()
-    for _, event, actions in story.log:
+        fuzzer.step()
+    for _, event, actions in fuzzer.log:
         wire = msgspec.msgpack.decode(msgspec.msgpack.encode(recording.pack_event(event)))
         assert recording.unpack_event(wire) == event
         for action in actions:
@@ -70,10 +70,10 @@
 @settings(max_examples=30, deadline=None)
 @given(st.integers(0, 2**32), st.integers(0, 120), st.integers(1, 3))
 def test_a_snapshot_is_the_state_of_its_moment_whatever_happens_between_its_pages(seed, before, page):
-    story, gateways = EventStory(seed), []
+    fuzzer, gateways = PolicyFuzzer(seed), []
     for _ in range(before):
-        story.step()
-    gateway = story.bench.gateway
+        fuzzer.step()
+    gateway = fuzzer.harness.gateway
     recording.track_accounts(gateway)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", page)
@@ -85,7 +85,7 @@
                 assert len(some) <= page
                 rows += msgspec.msgpack.decode(msgspec.msgpack.encode(some))
                 for _ in range(4):
-                    story.step()
+                    fuzzer.step()
             gateways.append((snapshot.state, rows))
     state = msgspec.msgpack.decode(wanted, type=recording.StateDump)
     for head, rows in gateways:
@@ -96,10 +96,10 @@
 
 
 def test_a_closed_snapshot_observes_accounts_no_more():
-    story = EventStory(3)
+    fuzzer = PolicyFuzzer(3)
     for _ in range(50):
-        story.step()
-    gateway = story.bench.gateway
+        fuzzer.step()
+    gateway = fuzzer.harness.gateway
     recording.track_accounts(gateway)
     snapshot = recording.Snapshot(gateway)
     assert type(gateway.accounts) is not recording.ObservableAccounts
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Requests from arrival to their final answer: retries, deadlines and load shedding."""
+"""Requests from arrival to their final response: retries, deadlines and load shedding."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from orchidlane import policy
 from orchidlane.policy import Outcome
 
-# Numbers of the harness's request classes
+# Indexes of request classes in the settings of the harness
 KEYED_BY_CELL_CLASS = 1
 NOT_IDEMPOTENT_CLASS = 2
 KEYED_BY_ALL_CLASS = 3
@@ -19,11 +19,11 @@
 POSSIBLY_EXECUTED = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_BROKEN, Outcome.CANCELLED)
 
 
-def test_a_request_without_endpoints_is_held_and_rejected_before_its_deadline():
+def test_a_request_without_endpoints_is_held_until_near_its_deadline():
     harness = PolicyHarness(endpoints=0)
     assert not actions_of(harness.request(1, time_left_us=SECOND), (policy.RejectRequest, policy.FailRequest))
     harness.advance(SECOND - 1)
-    assert harness.final_answers(1) == [policy.RejectRequest(1, 0)]
+    assert harness.final_responses(1) == [policy.RejectRequest(1, 0)]
 
 
 def test_a_held_request_is_sent_when_an_endpoint_is_listed():
@@ -34,16 +34,16 @@
     assert len(actions_of(harness.advance(100_000), policy.SendAttempt)) == 1
 
 
-def test_a_timeout_at_the_deadline_is_answered_once(harness):
+def test_a_timeout_at_the_deadline_gets_one_final_response(harness):
     send = actions_of(harness.request(1, request_class=NOT_IDEMPOTENT_CLASS), policy.SendAttempt)[0]
     harness.now += 2 * SECOND
     harness.finish_attempt(1, send.endpoint, Outcome.TIMED_OUT, duration_us=2 * SECOND)
-    assert harness.final_answers(1) == [policy.FailRequest(1)]
+    assert harness.final_responses(1) == [policy.FailRequest(1)]
     harness.advance(5 * SECOND)
-    assert len(harness.final_answers(1)) == 1
+    assert len(harness.final_responses(1)) == 1
 
 
-def test_no_action_follows_a_final_answer_or_a_client_disconnect(harness):
+def test_no_action_follows_a_final_response_or_a_client_disconnect(harness):
     send = actions_of(harness.request(1), policy.SendAttempt)[0]
     harness.finish_attempt(1, send.endpoint, Outcome.SERVED)
     other = actions_of(harness.request(2), policy.SendAttempt)[0]
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("outcome", POSSIBLY_EXECUTED)
-def test_a_possibly_executed_request_that_is_not_idempotent_fails_without_retry(harness, outcome):
+def test_a_possibly_executed_non_idempotent_request_fails_without_retry(harness, outcome):
     send = actions_of(harness.request(1, request_class=NOT_IDEMPOTENT_CLASS), policy.SendAttempt)[0]
     harness.now += 10_000
     actions = harness.finish_attempt(1, send.endpoint, outcome)
@@ -70,31 +70,33 @@
 
 
 @pytest.mark.parametrize("outcome", NOT_EXECUTED)
-def test_a_request_that_is_not_idempotent_is_retried_if_it_was_not_executed(harness, outcome):
+def test_a_non_idempotent_request_is_retried_if_it_was_not_executed(harness, outcome):
     send = actions_of(harness.request(1, request_class=NOT_IDEMPOTENT_CLASS), policy.SendAttempt)[0]
     assert actions_of(harness.finish_attempt(1, send.endpoint, outcome), policy.SendAttempt)
 
 
-def test_a_request_that_is_not_idempotent_is_not_hedged(harness):
+def test_a_non_idempotent_request_is_not_hedged(harness):
     harness.request(1, request_class=NOT_IDEMPOTENT_CLASS)
     assert not actions_of(harness.advance(3 * SECOND), policy.SendAttempt)
 
 
-@pytest.mark.parametrize(("kind", "near"), [(KEYED_BY_CELL_CLASS, "cell"), (KEYED_BY_ZONE_CLASS, "zone")])
-def test_a_request_with_a_key_is_retried_within_its_deduplication_scope(kind, near):
+@pytest.mark.parametrize(
+    ("request_class", "scope"), [(KEYED_BY_CELL_CLASS, "cell"), (KEYED_BY_ZONE_CLASS, "zone")]
+)
+def test_a_keyed_request_is_retried_within_its_deduplication_scope(request_class, scope):
     for seed in range(12):
         harness = PolicyHarness(endpoints=0, seed=seed)
-        where = {endpoint_entry(i).endpoint: i % 2 for i in range(6)}
-        harness.feed(endpoint_list(*(endpoint_entry(i, **{near: i % 2}) for i in range(6))))
-        send = actions_of(harness.request(1, request_class=kind), policy.SendAttempt)[0]
+        group_of_endpoint = {endpoint_entry(i).endpoint: i % 2 for i in range(6)}
+        harness.feed(endpoint_list(*(endpoint_entry(i, **{scope: i % 2}) for i in range(6))))
+        send = actions_of(harness.request(1, request_class=request_class), policy.SendAttempt)[0]
         harness.now += 10_000
         retries = actions_of(
             harness.finish_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
         )
-        assert [where[a.endpoint] for a in retries] == [where[send.endpoint]]
+        assert [group_of_endpoint[retry.endpoint] for retry in retries] == [group_of_endpoint[send.endpoint]]
 
 
-def test_a_request_with_a_key_fails_if_its_deduplication_scope_has_no_endpoint():
+def test_a_keyed_request_fails_if_its_deduplication_scope_is_empty():
     harness = PolicyHarness(endpoints=0)
     harness.feed(endpoint_list(endpoint_entry(1, cell=1)))
     send = actions_of(harness.request(1, request_class=KEYED_BY_CELL_CLASS), policy.SendAttempt)[0]
@@ -104,10 +106,10 @@
         harness.finish_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
     )
     harness.advance(2 * SECOND)
-    assert harness.final_answers(1) == [policy.FailRequest(1)]
+    assert harness.final_responses(1) == [policy.FailRequest(1)]
 
 
-def test_a_request_with_a_key_is_not_retried_after_its_deduplication_window(harness):
+def test_a_keyed_request_is_not_retried_after_its_deduplication_window(harness):
     send = actions_of(
         harness.request(1, request_class=KEYED_BY_ALL_CLASS, time_left_us=4 * SECOND), policy.SendAttempt
     )[0]
@@ -116,7 +118,7 @@
         harness.finish_attempt(1, send.endpoint, Outcome.CONNECTION_BROKEN), policy.SendAttempt
     )
     harness.advance(4 * SECOND)
-    assert harness.final_answers(1) == [policy.RejectRequest(1, 0)]
+    assert harness.final_responses(1) == [policy.RejectRequest(1, 0)]
 
 
 def test_an_attempt_is_cancelled_when_the_client_disconnects(harness):
@@ -126,7 +128,7 @@
     ]
 
 
-def test_no_more_than_the_maximum_of_attempts_is_made():
+def test_attempts_are_limited_to_the_configured_maximum():
     harness = PolicyHarness(max_attempts=2)
     send = actions_of(harness.request(1), policy.SendAttempt)[0]
     send = actions_of(harness.finish_attempt(1, send.endpoint, Outcome.ENDPOINT_FULL), policy.SendAttempt)[0]
@@ -138,12 +140,12 @@
     harness = PolicyHarness(endpoints=4)
     sends = 0
     for request in range(1, 201):
-        out = actions_of(harness.request(request, customer=request), policy.SendAttempt)
+        sends_of_request = actions_of(harness.request(request, customer=request), policy.SendAttempt)
         attempt = 0
-        while out:
+        while sends_of_request:
             sends += 1
-            out = actions_of(
-                harness.finish_attempt(request, out[0].endpoint, Outcome.ERROR, attempt=attempt),
+            sends_of_request = actions_of(
+                harness.finish_attempt(request, sends_of_request[0].endpoint, Outcome.ERROR, attempt=attempt),
                 policy.SendAttempt,
             )
             attempt += 1
@@ -151,7 +153,7 @@
     assert sends < 200 * 1.15
 
 
-def test_requests_are_shed_at_once_in_overload():
+def test_requests_are_shed_immediately_in_an_overload():
     harness = PolicyHarness(endpoints=2)
     for request in range(1, 41):
         serve_request(harness, request, lambda _: 60_000)
@@ -161,10 +163,10 @@
     assert 0 < len(sends) < 50
     assert not [
         a for a in harness.advance(SECOND // 10) if isinstance(a, policy.RejectRequest)
-    ]  # none was held first
+    ]  # no request was held before it was shed
 
 
 def test_a_request_class_that_is_always_slow_is_not_shed():
-    """The usual latency itself is no reason to shed load, however near to the latency objective it is."""
+    """The usual latency of a class is no reason to shed load, even if it is near the latency objective."""
     harness = PolicyHarness(endpoints=1)
     assert all(serve_request(harness, r, lambda _: 110_000) for r in range(1, 60))
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -4,10 +4,10 @@
 
 import pytest
 from harness.constants import MS, SECOND
-from harness.event_story import EventStory, run_command
 from harness.gateway_harness import GET, GatewayHarness, good
 from harness.golden_admin import request_admin
 from harness.policy_harness import actions_of
+from harness.recording_harness import PolicyFuzzer, run_command
 from harness.saved_states import NAMES, write_state
 from harness.scenarios import make_scenario
 
@@ -38,30 +38,30 @@
     """Thousands of next requests, predicted by a copy and then made."""
     compared = 0
     for seed in range(20):
-        story = EventStory(seed)
+        fuzzer = PolicyFuzzer(seed)
         for _ in range(200):
-            story.step()
-            customer, plan = story.rng.randrange(6), 0
-            gateway: Gateway = story.bench.gateway
+            fuzzer.step()
+            customer, plan = fuzzer.rng.randrange(6), 0
+            gateway: Gateway = fuzzer.harness.gateway
             if customer in gateway.accounts:
                 plan = gateway.accounts[customer].plan
             viewed = ViewedCustomer(customer, plan, 0, 3)
             names = PolicyNames(tuple("abcde"), tuple("pqrs"))
-            view = decode_view(encode_view(gateway, "g", story.bench.now, names, viewed))
+            view = decode_view(encode_view(gateway, "g", fuzzer.harness.now, names, viewed))
             prediction = predict_request(view, 0, 1.0)
-            story.number += 1
-            story.feed(policy.RequestArrived(story.number, *viewed[:2], 0, 1.0, 2 * SECOND, 0, 3, False))
-            assert prediction.decision == decision_of(story.log[-1].actions)
+            fuzzer.number += 1
+            fuzzer.feed(policy.RequestArrived(fuzzer.number, *viewed[:2], 0, 1.0, 2 * SECOND, 0, 3, False))
+            assert prediction.decision == decision_of(fuzzer.log[-1].actions)
             compared += 1
     assert compared == 4_000
 
 
 def test_a_state_truncated_at_any_byte_is_rejected(tmp_path):
-    story = EventStory(4)
+    fuzzer = PolicyFuzzer(4)
     for _ in range(60):
-        story.step()
+        fuzzer.step()
     complete, truncated = tmp_path / "complete.olr", tmp_path / "truncated.olr"
-    write_state(story, complete)
+    write_state(fuzzer, complete)
     data = complete.read_bytes()
     assert count_by_plan(recording.SegmentReader(str(complete)), 3)["p"].customers > 0
     for size in range(len(data)):
@@ -72,12 +72,12 @@
 
 
 def test_the_counts_of_a_plan_are_the_sums_of_its_customers(tmp_path):
-    story = EventStory(9)
+    fuzzer = PolicyFuzzer(9)
     for _ in range(200):
-        story.step()
+        fuzzer.step()
     path = tmp_path / "s.olr"
-    write_state(story, path, events_between_pages=0)
-    now, gateway = story.bench.now, story.bench.gateway
+    write_state(fuzzer, path, events_between_pages=0)
+    now, gateway = fuzzer.harness.now, fuzzer.harness.gateway
     gateway.now = now
     found = count_by_plan(recording.SegmentReader(str(path)), 2)
     for plan, name in enumerate(NAMES[1]):
--- a/tests/test_token_owner.py
+++ b/tests/test_token_owner.py
@@ -1,16 +1,23 @@
-"""Token owners: reports of admissions, stand-ins and pending deltas."""
+"""Token owners: reports of spent units, stand-ins and pending deltas."""
 
 from __future__ import annotations
 
 from harness.constants import SECOND
-from harness.gossip_harness import NOW_TICKS, confirmed, customer_row, peer_messages, receive, send_requests
+from harness.gossip_harness import (
+    NOW_TICKS,
+    confirmed_harness,
+    customer_row,
+    peer_messages,
+    receive,
+    send_requests,
+)
 from harness.policy_harness import PolicyHarness
 
 from orchidlane.policy import replica_set
 
 
-def test_a_token_owner_adds_up_the_counts_that_gateways_report_of_themselves():
-    harness = confirmed()
+def test_a_token_owner_sums_the_counts_that_gateways_report():
+    harness = confirmed_harness()
     for sender in (1, 2):
         receive(
             harness,
@@ -21,7 +28,7 @@
     assert harness.gateway.accounts[7].spent_total == 8.0
 
 
-def test_an_admission_is_reported_to_one_token_owner_and_to_a_stand_in_after_a_timeout():
+def test_an_admission_is_reported_to_a_stand_in_after_a_timeout():
     harness = PolicyHarness(replica_count=60)
     first = [(p, m) for p, m in peer_messages(harness.request(1, replica_set_size=50)) if m.to_token_owner]
     assert len(first) == 1
@@ -39,17 +46,17 @@
     assert not [p for p, m in peer_messages(harness.advance(270_000)) if m.to_token_owner]
 
 
-def test_replies_awaited_while_this_process_was_paused_do_not_count_as_missing():
+def test_replies_awaited_while_paused_do_not_count_as_missing():
     harness = PolicyHarness(replica_count=60)
     for i in range(1, 20):
         harness.request(i, customer=i, replica_set_size=50)
-    harness.now += 2 * SECOND  # no event in between: its timers are late
+    harness.now += 2 * SECOND  # no event in between, so the timers fire late
     harness.advance(1)
     assert harness.gateway.unreachable_share == 0.0
 
 
 def test_a_customer_is_confirmed_if_no_token_owner_replies():
-    """As in a partition: the customer must not stay limited to its first share."""
+    """In a partition a customer must not stay limited to the share of an unconfirmed account."""
     harness = PolicyHarness(replica_count=60)
     send_requests(harness, 3, replica_set_size=50)
     harness.advance(3 * SECOND)
@@ -57,7 +64,7 @@
 
 
 def test_pending_deltas_are_sent_together_if_messages_are_scarce():
-    """With a few messages a second each customer is reported all the same."""
+    """Every customer is reported even if only a few messages a second are allowed."""
     harness = PolicyHarness(peer_messages_per_second=10.0)
     for i in range(1, 60):
         assert send_requests(harness, 1, first_request=i, customer=i) == 1
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -10,8 +10,8 @@
 
 import pytest
 from harness.constants import SECOND
-from harness.event_story import EventStory, run_command, write_segment
 from harness.gateway_harness import GET, GatewayHarness, good
+from harness.recording_harness import PolicyFuzzer, run_command, write_segment
 from harness.saved_states import write_state
 
 import orchidlane
@@ -51,31 +51,31 @@
 def test_a_tool_of_another_build_rejects_a_state_and_replays_a_record_with_a_difference(
     tmp_path, other_build
 ):
-    story = EventStory(12)
+    fuzzer = PolicyFuzzer(12)
     for _ in range(150):
-        story.step()
+        fuzzer.step()
     state = tmp_path / "state.olr"
-    write_state(story, state)
+    write_state(fuzzer, state)
     code, text = run_command("counts", str(state), "3")
     assert code == 0, text
     with pytest.raises(recording.FormatError):  # what does not fit together is no state
-        recording.restore_gateway(story.bench.settings, recording.SegmentReader(str(state)).header.state)
+        recording.restore_gateway(fuzzer.harness.settings, recording.SegmentReader(str(state)).header.state)
     code, text = run_other_build(other_build, "counts", str(state), "3")
     assert (code, "its decisions could differ" in text) == (2, True), text
     assert run_other_build(other_build, "state", str(state))[0] == 2
     rec = tmp_path / "rec"
     rec.mkdir()
-    write_segment(story, 400, rec / "gw-1-0.olr")
+    write_segment(fuzzer, 400, rec / "gw-1-0.olr")
     assert run_command("replay", str(rec))[0] == 0
     code, text = run_other_build(other_build, "replay", str(rec))
     assert (code, "recorded" in text and "acted" in text) == (1, True), text
 
 
 def test_a_state_of_a_later_build_is_rejected_in_one_line(tmp_path):
-    story = EventStory(12)
-    story.step()
+    fuzzer = PolicyFuzzer(12)
+    fuzzer.step()
     path = tmp_path / "s.olr"
-    write_state(story, path, build="9.9+abc")
+    write_state(fuzzer, path, build="9.9+abc")
     code, text = run_command("counts", str(path), "3")
     assert (code, text.count("\n")) == (2, 1)
     assert "9.9+abc" in text
