--- a/orchidlane/policy/gossip.py
+++ b/orchidlane/policy/gossip.py
@@ -63,8 +63,8 @@
 def peer_message_received(state: PolicyState, event: PeerMessageReceived) -> None:
     """Merge a peer's message, forward its rows as they request, and reply if a reply is requested.
 
-    Messages are dropped if they are malformed or their sender or send time is out of range, and all messages
-    if this gateway is standalone.
+    A message is dropped if it is malformed, if its sender or send time is out of range, or if this gateway is
+    standalone.
     """
     settings = state.settings
     message = gossip_codec.decode_message(
--- a/orchidlane/policy/peer_messages.py
+++ b/orchidlane/policy/peer_messages.py
@@ -49,7 +49,10 @@
     reply_requests: Sequence[ReplyRequest] = (),
     to_token_owner: bool = False,
 ) -> bool:
-    """Send one message if the allowance permits; return whether it was sent. All messages are sent here."""
+    """Send one message if the allowance permits; return whether it was sent.
+
+    All messages to peers go through this function.
+    """
     if not has_allowance(state):
         return False
     state.message_allowance -= 1
