--- a/tests/harness/fleet_discovery.py
+++ b/tests/harness/fleet_discovery.py
@@ -26,7 +26,7 @@
     """A change of one entry of the endpoint list."""
 
     generation: int
-    at_us: int
+    published_at_us: int
     entry: dict[str, Any]
 
 
@@ -98,7 +98,7 @@
         due = [
             change
             for change in self.changes
-            if change.generation > generation and change.at_us + lag_us <= self.loop.now()
+            if change.generation > generation and change.published_at_us + lag_us <= self.loop.now()
         ]
         if not due:
             return None
--- a/tests/harness/recording_harness.py
+++ b/tests/harness/recording_harness.py
@@ -21,7 +21,7 @@
 class LoggedEvent(NamedTuple):
     """An event, when it was fed, and the resulting actions."""
 
-    at_us: int
+    fed_at_us: int
     event: policy.Event
     actions: list[policy.Action]
 
@@ -132,7 +132,7 @@
         fuzzer.step()
     data = recording.pack_header(header) + recording.pack_account_page(1, [], last=True)
     for logged in fuzzer.log[first:]:
-        data += recording.pack_entry(logged.at_us, logged.event, logged.actions)
+        data += recording.pack_entry(logged.fed_at_us, logged.event, logged.actions)
     path.write_bytes(data)
     return fuzzer.log[first:]
 
