--- a/orchidlane/gateway/lifecycle/gateway_parts.py
+++ b/orchidlane/gateway/lifecycle/gateway_parts.py
@@ -101,7 +101,7 @@
         lambda: gateway.policy_driver,
         gateway.metrics,
         gateway.unready_reason,
-        agent.record_answer if agent is not None else None,
+        agent.record_response if agent is not None else None,
     )
 
 
--- a/orchidlane/gateway/rollout_agent/__init__.py
+++ b/orchidlane/gateway/rollout_agent/__init__.py
@@ -1,1 +1,1 @@
-"""One gateway's part in fleet versions: datagrams, files, adoption; ``orchidlane.rollout`` decides."""
+"""One gateway's part in a rollout: datagrams, files, adoption. ``orchidlane.rollout`` makes the decisions."""
--- a/orchidlane/gateway/rollout_agent/admin_api.py
+++ b/orchidlane/gateway/rollout_agent/admin_api.py
@@ -1,9 +1,9 @@
-"""The rollout API at a gateway's admin address: contents, counts, status and commands.
+"""The rollout API at a gateway's admin address: content files, response counts, status and commands.
 
-Every call carries a seal under the fleet's key, over method, target and body; a client without the key learns
-and changes nothing. A replayed call is harmless: contents are named by their hash, and a command has an id
-and names the version that it was made from. A command is carried out by the leader; any other gateway
-forwards it, once.
+Every call carries a seal: a MAC under the fleet's key over method, target and body. Without the key, a client
+can neither read nor change anything. Replaying a recorded call has no effect: content files are named by
+their hash, and a command carries an id and the number of the version that it is based on. The leader carries
+out commands; any other gateway forwards a command to the leader, at most once.
 """
 
 from __future__ import annotations
@@ -33,24 +33,24 @@
 MAX_FOLLOWING_VERSIONS = 14
 MAX_ID_CHARACTERS = 64
 
-NO_STATE = "there is no replicated state yet: all voters are needed to create it, once"
+NO_STATE = "there is no replicated state yet: it is created once all voters run"
 
 
 class InvalidCommandError(Exception):
-    """A request that names no valid command; the message tells why."""
+    """A request does not contain a valid command; the message says why."""
 
 
 class RolloutAdminApi:
-    """Answers calls for one gateway."""
+    """Serves the rollout API of one gateway."""
 
     def __init__(self, agent: RolloutAgent) -> None:
         self.agent = agent
         self.max_body_bytes = int(agent.fleet.rollout.max_content_bytes)
 
     def answer(self, method: str, target: bytes, seal: bytes | None, body: bytes) -> AdminResponse:
-        """Return status and body."""
+        """Verify the seal of a call, carry the call out and return the response."""
         if not verify_seal(self.agent.secret, _parse_seal(seal), SEAL_PURPOSE, method, target, body):
-            return AdminResponse(403, b"not sealed under the fleet's key\n")
+            return AdminResponse(403, b"invalid seal: calls must be sealed under the fleet's key\n")
         resource, _, name = target.removeprefix(PATH_PREFIX).decode("latin-1").partition("/")
         match method, resource:
             case "GET", "content" if is_content_hash(name):
@@ -58,26 +58,26 @@
             case "PUT", "content" if is_content_hash(name):
                 return self._put_content(name, body)
             case "GET", "counts":
-                return AdminResponse(200, msgspec.msgpack.encode(self.agent.answer_tally.counts()))
+                return AdminResponse(200, msgspec.msgpack.encode(self.agent.response_tally.counts()))
             case "GET", "status":
                 return AdminResponse(200, msgspec.msgpack.encode(self.status()))
             case "POST", "command":
                 return self._post_command(body)
-        return AdminResponse(404, b"no such call\n")
+        return AdminResponse(404, b"unknown method or path\n")
 
     def _get_content(self, blob_hash: str) -> AdminResponse:
         data = self.agent.storage.read_blob(blob_hash)
-        return AdminResponse(200, data) if data is not None else AdminResponse(404, b"not here\n")
+        return AdminResponse(200, data) if data is not None else AdminResponse(404, b"content not found\n")
 
     def _put_content(self, blob_hash: str, data: bytes) -> AdminResponse:
-        """Keep a content of a proposal to come."""
+        """Store a content file that a later proposal will name."""
         if content_hash(data) != blob_hash:
-            return AdminResponse(400, b"not the content of this name\n")
+            return AdminResponse(400, b"the body does not have the hash given in the path\n")
         try:
             self.agent.storage.write_upload(blob_hash, data)
         except OSError as error:
-            return AdminResponse(507, f"not written: {error.strerror}\n".encode())
-        return AdminResponse(200, b"kept\n")
+            return AdminResponse(507, f"content not written to disk: {error.strerror}\n".encode())
+        return AdminResponse(200, b"stored\n")
 
     # -- commands
 
@@ -97,7 +97,7 @@
         if outcome is None:
             return self._forward(request, state)
         if self._is_known_proposal(request.command_id):
-            outcome = CommandOutcome(True)  # it was sent before
+            outcome = CommandOutcome(True)  # an earlier copy of this request was accepted
         return _outcome_response(outcome)
 
     def _is_known_proposal(self, command_id: str) -> bool:
@@ -105,11 +105,11 @@
         return state is not None and any(version.proposal_id == command_id for version in state.versions())
 
     def _forward(self, request: CommandRequest, state: ReplicatedState) -> AdminResponse:
-        """Pass a command on to the leader, once."""
+        """Forward a command to the leader, unless another gateway forwarded it already."""
         if request.is_forwarded or state.leader in (-1, self.agent.rank):
             reason = (
-                f"nobody leads: gateway {state.leader} did in term {state.term}; without a quorum of voters"
-                " nothing changes, and what runs is served for a lease after their last word"
+                f"there is no leader: the last one was gateway {state.leader} in term {state.term}; without a"
+                " quorum of voters no version can change, and gateways serve only until their leases expire"
             )
             return _outcome_response(CommandOutcome(False, reason, is_retryable=True))
         body = msgspec.msgpack.encode(msgspec.structs.replace(request, is_forwarded=True))
@@ -118,13 +118,13 @@
                 state.leader, "POST", "command", body, timeout_us=FORWARD_TIMEOUT_US
             )
         except AdminCallError as error:
-            reason = f"gateway {state.leader}, which leads, does not answer: {error}"
+            reason = f"gateway {state.leader}, the leader, does not respond: {error}"
             return _outcome_response(CommandOutcome(False, reason, is_retryable=True))
 
     # -- status
 
     def status(self) -> RolloutStatus:
-        """Return the state of fleet versions, as this gateway knows it."""
+        """Return the state of the fleet's versions as this gateway knows it."""
         agent = self.agent
         state = agent.state
         leadership = agent.leadership
@@ -154,7 +154,7 @@
 
 
 def _parse_seal(seal: bytes | None) -> bytes:
-    """Return the seal of a header field; b"" where it is none."""
+    """Return the seal in a header field; b"" if the field is missing or not hexadecimal."""
     try:
         return bytes.fromhex((seal or b"").decode("latin-1"))
     except ValueError:
@@ -162,9 +162,9 @@
 
 
 def _to_command(request: CommandRequest) -> ProposeVersion | StopRollout | ResumeRollout:
-    """Return the command, whose term the leader fills in. Raises InvalidCommandError."""
+    """Return the requested command; its term is 0 until the leader sets it. Raises InvalidCommandError."""
     if not 0 < len(request.command_id) <= MAX_ID_CHARACTERS:
-        raise InvalidCommandError("a command has a name")
+        raise InvalidCommandError("the command's id must have 1 to 64 characters")
     author = request.author[:MAX_TEXT_CHARACTERS]
     reason = request.reason[:MAX_TEXT_CHARACTERS]
     match request.action:
@@ -172,7 +172,7 @@
             following = len(request.followed_by)
             if following > MAX_FOLLOWING_VERSIONS:
                 raise InvalidCommandError(
-                    f"{following} versions that follow, allowed: {MAX_FOLLOWING_VERSIONS}"
+                    f"{following} versions are to follow the proposed one, maximum: {MAX_FOLLOWING_VERSIONS}"
                 )
             return ProposeVersion(
                 term=0,
@@ -189,7 +189,9 @@
             return StopRollout(0, request.base, stop_reason, request.command_id)
         case "resume":
             return ResumeRollout(0, request.base, request.command_id)
-    raise InvalidCommandError(f"no such command: {request.action!r}")
+    raise InvalidCommandError(
+        f"unknown action, allowed are propose (with contents), stop and resume: {request.action!r}"
+    )
 
 
 def _outcome_response(outcome: CommandOutcome) -> AdminResponse:
--- a/orchidlane/gateway/rollout_agent/admin_client.py
+++ b/orchidlane/gateway/rollout_agent/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls to the rollout API at gateways' admin addresses, sealed under the fleet's key."""
+"""Client of the rollout API at the gateways' admin addresses; calls are sealed under the fleet's key."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 SEAL_HEADER = b"orchidlane-seal"
 PATH_PREFIX = b"/change/"
 SEAL_PURPOSE = "admin"
-MAX_RESPONSE_BYTES = 1 << 16  # of a response that is no content
+MAX_RESPONSE_BYTES = 1 << 16  # callers that fetch content files pass a larger limit
 
 
 class AdminCallError(Exception):
-    """A call has no usable response; the message tells why."""
+    """A call got no usable response; the message says why."""
 
 
 class AdminResponse(NamedTuple):
-    """Status and body."""
+    """Status code and body of a response."""
 
     status: int
     body: bytes
 
 
 class AdminClient:
-    """Calls to the gateways of a fleet, by rank."""
+    """Calls the rollout API of the fleet's gateways by their rank."""
 
     def __init__(self, loop: EventLoop, fleet: FleetSettings, secret: bytes) -> None:
         self.loop = loop
@@ -53,7 +53,7 @@
         timeout_us: int,
         max_response_bytes: int = MAX_RESPONSE_BYTES,
     ) -> AdminResponse:
-        """Call a path below the prefix. Raises AdminCallError."""
+        """Call a path below ``PATH_PREFIX`` of one gateway. Raises AdminCallError."""
         return call_admin_api(
             self.loop,
             parse_host_port(self.fleet.gateways[rank].admin),
@@ -77,7 +77,7 @@
     deadline_us: int,
     max_response_bytes: int = MAX_RESPONSE_BYTES,
 ) -> AdminResponse:
-    """Make one call over a connection of its own. Raises AdminCallError."""
+    """Make one call over a new connection. Raises AdminCallError."""
     fields = [
         (b"host", b"admin"),
         (SEAL_HEADER, compute_seal(secret, SEAL_PURPOSE, method, target, body).hex().encode()),
@@ -87,12 +87,12 @@
     try:
         stream = loop.backend.connect(admin_address, deadline_us)
     except (ConnectionFailedError, DeadlineExceededError) as error:
-        raise AdminCallError(f"no connection: {error or 'in time'}") from None
+        raise AdminCallError(f"connection failed: {error or 'timed out'}") from None
     try:
         stream.send(http1.request_head(method, target, fields) + body, deadline_us)
         return _receive_response(stream, method, deadline_us, max_response_bytes)
     except (ConnectionClosedError, DeadlineExceededError, ProtocolError) as error:
-        raise AdminCallError(f"no whole answer: {error or 'in time'}") from None
+        raise AdminCallError(f"no complete response: {error or 'timed out'}") from None
     finally:
         stream.close()
 
@@ -108,7 +108,7 @@
         match parser.next_event():
             case None:
                 if parser.input_ended:
-                    raise AdminCallError("the answer ended early")
+                    raise AdminCallError("the connection was closed before the response was complete")
                 parser.receive(stream.recv(deadline=deadline_us))
             case Response() as response:
                 status = response.status
--- a/orchidlane/gateway/rollout_agent/admin_messages.py
+++ b/orchidlane/gateway/rollout_agent/admin_messages.py
@@ -1,4 +1,4 @@
-"""Bodies of calls to the admin address and of their answers, in MessagePack; field names are those sent."""
+"""Bodies of rollout API requests and responses in MessagePack; ``name=`` is a field's name in the message."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class CommandRequest(msgspec.Struct, frozen=True):
-    """A command; ``base`` is the latest version that its author knew of.
+    """A command; ``base`` is the number of the latest version that its author had seen.
 
-    ``command_id`` makes it idempotent; ``action`` is "propose", "stop" or "resume". A gateway that does not
-    lead forwards it once.
+    A command is carried out at most once per ``command_id``. ``action`` is "propose", "stop" or "resume".
+    A gateway that is not the leader sets ``is_forwarded`` and sends the command on to the leader.
     """
 
     command_id: str = msgspec.field(name="id")
@@ -27,7 +27,7 @@
 
 
 class CommandOutcome(msgspec.Struct, frozen=True):
-    """What became of a command; a retryable one may be sent again and is carried out once at most."""
+    """The outcome of a command; a retryable one may be sent again and is carried out at most once."""
 
     is_accepted: bool = msgspec.field(name="taken")
     reason: str = msgspec.field(default="", name="why")
@@ -35,21 +35,24 @@
 
 
 class GatewayStatus(msgspec.Struct, frozen=True):
-    """What the leader knows of one gateway; durations in microseconds, -1: it did not report."""
+    """What the leader knows about one gateway; durations in microseconds, -1 if it has not reported."""
 
     rank: int
     running_number: int = msgspec.field(default=-1, name="runs")
     target_number: int = msgspec.field(default=-1, name="wanted")
     reason: str = msgspec.field(default="", name="why")
     last_seen_us_ago: int = msgspec.field(default=-1, name="heard")
-    running_for_us: int = msgspec.field(default=-1, name="since")  # at least
+    running_for_us: int = msgspec.field(
+        default=-1, name="since"
+    )  # lower bound, since its first report of this version
 
 
 class RolloutStatus(msgspec.Struct, frozen=True):
-    """The state of fleet versions, as the answering gateway knows it.
+    """The state of the fleet's versions as the responding gateway knows it.
 
-    ``confirmed_us_ago``: when a quorum confirmed it, -1: never. ``rejection_reason``: why this gateway
-    rejects requests, "" where it serves. ``gateways`` is empty unless the gateway leads.
+    ``confirmed_us_ago``: microseconds since a quorum last confirmed this state, -1 if never.
+    ``rejection_reason``: why this gateway rejects requests, "" if it serves them.
+    ``gateways``: empty unless the responding gateway is the leader.
     """
 
     gateway: int
--- a/orchidlane/gateway/rollout_agent/admission.py
+++ b/orchidlane/gateway/rollout_agent/admission.py
@@ -1,4 +1,4 @@
-"""A voter whose store is no member asks to be admitted; before there is a state, one voter creates it."""
+"""Admission of a voter whose store is not a member, and creation of the first replicated state."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class Admission:
-    """Asks until the voter is a member. The first voter of the settings creates the first state."""
+    """Requests admission repeatedly until the voter is a member.
+
+    The first voter in the settings creates the first replicated state.
+    """
 
     def __init__(
         self,
@@ -36,7 +39,7 @@
         self._logged_reason = ""
 
     def tick(self, now: int, leadership: Leadership) -> None:
-        """Ask to be admitted, when it is due."""
+        """Request admission if the voter is not a member and a request is due."""
         voter = leadership.voter
         if voter.is_member or not self.background.is_due("admission"):
             return
@@ -55,7 +58,7 @@
             self._bootstrap(now, leadership)
 
     def _bootstrap(self, now: int, leadership: Leadership) -> None:
-        """Create the first state, if all voters have asked with the same contents."""
+        """Create the first state if all voters have requested admission with the same contents."""
         requests = leadership.recent_admission_requests(now)
         state = bootstrap_state(self.secret, self.voters, requests, self.agent_state.own_contents)
         if not isinstance(state, str):
--- a/orchidlane/gateway/rollout_agent/adoption.py
+++ b/orchidlane/gateway/rollout_agent/adoption.py
@@ -1,4 +1,4 @@
-"""Adoption of the version that the replicated state wants at this gateway."""
+"""Adoption of the target version, which the replicated state assigns to this gateway."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class CustomersToReset(NamedTuple):
-    """Customers whose quotas begin anew, by whether the new version serves them."""
+    """Numbers of customers whose quotas are reset, by whether the new version suspends or serves them."""
 
     suspended: list[int]
     served: list[int]
 
 
 class RestoredVersion(NamedTuple):
-    """What an earlier process of this gateway ran."""
+    """The configuration and replicated state that an earlier process of this gateway stored."""
 
     snapshot: ConfigurationSnapshot
     state: ReplicatedState
@@ -37,7 +37,10 @@
 
 
 class Adoption:
-    """Replaces the configuration by that of the target version; ``error`` tells why it could not."""
+    """Replaces the configuration by that of the target version.
+
+    ``error`` says why the last attempt failed, "" if it succeeded.
+    """
 
     def __init__(
         self,
@@ -62,7 +65,7 @@
     # -- restart
 
     def restore(self, generation: int) -> RestoredVersion | None:
-        """Return what an earlier process ran, by its own files; None where nothing of it can be used."""
+        """Return what an earlier process stored; None if its files are missing or cannot be used."""
         try:
             file = self.storage.read_running()
             if file is None:
@@ -79,12 +82,12 @@
     def _check_certificate(self, file: RunningFile) -> None:
         error = certificate_error(self.process.secret, file.running)
         if error:
-            raise CorruptFileError(f"its certificate: {error}")
+            raise CorruptFileError(f"invalid certificate: {error}")
 
     # -- adoption
 
     def tick(self, state: ReplicatedState) -> None:
-        """Begin to adopt the target version, if another one runs."""
+        """Start to adopt the target version if another version is running."""
         target = state.target_certificate(self.process.rank)
         running = self.agent_state.running
         is_behind = running is None or running.version != target.version
@@ -92,7 +95,7 @@
             self.background.start("adopt", lambda: self._adopt(target))
 
     def _adopt(self, target: Certificate) -> None:
-        """Adopt a version, if a quorum's certificate proves it and its contents can be used."""
+        """Adopt a version if a quorum's certificate approves it and its contents are valid."""
         version = target.version
         log = self.process.log
         try:
@@ -105,29 +108,31 @@
         reset = self._customers_to_reset(self.process.configuration, snapshot)
         state = self.agent_state.replicated
         if state is None or state.target_certificate(self.process.rank) != target:
-            return  # the target changed meanwhile
-        self._reset_quotas(reset.served, snapshot)  # before these customers are served again
+            return  # the target changed while this task waited for the contents
+        self._reset_quotas(reset.served, snapshot)  # before the new configuration serves these customers
         self.process.configuration = snapshot
-        self._reset_quotas(reset.suspended, snapshot)  # once they are served no more
+        self._reset_quotas(reset.suspended, snapshot)  # after these customers are no longer served
         self.agent_state.running = target
         self.error = ""
-        log.info("adopted", version=version.label(), base=version.base, author=version.author)
+        log.info("version adopted", version=version.label(), base=version.base, author=version.author)
         self.on_adopted()
 
     def _read_target(self, target: Certificate) -> ConfigurationSnapshot:
         """Return the target's configuration. Raises ContentUnavailableError, ContentError, OSError."""
         error = certificate_error(self.process.secret, target)
         if error:
-            raise ContentError(f"no certificate: {error}")
+            raise ContentError(f"invalid certificate: {error}")
         self.fetcher.ensure_contents(target.version.contents)
         generation = self.process.configuration.generation.number + 1
         snapshot = self.reader.read_version(target.version, generation)
         if snapshot.generation.classes != self.process.configuration.generation.classes:
-            raise ContentError("other classes need a restart of the gateway")
+            raise ContentError(
+                "the request classes differ from the running ones; that needs a restart of the gateway"
+            )
         return snapshot
 
     def _customers_to_reset(self, old: ConfigurationSnapshot, new: ConfigurationSnapshot) -> CustomersToReset:
-        """Compare all customers, beside the loop."""
+        """Compare all customers of both configurations in a separate thread."""
 
         def compare() -> CustomersToReset:
             before = customer_assignments(old, self.process.fleet)
@@ -153,7 +158,10 @@
     # -- disk
 
     def persist(self) -> None:
-        """Write the latest state and the version that runs in the background, the latest at the end."""
+        """Write the replicated state and the running version in a background task.
+
+        If either changes during the write, the task writes again, so that the file ends up with the latest.
+        """
         if not self.background.is_started:
             return
         self._must_persist = True
@@ -169,8 +177,10 @@
             self._must_persist = False
             state = self.agent_state.replicated
             running = self.agent_state.running
-            referenced = {name for version in state.versions() for name in version.contents.hashes()}
-            self.storage.remove_unreferenced_contents(referenced | set(running.version.contents.hashes()))
+            referenced_hashes = {name for version in state.versions() for name in version.contents.hashes()}
+            self.storage.remove_unreferenced_contents(
+                referenced_hashes | set(running.version.contents.hashes())
+            )
             file = RunningFile(replicated_state.encode(state), running, tuple(self.storage.contents))
             try:
                 self.storage.write_running(file)
--- a/orchidlane/gateway/rollout_agent/agent.py
+++ b/orchidlane/gateway/rollout_agent/agent.py
@@ -1,8 +1,8 @@
-"""One gateway's part in the fleet's versions: the replicated state, reports, and the parts that act on it.
+"""The rollout agent: keeps a gateway's replicated state, reports to the leader, and runs the agent's parts.
 
-States and contents that a datagram names are fetched in tasks of their own (``blob_fetcher``). A voter's
-events are worked on in turn (``voter_runner``). A version is read and checked beside the traffic, and then
-replaces the configuration that requests are handled by as a whole (``adoption``).
+Replicated states and content files that a datagram names are fetched in separate tasks (``blob_fetcher``).
+A voter's events are processed one at a time (``voter_runner``). A new version is read and checked while the
+gateway serves requests, and then replaces the whole configuration in one step (``adoption``).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from orchidlane.gateway.rollout_agent.admission import Admission
 from orchidlane.gateway.rollout_agent.adoption import Adoption
 from orchidlane.gateway.rollout_agent.agent_state import AgentState
-from orchidlane.gateway.rollout_agent.answer_tally import AnswerTally
+from orchidlane.gateway.rollout_agent.answer_tally import ResponseTally
 from orchidlane.gateway.rollout_agent.background_tasks import BackgroundTasks
 from orchidlane.gateway.rollout_agent.blob_fetcher import BlobFetcher
 from orchidlane.gateway.rollout_agent.canary_observer import CanaryObserver
@@ -38,7 +38,7 @@
 
 
 class RolloutAgent:
-    """Disseminates the replicated state, votes and leads where it is a voter, and adopts versions."""
+    """Disseminates the replicated state and adopts versions; on a voter, also votes and leads."""
 
     def __init__(self, process: GatewayProcess) -> None:
         self.process = process
@@ -49,7 +49,7 @@
         self.log = process.log
         self.voters = voter_ranks(self.fleet)
         self.agent_state = AgentState()
-        self.answer_tally = AnswerTally()
+        self.response_tally = ResponseTally()
         self.client = AdminClient(self.loop, self.fleet, self.secret)
         backend = self.loop.backend
         name = self.fleet.gateways[self.rank].name
@@ -64,7 +64,7 @@
         )
         self._background = BackgroundTasks(self.loop)
         self._build_parts()
-        self._clock: Task | None = None
+        self._tick_task: Task | None = None
         self._acknowledged_report: tuple[tuple[int, int], int, int] | None = None
         self._reported_at = 0
         self._logged_rejection = "not started"
@@ -107,12 +107,12 @@
         self._review = VersionReview(
             self.secret, self.fetcher, reader, background, self.voter_runner.enqueue, self._send, self.log
         )
-        self._canary_observer = CanaryObserver(self.rank, self.client, self.answer_tally, self.log)
+        self._canary_observer = CanaryObserver(self.rank, self.client, self.response_tally, self.log)
 
     # -- start and stop
 
     def restore(self, generation: int) -> ConfigurationSnapshot | None:
-        """Return the configuration that an earlier process ran; None where it can't be restored."""
+        """Return the configuration that an earlier process ran; None if it cannot be restored."""
         restored = self.adoption.restore(generation)
         if restored is None:
             return None
@@ -121,26 +121,26 @@
         return restored.snapshot
 
     def start(self, scope: TaskGroup) -> None:
-        """Take part from here on; the files of earlier processes are read only now."""
+        """Start to take part in the protocol; the voter's file of an earlier process is read only now."""
         self._store_own_contents()
         if self.rank in self.voters:
             self.voter_runner.load_voter(
                 len(self.fleet.gateways), self.secret, leadership_settings(self.fleet), self.state
             )
         self.voter_runner.start(scope)
-        self._clock = scope.spawn(self._run_clock, priority=CONTROL, name="rollout agent")
+        self._tick_task = scope.spawn(self._run_ticks, priority=CONTROL, name="rollout agent")
         self._background.scope = scope
 
     def stop(self) -> None:
-        """Take no part any more: another process of this gateway does."""
+        """Stop taking part in the protocol, because another process of this gateway takes over."""
         self.voter_runner.stop()
-        if self._clock is not None:
-            self.loop.cancel(self._clock)
-        self._clock = None
+        if self._tick_task is not None:
+            self.loop.cancel(self._tick_task)
+        self._tick_task = None
         self._background.scope = None
 
     def _store_own_contents(self) -> None:
-        """Have the contents of our files ready for others, as version 0 names them."""
+        """Make the gateway's own files, which are version 0, available for other gateways to fetch."""
         sources = self.process.sources
         if sources is None:
             return
@@ -150,7 +150,7 @@
             for data in sources:
                 self.storage.cache_state(content_hash(data), data)
 
-    # -- what others ask
+    # -- interface for the rest of the gateway
 
     @property
     def state(self) -> ReplicatedState | None:
@@ -159,25 +159,25 @@
 
     @property
     def leadership(self) -> Leadership | None:
-        """The voter's part in leading; None where this gateway has no vote."""
+        """The voter's leadership; None if this gateway is not a voter."""
         return self.voter_runner.leadership
 
     def rejection_reason(self) -> str:
-        """Return why requests are rejected; "" where they are served."""
+        """Return why requests are rejected; "" if they are served."""
         return self.dissemination.rejection_reason(self.loop.now())
 
-    def record_answer(self, exchange: PendingRequest, answer: ClientResponse, duration_us: int) -> None:
-        """Count a final answer for the canary analysis."""
-        self.answer_tally.record(exchange, answer, duration_us, self.loop.now())
+    def record_response(self, pending: PendingRequest, response: ClientResponse, duration_us: int) -> None:
+        """Count a final response for the canary analysis."""
+        self.response_tally.record(pending, response, duration_us, self.loop.now())
 
     def run_command(self, command: Command, command_id: str) -> CommandOutcome | None:
-        """Have a command carried out and wait for its outcome; None where this gateway does not lead."""
+        """Have a command carried out and wait for its outcome; None if this gateway is not the leader."""
         return self.voter_runner.run_command(command, command_id)
 
     # -- datagrams
 
     def receive(self, sender: int, body: bytes) -> None:
-        """Handle a datagram of another gateway."""
+        """Handle a datagram of another gateway, or a message of this gateway to itself."""
         message = messages.decode(body)
         if message is None or not 0 <= sender < len(self.fleet.gateways):
             return
@@ -191,9 +191,9 @@
                 self._acknowledged_report = (self._leader_and_term(), *numbers)
             case _ if leadership is not None:
                 self.voter_runner.receive(sender, message, leadership)
-                self._follow_up(sender, message, leadership)
+                self._update_on_heartbeat(sender, message, leadership)
 
-    def _follow_up(self, sender: int, message: messages.Message, leadership: Leadership) -> None:
+    def _update_on_heartbeat(self, sender: int, message: messages.Message, leadership: Leadership) -> None:
         match message:
             case messages.Heartbeat() if message.index > self.dissemination.index:
                 self._fetch_state(sender, message.state_hash, None)
@@ -228,7 +228,7 @@
     def _learn_state(
         self, state: ReplicatedState, state_hash: str, data: bytes, confirmed_at: int | None
     ) -> None:
-        """Take a chosen state; ``confirmed_at``: when a quorum confirmed it."""
+        """Record a chosen state; ``confirmed_at`` is when a quorum confirmed it, None if not known."""
         if self.state is not None and state.index < self.state.index:
             return
         is_later = self.state is None or state.index > self.state.index
@@ -248,7 +248,7 @@
     def _log_state(self, state: ReplicatedState) -> None:
         rollout = state.rollout
         self.log.info(
-            "replicated state",
+            "replicated state updated",
             index=state.index,
             term=state.term,
             leader=state.leader,
@@ -257,7 +257,7 @@
         )
 
     def _update_target(self, state: ReplicatedState) -> None:
-        """Tell the dissemination whether the target version runs here."""
+        """Update whether the target version runs here: the dissemination grants service only then."""
         target = state.target_certificate(self.rank).version
         running = self.agent_state.running
         runs_target = running is not None and running.version == target
@@ -272,9 +272,9 @@
             self._update_target(self.state)
         self.adoption.persist()
 
-    # -- the clock
+    # -- periodic work
 
-    def _run_clock(self) -> None:
+    def _run_ticks(self) -> None:
         while True:
             now = self.loop.now()
             self._carry_out(self.dissemination.tick(now))
@@ -304,7 +304,7 @@
             )
 
     def _report_if_due(self, now: int, state: ReplicatedState) -> None:
-        """Report what runs here to the leader, until it acknowledged that; during a rollout always."""
+        """Report the running version to the leader until it acknowledges that; during a rollout, always."""
         target = state.target_certificate(self.rank)
         report = (self._leader_and_term(), self.agent_state.running_number, target.version.number)
         must_report = report != self._acknowledged_report or state.rollout is not None
@@ -318,7 +318,7 @@
         report = messages.AdoptionReport(
             self.agent_state.running_number,
             target.version.number,
-            self.answer_tally.answers_per_second(now),
+            self.response_tally.responses_per_second(now),
             messages.truncate_reason(self.adoption.error),
         )
         self._send(state.leader, report)
@@ -327,14 +327,14 @@
         return (self.state.leader, self.state.term) if self.state is not None else (-1, 0)
 
     def _log_rejection(self) -> None:
-        """Log when the gateway begins or ends to reject requests; tell the process when it first serves."""
+        """Log when requests start or stop being rejected; call ``when_ready`` when they are first served."""
         reason = self.rejection_reason()
         if reason == self._logged_rejection:
             return
         self._logged_rejection = reason
         if reason:
-            self.log.warning("rejects all requests", reason=reason)
+            self.log.warning("rejecting all requests", reason=reason)
             return
-        self.log.info("serves", version=self.agent_state.running_label)
+        self.log.info("serving", version=self.agent_state.running_label)
         self.process.when_ready()
         self.process.when_ready = lambda: None
--- a/orchidlane/gateway/rollout_agent/agent_state.py
+++ b/orchidlane/gateway/rollout_agent/agent_state.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of the fleet's versions, and which one it runs."""
+"""What a gateway knows about the fleet's versions, and which version it runs."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass
 class AgentState:
-    """Shared by the parts of the rollout agent.
+    """State shared by the parts of the rollout agent.
 
-    ``replicated`` is the latest replicated state that is known, ``running`` the version that requests are
-    handled by (None: the gateway's own files) and ``own_contents`` the hashes of its own files.
+    ``replicated`` is the latest replicated state that this gateway knows. ``running`` is the version by which
+    it handles requests; None means the gateway's own files. ``own_contents`` has the hashes of those files.
     """
 
     replicated: ReplicatedState | None = None
@@ -22,12 +22,12 @@
 
     @property
     def running_number(self) -> int:
-        """The number of the version that runs, 0 for the gateway's own files."""
+        """The number of the running version, 0 for the gateway's own files."""
         return self.running.version.number if self.running is not None else 0
 
     @property
     def running_label(self) -> str:
-        """The version that runs, as logs and answers name it."""
+        """The label of the running version in logs and responses."""
         if self.running is not None:
             return self.running.version.label()
         return f"0:{self.own_contents.combined_hash[:12]}"
--- a/orchidlane/gateway/rollout_agent/background_tasks.py
+++ b/orchidlane/gateway/rollout_agent/background_tasks.py
@@ -1,4 +1,4 @@
-"""Background work of the rollout agent: one task of a kind at a time, a delay between attempts."""
+"""Background tasks of the rollout agent: one task of each kind at a time, with a delay between attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class BackgroundTasks:
-    """Tasks in the agent's scope; ``scope`` is None while the agent does not take part."""
+    """Starts tasks in the task group ``scope``, which is None before the agent's start and after its stop."""
 
     def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
@@ -20,11 +20,14 @@
 
     @property
     def is_started(self) -> bool:
-        """Whether the agent takes part."""
+        """Whether the agent is started, so that tasks can be started."""
         return self.scope is not None
 
     def is_due(self, kind: str) -> bool:
-        """Tell whether a kind of work may be tried; if so, it may not be for the next retry interval."""
+        """Return whether work of this kind may be attempted now.
+
+        If so, the attempt counts as made, and the next one is due after ``RETRY_INTERVAL_US``.
+        """
         now = self.loop.now()
         if now < self._retry_at.get(kind, 0):
             return False
@@ -32,15 +35,15 @@
         return True
 
     def make_due(self, kind: str) -> None:
-        """Let a kind of work be tried at once."""
+        """Allow the next attempt at work of this kind immediately."""
         self._retry_at.pop(kind, None)
 
     def is_running(self, kind: str) -> bool:
-        """Tell whether a task of this kind goes on."""
+        """Return whether a task of this kind is running."""
         return kind in self._running
 
     def start(self, kind: str, work: Callable[[], None]) -> None:
-        """Run long work in a background task."""
+        """Run long work of this kind in a task of background priority."""
         assert self.scope is not None
         self._running.add(kind)
 
@@ -53,6 +56,6 @@
         self.scope.spawn(run, priority=BACKGROUND, name=kind)
 
     def start_fetch(self, fetch: Callable[[], None]) -> None:
-        """Run a fetch that a voter may wait for, in a task of its own."""
+        """Run a fetch in a separate task of control priority, as a voter may be waiting for its result."""
         assert self.scope is not None
         self.scope.spawn(fetch, priority=CONTROL, name="replicated state")
--- a/orchidlane/gateway/rollout_agent/blob_fetcher.py
+++ b/orchidlane/gateway/rollout_agent/blob_fetcher.py
@@ -1,4 +1,4 @@
-"""Fetches of replicated states and contents from other gateways, verified by their hash."""
+"""Fetches replicated states and content files from other gateways and verifies their hashes."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 FETCH_TIMEOUT_US = 2_000_000
 MAX_CONCURRENT_FETCHES = 8  # of replicated states
-RANDOM_SOURCES = 2  # gateways that are tried for a content before voters and the leader
+RANDOM_SOURCES = 2  # random gateways that are tried for a content file before voters and the leader
 
 
 class ContentUnavailableError(Exception):
-    """A content is neither here nor at the gateways that were asked; it may still come."""
+    """No gateway that was tried has a content file; a later attempt may succeed."""
 
 
 class BlobFetcher:
-    """Fetches for one gateway."""
+    """Fetches replicated states and content files for one gateway."""
 
     def __init__(
         self,
@@ -52,7 +52,11 @@
     # -- replicated states
 
     def with_state(self, rank: int, state_hash: str, use: Callable[[ReplicatedState], None]) -> None:
-        """Call ``use`` with a state, at once or when it came from a gateway; never where it does not come."""
+        """Call ``use`` with a replicated state: immediately if it is cached, otherwise once it is fetched.
+
+        ``use`` is not called if the hash is invalid, the fetch fails or too many fetches are running. The
+        message that named the state then has no effect, as if it were lost.
+        """
         if not is_content_hash(state_hash):
             return
         if state_hash in self.storage.cached_states:
@@ -79,25 +83,31 @@
         try:
             state = replicated_state.decode(data)
         except msgspec.DecodeError as error:
-            self.log.error("not a replicated state", reason=str(error))
+            self.log.error("invalid replicated state received", reason=str(error))
             return
         use(state)
 
     # -- contents
 
     def ensure_contents(self, contents: ContentHashes) -> None:
-        """Fetch and write what is missing of a version. Raises ContentUnavailableError, OSError."""
+        """Fetch and store the missing content files of a version. Raises ContentUnavailableError, OSError."""
         for blob_hash in contents.hashes():
             data = self.storage.read_blob(blob_hash)
             if data is None:
                 data = self._fetch(blob_hash, self._sources())
             if data is None:
-                raise ContentUnavailableError(f"content {blob_hash[:12]} is not to be had yet")
+                raise ContentUnavailableError(
+                    f"content {blob_hash[:12]} is not available from any source yet"
+                )
             if blob_hash not in self.storage.contents:
                 self.storage.write_content(blob_hash, data)
 
     def _sources(self) -> list[int]:
-        """Return random gateways, so that many who ask at once spread their load, then likely ones."""
+        """Return the ranks to fetch content files from, in this order.
+
+        Random gateways come first, so that the load spreads when many gateways fetch at the same time. A
+        voter, the leader and another voter follow, as they are likely to have the files.
+        """
         state = self.agent_state.replicated
         candidates = [self.random.randrange(len(self.client.fleet.gateways)) for _ in range(RANDOM_SOURCES)]
         voters = [member.rank for member in state.members] if state is not None else self.voters
@@ -106,7 +116,7 @@
         return [rank for rank in dict.fromkeys(candidates) if rank >= 0 and rank != self.rank]
 
     def _fetch(self, blob_hash: str, ranks: Iterable[int]) -> bytes | None:
-        """Return a blob from the first gateway that has it."""
+        """Return a blob from the first of the gateways that has it; None if none of them does."""
         max_bytes = int(self.client.fleet.rollout.max_content_bytes)
         for rank in ranks:
             try:
--- a/orchidlane/gateway/rollout_agent/canary_observer.py
+++ b/orchidlane/gateway/rollout_agent/canary_observer.py
@@ -1,4 +1,4 @@
-"""The leader's observation of a stage: answer counts of a sample of the gateways on both versions."""
+"""The leader's observation of a stage: response counts of sampled gateways on both versions."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 
 from orchidlane.gateway.rollout_agent.admin_client import AdminCallError, AdminClient
-from orchidlane.gateway.rollout_agent.answer_tally import AnswerTally
+from orchidlane.gateway.rollout_agent.answer_tally import ResponseTally
 from orchidlane.rollout.canary_analysis import CountsByStratum, ResponseCounts, counts_since
 from orchidlane.rollout.phases import CanaryObservation
 from orchidlane.rollout.replicated_state import Rollout
@@ -19,25 +19,26 @@
 
 
 class CanaryObserver:
-    """Asks gateways for their counts, and has what came since the last observation judged."""
+    """Requests response counts from gateways and passes the increase since the last round to the analysis."""
 
-    def __init__(self, rank: int, client: AdminClient, answer_tally: AnswerTally, log: Any) -> None:
+    def __init__(self, rank: int, client: AdminClient, response_tally: ResponseTally, log: Any) -> None:
         self.rank = rank
         self.client = client
-        self.answer_tally = answer_tally
+        self.response_tally = response_tally
         self.log = log
-        self._earlier_counts: dict[tuple[int, bool], CountsByStratum] = {}  # by rank, and whether it is new
-        self._round = 0
+        # Counts at the last round, by rank and by whether the gateway ran the new version.
+        self._earlier_counts: dict[tuple[int, bool], CountsByStratum] = {}
+        self._round_number = 0
         self._observed_number = 0
 
     def observe(self, rollout: Rollout, driver: RolloutDriver) -> None:
-        """Observe a sample of both sides."""
-        self._round += 1
+        """Observe a sample of the gateways on the new version and of those on the old one."""
+        self._round_number += 1
         number = rollout.version.number
         if self._observed_number != number:
             self._observed_number = number
             self._earlier_counts.clear()
-        sides = driver.sample_sides(rollout, self._round)
+        sides = driver.sample_sides(rollout, self._round_number)
         silent: list[int] = []
         new = self._counts_of_side(sides.new, True, silent)
         old = self._counts_of_side(sides.old, False, [])
@@ -46,13 +47,13 @@
             return
         controller.observe(self.client.loop.now(), CanaryObservation(new, old, silent))
         if controller.harm:
-            self.log.error("a stage does harm", version=rollout.version.label(), reason=controller.harm)
+            self.log.error("canary analysis failed", version=rollout.version.label(), reason=controller.harm)
 
     def _counts_of_side(
         self, ranks: list[int], is_new: bool, silent: list[int]
     ) -> dict[int, CountsByStratum]:
-        """Return the counts since the last observation by rank; add to ``silent`` who does not answer."""
-        found: dict[int, CountsByStratum] = {}
+        """Return the counts since the last round by rank; append ranks without a response to ``silent``."""
+        increases: dict[int, CountsByStratum] = {}
         for rank in ranks:
             counts = self._request_counts(rank)
             if counts is None:
@@ -60,13 +61,13 @@
                 continue
             earlier = self._earlier_counts.get((rank, is_new))
             if earlier is not None:
-                found[rank] = counts_since(counts, earlier)
+                increases[rank] = counts_since(counts, earlier)
             self._earlier_counts[rank, is_new] = counts
-        return found
+        return increases
 
     def _request_counts(self, rank: int) -> CountsByStratum | None:
         if rank == self.rank:
-            return self.answer_tally.counts()
+            return self.response_tally.counts()
         try:
             response = self.client.call(rank, "GET", "counts", timeout_us=COUNTS_TIMEOUT_US)
             return _counts_decoder.decode(response.body) if response.status == 200 else None
--- a/orchidlane/gateway/rollout_agent/configuration_reader.py
+++ b/orchidlane/gateway/rollout_agent/configuration_reader.py
@@ -1,4 +1,4 @@
-"""Reading a version's contents as the configuration that requests are handled by."""
+"""Builds the configuration that requests are handled by from a version's content files."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ConfigurationReader:
-    """Reads contents that are on this gateway's disk."""
+    """Reads content files from this gateway's disk."""
 
     def __init__(self, fleet: FleetSettings, storage: RolloutStorage, log: Any) -> None:
         self.fleet = fleet
@@ -23,32 +23,32 @@
         self.log = log
 
     def read(self, contents: ContentHashes, number: int) -> ConfigurationSnapshot:
-        """Return the configuration, made beside the loop. Raises ContentError."""
+        """Return the configuration, built in a separate thread. Raises ContentError."""
         description, customers = self._blobs(contents)
         snapshot: ConfigurationSnapshot = self.storage.backend.run_in_thread(
-            lambda: self._make(description, customers, number)
+            lambda: self._build(description, customers, number)
         )
         return snapshot
 
     def read_version(self, version: Version, generation: int) -> ConfigurationSnapshot:
-        """Return the configuration of a version, which carries its label. Raises ContentError."""
+        """Return the configuration of a version, with the version's label. Raises ContentError."""
         return dataclasses.replace(self.read(version.contents, generation), version=version.label())
 
     def restore_version(self, version: Version, generation: int) -> ConfigurationSnapshot:
-        """Do the same at a start, in the calling task. Raises ContentError."""
+        """Return the same as ``read_version``, built in the calling task at start. Raises ContentError."""
         description, customers = self._blobs(version.contents)
-        snapshot = self._make(description, customers, generation)
+        snapshot = self._build(description, customers, generation)
         return dataclasses.replace(snapshot, version=version.label())
 
     def _blobs(self, contents: ContentHashes) -> tuple[bytes, bytes]:
-        """Return description and customers."""
+        """Return the description and the customers file. Raises ContentError."""
         description = self.storage.read_blob(contents.rules)
         customers = self.storage.read_blob(contents.customers)
         if description is None or customers is None:
-            raise ContentError("its contents are not on this disk")
+            raise ContentError("the version's content files are missing or damaged on this gateway's disk")
         return description, customers
 
-    def _make(self, description: bytes, customers: bytes, number: int) -> ConfigurationSnapshot:
+    def _build(self, description: bytes, customers: bytes, number: int) -> ConfigurationSnapshot:
         try:
             return build_snapshot(description, customers, self.fleet, number, self.log)
         except (DescriptionError, CustomersError, ValueError) as error:
@@ -58,7 +58,7 @@
 def customer_assignments(
     snapshot: ConfigurationSnapshot, fleet: FleetSettings
 ) -> dict[int, CustomerAssignment]:
-    """Return plan and replica set of each customer."""
+    """Return each customer's plan and replica set by customer number."""
     has_ceiling = {name: plan.ceiling is not None for name, plan in fleet.plans.items()}
     return {
         customer.number: CustomerAssignment(
@@ -73,5 +73,5 @@
 
 
 def version_configuration(snapshot: ConfigurationSnapshot, fleet: FleetSettings) -> VersionConfiguration:
-    """Return what decides whether a version may serve beside another."""
+    """Return the parts of a configuration that decide whether two versions may serve at the same time."""
     return VersionConfiguration(snapshot.generation, customer_assignments(snapshot, fleet))
--- a/orchidlane/gateway/rollout_agent/process_interface.py
+++ b/orchidlane/gateway/rollout_agent/process_interface.py
@@ -1,4 +1,4 @@
-"""What the rollout agent needs of the gateway process that it is a part of."""
+"""The interface of the gateway process that the rollout agent uses."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 class GatewayProcess(Protocol):
     """The gateway process.
 
-    ``sources`` are the contents of its own description and customers' file, ``configuration`` the one
-    that requests are handled by. ``when_ready`` is called once, when requests are served.
+    ``sources`` has the bytes of its own description and customers file. ``configuration`` is the one by
+    which requests are handled. ``when_ready`` is called once, when the gateway first serves requests.
     """
 
     sources: tuple[bytes, bytes] | None
@@ -31,7 +31,7 @@
 
     @property
     def loop(self) -> EventLoop:
-        """The scheduler of all tasks."""
+        """The event loop that runs all tasks."""
 
     @property
     def fleet(self) -> FleetSettings:
@@ -39,11 +39,11 @@
 
     @property
     def rank(self) -> int:
-        """The gateway's place in the fleet."""
+        """The gateway's index in the fleet."""
 
     @property
     def secret(self) -> bytes:
-        """The fleet's key."""
+        """The fleet's secret key."""
 
     @property
     def log(self) -> Any:
--- a/orchidlane/gateway/rollout_agent/settings.py
+++ b/orchidlane/gateway/rollout_agent/settings.py
@@ -1,4 +1,4 @@
-"""What the fleet's settings say about its versions."""
+"""Checks and conversions of the fleet's rollout settings."""
 
 from __future__ import annotations
 
@@ -14,38 +14,40 @@
 
 
 def check_rollout_settings(fleet: FleetSettings) -> None:
-    """Raise ValueError where the settings name voters and lack what voting needs."""
+    """Raise ValueError if the settings name voters but do not meet the requirements of voting."""
     voters = fleet.rollout.voting_members
     names = [entry.name for entry in fleet.gateways]
     if not voters:
         return
     if len(voters) not in VOTER_COUNTS or len(set(voters)) != len(voters):
-        raise ValueError(f"change.voters: found {len(voters)}, allowed: 3, 5 or 7, each once")
+        raise ValueError(f"change.voters: found {len(voters)}, allowed: 3, 5 or 7 different gateways")
     unknown = [name for name in voters if name not in names]
     if unknown:
-        raise ValueError(f"change.voters: {', '.join(unknown)}: no such gateway")
+        raise ValueError(f"change.voters: {', '.join(unknown)}: not the name of a gateway of this fleet")
     without_admin = [entry.name for entry in fleet.gateways if not entry.admin]
     if without_admin:
         raise ValueError(f"change.voters: gateways without an admin address: {', '.join(without_admin)}")
     if not fleet.state_directory:
-        raise ValueError("state: a folder is wanted, where votes and versions are kept")
+        raise ValueError(
+            "state: not set; change.voters needs a directory where votes and versions are stored"
+        )
     _check_lease(fleet.rollout)
 
 
 def _check_lease(rollout: RolloutEntry) -> None:
-    """Raise ValueError where every gateway would stop serving before a dead leader is replaced."""
+    """Raise ValueError if all gateways would stop serving before a failed leader can be replaced."""
     election_us = longest_election_us(rollout.heartbeat_interval_us, rollout.election_timeout_us)
     needed_us = election_us + rollout.poll_interval_us
     if rollout.lease_us <= needed_us:
         raise ValueError(
-            f"change.lease: found {rollout.lease_us / MICROSECONDS_PER_SECOND:g} s, wanted more than"
-            f" {needed_us / MICROSECONDS_PER_SECOND:g} s: for so long an election and its news may take"
-            " by change.beat, change.silence and change.every"
+            f"change.lease: found {rollout.lease_us / MICROSECONDS_PER_SECOND:g} s, allowed: more than"
+            f" {needed_us / MICROSECONDS_PER_SECOND:g} s, the longest time until all gateways have a new"
+            " leader with these values of change.beat, change.silence and change.every"
         )
 
 
 def voter_ranks(fleet: FleetSettings) -> list[int]:
-    """Return the ranks of the voters that the settings name."""
+    """Return the ranks of the voters named in the settings."""
     names = [entry.name for entry in fleet.gateways]
     return [names.index(name) for name in fleet.rollout.voting_members]
 
@@ -64,7 +66,7 @@
 
 
 def staging_settings(fleet: FleetSettings) -> StagingSettings:
-    """Return the stages of a rollout, whose batches are limited as those of a rolling upgrade."""
+    """Return the settings of a rollout's stages, which have the batch limits of a rolling upgrade."""
     upgrade = fleet.rolling_upgrade
     count = len(fleet.gateways)
     return StagingSettings(
--- a/orchidlane/gateway/rollout_agent/storage.py
+++ b/orchidlane/gateway/rollout_agent/storage.py
@@ -1,7 +1,8 @@
-"""A gateway's files for fleet versions: contents by hash, the voter's state, the version that runs.
+"""A gateway's rollout files: content files by hash, the voter's file and the running version's file.
 
-Each file is replaced as a whole, with fsync. Those that are no contents end with a digest, by which a cut or
-damaged file is recognized. Files are written beside the loop.
+Each file is replaced as a whole, with fsync, in a separate thread. The voter's file and the running version's
+file end with a digest, by which a truncated or damaged file is detected; a content file is checked against
+the hash in its name.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from orchidlane.runtime.backend import Backend
 
 DIGEST_BYTES = 64
-MAX_UPLOADS = 32  # contents that no version names yet
-MAX_CACHED_STATES = 32  # in memory, for others to fetch
+MAX_UPLOADS = 32  # content files that no version names yet
+MAX_CACHED_STATES = 32  # in memory, for other gateways to fetch
 
 
 class VoterFile(msgspec.Struct, frozen=True):
-    """A voter's disk: its state, the accepted replicated state and the latest chosen one, encoded."""
+    """A voter's file: its state, and the accepted and the latest chosen replicated state, encoded."""
 
     voter_state: VoterState = msgspec.field(name="kept")
     accepted_state: bytes = msgspec.field(default=b"", name="voted")
@@ -28,7 +29,7 @@
 
 
 class RunningFile(msgspec.Struct, frozen=True):
-    """The latest replicated state, the version that runs and the hashes of the contents on disk."""
+    """The latest replicated state, the running version and the hashes of the content files on disk."""
 
     state: bytes = msgspec.field(name="ledger")
     running: Certificate
@@ -36,19 +37,19 @@
 
 
 class CorruptFileError(Exception):
-    """A file that exists and can't be used; the message tells which and why."""
+    """A file exists but cannot be used; the message says which file and why."""
 
 
 AnyFile = TypeVar("AnyFile", VoterFile, RunningFile)
 
 
 class RolloutStorage:
-    """The files of one gateway; ``prefix`` is their folder and the gateway's name."""
+    """The rollout files of one gateway; their paths start with ``prefix``, the directory and gateway name."""
 
     def __init__(self, backend: Backend, prefix: str) -> None:
         self.backend = backend
         self.prefix = prefix
-        # Insertion order is age.
+        # The entries of each dict are ordered from the oldest to the newest.
         self.cached_states: dict[str, bytes] = {}
         self.contents: dict[str, None] = {}  # on disk
         self.uploads: dict[str, None] = {}
@@ -56,27 +57,27 @@
     # -- blobs by hash
 
     def cache_state(self, state_hash: str, data: bytes) -> None:
-        """Have a replicated state ready in memory."""
+        """Cache a replicated state in memory; the oldest states beyond ``MAX_CACHED_STATES`` are dropped."""
         self.cached_states.pop(state_hash, None)
         self.cached_states[state_hash] = data
         while len(self.cached_states) > MAX_CACHED_STATES:
             del self.cached_states[next(iter(self.cached_states))]
 
     def read_blob(self, blob_hash: str) -> bytes | None:
-        """Return a state or a content; None where it is not here, or damaged on disk."""
+        """Return a cached state or a content file; None if it is missing or damaged."""
         if blob_hash in self.cached_states:
             return self.cached_states[blob_hash]
         data = self.backend.read_file(self._content_path(blob_hash))
         return data if data is not None and content_hash(data) == blob_hash else None
 
     def write_content(self, blob_hash: str, data: bytes) -> None:
-        """Write a content to disk. Raises OSError."""
+        """Write a content file to disk. Raises OSError."""
         path = self._content_path(blob_hash)
         self.backend.run_in_thread(lambda: self.backend.write_file(path, data))
         self.contents[blob_hash] = None
 
     def write_upload(self, blob_hash: str, data: bytes) -> None:
-        """Write a content that no version names yet; only the latest uploads are kept. Raises OSError."""
+        """Write a content file that no version names yet; only the latest are kept. Raises OSError."""
         self.write_content(blob_hash, data)
         self.uploads.pop(blob_hash, None)
         self.uploads[blob_hash] = None
@@ -84,19 +85,19 @@
             del self.uploads[next(iter(self.uploads))]
 
     def remove_unreferenced_contents(self, referenced: set[str]) -> None:
-        """Remove contents that are neither referenced nor recent uploads."""
+        """Remove content files that are neither referenced nor recent uploads."""
         kept = referenced | self.uploads.keys()
-        for blob_hash in [each for each in self.contents if each not in kept]:
+        for blob_hash in [stored_hash for stored_hash in self.contents if stored_hash not in kept]:
             self.backend.remove_file(self._content_path(blob_hash))
             del self.contents[blob_hash]
 
     def _content_path(self, blob_hash: str) -> str:
         return f"{self.prefix}.content.{blob_hash}"
 
-    # -- the voter, and the version that runs
+    # -- the voter's file and the running version's file
 
     def read_voter(self) -> VoterFile | None:
-        """Return the voter's file; None where there is none. Raises CorruptFileError, OSError."""
+        """Return the voter's file; None if there is none. Raises CorruptFileError, OSError."""
         return self._read("voter", VoterFile)
 
     def write_voter(self, file: VoterFile) -> None:
@@ -104,14 +105,14 @@
         self._write("voter", file)
 
     def read_running(self) -> RunningFile | None:
-        """Return the file of what runs; None where there is none. Raises CorruptFileError, OSError."""
+        """Return the running version's file; None if there is none. Raises CorruptFileError, OSError."""
         file = self._read("running", RunningFile)
         if file is not None:
             self.contents = dict.fromkeys(file.contents)
         return file
 
     def write_running(self, file: RunningFile) -> None:
-        """Replace the file of what runs. Raises OSError."""
+        """Replace the running version's file. Raises OSError."""
         self._write("running", file)
 
     def _read(self, suffix: str, file_type: type[AnyFile]) -> AnyFile | None:
@@ -122,7 +123,9 @@
         body = data[:-DIGEST_BYTES]
         digest = data[-DIGEST_BYTES:]
         if content_hash(body).encode() != digest:
-            raise CorruptFileError(f"{path}: {len(data)} bytes, cut or changed")
+            raise CorruptFileError(
+                f"{path}: {len(data)} bytes do not match their digest: the file is truncated or damaged"
+            )
         try:
             return msgspec.msgpack.decode(body, type=file_type)
         except msgspec.DecodeError as error:
--- a/orchidlane/gateway/rollout_agent/version_review.py
+++ b/orchidlane/gateway/rollout_agent/version_review.py
@@ -1,4 +1,4 @@
-"""Review of a version that is voted on, and this voter's vote."""
+"""Review of the version that is being voted on, and this voter's vote on it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class VersionReview:
-    """Reviews each version once in a term; the vote is sent to the leader repeatedly."""
+    """Reviews each version once per term; sends the vote to the leader repeatedly until voting is over."""
 
     def __init__(
         self,
@@ -47,13 +47,13 @@
         return self.reader.fleet
 
     def tick(self, state: ReplicatedState, voter: Voter) -> None:
-        """Send our vote on the version that is voted on, or begin its review."""
+        """Send this voter's vote on the version that is being voted on, or start its review."""
         rollout = state.rollout
         if rollout is None or rollout.phase is not RolloutPhase.VOTING:
             return
         latest = voter.voter_state.latest_vote
         if latest is not None and latest[:2] == (rollout.term, rollout.version.number):
-            if self.background.is_due(_vote_kind(latest.term, latest.number)):
+            if self.background.is_due(_vote_task_kind(latest.term, latest.number)):
                 vote = latest.vote
                 message = messages.VersionVote(
                     latest.term, latest.number, vote.store_id, vote.approves, vote.seal, vote.reason
@@ -70,21 +70,21 @@
         try:
             objection = self._objection(state, version)
         except (ContentUnavailableError, OSError) as error:
-            # It is tried again: the contents may still come, and the disk may have space again.
-            self.log.info("not voted yet", version=version.label(), reason=str(error))
+            # The review is retried: the contents may become available, and the disk may have space again.
+            self.log.info("vote postponed", version=version.label(), reason=str(error))
             return
         reason = messages.truncate_reason(objection)
         vote = cast_vote(self.secret, voter.member, version, term, not objection, reason)
         self.log.info("voted", version=version.label(), term=term, approves=not objection, reason=objection)
-        self.background.make_due(_vote_kind(term, version.number))
+        self.background.make_due(_vote_task_kind(term, version.number))
         self.enqueue(lambda: voter.vote(term, version, lambda: vote))
 
     def _objection(self, state: ReplicatedState, version: Version) -> str:
-        """Return why a version may not be approved; "" where it may.
+        """Return why a version cannot be approved; "" if it can.
 
         Raises:
-            ContentUnavailableError: its contents are not here yet.
-            OSError: they could not be written.
+            ContentUnavailableError: its contents are not available yet.
+            OSError: its contents could not be written to disk.
         """
         self.fetcher.ensure_contents(version.contents)
         try:
@@ -93,11 +93,11 @@
             return str(error)
         current = state.current.version
         if version.reverts and version.contents == current.contents:
-            return ""  # a part of the fleet still runs it
+            return ""  # a rollback to the current contents, which gateways outside the stages still run
         try:
             old = self.reader.read(current.contents, current.number)
         except ContentError as error:
-            return f"the version that runs: {error}"
+            return f"the current version cannot be read: {error}"
         reason: str = self.reader.storage.backend.run_in_thread(
             lambda: incompatibility(
                 version_configuration(old, self._fleet), version_configuration(new, self._fleet)
@@ -106,5 +106,5 @@
         return reason
 
 
-def _vote_kind(term: int, number: int) -> str:
+def _vote_task_kind(term: int, number: int) -> str:
     return f"vote {term} {number}"
--- a/orchidlane/gateway/rollout_agent/voter_runner.py
+++ b/orchidlane/gateway/rollout_agent/voter_runner.py
@@ -1,7 +1,7 @@
-"""Carries out what a voter decides: writes, datagrams, commands. Only voters have leadership.
+"""Runs a voter: passes events to it and carries out its actions, such as writes, datagrams and outcomes.
 
-One task works on the voter's events in turn, so that what they ask to persist is on disk before anything
-after it is sent.
+One task processes the voter's events one at a time and carries out the actions of an event in their order, so
+that a state that must be persisted is on disk before any later message is sent.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 )
 from orchidlane.runtime import CONTROL, DeadlineExceededError, EventLoop, Task, TaskGroup
 
-MAX_QUEUED_EVENTS = 1_000  # more are lost, as datagrams may be
+MAX_QUEUED_EVENTS = 1_000  # events beyond this are dropped, as a datagram may be lost
 COMMAND_TIMEOUT_US = 5_000_000
 
 Event = Callable[[], list[Action]]
@@ -47,14 +47,14 @@
 
 @dataclass
 class WaitingCommand:
-    """A task that waits for what becomes of a command."""
+    """A task that waits for the outcome of a command."""
 
     task: Task
     outcomes: list[CommandOutcome] = field(default_factory=list)
 
 
 class VoterRunner:
-    """The voter of one gateway, with its disk; ``leadership`` is None where the gateway has no vote."""
+    """Runs the voter of one gateway and stores its state; ``leadership`` is None if it is not a voter."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         self._queue: deque[Event] = deque()
         self._worker: Task | None = None
         self._waiting: dict[str, WaitingCommand] = {}  # by command id
-        self._disk_failed = False
+        self._write_failed = False
 
     # -- start and stop
 
@@ -88,7 +88,7 @@
         settings: LeadershipSettings,
         latest_state: ReplicatedState | None,
     ) -> None:
-        """Become a voter with what is on disk, or with a new store where that is lost."""
+        """Create the voter from its file, or with a new store if the file is missing or damaged."""
         now = self.loop.now()
         rng: Random = self.storage.backend.random
         file = accepted_state = chosen_state = None
@@ -98,7 +98,7 @@
                 accepted_state = self._decode_state(file.accepted_state)
                 chosen_state = self._decode_state(file.chosen_state)
         except (CorruptFileError, msgspec.DecodeError, OSError) as error:
-            self.log.error("the voter's disk is lost: it waits to be admitted", reason=str(error))
+            self.log.error("voter file unusable; waiting for admission with a new store", reason=str(error))
             file = accepted_state = chosen_state = None
         if chosen_state is not None and (latest_state is None or chosen_state.index > latest_state.index):
             data = replicated_state.encode(chosen_state)
@@ -117,11 +117,11 @@
         return replicated_state.decode(data)
 
     def start(self, scope: TaskGroup) -> None:
-        """Work on events from here on."""
-        self._worker = scope.spawn(self._work, priority=CONTROL, name="voter")
+        """Start the task that processes events."""
+        self._worker = scope.spawn(self._process_events, priority=CONTROL, name="voter")
 
     def stop(self) -> None:
-        """Give up the vote, and drop all events."""
+        """Stop voting and drop all queued events."""
         if self._worker is not None:
             self.loop.cancel(self._worker)
         self._worker = None
@@ -132,21 +132,21 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no event waits."""
+        """Whether no event is queued."""
         return not self._queue
 
     def enqueue(self, event: Event) -> None:
-        """Queue an event of the voter."""
+        """Queue an event for the voter; drop it if the queue is full or the voter is stopped."""
         if len(self._queue) < MAX_QUEUED_EVENTS and self._worker is not None:
             self._queue.append(event)
             self.loop.wake(self._worker)
 
     def learn_chosen(self, state: ReplicatedState) -> None:
-        """Tell the voter of a chosen state."""
+        """Notify the voter of a chosen state."""
         self.enqueue(lambda: self._voter().learn_chosen(state))
 
     def receive(self, sender: int, message: messages.Message, leadership: Leadership) -> None:
-        """Handle a message to a voter or leader."""
+        """Handle a message addressed to a voter or to the leader."""
         now = self.loop.now()
         match message:
             case messages.AdoptionReport():
@@ -174,14 +174,14 @@
         self.enqueue(lambda: self._voter().receive(self.loop.now(), sender, message, named_state))
 
     def tick(self, now: int, leadership: Leadership) -> None:
-        """Resend or give up attempts, and send heartbeats, whatever is due."""
+        """Resend or abandon the voter's attempt, and send heartbeats, whichever is due."""
         voter = leadership.voter
         if voter.attempt is not None or voter.verifying_store:
             self.enqueue(lambda: voter.tick(self.loop.now()))
         self._send_all(leadership.heartbeats(now))
 
     def propose_next(self, now: int, leadership: Leadership) -> None:
-        """Attempt the next command, if one is due and no event waits."""
+        """Propose the next command if one is due and no event is queued."""
         if not self.is_idle:
             return
         command = leadership.next_command(now)
@@ -198,7 +198,7 @@
 
     # -- actions
 
-    def _work(self) -> None:
+    def _process_events(self) -> None:
         while True:
             while not self._queue:
                 self.loop.park()
@@ -218,8 +218,8 @@
                     self.storage.cache_state(action.content_hash, action.data)
                 case Persist():
                     if not self._write_voter(action.voter_state):
-                        undone = self._voter().persist_failed(previous, accepted_state)
-                        self._carry_out(undone, previous, accepted_state)
+                        failure_actions = self._voter().persist_failed(previous, accepted_state)
+                        self._carry_out(failure_actions, previous, accepted_state)
                         return
                 case Send():
                     self.send(action.rank, action.message)
@@ -227,7 +227,7 @@
                     self._on_chosen(action)
                 case CommandDropped():
                     outcome = CommandOutcome(False, action.reason, not action.is_final)
-                    self._report_outcome(action.command, outcome)
+                    self._deliver_outcome(action.command, outcome)
                 case LogWarning():
                     self.log.warning(action.text, store=self._voter().voter_state.store_id)
 
@@ -237,20 +237,20 @@
         try:
             self.storage.write_voter(file)
         except OSError as error:
-            if not self._disk_failed:
-                self.log.error("the voter's disk failed: it does not vote", reason=str(error))
-            self._disk_failed = True
+            if not self._write_failed:
+                self.log.error("voter file not written; not voting", reason=str(error))
+            self._write_failed = True
             return False
-        self._disk_failed = False
+        self._write_failed = False
         return True
 
     def _on_chosen(self, chosen: StateChosen) -> None:
         self.learn(chosen.state, chosen.state_hash, replicated_state.encode(chosen.state))
         if chosen.command is not None:
-            self._report_outcome(chosen.command, CommandOutcome(True))
+            self._deliver_outcome(chosen.command, CommandOutcome(True))
 
     def bootstrap(self, state: ReplicatedState) -> None:
-        """Take the first state, which all voters have agreed on by their admission requests."""
+        """Store the first replicated state, on which all voters agree, and claim leadership immediately."""
         assert self.leadership is not None
         voter = self.leadership.voter
         voter.chosen_state = state
@@ -264,12 +264,12 @@
     # -- commands
 
     def run_command(self, command: Command, command_id: str) -> CommandOutcome | None:
-        """Have a command carried out and wait for its outcome; None where this gateway does not lead."""
+        """Have a command carried out and wait for its outcome; None if this gateway is not the leader."""
         leadership = self.leadership
         if leadership is None or not leadership.is_leader:
             return None
         if not leadership.enqueue(command):
-            return CommandOutcome(False, "too many commands wait", is_retryable=True)
+            return CommandOutcome(False, "too many commands are queued", is_retryable=True)
         task = self.loop.current
         assert task is not None
         waiting = WaitingCommand(task)
@@ -279,23 +279,23 @@
             while not waiting.outcomes:
                 self.loop.park(deadline)
         except DeadlineExceededError:
-            reason = "no quorum of voters answers; whether it is taken later is not known"
+            reason = "no quorum of voters responded in time; the command may still be carried out"
             return CommandOutcome(False, reason, is_retryable=True)
         finally:
             self._waiting.pop(command_id, None)
         return waiting.outcomes[0]
 
-    def _report_outcome(self, command: Command, outcome: CommandOutcome) -> None:
+    def _deliver_outcome(self, command: Command, outcome: CommandOutcome) -> None:
         waiting = self._waiting.get(_command_id(command))
         if waiting is not None:
             waiting.outcomes.append(outcome)
             self.loop.wake(waiting.task)
         if not outcome.is_accepted:
-            self.log.info("command not carried out", command=type(command).__name__, reason=outcome.reason)
+            self.log.info("command dropped", command=type(command).__name__, reason=outcome.reason)
 
 
 def _command_id(command: Command) -> str:
-    """Return the id that a client gave to a command, "" for the leader's own."""
+    """Return the id that a client gave to a command; "" for a command of the leader itself."""
     match command:
         case ProposeVersion():
             return command.proposal_id
--- a/tests/harness/process_fleets.py
+++ b/tests/harness/process_fleets.py
@@ -1,4 +1,4 @@
-"""Shorthands for tests on gateway processes: a fleet with voters under a steady load."""
+"""Helpers for rollout tests with gateway processes: a fleet with voters under a steady load."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from orchidlane.config import Duration
 from orchidlane.simulation.process_fleet import run_process_fleet
 
-COST = "{class: sheet-read, cost: 2}"
-EDITED = "{class: sheet-read, cost: 3}"
-MIN_SERVED = 20  # of a run that says anything
+COST_RULE = "{class: sheet-read, cost: 2}"
+EDITED_COST_RULE = "{class: sheet-read, cost: 3}"
+MIN_SERVED = 20  # responses with status 200 without which a run proves nothing
 
 
-def run_fleet(tmp_path, script, gateways=3, voters=3, rate=60.0, seed=1, customers=60, plans=None, **change):
-    """Return verdict and fleet of ``script(fleet)`` beside clients' requests.
+def run_fleet(tmp_path, script, gateways=3, voters=3, rate=60.0, seed=1, customers=60, plans=None, **rollout):
+    """Run ``script(fleet)`` while clients send requests; return the verdict and the fleet.
 
-    ``change`` are settings of versions, ``plans`` settings by plan.
+    ``rollout`` has entries of the settings' ``change`` section, ``plans`` the changed settings by plan.
     """
-    terms = {
+    rollout_settings = {
         "voters": [f"gw-{rank}" for rank in range(voters)],
-        "lease": "8s",  # an election may take 7.75 s
+        "lease": "8s",  # longer than an election, which takes up to 7.75 s
         "every": "100ms",
         "soak": "0s",
-        "silence": "1500ms",  # a leader that a busy machine holds up is not replaced
+        "silence": "1500ms",  # long enough that a leader delayed by a busy machine is not replaced
     }
-    terms |= change
+    rollout_settings |= rollout
 
-    def edit_settings(value):
-        value["change"] |= terms
-        for name, settings in (plans or {}).items():
-            value["plans"][name] |= settings
+    def edit_settings(fleet_settings):
+        fleet_settings["change"] |= rollout_settings
+        for name, plan_settings in (plans or {}).items():
+            fleet_settings["plans"][name] |= plan_settings
 
     scenario = load_example(
         "random.cue",
@@ -43,20 +43,20 @@
     return run_process_fleet(scenario, str(tmp_path), script, edit_settings, seed)
 
 
-def run_fleet_of_nine(tmp_path, script, **change):
-    """Run a script on nine gateways, five of them voters; see ``run_fleet``."""
-    return run_fleet(tmp_path, script, gateways=9, voters=5, **change)
+def run_fleet_of_nine(tmp_path, script, **rollout):
+    """Run a script as ``run_fleet`` does, on nine gateways of which five are voters."""
+    return run_fleet(tmp_path, script, gateways=9, voters=5, **rollout)
 
 
 def assert_rules_hold(verdict) -> None:
-    """All five rules hold, over enough answers."""
+    """Assert that all five rules hold and that enough requests were served."""
     report = verdict.as_json()
     assert verdict.rules == ALL_RULES_HOLD, report
     assert verdict.responses.get("200", 0) > MIN_SERVED, report
 
 
 def all_run(number: int):
-    """Return a condition: the leader's status says that every gateway runs this version."""
+    """Return a condition on a status: it is the leader's, and every gateway runs this version."""
 
     def condition(status) -> bool:
         return status["leads"] and all(gateway["runs"] == number for gateway in status["gateways"])
--- a/tests/processes/test_rollout_processes.py
+++ b/tests/processes/test_rollout_processes.py
@@ -1,6 +1,6 @@
-"""Fleet versions with whole processes on loopback sockets, under load, with faults between them.
+"""Rollouts on gateway processes that use loopback sockets, under load and with injected faults.
 
-Three voters where one of them dies; else nine gateways, five of them voters.
+A fleet has three gateways, all of them voters, or nine of which five are voters, unless a test differs.
 """
 
 from __future__ import annotations
@@ -11,20 +11,27 @@
 import msgspec
 import pytest
 from harness.constants import SECOND
-from harness.process_fleets import COST, EDITED, all_run, assert_rules_hold, run_fleet, run_fleet_of_nine
+from harness.process_fleets import (
+    COST_RULE,
+    EDITED_COST_RULE,
+    all_run,
+    assert_rules_hold,
+    run_fleet,
+    run_fleet_of_nine,
+)
 
 from orchidlane.gateway.control.customers import CustomerRecord, make_customer
 from orchidlane.gateway.control.settings_loader import parse_host_port
 from orchidlane.rollout import messages
 
-LEASE = 8 * SECOND
+LEASE_US = 8 * SECOND
 
 
 def test_an_edit_is_approved_adopted_and_rolled_back_on_every_gateway(tmp_path):
-    """Three voters. An answer carries the version that it was made by; after the undo the prior one alone."""
+    """Each response names the version that made it: after the undo, none may come from the undone version."""
 
     def script(fleet):
-        fleet.edit_rules(COST, EDITED)
+        fleet.edit_rules(COST_RULE, EDITED_COST_RULE)
         code, output = fleet.command("propose", "--reason", "curves cost more")
         assert code == 0, output
         observed["done"] = fleet.now()
@@ -50,20 +57,21 @@
     assert fleet.served_versions(observed["undone"]).keys() <= {2}
 
 
-# The leader's own datagrams on the way of one edit: prepare and accept for each of propose, approve, finish.
+# The leader sends Prepare and Accept for each of the state changes of an edit: propose, approve and finish.
 STEPS = [(kind, nth) for nth in (1, 2, 3) for kind in (messages.Prepare, messages.Accept)]
 
 
 @pytest.mark.parametrize(("kind", "nth"), STEPS, ids=[f"{kind.__name__}-{nth}" for kind, nth in STEPS])
-def test_the_leader_is_killed_at_each_step_and_the_change_goes_on_or_back(tmp_path, kind, nth):
+def test_an_edit_completes_or_reverts_if_the_leader_dies_at_any_step(tmp_path, kind, nth):
     def script(fleet):
         fleet.leader()
         ballots: dict[int, set] = {}
 
-        def strike(sender, _receiver, message):
-            """Kill it as the first copy of its nth message of the kind passes; the others may never leave.
+        def kill_sender(sender, _receiver, message):
+            """Kill the sender when the first copy of its nth ballot of this kind passes.
 
-            Whoever sends such messages leads: on a busy machine that may not be who led a moment ago.
+            Copies to other voters may not have been sent by then. The sender of such messages is the leader;
+            on a busy machine that may be another gateway than the one that led before.
             """
             if isinstance(message, kind):
                 ballots.setdefault(sender, set()).add(message.ballot)
@@ -71,10 +79,10 @@
                     observed["killed"] = sender
                     fleet.kill(sender)
 
-        fleet.on_message(strike)
-        fleet.edit_rules(COST, EDITED)
+        fleet.on_message(kill_sender)
+        fleet.edit_rules(COST_RULE, EDITED_COST_RULE)
         observed["end"] = fleet.command("propose", "--reason", "curves cost more")
-        assert "killed" in observed, "the leader never came so far"
+        assert "killed" in observed, "no leader sent so many ballots of this kind"
         leader = observed["killed"]
         rest = [rank for rank in range(3) if rank != leader]
         status = fleet.wait_for_status(
@@ -94,14 +102,14 @@
     assert fleet.served_versions(observed["all"]).keys() <= {observed["number"]}
 
 
-def test_a_leader_in_a_minority_partition_commits_nothing_and_the_majority_proceeds(tmp_path):
+def test_a_leader_in_a_minority_commits_nothing_and_the_majority_proceeds(tmp_path):
     def script(fleet):
         leader = fleet.leader()
         other = (leader + 1) % 5
         minority, majority = {leader, other, 7}, {*range(9)} - {leader, other, 7}
         fleet.cut(minority, majority)
         observed["cut"] = fleet.now()
-        fleet.edit_rules(COST, EDITED)
+        fleet.edit_rules(COST_RULE, EDITED_COST_RULE)
         observed["end"] = fleet.command("propose", "--reason", "in a split")
         assert observed["end"][0] == 0, observed["end"]
         observed["over"] = fleet.now()
@@ -115,18 +123,20 @@
     verdict, fleet = run_fleet_of_nine(tmp_path, script)
     assert_rules_hold(verdict)
     assert "not confirmed, and not serving" in observed["end"][1]
-    late = fleet.served_versions(observed["cut"] + LEASE + SECOND // 2, observed["healed"])
-    assert not observed["minority"] & set().union(*late.values()), "who was cut off serves on after its lease"
+    late = fleet.served_versions(observed["cut"] + LEASE_US + SECOND // 2, observed["healed"])
+    assert not observed["minority"] & set().union(*late.values()), (
+        "a gateway without a quorum serves after its lease has expired"
+    )
     assert fleet.served_versions(observed["all"]).keys() <= {1}
 
 
-@pytest.mark.parametrize("deaf", [True, False], ids=["leader hears nobody", "nobody hears the leader"])
-def test_a_leader_cut_off_in_one_direction_is_replaced(tmp_path, deaf):
+@pytest.mark.parametrize("cut_incoming", [True, False], ids=["to the leader", "from the leader"])
+def test_a_leader_cut_off_in_one_direction_is_replaced(tmp_path, cut_incoming):
     def script(fleet):
         leader = fleet.leader()
         rest = {*range(9)} - {leader}
-        fleet.cut(*((rest, {leader}) if deaf else ({leader}, rest)), both=False)
-        fleet.edit_rules(COST, EDITED)
+        fleet.cut(*((rest, {leader}) if cut_incoming else ({leader}, rest)), both=False)
+        fleet.edit_rules(COST_RULE, EDITED_COST_RULE)
         observed["end"] = fleet.command("propose", "--reason", "one way")
         assert observed["end"][0] == 0, observed["end"]
         fleet.heal()
@@ -144,7 +154,7 @@
         leader = fleet.leader()
         fleet.slow_down({(leader + 1) % 5, 8}, 150_000, 64)
         fleet.links.reset_probability.update({(rank, leader): 0.3 for rank in range(9) if rank != leader})
-        fleet.edit_rules(COST, EDITED)
+        fleet.edit_rules(COST_RULE, EDITED_COST_RULE)
         observed["end"] = fleet.command("propose", "--reason", "slowly")
         fleet.heal()
         fleet.wait_for_status(all_run(1))
@@ -155,24 +165,26 @@
     assert observed["end"][0] == 0, observed
 
 
-def test_a_gateway_frozen_or_restored_during_a_rollback_does_not_serve_the_reverted_version(
-    tmp_path,
-):
-    """With requests in its buffers, and with the files of the undone version. One of them is a voter."""
+def test_a_gateway_that_misses_a_rollback_never_serves_the_undone_version(tmp_path):
+    """Three gateways miss the rollback.
+
+    One is frozen with requests in its socket buffers. A voter and another gateway are restarted from files
+    that they stored while the undone version ran.
+    """
 
     def script(fleet):
-        fleet.edit_rules(COST, EDITED)
+        fleet.edit_rules(COST_RULE, EDITED_COST_RULE)
         assert fleet.command("propose", "--reason", "to be undone")[0] == 0
-        asleep, voter = (6, 3)
-        kept = {rank: fleet.files(rank) for rank in (voter, 7)}
-        fleet.freeze(asleep)
-        observed["asleep"] = fleet.now()
+        frozen, voter = (6, 3)
+        old_files = {rank: fleet.files(rank) for rank in (voter, 7)}
+        fleet.freeze(frozen)
+        observed["frozen_at"] = fleet.now()
         code, observed["output"] = fleet.command("undo")
         assert code == 0, observed
         observed["undone"] = fleet.now()
-        fleet.thaw(asleep)
+        fleet.thaw(frozen)
         fleet.kill(voter, 7)
-        for rank, files in kept.items():
+        for rank, files in old_files.items():
             fleet.replace_files(rank, files)
         fleet.start(voter, 7)
         fleet.wait_for_status(all_run(2))
@@ -181,26 +193,28 @@
     observed: dict = {}
     verdict, fleet = run_fleet_of_nine(tmp_path, script)
     assert_rules_hold(verdict)
-    assert "gw-6" not in fleet.served_versions(observed["asleep"]).get(1, set()), "requests in its buffers"
+    assert "gw-6" not in fleet.served_versions(observed["frozen_at"]).get(1, set()), (
+        "served buffered requests"
+    )
     assert fleet.served_versions(observed["undone"]).keys() <= {2}
     assert "the disk is an old one" in observed["old disk"][1], observed["old disk"][0]
 
 
-def test_a_voter_with_an_empty_or_truncated_disk_waits_until_it_is_admitted(tmp_path):
+def test_a_voter_with_missing_or_truncated_files_waits_for_admission(tmp_path):
     def script(fleet):
-        fleet.edit_rules(COST, EDITED)
+        fleet.edit_rules(COST_RULE, EDITED_COST_RULE)
         assert fleet.command("propose", "--reason", "first")[0] == 0
         leader = fleet.leader()
-        empty, cut = ((leader + 1) % 5, (leader + 2) % 5)
-        for rank in (empty, cut):
+        empty, truncated = ((leader + 1) % 5, (leader + 2) % 5)
+        for rank in (empty, truncated):
             fleet.kill(rank)
-            files = fleet.files(rank) if rank == cut else {}
+            files = fleet.files(rank) if rank == truncated else {}
             fleet.replace_files(rank, {path: data[: len(data) // 2] for path, data in files.items()})
             fleet.start(rank)
         fleet.wait_for_status(lambda status: len(status["seats"]) == 5 and status["leads"])
-        # Two others die: the quorum is the leader and the two that were admitted.
-        rest = [rank for rank in range(5) if rank not in (leader, empty, cut)]
-        observed["log"] = (fleet.folder / f"gw-{cut}.log").read_text()
+        # The other two voters are killed: the leader and the two admitted voters are the quorum.
+        rest = [rank for rank in range(5) if rank not in (leader, empty, truncated)]
+        observed["log"] = (fleet.folder / f"gw-{truncated}.log").read_text()
         fleet.kill(*rest)
         observed["end"] = fleet.command("undo")
         fleet.start(*rest)
@@ -209,47 +223,48 @@
     verdict, _ = run_fleet_of_nine(tmp_path, script)
     assert_rules_hold(verdict)
     assert observed["end"][0] == 0, observed["end"]
-    assert "the voter's disk is lost: it waits to be admitted" in observed["log"]
+    assert "voter file unusable; waiting for admission with a new store" in observed["log"]
 
 
-def test_a_rollout_completes_while_half_of_the_fleet_dies_and_a_gateway_joins(tmp_path):
+def test_a_rollout_completes_while_half_the_fleet_dies_and_one_joins(tmp_path):
     def script(fleet):
         fleet.kill(8)
-        fleet.edit_rules(COST, EDITED)
-        thread, found = fleet.start_command("propose", "--reason", "half of it dies")
+        fleet.edit_rules(COST_RULE, EDITED_COST_RULE)
+        thread, results = fleet.start_command("propose", "--reason", "half of it dies")
         fleet.wait_for_status(lambda status: status["stage"] == "adopting")
         leader = fleet.leader()
         dead = [(leader + 1) % 5, (leader + 2) % 5, 5, 6]
         fleet.kill(*dead)
-        assert fleet.status()["stage"] == "adopting", "the gateways died after the rollout"
+        assert fleet.status()["stage"] == "adopting", "the rollout ended before the gateways were killed"
         fleet.start(8)
         thread.join(60)
-        observed["end"] = found
+        observed["end"] = results
         fleet.start(*dead)
         fleet.wait_for_status(all_run(1))
         observed["all"] = fleet.now()
 
     observed: dict = {}
-    # A dead gateway holds the rollout in its phase for a lease, which has to outlast some status queries.
+    # Dead gateways keep the rollout in the adopting phase for one lease. The lease is longer than the status
+    # queries take, so that the script still sees that phase.
     verdict, fleet = run_fleet_of_nine(tmp_path, script, lease="20s")
     assert_rules_hold(verdict)
     assert observed["end"][0][0] == 0, observed
     assert fleet.served_versions(observed["all"]).keys() <= {1}
 
 
-def test_one_of_two_concurrent_proposals_wins_and_invalid_content_reaches_no_voter(tmp_path):
+def test_one_of_two_concurrent_proposals_wins_and_invalid_ones_fail(tmp_path):
     def script(fleet):
-        fleet.edit_rules(COST, EDITED)
+        fleet.edit_rules(COST_RULE, EDITED_COST_RULE)
         threads = [
             fleet.start_command("propose", "--author", name, "--reason", f"of {name}")
             for name in ("ann", "bob")
         ]
-        for thread, found in threads:
+        for thread, results in threads:
             thread.join(60)
-            observed.setdefault("ends", []).append(found[0])
-        fleet.edit_rules(EDITED, "{class: nobody, cost: minus}")
+            observed.setdefault("ends", []).append(results[0])
+        fleet.edit_rules(EDITED_COST_RULE, "{class: nobody, cost: minus}")
         observed["bad"] = fleet.command("propose")
-        observed["forged"] = forged(fleet)
+        observed["unsealed"] = statuses_of_unsealed_calls(fleet)
         observed["status"] = fleet.status()
 
     observed: dict = {}
@@ -263,52 +278,52 @@
     assert code == 2
     assert "paths//sheets" in output
     assert "Traceback" not in output
-    assert observed["forged"] == {403}
+    assert observed["unsealed"] == {403}
     assert observed["status"]["current"]["number"] == 1
 
 
-def forged(fleet) -> set[int]:
-    """What whoever merely reaches the admin address gets."""
-    at = parse_host_port(fleet.runner.plan.fleet.gateways[0].admin)
-    found = set()
+def statuses_of_unsealed_calls(fleet) -> set[int]:
+    """Return the HTTP status codes of rollout API calls without a valid seal."""
+    address = parse_host_port(fleet.runner.plan.fleet.gateways[0].admin)
+    statuses = set()
     for head in (
         b"GET /change/status HTTP/1.1\r\nhost: a\r\n\r\n",
         b"GET /change/content/" + b"a" * 64 + b" HTTP/1.1\r\nhost: a\r\norchidlane-seal: 00\r\n\r\n",
         b"POST /change/command HTTP/1.1\r\nhost: a\r\norchidlane-seal: zz\r\ncontent-length: 2\r\n\r\n{}",
         b"PUT /change/content/" + b"a" * 64 + b" HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\n\r\nx",
     ):
-        with socket.create_connection(at, 5) as sock:
+        with socket.create_connection(address, 5) as sock:
             sock.sendall(head)
-            found.add(int(sock.makefile("rb").readline().split()[1]))
-    return found
+            statuses.add(int(sock.makefile("rb").readline().split()[1]))
+    return statuses
 
 
-def test_a_ceiling_holds_while_a_replica_set_migrates_and_a_token_owner_is_frozen(tmp_path):
-    """Six gateways, sets of three. The audit holds the ceiling over all that nodes saw."""
+def test_a_ceiling_holds_while_a_set_migrates_and_a_gateway_is_frozen(tmp_path):
+    """Six gateways, replica sets of three; the audit checks the ceiling over the records of all gateways."""
 
     def script(fleet):
         path = fleet.folder / "customers.json"
         customers = json.loads(path.read_text())["customers"]
         moving = next(customer for customer in customers if customer["plan"] == "amplio")
-        known = make_customer(
+        customer = make_customer(
             msgspec.convert(moving, CustomerRecord), fleet.runner.plan.fleet, ["basico", "amplio"]
         )
-        moving["first"] = (known.replica_set_start + 3) % 6
+        moving["first"] = (customer.replica_set_start + 3) % 6
         path.write_text(json.dumps({"customers": customers}))
         leader = fleet.leader()
-        asleep = next(rank for rank in range(6) if rank != leader)
+        frozen = next(rank for rank in range(6) if rank != leader)
 
-        def strike(_sender, _receiver, message):
-            """It stands still from the first vote on the hold on."""
-            if isinstance(message, messages.VersionVote) and "still" not in observed:
-                observed["still"] = True
-                fleet.freeze(asleep)
+        def freeze_at_first_vote(_sender, _receiver, message):
+            """Freeze a gateway at the first vote on the version that suspends the migrating customer."""
+            if isinstance(message, messages.VersionVote) and "frozen" not in observed:
+                observed["frozen"] = True
+                fleet.freeze(frozen)
 
-        fleet.on_message(strike)
-        thread, found = fleet.start_command("propose", "--reason", "the map of sets")
+        fleet.on_message(freeze_at_first_vote)
+        thread, results = fleet.start_command("propose", "--reason", "the map of sets")
         thread.join(60)
-        observed["end"] = found
-        fleet.thaw(asleep)
+        observed["end"] = results
+        fleet.thaw(frozen)
         fleet.wait_for_status(all_run(2))
         observed["status"] = fleet.status()
 
@@ -322,15 +337,15 @@
     assert verdict.worst_ceiling_ratio <= 1
 
 
-def test_a_voter_keeps_its_version_and_votes_through_a_hot_restart(tmp_path):
-    """Never two processes that vote with one disk: the old one stops before the new one reads it."""
+def test_a_voter_keeps_its_version_and_its_votes_in_a_hot_restart(tmp_path):
+    """Two processes must never vote with the same file: the old one stops before the new one reads it."""
 
     def script(fleet):
-        fleet.edit_rules(COST, EDITED)
+        fleet.edit_rules(COST_RULE, EDITED_COST_RULE)
         assert fleet.command("propose", "--reason", "before the upgrade")[0] == 0
         leader = fleet.leader()
         other = (leader + 1) % 3
-        observed["upgrades"] = [fleet.upgrade(rank) for rank in (other, leader)]
+        observed["restarts"] = [fleet.upgrade(rank) for rank in (other, leader)]
         observed["end"] = fleet.command("undo")
         fleet.wait_for_status(all_run(2))
         observed["all"] = fleet.now()
@@ -339,7 +354,7 @@
     observed: dict = {}
     verdict, fleet = run_fleet(tmp_path, script)
     assert_rules_hold(verdict)
-    assert [code for code, _ in observed["upgrades"]] == [0, 0], observed["upgrades"]
+    assert [code for code, _ in observed["restarts"]] == [0, 0], observed["restarts"]
     assert observed["end"][0] == 0, observed["end"]
     assert fleet.served_versions(observed["all"]).keys() <= {2}
     assert not any("the disk is an old one" in log or "Traceback" in log for log in observed["logs"])
--- a/tests/test_rollout_storage.py
+++ b/tests/test_rollout_storage.py
@@ -1,4 +1,4 @@
-"""Stored files of a gateway's voter and running version."""
+"""Detection of damage to a gateway's stored rollout files."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 VOTER_FILE = VoterFile(VoterState(7, Ballot(3, 1, 7), Ballot(2, 0, 5), "n" * 64, 4, {1: SeenVoteCount(8, 2)}))
 
 
-def test_a_truncated_or_damaged_voter_file_is_recognized():
+def test_a_truncated_or_damaged_voter_file_raises_an_error():
     backend = SimulatedBackend(1)
 
     def read_damaged_files() -> None:
