--- a/orchidlane/gateway/peers/__init__.py
+++ b/orchidlane/gateway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between gateways: authenticated datagrams and token requests."""
+"""Messages between gateways: authenticated datagrams, and queries about tokens and grants."""
--- a/orchidlane/gateway/peers/datagrams.py
+++ b/orchidlane/gateway/peers/datagrams.py
@@ -1,11 +1,11 @@
-"""Authenticated datagrams between gateways: sender, incarnation and order, under the fleet's key.
+"""Datagrams between gateways, authenticated under the fleet's key and protected against replay.
 
     2 bytes magic, u8 format, u8 kind, u16 sender, u16 receiver, u64 incarnation, u64 sequence, body,
-    16 bytes MAC over all before (BLAKE2b, keyed; RFC 7693 section 2.9)
+    16 bytes MAC over all preceding bytes (keyed BLAKE2b, RFC 7693 section 2.9)
 
-All numbers are little-endian. The incarnation is the sender's clock at its start, so a later one is larger.
-``Inbox`` decides what is accepted: forged, replayed, misdirected, stale and oversized datagrams change
-nothing.
+All numbers are little-endian. The incarnation is the sender's clock in microseconds when its process started,
+so a later incarnation has a larger number. ``Inbox`` decides which datagrams are accepted: forged, replayed,
+misdirected, stale and oversized ones are dropped and counted.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 MAX_KEY_BYTES = 64  # of BLAKE2b
 MAX_BODY_BYTES = 256
 MAX_DATAGRAM_BYTES = HEADER.size + MAX_BODY_BYTES + MAC_BYTES
-REPLAY_WINDOW = 1024  # sequence numbers behind the latest that may still arrive
+REPLAY_WINDOW = 1024  # sequence numbers before the latest one that are still accepted
 REPLAY_WINDOW_MASK = (1 << REPLAY_WINDOW) - 1
-MAX_CLOCK_AHEAD_US = 60_000_000  # an incarnation that begins further after our clock is not believed
+MAX_CLOCK_AHEAD_US = 60_000_000  # incarnations further ahead of the local clock are rejected
 
 
 class DatagramKind(IntEnum):
-    """Who a datagram is for; values are on the wire."""
+    """The part of the gateway that a datagram is for; the values are on the wire."""
 
     POLICY = 0
     LIMITS = 1
@@ -46,7 +46,7 @@
 
 
 class PeerRow(NamedTuple):
-    """What arrived of a peer as plain values; ``seen`` is a little-endian bit field of the replay window."""
+    """A peer's receive state as plain values; ``seen`` is the replay window as a little-endian bit field."""
 
     replica: int
     incarnation: int
@@ -63,7 +63,7 @@
     body: bytes,
     kind: int = DatagramKind.POLICY,
 ) -> bytes:
-    """Return a datagram; its body has at most ``MAX_BODY_BYTES``."""
+    """Return the bytes of a datagram; the body has at most ``MAX_BODY_BYTES``."""
     assert len(body) <= MAX_BODY_BYTES
     header = HEADER.pack(MAGIC, FORMAT, kind, sender, receiver, incarnation, sequence)
     return header + body + _mac(secret, header + body)
@@ -75,14 +75,14 @@
 
 @dataclass(slots=True)
 class _PeerIncarnation:
-    """The latest incarnation of one peer, and which of its sequence numbers arrived."""
+    """The latest incarnation of one peer, and which of its sequence numbers have arrived."""
 
     incarnation: int
     latest: int
-    seen: int  # bit i: the number latest - i
+    seen: int  # bit i is set if sequence number ``latest - i`` has arrived
 
     def accept(self, sequence: int) -> bool:
-        """Note a sequence number; False where it arrived before or is too old to tell."""
+        """Record a sequence number; return False if it is a repeat or older than the replay window."""
         age = self.latest - sequence
         if age < 0:
             ahead = -age
@@ -97,14 +97,14 @@
 
 @dataclass(slots=True)
 class _RateLimit:
-    """A token bucket that holds one second's datagrams."""
+    """A token bucket whose capacity is the number of datagrams allowed in one second."""
 
     rate: float  # per second
     tokens: float
     refilled_at_us: int
 
     def try_take(self, now: int) -> bool:
-        """Take a token for one datagram, if there is one."""
+        """Take a token for one datagram; return False if none is left."""
         gained = (now - self.refilled_at_us) * self.rate / 1_000_000
         self.tokens = min(self.rate, self.tokens + gained)
         self.refilled_at_us = now
@@ -115,10 +115,10 @@
 
 
 class Inbox:
-    """Accepts the datagrams of other gateways; ``rejected`` counts the rest by reason."""
+    """Accepts datagrams of other gateways; ``rejected`` counts the rejected ones by reason."""
 
     def __init__(self, secret: bytes, replica: int, replica_count: int, now: int, *rates: float) -> None:
-        """Accept at most ``rates`` datagrams a second of each kind, in the order of ``DatagramKind``."""
+        """Limit datagrams per second of each kind to ``rates``, in the order of ``DatagramKind``."""
         self.secret = secret
         self.replica = replica
         self.replica_count = replica_count
@@ -127,7 +127,7 @@
         self._rate_limits = [_RateLimit(rate, rate, now) for rate in rates]
 
     def accept(self, now: int, data: bytes) -> Datagram | None:
-        """Return the datagram if it counts at clock ``now``, otherwise None."""
+        """Return the datagram if it is valid at ``now`` (microseconds of the local clock), otherwise None."""
         reason = self._rejection_reason(now, data)
         if reason is not None:
             self.rejected[reason] = self.rejected.get(reason, 0) + 1
@@ -160,10 +160,10 @@
             return False
         return peer.accept(sequence)
 
-    # Handing over to another process of this gateway
+    # Hot restart
 
     def peer_rows(self) -> list[PeerRow]:
-        """Return what arrived of each peer, so that a successor accepts no datagram twice."""
+        """Return the receive state of each peer, so that the new process accepts no datagram twice."""
         return [
             PeerRow(
                 replica,
@@ -175,6 +175,6 @@
         ]
 
     def load_peer_rows(self, rows: list[tuple[int, int, int, bytes]]) -> None:
-        """Go on where another process of this gateway stood."""
+        """Load the receive state of another process of this gateway."""
         for replica, incarnation, latest, seen in rows:
             self._peers[replica] = _PeerIncarnation(incarnation, latest, int.from_bytes(seen, "little"))
--- a/orchidlane/gateway/peers/token_messages.py
+++ b/orchidlane/gateway/peers/token_messages.py
@@ -1,4 +1,4 @@
-"""Queries of gateways to each other about tokens and grants, and their replies; stored by position."""
+"""Queries between gateways about tokens and grants, and their replies; encoded as arrays, without names."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TokenOperation(IntEnum):
-    """What a query asks for; values are on the wire."""
+    """The operation that a query requests; the values are on the wire."""
 
     CLAIM = 1
     LOOK_UP = 2
@@ -22,18 +22,18 @@
 
 
 class TokenQuery(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A query; ``name`` is a token's or a grant's, ``number`` the claim's."""
+    """A query; ``name`` identifies a token or a grant, ``claim_number`` the claim on a token."""
 
     id: int
     operation: int
     name: bytes
     customer: int = 0
-    number: int = 0
+    claim_number: int = 0
     units: float = 0.0
 
 
 class TokenReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """The reply: a token's state, or the outcome of a command on a grant."""
+    """The reply to a query: a token's state, or the outcome of an operation on a grant."""
 
     id: int
     state: int = 0
--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -1,4 +1,4 @@
-"""Carries out quota requests, tokens, reservations and refunds over the fleet, as ``limits`` decides."""
+"""Carries out quota requests, token claims, reservations and refunds; ``limits`` makes the decisions."""
 
 from __future__ import annotations
 
@@ -27,20 +27,21 @@
 
 MICROSECONDS_PER_SECOND = 1_000_000
 MIN_RETRY_AFTER_US = 1_000
-MIN_RETRY_DELAY_US = 5_000  # of a request that waits for units
-CLAIM_RETRY_DELAY_US = (10_000, 40_000)  # while another claim is in progress
+MIN_RETRY_DELAY_US = 5_000  # between the attempts of a request that waits for units
+# Shortest and longest delay before another attempt to claim a token that another request is claiming.
+CLAIM_RETRY_DELAY_US = (10_000, 40_000)
 MAX_RESERVATION_NAME_BYTES = 64
 
 
 class PeersUnreachableError(Exception):
-    """The gateways that would have to know do not answer; nothing was counted by this command."""
+    """Too few of the gateways that know a token or grant replied; the command counted no units."""
 
 
 class NewProcessGrants(Protocol):
-    """Passes grants on to the process that stores them in our place."""
+    """Passes grants to the new process, which stores them during a hot restart."""
 
-    def add_grant(self, name: bytes, customer: int, units: float, span: int | None) -> None:
-        """Note units that were granted under a name; with ``span`` (microseconds) they are reserved."""
+    def add_grant(self, name: bytes, customer: int, units: float, reserved_for_us: int | None) -> None:
+        """Record units granted under a name; with ``reserved_for_us`` (microseconds) they are reserved."""
 
 
 class LimitService:
@@ -55,28 +56,33 @@
         send: Callable[[int, bytes], None],
     ) -> None:
         self.loop = loop
-        self.terms = fleet.quotas
+        self.quota_settings = fleet.quotas
         self.gateway_count = len(fleet.gateways)
         self.rank = rank
         self.policy_driver = policy_driver
         self.started_at_us = loop.now()
-        self.token_owner = TokenOwner(self.terms.token_lifetime_us, self.terms.max_tokens, self.started_at_us)
+        self.token_owner = TokenOwner(
+            self.quota_settings.token_lifetime_us, self.quota_settings.max_tokens, self.started_at_us
+        )
         self.grants = GrantStore(
-            self.terms.max_grants, self.terms.grant_lifetime_us, self.terms.credit_lifetime_us
+            self.quota_settings.max_grants,
+            self.quota_settings.grant_lifetime_us,
+            self.quota_settings.credit_lifetime_us,
         )
         self.granted = 0
         self.rejected = 0
-        self.new_process_grants: NewProcessGrants | None = None  # owns tokens and grants from its moment on
-        self.queries = QueryExchange(loop, rank, self.terms, send, self._answer)
+        # While this is set, during a hot restart, the new process owns tokens and grants.
+        self.new_process_grants: NewProcessGrants | None = None
+        self.queries = QueryExchange(loop, rank, self.quota_settings, send, self._make_reply)
 
     def receive(self, sender: int, body: bytes) -> None:
-        """Take a datagram of another gateway: a query, or a reply to one of ours."""
+        """Handle a datagram of another gateway: a query, or a reply to a query of this gateway."""
         self.queries.receive(sender, body)
 
-    # Handing over to another process of this gateway
+    # Hot restart
 
     def dump_state(self) -> dict[str, Any]:
-        """Return all but tokens and grants that a successor needs."""
+        """Return the state that the new process needs, except tokens and grants (sent separately)."""
         return {
             "life": self.started_at_us,
             "numbers": self.queries.last_id,
@@ -86,7 +92,11 @@
         }
 
     def load_state(self, state: dict[str, Any]) -> None:
-        """Go on where another process of this gateway stood; it still waits for replies to lower ids."""
+        """Load the state of the old process.
+
+        Query ids continue after a gap, because the old process still sends queries of its own and waits for
+        their replies.
+        """
         self.started_at_us = int(state["life"])
         self.queries.last_id = int(state["numbers"]) + QUERY_IDS_PER_PROCESS
         self.token_owner.reliable_from_us = int(state["sure_from"])
@@ -94,26 +104,30 @@
         self.queries.load_cached_replies(state["answered"])
 
     def reclaim(self) -> None:
-        """Decide again after another process did: what it granted meanwhile is not known here."""
+        """Own tokens and grants again after the new process failed.
+
+        What the new process granted is not known here, so the token owner's memory counts as incomplete for a
+        whole token lifetime, and credits are dropped.
+        """
         self.new_process_grants = None
         self.queries.last_id += 2 * QUERY_IDS_PER_PROCESS
-        self.token_owner.reliable_from_us = self.loop.now() + self.terms.token_lifetime_us
+        self.token_owner.reliable_from_us = self.loop.now() + self.quota_settings.token_lifetime_us
         self.grants.clear_credits()
 
-    # A customer's quota, as it is known here
+    # A customer's remaining quota in this gateway's account
 
     def remaining_units(self, customer: Customer) -> float:
-        """Return the units that the customer has left, as far as this gateway knows; nothing is changed."""
+        """Return the units left by this gateway's account of the customer, without changing the account."""
         plan = self.policy_driver.settings.plans[customer.plan]
         account = self.policy_driver.gateway.accounts.get(customer.number)
         if account is None:
             return plan.burst
         elapsed_us = self.loop.now() - account.refilled_at_us
-        gained = plan.rate * elapsed_us / MICROSECONDS_PER_SECOND
-        return min(plan.burst, account.remaining + gained)
+        refilled_units = plan.rate * elapsed_us / MICROSECONDS_PER_SECOND
+        return min(plan.burst, account.remaining + refilled_units)
 
     def retry_after_us(self, customer: Customer, units: float) -> int:
-        """Return the time until so many units should be there; 0 where there is no rate."""
+        """Return the expected time until the units are available; 0 if they are, or the plan has no rate."""
         plan = self.policy_driver.settings.plans[customer.plan]
         missing = units - self.remaining_units(customer)
         if not plan.rate or missing <= 0:
@@ -123,7 +137,7 @@
     # Quota requests
 
     def try_take(self, customer: Customer, units: float, request_class: int) -> bool:
-        """Take units: paid from the customer's credit, or asked of the policy."""
+        """Take units from the customer's credit, or else request them from the policy."""
         if self.new_process_grants is None and self._pay_from_credit(customer, units):
             self.granted += 1
             return True
@@ -140,7 +154,7 @@
     def take_before_timeout(
         self, customer: Customer, units: float, request_class: int, timeout_us: int
     ) -> bool:
-        """Take units, retrying as they should become available until the timeout."""
+        """Take units; until the timeout, retry when they are expected to be available."""
         give_up_at = self.loop.now() + timeout_us
         while not self.try_take(customer, units, request_class):
             delay_us = max(self.retry_after_us(customer, units), MIN_RETRY_DELAY_US)
@@ -152,28 +166,30 @@
     def take_idempotent(
         self, customer: Customer, units: float, request_class: int, timeout_us: int, token: bytes
     ) -> bool:
-        """Take units once, however often the request arrives with its token.
+        """Take units at most once for a token, however often a request with the token arrives.
 
         Raises PeersUnreachableError, GrantStoreFullError.
         """
         name = token_name(customer.number, token)
-        give_up_at = self.loop.now() + max(timeout_us, 2 * self.terms.peer_reply_timeout_us)
+        give_up_at = self.loop.now() + max(timeout_us, 2 * self.quota_settings.peer_reply_timeout_us)
         while True:
-            number = self.queries.next_id()
-            claim = self._claim(name, customer, number)
+            claim_number = self.queries.next_id()
+            claim = self._claim(name, customer, claim_number)
             verdict = claim.verdict()
             if verdict is ClaimVerdict.DECIDE:
                 if self._can_grant(customer, units, request_class, timeout_us):
-                    self._settle(name, customer, units, number, claim)
+                    self._settle(name, customer, units, claim_number, claim)
                     return True
-                self._withdraw(name, customer, number, claim)
+                self._withdraw(name, customer, claim_number, claim)
                 self._check_grant_capacity()
                 return False
-            self._withdraw(name, customer, number, claim)
+            self._withdraw(name, customer, claim_number, claim)
             if verdict is ClaimVerdict.ALREADY_GRANTED:
                 return True
             if verdict is ClaimVerdict.NO_MAJORITY or self.loop.now() >= give_up_at:
-                raise PeersUnreachableError("the take with this token is not settled")
+                raise PeersUnreachableError(
+                    "token not claimed: too few of its owners replied, or another claim is in progress"
+                )
             self.loop.sleep(self.loop.backend.random.randint(*CLAIM_RETRY_DELAY_US))
 
     def _can_grant(self, customer: Customer, units: float, request_class: int, timeout_us: int) -> bool:
@@ -182,14 +198,16 @@
         return self.take_before_timeout(customer, units, request_class, timeout_us)
 
     def _check_grant_capacity(self) -> None:
-        """Raise GrantStoreFullError where no further grant can be remembered."""
+        """Raise GrantStoreFullError if no further grant can be stored."""
         if self.grants.is_full(self.loop.now()):
-            raise GrantStoreFullError("too many grants are remembered")
+            raise GrantStoreFullError("the grant store is full")
 
-    def _settle(self, name: bytes, customer: Customer, units: float, number: int, claim: TokenClaim) -> None:
+    def _settle(
+        self, name: bytes, customer: Customer, units: float, claim_number: int, claim: TokenClaim
+    ) -> None:
         self._add_grant(name, customer, units)
-        query = TokenQuery(0, TokenOperation.SETTLE, name, customer.number, number, units)
-        self._query(claim.owners, query, enough=claim.majority)
+        query = TokenQuery(0, TokenOperation.SETTLE, name, customer.number, claim_number, units)
+        self._query(claim.owners, query, sufficient_replies=claim.majority)
 
     def _add_grant(
         self, name: bytes, customer: Customer, units: float, reserved_for_us: int | None = None
@@ -199,9 +217,9 @@
         else:
             self.grants.add_grant(self.loop.now(), name, customer.number, units, reserved_for_us)
 
-    def _claim(self, name: bytes, customer: Customer, number: int) -> TokenClaim:
+    def _claim(self, name: bytes, customer: Customer, claim_number: int) -> TokenClaim:
         claim = TokenClaim(owners_of(name, self._replica_set(customer)))
-        query = TokenQuery(0, TokenOperation.CLAIM, name, customer.number, number)
+        query = TokenQuery(0, TokenOperation.CLAIM, name, customer.number, claim_number)
         for owner, reply in self._query(claim.owners, query).items():
             if reply is None:
                 claim.add_timeout(owner)
@@ -209,8 +227,8 @@
                 claim.add_answer(owner, TokenAnswer(TokenState(reply.state), reply.claimant, reply.units))
         return claim
 
-    def _withdraw(self, name: bytes, customer: Customer, number: int, claim: TokenClaim) -> None:
-        query = TokenQuery(0, TokenOperation.WITHDRAW, name, customer.number, number)
+    def _withdraw(self, name: bytes, customer: Customer, claim_number: int, claim: TokenClaim) -> None:
+        query = TokenQuery(0, TokenOperation.WITHDRAW, name, customer.number, claim_number)
         self._query(claim.fresh_owners, query)
 
     def _replica_set(self, customer: Customer) -> list[int]:
@@ -232,13 +250,13 @@
                 return self._query_granter(reply.claimant, TokenOperation.REFUND, name, customer)
         unsure = any(reply.state == TokenState.UNSURE for reply in replies)
         if unsure or len(replies) <= len(owners) // 2:
-            raise PeersUnreachableError("too few gateways know of the token")
+            raise PeersUnreachableError("too few of the token's owners can tell whether it was granted")
         return GrantOutcome.UNKNOWN
 
     def reserve(
         self, customer: Customer, units: float, request_class: int, reserved_for_us: int
     ) -> bytes | None:
-        """Return the name of a reservation, None beyond the quota. Raises GrantStoreFullError."""
+        """Return the name of a new reservation; None if the quota is used up. Raises GrantStoreFullError."""
         self._check_grant_capacity()
         if not self.try_take(customer, units, request_class):
             return None
@@ -247,7 +265,7 @@
         return name
 
     def end_reservation(self, customer: Customer, name: bytes, commit: bool) -> GrantOutcome:
-        """Commit or release a reservation, wherever it was made. Raises PeersUnreachableError."""
+        """Commit or release a reservation at the gateway that made it. Raises PeersUnreachableError."""
         granter = name.split(b"-", 1)[0]
         if not granter.isdigit() or int(granter) >= self.gateway_count:
             return GrantOutcome.UNKNOWN
@@ -261,21 +279,21 @@
     ) -> GrantOutcome:
         reply = self._query([replica], TokenQuery(0, operation, name, customer.number))[replica]
         if reply is None:
-            raise PeersUnreachableError(f"gateway {replica}, which granted the units, does not answer")
+            raise PeersUnreachableError(f"gateway {replica}, which granted the units, does not reply")
         return GrantOutcome(reply.outcome)
 
     # Queries
 
     def _query(
-        self, replicas: list[int], query: TokenQuery, enough: int | None = None
+        self, replicas: list[int], query: TokenQuery, sufficient_replies: int | None = None
     ) -> dict[int, TokenReply | None]:
         return self.queries.query(
-            replicas, query, enough, query_self_by_peer=self.new_process_grants is not None
+            replicas, query, sufficient_replies, send_to_self=self.new_process_grants is not None
         )
 
-    def _answer(self, sender: int, query: TokenQuery) -> TokenReply:
+    def _make_reply(self, sender: int, query: TokenQuery) -> TokenReply:
         now = self.loop.now()
-        claim = ClaimId(sender, query.number)
+        claim = ClaimId(sender, query.claim_number)
         match query.operation:
             case TokenOperation.CLAIM:
                 return TokenReply(query.id, *self.token_owner.claim(now, query.name, claim))
--- a/tests/harness/golden_admin.py
+++ b/tests/harness/golden_admin.py
@@ -8,7 +8,7 @@
 
 
 def without_build(value: Any) -> Any:
-    """Return a value with bytes as text and without the build: each build has a name of its own."""
+    """Return a value with bytes as hex text and an empty ``build``, which differs between builds."""
     if isinstance(value, dict):
         return {str(key): "" if key == "build" else without_build(part) for key, part in value.items()}
     if isinstance(value, (list, tuple)):
--- a/tests/harness/golden_rollouts.py
+++ b/tests/harness/golden_rollouts.py
@@ -1,4 +1,4 @@
-"""Golden values of rollouts: replicated states, certificates, files and messages."""
+"""Expected values of the golden files of rollouts: states, certificates, stored files and messages."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def golden_contents(letter: str) -> version.ContentHashes:
-    """Return the content hashes of a version, made of one letter."""
+    """Return the content hashes of a version; each is a digit followed by copies of one letter."""
     return version.ContentHashes(*(digit + 63 * letter for digit in "0123"))
 
 
@@ -36,14 +36,14 @@
 
 
 def golden_certificate(number: int) -> version.Certificate:
-    """Return the certificate that all three voters approved a version."""
+    """Return the certificate of a version that all three voters approved."""
     approved, members = golden_version(number), golden_members()
     votes = tuple(version.cast_vote(SECRET, member, approved, 5, True, "it fits") for member in members)
     return version.Certificate(approved, 5, members, votes)
 
 
 def golden_replicated_state() -> replicated_state.ReplicatedState:
-    """Return a state with a rollout that is voted on, a halted one that is rolled back, and a history."""
+    """Return a state with a rollout in its voting phase, a halted rollout and a history."""
     voting = replicated_state.Rollout(
         golden_version(23), 6, replicated_state.RolloutPhase.VOTING, None, b"", "a pause"
     )
@@ -100,7 +100,7 @@
 
 
 def golden_rollout_messages() -> dict[str, Any]:
-    """Return one of each message of a rollout between gateways; every field is other than its default."""
+    """Return one message of each type of the rollout protocol; no field has its default value."""
     state_hash, ballot = version.content_hash(b"a ledger"), (8, 2, 9_000_000_002)
     return {
         "ask": rollout_messages.GossipRequest(555, 40),
@@ -123,7 +123,7 @@
 
 
 def golden_command_request() -> admin_messages.CommandRequest:
-    """Return a command for the admin API."""
+    """Return a command request for the admin API."""
     followed_by = (golden_contents("b"),)
     return admin_messages.CommandRequest(
         "order-1",
@@ -168,7 +168,7 @@
 
 
 def golden_response_counts() -> dict[str, canary_analysis.ResponseCounts]:
-    """Return what a gateway answered, by class and plan."""
+    """Return the response counts of a gateway by class and plan."""
     counts = canary_analysis.ResponseCounts
     return {"safe plain": counts(900, 30, 4, 5, 6, 7), "unsafe capped": counts(80, 3, 2, 1, 9, 8)}
 
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Authenticated datagrams between gateways: which an inbox accepts, and its reasons to reject others."""
+"""Authenticated datagrams between gateways: which ones an inbox accepts, and why it rejects others."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def make_inbox(rate=1000.0) -> Inbox:
-    """Return the inbox of gateway 0 of 3."""
+    """Return the inbox of gateway 0 in a fleet of 3, with ``rate`` policy datagrams per second."""
     return Inbox(SECRET, 0, 3, NOW, rate, 0)
 
 
@@ -44,20 +44,20 @@
         (b"XX" + datagram()[2:], "format"),
     ],
 )
-def test_a_forged_misdirected_or_oversized_datagram_is_rejected_with_its_reason(data, reason):
+def test_an_invalid_datagram_is_rejected_and_counted_by_its_reason(data, reason):
     inbox = make_inbox()
     assert inbox.accept(NOW, data) is None
     assert inbox.rejected == {reason: 1}
 
 
-def test_datagrams_of_an_earlier_incarnation_are_rejected_once_a_later_one_was_seen():
+def test_an_earlier_incarnation_is_rejected_after_a_later_one_was_seen():
     inbox = make_inbox()
     assert inbox.accept(NOW, datagram(incarnation=NOW, sequence=50))
     assert inbox.accept(NOW, datagram(incarnation=NOW + 5, sequence=1))
     assert inbox.accept(NOW, datagram(incarnation=NOW, sequence=51)) is None
 
 
-def test_the_rate_of_datagrams_is_limited_and_the_allowance_refills():
+def test_the_rate_of_datagrams_is_limited_and_refills_with_time():
     inbox = make_inbox(rate=10.0)
     accepted = [inbox.accept(NOW, datagram(sequence=number)) for number in range(30)]
     assert sum(data is not None for data in accepted) == 10
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -1,4 +1,4 @@
-"""Messages and datagrams between gateways have the golden bytes."""
+"""Messages and datagrams between gateways are encoded to the golden bytes and decoded from them."""
 
 from __future__ import annotations
 
@@ -24,24 +24,31 @@
     "rights of a ceiling": [customer_row(9, 2, 1, 2, 1, 0.0, 0.0, 12.75, ((1, 15_000, 0.0625),))],
     "a set of all, wrapped": [customer_row(8, 0, 2, 3, 0, 2.0, 9.0, 0.0, ((1, 16_000, 1.0), (2, 0, 8.0)))],
     "no row": [],
-    "several": [customer_row(one, one % 3, one % 3, 1 + one % 3, 0, one, one, 0.0, ()) for one in range(9)],
+    "several": [
+        customer_row(number, number % 3, number % 3, 1 + number % 3, 0, number, number, 0.0, ())
+        for number in range(9)
+    ],
 }
 
 
-SENT = {"early": 1_000_000, "its low bits repeat": (1 << 32) + 5, "just before they repeat": (1 << 32) - 1}
+SENT_AT_US = {
+    "early": 1_000_000,
+    "its low bits repeat": (1 << 32) + 5,
+    "just before they repeat": (1 << 32) - 1,
+}
 
 
 def packed_messages() -> dict[str, bytes]:
-    """Return every kind of message, by what it is."""
-    found = {}
+    """Return messages with every combination of rows, sending time and flags, by their description."""
+    messages = {}
     for what, rows in ROWS.items():
-        for when, sent in SENT.items():
+        for when, sent in SENT_AT_US.items():
             for wants_reply, to_token_owner in ((False, False), (True, False), (False, True), (True, True)):
                 parts = gossip_codec.take_fitting(gossip_codec.encode_row(row, sent, 3) for row in rows)
-                found[f"{what}, {when}, {wants_reply:d}{to_token_owner:d}"] = gossip_codec.encode_message(
+                messages[f"{what}, {when}, {wants_reply:d}{to_token_owner:d}"] = gossip_codec.encode_message(
                     sent, wants_reply, to_token_owner, parts
                 )
-    return found
+    return messages
 
 
 def test_messages_between_gateways_are_encoded_to_the_golden_bytes():
@@ -49,39 +56,43 @@
 
 
 def test_messages_between_gateways_are_decoded_to_the_golden_values():
-    """The bytes are those of the golden file; so are damaged ones, most of which are no message."""
-    found, all_bytes = (
+    """The encoded messages come from the golden file; damaged copies of one must not decode as valid."""
+    decoded, encoded_messages = (
         {},
         json.loads((Path(__file__).parent / "corpus/golden_surface/peer-messages.json").read_text()),
     )
-    for what, text in all_bytes.items():
+    for what, text in encoded_messages.items():
         body = bytes.fromhex(text)
         for now in (1_000_400, (1 << 32) + 300):
-            found[f"{what}, read at {now}"] = message_values(gossip_codec.decode_message(body, now, 3, 3))
-    body = bytes.fromhex(all_bytes["one row, early, 11"])
-    for place in range(len(body)):
-        changed = body[:place] + bytes((body[place] ^ 0x81,)) + body[place + 1 :]
-        found[f"byte {place} changed"] = message_values(gossip_codec.decode_message(changed, 1_000_400, 3, 3))
-        found[f"cut at {place}"] = message_values(gossip_codec.decode_message(body[:place], 1_000_400, 3, 3))
-    found["a number too long"] = message_values(
+            decoded[f"{what}, read at {now}"] = message_values(gossip_codec.decode_message(body, now, 3, 3))
+    body = bytes.fromhex(encoded_messages["one row, early, 11"])
+    for offset in range(len(body)):
+        changed = body[:offset] + bytes((body[offset] ^ 0x81,)) + body[offset + 1 :]
+        decoded[f"byte {offset} changed"] = message_values(
+            gossip_codec.decode_message(changed, 1_000_400, 3, 3)
+        )
+        decoded[f"cut at {offset}"] = message_values(
+            gossip_codec.decode_message(body[:offset], 1_000_400, 3, 3)
+        )
+    decoded["a number too long"] = message_values(
         gossip_codec.decode_message(body[:6] + b"\xff" * 12, 1_000_400, 3, 3)
     )
-    assert None in found.values()
-    check_golden("peer-messages-read", found)
+    assert None in decoded.values()
+    check_golden("peer-messages-read", decoded)
 
 
-def test_rows_beyond_the_size_of_a_message_are_left_out():
-    rows = [customer_row(1 << 30, 0, 0, 3, 0, 1.0, one, 0.0, ((0, 0, one),)) for one in range(60)]
+def test_rows_that_exceed_the_size_of_a_message_are_left_out():
+    rows = [customer_row(1 << 30, 0, 0, 3, 0, 1.0, units, 0.0, ((0, 0, units),)) for units in range(60)]
     parts = gossip_codec.take_fitting(gossip_codec.encode_row(row, 1_000_000, 3) for row in rows)
     check_golden("peer-messages-full", {"rows": len(parts), "bytes": b"".join(parts).hex()})
 
 
 def test_datagrams_are_encoded_to_the_golden_bytes_and_accepted():
     kinds = {"module": 0, "limits": 1, "versions": 2}
-    found = {what: seal_datagram(kind, b"body of " + what.encode()).hex() for what, kind in kinds.items()}
-    found["empty"] = seal_datagram(0, b"").hex()
-    found["largest"] = seal_datagram(1, bytes(range(256))).hex()
-    check_golden("sealed-datagrams", found)
+    encoded = {what: seal_datagram(kind, b"body of " + what.encode()).hex() for what, kind in kinds.items()}
+    encoded["empty"] = seal_datagram(0, b"").hex()
+    encoded["largest"] = seal_datagram(1, bytes(range(256))).hex()
+    check_golden("sealed-datagrams", encoded)
     inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
     assert [
         inbox.accept(1_000, seal_datagram(kind, b"x", sequence))
@@ -89,9 +100,9 @@
     ] == [(kind, 1, b"x") for kind in kinds.values()]
 
 
-def test_datagrams_for_others_are_rejected_for_the_golden_reasons():
+def test_invalid_datagrams_are_rejected_for_the_golden_reasons():
     valid = seal_datagram(0, b"x")
-    wrong = {
+    invalid = {
         "short": valid[:20],
         "too long": valid + bytes(300),
         "another magic": b"XX" + valid[2:],
@@ -104,31 +115,31 @@
         "changed": valid[:-1] + bytes((valid[-1] ^ 1,)),
         "a life far ahead": seal_datagram(0, b"x", incarnation=61_000_000_000),
     }
-    found = {}
-    for what, data in wrong.items():
+    rejected = {}
+    for what, data in invalid.items():
         inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 10.0, 10.0, 10.0)
         assert inbox.accept(1_000, data) is None
-        found[what] = inbox.rejected
+        rejected[what] = inbox.rejected
     inbox = datagrams.Inbox(SECRET, 2, 3, 1_000, 2.0)
     accepted = [inbox.accept(1_000, seal_datagram(0, b"x", number)) is not None for number in (7, 7, 6, 8)]
-    found["7, 7, 6, 8 with an intake of two"] = [accepted, inbox.rejected]
-    found["carried to a successor"] = [[*row[:3], row[3].hex()] for row in inbox.peer_rows()]
-    check_golden("refused-datagrams", found)
+    rejected["7, 7, 6, 8 with an intake of two"] = [accepted, inbox.rejected]
+    rejected["carried to a successor"] = [[*row[:3], row[3].hex()] for row in inbox.peer_rows()]
+    check_golden("refused-datagrams", rejected)
 
 
 def test_token_queries_and_replies_have_the_golden_bytes():
-    found = samples(token_messages.TokenQuery | token_messages.TokenReply)
-    bodies = {tag: msgspec.msgpack.encode(message) for tag, message in found.items()}
+    messages = samples(token_messages.TokenQuery | token_messages.TokenReply)
+    bodies = {tag: msgspec.msgpack.encode(message) for tag, message in messages.items()}
     for tag, body in bodies.items():
         assert (
             msgspec.msgpack.decode(body, type=token_messages.TokenQuery | token_messages.TokenReply)
-            == found[tag]
+            == messages[tag]
         )
     shortest = [
         token_messages.TokenQuery(5, token_messages.TokenOperation.LOOK_UP, b"name"),
         token_messages.TokenReply(5),
     ]
-    more = {f"shortest {place}": msgspec.msgpack.encode(one) for place, one in enumerate(shortest)}
+    more = {f"shortest {i}": msgspec.msgpack.encode(message) for i, message in enumerate(shortest)}
     more |= {f"op {op.value}": bytes((op.value,)) for op in token_messages.TokenOperation}
     check_golden("limit-messages", {what: body.hex() for what, body in (bodies | more).items()})
 
