--- a/orchidlane/gateway/peers/token_requests.py
+++ b/orchidlane/gateway/peers/token_requests.py
@@ -187,9 +187,7 @@
             if verdict is ClaimVerdict.ALREADY_GRANTED:
                 return True
             if verdict is ClaimVerdict.NO_MAJORITY or self.loop.now() >= give_up_at:
-                raise PeersUnreachableError(
-                    "token not claimed: too few of its owners replied, or another claim is in progress"
-                )
+                raise PeersUnreachableError("the take with this token is not settled")
             self.loop.sleep(self.loop.backend.random.randint(*CLAIM_RETRY_DELAY_US))
 
     def _can_grant(self, customer: Customer, units: float, request_class: int, timeout_us: int) -> bool:
@@ -200,7 +198,7 @@
     def _check_grant_capacity(self) -> None:
         """Raise GrantStoreFullError if no further grant can be stored."""
         if self.grants.is_full(self.loop.now()):
-            raise GrantStoreFullError("the grant store is full")
+            raise GrantStoreFullError("too many grants are remembered")
 
     def _settle(
         self, name: bytes, customer: Customer, units: float, claim_number: int, claim: TokenClaim
@@ -250,7 +248,7 @@
                 return self._query_granter(reply.claimant, TokenOperation.REFUND, name, customer)
         unsure = any(reply.state == TokenState.UNSURE for reply in replies)
         if unsure or len(replies) <= len(owners) // 2:
-            raise PeersUnreachableError("too few of the token's owners can tell whether it was granted")
+            raise PeersUnreachableError("too few gateways know of the token")
         return GrantOutcome.UNKNOWN
 
     def reserve(
@@ -279,7 +277,7 @@
     ) -> GrantOutcome:
         reply = self._query([replica], TokenQuery(0, operation, name, customer.number))[replica]
         if reply is None:
-            raise PeersUnreachableError(f"gateway {replica}, which granted the units, does not reply")
+            raise PeersUnreachableError(f"gateway {replica}, which granted the units, does not answer")
         return GrantOutcome(reply.outcome)
 
     # Queries
--- a/orchidlane/gateway/rollout_agent/admin_api.py
+++ b/orchidlane/gateway/rollout_agent/admin_api.py
@@ -50,7 +50,7 @@
     def answer(self, method: str, target: bytes, seal: bytes | None, body: bytes) -> AdminResponse:
         """Verify the seal of a call, carry the call out and return the response."""
         if not verify_seal(self.agent.secret, _parse_seal(seal), SEAL_PURPOSE, method, target, body):
-            return AdminResponse(403, b"invalid seal: calls must be sealed under the fleet's key\n")
+            return AdminResponse(403, b"not sealed under the fleet's key\n")
         resource, _, name = target.removeprefix(PATH_PREFIX).decode("latin-1").partition("/")
         match method, resource:
             case "GET", "content" if is_content_hash(name):
@@ -63,21 +63,21 @@
                 return AdminResponse(200, msgspec.msgpack.encode(self.status()))
             case "POST", "command":
                 return self._post_command(body)
-        return AdminResponse(404, b"unknown method or path\n")
+        return AdminResponse(404, b"no such call\n")
 
     def _get_content(self, blob_hash: str) -> AdminResponse:
         data = self.agent.storage.read_blob(blob_hash)
-        return AdminResponse(200, data) if data is not None else AdminResponse(404, b"content not found\n")
+        return AdminResponse(200, data) if data is not None else AdminResponse(404, b"not here\n")
 
     def _put_content(self, blob_hash: str, data: bytes) -> AdminResponse:
         """Store a content file that a later proposal will name."""
         if content_hash(data) != blob_hash:
-            return AdminResponse(400, b"the body does not have the hash given in the path\n")
+            return AdminResponse(400, b"not the content of this name\n")
         try:
             self.agent.storage.write_upload(blob_hash, data)
         except OSError as error:
-            return AdminResponse(507, f"content not written to disk: {error.strerror}\n".encode())
-        return AdminResponse(200, b"stored\n")
+            return AdminResponse(507, f"not written: {error.strerror}\n".encode())
+        return AdminResponse(200, b"kept\n")
 
     # -- commands
 
