--- a/orchidlane/simulator_protocol/__init__.py
+++ b/orchidlane/simulator_protocol/__init__.py
@@ -1,5 +1,6 @@
-"""The adapter of the operators' simulator: its binary frames in, actions out.
+"""Adapter for the operators' simulator: reads frames of events, runs policies, writes frames of actions.
 
-``codec`` has the records, ``settings_json`` the settings text, ``process`` the loop. The protocol's own
-names of fields and values stand in these modules alone. They import the standard library and the policy only.
+``codec`` decodes and encodes the frames, ``settings_json`` parses a gateway's settings, and ``process`` is
+the program that the simulator starts. Only these modules contain the protocol's own names of fields and
+values. They import the standard library and the policy only.
 """
--- a/orchidlane/simulator_protocol/codec.py
+++ b/orchidlane/simulator_protocol/codec.py
@@ -1,7 +1,8 @@
-"""Codec of the simulator's frames: records to the policy's events, and its actions to records.
+"""Codec of the simulator's frames: decodes records into the policy's events, encodes its actions as records.
 
-A frame is a header, records of one size, and a tail that records refer to by offset and length. Numbers are
-little-endian. A record begins with its code and, but for endpoint entries, the number of a gateway.
+A frame consists of a header, records of a fixed size, and a tail: data of variable length that records refer
+to by offset and length. Numbers are little-endian. A record starts with its code, and continues with the
+number of the gateway that it is for; a record of endpoint entries has the number of their list instead.
 """
 
 from __future__ import annotations
@@ -15,17 +16,18 @@
 from orchidlane.simulator_protocol.errors import ProtocolError
 from orchidlane.simulator_protocol.settings_json import parse_settings
 
-FRAME_HEADER = struct.Struct("<IIQ")  # number of records, bytes behind the header, clock in microseconds
-REPLY_HEADER = struct.Struct("<II")  # number of records, bytes behind the header
+FRAME_HEADER = struct.Struct("<IIQ")  # number of records, bytes after the header, time in microseconds
+REPLY_HEADER = struct.Struct("<II")  # number of records, bytes after the header
 EVENT_BYTES: Final = 48
 ACTION_BYTES: Final = 24
+# Capacity share, kind, address, zone, start time in microseconds, state, cell
 ENDPOINT_ENTRY = struct.Struct("<fB6sBQBH")
 
-IS_RETRY_FLAG: Final = 2
+IS_RETRY_FLAG: Final = 2  # bit of the flags of an arrived request
 
 
 class EventCode(enum.IntEnum):
-    """First byte of a record of an event."""
+    """Code of an event's record, which is its first byte."""
 
     TIMER_FIRED = 1
     PEER_MESSAGE = 2
@@ -42,7 +44,7 @@
 
 
 class ActionCode(enum.IntEnum):
-    """First byte of a record of an action."""
+    """Code of an action's record, which is its first byte."""
 
     SEND_ATTEMPT = 65
     REJECT_REQUEST = 66
@@ -56,7 +58,7 @@
     FETCH_ENDPOINTS = 76
 
 
-# Fields of events behind their code
+# Layouts of event records, after the code
 _GATEWAY_STARTED = struct.Struct("<HQII")
 _GATEWAY_STOPPED = struct.Struct("<H")
 _ENDPOINT_ENTRIES = struct.Struct("<HII")
@@ -70,7 +72,7 @@
 _HEALTH_CHECK_FINISHED = struct.Struct("<HIH6sB4f")
 _COUNTER_CALL_FINISHED = struct.Struct("<HfIHQ")
 
-# Fields of actions with their code
+# Layouts of action records, with the code
 _SEND_ATTEMPT = struct.Struct("<BHI6sQ")
 _REJECT_REQUEST = struct.Struct("<BHII")
 _FAIL_REQUEST = struct.Struct("<BHI")
@@ -82,7 +84,7 @@
 _WATCH_ENDPOINTS = struct.Struct("<BHB")
 _FETCH_ENDPOINTS = struct.Struct("<BH")
 
-OUTCOMES = {
+OUTCOME_BY_CODE = {
     100: policy.Outcome.SERVED,
     301: policy.Outcome.ERROR,
     302: policy.Outcome.ENDPOINT_FULL,
@@ -95,31 +97,31 @@
 
 
 class StartGateway(NamedTuple):
-    """A gateway comes up."""
+    """A gateway starts."""
 
     settings: policy.Settings
     seed: int
 
 
 class StopGateway:
-    """A gateway is gone without warning."""
+    """A gateway stops at once; its policy is not notified."""
 
 
 class GatewayEvent(NamedTuple):
-    """What happens to one gateway of the process."""
+    """An event, and the number of the gateway that it is for."""
 
     gateway: int
     event: StartGateway | StopGateway | policy.Event
 
 
 class Decoder:
-    """Decodes frames; keeps the numbered endpoint lists, which are sent once for all gateways."""
+    """Decodes frames; stores the numbered endpoint lists, each of which is sent once for all gateways."""
 
     def __init__(self) -> None:
         self.endpoint_lists: dict[int, tuple[policy.EndpointEntry, ...]] = {}
 
     def decode_frame(self, record_count: int, body: bytes) -> list[GatewayEvent]:
-        """Return the events of a frame's body, in their order. Raises ProtocolError."""
+        """Return the events of a frame's body in the order of their records. Raises ProtocolError."""
         if len(body) < record_count * EVENT_BYTES:
             raise ProtocolError(f"frame of {len(body)} bytes is too short for {record_count} records")
         tail = body[record_count * EVENT_BYTES :]
@@ -127,7 +129,7 @@
         for offset in range(0, record_count * EVENT_BYTES, EVENT_BYTES):
             read = _READERS.get(body[offset])
             if read is None:
-                raise ProtocolError(f"unknown record code {body[offset]}")
+                raise ProtocolError(f"the code of an event's record must be from 1 to 12, not {body[offset]}")
             event = read(self, body, offset + 1, tail)
             if event is not None:
                 events.append(event)
@@ -149,30 +151,30 @@
 
 
 def _read_endpoint_entries(decoder: Decoder, body: bytes, offset: int, tail: bytes) -> None:
-    number, entries_offset, count = _ENDPOINT_ENTRIES.unpack_from(body, offset)
-    raw = _slice_tail(tail, entries_offset, count * ENDPOINT_ENTRY.size)
+    list_number, entries_offset, entry_count = _ENDPOINT_ENTRIES.unpack_from(body, offset)
+    data = _slice_tail(tail, entries_offset, entry_count * ENDPOINT_ENTRY.size)
     entries = []
-    for capacity_share, _kind, endpoint, zone, started_at_us, state, cell in ENDPOINT_ENTRY.iter_unpack(raw):
+    for capacity_share, _kind, endpoint, zone, started_at_us, state, cell in ENDPOINT_ENTRY.iter_unpack(data):
         if state > policy.EndpointState.DRAINING.value:
-            raise ProtocolError(f"unknown phase {state}")
+            raise ProtocolError(f"an endpoint's state must be 0, 1 or 2, not {state}")
         entries.append(
             policy.EndpointEntry(
                 endpoint, policy.EndpointState(state), zone, cell, started_at_us, capacity_share
             )
         )
-    decoder.endpoint_lists[number] = tuple(entries)
+    decoder.endpoint_lists[list_number] = tuple(entries)
 
 
 def _read_endpoint_list(decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
-    gateway, kind_code, number, version = _ENDPOINT_LIST.unpack_from(body, offset)
+    gateway, kind_code, list_number, version = _ENDPOINT_LIST.unpack_from(body, offset)
     if kind_code > policy.EndpointListKind.FAILED.value:
-        raise ProtocolError(f"unknown kind of list {kind_code}")
+        raise ProtocolError(f"the kind of an endpoint list must be from 0 to 3, not {kind_code}")
     kind = policy.EndpointListKind(kind_code)
     if kind is policy.EndpointListKind.FAILED:
         return GatewayEvent(gateway, policy.EndpointListReceived(kind, version, ()))
-    if number not in decoder.endpoint_lists:
-        raise ProtocolError(f"list {number} was never sent")
-    entries = decoder.endpoint_lists[number]
+    if list_number not in decoder.endpoint_lists:
+        raise ProtocolError(f"endpoint list {list_number} is referred to before its entries were sent")
+    entries = decoder.endpoint_lists[list_number]
     return GatewayEvent(gateway, policy.EndpointListReceived(kind, version, entries))
 
 
@@ -204,9 +206,9 @@
         duration_us,
         final_response_sent,
         reported_usage,
-        units,
-        count,
-        *report,
+        true_units,
+        report_length,
+        *load_report,
     ) = fields
     event = policy.AttemptFinished(
         request,
@@ -216,8 +218,8 @@
         duration_us,
         final_response_sent=bool(final_response_sent),
         reported_usage=reported_usage,
-        true_units=float(units),
-        load_report=tuple(report[:count]),
+        true_units=float(true_units),
+        load_report=tuple(load_report[:report_length]),
     )
     return GatewayEvent(gateway, event)
 
@@ -244,8 +246,12 @@
 
 
 def _read_health_check_finished(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
-    gateway, duration_us, outcome, endpoint, count, *report = _HEALTH_CHECK_FINISHED.unpack_from(body, offset)
-    event = policy.HealthCheckFinished(endpoint, _outcome(outcome), duration_us, tuple(report[:count]))
+    gateway, duration_us, outcome, endpoint, report_length, *load_report = _HEALTH_CHECK_FINISHED.unpack_from(
+        body, offset
+    )
+    event = policy.HealthCheckFinished(
+        endpoint, _outcome(outcome), duration_us, tuple(load_report[:report_length])
+    )
     return GatewayEvent(gateway, event)
 
 
@@ -278,30 +284,30 @@
 
 def _outcome(code: int) -> policy.Outcome:
     try:
-        return OUTCOMES[code]
+        return OUTCOME_BY_CODE[code]
     except KeyError:
-        raise ProtocolError(f"unknown outcome {code}") from None
+        raise ProtocolError(f"the code of an outcome must be 100 or from 301 to 307, not {code}") from None
 
 
 class Encoder:
-    """Collects the actions of one reply."""
+    """Builds one reply frame from actions and failures."""
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
         self.tail = bytearray()
 
     def add_action(self, gateway: int, action: policy.Action) -> None:
-        """Add one action of one gateway. Raises TypeError where the protocol has no record for it."""
+        """Add an action of a gateway. Raises TypeError if the protocol has no record for it."""
         self._add_record(self._encode_action(gateway, action))
 
     def add_failure(self, gateway: int, text: str) -> None:
-        """Report that a gateway's decision raised an exception."""
+        """Add a record for an exception that a gateway's policy raised; ``text`` describes it."""
         offset = self._append_to_tail(text.encode())
         length = len(self.tail) - offset
         self._add_record(_POLICY_FAILURE.pack(ActionCode.POLICY_FAILURE, gateway, offset, length))
 
     def encode_reply(self) -> bytes:
-        """Return the whole reply frame."""
+        """Return the complete reply frame."""
         body = b"".join(self.records) + self.tail
         return REPLY_HEADER.pack(len(self.records), len(body)) + body
 
@@ -341,4 +347,4 @@
             case policy.FetchEndpoints():
                 return _FETCH_ENDPOINTS.pack(code.FETCH_ENDPOINTS, gateway)
             case _:
-                raise TypeError(f"no action of the protocol: {action!r}")
+                raise TypeError(f"the simulator's protocol has no record for this action: {action!r}")
--- a/orchidlane/simulator_protocol/process.py
+++ b/orchidlane/simulator_protocol/process.py
@@ -1,4 +1,7 @@
-"""The simulator's process: frames in, one flushed reply to each out, many gateways that share nothing."""
+"""The program that the simulator starts: reads frames, and writes and flushes one reply to each.
+
+It runs the policies of many gateways, which share no state.
+"""
 
 from __future__ import annotations
 
@@ -12,36 +15,36 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer frames until the input ends. Raises ProtocolError."""
+    """Reply to each frame until the input ends. Raises ProtocolError."""
     decoder = codec.Decoder()
     gateways: dict[int, Gateway] = {}
-    while first := source.read(1):
-        header = first + _read_exactly(source, codec.FRAME_HEADER.size - 1)
-        record_count, length, now = codec.FRAME_HEADER.unpack(header)
-        events = decoder.decode_frame(record_count, _read_exactly(source, length))
-        sink.write(_decide_all(gateways, events, now))
+    while first_byte := source.read(1):
+        header = first_byte + _read_exactly(source, codec.FRAME_HEADER.size - 1)
+        record_count, body_length, now = codec.FRAME_HEADER.unpack(header)
+        events = decoder.decode_frame(record_count, _read_exactly(source, body_length))
+        sink.write(_handle_events(gateways, events, now))
         sink.flush()
 
 
 def _read_exactly(source: BinaryIO, size: int) -> bytes:
     data = source.read(size)
     if len(data) < size:
-        raise ProtocolError(f"input ended within a frame: {len(data)} of {size} bytes")
+        raise ProtocolError(f"the input ended within a frame, after {len(data)} of {size} bytes")
     return data
 
 
-def _decide_all(gateways: dict[int, Gateway], events: list[codec.GatewayEvent], now: int) -> bytes:
-    """Feed a frame's events to their gateways; return the reply."""
+def _handle_events(gateways: dict[int, Gateway], events: list[codec.GatewayEvent], now: int) -> bytes:
+    """Pass a frame's events to the policies of their gateways, and return the reply frame."""
     encoder = codec.Encoder()
     for number, event in events:
         if isinstance(event, codec.StopGateway):
             gateways.pop(number, None)
             continue
         if not isinstance(event, codec.StartGateway) and number not in gateways:
-            raise ProtocolError(f"event for gateway {number}, which never started")
+            raise ProtocolError(f"event for gateway {number}, which is not running")
         try:
-            actions = _decide(gateways, number, event, now)
-        except Exception as failure:  # the protocol reports each failure of a decision as a record
+            actions = _handle_event(gateways, number, event, now)
+        except Exception as failure:  # the protocol has a record for any failure of a policy
             encoder.add_failure(number, f"{type(failure).__name__}: {failure}")
             continue
         for action in actions:
@@ -49,7 +52,7 @@
     return encoder.encode_reply()
 
 
-def _decide(
+def _handle_event(
     gateways: dict[int, Gateway], number: int, event: codec.StartGateway | policy.Event, now: int
 ) -> list[policy.Action]:
     if isinstance(event, codec.StartGateway):
@@ -59,7 +62,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; one plain line and exit code 1 where the input is malformed."""
+    """Serve standard input and output; on malformed input, print one line and return exit code 1."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ProtocolError as error:
--- a/orchidlane/simulator_protocol/settings_json.py
+++ b/orchidlane/simulator_protocol/settings_json.py
@@ -1,4 +1,4 @@
-"""The settings text of a gateway's start: JSON with the protocol's names, mapped to the policy's settings."""
+"""Parses the settings that a gateway starts with: JSON with the protocol's names, mapped to the policy's."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     "by_key": policy.Idempotency.IDEMPOTENT_WITH_KEY,
     "once": policy.Idempotency.NOT_IDEMPOTENT,
 }
-LOAD_REPORT_SOURCES = {
+LOAD_REPORT_SOURCE_BY_NAME = {
     "inline": policy.LoadReportSource.INLINE,
     "on_probe": policy.LoadReportSource.ON_HEALTH_CHECK,
     "off": policy.LoadReportSource.NONE,
@@ -21,17 +21,20 @@
 
 
 def parse_settings(text: bytes) -> policy.Settings:
-    """Return the policy's settings; unknown keys are ignored, missing ones named. Raises ProtocolError."""
+    """Return the policy's settings; unknown keys are ignored.
+
+    Raises ProtocolError, which names a missing key.
+    """
     try:
         values = json.loads(text)
     except ValueError:
-        raise ProtocolError("settings are not JSON") from None
+        raise ProtocolError("the settings are not valid JSON") from None
     try:
         return _settings(values)
-    except KeyError as missing:
-        raise ProtocolError(f"settings lack the key {missing.args[0]!r}") from None
-    except (TypeError, ValueError, AttributeError) as invalid:
-        raise ProtocolError(f"settings have a value of the wrong kind: {invalid}") from None
+    except KeyError as error:
+        raise ProtocolError(f"the settings lack a key, or have an unknown value: {error.args[0]!r}") from None
+    except (TypeError, ValueError, AttributeError) as error:
+        raise ProtocolError(f"the settings have a value that is not valid: {error}") from None
 
 
 def _settings(values: dict[str, Any]) -> policy.Settings:
@@ -60,7 +63,7 @@
         has_shared_counter=bool(family["sharedCounter"]),
         polls_endpoint_list=values["discovery"] == "on_request",
         poll_timeout_us=int(rules["askWithin"]),
-        load_report_source=LOAD_REPORT_SOURCES[load_report["how"]],
+        load_report_source=LOAD_REPORT_SOURCE_BY_NAME[load_report["how"]],
         load_report_names=tuple(load_report["names"]),
         slow_start_initial_share=float(rules["coldFrom"]),
         slow_start_duration_us=int(rules["warmWithin"]),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Groups of tests that run one after another, and fixtures."""
+"""Groups of tests for pytest-xdist, each run one test after another by one worker, and fixtures."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import pytest
 import structlog
-from harness.known_red import (  # noqa: F401  hooks of the tests that are known to fail
-    mark,
+from harness.known_red import (  # noqa: F401  pytest calls these hooks
+    mark_known_failures,
     pytest_collection_finish,
     pytest_configure,
     pytest_sessionfinish,
@@ -22,6 +22,7 @@
 from orchidlane.runtime import EventLoop, RealBackend
 from orchidlane.runtime.simulated_backend import NetworkFaults, SimulatedBackend
 
+# These use real sockets and all cores, so they run one after another.
 WHOLE_MACHINE = (
     "cli",
     "gateway_process",
@@ -33,12 +34,13 @@
     "tools",
     "hot_restart_real",
     "simulator_protocol",
-)  # real sockets, all cores
+)
 
 
-EACH_BY_ITSELF = ("consensus_model", "fleet_totals")  # long, and they share nothing
-# Each starts up to ten processes: two at a time would compete for cores, and a leader that is delayed is
-# replaced
+# The tests of these files take long and share nothing, so they need no group.
+WITHOUT_GROUP = ("consensus_model", "fleet_totals")
+# Each starts up to ten processes. Two at a time would compete for cores, and a leader that is delayed is
+# replaced, so they run one after another.
 PROCESSES = (
     "rollout_processes",
     "rollout_stages",
@@ -49,11 +51,11 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Tests that need real time or all cores follow each other; one file's others stay together."""
-    mark(config, items)
+    """Assign tests to groups: those that need all cores share one, other files have one each."""
+    mark_known_failures(config, items)
     for item in items:
         name = item.path.stem.removeprefix("test_")
-        if name in EACH_BY_ITSELF:
+        if name in WITHOUT_GROUP:
             continue
         group = "machine" if name in WHOLE_MACHINE else "processes" if name in PROCESSES else name
         item.add_marker(pytest.mark.xdist_group(group))
@@ -61,7 +63,7 @@
 
 @pytest.fixture
 def harness() -> PolicyHarness:
-    """A gateway with four warm endpoints."""
+    """Return a gateway with four endpoints that are past their slow start."""
     return PolicyHarness()
 
 
@@ -75,13 +77,13 @@
 
 @pytest.fixture
 def gateway_files(tmp_path: Path) -> GatewayFiles:
-    """The example's files for one gateway process."""
+    """Return the files of the example service for one gateway process."""
     return write_gateway_files(tmp_path / "m")
 
 
 @pytest.fixture(params=["real", "simulated"])
 def loop(request: pytest.FixtureRequest) -> EventLoop:
-    """An event loop on each of the two backends; the simulated one loses no datagrams."""
+    """Return an event loop on each of the two backends; the simulated one loses no datagrams."""
     if request.param == "real":
         return EventLoop(RealBackend(1))
     return EventLoop(SimulatedBackend(1, NetworkFaults(datagram_loss_probability=0)))
--- a/tests/harness/constants.py
+++ b/tests/harness/constants.py
@@ -1,4 +1,4 @@
-"""What all tests share: units of time in microseconds, and the folder of the example service."""
+"""Constants of all tests: units of time in microseconds, and the folder of the example service."""
 
 from __future__ import annotations
 
--- a/tests/harness/golden_events.py
+++ b/tests/harness/golden_events.py
@@ -1,4 +1,4 @@
-"""The policy's events, actions and messages, built in one place from plain values for the golden tests."""
+"""Conversions between plain values and the policy's events, actions and messages, for the golden tests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     tokens: float,
     counts: tuple,
 ) -> gossip_codec.CustomerRow:
-    """Return a row of a gossip message on one customer."""
+    """Return one customer's row of a gossip message."""
     return gossip_codec.CustomerRow(
         customer,
         plan,
@@ -40,13 +40,13 @@
 
 
 def row_values(row: gossip_codec.CustomerRow) -> list:
-    """Return a row as plain values."""
+    """Return a row of a gossip message as plain values."""
     amounts = [row.remaining, row.spent_total, row.tokens, [list(count) for count in row.replica_counts]]
     return [row.customer, row.plan, row.replica_set_start, row.replica_set_size, row.forward_count, *amounts]
 
 
 def message_values(message: gossip_codec.GossipMessage | None) -> list | None:
-    """Return a decoded message as plain values."""
+    """Return a decoded gossip message as plain values, or None if it was not valid."""
     if message is None:
         return None
     return [
@@ -59,26 +59,26 @@
 
 def request_values(event: policy.RequestArrived) -> list:
     """Return a client's request as plain values."""
-    counts = [
+    details = [
         event.units,
         event.time_left_us,
         event.replica_set_start,
         event.replica_set_size,
         event.is_retry,
     ]
-    return [event.request, event.customer, event.plan, event.request_class, *counts]
+    return [event.request, event.customer, event.plan, event.request_class, *details]
 
 
 def outcome_values(event: policy.AttemptFinished) -> list:
     """Return an attempt's outcome as plain values."""
-    ended = [
+    details = [
         event.outcome.value,
         event.duration_us,
         event.final_response_sent,
         event.reported_usage,
         event.true_units,
     ]
-    return [event.request, event.attempt, event.endpoint.hex(), *ended, list(event.load_report)]
+    return [event.request, event.attempt, event.endpoint.hex(), *details, list(event.load_report)]
 
 
 def list_values(event: policy.EndpointListReceived) -> list:
@@ -132,7 +132,8 @@
 }
 
 
-ACTIONS: dict[int, list[policy.Action]] = {  # by the code of its record
+# By the code of their record
+ACTIONS: dict[int, list[policy.Action]] = {
     65: [policy.SendAttempt(0x5D3A91C4, ENDPOINT, 0x8194DA), policy.SendAttempt(7, ENDPOINT, 0)],
     66: [policy.RejectRequest(7, 9), policy.RejectRequest(7, 0, True)],
     67: [policy.FailRequest(7)],
@@ -145,11 +146,11 @@
 }
 
 
-NOT_ON_THE_WIRE = {policy.GrantQuota}
+ACTIONS_WITHOUT_RECORD = {policy.GrantQuota}
 
 
 def settings_values(settings: policy.Settings) -> dict:
-    """Return settings as plain values, under names of the golden file."""
+    """Return settings as plain values, under the names in the golden file."""
     return {
         "rank and fleet": [settings.replica, settings.replica_count, settings.zone],
         "classes": [
@@ -206,5 +207,5 @@
 
 
 def seal_datagram(kind: int, body: bytes, sequence: int = 5, incarnation: int = 900) -> bytes:
-    """Return a datagram from gateway 1 to gateway 2."""
+    """Return a sealed datagram from gateway 1 to gateway 2."""
     return datagrams.encode_datagram(SECRET, 1, 2, incarnation, sequence, body, kind)
--- a/tests/harness/golden_gateways.py
+++ b/tests/harness/golden_gateways.py
@@ -1,4 +1,4 @@
-"""Golden values of endpoint lists, hot restarts, rolling upgrades and messages between gateways."""
+"""Golden values of endpoint lists, rolling upgrades, hot restarts and messages between gateways."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def golden_endpoint_list_line() -> bytes:
-    """Return a line of the endpoint watch, as a discovery service writes it."""
+    """Return a line of an endpoint watch, as a discovery service sends it."""
     nodes = [
         {"address": "10.0.0.1:80", "phase": "ready", "zone": "z1", "cell": "c1", "launched": 55, "size": 1.5},
         {
@@ -36,14 +36,14 @@
 
 
 def golden_tracker() -> endpoint_list.EndpointListTracker:
-    """Return the endpoint list as one gateway knows it."""
+    """Return a tracker to which the golden line is applied."""
     tracker = endpoint_list.EndpointListTracker("z1", 100)
     tracker.apply_line(golden_endpoint_list_line())
     return tracker
 
 
 def golden_roll(phase: rolling_upgrade.Phase) -> StoredRoll:
-    """Return the state of a rolling upgrade in a phase, with one gateway in each phase of its own."""
+    """Return a rolling upgrade in ``phase``, with one gateway in each of the gateways' phases."""
     gateways = [
         rolling_upgrade.GatewayState(
             gateway_phase,
@@ -68,7 +68,7 @@
 
 
 def golden_limits_state() -> dict[str, Any]:
-    """Return what a new process gets of grants, tokens and reservations, beside the tables' rows."""
+    """Return the state of tokens and grants that a new process receives besides the rows of tables."""
     return {
         "life": START_US - 1_000_000,
         "numbers": START_US - 999_000,
@@ -79,7 +79,7 @@
 
 
 def golden_table_rows() -> dict[str, list[Any]]:
-    """Return rows of each table that is handed over to a new process."""
+    """Return rows of each table that the old process sends to the new process."""
     outcomes = [outcome.value for outcome in GrantOutcome]
     return {
         "accounts": [
@@ -106,12 +106,12 @@
 
 
 def golden_peers() -> list[Any]:
-    """Return what was received of each peer: rank, incarnation, sequence number, bits of earlier ones."""
+    """Return each peer's rank, incarnation, last sequence number, and bits of earlier numbers received."""
     return [[1, START_US - 70, 900, bytes(range(128))], [2, START_US - 60, 800, bytes(range(127, -1, -1))]]
 
 
 def golden_restart_messages() -> dict[str, Any]:
-    """Return one of each message of a hot restart; every field is other than its default."""
+    """Return one message of each type of a hot restart; no field has its default value."""
     return {**_messages_of_new_process(), **_messages_of_old_process()}
 
 
@@ -169,7 +169,7 @@
 
 
 def golden_token_messages() -> dict[str, Any]:
-    """Return one of each message of token requests between gateways."""
+    """Return one message of each type of token requests between gateways."""
     return {
         "question": token_messages.TokenQuery(55, 1, b"token-1", 7, 66, 2.5),
         "reply": token_messages.TokenReply(55, 2, 1, 2.5, "done before"),
--- a/tests/harness/golden_policy.py
+++ b/tests/harness/golden_policy.py
@@ -1,4 +1,4 @@
-"""Golden values of states, records and views: what the bytes in ``corpus/golden`` hold."""
+"""Golden values of states, records and views, which the files in ``corpus/golden`` encode."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 GOLDEN_DIRECTORY = Path(__file__).parent.parent / "corpus" / "golden"
 SECRET = b"the golden fleet's key"
-BUILD = "1.2.3+0123456789ab"  # fixed: the real name changes with the sources
+BUILD = "1.2.3+0123456789ab"  # fixed, because the real build name changes with the sources
 CLASS_NAMES = ("safe", "keyed in a cell", "unsafe", "keyed", "keyed in a zone")
 PLAN_NAMES = ("plain", "capped", "with a ceiling", "idle earns")
 
 
 def golden_accounts() -> list[Account]:
-    """Return two accounts; all fields of the first differ from a new account's."""
+    """Return two accounts; each field of the first differs from its value in a new account."""
     first = Account(
         customer=7,
         key=AccountKey(2, 1, 3),
@@ -48,12 +48,12 @@
 
 
 def golden_state() -> recording.StateDump:
-    """Return a state with endpoints, accounts, requests in flight and all else that a state holds."""
+    """Return a state dump in which no part is empty: endpoints, accounts, requests in flight and the rest."""
     return msgspec.msgpack.decode(golden("module-state.msgpack"), type=recording.StateDump)
 
 
 def golden_gateway() -> Gateway:
-    """Return the policy restored from the golden state, its times whole numbers as before storing."""
+    """Return the policy restored from the golden state, with times as integers, as before storing."""
     gateway = recording.restore_gateway(SETTINGS, golden_state())
     for estimate in (gateway.fleet_health, *gateway.zone_health.values()):
         estimate.updated_at_us = int(estimate.updated_at_us)
@@ -61,12 +61,12 @@
 
 
 def golden_settings() -> dict[str, Any]:
-    """Return a policy's settings as plain values, the way they are read."""
+    """Return a policy's settings as plain values, as they are read back from a record."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(recording.settings_to_stored(SETTINGS)))
 
 
 def golden_events() -> list[policy.Event]:
-    """Return each type of event at least once, with each value of the enumerations that an event holds."""
+    """Return events of every type, which contain every value of the enumerations in events."""
     entries = tuple(
         policy.EndpointEntry(b"10.0.0.%d:80" % state.value, state, 1, 2, START_US - 90, 1.5)
         for state in policy.EndpointState
@@ -91,7 +91,7 @@
 
 
 def golden_actions() -> list[policy.Action]:
-    """Return each type of action once."""
+    """Return one action of each type."""
     return [
         policy.SendAttempt(1, b"10.0.0.1:80", START_US + 5_000),
         policy.CancelAttempt(1, 4),
@@ -107,7 +107,7 @@
 
 
 def golden_header() -> recording.Header:
-    """Return the header of a traffic record."""
+    """Return the header of a segment."""
     return recording.Header(
         format=2,
         build=BUILD,
@@ -128,7 +128,7 @@
 
 
 def golden_view() -> policy_views.PolicyView:
-    """Return the view that a gateway gives tools of itself and one customer."""
+    """Return the view of a gateway and one customer that tools receive."""
     return policy_views.PolicyView(
         format=1,
         build=BUILD,
@@ -143,12 +143,12 @@
 
 
 def golden_customer_row() -> gossip_codec.CustomerRow:
-    """Return a row of a gossip message on one customer."""
+    """Return one customer's row of a gossip message."""
     return gossip_codec.CustomerRow(7, 2, 1, 3, 2, 15.25, 9.25, 1.5, ((1, 15_900, 3.25), (2, 15_950, 4.5)))
 
 
 def encode_as_hex(encoded: dict[Any, bytes]) -> bytes:
-    """Return several small examples as one file: a name for each, and its bytes in hexadecimal."""
+    """Return a file's content for several small examples: a JSON object of names and hexadecimal bytes."""
     return (json.dumps({name: data.hex() for name, data in encoded.items()}, indent=1) + "\n").encode()
 
 
@@ -176,12 +176,12 @@
 
 
 def golden_examples(name: str) -> dict[str, bytes]:
-    """Return the golden bytes of a file with several examples, by name."""
+    """Return the examples of a golden file, by name."""
     return {label: bytes.fromhex(data) for label, data in json.loads(golden(name)).items()}
 
 
 def fields_with_default(message: msgspec.Struct) -> list[str]:
-    """Return the names of the fields of a message that have their default."""
+    """Return the names of a message's fields that have their default value."""
     names = []
     for field in msgspec.structs.fields(message):
         default = field.default if field.default_factory is msgspec.NODEFAULT else field.default_factory()
--- a/tests/harness/golden_session.py
+++ b/tests/harness/golden_session.py
@@ -1,4 +1,4 @@
-"""A fleet's session of many events under one clock, all drawn from one seed."""
+"""A simulated session of a fleet: many events under one virtual clock, generated from one seed."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Session:
-    """A fleet with endpoints, clients, discovery and a network under one clock, all drawn from one seed."""
+    """A fleet with endpoints, clients, discovery and a network, all generated from one seed."""
 
     def __init__(
         self, seed: int, gateways: int, span: int, with_quota_events: bool, **permissions: Any
@@ -53,10 +53,10 @@
         self.now, self.end = START_US, START_US + span
         self.gateway_count = gateways
         self.with_quota_events = with_quota_events
-        self.scheduled: list[tuple] = []  # time, order, function and its arguments
+        self.scheduled: list[tuple] = []  # heap of time, order of scheduling, function and its arguments
         self.schedule_count = 0
         self.event_count = 0
-        self.frames: list[bytes] = []  # of events, as a process of the protocol receives them
+        self.frames: list[bytes] = []  # of events, as the simulator sends them
         self.decoder = codec.Decoder()
         self.digest = hashlib.sha256()
         self.digests: list[str] = []
@@ -69,28 +69,28 @@
             for number in range(9)
         ]
         self.gateways: dict[int, Gateway] = {}
-        self.incarnations: Counter[int] = Counter()  # starts of each gateway
-        self.delayed_until: dict[int, int] = {}  # gateways whose timers are held up, until when
+        self.incarnations: Counter[int] = Counter()  # by gateway: how often it started
+        self.delayed_until: dict[int, int] = {}  # by gateway, for gateways whose timers are delayed
         self.seeds = [self.random.getrandbits(64) for _ in range(gateways)]
         self.settings_texts = [settings_text(rank, gateways, **permissions) for rank in range(gateways)]
 
-    # -- events in, actions out
+    # -- events and actions
 
     def feed(self, *records: bytes, tail: bytes = b"") -> None:
-        """Feed records to the gateways that they name."""
+        """Feed a frame of records to the gateways that the records name."""
         self.frames.append(frame(self.now, list(records), tail))
         for number, event in self.decoder.decode_frame(len(records), b"".join(records) + tail):
             self.feed_event(number, event)
 
     def feed_event(self, gateway: int, event: policy.Event) -> None:
-        """Feed one event."""
+        """Feed one event to a gateway, and store the digest so far after every 1,000 events."""
         self.event_count += 1
         self.record_actions(gateway, self.gateways[gateway].handle(self.now, event))
         if self.event_count % 1_000 == 0:
             self.digests.append(self.digest.hexdigest()[:16])
 
     def record_actions(self, gateway: int, actions: Iterable[policy.Action]) -> None:
-        """Digest the actions and apply them."""
+        """Add the actions to the digest and the counts, and apply them."""
         for action in actions:
             data = action_bytes(gateway, action)
             self.digest.update(data)
@@ -117,7 +117,7 @@
         heapq.heappush(self.scheduled, (self.now + delay_us, self.schedule_count, function, values))
 
     def fire_timer(self, gateway: int, incarnation: int, token: int) -> None:
-        """Fire a timer, unless its gateway restarted since."""
+        """Fire a timer, later if timers are delayed, and not at all if the gateway has restarted."""
         if self.now < self.delayed_until.get(gateway, 0):
             self.schedule(
                 self.delayed_until[gateway] - self.now, self.fire_timer, gateway, incarnation, token
@@ -128,12 +128,12 @@
     # -- endpoints
 
     def start_attempt(self, gateway: int, request: int, name: bytes) -> None:
-        """Draw an attempt's outcome, and schedule it."""
+        """Choose a random outcome of an attempt, and schedule the finish of the attempt."""
         attempt = self.attempt_counts[gateway, request]
         self.attempt_counts[gateway, request] += 1
-        endpoint = next(known for known in self.endpoints if known.name == name)
+        endpoint = next(endpoint for endpoint in self.endpoints if endpoint.name == name)
         endpoint.in_flight += 1
-        outcome, duration_us = self._draw_outcome(endpoint)
+        outcome, duration_us = self._random_outcome(endpoint)
         if self.random.random() < 0.05:
             stream = record(4, "HIH6sI", gateway, request, attempt, name, duration_us // 2)
             self.schedule(duration_us // 2, self.feed, stream)
@@ -141,9 +141,12 @@
             duration_us, self.finish_attempt, gateway, request, attempt, endpoint, outcome, duration_us
         )
 
-    def _draw_outcome(self, endpoint: Endpoint) -> tuple[int, int]:
-        """Draw an attempt's outcome and duration: zones 1 and 2 fail and slow down for a while."""
-        draw, age = self.random.random(), self.now - START_US
+    def _random_outcome(self, endpoint: Endpoint) -> tuple[int, int]:
+        """Return a random outcome and duration of an attempt.
+
+        From 4 to 7 s, all attempts in zone 1 fail; from 9 to 10 s, those in zone 2 are slow.
+        """
+        failure_draw, age = self.random.random(), self.now - START_US
         duration_us = int((40 + 25 * endpoint.in_flight) * MS * self.random.uniform(0.7, 1.4))
         outcome = SERVED
         if endpoint.zone == 1 and 4 * SECOND < age < 7 * SECOND:
@@ -153,7 +156,7 @@
             duration_us += 1_500 * MS
         elif endpoint.in_flight > 12:
             outcome, duration_us = ENDPOINT_FULL, 2 * MS
-        elif draw < 0.06:
+        elif failure_draw < 0.06:
             outcome = self.random.choice(
                 (ERROR, ENDPOINT_FULL, CONNECT_FAILED, CONNECTION_BROKEN, CANCELLED, NOT_SENT)
             )
@@ -164,15 +167,15 @@
     ) -> None:
         """Feed an attempt's outcome."""
         endpoint.in_flight -= 1
-        ended = outcome_record(
+        finished = outcome_record(
             gateway, request, attempt, endpoint.name, outcome, duration_us, outcome in (SERVED, CANCELLED)
         )
-        self.feed(ended)
+        self.feed(finished)
         if self.random.random() < 0.02:
-            self.feed(ended)  # a duplicate has no effect
+            self.feed(finished)  # a duplicate has no effect
 
     def send_endpoint_list(self, kind: int, endpoints: list[Endpoint], *gateways: int) -> None:
-        """Send an endpoint list to gateways."""
+        """Send an endpoint list to some gateways, or to all if none is named."""
         self.list_count += 1
         tail = b"".join(endpoint.entry() for endpoint in endpoints)
         for gateway in gateways or range(self.gateway_count):
@@ -182,22 +185,22 @@
 
     def change_endpoints(self) -> None:
         """Drain, remove, restart or add some endpoints."""
-        some = self.random.sample(self.endpoints, 3)
-        for endpoint in some:
-            restarts = endpoint.state != READY or self.random.random() < 0.4
-            endpoint.state = READY if restarts else self.random.choice((DRAINING, GONE))
-            if restarts:
+        changed = self.random.sample(self.endpoints, 3)
+        for endpoint in changed:
+            is_started = endpoint.state != READY or self.random.random() < 0.4
+            endpoint.state = READY if is_started else self.random.choice((DRAINING, GONE))
+            if is_started:
                 endpoint.started_at_us = self.now - self.random.randrange(SECOND)
-        self.send_endpoint_list(DELTA, some)
+        self.send_endpoint_list(DELTA, changed)
         if self.random.random() < 0.3:
             self.send_endpoint_list(FAILED, [], self.random.randrange(self.gateway_count))
         if self.random.random() < 0.4:
-            ready = [endpoint for endpoint in self.endpoints if endpoint.state != GONE]
-            self.send_endpoint_list(self.random.choice((COMPLETE, CACHED)), ready)
+            present = [endpoint for endpoint in self.endpoints if endpoint.state != GONE]
+            self.send_endpoint_list(self.random.choice((COMPLETE, CACHED)), present)
         self.schedule(400 * MS, self.change_endpoints)
 
     def remove_all_endpoints(self, returns_after_us: int) -> None:
-        """Send a complete list without endpoints, and the former one later."""
+        """Send a complete list without endpoints, and after a delay one with all present endpoints."""
         self.send_endpoint_list(COMPLETE, [])
         self.schedule(
             returns_after_us,
@@ -209,27 +212,36 @@
     # -- peers
 
     def transmit(self, sender: int, receiver: int, body: bytes) -> None:
-        """Transmit a datagram, which may be lost, duplicated, late or truncated."""
+        """Transmit a datagram, which may be lost, duplicated, delayed or truncated.
+
+        From 5 to 8 s, the network between gateways 0 to 2 and the others is partitioned.
+        """
         age = self.now - START_US
-        cut = 5 * SECOND < age < 8 * SECOND and (sender < 3) != (receiver < 3)
-        if cut or self.random.random() < 0.03:
+        is_partitioned = 5 * SECOND < age < 8 * SECOND and (sender < 3) != (receiver < 3)
+        if is_partitioned or self.random.random() < 0.03:
             return
         for _ in range(1 + (self.random.random() < 0.03)):
-            late = self.random.randrange(3 * SECOND, 6 * SECOND) if self.random.random() < 0.02 else 0
+            extra_delay_us = (
+                self.random.randrange(3 * SECOND, 6 * SECOND) if self.random.random() < 0.02 else 0
+            )
             if self.random.random() < 0.01:
                 body = body[: self.random.randrange(len(body))]
             self.schedule(
-                self.random.randrange(1, 30) * MS + late, self.deliver_message, sender, receiver, body
+                self.random.randrange(1, 30) * MS + extra_delay_us,
+                self.deliver_message,
+                sender,
+                receiver,
+                body,
             )
 
     def deliver_message(self, sender: int, receiver: int, body: bytes) -> None:
-        """Feed a datagram."""
+        """Feed a datagram to the gateway that receives it."""
         self.feed(record(2, "HHII", receiver, sender, 0, len(body)), tail=body)
 
     # -- gateways
 
     def restart_gateway(self, gateway: int) -> None:
-        """Stop a gateway and start it again."""
+        """Stop a gateway, start it again and send it a cached endpoint list."""
         self.start_gateway(gateway, record(8, "H", gateway))
         self.send_endpoint_list(
             CACHED, [endpoint for endpoint in self.endpoints if endpoint.state != GONE], gateway
@@ -239,12 +251,12 @@
         """Delay a gateway's timers, as if its process were paused."""
         self.delayed_until[gateway] = self.now + delay_us
 
-    def start_gateway(self, gateway: int, *before: bytes) -> None:
-        """Start a gateway."""
+    def start_gateway(self, gateway: int, *records_before: bytes) -> None:
+        """Start a gateway; ``records_before`` precede its start in the frame."""
         self.incarnations[gateway] += 1
         text, seed = self.settings_texts[gateway], self.seeds[gateway]
         start = record(7, "HQII", gateway, seed, 0, len(text))
-        self.frames.append(frame(self.now, [*before, start], text))
+        self.frames.append(frame(self.now, [*records_before, start], text))
         self.gateways[gateway] = make_gateway(text, seed, self.now)
         self.record_actions(gateway, self.gateways[gateway].start())
 
@@ -269,7 +281,7 @@
         return self
 
     def golden_value(self) -> dict[str, Any]:
-        """Return the plain values that the golden file has of the session."""
+        """Return the values that the golden file stores for the session."""
         return {
             "events": self.event_count,
             "actions": {str(code): count for code, count in sorted(self.action_counts.items())},
--- a/tests/harness/session_records.py
+++ b/tests/harness/session_records.py
@@ -1,4 +1,4 @@
-"""Events and settings as records of the simulator protocol's bytes, which no name in the code changes."""
+"""Events and settings as bytes of the simulator's protocol, which do not depend on names in the code."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from orchidlane.simulator_protocol import codec, settings_json
 
 START_US = 1_000 * SECOND
-# Outcomes of attempts
+# Codes of outcomes of attempts
 SERVED, ERROR, ENDPOINT_FULL, TIMED_OUT, CONNECT_FAILED, CONNECTION_BROKEN, CANCELLED, NOT_SENT = (
     100, 301, 302, 303, 304, 305, 306, 307,
 )  # fmt: skip
-# States of endpoints, and kinds of endpoint lists
+# Codes of endpoint states, and of kinds of endpoint lists
 GONE, READY, DRAINING = 0, 1, 2
 DELTA, COMPLETE, CACHED, FAILED = 0, 1, 2, 3
-# Codes of actions' records
+# Codes of action records
 SEND, REJECT, FAIL, CANCEL, SET_TIMER, SEND_PEER_MESSAGE, POLICY_FAILURE, WATCH_ENDPOINTS = (
     65,
     66,
@@ -45,7 +45,7 @@
 
 
 class Ceiling(NamedTuple):
-    """A plan's ceiling: units a second, burst and slack."""
+    """A plan's ceiling: units per second, burst and slack."""
 
     rate: float
     burst: float
@@ -55,35 +55,38 @@
 NO_CEILING = Ceiling(0.0, 0.0, 0.0)
 
 
-# -- the code's types, which nothing else in a session names
+# -- the policy, and its events that the protocol has no record for
 
 
 def make_gateway(settings: bytes, seed: int, now: int) -> Gateway:
-    """Return a gateway's policy."""
+    """Return a new policy with the settings of a settings text."""
     return Gateway(settings_json.parse_settings(settings), seed, now)
 
 
 def quota_requested_event(
     request: int, customer: int, plan: int, request_class: int, units: float, first: int, size: int
 ) -> policy.Event:
-    """Return a request of quota alone."""
+    """Return the event of a request for quota, without a request to forward."""
     return policy.QuotaRequested(request, customer, plan, request_class, units, first, size)
 
 
 def count_recovered_event(
     customer: int, plan: int, first: int, size: int, start: int, value: float
 ) -> policy.Event:
-    """Return a count of another process of this gateway."""
+    """Return the event of a count that was recovered from another process of the gateway."""
     return policy.CountRecovered(customer, plan, first, size, start, value)
 
 
 def replica_set_changed_event(customer: int, plan: int, first: int, size: int) -> policy.Event:
-    """Return a change of a customer's replica set."""
+    """Return the event of a change of a customer's replica set."""
     return policy.ReplicaSetChanged(customer, plan, first, size)
 
 
 def action_bytes(gateway: int, action: policy.Action) -> bytes:
-    """Return an action's record; grants and the reason of a rejection, which have none, are added."""
+    """Return an action's record for the golden digest.
+
+    The protocol has no record for a grant and no field for the reason of a rejection: both are added here.
+    """
     if isinstance(action, policy.GrantQuota):
         return struct.pack("<BHI", 200, gateway, action.request)
     encoder = codec.Encoder()
@@ -98,7 +101,7 @@
 
 
 def record(code: int, layout: str, *values: Any) -> bytes:
-    """Return a record of an event."""
+    """Return an event's record of a code and fields of a ``struct`` layout, padded to 48 bytes."""
     return struct.pack("<B" + layout, code, *values).ljust(48, b"\0")
 
 
@@ -114,7 +117,7 @@
     size: int,
     is_retry: bool,
 ) -> bytes:
-    """Return the record of a client's request."""
+    """Return the record of an arrived request."""
     values = gateway, request, request_class, plan, customer, time_left_us, units
     return record(5, "HIBHQIfffH", *values, float(size), float(first), 2 * is_retry)
 
@@ -126,21 +129,21 @@
     endpoint: bytes,
     outcome: int,
     duration_us: int,
-    answered: bool,
+    final_response_sent: bool,
 ) -> bytes:
     """Return the record of an attempt's outcome."""
-    values = gateway, request, attempt, endpoint, outcome, duration_us, answered
+    values = gateway, request, attempt, endpoint, outcome, duration_us, final_response_sent
     return record(6, "HIH6sHIBHHB4f", *values, 40, 1, 2, 0.5, 3.0, 0.0, 0.0)
 
 
 def frame(now: int, records: list[bytes], tail: bytes = b"") -> bytes:
-    """Return a frame of records."""
+    """Return a frame of records and a tail."""
     body = b"".join(records) + tail
     return struct.pack("<IIQ", len(records), len(body), now) + body
 
 
 def settings_text(rank: int, gateways: int, **permissions: Any) -> bytes:
-    """Return settings with every kind of class and plan; all figures are made up."""
+    """Return a settings text with every kind of request class and plan; the figures are arbitrary."""
     value = {
         "rank": rank,
         "balancers": gateways,
@@ -198,7 +201,7 @@
 
 @dataclass
 class Endpoint:
-    """An endpoint as discovery reports it, and its requests in flight."""
+    """An endpoint as discovery reports it, and the number of its attempts in flight."""
 
     name: bytes
     zone: int
@@ -208,7 +211,7 @@
     in_flight: int = 0
 
     def entry(self) -> bytes:
-        """Return its entry of an endpoint list."""
+        """Return the endpoint's entry in an endpoint list, as bytes of the protocol."""
         return struct.pack(
             "<fB6sBQBH", 1.0, 0, self.name, self.zone, self.started_at_us, self.state, self.cell
         )
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -1,4 +1,4 @@
-"""Each guard of the narrow moments, broken on purpose: the test that is named for it has to find that."""
+"""Guards against races and silent discovery: with a guard disabled, the test that covers it must fail."""
 
 from __future__ import annotations
 
@@ -21,186 +21,212 @@
 from orchidlane.runtime import EventLoop, EventLoopError, LingeringConnections, RealBackend
 from orchidlane.runtime.real_backend import RealStream
 
-EXPECTED_FAILURES = (AssertionError, EventLoopError)  # a check, a reset, or a deadline that has passed
+# A failed check, a connection reset, or a deadline that has passed
+EXPECTED_FAILURES = (AssertionError, EventLoopError)
 
 
-def closes_at_once(_lingering, stream):
+def close_at_once(_lingering, stream):
     stream.close()
 
 
-def no_more(*_):
+def return_none(*_):
     return None
 
 
-def no(*_):
+def return_false(*_):
     return False
 
 
-def yes(*_):
+def return_true(*_):
     return True
 
 
-def one_line_one_object(_splitter, line):
+def take_line_as_object(_splitter, line):
     return line.strip() and line
 
 
-def wait_without_a_look(self, connection, timeout):
+def receive_without_checking_input(self, connection, timeout):
     return self._receive(connection, timeout)
 
 
-def old_shutdown(now, longest):
-    last = now + min(longest, 3 * SECOND) + 470_000
-    return shutdown.ShutdownTimes(now + 720_000, last, last + 125_000)
+def shutdown_times_with_capped_deadline(now, longest_deadline):
+    last_response_at = now + min(longest_deadline, 3 * SECOND) + 470_000
+    return shutdown.ShutdownTimes(now + 720_000, last_response_at, last_response_at + 125_000)
 
 
-def linger_for_ever(self, stream):
+def linger_indefinitely(self, stream):
     stream.half_close()
     self._lingering[stream] = None
 
 
-def real_loop(test, *arguments):
+def run_on_real_loop(test, *arguments):
     test(EventLoop(RealBackend(1)), *arguments)
 
 
-HELD_BACK = connection_races.test_a_client_that_leaves_after_pipelined_bytes_is_detected
-CONNECTS = connection_races.test_a_request_is_not_sent_if_its_client_leaves_during_the_connect
-BROKEN = {
+LEAVES_AFTER_PIPELINING = connection_races.test_a_client_that_leaves_after_pipelined_bytes_is_detected
+LEAVES_DURING_CONNECT = connection_races.test_a_request_is_not_sent_if_its_client_leaves_during_the_connect
+# Owner of the guard, its attribute, the replacement, the test that must fail, and the test's arguments
+BROKEN_GUARDS = {
     "no lingering": (
         LingeringConnections,
         "close",
-        closes_at_once,
+        close_at_once,
         connection_races.test_a_last_response_is_complete_despite_unread_pipelined_bytes,
         (),
     ),
-    "no lingering of hosts'": (
+    "no lingering at endpoints": (
         LingeringConnections,
         "close",
-        closes_at_once,
+        close_at_once,
         endpoint_races.test_closing_an_idle_connection_does_not_reset_a_writing_endpoint,
         (),
     ),
-    "lingering without a bound": (
+    "lingering without a limit": (
         LingeringConnections,
         "close",
-        linger_for_ever,
-        lambda: real_loop(lingering.test_beyond_the_limit_the_longest_lingering_connection_is_closed),
+        linger_indefinitely,
+        lambda: run_on_real_loop(lingering.test_beyond_the_limit_the_longest_lingering_connection_is_closed),
         (),
     ),
-    "evicts without a look": (
+    "eviction without checking for input": (
         RealStream,
         "has_input",
-        no,
+        return_false,
         connection_races.test_a_request_that_came_just_before_eviction_is_served,
         (),
     ),
-    "idle time without a look": (
+    "idle timeout without checking for input": (
         RequestReader,
         "wait_for_first_bytes",
-        wait_without_a_look,
+        receive_without_checking_input,
         connection_races.test_a_request_that_came_as_the_idle_timeout_expired_is_served,
         (),
     ),
-    "drains without a look": (
+    "drain without checking for input": (
         HttpServer,
         "_is_idle",
-        yes,
+        return_true,
         shutdown_races.test_only_requests_started_before_the_drain_are_served,
         (),
     ),
-    "drains without the waiting": (
+    "drain without accepting waiting connections": (
         HttpServer,
         "_try_accept",
-        no_more,
+        return_none,
         shutdown_races.test_only_requests_started_before_the_drain_are_served,
         (),
     ),
-    "drains with the first answer": (
+    "drain closes after the first response": (
         RequestHandler,
         "_is_last_response",
         lambda self, _connection: self._server.draining,
         shutdown_races.test_pipelined_requests_at_the_drain_are_served,
         (True,),
     ),
-    "drains for ever": (
+    "drain as long as input arrives": (
         RequestHandler,
         "_is_last_response",
         lambda self, connection: self._server.draining and not connection.stream.has_input(),
         shutdown_races.test_a_client_that_keeps_sending_is_closed_at_the_shutdown_deadline,
         (),
     ),
-    "young because it was taken": (
+    "unused release resets the age": (
         ConnectionPool,
         "release_unused",
         ConnectionPool.release,
         endpoint_races.test_a_connection_released_unused_keeps_its_age,
         (),
     ),
-    "no last look, first attempt": (RealStream, "is_closed_by_peer", no, CONNECTS, (1, "half_close")),
-    "no last look, further attempt": (RealStream, "is_closed_by_peer", no, CONNECTS, (2, "abort")),
-    "no watch of the end, FIN": (RealStream, "wake_on_peer_close", no_more, HELD_BACK, ("half_close",)),
-    "no watch of the end, RST": (RealStream, "wake_on_peer_close", no_more, HELD_BACK, ("abort",)),
-    "the old shutdown": (
+    "no last check, first attempt": (
+        RealStream,
+        "is_closed_by_peer",
+        return_false,
+        LEAVES_DURING_CONNECT,
+        (1, "half_close"),
+    ),
+    "no last check, second attempt": (
+        RealStream,
+        "is_closed_by_peer",
+        return_false,
+        LEAVES_DURING_CONNECT,
+        (2, "abort"),
+    ),
+    "no notification of a close by FIN": (
+        RealStream,
+        "wake_on_peer_close",
+        return_none,
+        LEAVES_AFTER_PIPELINING,
+        ("half_close",),
+    ),
+    "no notification of a close by RST": (
+        RealStream,
+        "wake_on_peer_close",
+        return_none,
+        LEAVES_AFTER_PIPELINING,
+        ("abort",),
+    ),
+    "shutdown that cuts deadlines to 3 s": (
         lifecycle,
         "graceful_shutdown",
-        old_shutdown,
+        shutdown_times_with_capped_deadline,
         shutdown_races.test_requests_before_the_drain_have_their_full_deadline,
         (120_000,),
     ),
-    "silent for long": (
+    "silence timeout too long": (
         discovery_watch,
         "SILENCE_TIMEOUT_US",
         6_500_000,
         discovery.test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline,
         (PlatformHarness, "silent"),
     ),
-    "any byte is life": (
+    "any byte counts as a message": (
         JsonObjectSplitter,
         "feed",
         lambda *_: [b""],
         discovery.test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline,
         (PlatformHarness, "trickles"),
     ),
-    "a line is an object": (
+    "each line counts as an object": (
         JsonObjectSplitter,
         "_feed_line",
-        one_line_one_object,
+        take_line_as_object,
         discovery.test_an_indented_list_is_applied,
         (PlatformHarness,),
     ),
-    "seldom asked": (
+    "retry interval too long": (
         lifecycle,
         "retry_interval_us",
         lambda grace: 3 * grace,
         discovery.test_events_at_the_return_of_discovery_are_known_within_the_drain_grace,
         (PlatformHarness, "refuses"),
     ),
-    "old news count": (
+    "older lists are applied": (
         DiscoveryTracker,
         "_is_newer",
-        yes,
+        return_true,
         discovery.test_an_older_list_does_not_bring_back_an_endpoint_that_left,
         (),
     ),
-    "old news of drains count": (
+    "older lists of drains are applied": (
         DiscoveryTracker,
         "_is_newer",
-        yes,
+        return_true,
         discovery.test_changes_after_an_older_list_do_not_make_a_draining_endpoint_ready,
         (),
     ),
-    "ready before it is told": (
+    "ready before discovery responds": (
         lifecycle.PlatformGateway,
         "_is_ready",
-        yes,
+        return_true,
         discovery.test_the_gateway_is_ready_once_discovery_has_responded,
         (PlatformHarness,),
     ),
 }
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_a_broken_guard_is_found(name, monkeypatch):
-    where, what, instead, test, arguments = BROKEN[name]
-    monkeypatch.setattr(where, what, instead)
+@pytest.mark.parametrize("name", BROKEN_GUARDS)
+def test_a_disabled_guard_makes_its_test_fail(name, monkeypatch):
+    owner, attribute, replacement, test, arguments = BROKEN_GUARDS[name]
+    monkeypatch.setattr(owner, attribute, replacement)
     with pytest.raises(EXPECTED_FAILURES):
         test(*arguments)
--- a/tests/test_golden_gateways.py
+++ b/tests/test_golden_gateways.py
@@ -1,4 +1,4 @@
-"""Endpoint lists, rolling upgrades, hot restarts and gateways' messages are read as the golden ones."""
+"""Golden files of endpoint lists, rolling upgrades, hot restarts and gateways' messages can be read."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from orchidlane.recording.state_dump import account_to_row
 
 
-def test_a_golden_cache_of_the_endpoint_list_is_read_as_its_endpoints():
+def test_a_golden_cache_of_the_endpoint_list_is_loaded_as_its_endpoints():
     tracker = endpoint_list.EndpointListTracker("z1", 100)
     assert tracker.load_cache(golden("node-list-cache.json")) == policy.EndpointListReceived(
         policy.EndpointListKind.CACHED,
@@ -50,21 +50,23 @@
     assert tracker.endpoints == golden_tracker().endpoints
 
 
-def test_a_golden_roll_is_read_in_every_phase():
+def test_a_golden_rolling_upgrade_is_read_in_every_phase():
     examples = golden_examples("roll-states.json")
     assert set(examples) == {phase.value for phase in rolling_upgrade.Phase}
     for name, data in examples.items():
-        kept = make_roll_driver(FakeEventLoop(**{"state/roll.json": data})).load_stored()
-        assert kept == golden_roll(rolling_upgrade.Phase(name))
-        assert {one.phase for one in kept.state.gateways} == set(rolling_upgrade.GatewayPhase)
+        stored = make_roll_driver(FakeEventLoop(**{"state/roll.json": data})).load_stored()
+        assert stored == golden_roll(rolling_upgrade.Phase(name))
+        assert {gateway.phase for gateway in stored.state.gateways} == set(rolling_upgrade.GatewayPhase)
 
 
 def test_golden_examples_cover_every_message_of_a_hot_restart():
     messages = golden_restart_messages()
-    assert {type(one) for one in messages.values()} == set(get_args(restart_messages.AnyMessage))
+    assert {type(message) for message in messages.values()} == set(get_args(restart_messages.AnyMessage))
     assert set(golden_examples("hot-restart-messages.json")) == set(messages)
     assert {
-        name: fields_with_default(one) for name, one in messages.items() if fields_with_default(one)
+        name: fields_with_default(message)
+        for name, message in messages.items()
+        if fields_with_default(message)
     } == {}
 
 
@@ -91,7 +93,7 @@
     assert pack([table.row(row[0]) for row in rows]) == pack(rows)
 
 
-def test_the_state_in_the_last_message_of_a_hot_restart_is_loaded_and_dumped_again():
+def test_the_final_state_of_a_hot_restart_is_loaded_and_dumped_again():
     final = read_restart_message("final")
     quotas = SimpleNamespace(
         token_lifetime_us=1, max_tokens=10, max_grants=10, grant_lifetime_us=1, credit_lifetime_us=1
@@ -99,26 +101,26 @@
     fleet = SimpleNamespace(quotas=quotas, gateways=[None] * 3)
     service = token_requests.LimitService(FakeEventLoop(), fleet, 0, None, print)  # type: ignore[arg-type]
     service.load_state(final.limits)
-    again = {**final.limits, "numbers": final.limits["numbers"] + query_exchange.QUERY_IDS_PER_PROCESS}
-    assert pack(service.dump_state()) == pack(again)
+    expected = {**final.limits, "numbers": final.limits["numbers"] + query_exchange.QUERY_IDS_PER_PROCESS}
+    assert pack(service.dump_state()) == pack(expected)
     inbox = datagrams.Inbox(SECRET, 0, 3, START_US, 9.0)
     inbox.load_peer_rows(final.peers)
     assert pack(inbox.peer_rows()) == pack(final.peers)
     tracker = endpoint_list.EndpointListTracker("z1", 100)
     tracker.import_state(final.endpoints)
     assert pack(tracker.export_state()) == pack(final.endpoints) == pack(golden_tracker().export_state())
-    head = msgspec.structs.replace(golden_state(), accounts=[])
-    assert final.policy_state == head
+    state_without_accounts = msgspec.structs.replace(golden_state(), accounts=[])
+    assert final.policy_state == state_without_accounts
 
 
 def test_golden_token_messages_are_decoded_to_their_values():
-    here = [
-        one
-        for one in vars(token_messages).values()
-        if getattr(one, "__module__", "") == token_messages.__name__
+    defined = [
+        value
+        for value in vars(token_messages).values()
+        if getattr(value, "__module__", "") == token_messages.__name__
     ]
-    structs = {one for one in here if isinstance(one, type) and issubclass(one, msgspec.Struct)}
-    assert {type(one) for one in golden_token_messages().values()} == structs
+    structs = {value for value in defined if isinstance(value, type) and issubclass(value, msgspec.Struct)}
+    assert {type(message) for message in golden_token_messages().values()} == structs
     for name, message in golden_token_messages().items():
         assert fields_with_default(message) == []
         data = golden_examples("limit-messages.json")[name]
@@ -129,11 +131,11 @@
 
 
 def test_a_golden_gossip_message_is_decoded_to_its_values():
-    found = gossip_codec.decode_message(golden("module-message.bin"), START_US // 1000, 3, len(PLAN_NAMES))
-    assert found == gossip_codec.GossipMessage(START_US // 1000, True, True, (golden_customer_row(),))
+    message = gossip_codec.decode_message(golden("module-message.bin"), START_US // 1000, 3, len(PLAN_NAMES))
+    assert message == gossip_codec.GossipMessage(START_US // 1000, True, True, (golden_customer_row(),))
 
 
 def test_golden_datagrams_of_every_kind_are_accepted():
-    for number, data in enumerate(golden_examples("datagrams.json").values()):
+    for kind, data in enumerate(golden_examples("datagrams.json").values()):
         inbox = datagrams.Inbox(SECRET, 2, 3, START_US, 9.0, 9.0, 9.0)
-        assert inbox.accept(START_US, data) == (number, 1, b"a body")
+        assert inbox.accept(START_US, data) == (kind, 1, b"a body")
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -1,4 +1,4 @@
-"""Messages of rollouts and hot restarts, commands and states of versions have the golden bytes."""
+"""Messages of rollouts and hot restarts, commands and replicated states have the golden bytes."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 def test_messages_of_a_rollout_have_the_golden_bytes():
-    found = samples(rollout_messages.Message)
-    bodies = {tag: rollout_messages.encode(message) for tag, message in found.items()}
-    assert {tag: rollout_messages.decode(body) for tag, body in bodies.items()} == found
+    messages = samples(rollout_messages.Message)
+    bodies = {tag: rollout_messages.encode(message) for tag, message in messages.items()}
+    assert {tag: rollout_messages.decode(body) for tag, body in bodies.items()} == messages
     check_golden("change-messages", {tag: body.hex() for tag, body in bodies.items()})
 
 
 def test_messages_of_a_hot_restart_have_the_golden_bytes():
-    """An old process and a new one talk to each other across builds."""
-    found = samples(restart_messages.AnyMessage)
-    frames = {tag: restart_messages.encode(message) for tag, message in found.items()}
+    """Processes of different builds exchange these messages during a hot restart."""
+    messages = samples(restart_messages.AnyMessage)
+    frames = {tag: restart_messages.encode(message) for tag, message in messages.items()}
     check_golden("upgrade-messages", {tag: data.hex() for tag, data in frames.items()})
     for tag, data in frames.items():
         parser = restart_messages.Parser()
@@ -34,9 +34,9 @@
         assert restart_messages.encode(parser.next_message()) == data, tag
 
 
-def test_replicated_states_commands_and_statuses_have_the_golden_names_and_values():
-    """Messages between gateways and tools over the admin API, and hashes and seals."""
-    kinds = {
+def test_messages_of_the_rollout_api_have_the_golden_names_and_values():
+    """Gateways and tools of different builds exchange commands, states, hashes and seals over this API."""
+    types_by_name = {
         "command": admin_messages.CommandRequest,
         "how things stand": admin_messages.RolloutStatus,
         "a gateway's state": admin_messages.GatewayStatus,
@@ -46,21 +46,21 @@
         "certificate": version.Certificate,
         "change": replicated_state.Rollout,
     }
-    found: dict[str, Any] = {}
-    for what, kind in kinds.items():
-        body = msgspec.msgpack.encode(sample_struct(kind))
-        assert msgspec.msgpack.decode(body, type=kind) == sample_struct(kind)
-        found[what] = [body.hex(), without_build(msgspec.msgpack.decode(body))]
-    found["name of a content"] = version.content_hash(b"a content")
-    found["name of a version's contents"] = sample_struct(version.Version).combined_hash
-    found["seal"] = version.compute_seal(SECRET, "admin", "GET", b"/change/status", b"").hex()
+    values: dict[str, Any] = {}
+    for name, message_type in types_by_name.items():
+        body = msgspec.msgpack.encode(sample_struct(message_type))
+        assert msgspec.msgpack.decode(body, type=message_type) == sample_struct(message_type)
+        values[name] = [body.hex(), without_build(msgspec.msgpack.decode(body))]
+    values["name of a content"] = version.content_hash(b"a content")
+    values["name of a version's contents"] = sample_struct(version.Version).combined_hash
+    values["seal"] = version.compute_seal(SECRET, "admin", "GET", b"/change/status", b"").hex()
     vote = version.cast_vote(
         SECRET, version.VotingMember(1, 77), sample_struct(version.Version), 5, True, "why"
     )
-    found["vote"] = without_build(msgspec.to_builtins(vote, builtin_types=(bytes,)))
-    check_golden("versions", found)
+    values["vote"] = without_build(msgspec.to_builtins(vote, builtin_types=(bytes,)))
+    check_golden("versions", values)
 
 
 def test_commands_have_the_golden_bytes():
-    encoded = [sample_struct(kind) for kind in get_args(commands.Command)]
-    check_golden("ledger-steps", [msgspec.msgpack.encode(one).hex() for one in encoded])
+    samples_of_commands = [sample_struct(command_type) for command_type in get_args(commands.Command)]
+    check_golden("ledger-steps", [msgspec.msgpack.encode(command).hex() for command in samples_of_commands])
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -1,8 +1,8 @@
-"""The policy as a whole: a fleet's session of many events leads to the same actions as golden data.
+"""The policy as a whole: a simulated session of a fleet leads to the actions in the golden files.
 
-Events go in and actions come out as records of the simulator protocol, so names in the code play no part.
-What it does not carry (quota requests, counts of another process, changes of replica sets)
-is built in ``harness/session_records.py``. ``harness/golden_files.py`` says how the golden file is written.
+Events and actions are records of the simulator's protocol, which do not depend on names in the code.
+``harness/session_records.py`` builds the events that the protocol has no record for: quota requests, counts
+of another process and changes of replica sets. ``harness/golden_files.py`` says how golden files are written.
 """
 
 from __future__ import annotations
@@ -44,35 +44,37 @@
 
 
 @cache
-def play_session(name: str) -> Session:
-    """A session, run once for all tests."""
+def finished_session(name: str) -> Session:
+    """Return a finished session, which is run once for all tests."""
     return Session(**SESSIONS[name]).run()
 
 
 @pytest.mark.parametrize("name", SESSIONS)
 def test_a_session_leads_to_the_golden_actions(name):
-    session = play_session(name)
+    session = finished_session(name)
     assert session.event_count > 2_000
     check_golden(f"session-{name}", session.golden_value())
 
 
-def test_the_sessions_lead_to_every_action_that_the_policy_takes():
-    found = sum((play_session(name).action_counts for name in SESSIONS), Counter())
-    assert set(found) == {SEND, REJECT, FAIL, CANCEL, SET_TIMER, SEND_PEER_MESSAGE, WATCH_ENDPOINTS, 200}
+def test_the_sessions_lead_to_every_action_that_the_policy_uses():
+    counts = sum((finished_session(name).action_counts for name in SESSIONS), Counter())
+    assert set(counts) == {SEND, REJECT, FAIL, CANCEL, SET_TIMER, SEND_PEER_MESSAGE, WATCH_ENDPOINTS, 200}
 
 
-@pytest.mark.parametrize("name", [name for name, terms in SESSIONS.items() if not terms["with_quota_events"]])
-def test_the_simulators_process_replies_to_a_session_with_the_golden_bytes(name):
-    session = play_session(name)
+@pytest.mark.parametrize(
+    "name", [name for name, options in SESSIONS.items() if not options["with_quota_events"]]
+)
+def test_the_simulators_process_replies_with_the_golden_bytes(name):
+    session = finished_session(name)
     sink = io.BytesIO()
     process.serve(io.BytesIO(b"".join(session.frames)), sink)
-    replies, codes, at = sink.getvalue(), Counter(), 0
-    while at < len(replies):
-        count, length = struct.unpack_from("<II", replies, at)
-        codes.update(replies[at + 8 + 24 * i] for i in range(count))
-        at += 8 + length
+    replies, codes, offset = sink.getvalue(), Counter(), 0
+    while offset < len(replies):
+        count, length = struct.unpack_from("<II", replies, offset)
+        codes.update(replies[offset + 8 + 24 * i] for i in range(count))
+        offset += 8 + length
     assert codes == session.action_counts
     assert codes[POLICY_FAILURE] == 0
-    frames = hashlib.sha256(b"".join(session.frames)).hexdigest()
-    digest = hashlib.sha256(replies).hexdigest()
-    check_golden(f"wire-{name}", {"frames": frames, "replies": digest, "bytes": len(replies)})
+    frames_digest = hashlib.sha256(b"".join(session.frames)).hexdigest()
+    replies_digest = hashlib.sha256(replies).hexdigest()
+    check_golden(f"wire-{name}", {"frames": frames_digest, "replies": replies_digest, "bytes": len(replies)})
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,4 +1,4 @@
-"""Limits on the sources, those of the policy above all, and README's example."""
+"""Rules for the source code, most of them for the policy, and the example in the README."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 MAX_POLICY_MODULE_LINES = 400
 
 
-def policy_modules_parameter():
+def for_each_policy_module():
     return pytest.mark.parametrize("module", POLICY_MODULES, ids=lambda path: path.stem)
 
 
@@ -24,22 +24,27 @@
     assert {"gateway", "admission", "quota", "retries", "gossip"} <= {path.stem for path in POLICY_MODULES}
 
 
-@policy_modules_parameter()
+@for_each_policy_module()
 def test_a_policy_module_has_at_most_400_lines(module):
     assert 0 < len(module.read_text().splitlines()) <= MAX_POLICY_MODULE_LINES
 
 
-def test_lines_are_short():
-    long = [(p.name, n) for p in SOURCES for n, x in enumerate(p.read_text().splitlines(), 1) if len(x) > 110]
+def test_lines_have_at_most_110_characters():
+    too_long = [
+        (path.name, number)
+        for path in SOURCES
+        for number, line in enumerate(path.read_text().splitlines(), 1)
+        if len(line) > 110
+    ]
     assert SOURCES
-    assert long == []
+    assert too_long == []
 
 
-def test_the_entry_module_names_the_package_first():
+def test_the_first_line_of_the_gateway_module_names_the_policy_package():
     assert "orchidlane/policy/" in (ROOT / "orchidlane" / "policy" / "gateway.py").read_text().splitlines()[0]
 
 
-@policy_modules_parameter()
+@for_each_policy_module()
 def test_a_policy_module_reads_no_clock_and_no_shared_randomness(module):
     text = module.read_text().replace("state.random.", "").replace("self.random.", "")
     assert not re.search(
@@ -48,13 +53,13 @@
 
 
 def test_the_deployment_lists_every_policy_module():
-    listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    deciding = {f"orchidlane/policy/{path.name}" for path in POLICY_MODULES if path.stem != "__init__"}
-    assert sorted(listed) == sorted(deciding)
+    deployed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    expected = {f"orchidlane/policy/{path.name}" for path in POLICY_MODULES if path.stem != "__init__"}
+    assert sorted(deployed) == sorted(expected)
 
 
-def test_the_example_of_the_readme_runs():
+def test_the_example_in_the_readme_runs():
     code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S).group(1)
-    scope: dict = {}
-    exec(code, scope)
-    assert scope["sent"] == [scope["server"]]
+    namespace: dict = {}
+    exec(code, namespace)
+    assert namespace["sent"] == [namespace["server"]]
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -1,4 +1,4 @@
-"""The simulator's protocol: byte layouts, malformed input, the process."""
+"""The simulator's protocol: layouts of records, malformed input and the program that the simulator starts."""
 
 from __future__ import annotations
 
@@ -95,14 +95,14 @@
     return struct.pack("<IIQ", len(records), len(body), now) + body
 
 
-def start_record(gateway: int, settings: dict, at: int = 0, seed: int = 5) -> tuple[bytes, bytes]:
-    """A record of a gateway's start, and its settings text for the tail."""
+def start_record(gateway: int, settings: dict, text_offset: int = 0, seed: int = 5) -> tuple[bytes, bytes]:
+    """Return the record of a gateway's start, and the settings text that the frame's tail must contain."""
     text = json.dumps(settings).encode()
-    return struct.pack("<BHQII", 7, gateway, seed, at, len(text)).ljust(48, b"\0"), text
+    return struct.pack("<BHQII", 7, gateway, seed, text_offset, len(text)).ljust(48, b"\0"), text
 
 
 def replies_to(*frames: bytes) -> bytes:
-    """The replies of the process to frames."""
+    """Return the replies to frames, as the program writes them."""
     sink = io.BytesIO()
     process.serve(io.BytesIO(b"".join(frames)), sink)
     return sink.getvalue()
@@ -113,31 +113,39 @@
 
 
 def test_the_protocols_examples_of_events_are_decoded():
-    order = record("05 0300 c4913a5d 00 0000 640ad2557c3bf091 80a90300 00000040 00004040 0000803f 0100")
-    bell = record("01 0300 4d00000000000000")
-    gone = record("03 0500 192b6f0e")
-    answer = record(
+    arrived = record("05 0300 c4913a5d 00 0000 640ad2557c3bf091 80a90300 00000040 00004040 0000803f 0100")
+    timer = record("01 0300 4d00000000000000")
+    disconnected = record("03 0500 192b6f0e")
+    finished = record(
         "06 0300 c4913a5d 0000 0a124a07 2b23 6400 44480000 01 5600 0300 0352b81e3f 00006841 0000e040 00000000"
     )
-    counted = record("0a 0300 00001842 66080000 6400 90f6890000000000")
-    got = decode(order, bell, gone, answer, counted)
-    assert got[0] == (
+    counter_call = record("0a 0300 00001842 66080000 6400 90f6890000000000")
+    events = decode(arrived, timer, disconnected, finished, counter_call)
+    assert events[0] == (
         3,
         policy.RequestArrived(0x5D3A91C4, 0x91F03B7C55D20A64, 0, 0, 2.0, 240000, 1, 3, False),
     )
-    assert got[1] == (3, policy.TimerFired(77))
-    assert got[2] == (5, policy.ClientDisconnected(0x0E6F2B19))
-    ended = got[3][1]
-    assert ended.endpoint == ENDPOINT
-    assert (ended.request, ended.attempt, ended.duration_us) == (0x5D3A91C4, 0, 18500)
-    assert (ended.outcome, ended.final_response_sent, ended.reported_usage) == (
+    assert events[1] == (3, policy.TimerFired(77))
+    assert events[2] == (5, policy.ClientDisconnected(0x0E6F2B19))
+    attempt_finished = events[3][1]
+    assert attempt_finished.endpoint == ENDPOINT
+    assert (attempt_finished.request, attempt_finished.attempt, attempt_finished.duration_us) == (
+        0x5D3A91C4,
+        0,
+        18500,
+    )
+    assert (
+        attempt_finished.outcome,
+        attempt_finished.final_response_sent,
+        attempt_finished.reported_usage,
+    ) == (
         policy.Outcome.SERVED,
         True,
         0x56,
     )
-    assert ended.true_units == 3.0
-    assert ended.load_report == pytest.approx((0.62, 14.5, 7.0))
-    assert got[4] == (3, policy.CounterCallFinished(0x89F690, policy.Outcome.SERVED, 38.0, 0x866))
+    assert attempt_finished.true_units == 3.0
+    assert attempt_finished.load_report == pytest.approx((0.62, 14.5, 7.0))
+    assert events[4] == (3, policy.CounterCallFinished(0x89F690, policy.Outcome.SERVED, 38.0, 0x866))
 
 
 def test_the_protocols_example_of_an_endpoint_list_is_decoded():
@@ -145,20 +153,28 @@
         "0000803f000a124a072b2300000000000000000001000000"[:46]
         + "0000c03f 00 0a9011f2 5423 01 20145d0000000000 01 0000".replace(" ", "")
     )
-    got = decode(record("0c 0000 00000000 02000000"), record("09 0300 02 0000 2900000000000000"), tail=tail)
-    listed = got[0][1]
-    assert (listed.kind, listed.version, len(listed.entries)) == (policy.EndpointListKind.CACHED, 41, 2)
-    assert listed.entries[0] == policy.EndpointEntry(ENDPOINT, policy.EndpointState.READY, 0, 0, 0, 1.0)
-    assert listed.entries[1].started_at_us == 0x5D1420
-    assert (listed.entries[1].zone, listed.entries[1].capacity_share) == (1, 1.5)
+    events = decode(
+        record("0c 0000 00000000 02000000"), record("09 0300 02 0000 2900000000000000"), tail=tail
+    )
+    endpoint_list = events[0][1]
+    assert (endpoint_list.kind, endpoint_list.version, len(endpoint_list.entries)) == (
+        policy.EndpointListKind.CACHED,
+        41,
+        2,
+    )
+    assert endpoint_list.entries[0] == policy.EndpointEntry(
+        ENDPOINT, policy.EndpointState.READY, 0, 0, 0, 1.0
+    )
+    assert endpoint_list.entries[1].started_at_us == 0x5D1420
+    assert (endpoint_list.entries[1].zone, endpoint_list.entries[1].capacity_share) == (1, 1.5)
 
 
 def test_the_protocols_examples_of_actions_are_encoded():
     send = policy.SendAttempt(0x5D3A91C4, ENDPOINT, 0x8194DA)
     assert encode(send) == record("41 0300 c4913a5d 0a124a07 2b23 da94810000000000", 24)
     assert encode(policy.SetTimer(0x07A120, 77)) == record("45 0300 20a10700 4d00000000000000", 24)
-    tell = encode(policy.SendPeerMessage(0xFFFF, bytes.fromhex("68692037")))
-    assert tell == record("48 0300 ffff 00000000 04000000", 24) + b"hi 7"
+    peer_message = encode(policy.SendPeerMessage(0xFFFF, bytes.fromhex("68692037")))
+    assert peer_message == record("48 0300 ffff 00000000 04000000", 24) + b"hi 7"
     assert encode(policy.RejectRequest(7, 9)) == record("42 0300 07000000 09000000", 24)
     assert encode(policy.FailRequest(7)) == record("43 0300 07000000", 24)
     assert encode(policy.CancelAttempt(7, 2)) == record("44 0300 07000000 0200", 24)
@@ -167,34 +183,38 @@
     assert encode(policy.FetchEndpoints()) == record("4c 0300", 24)
 
 
-def test_gateways_of_one_process_decide_as_in_processes_of_their_own():
-    one, text = start_record(1, SETTINGS)
-    two, _ = start_record(2, SETTINGS, seed=6)
-    order = [
-        struct.pack("<BHIBHQIfffH", 5, g, i, 0, 0, i % 3, 900000, 1.0, 3.0, 0.0, 0).ljust(48, b"\0")
-        for i in range(20)
-        for g in (1, 2)
+def test_gateways_act_the_same_in_one_process_as_in_separate_processes():
+    start_1, text = start_record(1, SETTINGS)
+    start_2, _ = start_record(2, SETTINGS, seed=6)
+    requests = [
+        struct.pack("<BHIBHQIfffH", 5, gateway, request, 0, 0, request % 3, 900000, 1.0, 3.0, 0.0, 0).ljust(
+            48, b"\0"
+        )
+        for request in range(20)
+        for gateway in (1, 2)
     ]
-    together = replies_to(frame(one, two, tail=text), frame(*order, now=9))
-    alone = [
-        replies_to(frame(start, tail=text), frame(*(o for o in order if o[1] == g), now=9))
-        for g, start in ((1, one), (2, two))
+    together = replies_to(frame(start_1, start_2, tail=text), frame(*requests, now=9))
+    separate = [
+        replies_to(
+            frame(start, tail=text), frame(*(request for request in requests if request[1] == gateway), now=9)
+        )
+        for gateway, start in ((1, start_1), (2, start_2))
     ]
 
-    def records(reply: bytes, gateway: int) -> list[bytes]:
-        found, at = [], 0
-        while at < len(reply):
-            count, length = struct.unpack_from("<II", reply, at)
-            found += [reply[at + 8 + 24 * i : at + 32 + 24 * i] for i in range(count)]
-            at += 8 + length
-        return [r for r in found if r[1] == gateway]
+    def records(replies: bytes, gateway: int) -> list[bytes]:
+        actions, offset = [], 0
+        while offset < len(replies):
+            count, length = struct.unpack_from("<II", replies, offset)
+            actions += [replies[offset + 8 + 24 * i : offset + 32 + 24 * i] for i in range(count)]
+            offset += 8 + length
+        return [action for action in actions if action[1] == gateway]
 
-    assert records(alone[0], 1) == records(together, 1) != []
-    assert records(alone[1], 2) == records(together, 2) != []
+    assert records(separate[0], 1) == records(together, 1) != []
+    assert records(separate[1], 2) == records(together, 2) != []
 
 
-def without(*path: str) -> dict:
-    """The settings without one key."""
+def settings_without(*path: str) -> dict:
+    """Return the settings without the key at a path."""
     settings = json.loads(json.dumps(SETTINGS))
     inner = settings
     for key in path[:-1]:
@@ -203,28 +223,31 @@
     return settings
 
 
-BAD_INPUT = {
+MALFORMED_INPUT = {
     "a truncated header": b"\1\0\0",
     "a truncated frame": frame(record("01 0300"))[:-3],
     "too few records": struct.pack("<IIQ", 2, 48, 1) + bytes(48),
     "an unknown record": frame(record("63 0300")),
     "an offset outside the tail": frame(record("02 0300 0100 10000000 10000000")),
     "an unknown outcome": frame(record("06 0300 c4913a5d 0000 0a124a07 2b23 0900")),
-    "a list never sent": frame(record("09 0300 01 0400")),
-    "a gateway never started": frame(record("01 0300")),
+    "an endpoint list without its entries": frame(record("09 0300 01 0400")),
+    "a gateway that did not start": frame(record("01 0300")),
     "settings that are not JSON": frame(struct.pack("<BHQII", 7, 1, 1, 0, 3).ljust(48, b"\0"), tail=b"{x}"),
-    "settings that are no object": frame(struct.pack("<BHQII", 7, 1, 1, 0, 2).ljust(48, b"\0"), tail=b"[]"),
+    "settings that are not an object": frame(
+        struct.pack("<BHQII", 7, 1, 1, 0, 2).ljust(48, b"\0"), tail=b"[]"
+    ),
     "settings without a key": frame(
-        start_record(1, without("rules", "coldFrom"))[0], tail=start_record(1, without("rules"))[1]
+        start_record(1, settings_without("rules", "coldFrom"))[0],
+        tail=start_record(1, settings_without("rules"))[1],
     ),
 }
 
 
-@pytest.mark.parametrize("bad", BAD_INPUT.values(), ids=BAD_INPUT.keys())
-def test_malformed_input_ends_the_process_with_one_line(bad):
+@pytest.mark.parametrize("malformed", MALFORMED_INPUT.values(), ids=MALFORMED_INPUT.keys())
+def test_malformed_input_ends_the_process_with_one_line_on_stderr(malformed):
     done = subprocess.run(
         [sys.executable, "-m", "orchidlane.simulator_protocol.process"],
-        input=bad,
+        input=malformed,
         capture_output=True,
         cwd=ROOT,
         check=False,
@@ -238,23 +261,23 @@
 @pytest.mark.parametrize("path", [("rank",), ("rules", "coldFrom"), ("familyInfo", "peerIntake")])
 def test_a_missing_settings_key_is_named(path):
     with pytest.raises(ProtocolError, match=path[-1]):
-        settings_json.parse_settings(json.dumps(without(*path)).encode())
+        settings_json.parse_settings(json.dumps(settings_without(*path)).encode())
 
 
 def test_unknown_settings_keys_are_ignored():
-    more = {**SETTINGS, "new": 1, "rules": {**SETTINGS["rules"], "newer": 2}}
-    assert settings_json.parse_settings(json.dumps(more).encode()) == settings_json.parse_settings(
+    extended = {**SETTINGS, "new": 1, "rules": {**SETTINGS["rules"], "newer": 2}}
+    assert settings_json.parse_settings(json.dumps(extended).encode()) == settings_json.parse_settings(
         json.dumps(SETTINGS).encode()
     )
 
 
-def test_an_exception_of_the_policy_is_reported_as_a_record(monkeypatch):
+def test_an_exception_raised_by_the_policy_is_reported_as_a_record(monkeypatch):
     start, text = start_record(1, SETTINGS)
 
-    def broken(*_):
+    def raise_error(*_):
         raise RuntimeError("no such thing")
 
-    monkeypatch.setattr(process.Gateway, "handle", broken)
+    monkeypatch.setattr(process.Gateway, "handle", raise_error)
     reply = replies_to(frame(start, tail=text), frame(record("01 0100")))
     assert b"RuntimeError: no such thing" in reply
     assert reply[-24 - len("RuntimeError: no such thing")] == 74
