--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: run each as ``python -m benchmarks.NAME``."""
+"""Benchmarks; each runs as ``python -m benchmarks.NAME``."""
--- a/benchmarks/canary_errors.py
+++ b/benchmarks/canary_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the canary analysis: stages stopped without harm, and harm that goes unnoticed."""
+"""Errors of the canary analysis: stages stopped without a regression, and regressions missed."""
 
 from __future__ import annotations
 
@@ -7,46 +7,52 @@
 from orchidlane.rollout.canary_analysis import OUTCOME_KINDS, CanaryAnalysis, ResponseCounts
 
 BASELINE_SHARES = {"refused": 0.15, "failed": 0.01, "late": 0.02, "slow": 0.1, "attempts": 0.05}
-HARM_FACTORS = ({"failed": 16.0}, {"refused": 4.0}, {"late": 8.0}, {"slow": 4.0})
-OBSERVATIONS = 40  # in one stage
-HARMLESS_STAGES = 1_000
-HARMFUL_STAGES = 200
+# Factors by which each regression multiplies shares of the baseline
+REGRESSIONS = ({"failed": 16.0}, {"refused": 4.0}, {"late": 8.0}, {"slow": 4.0})
+OBSERVATIONS_PER_STAGE = 40
+STAGES_WITHOUT_REGRESSION = 1_000
+STAGES_WITH_REGRESSION = 200
 
 
 def count_false_stops() -> int:
-    """Return how many of the harmless stages are stopped."""
-    return sum(is_stopped(seed, {}) for seed in range(HARMLESS_STAGES))
+    """Return how many of the stages without a regression are stopped."""
+    return sum(is_stopped(seed, {}) for seed in range(STAGES_WITHOUT_REGRESSION))
 
 
-def count_missed_harm() -> int:
-    """Return how many of the harmful stages are not stopped."""
-    return sum(not is_stopped(seed, HARM_FACTORS[seed % len(HARM_FACTORS)]) for seed in range(HARMFUL_STAGES))
+def count_missed_regressions() -> int:
+    """Return how many of the stages with a regression are not stopped."""
+    return sum(
+        not is_stopped(seed, REGRESSIONS[seed % len(REGRESSIONS)]) for seed in range(STAGES_WITH_REGRESSION)
+    )
 
 
-def is_stopped(seed: int, harm: dict[str, float]) -> bool:
-    """Return whether a stage is stopped whose shares and load wander, with some shares multiplied."""
+def is_stopped(seed: int, regression: dict[str, float]) -> bool:
+    """Return whether a simulated stage with a regression is stopped.
+
+    The share of rejected requests (``refused``) and the load vary at random from one observation to the next.
+    """
     rng = random.Random(seed)
     analysis = CanaryAnalysis()
     baseline = dict(BASELINE_SHARES)
-    for _ in range(OBSERVATIONS):
+    for _ in range(OBSERVATIONS_PER_STAGE):
         baseline["refused"] = min(0.6, max(0.02, baseline["refused"] + rng.uniform(-0.05, 0.05)))
         load = rng.randint(2, 30)
-        canary = random_counts(rng, rng.randint(0, load), baseline, harm)
+        canary = random_counts(rng, rng.randint(0, load), baseline, regression)
         control = random_counts(rng, 2 * load, baseline, {})
-        if analysis.observe({"one": canary}, {"one": control}).regression:
+        if analysis.observe({"all": canary}, {"all": control}).regression:
             return True
     return False
 
 
 def random_counts(
-    rng: random.Random, size: int, baseline: dict[str, float], factors: dict[str, float]
+    rng: random.Random, request_count: int, baseline: dict[str, float], factors: dict[str, float]
 ) -> ResponseCounts:
-    """Draw the outcomes of so many requests."""
+    """Return the outcomes of random requests; ``factors`` multiply shares of the baseline."""
     shares = {kind: min(1.0, share * factors.get(kind, 1.0)) for kind, share in baseline.items()}
     counts = {
-        kind: sum(rng.random() < shares[kind] for _ in range(size))
+        kind: sum(rng.random() < shares[kind] for _ in range(request_count))
         for kind in OUTCOME_KINDS
         if kind != "served"
     }
-    counts["failed"] = min(counts["failed"], size - counts["refused"])
-    return ResponseCounts(size, **counts)
+    counts["failed"] = min(counts["failed"], request_count - counts["refused"])
+    return ResponseCounts(request_count, **counts)
--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -1,9 +1,10 @@
-"""Fleet versions measured: real processes, simulated fleets, canary analysis; the last line is a JSON object.
+"""Benchmark of fleet versions: real processes, simulated fleets, canary analysis; the last line is JSON.
 
     python -m benchmarks.change [--quick]
 
-Times are of the clients' clock (real) or virtual (simulated), medians and largest. ``cost_ratio`` is what a
-request takes with versions over what it takes without, both in this run.
+All times are in milliseconds. For real processes they are times of the clients' clock, each as median and
+largest; for simulated fleets they are virtual, one for a version and one for its reversal. ``cost_ratio`` is
+the time of a request with versions divided by that without, both measured in this run.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 import structlog
 
-from benchmarks.canary_errors import count_false_stops, count_missed_harm
+from benchmarks.canary_errors import count_false_stops, count_missed_regressions
 from benchmarks.real_rollout import measure_cost_ratio, measure_real_processes
 from benchmarks.simulated_rollout import measure_simulated_fleet
 
@@ -25,7 +26,7 @@
 
 
 def main() -> None:
-    """Print what is measured as it comes, and all of it in the last line."""
+    """Print each result when it is measured, and all results as JSON in the last line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="Fewer rounds, and no fleet of 340 gateways.")
     is_quick = parser.parse_args().quick
@@ -36,7 +37,7 @@
         results[f"simulated_{size}_ms"] = measure_simulated_fleet(size)
         print(size, "simulated", results[f"simulated_{size}_ms"], flush=True)
     results["false_stops"] = count_false_stops()
-    results["missed_harm"] = count_missed_harm()
+    results["missed_harm"] = count_missed_regressions()
     results["cost_ratio"] = measure_cost_ratio()
     print(json.dumps(results))
 
--- a/benchmarks/comparison.py
+++ b/benchmarks/comparison.py
@@ -1,4 +1,4 @@
-"""Servers compared under the same load, in alternating rounds: drift of the machine meets all alike."""
+"""Compares servers under the same load, in alternating rounds: a drift in speed affects all of them alike."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 class Series:
     """Results of one server over all rounds."""
 
-    rates: list[float] = field(default_factory=list)  # replies a second, of each round
+    rates: list[float] = field(default_factory=list)  # replies per second, for each round
     latencies_ms: list[float] = field(default_factory=list)
     error_count: int = 0
 
@@ -26,7 +26,7 @@
         self.error_count += result.error_count
 
     def describe(self, unit: str) -> str:
-        """Return the median rate and two percentiles of the latency."""
+        """Return a text with the median rate, and the median and the 99th percentile of the latency."""
         percentiles = statistics.quantiles(self.latencies_ms, n=100)
         rate = statistics.median(self.rates)
         return f"{rate:8.0f} {unit}/s  p50 {percentiles[49]:7.2f} ms  p99 {percentiles[98]:7.2f} ms"
@@ -35,7 +35,7 @@
 def load_alternately(
     rounds: int, ports: dict[str, int], load_round: Callable[[int], LoadResult]
 ) -> dict[str, Series]:
-    """Load each named port once a round, and return the results by name."""
+    """Load each named port once in each round, and return the results by name."""
     series = {name: Series() for name in ports}
     for _ in range(rounds):
         for name, port in ports.items():
@@ -44,6 +44,6 @@
 
 
 def median_ratio(numerator: Series, denominator: Series) -> float:
-    """Return the median over the rounds of one server's rate over the other's."""
+    """Return the median of the ratios of two servers' rates in the same round."""
     pairs = zip(numerator.rates, denominator.rates, strict=True)
-    return statistics.median(rate / other for rate, other in pairs)
+    return statistics.median(rate / other_rate for rate, other_rate in pairs)
--- a/benchmarks/example_policy.py
+++ b/benchmarks/example_policy.py
@@ -1,4 +1,4 @@
-"""The policy of the example fleet, with endpoints to select from."""
+"""The policy of the example fleet, with endpoints and events for it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from orchidlane.routes import Generation, build, load_description
 
 MATERIALS = Path(__file__).parent.parent / "examples" / "materials"
-START_US = 10**15  # time of the policy's first event
+START_US = 10**15  # when the policy starts
 ENDPOINT_COUNT = 24
 
 
@@ -27,8 +27,8 @@
     return Gateway(policy_settings(fleet, 0, example_generation()), 1, START_US)
 
 
-def list_endpoints(gateway: Gateway) -> None:
-    """Give the policy a complete list of ready endpoints."""
+def feed_endpoint_list(gateway: Gateway) -> None:
+    """Feed the policy a complete list of ready endpoints."""
     entries = tuple(
         policy.EndpointEntry(b"s%d" % number, policy.EndpointState.READY, 0, 0, 0, 1.0)
         for number in range(ENDPOINT_COUNT)
@@ -38,10 +38,10 @@
 
 
 def cheap_request(number: int, customer: int) -> policy.RequestArrived:
-    """Return the arrival of a request of the first class, for one unit and within two seconds."""
+    """Return the arrival of a request of the first class that costs one unit and has two seconds left."""
     return policy.RequestArrived(number, customer, 0, 0, 1.0, 2_000_000, 0, 3, False)
 
 
 def served_attempt(number: int, endpoint: bytes, duration_us: int) -> policy.AttemptFinished:
-    """Return the end of a request's first attempt, served after so long."""
+    """Return the finish of a request's first attempt, which was served after ``duration_us``."""
     return policy.AttemptFinished(number, 0, endpoint, policy.Outcome.SERVED, duration_us, True, 0, 0.0, ())
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -1,8 +1,8 @@
-"""Requests a second and latency of the gateway beside a plain endpoint and an aiohttp forwarder, in one run.
+"""Compares requests per second and latency of the gateway, a plain endpoint and an aiohttp forwarder.
 
-``python -m benchmarks.gateway``. The gateway and the forwarder have the same core and take turns; endpoint
-and load have others. For each number of connections the three take turns in short rounds, so that drift of
-the machine meets them alike.
+``python -m benchmarks.gateway``. The gateway and the forwarder run on the same core; the endpoint and the
+load run on other cores. For each number of connections the three servers are loaded in turn, in short rounds,
+so that a drift in the machine's speed affects all of them alike.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def load_http(port: int, connection_count: int, seconds: float = ROUND_SECONDS) -> LoadResult:
-    """Load an HTTP server with the same GET over and over."""
+    """Load an HTTP server by repeating one GET request."""
     return run_load(port, connection_count, seconds, REQUEST, HttpReplyReader)
 
 
@@ -43,13 +43,15 @@
         processes.start_measured(SERVER_ROLES, "forwarder", forwarder, endpoint)
         processes.pin_load()
         wait_until_listening(endpoint, endpoint_list, gateway, forwarder)
-        time.sleep(1)  # the gateway has its endpoint
+        time.sleep(1)  # until the gateway has received its endpoint list
         for connection_count in connection_counts:
-            compare(rounds, connection_count, {"node": endpoint, "gateway": gateway, "forwarder": forwarder})
+            compare(
+                rounds, connection_count, {"endpoint": endpoint, "gateway": gateway, "forwarder": forwarder}
+            )
 
 
 def compare(rounds: int, connection_count: int, ports: dict[str, int]) -> None:
-    """Print the rates and latencies of servers by name, and the ratio of gateway and forwarder."""
+    """Print the servers' rates and latencies, and the ratio of the gateway's rate to the forwarder's."""
     for port in ports.values():
         load_http(port, connection_count, WARM_UP_SECONDS)
     series_by_name = load_alternately(rounds, ports, lambda port: load_http(port, connection_count))
@@ -62,7 +64,7 @@
 
 
 def main() -> None:
-    """Measure as the arguments say."""
+    """Run the benchmark with the options of the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--connections", type=int, nargs="*", default=[1, 32, 256])
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What one load measured."""
+    """Measurements of one load."""
 
     replies_per_second: float
     latencies_ms: list[float]
@@ -50,20 +50,23 @@
     request: bytes,
     new_reader: Callable[[], ReplyReader],
 ) -> LoadResult:
-    """Load a port of the loopback address. Raises RuntimeError where the server closes a connection."""
+    """Load a port of the loopback address for some seconds.
+
+    Raises RuntimeError if the server closes a connection.
+    """
     selector = selectors.DefaultSelector()
     clients = [_connect(port, new_reader()) for _ in range(connection_count)]
     for client in clients:
         selector.register(client.sock, selectors.EVENT_READ, client)
         client.send(request)
     latencies_ms: list[float] = []
-    end = time.perf_counter() + seconds
-    while time.perf_counter() < end:
+    ends_at = time.perf_counter() + seconds
+    while time.perf_counter() < ends_at:
         for key, _ in selector.select(SELECT_TIMEOUT_SECONDS):
-            ready: _Client = key.data
-            if _receive(ready):
-                latencies_ms.append((time.perf_counter() - ready.sent_at) * 1e3)
-                ready.send(request)
+            ready_client: _Client = key.data
+            if _receive(ready_client):
+                latencies_ms.append((time.perf_counter() - ready_client.sent_at) * 1e3)
+                ready_client.send(request)
     for client in clients:
         client.sock.close()
     error_count = sum(client.reader.error_count for client in clients)
@@ -85,14 +88,14 @@
 
 
 class HttpReplyReader:
-    """Reads HTTP responses with a Content-Length; one whose status is not 200 is an error."""
+    """Reads HTTP responses with a Content-Length; a status other than 200 counts as an error."""
 
     def __init__(self) -> None:
         self.error_count = 0
         self._body_remaining = 0  # bytes
 
     def receive(self, data: bytes) -> bool:
-        """Return whether the response is complete with these bytes; a head comes in one piece."""
+        """Return whether the response is complete with these bytes; its head must arrive in one piece."""
         if self._body_remaining:
             self._body_remaining -= len(data)
         else:
--- a/benchmarks/loaded_gateway.py
+++ b/benchmarks/loaded_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway under steady load from simulated clients, for upgrades while it serves."""
+"""One gateway under steady load from clients, for hot restarts while it serves."""
 
 from __future__ import annotations
 
@@ -25,10 +25,13 @@
 from orchidlane.simulation.scenario_runner import ScenarioRunner
 
 REQUESTS_PER_SECOND = 100.0
-MAX_LOAD_SECONDS = 3_600  # the load ends with the work, which takes less
+MAX_LOAD_SECONDS = 3_600  # upper limit; the load stops once the measurement is finished
 SEED = 5
+# Replacements in the settings that shorten a hot restart
 SHORTER_TIMES = {'trial: "5s"': 'trial: "1s"', 'silence: "1500ms"': 'silence: "500ms"'}
-NEVER_EXHAUSTED = {  # patterns of plans: no account is full, so none is forgotten
+# Replacements of patterns in plans: quotas are not used up, and refill too slowly for an account to become
+# full and be dropped.
+LARGE_QUOTAS = {
     r"\brate: (4|10)\b": "rate: 1",
     r"\bburst: (12|30)\b": "burst: 1000000",
     r"ceiling: \{[^}]*\}": "",
@@ -36,35 +39,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Upgrade:
-    """One upgrade, its times in microseconds of the loop's clock."""
+class HotRestart:
+    """One hot restart, its times in microseconds of the loop's clock."""
 
-    began_us: int
-    ended_us: int
-    build: str  # name of the broken build, empty for the good one
+    started_at_us: int
+    finished_at_us: int
+    build: str  # name of a broken build, empty for a good one
     passed: bool
 
     @property
     def is_as_expected(self) -> bool:
-        """Whether a good build passed or a broken one did not."""
+        """Whether a good build was accepted, or a broken one was not."""
         return self.passed != bool(self.build)
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseTimes:
-    """Milliseconds of the answered requests, by whether an upgrade was under way."""
+    """Response times of requests, in milliseconds: those during a hot restart, and all others."""
 
-    during_upgrades_ms: list[float]
+    during_restarts_ms: list[float]
     otherwise_ms: list[float]
 
 
 class LoadedGateway:
-    """One gateway with its fake servers in a folder of its own, and clients that ask all the time."""
+    """One gateway and the fake servers it needs, in one folder, under steady load from clients."""
 
     def __init__(self, folder: str, customers: int, steps: tuple[Step, ...] = ()) -> None:
         self.folder = Path(folder)
-        self.backing = ProcessFleetBackend(folder)
-        day = msgspec.structs.replace(
+        self.backend = ProcessFleetBackend(folder)
+        scenario = msgspec.structs.replace(
             load_scenario(str(MATERIALS / "random.cue")),
             gateway_count=1,
             customer_count=customers,
@@ -73,52 +76,52 @@
             duration=Duration(MAX_LOAD_SECONDS * 1_000_000),
             steps=steps,
         )
-        self.plan = make_plan(day, folder, self.backing.free_addresses)
+        self.plan = make_plan(scenario, folder, self.backend.free_addresses)
         _adapt_settings(self.plan)
-        self.backing.prepare(self.plan)
-        self.runner = ScenarioRunner(EventLoop(RealBackend(SEED)), self.plan, self.backing)
+        self.backend.prepare(self.plan)
+        self.runner = ScenarioRunner(EventLoop(RealBackend(SEED)), self.plan, self.backend)
         self.settings = self.folder / "gw-0.cue"
-        self.upgrades: list[Upgrade] = []
+        self.hot_restarts: list[HotRestart] = []
 
-    def upgrade(self, build: str = "", program: str = "") -> None:
-        """Upgrade to a build by the command, and print its output if the result is unexpected."""
+    def hot_restart(self, build: str = "", program: str = "") -> None:
+        """Hot-restart the gateway with a build; print the command's output if the result is unexpected."""
         log = self.folder / "new.log"
         command = [sys.executable, "-m", "orchidlane", "upgrade", str(self.settings), "--log", str(log)]
         if program:
             command += ["--program", program]
-        began = self.runner.loop.now()
+        started_at_us = self.runner.loop.now()
         done = subprocess.run(command, capture_output=True, text=True, check=False)
-        upgrade = Upgrade(began, self.runner.loop.now(), build, done.returncode == 0)
-        if not upgrade.is_as_expected:
-            print(f"unlike wanted: {build or 'good'}: {done.stdout}{done.stderr}", flush=True)
-        self.upgrades.append(upgrade)
+        hot_restart = HotRestart(started_at_us, self.runner.loop.now(), build, done.returncode == 0)
+        if not hot_restart.is_as_expected:
+            print(f"unexpected result of build {build or 'good'}: {done.stdout}{done.stderr}", flush=True)
+        self.hot_restarts.append(hot_restart)
 
     def response_times(self) -> ResponseTimes:
-        """Return the times of all answered requests."""
+        """Return the response times of all requests that received a response."""
         times = ResponseTimes([], [])
         for attempt in self.runner.records:
             if not isinstance(attempt, ClientAttempt) or attempt.outcome != "answer":
                 continue
-            overlaps = any(
-                attempt.at <= upgrade.ended_us and attempt.ended_at >= upgrade.began_us
-                for upgrade in self.upgrades
+            is_during_restart = any(
+                attempt.at <= hot_restart.finished_at_us and attempt.ended_at >= hot_restart.started_at_us
+                for hot_restart in self.hot_restarts
             )
-            series = times.during_upgrades_ms if overlaps else times.otherwise_ms
+            series = times.during_restarts_ms if is_during_restart else times.otherwise_ms
             series.append((attempt.ended_at - attempt.at) / 1e3)
         return times
 
     def pauses_ms(self) -> list[float]:
-        """Return the milliseconds from each switch to the successor's first word, by the processes' logs."""
+        """Return the milliseconds from each switch to the new process's first message, from the logs."""
         logs = "".join(path.read_text() for path in self.folder.glob("*.log"))
         return [float(text) for text in re.findall(r'"pause_ms": ([0-9.]+)', logs)]
 
     def counted_units(self) -> float:
-        """Return the units by the gateway's own count. Raises ViewError where it does not answer."""
+        """Return the units that the gateway itself counted. Raises ViewError if it does not respond."""
         with open_state(self.plan.fleet.gateways[0].admin) as state:
             return sum(recording.account_from_row(row).replica_counts[0][1] for row in state.account_rows())
 
     def count_accounts(self) -> int:
-        """Return the number of accounts that the gateway knows."""
+        """Return the number of accounts at the gateway."""
         with open_state(self.plan.fleet.gateways[0].admin) as state:
             return sum(1 for _ in state.account_rows())
 
@@ -127,28 +130,28 @@
     for old, new in SHORTER_TIMES.items():
         assert old in plan.settings_text
         plan.settings_text = plan.settings_text.replace(old, new)
-    for pattern, new in NEVER_EXHAUSTED.items():
+    for pattern, new in LARGE_QUOTAS.items():
         plan.settings_text = re.sub(pattern, new, plan.settings_text)
-    plan.fleet = parse_settings(plan.settings_text, "day")
+    plan.fleet = parse_settings(plan.settings_text, "scenario")
 
 
 def print_verdict(title: str, verdict: Verdict) -> None:
-    """Print what clients lost, and how their requests ended."""
-    ends = verdict.responses
-    broken = sum(ends.get(end, 0) for end in ("reset", "silence", "cut"))
+    """Print how many responses were lost, duplicate or late, and the outcomes of attempts."""
+    outcomes = verdict.responses
+    broken = sum(outcomes.get(outcome, 0) for outcome in ("reset", "silence", "cut"))
     lost = len(verdict.missing_responses)
-    doubled = len(verdict.duplicate_responses)
+    duplicate = len(verdict.duplicate_responses)
     late = len(verdict.late_responses)
-    print(f"{title}: {verdict.request_count} requests; unheard {lost}, doubled {doubled}, late {late}")
-    print(f"  connections broken {broken}, refused {ends.get('unreachable', 0)}; answers {ends}")
+    print(f"{title}: {verdict.request_count} requests; lost {lost}, duplicate {duplicate}, late {late}")
+    print(f"  connections broken {broken}, refused {outcomes.get('unreachable', 0)}; outcomes {outcomes}")
     print(f"  units beyond the quota {verdict.units_beyond_quota:.0f}; rules {verdict.rules}")
 
 
 def print_response_times(title: str, times_ms: list[float]) -> None:
-    """Print percentiles of response times."""
+    """Print the median, the 99th percentile and the largest of some response times."""
     p50, p99 = _percentile(times_ms, 0.5), _percentile(times_ms, 0.99)
     slowest = max(times_ms, default=0.0)
-    print(f"  {len(times_ms)} answers {title}: p50 {p50:.1f}, p99 {p99:.1f}, slowest {slowest:.1f} ms")
+    print(f"  {len(times_ms)} responses {title}: p50 {p50:.1f}, p99 {p99:.1f}, slowest {slowest:.1f} ms")
 
 
 def _percentile(values: list[float], share: float) -> float:
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a benchmark: ports, a gateway's settings, cores, start and end."""
+"""Settings of a gateway for a benchmark, and processes that are pinned to cores."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def write_settings(
     folder: Path, gateway_port: int, peer_port: int, list_port: int, resp_port: int | None = None
 ) -> Path:
-    """Write the settings of one gateway whose only customer has a quota that no load reaches."""
+    """Write the settings of one gateway, whose only customer has a quota that no load uses up."""
     key_digest = hashlib.sha256(API_KEY.encode()).hexdigest()
     customers = {"customers": [{"id": 1, "plan": "wide", "keys": [key_digest]}]}
     (folder / "customers.json").write_text(json.dumps(customers))
@@ -44,7 +44,7 @@
 
 
 class PinnedProcesses:
-    """Starts Python modules, each on one core: servers, what is measured, and the load have their own."""
+    """Starts Python modules on three cores: one for servers, one for measured programs, one for the load."""
 
     def __init__(self) -> None:
         cores = sorted(os.sched_getaffinity(0))
@@ -54,19 +54,19 @@
         self._processes: list[subprocess.Popen[bytes]] = []
 
     def start_server(self, *arguments: str | int) -> None:
-        """Start a module that what is measured depends on."""
+        """Start a module that the measured programs need, on the core for servers."""
         self._start(self.server_core, arguments)
 
     def start_measured(self, *arguments: str | int) -> None:
-        """Start a module that is measured."""
+        """Start a module that is measured, on the core for measured programs."""
         self._start(self.measured_core, arguments)
 
     def pin_load(self) -> None:
-        """Move this process, which makes the load, to its core."""
+        """Move this process, which generates the load, to the core for the load."""
         os.sched_setaffinity(0, {self.load_core})
 
     def kill(self) -> None:
-        """Kill all processes and wait for their end."""
+        """Kill all processes and wait until they have exited."""
         for process in self._processes:
             process.kill()
             process.wait()
@@ -79,7 +79,7 @@
 
 @contextlib.contextmanager
 def pinned_processes() -> Iterator[PinnedProcesses]:
-    """Yield a starter of processes that are killed at the end."""
+    """Yield an object that starts processes, and kill the processes on exit."""
     processes = PinnedProcesses()
     try:
         yield processes
@@ -88,7 +88,10 @@
 
 
 def wait_until_listening(*ports: int) -> None:
-    """Wait until all ports of the loopback address take connections. Raises RuntimeError after 20 s."""
+    """Wait until all ports of the loopback address accept connections.
+
+    Raises RuntimeError if one does not within 20 s.
+    """
     for port in ports:
         for _ in range(CONNECT_ATTEMPTS):
             with contextlib.suppress(OSError):
@@ -96,4 +99,4 @@
                 break
             time.sleep(CONNECT_RETRY_SECONDS)
         else:
-            raise RuntimeError(f"nothing listens at {port}")
+            raise RuntimeError(f"no process accepts connections at port {port}")
--- a/benchmarks/real_rollout.py
+++ b/benchmarks/real_rollout.py
@@ -1,4 +1,4 @@
-"""Versions on a fleet of real processes under steady load: time to reach all, and the cost of a request."""
+"""Versions on a fleet of real processes under load: time to reach all gateways, and cost of a request."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from orchidlane.simulation.process_fleet import ProcessFleet, run_process_fleet
 from orchidlane.simulation.scenario import load_scenario
 
-GATEWAYS = 9
+GATEWAY_COUNT = 9
 VOTERS = [f"gw-{rank}" for rank in range(5)]
 CHANGED_COST = SHEET_READ_COST.replace("2", "3")
 IDLE_SECONDS = 3.0
-COST_REQUESTS = 400
-COST_GATEWAYS = 3
+COST_REQUEST_COUNT = 400
+COST_GATEWAY_COUNT = 3
 COST_VOTERS = ["gw-0", "gw-1", "gw-2"]
 ROLLOUT_SETTINGS = {"lease": "6s", "every": "100ms", "soak": "0s"}
 
@@ -32,8 +32,8 @@
 def run_real_fleet(
     script: Callable[[ProcessFleet], None], gateways: int, voters: list[str]
 ) -> tuple[Verdict, ProcessFleet]:
-    """Run a script beside a steady load, and return the audit's verdict and the fleet."""
-    day = msgspec.structs.replace(
+    """Run a script on a fleet under steady load, and return the audit's verdict and the fleet."""
+    scenario = msgspec.structs.replace(
         load_scenario(str(MATERIALS / "random.cue")),
         duration=Duration(600 * 1_000_000),
         steps=(),
@@ -43,11 +43,13 @@
     )
     settings = {**ROLLOUT_SETTINGS, "voters": voters}
     with tempfile.TemporaryDirectory(prefix="orchidlane-") as folder:
-        return run_process_fleet(day, folder, script, lambda value: value["change"].update(settings))
+        return run_process_fleet(
+            scenario, folder, script, lambda fleet_settings: fleet_settings["change"].update(settings)
+        )
 
 
 class RepeatedRollouts:
-    """A script that adopts a version and reverts it, several times."""
+    """A script that proposes a version and reverts it, several times."""
 
     def __init__(self, rounds: int) -> None:
         self._rounds = rounds
@@ -57,11 +59,11 @@
 
     @property
     def version_count(self) -> int:
-        """Number of versions after the first one."""
+        """The number of versions after the first one."""
         return 2 * self._rounds
 
     def run(self, fleet: ProcessFleet) -> None:
-        """Measure the idle fleet, and then each round."""
+        """Measure datagrams of the idle fleet, and then the times of each round."""
         fleet.leader()
         self.idle_datagrams_per_second = _measure_idle_datagrams(fleet)
         for _ in range(self._rounds):
@@ -72,25 +74,25 @@
 
 
 def _measure_idle_datagrams(fleet: ProcessFleet) -> float:
-    """Return the datagrams a second that a gateway sends while no version changes."""
+    """Return the datagrams per second and gateway while no version changes."""
     datagrams: list[int] = []
     fleet.on_message(lambda *_: datagrams.append(1))
     seconds = measure_seconds(lambda: time.sleep(IDLE_SECONDS))
     return len(datagrams) / seconds / fleet.count
 
 
-def _measure_command_ms(fleet: ProcessFleet, *words: str) -> float:
-    """Return the milliseconds of a command that waits until all gateways follow."""
-    began = fleet.now()
-    exit_code, *_ = fleet.command(*words)
+def _measure_command_ms(fleet: ProcessFleet, *arguments: str) -> float:
+    """Return the milliseconds of a command that waits until all gateways run its version."""
+    started_at_us = fleet.now()
+    exit_code, *_ = fleet.command(*arguments)
     assert exit_code == 0
-    return (fleet.now() - began) / 1_000
+    return (fleet.now() - started_at_us) / 1_000
 
 
 def measure_real_processes(rounds: int) -> dict[str, Any]:
-    """Measure versions on nine gateways with five voters, from the command to all gateways and back."""
+    """Measure adoptions and reversals of versions on nine gateways, five of which are voters."""
     script = RepeatedRollouts(rounds)
-    verdict, fleet = run_real_fleet(script.run, GATEWAYS, VOTERS)
+    verdict, fleet = run_real_fleet(script.run, GATEWAY_COUNT, VOTERS)
     results = verdict.as_json()
     approved = set(range(script.version_count + 1))
     return {
@@ -110,7 +112,7 @@
 
 
 def measure_cost_ratio() -> float:
-    """Return the time of a request over one persistent connection, with versions over without."""
+    """Return the ratio of a request's times with and without versions, over one persistent connection."""
     without_versions = _median_request_seconds([])
     with_versions = _median_request_seconds(COST_VOTERS)
     return round(with_versions / without_versions, 3)
@@ -127,7 +129,7 @@
             client.request("GET", "/v1/nowhere", headers={"X-Api-Key": "key-of-1"})
             client.getresponse().read()
 
-        times.extend(measure_seconds(request) for _ in range(COST_REQUESTS))
+        times.extend(measure_seconds(request) for _ in range(COST_REQUEST_COUNT))
 
-    run_real_fleet(script, COST_GATEWAYS, voters)
+    run_real_fleet(script, COST_GATEWAY_COUNT, voters)
     return statistics.median(times)
--- a/benchmarks/recording.py
+++ b/benchmarks/recording.py
@@ -1,4 +1,4 @@
-"""What recording costs a gateway: the same requests with and without, in turn on one core; bytes a request.
+"""Cost of recording: rates of gateways with and without it, in turn on one core, and bytes per request.
 
 ``python -m benchmarks.recording``.
 """
@@ -22,11 +22,11 @@
 from orchidlane.simulation.loopback_addresses import free_ports
 
 CONNECTION_COUNT = 32
-WRITE_DELAY_SECONDS = 0.5  # the last entries are on disk then
+WRITE_DELAY_SECONDS = 0.5  # after it, the last entries are on disk
 
 
 def measure(rounds: int) -> None:
-    """Print the ratio of each round's rates, and the bytes of a request."""
+    """Print the ratio of the rates with and without recording, and the recorded bytes per request."""
     endpoint, endpoint_list, *ports = free_ports(6)
     plain, plain_peer, recording, recording_peer = ports
     with (
@@ -42,25 +42,25 @@
         processes.start_measured("orchidlane", "gateway", str(recording_settings), "--record", record_folder)
         processes.pin_load()
         wait_until_listening(endpoint, endpoint_list, plain, recording)
-        time.sleep(1)  # the gateways have their endpoint
+        time.sleep(1)  # until the gateways have received their endpoint list
         gateways = {"plain": plain, "recording": recording}
         series = load_alternately(rounds, gateways, lambda port: load_http(port, CONNECTION_COUNT))
         time.sleep(WRITE_DELAY_SECONDS)
         record_bytes = sum(path.stat().st_size for path in Path(record_folder).glob("*.olr"))
     pairs = zip(series["recording"].rates, series["plain"].rates, strict=True)
-    ratios = [rate / without for rate, without in pairs]
+    ratios = [recording_rate / plain_rate for recording_rate, plain_rate in pairs]
     print_ratios(ratios)
-    print(f"{record_bytes / len(series['recording'].latencies_ms):.0f} bytes a request")
+    print(f"{record_bytes / len(series['recording'].latencies_ms):.0f} bytes per request")
 
 
 def print_ratios(ratios: list[float]) -> None:
-    """Print all ratios and their median."""
+    """Print the ratio of each round, and the median."""
     listed = ", ".join(f"{ratio:.2f}" for ratio in ratios)
-    print(f"requests/s recording beside not: {listed}; median {statistics.median(ratios):.2f}")
+    print(f"requests/s with recording over without: {listed}; median {statistics.median(ratios):.2f}")
 
 
 def main() -> None:
-    """Measure as the arguments say."""
+    """Run the benchmark with the options of the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=8)
     arguments = parser.parse_args()
--- a/benchmarks/resp.py
+++ b/benchmarks/resp.py
@@ -1,6 +1,7 @@
-"""Takes a second over RESP beside a plain asyncio server that answers without deciding, in one run.
+"""Compares LIMIT.TAKE commands per second of the gateway and of a plain server that always grants them.
 
-``python -m benchmarks.resp``. Both servers have the same core and take turns; the load has another.
+``python -m benchmarks.resp``. Both servers run on the same core and are loaded in turn; the load runs on
+another core.
 """
 
 from __future__ import annotations
@@ -25,19 +26,19 @@
 
 
 class TakeReplyReader:
-    """Checks that each reply, which comes in one piece, grants the take."""
+    """Checks that each reply grants the units; a reply must arrive in one piece."""
 
     error_count = 0
 
     def receive(self, data: bytes) -> bool:
-        """Return True. Raises RuntimeError for another reply."""
+        """Return True, as the reply is complete. Raises RuntimeError if it does not grant the units."""
         if not data.startswith(GRANTED):
             raise RuntimeError(data.decode())
         return True
 
 
 def load_takes(port: int, connection_count: int) -> LoadResult:
-    """Load a RESP server with takes of one unit for one round."""
+    """Load a RESP server for one round with commands that take one unit each."""
     return run_load(port, connection_count, ROUND_SECONDS, TAKE, TakeReplyReader)
 
 
@@ -66,7 +67,7 @@
 
 
 def main() -> None:
-    """Measure as the arguments say."""
+    """Run the benchmark with the options of the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--connections", type=int, nargs="*", default=[1, 50, 500])
--- a/benchmarks/roll.py
+++ b/benchmarks/roll.py
@@ -1,8 +1,8 @@
-"""Size of the batches that ``rolling_batches.largest_batch`` finds, beside an upper bound.
+"""Compares the size of batches that ``rolling_batches.largest_batch`` returns with an upper bound.
 
 ``python -m benchmarks.roll``. For random fleets of 8 to 340 gateways in one to five zones, with random
-replica sets and loads: the size of the largest batch as a share of the bound, the share of fleets in which
-the bound is reached, the batches of a whole roll, and the time of one decision.
+replica sets and loads: the mean size of the largest batch as a share of the bound, the share of fleets in
+which the bound is reached, the mean number of batches of a rolling upgrade, and the median time of one call.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
     largest_batch,
 )
 
-FLEETS = 60
-FIRST_SUCCESSOR_PID = 10_000
+FLEETS_PER_SIZE = 60
+FIRST_NEW_PID = 10_000
 
 
 def random_fleet(rng: random.Random, size: int) -> tuple[Fleet, RiskLimits]:
-    """Draw a fleet and its limits."""
+    """Return a random fleet, and random limits for its rolling upgrade."""
     zones = rng.randint(1, 5)
     loads = [rng.lognormvariate(3, 0.6) for _ in range(size)]
     members = tuple(Member(rank, f"hall-{rank * zones // size}", load) for rank, load in enumerate(loads))
@@ -39,7 +39,7 @@
 
 
 def count_batches(fleet: Fleet, limits: RiskLimits) -> int:
-    """Return the number of batches of a roll in which all goes well."""
+    """Return the number of batches of a rolling upgrade without failures."""
     ranks = range(len(fleet.members))
     statuses = [
         rolling_upgrade.StatusReceived(rank, rank + 1, True, "", ResponseCounts(100, 0, 0), False)
@@ -54,10 +54,10 @@
         count += bool(started)
         actions = []
         for rank in started:
-            upgrade.handle(now, rolling_upgrade.NewProcessPrepared(rank, FIRST_SUCCESSOR_PID + rank))
+            upgrade.handle(now, rolling_upgrade.NewProcessPrepared(rank, FIRST_NEW_PID + rank))
         for rank in started:
             now += 1
-            pid = FIRST_SUCCESSOR_PID + rank
+            pid = FIRST_NEW_PID + rank
             status = rolling_upgrade.StatusReceived(rank, pid, True, "", ResponseCounts(), True)
             actions += upgrade.handle(now, status)
         actions += upgrade.handle(now, rolling_upgrade.TimerFired())
@@ -65,22 +65,22 @@
 
 
 def main() -> None:
-    """Print a line for each size of fleet."""
-    print("gateways  of the bound  reached  batches  ms a decision")
+    """Print a table with a line for each size of fleet."""
+    print("gateways  size / bound  reached  batches  ms a call")
     for size in (8, 24, 80, 340):
         rng = random.Random(size)
-        shares, counts, times = [], [], []
-        for _ in range(FLEETS):
+        shares, batches, times_ms = [], [], []
+        for _ in range(FLEETS_PER_SIZE):
             fleet, limits = random_fleet(rng, size)
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             batch = largest_batch(fleet, limits, range(size), (), size)
-            times.append((time.perf_counter() - began) * 1e3)
+            times_ms.append((time.perf_counter() - started_at) * 1e3)
             shares.append(len(batch) / batch_size_bound(fleet, limits))
-            counts.append(count_batches(fleet, limits))
+            batches.append(count_batches(fleet, limits))
         reached = sum(share == 1 for share in shares) / len(shares)
         print(
-            f"{size:8}  {statistics.mean(shares):12.2f}  {reached:7.0%}  {statistics.mean(counts):7.1f}  "
-            f"{statistics.median(times):6.2f}"
+            f"{size:8}  {statistics.mean(shares):12.2f}  {reached:7.0%}  {statistics.mean(batches):7.1f}  "
+            f"{statistics.median(times_ms):6.2f}"
         )
 
 
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,6 +1,7 @@
-"""Matching a path: the radix tree beside a plain list of regular expressions, at 10 to 20,000 routes.
+"""Compares path matching by the radix tree and by a list of regular expressions, for 10 to 20,000 routes.
 
-The list is searched in the order of the specification: concrete paths first. ``python -m benchmarks.routes``.
+``python -m benchmarks.routes``. The list is searched in the order that the OpenAPI specification requires:
+concrete paths first.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 def random_templates(count: int, rng: random.Random) -> list[str]:
-    """Draw so many distinct path templates."""
+    """Return ``count`` random path templates, all different."""
     templates: dict[str, None] = {}
     while len(templates) < count:
         parts = [
@@ -31,7 +32,7 @@
 
 
 def random_paths(templates: list[str], rng: random.Random) -> list[str]:
-    """Draw paths that match some of the templates."""
+    """Return random paths, each of which matches one of the templates."""
     return [
         re.sub(r"\{\w+\}", lambda _: f"v{rng.randrange(1000)}", rng.choice(templates))
         for _ in range(PATH_COUNT)
@@ -39,25 +40,25 @@
 
 
 def build_tree(templates: list[str]) -> tuple[Tree[str], list[str]]:
-    """Return a tree and the templates that it takes, which don't contradict each other."""
+    """Return a tree and the templates in it; a template that conflicts with an earlier one is left out."""
     tree: Tree[str] = Tree()
-    taken = []
+    added = []
     for template in templates:
         try:
             tree.add(template, template)
         except ValueError:
             continue
-        taken.append(template)
-    return tree, taken
+        added.append(template)
+    return tree, added
 
 
 def build_patterns(templates: list[str]) -> list[re.Pattern[str]]:
-    """Return one expression for each template."""
+    """Return a regular expression for each template."""
     return [re.compile(re.sub(r"\\{\w+\\}", "[^/]+", re.escape(template))) for template in templates]
 
 
 def print_line(route_count: int) -> None:
-    """Print one line of the table."""
+    """Measure both ways with ``route_count`` routes, and print a line of the table."""
     rng = random.Random(1)
     tree, templates = build_tree(random_templates(route_count, rng))
     templates.sort(key=lambda template: template.count("{"))
@@ -79,7 +80,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a table with a line for each number of routes."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--routes", type=int, nargs="*", default=[10, 100, 1_000, 20_000])
     route_counts = parser.parse_args().routes
--- a/benchmarks/server_roles.py
+++ b/benchmarks/server_roles.py
@@ -1,8 +1,8 @@
-"""Servers that a benchmark runs as processes of their own.
+"""Servers that a benchmark runs as separate processes.
 
 ``python -m benchmarks.server_roles ROLE PORT [TARGET_PORT]``. Roles: ``endpoint`` is the fastest plain HTTP
-endpoint, ``endpoint-list`` a list with the endpoint at the target port, ``forwarder`` a plain aiohttp
-forwarder to the target port, ``resp`` the fastest plain RESP server.
+endpoint, ``endpoint-list`` a discovery service with the endpoint at the target port, ``forwarder`` a plain
+aiohttp forwarder to the target port, ``resp`` the fastest plain RESP server.
 """
 
 from __future__ import annotations
@@ -19,33 +19,33 @@
 
 HTTP_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 200\r\n\r\n" + b"x" * 200
 RESP_REPLY = b"*3\r\n:1\r\n:1999999\r\n:0\r\n"
-LINES_PER_RESP_COMMAND = 7  # of an array of three bulk strings
+LINES_PER_RESP_COMMAND = 7  # a command is an array of three bulk strings
 
 
 class PlainEndpoint(asyncio.Protocol):
-    """Answers each request with a prepared response, without parsing it."""
+    """Sends a prepared response to each request, without parsing the request."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport for the responses."""
+        """Store the transport for the responses."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answer all requests whose head ends in these bytes."""
+        """Send a response for each request whose head ends in these bytes."""
         self._transport.write(HTTP_RESPONSE * data.count(b"\r\n\r\n"))
 
 
 class PlainRespServer(asyncio.Protocol):
-    """Splits its input into commands and answers each with a prepared reply."""
+    """Splits its input into commands and sends a prepared reply to each."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport for the replies."""
+        """Store the transport for the replies."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._incomplete = b""
 
     def data_received(self, data: bytes) -> None:
-        """Answer all complete commands."""
+        """Reply to all complete commands."""
         lines = (self._incomplete + data).split(b"\r\n")
         command_count = (len(lines) - 1) // LINES_PER_RESP_COMMAND
         self._incomplete = b"\r\n".join(lines[LINES_PER_RESP_COMMAND * command_count :])
@@ -67,7 +67,7 @@
 
 
 def serve_forwarder(port: int, target_port: int) -> None:
-    """Forward each request to the target port, without any decision."""
+    """Forward each request to the target port, without applying any policy."""
 
     async def forward(request: web.Request) -> web.Response:
         url = f"http://127.0.0.1:{target_port}{request.path_qs}"
@@ -84,7 +84,7 @@
 
 
 def serve_endpoint_list(port: int, endpoint_port: int) -> None:
-    """Serve an endpoint list with one endpoint, which is ready."""
+    """Serve an endpoint list with one endpoint, in state ready."""
     loop = EventLoop(RealBackend())
 
     def serve() -> None:
@@ -97,7 +97,7 @@
 
 
 def main() -> None:
-    """Serve one role."""
+    """Run the server of the role that the command line names."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("role", choices=["endpoint", "endpoint-list", "forwarder", "resp"])
     parser.add_argument("port", type=int)
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -1,8 +1,9 @@
-"""What a state of many customers costs a gateway.
+"""Cost of dumps and snapshots of a gateway's state with many customers.
 
-``python -m benchmarks.state``. For 1,000, 10,000 and 100,000 customers: the pause of a complete dump beside
-that of a snapshot's begin and of its slowest page, the time of all pages, the policy's events beside those
-made while a snapshot is taken, and the memory of a tool that counts a plan.
+``python -m benchmarks.state``. For 1,000, 10,000 and 100,000 customers: the pauses, in milliseconds, for a
+complete dump, for the start of a snapshot, for encoding its state without accounts (``head``) and for its
+slowest page; the time of all pages; the time of events during a snapshot divided by that before it; and the
+memory of a tool that counts customers by plan.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 import msgspec
 
-from benchmarks.example_policy import START_US, example_gateway, list_endpoints
+from benchmarks.example_policy import START_US, example_gateway, feed_endpoint_list
 from benchmarks.timing import measure_ms, timed_result
 from orchidlane import policy, recording
 from orchidlane.policy.gateway import Gateway
@@ -38,10 +39,10 @@
 
 
 def make_gateway(customers: int) -> Gateway:
-    """Return a policy that knows so many customers."""
+    """Return a policy with an account for each of the customers."""
     gateway = example_gateway()
     recording.track_accounts(gateway)
-    list_endpoints(gateway)
+    feed_endpoint_list(gateway)
     for number in range(customers):
         requested = policy.QuotaRequested(number, number, number % 2, 0, 1.0, 0, 3)
         gateway.handle(START_US + number, requested)
@@ -50,7 +51,7 @@
 
 @contextlib.contextmanager
 def garbage_collection_paused() -> Iterator[None]:
-    """Collect garbage now, and not again until the end."""
+    """Collect garbage now, and not again before the context ends."""
     gc.collect()
     gc.disable()
     try:
@@ -60,7 +61,7 @@
 
 
 def measure_pages_ms(snapshot: recording.Snapshot) -> list[float]:
-    """Return the milliseconds of each page of a snapshot."""
+    """Return the milliseconds that it takes to make and encode each page of a snapshot."""
     pages = snapshot.pages()
     times_ms: list[float] = []
 
@@ -79,7 +80,7 @@
 
 
 def measure_events_ms(gateway: Gateway, customers: int, first_number: int) -> float:
-    """Return the milliseconds of some events, spread over all customers."""
+    """Return the milliseconds that the policy takes for ``EVENTS`` events, spread over all customers."""
     step = max(1, customers // EVENTS)
 
     def handle_events() -> None:
@@ -92,7 +93,7 @@
 
 
 def measure_events_ratio(gateway: Gateway, customers: int) -> float:
-    """Return the time of events during a snapshot over their time before it."""
+    """Return the time of events during a snapshot divided by their time before it."""
     before_ms = measure_events_ms(gateway, customers, 10**7)
     snapshot = recording.Snapshot(gateway)
     during_ms = measure_events_ms(gateway, customers, 2 * 10**7)
@@ -101,22 +102,22 @@
 
 
 def print_line(customers: int) -> None:
-    """Print one line of the table."""
+    """Measure a state of ``customers`` customers, and print a line of the table."""
     gateway = make_gateway(customers)
     with garbage_collection_paused():
         dump_ms = measure_ms(lambda: msgspec.msgpack.encode(recording.dump_state(gateway)))
-        begin_seconds, snapshot = timed_result(lambda: recording.Snapshot(gateway))
+        start_seconds, snapshot = timed_result(lambda: recording.Snapshot(gateway))
         head_ms = measure_ms(lambda: msgspec.msgpack.encode(snapshot.state))
         pages_ms = measure_pages_ms(snapshot)
         events_ratio = measure_events_ratio(gateway, customers)
     print(
-        f"{customers:9} {dump_ms:12.1f} {begin_seconds * 1e3:9.2f} {head_ms:9.2f} {max(pages_ms):10.2f}"
+        f"{customers:9} {dump_ms:12.1f} {start_seconds * 1e3:9.2f} {head_ms:9.2f} {max(pages_ms):10.2f}"
         f" {sum(pages_ms):9.0f} {events_ratio:12.2f} {measure_tool_mib(gateway):12.1f}"
     )
 
 
 def measure_tool_mib(gateway: Gateway) -> float:
-    """Return the MiB that a tool's process takes to count a plan, beyond those for an empty state."""
+    """Return the MiB by which the accounts enlarge a process that counts customers by plan."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "state.olr"
         write_state(gateway, path, with_accounts=False)
@@ -126,7 +127,7 @@
 
 
 def write_state(gateway: Gateway, path: Path, with_accounts: bool) -> None:
-    """Write a saved state, with the accounts or without."""
+    """Write a saved state, with or without the accounts."""
     snapshot = recording.Snapshot(gateway)
     header = recording.Header(
         recording.FORMAT_VERSION,
@@ -149,18 +150,18 @@
 
 
 def count_plan_mib(path: Path) -> float:
-    """Return the largest size in MiB of a process that counts the plans of a saved state."""
+    """Return the peak size in MiB of a process that counts a saved state's customers by plan."""
     command = [sys.executable, "-c", COUNT_PROGRAM, str(path)]
     done = subprocess.run(command, capture_output=True, check=True)
     return int(done.stdout) / KIB_PER_MIB
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a table with a line for each number of customers."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--customers", type=int, nargs="*", default=[1_000, 10_000, 100_000])
     customer_counts = parser.parse_args().customers
-    print("customers  whole dump      begin      head slowest page  all pages  events during  tool MiB")
+    print("customers  whole dump      start      head slowest page  all pages  events during  tool MiB")
     for customers in customer_counts:
         print_line(customers)
     print(f"this process: {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // KIB_PER_MIB} MiB")
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -1,7 +1,7 @@
-"""Compare the event loop's timer heap with a hierarchical timing wheel, at growing numbers of timers.
+"""Compares the event loop's timer heap with a hierarchical timing wheel, for growing numbers of timers.
 
-Each run adds the timers that are to be pending, then goes through the steps: add a timer, cancel an earlier
-one (in nine of ten steps), take out what is due. Run it by ``python -m benchmarks.timers``.
+``python -m benchmarks.timers``. Each run first adds as many timers as are to be pending. In each of its steps
+it then adds a timer, cancels an earlier one (in nine of ten steps), and removes the timers that are due.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 MAX_DELAY_US = 60_000_000
 PENDING_TIMERS = (100, 1_000, 10_000, 100_000, 1_000_000)
 RUNS = 3
-CANCEL_ALL_BUT_EACH = 10
+STEPS_PER_KEPT_TIMER = 10  # in all other steps, a timer is cancelled
 
 
 @dataclass(slots=True)
 class WheelTimer:
-    """A timer of the wheel."""
+    """A timer in the wheel."""
 
     tick: int
     call: Callable[[Any], None] | None  # None once cancelled
@@ -49,7 +49,7 @@
         self.levels: list[list[list[WheelTimer]]] = [
             [[] for _ in range(SLOTS_PER_LEVEL)] for _ in range(LEVELS)
         ]
-        self.occupied_slots = [0] * LEVELS  # a bit for each slot
+        self.occupied_slots = [0] * LEVELS  # by level, with a bit for each slot
 
     def add(self, when: int, call: Callable[[Any], None], argument: Any = None) -> WheelTimer:
         """Add a timer for ``call(argument)`` at ``when`` in microseconds and return it."""
@@ -65,7 +65,7 @@
                 self.levels[level][slot].append(timer)
                 self.occupied_slots[level] |= 1 << slot
                 return
-        raise ValueError("too far ahead")
+        raise ValueError("the timer is due after the time that the last level covers")
 
     def cancel(self, timer: WheelTimer) -> None:
         """Cancel a timer; its entry stays until its slot is emptied."""
@@ -85,20 +85,20 @@
             self._empty_slot(0, self.tick & SLOT_MASK, due.append)
         return due
 
-    def _empty_slot(self, level: int, slot: int, handle: Callable[[WheelTimer], None]) -> None:
+    def _empty_slot(self, level: int, slot: int, take_timer: Callable[[WheelTimer], None]) -> None:
         timers, self.levels[level][slot] = self.levels[level][slot], []
         self.occupied_slots[level] &= ~(1 << slot)
         for timer in timers:
             if timer.call is not None:
-                handle(timer)
+                take_timer(timer)
 
 
 def ignore(_argument: Any) -> None:
-    """Do nothing: the call of every timer here."""
+    """Do nothing; all timers of the benchmark call this function."""
 
 
 def time_heap(pending: int, rng: random.Random) -> float:
-    """Return how many seconds the steps take with the heap."""
+    """Return the seconds that the steps take with the heap."""
     timers, now = Timers(), 0
     added = [timers.add(rng.randrange(1, MAX_DELAY_US), ignore) for _ in range(pending)]
     started_at = time.perf_counter()
@@ -106,7 +106,7 @@
         now += STEP_US
         index = step % pending
         earlier, added[index] = added[index], timers.add(now + rng.randrange(1, MAX_DELAY_US), ignore)
-        if step % CANCEL_ALL_BUT_EACH:
+        if step % STEPS_PER_KEPT_TIMER:
             timers.cancel(earlier)
         while timers.pop_due(now):
             pass
@@ -114,7 +114,7 @@
 
 
 def time_wheel(pending: int, rng: random.Random) -> float:
-    """Return how many seconds the steps take with the wheel."""
+    """Return the seconds that the steps take with the wheel."""
     wheel, now = TimingWheel(), 0
     added = [wheel.add(rng.randrange(1, MAX_DELAY_US), ignore) for _ in range(pending)]
     started_at = time.perf_counter()
@@ -122,23 +122,23 @@
         now += STEP_US
         index = step % pending
         earlier, added[index] = added[index], wheel.add(now + rng.randrange(1, MAX_DELAY_US), ignore)
-        if step % CANCEL_ALL_BUT_EACH:
+        if step % STEPS_PER_KEPT_TIMER:
             wheel.cancel(earlier)
         wheel.advance(now)
     return time.perf_counter() - started_at
 
 
 def us_per_step(durations: list[float]) -> float:
-    """Return the median of several runs' durations in seconds as microseconds a step."""
+    """Return the median of the runs' durations, given in seconds, as microseconds per step."""
     return statistics.median(durations) / STEPS * 1e6
 
 
 def main() -> None:
-    """Print a row for each number of pending timers."""
+    """Print a table with a line for each number of pending timers."""
     print("pending    heap us/step   wheel us/step   wheel/heap")
     for pending in PENDING_TIMERS:
         heap_durations, wheel_durations = [], []
-        for seed in range(RUNS):  # in alternation, so that drift of the machine meets both alike
+        for seed in range(RUNS):  # alternating, so that a drift in speed affects both alike
             heap_durations.append(time_heap(pending, random.Random(seed)))
             wheel_durations.append(time_wheel(pending, random.Random(seed)))
         heap, wheel = us_per_step(heap_durations), us_per_step(wheel_durations)
--- a/benchmarks/timing.py
+++ b/benchmarks/timing.py
@@ -11,9 +11,9 @@
 
 def measure_seconds(work: Callable[[], object]) -> float:
     """Return the seconds that a call takes."""
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     work()
-    return time.perf_counter() - began
+    return time.perf_counter() - started_at
 
 
 def measure_ms(work: Callable[[], object]) -> float:
@@ -22,7 +22,7 @@
 
 
 def timed_result(work: Callable[[], Result]) -> tuple[float, Result]:
-    """Return the seconds that a call takes, and its result."""
-    began = time.perf_counter()
+    """Return the seconds that a call takes, and the result of the call."""
+    started_at = time.perf_counter()
     result = work()
-    return time.perf_counter() - began, result
+    return time.perf_counter() - started_at, result
--- a/tests/harness/session_records.py
+++ b/tests/harness/session_records.py
@@ -15,8 +15,15 @@
 START_US = 1_000 * SECOND
 # Codes of outcomes of attempts
 SERVED, ERROR, ENDPOINT_FULL, TIMED_OUT, CONNECT_FAILED, CONNECTION_BROKEN, CANCELLED, NOT_SENT = (
-    100, 301, 302, 303, 304, 305, 306, 307,
-)  # fmt: skip
+    100,
+    301,
+    302,
+    303,
+    304,
+    305,
+    306,
+    307,
+)
 # Codes of endpoint states, and of kinds of endpoint lists
 GONE, READY, DRAINING = 0, 1, 2
 DELTA, COMPLETE, CACHED, FAILED = 0, 1, 2, 3
