--- a/orchidlane/platform/resource_limits.py
+++ b/orchidlane/platform/resource_limits.py
@@ -18,7 +18,7 @@
 # 3 standard streams, the listener, the peers' datagram socket, 2 for the signal pipe, the configuration file
 # during a reload, and a client connection that was accepted and not yet counted
 OWN_DESCRIPTORS = 9
-DISCOVERY_DESCRIPTORS = 2 * (MAX_PENDING_POLLS + 1)  # 2 watches, each with 1 poll that is being cancelled
+DISCOVERY_DESCRIPTORS = 2 * (MAX_PENDING_POLLS + 1)  # for 2 watches, each with 1 poll that is being cancelled
 INTERPRETER_DESCRIPTORS = 5  # files that the Python interpreter opens occasionally
 RESERVED_DESCRIPTORS = OWN_DESCRIPTORS + DISCOVERY_DESCRIPTORS + INTERPRETER_DESCRIPTORS
 LINGERING_SHARE = 1 / 16  # of the available descriptors, once for clients and once for endpoints
--- a/tests/harness/discovery_harness.py
+++ b/tests/harness/discovery_harness.py
@@ -1,4 +1,4 @@
-"""One gateway of the platform whose discovery misbehaves."""
+"""Helpers for tests of one platform gateway whose discovery is faulty."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     *handlers: Callable[[PlatformHarness, int, Stream], None],
     **changes: Any,
 ) -> PlatformHarness:
-    """Run a test with one endpoint that serves every request, unless others are given."""
+    """Run a test; unless handlers are given, with one endpoint that serves every request."""
     return backend.run_test(*(handlers or (serve_every_request,)), test=test, **changes)
 
 
 def drain_endpoint(harness: PlatformHarness, generation: int = 2) -> None:
-    """Let discovery know that endpoint 0 drains; each poll from now on gets that event."""
+    """Make discovery send to each new watch, from now on, the event that endpoint 0 drains."""
     entry = harness.instance(0, "leaving")
     harness.discovery.first_events = [{"generation": generation, "reset": False, "instances": [entry]}]
 
@@ -36,12 +36,12 @@
 
 
 def timeout_us(harness: PlatformHarness, simulated_us: int) -> int:
-    """Return the exact time for the simulated backend; a busy machine with real connections gets more."""
+    """Return ``simulated_us``, or a longer timeout for real connections, since the machine may be busy."""
     return REAL_TIMEOUT_US if isinstance(harness, RealPlatformHarness) else simulated_us
 
 
 def trickle(harness: PlatformHarness, piece: bytes) -> None:
-    """Send bytes that never end a line until the connection is closed."""
+    """Send a piece that completes no object at intervals, until the connection is closed."""
     with suppress(ConnectionClosedError):
         while True:
             harness.discovery.send(harness.discovery.streams[0], piece)
--- a/tests/harness/fleet_harness.py
+++ b/tests/harness/fleet_harness.py
@@ -21,7 +21,7 @@
     HostServers,
     fleet_address,
 )
-from harness.platform_harness import call, file, settings
+from harness.platform_harness import call, configuration_file, settings
 from orchidlane.platform.configuration import Configuration, parse_configuration
 from orchidlane.platform.lifecycle import PlatformGateway
 from orchidlane.runtime import (
@@ -102,7 +102,7 @@
     def _gateway_configuration(self, rank: int) -> Configuration:
         gateways = self.terms.gateways
         peers = [f"{fleet_address(GATEWAY_NETWORK, number)}:7946" for number in range(gateways)]
-        content = file(
+        content = configuration_file(
             name=f"n{rank}",
             listen=f"{fleet_address(GATEWAY_NETWORK, rank)}:8080",
             discovery=f"{fleet_address(AGENT_NETWORK, rank)}:8500",
@@ -140,8 +140,8 @@
         raw = call(
             client=f"{customer:016x}",
             plan=self.plans[self.customers[customer].plan]["name"],
-            left="1.000",
-            extras=f"units=1,spread={self.terms.gateways},first=0",
+            timeout="1.000",
+            quota_info=f"units=1,spread={self.terms.gateways},first=0",
         )
         self.requests.append((self.loop.now(), customer))
         try:
--- a/tests/harness/platform_endpoints.py
+++ b/tests/harness/platform_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints for tests of the platform's gateway, and a run of one test with them."""
+"""Handlers of fake endpoints for tests of the platform's gateway; ``run`` runs one test with them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def serves(harness, index, stream):
-    """Serve each request at once and keep its head."""
+    """Serve each request at once and append its head to ``harness.heads``."""
     while True:
         harness.heads.append(harness.read_request(index, stream)[0])
         stream.send(OK)
@@ -20,12 +20,12 @@
         harness.read_request(index, stream)
 
 
-def responds_with(answer: bytes):
-    """Return an endpoint that gives every request the same response."""
+def responds_with(response: bytes):
+    """Return the handler of an endpoint that sends the same response to every request."""
 
     def handler(harness, index, stream):
         while True:
             harness.read_request(index, stream)
-            stream.send(answer)
+            stream.send(response)
 
     return handler
--- a/tests/harness/platform_harness.py
+++ b/tests/harness/platform_harness.py
@@ -1,4 +1,4 @@
-"""Gateways of the platform in a simulated backend, with endpoints that a test scripts."""
+"""One platform gateway in one event loop with a fake discovery and endpoints that a test defines."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def request_classes_and_plans() -> dict:
-    """Return the classes and plans of the settings; all figures are made up."""
+    """Return the request classes and plans of the settings; the values are arbitrary."""
     plan = {
         "beyondEarns": 0,
         "capDepth": 0,
@@ -44,8 +44,8 @@
 
 
 def settings(**changes) -> dict:
-    """Return settings in the form of the simulator's protocol; all figures are made up."""
-    found = {
+    """Return settings in the form of the simulator protocol; the values are arbitrary."""
+    content = {
         "rank": 0,
         "balancers": 1,
         "locality": 0,
@@ -76,12 +76,12 @@
         },
         "loadReport": {"how": "inline", "names": ["util", "inflight"]},
     }
-    return {**found, **changes}
+    return {**content, **changes}
 
 
-def file(**changes) -> dict:
-    """A configuration file's content."""
-    found = {
+def configuration_file(**changes) -> dict:
+    """Return the content of a configuration file."""
+    content = {
         "name": "n0",
         "listen": "127.0.0.1:8080",
         "discovery": "127.0.0.1:8500",
@@ -91,17 +91,17 @@
         "peers": ["127.0.0.1:7946"],
         "settings": settings(),
     }
-    return {**found, **changes}
+    return {**content, **changes}
 
 
 def configuration(**changes) -> Configuration:
-    """The same, checked."""
-    return parse_configuration(json.dumps(file(**changes)).encode(), "config.json")
+    """Return the configuration that the gateway parses from such a file."""
+    return parse_configuration(json.dumps(configuration_file(**changes)).encode(), "config.json")
 
 
 def instance(index: int, lifecycle: str = "active", port: int | None = None, **changes) -> dict:
-    """An entry of the list."""
-    found = {
+    """Return an endpoint's entry in the lines that discovery sends."""
+    content = {
         "instanceId": f"s-{index}",
         "hostPort": f"127.0.0.1:{9000 + index if port is None else port}",
         "zone": ZONES[0],
@@ -109,20 +109,20 @@
         "lifecycle": lifecycle,
         "startedAtMs": 0,
     }
-    return {**found, **changes}
+    return {**content, **changes}
 
 
 class Discovery:
-    """A fake discovery service that sends what a test says, to each watch."""
+    """A fake discovery service; the test decides what each watch receives."""
 
-    def __init__(self, harness: PlatformHarness, at: tuple[str, int]) -> None:
-        self.harness, self.at = harness, at
+    def __init__(self, harness: PlatformHarness, address: tuple[str, int]) -> None:
+        self.harness, self.address = harness, address
         self.streams: list = []
-        self.unanswered: list = []  # polls without a response
+        self.polls_without_response: list = []  # their streams
         self.polls: list[bytes] = []
-        self.first_events: list[dict] = []  # what a new watch gets first
-        self.sends_keepalives = True  # an empty line every 2 s, by the protocol
-        self.responds = True  # else polls are accepted and get no response, now or later
+        self.first_events: list[dict] = []  # sent at the start of each new watch
+        self.sends_keepalives = True  # the protocol's heartbeat: an empty line every 2 s
+        self.responds = True  # otherwise new polls are accepted and never get a response
         self.listener = None
 
     def _send_keepalives(self) -> None:
@@ -134,7 +134,7 @@
 
     def serve(self) -> None:
         """Accept polls until the listener closes."""
-        self.listener = self.harness.backend.listen(self.at)
+        self.listener = self.harness.backend.listen(self.address)
         self.harness.scope.spawn(self._send_keepalives, priority=CONTROL)
         while True:
             try:
@@ -147,7 +147,7 @@
     def _respond(self, stream) -> None:
         self.polls.append(stream.recv())
         if not self.responds:
-            self.unanswered.append(stream)
+            self.polls_without_response.append(stream)
             return
         stream.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.streams.append(stream)
@@ -155,20 +155,20 @@
             self.send(stream, line)
 
     def send(self, stream, line: dict | bytes, indent: int | None = None) -> None:
-        """Send an object, or bytes as they are, as one chunk."""
+        """Send a JSON object, or bytes unchanged, as one chunk of a watch."""
         data = line if isinstance(line, bytes) else json.dumps(line, indent=indent).encode() + b"\n"
         stream.send(b"%x\r\n%s\r\n" % (len(data), data))
 
     def notify(self, generation: int, *instances: dict, reset: bool = False) -> None:
-        """Send changes on all open watches."""
+        """Send an event to all open watches."""
         for stream in self.streams:
             self.send(stream, {"generation": generation, "reset": reset, "instances": list(instances)})
 
 
 class PlatformHarness(GatewayHarness):
-    """One gateway; ``handlers`` serve the endpoints' connections, one handler for each endpoint."""
+    """One gateway over the simulated network; each of ``handlers`` serves one endpoint's connections."""
 
-    at = "127.0.0.1"  # where all of it listens
+    host = "127.0.0.1"  # the gateway, its discovery and its endpoints listen here
 
     def __init__(self, *handlers, seed: int = 1, **changes) -> None:
         self.backend = self._make_backend(seed)
@@ -176,8 +176,8 @@
         self.handlers = handlers
         self.changes = changes
         self.seen: list[tuple[int, bytes]] = []
-        self.heads: list = []  # of the requests that ``good`` served
-        self.ended = False
+        self.heads: list = []  # heads of the requests that ``platform_endpoints.serves`` served
+        self.has_stopped = False
         self.gateway: PlatformGateway
 
     def _make_backend(self, seed: int):
@@ -186,104 +186,111 @@
         )
 
     def instance(self, index: int, lifecycle: str = "active", **changes) -> dict:
-        """An entry of the list, for an endpoint of this harness."""
-        return instance(index, lifecycle, **{"hostPort": f"{self.at}:{9000 + index}", **changes})
+        """Return the entry of an endpoint of this harness."""
+        return instance(index, lifecycle, **{"hostPort": f"{self.host}:{9000 + index}", **changes})
 
     def _run(self, test) -> None:
-        self.discovery = Discovery(self, (self.at, DISCOVERY[1]))
-        hosts = [self.instance(index) for index in range(len(self.handlers))]
-        self.discovery.first_events = [{"generation": 1, "reset": True, "instances": hosts}]
+        self.discovery = Discovery(self, (self.host, DISCOVERY[1]))
+        instances = [self.instance(index) for index in range(len(self.handlers))]
+        self.discovery.first_events = [{"generation": 1, "reset": True, "instances": instances}]
         with TaskGroup(self.loop) as scope:
             self.scope = scope
             scope.spawn(self.discovery.serve, priority=CONTROL)
             for index in range(len(self.handlers)):
                 scope.spawn(self._serve, index)
-            self._begin()
+            self._start_gateway()
             test(self)
             scope.cancel()
-            self._finish()
+            self._kill_gateway()
 
-    def _begin(self) -> None:
+    def _start_gateway(self) -> None:
         self.process = self.backend.start("n0", self._gateway)
         self.loop.sleep(300 * MS)
 
-    def _finish(self) -> None:
+    def _kill_gateway(self) -> None:
         self.backend.kill(self.process)
 
     def _gateway(self) -> None:
         self.gateway = PlatformGateway(self.loop, configuration(**self.changes), "config.json")
         self.gateway.run()
-        self.ended = True
+        self.has_stopped = True
 
-    def until(self, holds, span: int = 10 * SECOND) -> None:
-        """Wait for a condition."""
-        by = self.loop.now() + span
-        while not holds():
-            assert self.loop.now() < by, "never came"
+    def until(self, condition, timeout_us: int = 10 * SECOND) -> None:
+        """Wait until a condition holds."""
+        deadline = self.loop.now() + timeout_us
+        while not condition():
+            assert self.loop.now() < deadline, "the condition did not hold before the timeout"
             self.loop.sleep(5 * MS)
 
 
 class RealPlatformHarness(PlatformHarness):
-    """The same over real connections.
+    """A ``PlatformHarness`` over real connections.
 
-    All parties are tasks of one event loop, so that a test can force any order.
+    Gateway, discovery, endpoints and clients are tasks of one event loop, so a test can force any order of
+    events.
     """
 
     def __init__(self, *handlers, seed: int = 1, **changes) -> None:
         number = os.getpid() << 8 | next(HARNESS_NUMBERS) & 255
-        self.at = f"127.{1 + (number >> 16) % 250}.{number >> 8 & 255}.{number & 255}"
-        places = {"listen": 8080, "discovery": DISCOVERY[1], "peer_listen": 7946}
-        ours = {name: f"{self.at}:{port}" for name, port in places.items()}
-        super().__init__(*handlers, seed=seed, **{**ours, "peers": [ours["peer_listen"]], **changes})
+        self.host = f"127.{1 + (number >> 16) % 250}.{number >> 8 & 255}.{number & 255}"
+        ports = {"listen": 8080, "discovery": DISCOVERY[1], "peer_listen": 7946}
+        addresses = {name: f"{self.host}:{port}" for name, port in ports.items()}
+        super().__init__(
+            *handlers, seed=seed, **{**addresses, "peers": [addresses["peer_listen"]], **changes}
+        )
 
     def _make_backend(self, seed: int):
         return RealBackend(seed)
 
     def address(self, index: int) -> tuple[str, int]:
         """Return the address of an endpoint."""
-        return self.at, 9000 + index
+        return self.host, 9000 + index
 
     def connect(self):
         """Return a client's connection to the gateway."""
-        return self.backend.connect((self.at, 8080))
+        return self.backend.connect((self.host, 8080))
 
-    def _begin(self) -> None:
+    def _start_gateway(self) -> None:
         self.scope.spawn(self._gateway, priority=CONTROL)
         self.until(lambda: self.discovery.streams and self.gateway.tracker.generation == 1)
 
-    def _finish(self) -> None:
-        """Its tasks are ours: they end with our scope."""
+    def _kill_gateway(self) -> None:
+        """Do nothing: the gateway's tasks belong to the test's task group, which cancels them."""
 
 
 HARNESS_NUMBERS = iter(range(10**9))
-NUMBERS = iter(range(10**9))
+REQUEST_NUMBERS = iter(range(10**9))
 
 
 def serve_every_request(harness, index, stream) -> None:
-    """Serve the requests of a connection at an endpoint."""
+    """Serve all requests on a connection to an endpoint."""
     while True:
         harness.read_request(index, stream)
         stream.send(OK)
 
 
 def call(
-    name: str = "read",
+    class_name: str = "read",
     *,
     client: str = "0000000000000001",
     plan: str = "large",
-    left: str = "1.000",
-    extras: str = "units=1,spread=1,first=0",
-    number: str | None = None,
-    more: str = "",
+    timeout: str = "1.000",
+    quota_info: str = "units=1,spread=1,first=0",
+    request_id: str | None = None,
+    extra_header: str = "",
     body: bytes = b"",
     method: str | None = None,
 ) -> bytes:
-    """A client's request."""
-    number = f"{next(NUMBERS):016x}" if number is None else number
-    method = method or ("GET" if name == "read" else "POST")
-    lines = [f"{method} /{name}?client={client} HTTP/1.1", "Host: origin.svc", f"X-Request-ID: {number}"]
-    lines += [f"Plan: {plan}", f"X-Timeout: {left}", f"Quota-Info: {extras}"]
-    lines += ["Idempotency-Key: 5c0f6e1a"] if name == "put" else []
-    lines += [more] if more else []
+    """Return a client's request; without ``request_id`` it has a new one."""
+    request_id = f"{next(REQUEST_NUMBERS):016x}" if request_id is None else request_id
+    method = method or ("GET" if class_name == "read" else "POST")
+    lines = [
+        f"{method} /{class_name}?client={client} HTTP/1.1",
+        "Host: origin.svc",
+        f"X-Request-ID: {request_id}",
+    ]
+    lines += [f"Plan: {plan}", f"X-Timeout: {timeout}", f"Quota-Info: {quota_info}"]
+    lines += ["Idempotency-Key: 5c0f6e1a"] if class_name == "put" else []
+    lines += [extra_header] if extra_header else []
     lines += [f"Content-Length: {len(body)}"] if method == "POST" else []
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/tests/harness/platform_processes.py
+++ b/tests/harness/platform_processes.py
@@ -1,4 +1,4 @@
-"""One real gateway process of the platform; the test is its endpoints and clients, in any order of events."""
+"""One real platform gateway process; the test acts as its discovery, endpoints and clients."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from pathlib import Path
 from typing import Any
 
-from harness.platform_harness import OK, file, instance, settings
+from harness.platform_harness import OK, configuration_file, instance, settings
 
-TIMEOUT_S = 20.0  # for any one step on a busy machine
+TIMEOUT_S = 20.0  # for each step, on a busy machine
 READINESS_CHECK = b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n"
 
 
@@ -30,20 +30,20 @@
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
-    """Return a port that nobody listens on at the moment."""
+    """Return a port that is not in use at the moment."""
     with socket.socket(socket.AF_INET, kind) as unused:
         unused.bind(("127.0.0.1", 0))
         return unused.getsockname()[1]
 
 
 class DiscoveryAgent:
-    """A fake discovery agent: sends its list and heartbeats to each watch, and can be down or silent."""
+    """A fake discovery agent: sends its list and heartbeats to each watch, unless it is down."""
 
     def __init__(self, *instances: dict) -> None:
         self.generation, self.instances = 1, list(instances)
-        self.answers = True
+        self.responds = True
         self.polls = 0
-        self.lists_sent = 0  # polls that were answered with a complete list
+        self.lists_sent = 0  # polls that got a complete list as their response
         self._watches: list[socket.socket] = []
         self._lock = threading.Lock()
         self._socket = listener()
@@ -58,7 +58,7 @@
                 stream, _ = self._socket.accept()
                 with self._lock:
                     self.polls += 1
-                    if self.answers:
+                    if self.responds:
                         stream.sendall(
                             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + self._line()
                         )
@@ -76,55 +76,56 @@
 
     def _send(self, data: bytes) -> None:
         with self._lock:
-            for stream in self._watches if self.answers else ():
+            for stream in self._watches if self.responds else ():
                 with suppress(OSError):
                     stream.sendall(data)
 
     def send_list(self, *instances: dict) -> None:
-        """Send a new list to all watches; it is the list from now on."""
+        """Send a new list to all watches; new watches get it, too."""
         with self._lock:
             self.generation, self.instances = self.generation + 1, list(instances)
         self._send(self._line())
 
     def go_down(self) -> None:
-        """Reset the open watches; accept polls from now on without a response."""
+        """Reset the open watches; from now on, accept polls and send no response."""
         with self._lock:
-            self.answers = False
+            self.responds = False
             for stream in self._watches:
                 stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 stream.close()
             self._watches.clear()
 
     def come_back(self) -> None:
-        """Answer polls from now on; those that came before get no response."""
+        """Respond to polls from now on; earlier polls still get no response."""
         with self._lock:
-            self.answers = True
+            self.responds = True
             self._watches.clear()
 
     def close(self) -> None:
-        """Close the listener and end the threads."""
+        """Close the listener and stop the threads."""
         self._closed.set()
         self._socket.close()
 
 
 class ServingEndpoints:
-    """Endpoints that serve each connection by itself: an idle one delays no other.
+    """Endpoints that serve each connection in its own thread, so an idle one does not delay the others.
 
-    The gateway opens idle ones: an attempt whose endpoint drains while it connects sends nothing on it.
+    The gateway may open connections without a request: an attempt sends nothing if its endpoint drains while
+    the connection is established.
     """
 
-    def __init__(self, hosts: list[socket.socket]) -> None:
-        self.served: list[int] = []  # the endpoint of each request, in the order they came
-        for number, host in enumerate(hosts):
-            threading.Thread(target=self._accept, args=(number, host), daemon=True).start()
+    def __init__(self, endpoints: list[socket.socket]) -> None:
+        self.served: list[int] = []  # the endpoint's number for each request, in the order received
+        for number, endpoint in enumerate(endpoints):
+            threading.Thread(target=self._accept, args=(number, endpoint), daemon=True).start()
 
-    def _accept(self, number: int, host: socket.socket) -> None:
+    def _accept(self, number: int, endpoint: socket.socket) -> None:
         with suppress(OSError):
             while True:
-                stream = host.accept()[0]
-                threading.Thread(target=self._answer, args=(number, stream), daemon=True).start()
+                stream = endpoint.accept()[0]
+                threading.Thread(target=self._serve, args=(number, stream), daemon=True).start()
 
-    def _answer(self, number: int, stream: socket.socket) -> None:
+    def _serve(self, number: int, stream: socket.socket) -> None:
         with suppress(OSError), stream:
             while stream.recv(65_536):
                 self.served.append(number)
@@ -132,13 +133,18 @@
 
 
 class PlatformProcess:
-    """A gateway's process with ``hosts`` listeners of the test as endpoints; a context manager."""
+    """A gateway process, as a context manager; ``endpoints`` are listeners of the test."""
 
     def __init__(
-        self, folder: Path, hosts: int = 1, sockets: int = 256, wait_until_ready: bool = True, **changes: Any
+        self,
+        folder: Path,
+        endpoint_count: int = 1,
+        sockets: int = 256,
+        wait_until_ready: bool = True,
+        **changes: Any,
     ) -> None:
-        self.hosts = [listener() for _ in range(hosts)]
-        self.agent = DiscoveryAgent(*(self.instance(number) for number in range(hosts)))
+        self.endpoints = [listener() for _ in range(endpoint_count)]
+        self.agent = DiscoveryAgent(*(self.instance(number) for number in range(endpoint_count)))
         self.port = free_port()
         self.path = folder / "config.json"
         self.sockets = sockets
@@ -153,16 +159,16 @@
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": sockets},
             "settings": settings(),
         }
-        self.configuration = file(**{**defaults, **changes})
+        self.configuration = configuration_file(**{**defaults, **changes})
         self.path.write_text(json.dumps(self.configuration))
 
     def move_discovery(self, agent: DiscoveryAgent) -> None:
-        """Name another agent in the configuration; the gateway isn't notified."""
+        """Write another agent's address to the configuration file, without a signal to the gateway."""
         self.path.write_text(json.dumps({**self.configuration, "discovery": agent.address}))
 
     def instance(self, number: int, lifecycle: str = "active") -> dict:
-        """Return an entry of the list for one of the endpoints."""
-        return instance(number, lifecycle, port=self.hosts[number].getsockname()[1])
+        """Return an endpoint's entry in the lines that discovery sends."""
+        return instance(number, lifecycle, port=self.endpoints[number].getsockname()[1])
 
     def __enter__(self) -> PlatformProcess:
         limit = (self.sockets, self.sockets)
@@ -186,22 +192,22 @@
         assert self.process.stdout is not None
         self.process.stdout.close()
         self.agent.close()
-        for host in self.hosts:
-            host.close()
+        for endpoint in self.endpoints:
+            endpoint.close()
 
     def connect(self) -> socket.socket:
         """Open a client's connection."""
         return socket.create_connection(("127.0.0.1", self.port), timeout=TIMEOUT_S)
 
     def request(self, raw: bytes) -> bytes:
-        """Send a request on its own connection; return the first bytes, none where nobody listens."""
+        """Send a request on a new connection; return the first bytes received, none if it fails."""
         with suppress(ConnectionError), self.connect() as stream:
             stream.sendall(raw)
             return stream.recv(65_536)
         return b""
 
     def signal(self, number: int) -> None:
-        """Send the process a signal; after SIGSTOP it is stopped when this returns."""
+        """Send a signal to the process; after SIGSTOP, wait until the process is stopped."""
         self.process.send_signal(number)
         if number == signal.SIGSTOP:
             until(self._is_stopped)
@@ -211,7 +217,7 @@
         return state.rsplit(")", 1)[1].split()[0] == "T"
 
     def wait_for_exit(self) -> str:
-        """Wait until the process exits by itself; return its log, in which nothing failed."""
+        """Wait until the process exits, and return its log; fail at an error status or a logged exception."""
         log = self.process.communicate(timeout=TIMEOUT_S)[0]
         assert self.process.returncode == 0, log
         assert "Traceback" not in log, log
@@ -220,22 +226,22 @@
 
 
 def until(condition: Callable[[], Any]) -> None:
-    """Wait for a condition."""
+    """Wait until a condition holds."""
     deadline = time.monotonic() + TIMEOUT_S
     while not condition():
-        assert time.monotonic() < deadline, "the condition never held"
+        assert time.monotonic() < deadline, "the condition did not hold before the timeout"
         time.sleep(0.005)
 
 
-def accept_request(host: socket.socket) -> tuple[socket.socket, bytes]:
+def accept_request(endpoint: socket.socket) -> tuple[socket.socket, bytes]:
     """Accept the next connection to an endpoint; return it with its first bytes."""
-    stream, _ = host.accept()
+    stream, _ = endpoint.accept()
     stream.settimeout(TIMEOUT_S)
     return stream, stream.recv(65_536)
 
 
 def read_to_end(stream: socket.socket) -> bytes:
-    """Return all bytes until the connection is closed; raise ConnectionResetError at a reset."""
+    """Return all bytes until the connection closes. Raises ConnectionResetError if it is reset."""
     received = b""
     while data := stream.recv(65_536):
         received += data
--- a/tests/harness/race_harness.py
+++ b/tests/harness/race_harness.py
@@ -47,7 +47,7 @@
 def endpoint_streams(harness) -> list:
     """Return the gateway's connections to endpoints."""
     streams = harness.backend.descriptors()
-    return [stream for stream in streams if getattr(stream, "peer", ("", 0)) == (harness.at, 9000)]
+    return [stream for stream in streams if getattr(stream, "peer", ("", 0)) == (harness.host, 9000)]
 
 
 def send_what_fits(stream, data: bytes) -> None:
--- a/tests/processes/test_platform_processes.py
+++ b/tests/processes/test_platform_processes.py
@@ -1,4 +1,4 @@
-"""A real gateway of the platform under pauses, full descriptors and invalid configurations."""
+"""A real platform gateway process: pauses, the limit of file descriptors and invalid configurations."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 import pytest
-from harness.platform_harness import call, file, settings
+from harness.platform_harness import call, configuration_file, settings
 from harness.platform_processes import (
     READINESS_CHECK,
     TIMEOUT_S,
@@ -24,7 +24,7 @@
     until,
 )
 from harness.process_sockets import (
-    answer_next_request,
+    serve_next_request,
     unaccepted_bytes,
     unread_datagrams,
 )
@@ -34,40 +34,40 @@
 # -- pauses
 
 
-def test_a_paused_gateway_forwards_no_requests_of_clients_that_left_meanwhile(tmp_path):
-    with PlatformProcess(tmp_path, hosts=2) as gateway:
+def test_requests_of_clients_that_left_during_a_pause_are_not_forwarded(tmp_path):
+    with PlatformProcess(tmp_path, endpoint_count=2) as gateway:
         clients = [gateway.connect() for _ in range(6)]
         gateway.signal(signal.SIGSTOP)
         for number, stream in enumerate(clients):
-            stream.sendall(call("bill", body=b"1", left="2.000"))
-            if number % 2:  # by a reset, else by an end
+            stream.sendall(call("bill", body=b"1", timeout="2.000"))
+            if number % 2:  # closed with a reset, the others with a FIN
                 stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             stream.close()
         gateway.signal(signal.SIGCONT)
         until(lambda: gateway.request(READINESS_CHECK))
         gateway.signal(signal.SIGTERM)
         gateway.wait_for_exit()
-        assert not unaccepted_bytes(*gateway.hosts)
+        assert not unaccepted_bytes(*gateway.endpoints)
 
 
-def test_a_paused_gateway_learns_of_drains_before_it_sends_attempts(tmp_path):
-    with PlatformProcess(tmp_path, hosts=2) as gateway, gateway.connect() as client:
+def test_a_drain_during_a_pause_is_applied_before_attempts_are_sent(tmp_path):
+    with PlatformProcess(tmp_path, endpoint_count=2) as gateway, gateway.connect() as client:
         gateway.signal(signal.SIGSTOP)
-        client.sendall(call(left="2.000"))
+        client.sendall(call(timeout="2.000"))
         gateway.agent.send_list(gateway.instance(0, "leaving"), gateway.instance(1))
         gateway.signal(signal.SIGCONT)
-        answer_next_request(gateway.hosts[1])
+        serve_next_request(gateway.endpoints[1])
         assert client.recv(65_536).startswith(b"HTTP/1.1 200")
-        assert not unaccepted_bytes(gateway.hosts[0])
+        assert not unaccepted_bytes(gateway.endpoints[0])
 
 
-# -- descriptors
+# -- file descriptors
 
 
 class LimitedGateway:
-    """A gateway under a limit of descriptors, with a peer; each of its requests is of another customer.
+    """A gateway process with a limit of file descriptors, and the socket of its only peer.
 
-    So no customer goes beyond its quota, and each is one that peers are notified of.
+    Each request is from another customer, so no customer exceeds its quota and the peer is notified of each.
     """
 
     def __init__(self, tmp_path: Path, sockets: int, streams: ExitStack) -> None:
@@ -80,46 +80,46 @@
         self.process = streams.enter_context(
             PlatformProcess(
                 tmp_path,
-                hosts=2,
+                endpoint_count=2,
                 sockets=sockets,
                 peer_listen=own,
                 peers=[own, peer],
                 settings=settings(balancers=2, permissions={**settings()["permissions"], "peers": True}),
             )
         )
-        self.served = ServingEndpoints(self.process.hosts).served
+        self.served = ServingEndpoints(self.process.endpoints).served
         self._customers = itertools.count()
 
     def open_idle_clients(self) -> None:
-        """Open as many client connections as the process may have descriptors."""
+        """Open as many client connections as the process may have file descriptors."""
         for _ in range(self.sockets):
             self.streams.enter_context(self.process.connect())
 
     def send_requests(self, count: int) -> list[int]:
-        """Send requests one by one, each of which must be served; return the endpoints that served them."""
+        """Send requests one after the other; assert that each is served, and return the endpoints."""
         first = len(self.served)
         for _ in range(count):
             customer = f"{next(self._customers):016x}"
-            raw = call(left="2.000", client=customer, extras="units=1,spread=2,first=0")
+            raw = call(timeout="2.000", client=customer, quota_info="units=1,spread=2,first=0")
             response = self.process.request(raw)
             assert response.startswith(b"HTTP/1.1 200"), response
         return self.served[first:]
 
     def open_descriptors(self) -> int:
-        """Return the number of the process's descriptors."""
+        """Return the number of file descriptors that the process has open."""
         return len(os.listdir(f"/proc/{self.process.process.pid}/fd"))
 
     def drop_received_datagrams(self) -> None:
-        """Drop what the peer has received."""
+        """Discard the datagrams that the peer has received."""
         while select.select([self.peer], [], [], 0)[0]:
             self.peer.recv(65_536)
 
 
 @pytest.mark.parametrize("sockets", [64, 256])
-def test_idle_clients_at_their_limit_leave_descriptors_for_everything_else(tmp_path, sockets):
-    """While discovery is down, too: there is capacity for polls, attempts, a reload and further clients.
+def test_idle_clients_at_their_limit_leave_enough_descriptors(tmp_path, sockets):
+    """The gateway still polls discovery, sends attempts, accepts clients, exchanges datagrams and reloads.
 
-    Datagrams are sent and received as well.
+    This holds during an outage of discovery, too, while several polls are open.
     """
     with ExitStack() as streams:
         limited = LimitedGateway(tmp_path, sockets, streams)
@@ -133,7 +133,7 @@
         agent.instances = [gateway.instance(0, "leaving"), gateway.instance(1)]
         agent.generation += 1
         agent.come_back()
-        # What is sent from now on finds that the list has arrived
+        # The gateway handles the list before the requests that are sent from now on
         until(lambda: agent.lists_sent > lists_before)
         until(lambda: limited.open_descriptors() <= sockets)
         assert limited.send_requests(8) == [1] * 8
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "names"),
+    ("changes", "field"),
     [
         ({"limits": {"cores": 1.0, "memory_mb": 64, "sockets": 10}}, "limits.sockets"),
         ({"limits": {"cores": 1.0, "memory_mb": 64}}, "limits"),
@@ -168,9 +168,9 @@
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
-def test_an_invalid_configuration_ends_the_start_with_one_line(tmp_path, changes, names):
+def test_with_an_invalid_configuration_startup_fails_with_one_line(tmp_path, changes, field):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(file(**changes)))
+    path.write_text(json.dumps(configuration_file(**changes)))
     done = subprocess.run(
         [sys.executable, "-m", "orchidlane.platform"],
         env={**os.environ, "PROXY_CONFIG": str(path)},
@@ -182,4 +182,4 @@
     assert not done.stdout
     assert done.stderr.count("\n") == 1, done.stderr
     assert str(path) in done.stderr, done.stderr
-    assert names in done.stderr, done.stderr
+    assert field in done.stderr, done.stderr
--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -150,14 +150,14 @@
         discovery_watch,
         "SILENCE_TIMEOUT_US",
         6_500_000,
-        discovery.test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline,
+        discovery.test_events_missed_by_a_broken_watch_arrive_by_their_deadline,
         (PlatformHarness, "silent"),
     ),
     "any byte is life": (
         JsonObjectSplitter,
         "feed",
         lambda *_: [b""],
-        discovery.test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline,
+        discovery.test_events_missed_by_a_broken_watch_arrive_by_their_deadline,
         (PlatformHarness, "trickles"),
     ),
     "a line is an object": (
@@ -171,7 +171,7 @@
         lifecycle,
         "retry_interval_us",
         lambda grace: 3 * grace,
-        discovery.test_events_at_the_return_of_discovery_are_known_within_the_drain_grace,
+        discovery.test_events_after_an_outage_are_applied_within_the_drain_grace,
         (PlatformHarness, "refuses"),
     ),
     "old news count": (
@@ -185,7 +185,7 @@
         DiscoveryTracker,
         "_is_newer",
         yes,
-        discovery.test_changes_after_an_older_list_do_not_make_a_draining_endpoint_ready,
+        discovery.test_an_older_list_does_not_make_a_draining_endpoint_ready,
         (),
     ),
     "ready before it is told": (
--- a/tests/test_connection_races.py
+++ b/tests/test_connection_races.py
@@ -32,7 +32,7 @@
     def test(harness: RealPlatformHarness) -> None:
         harness.may_respond = False
         client = harness.connect()
-        send_what_fits(client, call(more=CLOSE) + UNREAD_BYTES)
+        send_what_fits(client, call(extra_header=CLOSE) + UNREAD_BYTES)
         harness.until(lambda: harness.seen)
         harness.may_respond = True
         response = read_to_end(harness, client)
@@ -42,7 +42,7 @@
     assert len(run(responds_when_allowed, test=test).seen) == 1
 
 
-@pytest.mark.parametrize("raw", [b"\x16\x03\x01\r\n\r\n", call("none"), call(left="x")], ids=range(3))
+@pytest.mark.parametrize("raw", [b"\x16\x03\x01\r\n\r\n", call("none"), call(timeout="x")], ids=range(3))
 def test_an_error_response_is_complete_despite_unread_pipelined_bytes(raw):
     def test(harness: RealPlatformHarness) -> None:
         client = harness.connect()
@@ -171,7 +171,7 @@
     def test(harness: RealPlatformHarness) -> None:
         harness.endpoint_saw_close = False
         client = harness.connect()
-        send_what_fits(client, call(left="2.000") + UNREAD_BYTES)
+        send_what_fits(client, call(timeout="2.000") + UNREAD_BYTES)
         harness.until(lambda: harness.seen)
         iterations_before = harness.loop.iterations
         harness.loop.sleep(20 * MS)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: events are known in time though watches break, older lists come late, or it is down."""
+"""Discovery: events are applied in time despite broken watches, stale lists and outages."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     PlatformHarness,
     RealPlatformHarness,
     call,
-    file,
+    configuration_file,
     instance,
     settings,
 )
@@ -23,12 +23,12 @@
 from orchidlane.platform.polling import retry_interval_us
 from orchidlane.runtime import CONTROL, ConnectionClosedError, ConnectionFailedError
 
-BACKENDS = pytest.mark.parametrize("backend", [PlatformHarness, RealPlatformHarness])
-GRACE = SECOND  # of drains, in the settings of these tests
+WITH_BACKENDS = pytest.mark.parametrize("backend", [PlatformHarness, RealPlatformHarness])
+DRAIN_GRACE_US = SECOND  # ``drainGrace`` in the settings of these tests
 READINESS_CHECK = b"GET /up HTTP/1.1\r\nHost: g\r\n\r\n"
 
 
-# -- older lists
+# -- stale lists
 
 
 def apply(tracker, generation, *instances, reset=False):
@@ -42,24 +42,24 @@
     apply(tracker, 40, instance(1), instance(2), reset=True)
     apply(tracker, 41, instance(1, "left"))
     assert apply(tracker, 39, instance(1), instance(2), reset=True) is None
-    assert apply(tracker, 40, instance(1)) is None  # changes that follow it are old, too
+    assert apply(tracker, 40, instance(1)) is None  # changes to a stale list are stale, too
     assert tracker.state(b"s-1") == "gone"
     apply(tracker, 42, instance(1))
     assert tracker.state(b"s-1") == "ready"
 
 
-def test_changes_after_an_older_list_do_not_make_a_draining_endpoint_ready():
+def test_an_older_list_does_not_make_a_draining_endpoint_ready():
     tracker = DiscoveryTracker(("hall-1",))
     apply(tracker, 40, instance(1), instance(2), reset=True)
     apply(tracker, 45, instance(1, "leaving"))
     apply(tracker, 30, instance(1), instance(2), reset=True)
     assert apply(tracker, 31, instance(1), instance(2, "leaving")).entries[0].endpoint == b"s-2"
     assert (tracker.state(b"s-1"), tracker.state(b"s-2")) == ("draining", "draining")
-    apply(tracker, 32, instance(1, startedAtMs=5))  # it was restarted since
+    apply(tracker, 32, instance(1, startedAtMs=5))  # it has restarted since
     assert tracker.state(b"s-1") == "ready"
 
 
-def test_a_complete_list_removes_endpoints_that_it_does_not_name():
+def test_a_complete_list_removes_the_endpoints_that_it_omits():
     tracker = DiscoveryTracker(("hall-1",))
     apply(tracker, 40, instance(1), instance(2), reset=True)
     apply(tracker, 41, instance(2), reset=True)
@@ -76,7 +76,7 @@
     assert not tracker.endpoints
 
 
-def test_changes_beyond_the_bound_are_rejected_without_effect():
+def test_changes_beyond_the_maximum_size_are_rejected_without_effect():
     tracker = DiscoveryTracker(("hall-1",))
     apply(tracker, 1, *(instance(number) for number in range(MAX_ENDPOINTS)), reset=True)
     with pytest.raises(WatchEventError):
@@ -94,12 +94,12 @@
 }
 
 
-@BACKENDS
+@WITH_BACKENDS
 @pytest.mark.parametrize("kind", ["silent", *TRICKLED_PIECES])
-def test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline(backend, kind):
+def test_events_missed_by_a_broken_watch_arrive_by_their_deadline(backend, kind):
     def test(harness: PlatformHarness) -> None:
         harness.discovery.sends_keepalives = False
-        harness.discovery.send(harness.discovery.streams[0], b"\n")  # the last that it sends
+        harness.discovery.send(harness.discovery.streams[0], b"\n")  # the last heartbeat of this watch
         started_at = harness.loop.now()
         if kind != "silent":
             harness.scope.spawn(trickle, harness, TRICKLED_PIECES[kind])
@@ -111,18 +111,18 @@
     run(backend, test)
 
 
-@BACKENDS
+@WITH_BACKENDS
 def test_a_watch_that_is_reset_is_reopened_at_once(backend):
     def test(harness: PlatformHarness) -> None:
-        harness.loop.sleep(polling.HEARTBEAT_INTERVAL_US)  # after a while with heartbeats
+        harness.loop.sleep(polling.HEARTBEAT_INTERVAL_US)  # a short watch would be replaced with backoff
         drain_endpoint(harness)
         harness.discovery.streams[0].abort()
-        harness.until(lambda: is_drain_known(harness), timeout_us(harness, GRACE // 2))
+        harness.until(lambda: is_drain_known(harness), timeout_us(harness, DRAIN_GRACE_US // 2))
 
     run(backend, test)
 
 
-@BACKENDS
+@WITH_BACKENDS
 def test_a_watch_with_heartbeats_alone_stays_open(backend):
     def test(harness: PlatformHarness) -> None:
         harness.loop.sleep(3 * polling.HEARTBEAT_INTERVAL_US)
@@ -132,7 +132,7 @@
     run(backend, test)
 
 
-@BACKENDS
+@WITH_BACKENDS
 def test_an_indented_list_is_applied(backend):
     def test(harness: PlatformHarness) -> None:
         line = {"generation": 5, "reset": False, "instances": [harness.instance(0, "leaving")]}
@@ -143,14 +143,14 @@
     run(backend, test)
 
 
-@BACKENDS
-@pytest.mark.parametrize("how", ["accepts polls and is silent", "refuses"])
-def test_events_at_the_return_of_discovery_are_known_within_the_drain_grace(backend, how):
-    """Polls that came while it was down get no response even then."""
+@WITH_BACKENDS
+@pytest.mark.parametrize("outage", ["accepts polls and is silent", "refuses"])
+def test_events_after_an_outage_are_applied_within_the_drain_grace(backend, outage):
+    """The polls that discovery accepted during its outage get no response after it, either."""
 
     def test(harness: PlatformHarness) -> None:
         discovery = harness.discovery
-        if how == "refuses":
+        if outage == "refuses":
             discovery.listener.close()
         discovery.responds = False
         for stream in discovery.streams:
@@ -158,35 +158,35 @@
         harness.loop.sleep(4 * SECOND)
         assert (
             isinstance(harness, RealPlatformHarness)
-            or len(discovery.unanswered) <= 4 * SECOND // retry_interval_us(GRACE) + 1
+            or len(discovery.polls_without_response) <= 4 * SECOND // retry_interval_us(DRAIN_GRACE_US) + 1
         )
         drain_endpoint(harness)
         discovery.responds = True
-        if how == "refuses":
+        if outage == "refuses":
             harness.scope.spawn(discovery.serve, priority=CONTROL)
-        harness.until(lambda: is_drain_known(harness), timeout_us(harness, GRACE))
+        harness.until(lambda: is_drain_known(harness), timeout_us(harness, DRAIN_GRACE_US))
 
     run(backend, test)
 
 
-@BACKENDS
-def test_a_moved_discovery_replaces_the_old_one_that_still_sends_older_events(backend):
+@WITH_BACKENDS
+def test_a_new_discovery_address_replaces_an_old_one_that_still_sends(backend):
     def test(harness: PlatformHarness) -> None:
-        new_discovery = Discovery(harness, (harness.at, 8501))
+        new_discovery = Discovery(harness, (harness.host, 8501))
         new_discovery.first_events = [
             {"generation": 9, "reset": True, "instances": [harness.instance(0, "leaving")]}
         ]
         new_discovery.responds = False
         harness.scope.spawn(new_discovery.serve, priority=CONTROL)
-        moved = file(**{**harness.changes, "discovery": f"{harness.at}:8501"})
+        moved = configuration_file(**{**harness.changes, "discovery": f"{harness.host}:8501"})
         harness.gateway.loop.backend.read_file = lambda _path: json.dumps(moved).encode()
         harness.gateway.reload()
         harness.until(lambda: new_discovery.polls)
-        harness.discovery.notify(3, harness.instance(0, weight=2.0))  # the former one is followed meanwhile
+        harness.discovery.notify(3, harness.instance(0, weight=2.0))  # still watched in the meantime
         harness.until(lambda: harness.gateway.tracker.generation == 3)
         new_discovery.responds = True
-        harness.until(lambda: is_drain_known(harness), timeout_us(harness, GRACE))
-        for stream in harness.discovery.streams:  # closed by the gateway, or what it sends is old
+        harness.until(lambda: is_drain_known(harness), timeout_us(harness, DRAIN_GRACE_US))
+        for stream in harness.discovery.streams:  # closed by the gateway, or its events are stale
             try:
                 harness.discovery.send(
                     stream, {"generation": 4, "reset": True, "instances": [harness.instance(0)]}
@@ -200,16 +200,16 @@
     run(backend, test)
 
 
-@BACKENDS
+@WITH_BACKENDS
 @pytest.mark.parametrize(
-    "bad", [b"noise\n", b'{"generation":2}\n', b"{}}\n", b'{"generation":7,"reset":true\n}\n']
+    "invalid", [b"noise\n", b'{"generation":2}\n', b"{}}\n", b'{"generation":7,"reset":true\n}\n']
 )
-def test_an_invalid_list_changes_nothing_and_the_next_valid_one_is_applied(backend, bad, capsys):
+def test_an_invalid_list_is_ignored_and_the_next_valid_one_applied(backend, invalid, capsys):
     def test(harness: PlatformHarness) -> None:
         before = harness.gateway.tracker.endpoints.copy()
         harness.discovery.first_events = []
         for _ in range(3):
-            harness.discovery.send(harness.discovery.streams[-1], bad)
+            harness.discovery.send(harness.discovery.streams[-1], invalid)
             count = len(harness.discovery.streams)
             harness.until(lambda count=count: len(harness.discovery.streams) > count)
         assert harness.gateway.tracker.endpoints == before
@@ -225,7 +225,7 @@
 # -- readiness
 
 
-@BACKENDS
+@WITH_BACKENDS
 def test_the_gateway_is_ready_once_discovery_has_responded(backend):
 
     def test(harness: PlatformHarness) -> None:
@@ -236,19 +236,21 @@
         )
         assert harness.ask(READINESS_CHECK)[0] == 503
         harness.discovery.notify(2, harness.instance(0))
-        harness.until(lambda: harness.ask(READINESS_CHECK)[0] == 200, timeout_us(harness, GRACE // 2))
+        harness.until(
+            lambda: harness.ask(READINESS_CHECK)[0] == 200, timeout_us(harness, DRAIN_GRACE_US // 2)
+        )
 
     run(backend, test)
 
 
-@BACKENDS
-def test_the_first_readiness_check_succeeds_where_discovery_responds_at_once(backend):
-    class StartsLate(backend):
-        def _begin(self) -> None:
+@WITH_BACKENDS
+def test_the_first_readiness_check_succeeds_if_discovery_responds_at_once(backend):
+    class ConnectsDuringStartup(backend):
+        def _start_gateway(self) -> None:
             self.until(lambda: self.discovery.listener is not None)
             self.process = self.loop.spawn(self._gateway, priority=CONTROL, owner=self.scope)
 
-        def _finish(self) -> None:
+        def _kill_gateway(self) -> None:
             pass
 
     def test(harness: PlatformHarness) -> None:
@@ -261,20 +263,20 @@
         stream.send(READINESS_CHECK)
         assert harness.answer(stream)[0] == 200
 
-    run(StartsLate, test)
+    run(ConnectsDuringStartup, test)
 
 
-def test_with_a_silent_discovery_the_last_known_list_serves_and_readiness_follows_the_grace():
-    known = {"generation": 90, "reset": True, "instances": [instance(0)]}
+def test_with_silent_discovery_the_gateway_is_ready_after_the_drain_grace():
+    last_known_list = {"generation": 90, "reset": True, "instances": [instance(0)]}
 
     class SilentDiscovery(PlatformHarness):
-        def _begin(self) -> None:
+        def _start_gateway(self) -> None:
             self.discovery.responds = False
-            super()._begin()
+            super()._start_gateway()
 
     def test(harness: PlatformHarness) -> None:
         assert harness.ask(READINESS_CHECK)[0] == 503
         assert harness.ask(call())[0] == 200
-        harness.until(lambda: harness.ask(READINESS_CHECK)[0] == 200, GRACE)
+        harness.until(lambda: harness.ask(READINESS_CHECK)[0] == 200, DRAIN_GRACE_US)
 
-    run(SilentDiscovery, test, known=known, settings=settings())
+    run(SilentDiscovery, test, known=last_known_list, settings=settings())
--- a/tests/test_endpoint_races.py
+++ b/tests/test_endpoint_races.py
@@ -131,7 +131,7 @@
             getattr(stream, ending)()
 
     def test(harness: RealPlatformHarness) -> None:
-        response = harness.ask(call("bill", left="1.500"))
+        response = harness.ask(call("bill", timeout="1.500"))
         assert (response[0], response[2]) == (status, b"ok" if status == 200 else b"")
 
     assert len(run(endpoint, test=test).seen) == 1
@@ -195,7 +195,7 @@
 
     def test(harness: RealPlatformHarness) -> None:
         started_at = harness.loop.now()
-        assert harness.ask(call("bill", left="0.300"))[0] == 500
+        assert harness.ask(call("bill", timeout="0.300"))[0] == 500
         assert harness.loop.now() - started_at < 5 * SECOND
 
     run(trickles, test=test)
@@ -210,7 +210,7 @@
                 stream.send(b"x" * 65_536)
 
     def test(harness: RealPlatformHarness) -> None:
-        assert harness.ask(call("bill", left="1.900"))[0] == 500
+        assert harness.ask(call("bill", timeout="1.900"))[0] == 500
 
     run(sends_without_end, test=test)
 
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -145,7 +145,9 @@
 
         harness.scope.spawn(receive_all)
         for number in range(4):
-            raw = call(number=f"r{number}", client=f"{number:016x}", extras="units=1,spread=2,first=0")
+            raw = call(
+                request_id=f"r{number}", client=f"{number:016x}", quota_info="units=1,spread=2,first=0"
+            )
             assert harness.ask(raw)[0] == 200
         harness.loop.sleep(2 * SECOND)
 
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from harness.golden_files import check_golden
-from harness.platform_harness import file as platform_file
+from harness.platform_harness import configuration_file as platform_file
 
 from orchidlane import config
 from orchidlane.gateway.control import settings_loader
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -1,4 +1,4 @@
-"""Hard cases of the platform's endpoint list, over the simulated network."""
+"""Edge cases of the platform's endpoint list, over the simulated network."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     PlatformHarness,
     call,
     configuration,
-    file,
+    configuration_file,
     instance,
 )
 
@@ -34,9 +34,8 @@
     assert apply_list(tracker, 41, instance(1, "leaving")) is not None
     assert apply_list(tracker, 41, instance(1)) is None
     assert apply_list(tracker, 39, instance(1)) is None
-    event = apply_list(
-        tracker, 12, instance(1), instance(3), reset=True
-    )  # a discovery service that is behind
+    # The complete list of a discovery service that lags behind
+    event = apply_list(tracker, 12, instance(1), instance(3), reset=True)
     assert [entry.endpoint for entry in event.entries] == [b"s-3"]
     assert tracker.state(b"s-1") == "draining"
     assert apply_list(tracker, 13, instance(2, "left")) is not None
@@ -65,14 +64,14 @@
         harness.discovery.first_events, harness.discovery.sends_keepalives = [], False
         harness.discovery.streams.pop().abort()
         harness.until(lambda: len(harness.discovery.polls) == 2)
-        harness.until(lambda: len(harness.discovery.polls) == 3)  # nothing came, not even an empty line
+        harness.until(lambda: len(harness.discovery.polls) == 3)  # this watch received no heartbeat
         assert [b"from=5" in head for head in harness.discovery.polls] == [False, True, True]
         assert harness.gateway.tracker.state(b"s-0") == "draining"
 
     run(serves, test=test)
 
 
-def test_endpoints_that_come_and_go_leave_no_state():
+def test_endpoints_that_are_gone_leave_no_state():
     def test(harness: PlatformHarness) -> None:
         for generation in range(2, 400):
             gone, new = instance(generation - 2, "left"), instance(generation - 1, port=9000, cell=generation)
@@ -81,7 +80,7 @@
             client = f"{generation:016x}"
             assert harness.ask(call(client=client))[0] == 200
         harness.loop.sleep(3 * SECOND)
-        gateway, rules = harness.gateway, harness.gateway.policy_driver.gateway
+        gateway, policy_gateway = harness.gateway, harness.gateway.policy_driver.gateway
         assert (
             len(gateway.tracker.endpoints),
             len(gateway.tracker.addresses),
@@ -92,11 +91,11 @@
             1,
         )
         tables = [
-            rules.endpoints,
-            rules.cell_pools,
-            rules.slow_start_queue,
-            rules.attempts,
-            rules.requests,
+            policy_gateway.endpoints,
+            policy_gateway.cell_pools,
+            policy_gateway.slow_start_queue,
+            policy_gateway.attempts,
+            policy_gateway.requests,
             gateway.clients.in_flight,
         ]
         assert [len(table) for table in tables] == [1, 1, 0, 0, 0, 0]
@@ -104,27 +103,29 @@
     run(serves, test=test)
 
 
-def test_reload_switches_discovery_at_once_and_an_invalid_file_changes_nothing():
+def test_a_reload_switches_discovery_and_ignores_an_invalid_file():
     def test(harness: PlatformHarness) -> None:
-        other = Discovery(harness, (DISCOVERY[0], 8501))
-        other.first_events = [
+        new_discovery = Discovery(harness, (DISCOVERY[0], 8501))
+        new_discovery.first_events = [
             {"generation": 9, "reset": True, "instances": [instance(0, "leaving"), instance(1)]}
         ]
-        harness.scope.spawn(other.serve, priority=CONTROL)
+        harness.scope.spawn(new_discovery.serve, priority=CONTROL)
         harness.backend.write_file("config.json", b"{")
         harness.gateway.reload()
         assert len(harness.discovery.polls) == 1
-        harness.backend.write_file("config.json", json.dumps(file(discovery="127.0.0.1:8501")).encode())
+        harness.backend.write_file(
+            "config.json", json.dumps(configuration_file(discovery="127.0.0.1:8501")).encode()
+        )
         harness.gateway.reload()
-        harness.until(lambda: other.polls, 50 * MS)
+        harness.until(lambda: new_discovery.polls, 50 * MS)
         harness.until(lambda: harness.gateway.tracker.state(b"s-0") == "draining", 50 * MS)
         assert harness.ask(call())[0] == 200
 
     assert run(serves, serves, test=test).seen[-1][0] == 1
 
 
-def test_the_last_known_list_counts_until_discovery_responds_with_any_generation():
-    known = {"generation": 90, "reset": True, "instances": []}
-    assert configuration(known=known).last_known_list.generation == 90
-    harness = run(serves, test=lambda _harness: None, known=known)
+def test_the_first_discovery_list_replaces_a_newer_last_known_list():
+    last_known_list = {"generation": 90, "reset": True, "instances": []}
+    assert configuration(known=last_known_list).last_known_list.generation == 90
+    harness = run(serves, test=lambda _harness: None, known=last_known_list)
     assert harness.gateway.tracker.generation == 1
--- a/tests/test_platform_endpoints.py
+++ b/tests/test_platform_endpoints.py
@@ -1,4 +1,4 @@
-"""Hard cases of endpoints' responses to the platform's gateway, over the simulated network."""
+"""Edge cases of endpoints' responses to the platform's gateway, over the simulated network."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 @pytest.mark.parametrize("status", [b"503 Busy", b"504 Late"])
-def test_a_request_rejected_with_the_header_is_retried_at_another_endpoint(status):
-    away = responds_with(b"HTTP/1.1 " + status + b"\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
+def test_a_request_that_was_not_processed_is_retried_at_another_endpoint(status):
+    rejects = responds_with(b"HTTP/1.1 " + status + b"\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 
     def test(harness: PlatformHarness) -> None:
         assert [harness.ask(call("bill"))[0] for _ in range(8)] == [200] * 8
 
-    harness = run(away, serves, test=test)
+    harness = run(rejects, serves, test=test)
     assert {index for index, _ in harness.seen} == {0, 1}
 
 
@@ -33,13 +33,13 @@
 ]
 
 
-@pytest.mark.parametrize("answer", INVALID_RESPONSES, ids=range(len(INVALID_RESPONSES)))
-def test_an_invalid_response_counts_as_possibly_executed_and_is_not_forwarded(answer):
+@pytest.mark.parametrize("response", INVALID_RESPONSES, ids=range(len(INVALID_RESPONSES)))
+def test_after_an_invalid_response_the_client_gets_500_without_a_retry(response):
     def test(harness: PlatformHarness) -> None:
         status, _, body = harness.ask(call("bill"))
         assert (status, body) == (500, b"")
 
-    assert len(run(responds_with(answer), test=test).seen) == 1
+    assert len(run(responds_with(response), test=test).seen) == 1
 
 
 VALID_RESPONSES = [
@@ -51,16 +51,16 @@
 ]
 
 
-@pytest.mark.parametrize("answer", VALID_RESPONSES, ids=range(len(VALID_RESPONSES)))
-def test_a_valid_response_with_extra_headers_is_served(answer):
+@pytest.mark.parametrize("response", VALID_RESPONSES, ids=range(len(VALID_RESPONSES)))
+def test_a_valid_response_with_surplus_headers_or_bytes_is_forwarded(response):
     def test(harness: PlatformHarness) -> None:
         assert [harness.ask(call("bill"))[::2] for _ in range(3)] == [(200, b"ok")] * 3
 
-    run(responds_with(answer), test=test)
+    run(responds_with(response), test=test)
 
 
-def test_a_new_endpoint_at_a_former_address_inherits_no_connections():
-    def counts(harness, index, stream):
+def test_a_new_endpoint_at_a_used_address_gets_a_new_connection():
+    def records_streams(harness, index, stream):
         streams.append(stream)
         serves(harness, index, stream)
 
@@ -71,11 +71,11 @@
         assert harness.ask(call())[0] == 200
 
     streams: list = []
-    run(counts, test=test)
+    run(records_streams, test=test)
     assert len(streams) == 2
 
 
-def test_an_exhausted_connection_pool_is_no_fault_of_an_endpoint():
+def test_an_exhausted_connection_pool_is_not_a_failure_of_an_endpoint():
     def slow(harness, index, stream):
         harness.read_request(index, stream)
         harness.loop.sleep(400 * MS)
--- a/tests/test_platform_requests.py
+++ b/tests/test_platform_requests.py
@@ -1,4 +1,4 @@
-"""Hard cases of clients' requests to the platform's gateway, over the simulated network."""
+"""Edge cases of clients' requests to the platform's gateway, over the simulated network."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 def test_a_request_is_forwarded_unchanged_and_its_response_is_returned():
     def test(harness: PlatformHarness) -> None:
-        assert harness.ask(call("put", body=b"x" * 212, number="aa01"))[::2] == (200, b"ok")
+        assert harness.ask(call("put", body=b"x" * 212, request_id="aa01"))[::2] == (200, b"ok")
         head = harness.heads[0]
         assert (head.method, head.target, head.body_length) == ("POST", b"/put?client=0000000000000001", 212)
         assert header(head.headers, b"x-request-id") == b"aa01"
@@ -23,9 +23,9 @@
     run(serves, test=test)
 
 
-def test_a_request_reaches_the_policy_once_it_is_complete():
+def test_an_incomplete_request_does_not_reach_the_policy():
     def test(harness: PlatformHarness) -> None:
-        raw, stream = call("bill", body=b"12345678", left="0.300"), harness.connect()
+        raw, stream = call("bill", body=b"12345678", timeout="0.300"), harness.connect()
         stream.send(raw[:-4])
         harness.loop.sleep(600 * MS)
         assert not harness.gateway.policy_driver.gateway.accounts
@@ -43,20 +43,20 @@
     call(client="0000000200000000"),
     call(client="0000000000000001&client=0000000000000001"),
     call(plan="none"),
-    *[call(left=left) for left in ("", "nan", "inf", "-1", "0", "1e3", "2.1", "9" * 30)],
-    *[call(extras=f"units={units},spread=1,first=0") for units in ("0", "-1", "2", "nan", "1e0", "")],
-    *[call(extras=f"units=1,spread={spread},first=0") for spread in ("0", "2", "-1", "x")],
-    call(extras="units=1,spread=1,first=1"),
-    call(extras="units=1,units=1,spread=1,first=0"),
-    call(number=""),
-    call(number="a b"),
-    call(more="X-Timeout: 1.000"),
-    call(more="X-Request-ID: 77"),
-    call(more="X-Retried: 1\r\nX-Retried: 1"),
-    call(more="X-Retried: yes"),
-    call("put", body=b"x", more="Transfer-Encoding: chunked"),
-    call("read", more="Content-Length: 3", body=b"abc"),
-    call("bill", more="Idempotency-Key: k", body=b"x"),
+    *[call(timeout=left) for left in ("", "nan", "inf", "-1", "0", "1e3", "2.1", "9" * 30)],
+    *[call(quota_info=f"units={units},spread=1,first=0") for units in ("0", "-1", "2", "nan", "1e0", "")],
+    *[call(quota_info=f"units=1,spread={spread},first=0") for spread in ("0", "2", "-1", "x")],
+    call(quota_info="units=1,spread=1,first=1"),
+    call(quota_info="units=1,units=1,spread=1,first=0"),
+    call(request_id=""),
+    call(request_id="a b"),
+    call(extra_header="X-Timeout: 1.000"),
+    call(extra_header="X-Request-ID: 77"),
+    call(extra_header="X-Retried: 1\r\nX-Retried: 1"),
+    call(extra_header="X-Retried: yes"),
+    call("put", body=b"x", extra_header="Transfer-Encoding: chunked"),
+    call("read", extra_header="Content-Length: 3", body=b"abc"),
+    call("bill", extra_header="Idempotency-Key: k", body=b"x"),
     call("put").replace(b"Content-Length: 0", b"Content-Length: -1"),
     call("put").replace(b"Content-Length: 0", b"Content-Length: 99999999999999999999"),
     call("put").replace(b"Content-Length: 0", b"Content-Length: 62914560"),
@@ -68,10 +68,10 @@
 @pytest.mark.parametrize("raw", INVALID_REQUESTS, ids=range(len(INVALID_REQUESTS)))
 def test_an_invalid_request_gets_an_error_and_is_not_forwarded(raw):
     def test(harness: PlatformHarness) -> None:
-        began = harness.loop.now()
+        started_at = harness.loop.now()
         status, _, _ = harness.ask(raw)
         assert 400 <= status < 500 or status == 501
-        assert harness.loop.now() - began < 2 * SECOND
+        assert harness.loop.now() - started_at < 2 * SECOND
         assert not harness.gateway.policy_driver.gateway.accounts
         assert not harness.gateway.clients.in_flight
         assert harness.ask(call())[0] == 200
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("raw", [b"", call()[:40], call("put", body=b"12345678")[:-3]])
-def test_silent_and_incomplete_requests_are_closed_within_three_seconds(raw):
+def test_a_connection_without_complete_request_is_closed_within_3_seconds(raw):
     def test(harness: PlatformHarness) -> None:
         stream = harness.connect()
         stream.send(raw) if raw else None
@@ -92,7 +92,7 @@
     assert not run(serves, test=test).seen
 
 
-def test_a_request_with_the_id_of_one_in_flight_is_rejected_and_the_other_continues():
+def test_a_request_with_the_id_of_one_in_flight_is_rejected():
     def slow(harness, index, stream):
         harness.read_request(index, stream)
         harness.loop.sleep(900 * MS)
@@ -100,16 +100,16 @@
 
     def test(harness: PlatformHarness) -> None:
         first = harness.connect()
-        first.send(call(number="01"))
+        first.send(call(request_id="01"))
         harness.until(lambda: harness.seen)
-        assert harness.ask(call(number="01"))[0] == 409
+        assert harness.ask(call(request_id="01"))[0] == 409
         assert harness.answer(first)[0] == 200
-        assert harness.ask(call(number="01"), wait=100 * MS)[0] != 409  # it may come again
+        assert harness.ask(call(request_id="01"), wait=100 * MS)[0] != 409  # the id may be used again
 
     run(slow, test=test)
 
 
-def test_hundreds_of_silent_connections_leave_capacity_for_requests():
+def test_a_request_is_served_despite_hundreds_of_silent_connections():
     def test(harness: PlatformHarness) -> None:
         others = [harness.connect() for _ in range(300)]
         harness.loop.sleep(200 * MS)
@@ -140,18 +140,18 @@
     run(slow, test=test)
 
 
-def test_rejections_have_the_status_of_their_reason_and_failures_no_retry_after():
+def test_rejections_are_429_over_quota_and_503_without_endpoints():
     def test(harness: PlatformHarness) -> None:
         statuses = [harness.ask(call(plan="small"))[0] for _ in range(6)]
         assert statuses == [200] * 3 + [429] * 3
         harness.discovery.notify(2, instance(0, "left"))
         harness.loop.sleep(50 * MS)
-        assert harness.ask(call(left="0.200", client="0000000000000002"))[0] == 503
+        assert harness.ask(call(timeout="0.200", client="0000000000000002"))[0] == 503
 
     run(serves, test=test)
 
 
-def test_a_possibly_executed_request_that_is_not_idempotent_fails():
+def test_a_non_idempotent_request_that_was_possibly_executed_fails():
     def test(harness: PlatformHarness) -> None:
         assert harness.ask(call("bill"))[0] == 500
 
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -1,4 +1,4 @@
-"""What the platform's gateway checks and loads at its start."""
+"""The platform's gateway at startup: its configuration, its imports and its connection limits."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 import sys
 
 import pytest
-from harness.platform_harness import configuration, file
+from harness.platform_harness import configuration, configuration_file
 
 from orchidlane.platform.configuration import ConfigurationError, parse_configuration
 from orchidlane.platform.resource_limits import limits_for
 
 
 @pytest.mark.parametrize(
-    ("text", "names"),
+    ("text", "field"),
     [
         (b"", "config.json"),
         (b"[]", "config.json"),
-        (json.dumps({k: v for k, v in file().items() if k != "listen"}).encode(), "listen"),
-        (json.dumps(file(discovery="nowhere")).encode(), "discovery"),
-        (json.dumps(file(seed="z")).encode(), "seed"),
-        (json.dumps(file(settings={})).encode(), "classes"),
+        (json.dumps({k: v for k, v in configuration_file().items() if k != "listen"}).encode(), "listen"),
+        (json.dumps(configuration_file(discovery="nowhere")).encode(), "discovery"),
+        (json.dumps(configuration_file(seed="z")).encode(), "seed"),
+        (json.dumps(configuration_file(settings={})).encode(), "classes"),
     ],
 )
-def test_an_invalid_configuration_is_rejected_with_its_field(text, names):
-    with pytest.raises(ConfigurationError, match=names):
+def test_an_invalid_configuration_is_rejected_with_its_field(text, field):
+    with pytest.raises(ConfigurationError, match=field):
         parse_configuration(text, "config.json")
 
 
-def test_the_start_ends_with_one_line_without_a_configuration():
+def test_without_a_configuration_startup_fails_with_one_line():
     done = subprocess.run(
         [sys.executable, "-m", "orchidlane.platform"], env={}, capture_output=True, text=True
     )
@@ -37,10 +37,10 @@
     assert "PROXY_CONFIG" in done.stderr
 
 
-def test_the_platform_loads_no_modules_that_it_does_not_use():
+def test_the_platform_imports_no_packages_that_it_does_not_use():
     code = "import sys, orchidlane.platform.__main__; print(*sys.modules)"
-    loaded = set(subprocess.check_output([sys.executable, "-c", code], text=True).split())
-    other = {
+    imported = set(subprocess.check_output([sys.executable, "-c", code], text=True).split())
+    libraries = {
         "yaml",
         "click",
         "rich",
@@ -65,19 +65,19 @@
             "simulation",
         )
     }
-    assert not loaded & (other | packages | {"hashlib", "ssl", "logging"})
+    assert not imported & (libraries | packages | {"hashlib", "ssl", "logging"})
 
 
 def test_the_connection_limits_fit_the_machine():
     for sockets in (256, 384, 1024):
         limits = {"cores": 0.2, "memory_mb": 32, "sockets": sockets}
-        bounds = limits_for(configuration(limits=limits)).resource_limits
-        assert bounds.max_connections + bounds.max_endpoint_connections <= sockets - 20
-        assert bounds.max_connections > sockets / 3
+        resource_limits = limits_for(configuration(limits=limits)).resource_limits
+        assert resource_limits.max_connections + resource_limits.max_endpoint_connections <= sockets - 20
+        assert resource_limits.max_connections > sockets / 3
 
 
-def test_the_platform_loads_no_modules_of_fleet_versions():
-    """It loads none of their modules nor their library, so it can open, read and send nothing of theirs."""
+def test_the_platform_imports_no_modules_of_rollouts():
+    """Without these modules and their library it can't open, read or send any data of rollouts."""
     code = (
         "import sys, orchidlane.platform.__main__, orchidlane.platform.lifecycle;"
         "print([name for name in sys.modules if name.startswith(("
--- a/tests/test_polling.py
+++ b/tests/test_polling.py
@@ -1,4 +1,4 @@
-"""The schedule of polls: a silent watch is replaced in time, and polls are bounded."""
+"""The schedule of discovery polls: a silent watch is replaced in time, and open polls are bounded."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from orchidlane.platform.polling import PollSchedule, retry_interval_us
 
 
-def test_a_watch_with_heartbeats_is_not_silent():
+def test_the_silence_timeout_allows_for_late_heartbeats():
     assert polling.SILENCE_TIMEOUT_US >= polling.HEARTBEAT_INTERVAL_US + 100 * MS
 
 
@@ -23,13 +23,13 @@
 
 
 @pytest.mark.parametrize("grace_us", [1, 300 * MS, 500 * MS, SECOND, 5 * SECOND])
-def test_two_polls_after_an_outage_fit_into_the_drain_grace(grace_us):
+def test_two_retry_intervals_fit_into_the_drain_grace(grace_us):
     assert retry_interval_us(grace_us) <= max(polling.MIN_RETRY_INTERVAL_US, grace_us // 2)
 
 
 EVENTS = st.lists(
     st.tuples(
-        st.sampled_from(["wait", "responded", "ended", "ended"]),
+        st.sampled_from(["wait", "responded", "finished", "finished"]),
         st.integers(0, 3),
         st.integers(0, 3 * SECOND),
     )
@@ -37,20 +37,20 @@
 
 
 @given(EVENTS)
-def test_polls_are_bounded_and_one_is_always_active_or_due_soon(events):
+def test_open_polls_are_bounded_and_a_watch_is_active_or_a_poll_due(events):
     schedule, now, open_polls = PollSchedule(500 * MS), 0, []
     for action, index, delay_us in events:
         now += delay_us if action == "wait" else 0
         if action != "wait" and open_polls:
             number = open_polls[index % len(open_polls)]
             if action == "responded":
-                replaced = schedule.response_received(number)
-                open_polls = [poll for poll in open_polls if poll not in replaced]
+                cancelled = schedule.response_received(number)
+                open_polls = [poll for poll in open_polls if poll not in cancelled]
             else:
                 open_polls.remove(number)
                 schedule.poll_finished(number, now)
-        number, abandoned = schedule.next_poll(now)
-        open_polls = [poll for poll in open_polls if poll not in abandoned]
+        number, surplus = schedule.next_poll(now)
+        open_polls = [poll for poll in open_polls if poll not in surplus]
         open_polls += [number] if number is not None else []
         assert len(open_polls) <= polling.MAX_PENDING_POLLS
         assert set(open_polls) == {*schedule.pending, *([schedule.active] if schedule.active else [])}
@@ -62,7 +62,7 @@
             assert not schedule.pending
 
 
-def test_a_long_watch_is_replaced_at_once():
+def test_a_long_watch_that_finishes_is_replaced_at_once():
     schedule = PollSchedule(500 * MS)
     number, _ = schedule.next_poll(0)
     schedule.response_received(number)
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -143,14 +143,14 @@
         harness.may_respond = False
         streams = {name: harness.connect() for name in ("sent", "half read", "at rest", "after")}
         body = b"x" * 40
-        raw = call("put", body=body, left="1.500")
-        streams["sent"].send(call("put", body=body, left="1.500"))
+        raw = call("put", body=body, timeout="1.500")
+        streams["sent"].send(call("put", body=body, timeout="1.500"))
         streams["half read"].send(raw[:-20])
         harness.until(lambda: harness.seen)
         harness.gateway.stop()
         harness.gateway.stop()  # twice changes nothing
         harness.gateway.reload()  # nor does a SIGHUP whose file is gone
-        streams["after"].send(call("put", body=body, left="1.500"))
+        streams["after"].send(call("put", body=body, timeout="1.500"))
         streams["half read"].send(raw[-20:])
         harness.until(lambda: len(harness.seen) == 3)
         harness.loop.sleep(ACCEPT_PERIOD_US)
@@ -158,7 +158,7 @@
         for name, stream in streams.items():
             answer = read_to_end(harness, stream)
             assert answer.count(b"HTTP/1.1 200") == (name != "at rest"), name
-        harness.until(lambda: harness.ended)
+        harness.until(lambda: harness.has_stopped)
 
     assert len(run(responds_when_allowed, responds_when_allowed, responds_when_allowed, test=test).seen) == 3
 
@@ -188,13 +188,13 @@
         served = 0
         while True:
             with suppress(ConnectionClosedError):  # sent after the close
-                client.send(call(left=f"{deadline / SECOND:.3f}"))
+                client.send(call(timeout=f"{deadline / SECOND:.3f}"))
             if not (said := client.recv(deadline=harness.loop.now() + 5 * SECOND)):
                 break
             assert said.startswith(b"HTTP/1.1 200")
             served += 1
         assert served > 3
-        harness.until(lambda: harness.ended)
+        harness.until(lambda: harness.has_stopped)
 
     classes = [{**cls, "deadline": deadline, "target": deadline} for cls in settings()["classes"]]
     PlatformHarness(slow, settings=settings(classes=classes)).run(
