--- a/tests/harness/platform_harness.py
+++ b/tests/harness/platform_harness.py
@@ -35,7 +35,9 @@
         {"name": "bill", "effect": "once", "group": "all", "deadline": 2_000_000, "dedupWindow": 0},
     ]
     return {
-        "classes": [{**c, "target": 500_000, "credit": 1.0, "lateWorth": 0.0} for c in classes],
+        "classes": [
+            {**request_class, "target": 500_000, "credit": 1.0, "lateWorth": 0.0} for request_class in classes
+        ],
         "packages": [
             {**plan, "name": "small", "perSecond": 1.0, "peakUnits": 3.0},
             {**plan, "name": "large", "perSecond": 500.0, "peakUnits": 2_000.0},
@@ -121,21 +123,21 @@
         self.polls_without_response: list = []  # their streams
         self.polls: list[bytes] = []
         self.first_events: list[dict] = []  # sent at the start of each new watch
-        self.sends_keepalives = True  # the protocol's heartbeat: an empty line every 2 s
+        self.sends_heartbeats = True  # the protocol's heartbeat: an empty line every 2 s
         self.responds = True  # otherwise new polls are accepted and never get a response
         self.listener = None
 
-    def _send_keepalives(self) -> None:
+    def _send_heartbeats(self) -> None:
         while True:
             self.harness.loop.sleep(2 * SECOND)
-            for stream in self.streams if self.sends_keepalives else ():
+            for stream in self.streams if self.sends_heartbeats else ():
                 with suppress(ConnectionClosedError):
                     stream.send(b"1\r\n\n\r\n")
 
     def serve(self) -> None:
         """Accept polls until the listener closes."""
         self.listener = self.harness.backend.listen(self.address)
-        self.harness.scope.spawn(self._send_keepalives, priority=CONTROL)
+        self.harness.scope.spawn(self._send_heartbeats, priority=CONTROL)
         while True:
             try:
                 stream = self.listener.accept()
--- a/tests/processes/test_platform_processes.py
+++ b/tests/processes/test_platform_processes.py
@@ -171,15 +171,15 @@
 def test_with_an_invalid_configuration_startup_fails_with_one_line(tmp_path, changes, field):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration_file(**changes)))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "orchidlane.platform"],
         env={**os.environ, "PROXY_CONFIG": str(path)},
         capture_output=True,
         text=True,
         timeout=TIMEOUT_S,
     )
-    assert done.returncode == 2
-    assert not done.stdout
-    assert done.stderr.count("\n") == 1, done.stderr
-    assert str(path) in done.stderr, done.stderr
-    assert field in done.stderr, done.stderr
+    assert completed.returncode == 2
+    assert not completed.stdout
+    assert completed.stderr.count("\n") == 1, completed.stderr
+    assert str(path) in completed.stderr, completed.stderr
+    assert field in completed.stderr, completed.stderr
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize("kind", ["silent", *TRICKLED_PIECES])
 def test_events_missed_by_a_broken_watch_arrive_by_their_deadline(backend, kind):
     def test(harness: PlatformHarness) -> None:
-        harness.discovery.sends_keepalives = False
+        harness.discovery.sends_heartbeats = False
         harness.discovery.send(harness.discovery.streams[0], b"\n")  # the last heartbeat of this watch
         started_at = harness.loop.now()
         if kind != "silent":
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -61,7 +61,7 @@
     def test(harness: PlatformHarness) -> None:
         harness.discovery.notify(5, instance(0, "leaving"))
         harness.loop.sleep(50 * MS)
-        harness.discovery.first_events, harness.discovery.sends_keepalives = [], False
+        harness.discovery.first_events, harness.discovery.sends_heartbeats = [], False
         harness.discovery.streams.pop().abort()
         harness.until(lambda: len(harness.discovery.polls) == 2)
         harness.until(lambda: len(harness.discovery.polls) == 3)  # this watch received no heartbeat
--- a/tests/test_platform_requests.py
+++ b/tests/test_platform_requests.py
@@ -23,7 +23,7 @@
     run(serves, test=test)
 
 
-def test_an_incomplete_request_does_not_reach_the_policy():
+def test_a_request_reaches_the_policy_only_when_it_is_complete():
     def test(harness: PlatformHarness) -> None:
         raw, stream = call("bill", body=b"12345678", timeout="0.300"), harness.connect()
         stream.send(raw[:-4])
@@ -43,7 +43,7 @@
     call(client="0000000200000000"),
     call(client="0000000000000001&client=0000000000000001"),
     call(plan="none"),
-    *[call(timeout=left) for left in ("", "nan", "inf", "-1", "0", "1e3", "2.1", "9" * 30)],
+    *[call(timeout=timeout) for timeout in ("", "nan", "inf", "-1", "0", "1e3", "2.1", "9" * 30)],
     *[call(quota_info=f"units={units},spread=1,first=0") for units in ("0", "-1", "2", "nan", "1e0", "")],
     *[call(quota_info=f"units=1,spread={spread},first=0") for spread in ("0", "2", "-1", "x")],
     call(quota_info="units=1,spread=1,first=1"),
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -18,7 +18,12 @@
     [
         (b"", "config.json"),
         (b"[]", "config.json"),
-        (json.dumps({k: v for k, v in configuration_file().items() if k != "listen"}).encode(), "listen"),
+        (
+            json.dumps(
+                {key: value for key, value in configuration_file().items() if key != "listen"}
+            ).encode(),
+            "listen",
+        ),
         (json.dumps(configuration_file(discovery="nowhere")).encode(), "discovery"),
         (json.dumps(configuration_file(seed="z")).encode(), "seed"),
         (json.dumps(configuration_file(settings={})).encode(), "classes"),
@@ -30,11 +35,11 @@
 
 
 def test_without_a_configuration_startup_fails_with_one_line():
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "orchidlane.platform"], env={}, capture_output=True, text=True
     )
-    assert (done.returncode, done.stderr.count("\n")) == (2, 1)
-    assert "PROXY_CONFIG" in done.stderr
+    assert (completed.returncode, completed.stderr.count("\n")) == (2, 1)
+    assert "PROXY_CONFIG" in completed.stderr
 
 
 def test_the_platform_imports_no_packages_that_it_does_not_use():
@@ -84,5 +89,5 @@
         "'orchidlane.rollout', 'orchidlane.gateway.rollout_agent',"
         "'orchidlane.gateway.lifecycle.process', 'blake3'))])"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
-    assert done.stdout.strip() == "[]", done.stdout + done.stderr
+    completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
+    assert completed.stdout.strip() == "[]", completed.stdout + completed.stderr
