--- a/orchidlane/gateway/forwarding/error_responses.py
+++ b/orchidlane/gateway/forwarding/error_responses.py
@@ -9,8 +9,8 @@
 from orchidlane.gateway.forwarding.client_response import ClientResponse
 
 CONTENT_TYPE = (b"content-type", b"application/problem+json")
-RETRY_IS_HARMLESS = "The request was not executed, so a retry is harmless."
-EFFECT_UNKNOWN = "The request failed; whether it was executed is unknown."
+RETRY_IS_HARMLESS = "Not served; nothing was done, so trying again is harmless."
+EFFECT_UNKNOWN = "Not served; whether it had an effect is not known."
 
 
 def problem(status: int, detail: str, headers: tuple[tuple[bytes, bytes], ...] = ()) -> ClientResponse:
@@ -25,10 +25,8 @@
     retry_after_s = max(1, -(-action.retry_after_us // 1_000_000))
     headers = ((b"retry-after", b"%d" % retry_after_s),)
     if action.over_quota:
-        return problem(429, "The quota of the customer's plan is exceeded. " + RETRY_IS_HARMLESS, headers)
-    return problem(
-        503, "No capacity to serve this request before its deadline. " + RETRY_IS_HARMLESS, headers
-    )
+        return problem(429, "Beyond the quota of the plan. " + RETRY_IS_HARMLESS, headers)
+    return problem(503, "No capacity for this request in its time. " + RETRY_IS_HARMLESS, headers)
 
 
 def failed() -> ClientResponse:
--- a/orchidlane/gateway/forwarding/openapi_clients.py
+++ b/orchidlane/gateway/forwarding/openapi_clients.py
@@ -73,13 +73,9 @@
         key = api_key(head, match)
         customer = snapshot.customers.by_key(key) if key is not None else None
         if customer is None:
-            return problem(
-                401,
-                "The request has no API key, or one that belongs to no customer.",
-                ((b"www-authenticate", b"ApiKey"),),
-            )
+            return problem(401, "No key of a customer.", ((b"www-authenticate", b"ApiKey"),))
         if customer.migrating:
-            detail = f"The customer's replica set is being moved to other gateways. {RETRY_IS_HARMLESS}"
+            detail = f"The subscriber's set of gateways is on the move. {RETRY_IS_HARMLESS}"
             return problem(503, detail, RETRY_AFTER_1_S)
         return self._build_call(head, match, customer, snapshot, in_flight)
 
@@ -90,12 +86,12 @@
         request_class = snapshot.generation.classes[operation.class_index]
         needs_key = request_class.idempotency is policy.Idempotency.IDEMPOTENT_WITH_KEY
         if needs_key and not has_idempotency_key(head, match):
-            return problem(400, "This operation requires an idempotency key.")
+            return problem(400, "This operation needs an idempotency key.")
         timeout_us = client_timeout_us(operation, head.headers, request_class.deadline_us)
         if timeout_us is None:
-            return problem(400, "The client timeout must be 1 to 999999999, in whole milliseconds.")
+            return problem(400, "The time to give up after is no whole number of milliseconds.")
         if in_flight >= self.fleet.resource_limits.max_requests_in_flight:
-            return problem(503, "The gateway has too many requests in flight.", RETRY_AFTER_1_S)
+            return problem(503, "Too many requests under way.", RETRY_AFTER_1_S)
         return OperationCall(
             class_index=operation.class_index,
             request_class=request_class,
