--- a/orchidlane/gateway/server/__init__.py
+++ b/orchidlane/gateway/server/__init__.py
@@ -1,1 +1,1 @@
-"""What clients talk to: the HTTP and RESP servers and their connections."""
+"""The HTTP and RESP servers for clients, and their connections."""
--- a/orchidlane/gateway/server/accept_loop.py
+++ b/orchidlane/gateway/server/accept_loop.py
@@ -1,4 +1,4 @@
-"""Accepts clients from a listener: the loop of both servers."""
+"""The accept loop that the servers share."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from orchidlane.runtime import ConnectionClosedError, ConnectionFailedError, EventLoop, Listener, Stream
 
-ACCEPT_RETRY_DELAY_US = 20_000  # while no descriptor is free
+ACCEPT_RETRY_DELAY_US = 20_000  # while the process is out of file descriptors or connections
 
 
 def accept_clients(
@@ -17,7 +17,8 @@
 ) -> None:
     """Pass each client to ``accept_client`` until the listener closes.
 
-    Where the process is out of descriptors, ``free_descriptor`` is called and accepting retried.
+    If the process is out of file descriptors, ``free_descriptor`` is called and accepting is retried after a
+    delay.
     """
     while True:
         try:
--- a/orchidlane/gateway/server/client_connection.py
+++ b/orchidlane/gateway/server/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection as the servers keep it, and its observer while another process may take it over."""
+"""An HTTP client's connection, and the observer through which another process can continue connections."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 from orchidlane import http1
 from orchidlane.runtime import Stream, Task
 
-if TYPE_CHECKING:  # the platform serves no hot restarts and does not load their modules
+if TYPE_CHECKING:  # the operators' platform has no hot restart and must not load its modules
     from orchidlane.hot_restart.messages import RespSessionState
 
 
 class ConnectionObserver(Protocol):
-    """Is notified of each connection, by its number, before anything that could be lost with this process.
+    """Is notified of each step of a connection, before a crash of this process could lose data of that step.
 
-    During the probation of a hot restart the old process follows the new one's connections this way.
+    Connections are identified by their numbers. During the probation of a hot restart, the old process tracks
+    the new one's connections this way, so that it can continue them.
     """
 
     def connection_opened(self, number: int, stream: Stream) -> None:
@@ -30,7 +31,10 @@
         """Note that a response is about to be written."""
 
     def connection_idle(self, number: int, unread: bytes, session: RespSessionState | None = None) -> None:
-        """Note that no request is in flight, with what was read of the next one and the RESP state."""
+        """Note that no request is in flight.
+
+        ``unread`` holds the bytes received of the next request, ``session`` the state of a RESP session.
+        """
 
     def connection_closed(self, number: int) -> None:
         """Note that the connection is closed."""
@@ -39,8 +43,8 @@
 class ClientConnection:
     """An HTTP client's stream and parser, and when its bytes arrived; times in microseconds.
 
-    ``unread_since_us`` is when the bytes arrived that belong to the next request, or to the present one
-    while it is read.
+    ``unread_since_us`` is when the first bytes of the next request arrived; while a request is read, when its
+    own first bytes arrived.
     """
 
     __slots__ = (
@@ -62,18 +66,18 @@
         self.number = number
         self.parser = http1.RequestParser(limits)
         self.opened_at_us = self.idle_since_us = self.unread_since_us = self.last_received_at_us = now
-        self.has_sent_request = False  # a complete one that was understood
+        self.has_sent_request = False  # a valid request was received, or no timeout applies to the first one
         self.task: Task | None = None
-        self.is_between_requests = False  # nothing of the next request is decided
-        self.is_detached = False  # closed or handed over: nothing more is read or answered here
+        self.is_between_requests = False  # no request is in flight; the next head may be partly read
+        self.is_detached = False  # closed or handed over: no more requests are served here
 
     def has_more(self) -> bool:
-        """Return whether bytes, or the end, have arrived beyond what was used, read by us or not yet."""
+        """Return whether the parser or the socket holds unprocessed input: bytes or the end of input."""
         return bool(self.parser.pending_bytes) or self.stream.has_input()
 
 
 def send_all(stream: Stream, data: bytes, deadline: int) -> None:
-    """Send all; return without a switch of tasks where the kernel takes it at once.
+    """Send all data, without a task switch if the kernel accepts it at once.
 
     Raises ConnectionClosedError, DeadlineExceededError.
     """
@@ -83,7 +87,7 @@
 
 
 def receive_observed(stream: Stream, observer: ConnectionObserver, number: int, deadline: int) -> bytes:
-    """Receive bytes; the observer is notified before, since they could be lost with this process."""
+    """Notify the observer and receive bytes, which a crash of this process would lose."""
     stream.await_input(deadline)
     observer.read_started(number)
     return stream.recv(deadline=deadline)
--- a/orchidlane/gateway/server/connection_server.py
+++ b/orchidlane/gateway/server/connection_server.py
@@ -1,4 +1,4 @@
-"""What the HTTP and the RESP server share: their connections from accept to close or hand-over."""
+"""Base class of the HTTP and RESP servers: keeps connections from accept to close or hand-over."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ServedConnection(Protocol):
-    """A client's connection, as far as both servers treat it alike."""
+    """The attributes of a client's connection that both servers use."""
 
     number: int
     stream: Stream
@@ -35,8 +35,8 @@
 class ConnectionServer(ABC, Generic[ConnectionT]):
     """Keeps the connections of one listener, each served by a task of its own.
 
-    Connections are kept in the order in which they came. They end by a lingering close (RFC 9112 section 9.6)
-    or, in a hot restart, are handed over to another process between two requests.
+    Connections are kept in order of arrival. They are closed by a lingering close (RFC 9112 section 9.6) or,
+    in a hot restart, handed over to another process between two requests.
     """
 
     accept_task_name: str
@@ -54,11 +54,11 @@
         )
         self.draining = False
         self.listener: Listener
-        self.hand_over: Callable[[ConnectionT], None] | None = None  # takes each one between two requests
-        self.observer: ConnectionObserver | None = None  # while another process may take over
+        self.hand_over: Callable[[ConnectionT], None] | None = None  # set while connections are handed over
+        self.observer: ConnectionObserver | None = None  # set while another process may continue them
         self._accept_task: Task
-        self._drain_waiter: Task | None = None  # in ``wait_until_closed``
-        self._last_number = loop.now()  # later incarnations start from a higher number
+        self._drain_waiter: Task | None = None  # the task that runs ``wait_until_closed``
+        self._last_number = loop.now()  # a process that starts later uses higher numbers
 
     @abstractmethod
     def _accept(self) -> None:
@@ -66,14 +66,14 @@
 
     @abstractmethod
     def _serve(self, connection: ConnectionT) -> None:
-        """Serve a connection to its end."""
+        """Serve a connection until it is closed or handed over."""
 
     @abstractmethod
     def _can_hand_over(self, connection: ConnectionT) -> bool:
         """Return whether a connection is between two requests."""
 
     def listen(self, listener: Listener) -> None:
-        """Begin to accept clients from a listener."""
+        """Start accepting clients from a listener."""
         self.listener = listener
         self._start_accepting()
 
@@ -81,7 +81,10 @@
         self._accept_task = self.scope.spawn(self._accept, priority=REQUESTS, name=self.accept_task_name)
 
     def stop_accepting(self, hand_over: Callable[[ConnectionT], None]) -> None:
-        """Accept no more clients, which wait at the listener; hand over connections between two requests."""
+        """Stop accepting clients and hand over each connection once it is between two requests.
+
+        New clients wait in the listener's queue.
+        """
         self.loop.cancel(self._accept_task)
         self.hand_over = hand_over
         for connection in list(self.connections):
@@ -112,12 +115,12 @@
         self.loop.cancel(connection.task)
 
     def _remove(self, connection: ConnectionT) -> None:
-        """Remove a connection from all tables: nothing more is read or answered here."""
+        """Remove a connection from all tables; no more requests are served on it here."""
         connection.is_detached = True
         self.connections.pop(connection, None)
 
     def _release_if_observed(self, connection: ConnectionT) -> None:
-        """Release a connection as this process fails: the one that observes it continues it."""
+        """Release a connection whose task fails, without closing it, if an observing process continues it."""
         if self.observer is not None and not connection.is_detached:
             self._remove(connection)
             connection.stream.release()
@@ -136,7 +139,7 @@
             self.loop.wake(self._drain_waiter)
 
     def wait_until_closed(self, deadline: int) -> bool:
-        """Wait until all connections are closed; return False if some are not at the deadline."""
+        """Wait until all connections are closed; return False if some are still open at the deadline."""
         self._drain_waiter = self.loop.current
         try:
             while self.connections:
--- a/orchidlane/gateway/server/http_server.py
+++ b/orchidlane/gateway/server/http_server.py
@@ -1,6 +1,6 @@
 """The HTTP server: accepts clients, limits their number and drains.
 
-``connection_server`` keeps the connections, ``request_handler`` serves the requests of one.
+``connection_server`` keeps the connections, ``request_handler`` serves the requests of each.
 """
 
 from __future__ import annotations
@@ -28,8 +28,9 @@
 class HttpServer(ConnectionServer[ClientConnection]):
     """Accepts clients and serves their requests.
 
-    ``on_failure`` is called with each failure within one connection; without it they are raised. Once
-    ``shutdown_deadline`` is set, no request is waited for beyond it.
+    ``on_failure`` is called with the failed step and the exception for each failure that concerns only one
+    connection; if it is None, the exception is raised. A shutdown sets ``shutdown_deadline``: the server
+    waits for no request past it.
     """
 
     accept_task_name = "accept"
@@ -55,7 +56,7 @@
             max_header_lines=self.resource_limits.max_request_headers,
             max_body_bytes=self.resource_limits.max_request_body_bytes,
         )
-        # Without a request so far, the oldest first; and between two requests, the longest idle first.
+        # Connections without a request so far, oldest first; those between two requests, longest idle first.
         self.new_connections: dict[ClientConnection, None] = {}
         self.idle_connections: dict[ClientConnection, None] = {}
         self.on_failure: Callable[[str, Exception], None] | None = None
@@ -81,11 +82,11 @@
         self._start_serving(connection)
 
     def _accept(self) -> None:
-        """Accept clients; where the process is out of descriptors, close an idle one."""
+        """Accept clients; close an idle connection if the process is out of file descriptors."""
         while True:
             try:
                 return accept_clients(self.loop, self.listener, self._accept_client, self._close_idle)
-            except OSError as error:  # the client was reset before it was accepted
+            except OSError as error:  # the client reset its connection before it was accepted
                 if self.on_failure is None:
                     raise
                 self.on_failure("accept", error)
@@ -97,7 +98,7 @@
             self.observer.connection_opened(connection.number, connection.stream)
         try:
             self._wait_for_capacity()
-        except BaseException:  # cancelled; the connection has no task yet that would close it
+        except BaseException:  # a cancellation; the connection has no task yet that would close it
             self._close(connection)
             raise
         self._start_serving(connection)
@@ -107,13 +108,16 @@
         super()._start_serving(connection)
 
     def _wait_for_capacity(self) -> None:
-        """Wait until there are fewer connections than the limit; close the longest idle one for that."""
+        """Wait until the number of connections is below its limit; close idle connections to get there."""
         while len(self.connections) >= self.resource_limits.max_connections:
             if not self._close_idle():
                 self.loop.sleep(ACCEPT_RETRY_DELAY_US)
 
     def _close_idle(self) -> bool:
-        """Close a connection without a request in flight, new ones first; return False if there is none."""
+        """Close a connection without a request in flight; return False if there is none.
+
+        Connections that never sent a request are closed first, then the one that was idle longest.
+        """
         idle_before = self.loop.now() - self.timeouts.min_client_idle_us
         for candidates in (self.new_connections, self.idle_connections):
             connection = next(iter(candidates), None)
@@ -130,7 +134,7 @@
     def drain(self) -> None:
         """Accept no more connections; serve the requests that are in flight or have already arrived.
 
-        Clients that wait at the listener are accepted first: its close would reset them.
+        Clients in the listener's queue are accepted first, as closing the listener would reset them.
         """
         self.draining = True
         self.loop.cancel(self._accept_task)
@@ -146,11 +150,11 @@
 
     def _try_accept(self) -> Stream | None:
         while True:
-            with suppress(OSError):  # the client was reset before it was accepted
+            with suppress(OSError):  # the client reset its connection before it was accepted
                 return self.listener.try_accept()
 
     def _is_idle(self, connection: ClientConnection) -> bool:
-        """Return whether nothing of a next request has arrived at this machine."""
+        """Return whether no request is in flight and no bytes of the next one have arrived, even unread."""
         return connection.is_between_requests and not connection.has_more()
 
     def _serve(self, connection: ClientConnection) -> None:
@@ -175,7 +179,7 @@
             self._handler.write_last(connection, self.clients.failed())
 
     def _serve_next(self, connection: ClientConnection) -> bool:
-        """Serve one request, or hand the connection over; return whether it goes on here."""
+        """Serve one request, or hand the connection over; return whether this server keeps serving it."""
         connection.is_between_requests = True
         if self.hand_over is not None:
             self._hand_over(connection)
@@ -183,7 +187,7 @@
         return self._handler.handle(connection)
 
     def respond_to_orphan(self, stream: Stream, response: ClientResponse) -> None:
-        """Respond to a client whose process died with its request in flight, and close.
+        """Respond to a client whose request was in flight in a process that crashed; close the connection.
 
         Raises ConnectionClosedError, DeadlineExceededError.
         """
--- a/orchidlane/gateway/server/request_handler.py
+++ b/orchidlane/gateway/server/request_handler.py
@@ -1,7 +1,8 @@
-"""Handles the requests of one HTTP client after another: reads, notifies the policy, waits, answers.
+"""Serves the requests of an HTTP connection in turn: reads one, notifies the policy, waits and responds.
 
-While a request is in flight its connection is read on: the rest of the body, later requests up to a bound, or
-the client's leaving. Answers leave in the order of the requests (RFC 9112 section 9.3.2).
+While a request is in flight, reading continues: for the rest of its body, for pipelined requests up to a
+limit, and to detect that the client closes the connection. Responses are sent in the order of the requests
+(RFC 9112 section 9.3.2).
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 from orchidlane.http1 import ProtocolError, Request
 from orchidlane.runtime import ConnectionClosedError, DeadlineExceededError
 
-OVERDUE_US = 5_000  # beyond a request's time: then the policy's answer is waited for no more
+DECISION_GRACE_US = 5_000  # how long after a request's deadline to wait for the policy's decision
 REQUEST_TIMEOUT = 408
 
 
 class RequestDriver(Protocol):
-    """Who is notified of requests and answers them by the policy's decisions."""
+    """Passes requests to the policy and sets their responses by its decisions."""
 
     requests: dict[int, PendingRequest]
     metrics: OutcomeCounter
@@ -32,18 +33,18 @@
     def next_number(self) -> int:
         """Return the number of a new request."""
 
-    def request_arrived(self, exchange: PendingRequest, time_left_us: int) -> None:
-        """Take a request, so many microseconds before its time is up."""
+    def request_arrived(self, request: PendingRequest, time_left_us: int) -> None:
+        """Pass a request to the policy, ``time_left_us`` microseconds before its deadline."""
 
-    def client_disconnected(self, exchange: PendingRequest) -> None:
-        """Drop a request whose client left."""
+    def client_disconnected(self, request: PendingRequest) -> None:
+        """Drop a request whose client closed the connection."""
 
-    def fail_overdue(self, exchange: PendingRequest) -> None:
-        """End a request whose time is over."""
+    def fail_overdue(self, request: PendingRequest) -> None:
+        """Fail a request whose deadline has passed without a decision."""
 
 
 class HandlerState(ReaderState, Protocol):
-    """What a handler needs to know of its server."""
+    """The attributes of its server that a handler uses."""
 
     resource_limits: ResourceLimits
     policy_driver: RequestDriver
@@ -60,7 +61,7 @@
         self._writer = ResponseWriter(server)
 
     def handle(self, connection: ClientConnection) -> bool:
-        """Serve the next request; return whether the connection goes on."""
+        """Serve the next request; return whether the connection stays open."""
         server = self._server
         try:
             head = self._reader.read_head(connection)
@@ -72,43 +73,44 @@
             return False
         if server.observer is not None:
             server.observer.request_started(connection.number)
-        understood = server.clients.parse_request(head, len(server.policy_driver.requests))
-        if isinstance(understood, ClientResponse):
-            if 400 <= understood.status < 500:  # the client's own fault; what is ours is said at once
+        call_or_response = server.clients.parse_request(head, len(server.policy_driver.requests))
+        if isinstance(call_or_response, ClientResponse):
+            # Errors of the client are delayed, those of the gateway are not.
+            if 400 <= call_or_response.status < 500:
                 self._pause(connection)
-            return self._respond(connection, head, understood, body_read=head.body_length == 0)
-        return self._handle_call(connection, head, understood)
+            return self._respond(connection, head, call_or_response, body_read=head.body_length == 0)
+        return self._handle_call(connection, head, call_or_response)
 
     def _handle_call(self, connection: ClientConnection, head: Request, call: Call) -> bool:
         server = self._server
-        exchange = self._exchange(connection, head, call)
+        request = self._create_pending_request(connection, head, call)
         try:
             if server.clients.needs_complete_request:
-                self._reader.read_complete(connection, exchange)
+                self._reader.read_complete(connection, request)
             connection.has_sent_request = True
             server.new_connections.pop(connection, None)
-            server.policy_driver.request_arrived(exchange, max(1, exchange.deadline - server.loop.now()))
-            self._await_answer(connection, exchange)
+            server.policy_driver.request_arrived(request, max(1, request.deadline - server.loop.now()))
+            self._await_response(connection, request)
         except ProtocolError as error:
-            server.policy_driver.client_disconnected(exchange)
+            server.policy_driver.client_disconnected(request)
             return self._reject_malformed(connection, error)
         except BaseException:
-            server.policy_driver.client_disconnected(exchange)
+            server.policy_driver.client_disconnected(request)
             raise
-        answer = exchange.response
-        assert answer is not None
-        server.clients.before_response(exchange, answer, server.loop.now() - exchange.arrived)
-        return self._respond(connection, head, answer, body_read=exchange.body.is_complete)
+        response = request.response
+        assert response is not None
+        server.clients.before_response(request, response, server.loop.now() - request.arrived)
+        return self._respond(connection, head, response, body_read=request.body.is_complete)
 
     def _reject_malformed(self, connection: ClientConnection, error: ProtocolError) -> bool:
         self._server.metrics.malformed += 1
-        if error.status != REQUEST_TIMEOUT:  # that took its time
+        if error.status != REQUEST_TIMEOUT:  # a timeout has delayed the response already
             self._pause(connection)
         self._writer.write_last(connection, self._server.clients.invalid_request(error.status, error.detail))
         return False
 
     def _pause(self, connection: ClientConnection) -> None:
-        """Delay an error: a client that sends the same again at once costs itself time, and us little."""
+        """Delay an error response, so that a client that retries at once costs the gateway little."""
         server = self._server
         if server.timeouts.error_delay_us:
             connection.idle_since_us = server.loop.now()
@@ -116,7 +118,9 @@
             server.loop.sleep(server.timeouts.error_delay_us)
             server.new_connections.pop(connection, None)
 
-    def _exchange(self, connection: ClientConnection, head: Request, call: Call) -> PendingRequest:
+    def _create_pending_request(
+        self, connection: ClientConnection, head: Request, call: Call
+    ) -> PendingRequest:
         server = self._server
         task = server.loop.current
         assert task is not None
@@ -132,26 +136,29 @@
             has_client_left=connection.stream.is_closed_by_peer,
         )
 
-    # -- until the answer is there
+    # -- waiting for the response
 
-    def _await_answer(self, connection: ClientConnection, exchange: PendingRequest) -> None:
-        self._reader.transfer(connection, exchange.body)
-        while exchange.response is None:
-            if exchange.awaits_continue and exchange.attempts:
-                exchange.awaits_continue = False
+    def _await_response(self, connection: ClientConnection, request: PendingRequest) -> None:
+        self._reader.transfer(connection, request.body)
+        while request.response is None:
+            if request.awaits_continue and request.attempts:
+                request.awaits_continue = False
                 connection.stream.send(CONTINUE)
                 continue
-            if exchange.interim_responses:
-                self._writer.write_hints(connection, exchange)
-            elif not self._read_on(connection, exchange):
-                self._wait(exchange)
-
-    def _wait(self, exchange: PendingRequest) -> None:
-        """Wait until the task is woken: by an answer, by input, or because the time is over."""
-        server, body = self._server, exchange.body
+            if request.interim_responses:
+                self._writer.write_interim_responses(connection, request)
+            elif not self._read_more(connection, request):
+                self._wait(request)
+
+    def _wait(self, request: PendingRequest) -> None:
+        """Wait until the response or input wakes the task; fail the request if its deadline passes.
+
+        Raises ProtocolError (408) if the rest of the body doesn't arrive within ``body_progress_us``.
+        """
+        server, body = self._server, request.body
         is_settled = body.is_complete or body.is_full
         deadline = (
-            exchange.deadline + OVERDUE_US
+            request.deadline + DECISION_GRACE_US
             if is_settled
             else server.loop.now() + server.timeouts.body_progress_us
         )
@@ -159,32 +166,35 @@
             server.loop.park(deadline)
         except DeadlineExceededError:
             if is_settled:
-                server.policy_driver.fail_overdue(exchange)
-                if exchange.response is None:
-                    raise ConnectionClosedError("no answer in its time") from None
-            elif exchange.response is None:
+                server.policy_driver.fail_overdue(request)
+                if request.response is None:
+                    raise ConnectionClosedError("no response by the request's deadline") from None
+            elif request.response is None:
                 raise ProtocolError(REQUEST_TIMEOUT, "the body took too long") from None
 
-    def _read_on(self, connection: ClientConnection, exchange: PendingRequest) -> bool:
-        """Take what the client sent; where there is nothing, return False: the task is woken by more."""
-        body = exchange.body
-        if self._is_at_bound(connection, body):
+    def _read_more(self, connection: ClientConnection, request: PendingRequest) -> bool:
+        """Read input of the client; if there is none, return False, and new input wakes the task."""
+        body = request.body
+        if self._is_at_read_limit(connection, body):
             if connection.stream.is_closed_by_peer():
-                raise ConnectionClosedError("the client left")
-            connection.stream.wake_on_peer_close(exchange.task)
+                raise ConnectionClosedError("the client closed the connection")
+            connection.stream.wake_on_peer_close(request.task)
             return False
         data = None if connection.stream.is_input_exhausted else connection.stream.try_recv()
         if data is None:
-            connection.stream.wake_on_input(exchange.task)
+            connection.stream.wake_on_input(request.task)
             return False
         if not data:
-            raise ConnectionClosedError("the client left")
-        self._reader.received(connection, data)
+            raise ConnectionClosedError("the client closed the connection")
+        self._reader.feed_parser(connection, data)
         self._reader.transfer(connection, body)
         return True
 
-    def _is_at_bound(self, connection: ClientConnection, body: RequestBody) -> bool:
-        """Return whether no more may be read: then a client's end lies behind bytes that stay unread."""
+    def _is_at_read_limit(self, connection: ClientConnection, body: RequestBody) -> bool:
+        """Return whether no more input may be read now.
+
+        A close by the client is then behind unread bytes, so that reading does not detect it.
+        """
         if body.is_complete:
             return connection.parser.pending_bytes >= self._server.resource_limits.max_pipelined_bytes
         if body.is_full:
@@ -195,15 +205,15 @@
     # -- responses
 
     def _respond(
-        self, connection: ClientConnection, head: Request, answer: ClientResponse, body_read: bool
+        self, connection: ClientConnection, head: Request, response: ClientResponse, body_read: bool
     ) -> bool:
-        """Write an answer; return whether the connection goes on."""
+        """Write a response; return whether the connection stays open."""
         server = self._server
-        keep = head.keep_alive and body_read and not self._is_last_response(connection)
+        stays_open = head.keep_alive and body_read and not self._is_last_response(connection)
         if server.observer is not None:
             server.observer.response_started(connection.number)
-        is_intact = self._writer.write(connection, head, answer, keep)
-        if not keep or not is_intact:
+        is_reusable = self._writer.write(connection, head, response, stays_open)
+        if not stays_open or not is_reusable:
             return False
         if server.observer is not None:
             server.observer.connection_idle(connection.number, connection.parser.unread)
@@ -216,8 +226,8 @@
     def _is_last_response(self, connection: ClientConnection) -> bool:
         """Return whether the process shuts down and no further request of the client has arrived.
 
-        Requests that arrived behind another one are served; those that still arrive when no request is waited
-        for any more end with the connection.
+        Pipelined requests that have already arrived are served until the shutdown deadline. After it they are
+        dropped as the connection closes.
         """
         server = self._server
         if not server.draining:
@@ -225,6 +235,6 @@
         is_over = server.shutdown_deadline is not None and server.loop.now() >= server.shutdown_deadline
         return is_over or not connection.has_more()
 
-    def write_last(self, connection: ClientConnection, answer: ClientResponse) -> None:
-        """Write the only answer of a connection, its last one."""
-        self._writer.write_last(connection, answer)
+    def write_last(self, connection: ClientConnection, response: ClientResponse) -> None:
+        """Write the last response of a connection, which is closed afterwards."""
+        self._writer.write_last(connection, response)
--- a/orchidlane/gateway/server/request_reader.py
+++ b/orchidlane/gateway/server/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads requests of HTTP clients: heads and bodies, each within its time."""
+"""Reads requests of HTTP clients: heads and bodies, each within its timeout."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ReaderState(Protocol):
-    """What a reader needs to know of its server."""
+    """The attributes of its server that a reader uses."""
 
     loop: EventLoop
     timeouts: Timeouts
@@ -25,21 +25,21 @@
 
 
 class RequestReader:
-    """Feeds a connection's parser and waits for what a request is made of."""
+    """Feeds a connection's parser and waits for the heads and bodies of its requests."""
 
     def __init__(self, server: ReaderState) -> None:
         self._server = server
 
     def read_head(self, connection: ClientConnection) -> Request | None:
-        """Return the next head, None where the client left or stayed silent between requests.
+        """Return the next head, or None if the client closes or sends nothing before the timeout.
 
-        Raises ProtocolError for a head that is cut or takes too long.
+        Raises ProtocolError for a head that is invalid, truncated or takes too long.
         """
         server, parser = self._server, connection.parser
-        is_known = connection.has_sent_request
+        has_sent_request = connection.has_sent_request
         connection.idle_since_us = server.loop.now()
-        resting = server.idle_connections if is_known else server.new_connections
-        resting[connection] = None
+        waiting = server.idle_connections if has_sent_request else server.new_connections
+        waiting[connection] = None
         try:
             if not parser.pending_bytes and not self._wait_for_request(connection):
                 return None
@@ -51,7 +51,7 @@
         while (event := parser.next_event()) is None:
             try:
                 if not self._receive(connection, deadline - server.loop.now()):
-                    parser.next_event()  # raises ProtocolError for a head that was cut
+                    parser.next_event()  # raises ProtocolError for a truncated head
                     return None
             except DeadlineExceededError:
                 raise ProtocolError(408, "the head took too long") from None
@@ -62,74 +62,75 @@
         server = self._server
         if server.draining and not connection.stream.has_input():
             return False
-        timeout = (
+        timeout_us = (
             server.timeouts.client_idle_us
             if connection.has_sent_request
             else server.timeouts.first_request_us
         )
-        return self.wait_for_first_bytes(connection, timeout)
+        return self.wait_for_first_bytes(connection, timeout_us)
 
-    def wait_for_first_bytes(self, connection: ClientConnection, timeout: int) -> bool:
-        """Wait for a request to begin; return False where the client left or stayed silent."""
+    def wait_for_first_bytes(self, connection: ClientConnection, timeout_us: int) -> bool:
+        """Wait for the first bytes of a request; return False if the client closes or sends none in time."""
         try:
-            return self._receive(connection, timeout)
+            return self._receive(connection, timeout_us)
         except DeadlineExceededError:
             if not connection.stream.has_input():
                 return False
-            # This process itself stood still: what arrived in the meantime is served.
+            # This process was stalled past the timeout; a request that arrived in the meantime is served.
             return self._receive(connection, self._server.timeouts.request_head_us)
 
     def _head_deadline(self, connection: ClientConnection) -> int:
-        """Return when a request that has begun to arrive must be complete."""
-        times = self._server.timeouts
-        deadline = connection.unread_since_us + times.request_head_us
+        """Return when the head, or in ``read_complete`` the whole request, must have arrived."""
+        timeouts = self._server.timeouts
+        deadline = connection.unread_since_us + timeouts.request_head_us
         if connection.has_sent_request:
             return deadline
-        return min(connection.opened_at_us + times.first_request_us, deadline)
+        return min(connection.opened_at_us + timeouts.first_request_us, deadline)
 
-    def _receive(self, connection: ClientConnection, timeout: int) -> bool:
-        """Feed the parser once; return False at the end of input. Raises DeadlineExceededError."""
+    def _receive(self, connection: ClientConnection, timeout_us: int) -> bool:
+        """Receive once into the parser; return False at the end of input. Raises DeadlineExceededError."""
         server = self._server
-        deadline = server.loop.now() + timeout
+        deadline = server.loop.now() + timeout_us
         if server.observer is None or not connection.is_between_requests:
             data = connection.stream.recv(deadline=deadline)
         else:
             data = receive_observed(connection.stream, server.observer, connection.number, deadline)
-        self.received(connection, data)
+        self.feed_parser(connection, data)
         if server.observer is not None and connection.is_between_requests:
             server.observer.connection_idle(connection.number, connection.parser.unread)
         return bool(data)
 
-    def received(self, connection: ClientConnection, data: bytes) -> None:
-        """Give bytes that were read to the parser, and note when they arrived."""
+    def feed_parser(self, connection: ClientConnection, data: bytes) -> None:
+        """Feed received bytes to the parser and record when they arrived."""
         connection.last_received_at_us = self._server.loop.now()
         if not connection.parser.pending_bytes:
             connection.unread_since_us = connection.last_received_at_us
         connection.parser.receive(data)
 
-    def read_complete(self, connection: ClientConnection, exchange: PendingRequest) -> None:
-        """Read a request to its end, where it begins with its last byte: the policy knows of none before.
+    def read_complete(self, connection: ClientConnection, request: PendingRequest) -> None:
+        """Read a request's whole body before the policy is notified; the request arrives with its last byte.
 
-        Raises ConnectionClosedError where the client left, ProtocolError where the body takes too long.
+        Raises ConnectionClosedError if the client closes, ProtocolError if the body is invalid or takes too
+        long.
         """
         server = self._server
         deadline = self._head_deadline(connection)
-        body = exchange.body
+        body = request.body
         self.transfer(connection, body)
         while not body.is_complete:
             try:
                 if not self._receive(connection, deadline - server.loop.now()):
-                    raise ConnectionClosedError("the client left")
+                    raise ConnectionClosedError("the client closed the connection")
             except DeadlineExceededError:
                 raise ProtocolError(408, "the body took too long") from None
             self.transfer(connection, body)
-        exchange.arrived = connection.last_received_at_us
-        exchange.deadline = exchange.arrived + exchange.call.timeout_us - server.timeouts.response_margin_us
+        request.arrived = connection.last_received_at_us
+        request.deadline = request.arrived + request.call.timeout_us - server.timeouts.response_margin_us
         if server.shutdown_deadline is not None:
-            exchange.deadline = min(exchange.deadline, server.shutdown_deadline)
+            request.deadline = min(request.deadline, server.shutdown_deadline)
 
     def transfer(self, connection: ClientConnection, body: RequestBody) -> None:
-        """Move what was parsed of a body from the parser to the body."""
+        """Move the data that the parser has of a body to ``body``."""
         while not body.is_complete or body.length == 0:
             event = connection.parser.next_event()
             if event is None:
--- a/orchidlane/gateway/server/resp_commands.py
+++ b/orchidlane/gateway/server/resp_commands.py
@@ -1,4 +1,4 @@
-"""The table of RESP commands: who carries each out, its number of arguments, what COMMAND says of it."""
+"""The table of RESP commands: how each is executed, its number of arguments, and the replies to COMMAND."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """One command: its implementation and the least and most arguments behind its name."""
+    """A command: its implementation and the minimum and maximum number of arguments after its name."""
 
     execute: Callable[[Session, list[bytes]], Any]
     min_arguments: int
@@ -27,7 +27,7 @@
 
 
 class CommandTable:
-    """Carries commands out and describes them."""
+    """Executes commands and describes them."""
 
     def __init__(self, connection: ConnectionCommands, quota: QuotaCommands) -> None:
         self._commands = {
@@ -51,7 +51,7 @@
         }
 
     def execute(self, session: Session, words: list[bytes]) -> Any:
-        """Carry a command out; return its reply, an ``ErrorReply`` where it can't be carried out."""
+        """Execute a command; return its reply, which is an ``ErrorReply`` if it can't be executed."""
         name = words[0].upper()
         command = self._commands.get(name)
         if command is None:
@@ -76,19 +76,19 @@
             return len(self._commands)
         if subcommand == b"DOCS":
             summary = {"summary": "See docs/resp.md"}
-            return {name.decode().lower(): summary for name in self._selected(words[1:])}
+            return {name.decode().lower(): summary for name in self._selected_names(words[1:])}
         if subcommand in (b"", b"INFO"):
-            return [self._describe(name) for name in self._selected(words[1:])]
+            return [self._describe(name) for name in self._selected_names(words[1:])]
         raise CommandError(f"ERR unknown subcommand '{printable(words[0])}'")
 
-    def _selected(self, words: list[bytes]) -> list[bytes]:
+    def _selected_names(self, words: list[bytes]) -> list[bytes]:
         return [word.upper() for word in words if word.upper() in self._commands] or list(self._commands)
 
     def _describe(self, name: bytes) -> list[Any]:
         command = self._commands[name]
         arity = command.min_arguments + 1
         if command.min_arguments != command.max_arguments:
-            arity = -arity  # at least so many
+            arity = -arity  # a negative arity is a minimum in the reply to COMMAND
         has_key = name.startswith((b"CL.", b"LIMIT.")) and name != b"LIMIT.INFO"
         key_position = int(has_key)
         return [
--- a/orchidlane/gateway/server/resp_connection_commands.py
+++ b/orchidlane/gateway/server/resp_connection_commands.py
@@ -1,4 +1,4 @@
-"""RESP commands about the connection itself, as client libraries expect them (Redis specification)."""
+"""RESP commands on the connection itself, as client libraries expect them (Redis specification)."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from orchidlane.resp import SimpleString
 
 OK = SimpleString("OK")
-EMULATED_VERSION = "7.0.0"  # of the server whose commands client libraries expect
+EMULATED_VERSION = "7.0.0"  # the Redis version that HELLO reports to client libraries
 IGNORED_SUBCOMMANDS = (b"SETINFO", b"NO-EVICT", b"NO-TOUCH", b"TRACKING")
 
 
 class ConnectionCommands:
-    """Greeting, authentication and settings of one client's session."""
+    """Commands for the handshake, authentication and settings of a client's session."""
 
     def __init__(self, passwords: tuple[str, ...]) -> None:
-        self._passwords = passwords  # SHA-256 digests; without any, no client needs one
+        self._passwords = passwords  # SHA-256 digests in hex; if there are none, clients need no password
 
     def ping(self, _session: Session, words: list[bytes]) -> Any:
         """PING [message]."""
@@ -40,8 +40,8 @@
         digest = hashlib.sha256(words[-1]).hexdigest()
         if len(words) == 2 and words[0] != b"default":
             raise CommandError("WRONGPASS invalid username-password pair")
-        # All digests are compared, so that the time tells nothing.
-        matches = sum(hmac.compare_digest(digest, known) for known in self._passwords)
+        # All digests are compared, so that the time taken reveals nothing about a match.
+        matches = sum(hmac.compare_digest(digest, password_digest) for password_digest in self._passwords)
         if not matches:
             raise CommandError("WRONGPASS invalid username-password pair")
         session.is_authenticated = True
--- a/orchidlane/gateway/server/resp_quota_commands.py
+++ b/orchidlane/gateway/server/resp_quota_commands.py
@@ -20,13 +20,13 @@
 from orchidlane.gateway.server.resp_session import Session
 from orchidlane.limits import GrantOutcome
 
-RATE_TOLERANCE = 1e-9  # of a rate that the client states as count and period
+RATE_TOLERANCE = 1e-9  # units per second by which count / period may differ from the plan's rate
 US_PER_MS = 1_000
 US_PER_SECOND = 1_000_000
 
 
 class QuotaCommands:
-    """Commands on the same customers, counts and rules as over HTTP."""
+    """Commands on the quotas of customers, which HTTP requests share."""
 
     def __init__(
         self,
@@ -39,17 +39,20 @@
         self._settings = settings
         self._service = service
         self._snapshot = snapshot
-        self._unready_reason = unready_reason  # "" where commands are carried out
+        self._unready_reason = unready_reason  # "" if commands can be executed
         self._client_count = client_count
 
     def throttle(self, _session: Session, words: list[bytes]) -> Any:
-        """CL.THROTTLE key max_burst count period [quantity]: limited, limit, remaining, retry, reset."""
+        """CL.THROTTLE key max_burst count period [quantity]: limited, limit, remaining, retry, reset.
+
+        The reply's retry and reset are in seconds.
+        """
         customer = self._customer(words[0])
         plan = self._service.policy_driver.settings.plans[customer.plan]
         max_burst, count, period = (parse_number(word, "max_burst, count and period") for word in words[1:4])
         quantity = parse_number(words[4], "quantity") if len(words) > 4 else 1
-        is_plans_rate = period != 0 and abs(count / period - plan.rate) <= RATE_TOLERANCE
-        if not is_plans_rate or max_burst + 1 != int(plan.burst):
+        has_plan_rate = period != 0 and abs(count / period - plan.rate) <= RATE_TOLERANCE
+        if not has_plan_rate or max_burst + 1 != int(plan.burst):
             allowed = f"max_burst {int(plan.burst) - 1}, count/period {plan.rate:g}"
             raise CommandError(f"ERR the plan {customer.plan_name} decides: {allowed}")
         granted = quantity == 0 or self._service.try_take(customer, float(quantity), 0)
@@ -101,11 +104,11 @@
         }
 
     def give_back(self, _session: Session, words: list[bytes]) -> Any:
-        """LIMIT.GIVEBACK key token: the units of that take come back."""
-        return _reply_of(self._service.refund(self._customer(words[0]), parse_token(words[1])))
+        """LIMIT.GIVEBACK key token: return the units that were taken with the token."""
+        return _outcome_reply(self._service.refund(self._customer(words[0]), parse_token(words[1])))
 
     def reserve(self, _session: Session, words: list[bytes]) -> Any:
-        """LIMIT.RESERVE key units FOR ms: the reservation's name, or null beyond the quota."""
+        """LIMIT.RESERVE key units FOR ms: the reservation's name, or null over the quota."""
         customer = self._customer(words[0])
         units = parse_units(words[1])
         if words[2].upper() != b"FOR":
@@ -116,15 +119,15 @@
         return self._service.reserve(customer, units, 0, lifetime_us)
 
     def commit(self, _session: Session, words: list[bytes]) -> Any:
-        """LIMIT.COMMIT key name."""
-        return _reply_of(self._service.end_reservation(self._customer(words[0]), words[1], True))
+        """LIMIT.COMMIT key name: keep the units of a reservation."""
+        return _outcome_reply(self._service.end_reservation(self._customer(words[0]), words[1], True))
 
     def release(self, _session: Session, words: list[bytes]) -> Any:
-        """LIMIT.RELEASE key name."""
-        return _reply_of(self._service.end_reservation(self._customer(words[0]), words[1], False))
+        """LIMIT.RELEASE key name: return the units of a reservation."""
+        return _outcome_reply(self._service.end_reservation(self._customer(words[0]), words[1], False))
 
     def info(self, _session: Session, _words: list[bytes]) -> Any:
-        """LIMIT.INFO: figures of this gateway."""
+        """LIMIT.INFO: counters of this gateway."""
         service = self._service
         return {
             "rank": service.rank,
@@ -154,8 +157,11 @@
         return names.index(name.decode())
 
 
-def _reply_of(outcome: GrantOutcome) -> int:
-    """Return 1 for done now, 0 for done before. Raises CommandError for the rest."""
+def _outcome_reply(outcome: GrantOutcome) -> int:
+    """Return 1 if the change was made now, 0 if earlier.
+
+    Raises CommandError if the grant has expired or is unknown.
+    """
     if outcome is GrantOutcome.EXPIRED:
         raise CommandError("EXPIRED its time was over; a reservation's units came back by themselves")
     if outcome is GrantOutcome.UNKNOWN:
--- a/orchidlane/gateway/server/resp_server.py
+++ b/orchidlane/gateway/server/resp_server.py
@@ -1,8 +1,8 @@
-"""The RESP server: accepts clients and answers their commands in order; ``resp_commands`` executes them.
+"""The RESP server: accepts clients and replies to their commands in order; ``resp_commands`` executes them.
 
-Replies are buffered until no further command has arrived or ``FLUSH_BYTES`` is reached. A client that does
-not read its replies is not read from either, and closed after the timeout of a write. The task yields between
-commands, so that a long pipeline delays nobody else.
+Replies are buffered until no further command has arrived or ``FLUSH_BYTES`` is reached. While a client does
+not read its replies, its commands are not read either, and it is closed after the write timeout. The task
+yields between commands, so that a long pipeline does not delay other clients.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
     TaskGroup,
 )
 
-FLUSH_BYTES = 16_384  # of replies that are written at once
-MAX_REPORTED_BYTES = 65_536  # of unread commands that the observer is notified of
-MAX_NESTING = 4
+FLUSH_BYTES = 16_384  # buffered replies are written from this size on
+MAX_REPORTED_BYTES = 65_536  # the observer is not notified of more unread bytes than this
+MAX_NESTING_DEPTH = 4
 POSSIBLY_EXECUTED = ErrorReply(
     "ERR the process that took this command ended; whether it took effect is not known"
 )
@@ -62,7 +62,7 @@
             max_bulk_bytes=self.quotas.max_bulk_bytes,
             max_items=self.quotas.max_command_words,
             max_total_items=self.quotas.max_command_words,
-            max_depth=MAX_NESTING,
+            max_depth=MAX_NESTING_DEPTH,
         )
         self._commands = CommandTable(
             ConnectionCommands(fleet.quotas.passwords),
@@ -84,10 +84,10 @@
     def respond_to_orphan(
         self, stream: Stream, unread: bytes | None, state: RespSessionState, number: int
     ) -> None:
-        """Reply to the commands of a client whose process died: they were possibly executed.
+        """Reply to the commands of a client whose process crashed: they were possibly executed.
 
-        Each command gets an error. Without their bytes, one error is sent and the connection closed.
-        Raises ConnectionClosedError, DeadlineExceededError.
+        Each command in ``unread`` gets an error. If ``unread`` is None, one error is sent and the connection
+        closed. Raises ConnectionClosedError, DeadlineExceededError.
         """
         session = Session(stream, number, self.decoder_limits, state.authorized)
         session.version, session.name = state.version, state.name
@@ -124,7 +124,7 @@
             self.lingering.close(stream)
 
     def drain(self) -> None:
-        """Accept no more clients; close the idle ones now and the others once they were answered."""
+        """Accept no more clients; close idle sessions now and the others after the replies they wait for."""
         self.draining = True
         self.listener.close()
         for session in list(self.connections):
@@ -133,12 +133,12 @@
 
     def _serve(self, session: Session) -> None:
         try:
-            session.is_busy = True  # commands that came with a handed over session are first
-            self._answer_all(session)
+            session.is_busy = True  # a session that was handed over may hold unread commands
+            self._execute_commands(session)
             session.is_busy = False
             while self.hand_over is None and self._receive(session):
                 session.is_busy = True
-                self._answer_all(session)
+                self._execute_commands(session)
                 session.is_busy = False
             if self.hand_over is not None and not session.is_detached:
                 self._hand_over(session)
@@ -151,10 +151,13 @@
             self._close(session)
 
     def _receive(self, session: Session) -> bool:
-        """Receive once; return False at the end of input. The rest of a command has a shorter timeout."""
-        times = self.fleet.timeouts
-        timeout = times.body_progress_us if session.decoder.pending_bytes else times.client_idle_us
-        deadline = self.loop.now() + timeout
+        """Receive once; return False at the end of input.
+
+        The rest of an incomplete command has the timeout ``body_progress_us``, a new one ``client_idle_us``.
+        """
+        timeouts = self.fleet.timeouts
+        timeout_us = timeouts.body_progress_us if session.decoder.pending_bytes else timeouts.client_idle_us
+        deadline = self.loop.now() + timeout_us
         if self.observer is None:
             data = session.stream.recv(deadline=deadline)
         else:
@@ -164,40 +167,40 @@
         return bool(data)
 
     def _report_idle(self, session: Session) -> None:
-        """Notify the observer that no command is in flight, unless nobody else could continue the session."""
+        """Notify the observer that no command is in flight, if another process could continue the session."""
         if self.observer is not None:
             unread = session.decoder.unread_bytes()
             if unread is not None and len(unread) <= MAX_REPORTED_BYTES:
                 self.observer.connection_idle(session.number, unread, session.state)
 
-    def _answer_all(self, session: Session) -> None:
-        out = bytearray()
+    def _execute_commands(self, session: Session) -> None:
+        replies = bytearray()
         try:
             while self.hand_over is None and (words := session.decoder.next_command()) is not None:
                 if not words:
                     continue
                 if self.observer is not None:
                     self.observer.request_started(session.number)
-                out += resp.encode(self._commands.execute(session, words), session.version)
-                quits = words[0].upper() == b"QUIT"
-                if len(out) >= FLUSH_BYTES or quits:
-                    self._write(session, out)
-                if quits:
-                    raise ConnectionClosedError("the client quit")
+                replies += resp.encode(self._commands.execute(session, words), session.version)
+                is_quit = words[0].upper() == b"QUIT"
+                if len(replies) >= FLUSH_BYTES or is_quit:
+                    self._write(session, replies)
+                if is_quit:
+                    raise ConnectionClosedError("the client sent QUIT")
                 self.loop.yield_if_due()
         except resp.ProtocolError as error:
-            out += resp.encode(ErrorReply(f"ERR Protocol error: {error}"))
-            self._write(session, out)
-            raise ConnectionClosedError("protocol error") from None
-        self._write(session, out)
+            replies += resp.encode(ErrorReply(f"ERR Protocol error: {error}"))
+            self._write(session, replies)
+            raise ConnectionClosedError("the client sent an invalid command") from None
+        self._write(session, replies)
         if self.draining:
-            raise ConnectionClosedError("draining")
+            raise ConnectionClosedError("the server is draining")
         self.loop.yield_if_due()
 
-    def _write(self, session: Session, out: bytearray) -> None:
-        if out:
+    def _write(self, session: Session, replies: bytearray) -> None:
+        if replies:
             if self.observer is not None:
                 self.observer.response_started(session.number)
-            send_all(session.stream, bytes(out), self.loop.now() + self.fleet.timeouts.client_write_us)
-            out.clear()
+            send_all(session.stream, bytes(replies), self.loop.now() + self.fleet.timeouts.client_write_us)
+            replies.clear()
             self._report_idle(session)
--- a/orchidlane/gateway/server/resp_session.py
+++ b/orchidlane/gateway/server/resp_session.py
@@ -1,4 +1,4 @@
-"""One RESP client: its protocol version, its name, and whether it has authenticated."""
+"""The session of a RESP client: its protocol version, its name, and whether it has authenticated."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from orchidlane.hot_restart.messages import RespSessionState
 from orchidlane.runtime import Stream, Task
 
-DEFAULT_VERSION = 2  # of the protocol, until HELLO asks for another
+DEFAULT_VERSION = 2  # of the protocol, until HELLO selects another
 
 
 class Session:
-    """One client between accept and close."""
+    """A client's session, from accept to close or hand-over."""
 
     __slots__ = (
         "decoder",
@@ -31,11 +31,11 @@
         self.version = DEFAULT_VERSION
         self.name = b""
         self.is_authenticated = is_authenticated
-        self.is_busy = False  # a command is being carried out
+        self.is_busy = False  # a command is being executed
         self.is_detached = False  # closed or handed over
         self.task: Task | None = None
 
     @property
     def state(self) -> RespSessionState:
-        """Return what another process needs to continue the session."""
+        """The state that another process needs to continue the session."""
         return RespSessionState(self.version, self.name, self.is_authenticated)
--- a/tests/test_golden_responses.py
+++ b/tests/test_golden_responses.py
@@ -1,4 +1,4 @@
-"""Clients, tools and operators get the golden responses of a gateway."""
+"""Compares a gateway's responses over its admin API, HTTP and RESP with golden files."""
 
 from __future__ import annotations
 
@@ -26,36 +26,36 @@
 from orchidlane.gateway.control import settings_loader
 
 
-def samples_of(page: bytes) -> list[str]:
-    """Return names, labels, types and values of a page of metrics; its prose may change."""
+def metric_lines(page: bytes) -> list[str]:
+    """Return the metrics page without its help texts, whose wording may change."""
     return [line for line in page.decode().splitlines() if not line.startswith("# HELP ")]
 
 
 def admin_responses() -> dict[str, Any]:
     """Return the responses of a gateway's admin API after a few requests."""
-    found: dict[str, Any] = {}
+    responses: dict[str, Any] = {}
 
     def test(harness):
         for raw in (GET, REPORT, UPLOAD, GET, GET, b"nonsense\r\n\r\n"):
             harness.ask(raw)
         for target in ("/health", "/nothing", "/view?customer=nobody", "/change/status", "/change/content/x"):
             status, headers, body = request_admin(harness, target)
-            found[target] = [status, headers, body.decode()]
+            responses[target] = [status, headers, body.decode()]
         status, headers, body = request_admin(harness, "/metrics")
         del headers["content-length"]
-        found["/metrics"] = [status, headers, samples_of(body)]
+        responses["/metrics"] = [status, headers, metric_lines(body)]
         for target in ("/view", "/view?customer=1"):
             body = request_admin(harness, target)[2]
-            found[target] = without_build(msgspec.msgpack.decode(body))
-        body, at, frames = request_admin(harness, "/state")[2], 7, []
-        found["/state"] = [body[:at].decode(), frames]
-        while at < len(body):
-            length, _ = struct.unpack_from("<II", body, at)
-            frames.append(without_build(msgspec.msgpack.decode(body[at + 8 : at + 8 + length])))
-            at += 8 + length
+            responses[target] = without_build(msgspec.msgpack.decode(body))
+        body, offset, frames = request_admin(harness, "/state")[2], 7, []
+        responses["/state"] = [body[:offset].decode(), frames]
+        while offset < len(body):
+            length, _ = struct.unpack_from("<II", body, offset)
+            frames.append(without_build(msgspec.msgpack.decode(body[offset + 8 : offset + 8 + length])))
+            offset += 8 + length
 
     GatewayHarness(good, resets_after, good, seed=5).run(test)
-    return found
+    return responses
 
 
 def test_the_admin_api_gives_the_golden_responses():
@@ -63,7 +63,7 @@
 
 
 def http_response(harness: GatewayHarness, raw: bytes) -> list:
-    """Return status, headers and body of a response; of a problem only its keys, as its prose may change."""
+    """Return status, headers and body of a response; of a problem+json body, only its keys and its status."""
     status, headers, body = harness.ask(raw)
     fields = {name.decode(): value.decode() for name, value in headers}
     if fields.get("content-type") != "application/problem+json":
@@ -74,7 +74,7 @@
 
 
 def test_clients_over_http_get_the_golden_responses():
-    """Status, headers and body: served, each error, and beyond the quota."""
+    """Covers served requests, each kind of error, and requests over the quota."""
     requests = {
         "served": GET,
         "served under a key": UPLOAD,
@@ -86,27 +86,27 @@
         "without its key": request("PUT", "/v1/tests/1", body=b"x"),
         "broken": b"nonsense\r\n\r\n",
     }
-    found: dict[str, Any] = {}
+    responses: dict[str, Any] = {}
 
     def test(harness):
         for name, raw in requests.items():
-            found[name] = http_response(harness, raw)
+            responses[name] = http_response(harness, raw)
         for number in range(30):
-            found[f"request {number}"] = http_response(harness, GET)
+            responses[f"request {number}"] = http_response(harness, GET)
 
-    def test_broken(harness):
-        found["may have run"] = http_response(harness, REPORT)
+    def test_failure(harness):
+        responses["may have run"] = http_response(harness, REPORT)
 
     GatewayHarness(good, good, seed=5, plans=settings_loader.parse_settings(SETTINGS, "fleet.cue").plans).run(
         test
     )
-    GatewayHarness(resets_after, seed=5).run(test_broken)
-    assert {response[0] for response in found.values()} >= {200, 400, 401, 404, 405, 429, 502}
-    check_golden("http-answers", found)
+    GatewayHarness(resets_after, seed=5).run(test_failure)
+    assert {response[0] for response in responses.values()} >= {200, 400, 401, 404, 405, 429, 502}
+    check_golden("http-answers", responses)
 
 
 def test_clients_over_resp_get_the_golden_replies():
-    """Each command once at least, by the bytes of its reply."""
+    """Covers each command; replies are compared byte by byte."""
     key = KEY.decode()
     commands = [
         ["PING"], ["PING", "x"], ["ECHO", "x"], ["HELLO"], ["HELLO", "3"], ["SELECT", "0"], ["SELECT", "1"],
@@ -123,21 +123,21 @@
         ["LIMIT.TAKE", "of nobody", "1"], ["LIMIT.TAKE", key, "many"], ["LIMIT.TAKE"], ["NOTHING"],
         ["AUTH", "a password"], ["RESET"], ["QUIT"],
     ]  # fmt: skip
-    found = []
+    replies = []
 
     def test(harness):
-        harness.loop.sleep(4 * SECOND)  # tokens are final from then on
+        harness.loop.sleep(4 * SECOND)  # after the token lifetime, the token owner no longer replies TRYAGAIN
         stream = harness.backend.connect(("127.0.0.1", 8380))
-        reserved = ""
+        reservation = ""
         for words in commands:
-            arguments = [reserved if word == "RESERVED" else word for word in words]
+            arguments = [reservation if word == "RESERVED" else word for word in words]
             stream.send(resp.encode(arguments))
             harness.loop.sleep(500_000)
             reply = stream.recv(deadline=harness.loop.now() + SECOND).decode()
-            reserved = reply.split("\r\n")[1] if words[0] == "LIMIT.RESERVE" else reserved
-            # Of an error only the first word is golden, the rest is prose
-            found.append([words, reply.split()[0] if reply.startswith("-") else reply])
+            reservation = reply.split("\r\n")[1] if words[0] == "LIMIT.RESERVE" else reservation
+            # Only the code of an error is compared, as its wording may change.
+            replies.append([words, reply.split()[0] if reply.startswith("-") else reply])
 
     fleet = settings_loader.parse_settings(SETTINGS, "fleet.cue")
     GatewayHarness(good, gateways=fleet.gateways[:1], seed=5).run(test)
-    check_golden("resp-replies", found)
+    check_golden("resp-replies", replies)
--- a/tests/test_resp_server.py
+++ b/tests/test_resp_server.py
@@ -1,4 +1,4 @@
-"""Hard cases of the RESP server over the simulated network."""
+"""RESP server over the simulated network: pipelines, timeouts, limits, drain, restarts and closes."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
     GatewayHarness(good, gateways=ONE_GATEWAY, limits=limits, **changes).run(test)
 
 
-def replies(harness: GatewayHarness, stream, count: int, wait: int = 5 * SECOND) -> list:
-    decoder, found = Decoder(), []
-    while len(found) < count:
-        decoder.receive(stream.recv(deadline=harness.loop.now() + wait))
+def receive_replies(harness: GatewayHarness, stream, count: int, timeout_us: int = 5 * SECOND) -> list:
+    decoder, values = Decoder(), []
+    while len(values) < count:
+        decoder.receive(stream.recv(deadline=harness.loop.now() + timeout_us))
         while (value := decoder.next_value()) is not None:
-            found.append(value[0])
-    return found
+            values.append(value[0])
+    return values
 
 
 def call(harness: GatewayHarness, *words) -> object:
     stream = harness.backend.connect(RESP_ADDRESS)
     stream.send(encode([KEY if word is KEY else str(word) for word in words]))
-    found = replies(harness, stream, 1)[0]
+    reply = receive_replies(harness, stream, 1)[0]
     stream.close()
-    return found
+    return reply
 
 
 def take(units: int = 1) -> bytes:
@@ -46,21 +46,21 @@
         order = []
 
         def read(name, stream, count):
-            replies(harness, stream, count)
+            receive_replies(harness, stream, count)
             order.append(name)
 
         task = harness.scope.spawn(read, "pipeline", busy, 10_000)
         busy.send(take() * 10_000)
-        harness.scope.spawn(read, "one", other, 1)
+        harness.scope.spawn(read, "single command", other, 1)
         other.send(take())
         while not task.is_done:
             harness.loop.sleep(MS)
-        assert order == ["one", "pipeline"]
+        assert order == ["single command", "pipeline"]
 
     run(test)
 
 
-def test_a_client_that_reads_nothing_is_closed_and_costs_no_memory():
+def test_a_client_that_reads_no_replies_is_closed_after_bounded_output():
     def test(harness):
         stream = harness.backend.connect(RESP_ADDRESS)
         sent = 0
@@ -77,13 +77,13 @@
     run(test, times={"write": 2 * SECOND})
 
 
-def test_an_incomplete_command_ends_at_the_timeout():
+def test_a_client_with_an_incomplete_command_is_closed_at_the_timeout():
     def test(harness):
         stream = harness.backend.connect(RESP_ADDRESS)
         stream.send(b"*3\r\n$10\r\nLIMIT.")
-        began = harness.loop.now()
-        assert stream.recv(deadline=began + 5 * SECOND) == b""
-        assert harness.loop.now() - began < 3 * SECOND
+        started_at = harness.loop.now()
+        assert stream.recv(deadline=started_at + 5 * SECOND) == b""
+        assert harness.loop.now() - started_at < 3 * SECOND
 
     run(test, times={"body": 2 * SECOND})
 
@@ -99,18 +99,18 @@
     run(test, plans=LOW_LIMIT_PLANS)
 
 
-def test_a_take_with_a_wait_is_granted_once_there_is_capacity():
+def test_a_take_that_may_wait_is_granted_once_the_quota_allows_it():
     def test(harness):
         while call(harness, "LIMIT.TAKE", KEY, 2)[0]:
             pass
-        began = harness.loop.now()
+        started_at = harness.loop.now()
         assert call(harness, "LIMIT.TAKE", KEY, 2, "WITHIN", 5_000)[0] == 1
-        assert 100 * MS < harness.loop.now() - began < 5 * SECOND
+        assert 100 * MS < harness.loop.now() - started_at < 5 * SECOND
 
     run(test, plans=LOW_LIMIT_PLANS)
 
 
-def test_a_drain_answers_the_command_in_flight():
+def test_the_command_in_flight_gets_its_reply_during_a_drain():
     def test(harness):
         while call(harness, "LIMIT.TAKE", KEY, 2)[0]:
             pass
@@ -119,7 +119,7 @@
         harness.loop.sleep(50 * MS)
         harness.program.stop()
         assert idle.recv(deadline=harness.loop.now() + SECOND) == b""
-        assert replies(harness, stream, 1)[0][0] == 1
+        assert receive_replies(harness, stream, 1)[0][0] == 1
         assert stream.recv(deadline=harness.loop.now() + SECOND) == b""
 
     run(test, plans=LOW_LIMIT_PLANS)
@@ -132,9 +132,9 @@
         harness.backend.kill(harness.process)
         harness.start()
         harness.loop.sleep(300 * MS)
-        unknown = call(harness, "LIMIT.TAKE", KEY, 1, "IDEMPOTENT", "t")
-        assert isinstance(unknown, ErrorReply)
-        assert unknown.text.startswith("TRYAGAIN")
+        repeated = call(harness, "LIMIT.TAKE", KEY, 1, "IDEMPOTENT", "t")
+        assert isinstance(repeated, ErrorReply)
+        assert repeated.text.startswith("TRYAGAIN")
         assert call(harness, "LIMIT.GIVEBACK", KEY, "t").text.startswith("TRYAGAIN")
         harness.loop.sleep(SECOND)
         assert call(harness, "LIMIT.GIVEBACK", KEY, "t").text.startswith("NOGRANT")
@@ -159,9 +159,9 @@
     def test(harness):
         for _ in range(3):
             assert call(harness, "LIMIT.RESERVE", KEY, 1, "FOR", 5_000)
-        before = harness.program.limit_service.granted
+        granted_before = harness.program.limit_service.granted
         assert call(harness, "LIMIT.RESERVE", KEY, 1, "FOR", 5_000).text.startswith("BUSY")
-        assert harness.program.limit_service.granted == before
+        assert harness.program.limit_service.granted == granted_before
 
     run(test, limits={"grants": 3})
 
@@ -180,13 +180,13 @@
 
 def read_to_end(harness: GatewayHarness, stream) -> bytes:
     """Return all bytes up to an orderly close. Raises ConnectionClosedError for a reset."""
-    found = b""
+    received = b""
     while data := stream.recv(deadline=harness.loop.now() + 5 * SECOND):
-        found += data
-    return found
+        received += data
+    return received
 
 
-UNREAD_BYTES = b"x" * 200_000  # more than is read at once
+UNREAD_BYTES = b"x" * 200_000  # more than the server reads at once
 
 
 @pytest.mark.parametrize(
@@ -194,7 +194,7 @@
     [(encode(["QUIT"]), b"+OK\r\n"), (b"*1\r\n$x\r\n", b"-ERR Protocol error")],
     ids=["quit", "protocol error"],
 )
-def test_a_last_reply_is_complete_with_unread_bytes_behind_its_command(raw, reply):
+def test_a_last_reply_is_complete_despite_unread_pipelined_bytes(raw, reply):
     def test(harness):
         stream = harness.backend.connect(RESP_ADDRESS)
         stream.send(raw + UNREAD_BYTES)
@@ -204,11 +204,11 @@
     run(test)
 
 
-def test_a_client_beyond_the_limit_that_has_sent_commands_gets_the_error():
+def test_a_client_over_the_limit_gets_the_error_despite_unread_commands():
     def test(harness):
         first = harness.backend.connect(RESP_ADDRESS)
         first.send(encode(["PING"]))
-        assert replies(harness, first, 1)
+        assert receive_replies(harness, first, 1)
         second = harness.backend.connect(RESP_ADDRESS)
         second.send(take() + UNREAD_BYTES)
         assert read_to_end(harness, second) == b"-ERR max number of clients reached\r\n"
@@ -216,12 +216,12 @@
     run(test, limits={"connections": 1})
 
 
-def test_commands_before_the_drain_are_answered_and_one_that_crosses_the_close_resets_nothing():
+def test_commands_before_a_drain_get_replies_and_later_ones_no_reset():
     def test(harness):
         active, idle = harness.backend.connect(RESP_ADDRESS), harness.backend.connect(RESP_ADDRESS)
         for stream in (active, idle):
             stream.send(encode(["PING"]))
-            assert replies(harness, stream, 1)
+            assert receive_replies(harness, stream, 1)
         server = harness.program.resp_server
         harness.loop.freeze(harness.process)  # the command arrives while no task of the gateway runs
         active.send(take())
@@ -229,7 +229,7 @@
         granted = server.service.granted
         server.drain()
         harness.loop.thaw(harness.process)
-        idle.send(take())  # crosses the close
+        idle.send(take())  # sent after the gateway's close, before the client has noticed it
         assert read_to_end(harness, idle) == b""
         assert read_to_end(harness, active).startswith(b"*3\r\n:1\r\n")
         assert server.service.granted == granted + 1
@@ -237,5 +237,5 @@
     run(test)
 
 
-def test_settings_of_limits_have_defaults():
+def test_quota_settings_have_defaults():
     assert parse_settings(SETTINGS, "f").quotas.token_lifetime_us == 3 * SECOND
