--- a/orchidlane/http1/__init__.py
+++ b/orchidlane/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 without I/O, for both sides: bytes in, events out (RFC 9110, RFC 9112)."""
+"""Parsers and writers of HTTP/1.1 for clients and servers, without I/O (RFC 9110, RFC 9112)."""
 
 from orchidlane.http1.connection_options import end_to_end
 from orchidlane.http1.errors import ProtocolError
--- a/orchidlane/http1/body_framing.py
+++ b/orchidlane/http1/body_framing.py
@@ -12,7 +12,7 @@
 
 
 class Framing(Enum):
-    """A framing without a length known in advance."""
+    """The framing of a body whose length the headers do not state."""
 
     CHUNKED = auto()
     UNSPECIFIED = auto()  # neither header is present
@@ -21,9 +21,9 @@
 def body_framing(headers: Headers, minor_version: int, max_body_bytes: int) -> int | Framing:
     """Return the body's length in bytes, or the framing of a body whose length the headers don't state.
 
-    Raises ProtocolError: 400 for contradictory or invalid headers, 413 beyond the limit, 501 for a transfer
-    coding other than chunked. Contradictions are never resolved: they may smuggle a request (RFC 9112 section
-    11.2).
+    Raises ProtocolError: 400 for contradictory or invalid headers, 413 for a body over the limit, 501 for a
+    transfer coding other than chunked. Contradictory headers are always rejected, as they may serve to
+    smuggle a request (RFC 9112 section 11.2).
     """
     by_name = dict(headers)
     if b"content-length" not in by_name and b"transfer-encoding" not in by_name:
--- a/orchidlane/http1/chunked_decoder.py
+++ b/orchidlane/http1/chunked_decoder.py
@@ -1,4 +1,4 @@
-"""Decoding of a chunked body and its trailers (RFC 9112 section 7.1)."""
+"""Decoder of a chunked body and its trailers (RFC 9112 section 7.1)."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 
 
 class ChunkedDecoder:
-    """Decodes one chunked body from the front of a buffer that others append to."""
+    """Decodes one chunked body from the front of a parser's input buffer."""
 
     def __init__(self, buffer: bytearray, limits: ParserLimits) -> None:
         self._buffer = buffer
         self._limits = limits
-        self._chunk_remaining = 0  # bytes of the current chunk's data
+        self._chunk_remaining = 0  # bytes of the current chunk's data that are still to be read
         self._expects_data_crlf = False  # the CRLF after a chunk's data comes next
         self._in_trailers = False
-        self._body_bytes = 0  # of all chunks so far
+        self._body_bytes = 0  # sum of the sizes of all chunks so far
         self._trailers: list[tuple[bytes, bytes]] = []
         self._trailer_bytes = 0
 
     def next_event(self) -> Data | End | None:
-        """Return the next event, or None until the buffer has more.
+        """Return the next event, or None until the buffer holds more bytes.
 
-        Raises ProtocolError: 400 for invalid framing, 413 for a chunk or body beyond its limit, 431 for
-        trailers beyond theirs.
+        Raises ProtocolError: 400 for invalid framing, 413 for a chunk or body over its limit, 431 for
+        trailers over their limits.
         """
-        if not self._chunk_remaining and not self._in_trailers and not self._begin_chunk():
+        if not self._chunk_remaining and not self._in_trailers and not self._start_chunk():
             return None
         if self._in_trailers:
             return self._read_trailers()
         return self._read_data()
 
-    def _begin_chunk(self) -> bool:
-        """Read all up to a chunk's data, or up to the trailers; return whether it was complete."""
+    def _start_chunk(self) -> bool:
+        """Read up to the next chunk's data or the trailers; return False if not all of that has arrived."""
         if self._expects_data_crlf and not self._read_data_crlf():
             return False
         line = take_line(self._buffer, self._limits.max_chunk_line_bytes, 400)
@@ -67,7 +67,7 @@
         return Data(data)
 
     def _read_data_crlf(self) -> bool:
-        """Return whether the CRLF after a chunk's data was complete."""
+        """Read the CRLF after a chunk's data; return False if it has not arrived."""
         buffer = self._buffer
         if buffer.startswith(b"\r\n"):
             del buffer[:2]
--- a/orchidlane/http1/events.py
+++ b/orchidlane/http1/events.py
@@ -11,7 +11,7 @@
     """A request's head (RFC 9112 section 3).
 
     ``minor_version`` is 0 or 1, the version being HTTP/1.minor. ``body_length`` is in bytes: None for a
-    chunked body, 0 without a body.
+    chunked body, 0 if there is no body.
     """
 
     method: str
@@ -24,7 +24,7 @@
 
 
 class Response(msgspec.Struct, frozen=True, gc=False):
-    """A response's head (RFC 9112 section 4); interim ones (1xx) come before the final one.
+    """A response's head (RFC 9112 section 4); interim responses (1xx) come before the final one.
 
     ``body_length`` is in bytes: None for a body that is chunked or ends with the connection.
     """
--- a/orchidlane/http1/header_fields.py
+++ b/orchidlane/http1/header_fields.py
@@ -24,7 +24,7 @@
 
 
 def header_tokens(headers: Headers, name: bytes) -> list[bytes]:
-    """Return the elements of a comma-separated header over all its lines, in lower case."""
+    """Return the elements of all lines of a comma-separated header, in lower case."""
     tokens = []
     for key, value in headers:
         if key == name:
@@ -33,7 +33,7 @@
 
 
 def parse_header_block(block: bytes, max_lines: int) -> Headers:
-    """Parse all header lines of a head, each preceded by its CRLF.
+    """Parse all header lines of a head, each preceded by a CRLF.
 
     Raises ProtocolError: 431 for too many lines, 400 for an invalid one.
     """
@@ -43,7 +43,7 @@
     fields = _LINES_OF_BLOCK.findall(block)
     if len(fields) != line_count or block.count(b"\r") != line_count or block.count(b"\n") != line_count:
         for line in block.split(b"\r\n")[1:]:
-            parse_header_line(line)  # raises the error that names the fault
+            parse_header_line(line)  # raises ProtocolError with a specific detail
         raise ProtocolError(400, "header lines that can't be told apart")
     return tuple([(name.lower(), value) for name, value in fields])
 
@@ -57,7 +57,7 @@
 
 
 def _describe_invalid_line(line: bytes) -> str:
-    """Return what is wrong with a line; it quotes nothing, as header values may be secrets."""
+    """Return what is wrong with a line, without quoting it: header values may be secrets."""
     if line[:1] in b" \t":
         return "a folded header line"
     if b"\x00" in line or b"\r" in line or b"\n" in line:
--- a/orchidlane/http1/input_buffer.py
+++ b/orchidlane/http1/input_buffer.py
@@ -1,4 +1,4 @@
-"""Take bytes and lines off the front of a parser's input buffer."""
+"""Functions that remove bytes and lines from the front of a parser's input buffer."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def take_bytes(buffer: bytearray, max_bytes: int) -> bytes:
-    """Remove and return up to so many bytes; fewer, or none, where the buffer has no more."""
+    """Remove and return the first ``max_bytes`` bytes, or all if the buffer holds fewer."""
     data = bytes(buffer[:max_bytes])
     del buffer[: len(data)]
     return data
@@ -17,7 +17,7 @@
 def take_line(buffer: bytearray, max_bytes: int, too_long_status: int) -> bytes | None:
     """Remove one line and return it without its CRLF, or return None while it is incomplete.
 
-    Raises ProtocolError: ``too_long_status`` beyond the limit, 400 for a line that ends with a bare LF.
+    Raises ProtocolError: ``too_long_status`` for a line over the limit, 400 for one that ends with a bare LF.
     """
     end = buffer.find(b"\n", 0, max_bytes + 2)
     if end < 0:
--- a/orchidlane/http1/message_parser.py
+++ b/orchidlane/http1/message_parser.py
@@ -1,17 +1,17 @@
-"""What the parsers of requests and responses share (RFC 9112).
+"""Base class of the parsers of requests and responses (RFC 9112).
 
-A parser walks through these states, once for each message:
+A parser goes through these states for each message:
 
     HEAD -> FIXED_LENGTH_BODY, CHUNKED_BODY, BODY_UNTIL_CLOSE or BODY_READ
-    FIXED_LENGTH_BODY -> BODY_READ once all its bytes came
+    FIXED_LENGTH_BODY -> BODY_READ once all its bytes are read
     BODY_READ -> COMPLETE with the End event
     CHUNKED_BODY -> COMPLETE with the End event after the trailers
     BODY_UNTIL_CLOSE -> COMPLETE with the End event when the input ends (responses only)
-    COMPLETE -> HEAD by ``next_message``: bytes of a pipelined message wait until then
+    COMPLETE -> HEAD by ``next_message``; bytes of a pipelined message stay in the buffer until then
 
-An error leaves the parser in FAILED: what follows can't be told from an attack (RFC 9112 section 11.2), so
-nothing is ever guessed. A parser holds no more than one head or one chunk line beyond what it was fed at a
-time.
+After an error the parser stays in FAILED. It does not guess where the next message starts, as that would
+allow request smuggling (RFC 9112 section 11.2). A parser buffers no more than one head or one chunk line
+besides the bytes of the latest ``receive``.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 from orchidlane.http1.input_buffer import CR, take_bytes
 from orchidlane.http1.limits import ParserLimits
 
-MAX_EMPTY_LINES = 2  # ignored before a first line (RFC 9112 section 2.2)
+MAX_EMPTY_LINES = 2  # ignored before the first line of a message (RFC 9112 section 2.2)
 _END_OF_HEAD = b"\r\n\r\n"
 _END_OF_HEAD_BYTES = len(_END_OF_HEAD)
 
 
 class ParserState(Enum):
-    """The part of the message that comes next."""
+    """The part of the message that the parser reads next."""
 
     HEAD = auto()
     FIXED_LENGTH_BODY = auto()
@@ -46,7 +46,7 @@
 
 
 class MessageParser(ABC):
-    """Splits input into the events of one message after the other.
+    """Parses input into the events of one message after the other.
 
     Bytes are fed by ``receive``; events are taken by ``next_event`` until it returns None.
     """
@@ -60,17 +60,17 @@
         self._buffer = bytearray()
         self._searched_bytes = 0  # no head ends before this index
         self._empty_lines = 0
-        self._body_remaining = 0  # bytes of a body of fixed length
+        self._body_remaining = 0  # bytes of a fixed-length body that are still to be read
         self._chunked_decoder: ChunkedDecoder
 
     @property
     def pending_bytes(self) -> int:
-        """Number of bytes received that no event was made of yet."""
+        """Number of bytes received that are not part of an event yet."""
         return len(self._buffer)
 
     @property
     def unread(self) -> bytes:
-        """Bytes received that no event was made of yet; between two messages the parser's only state."""
+        """Bytes received that are not part of an event yet; between two messages, the parser's only state."""
         return bytes(self._buffer)
 
     def receive(self, data: bytes) -> None:
@@ -81,9 +81,9 @@
             self.input_ended = True
 
     def next_event(self) -> Event | None:
-        """Return the next event, or None until more input comes.
+        """Return the next event, or None until more input arrives.
 
-        Raises ProtocolError, and after the first one always.
+        Raises ProtocolError for invalid input, and at each call after that.
         """
         try:
             return self._READERS[self.state](self)
@@ -92,7 +92,7 @@
             raise
 
     def next_message(self) -> None:
-        """Begin the message after this one, which must be complete."""
+        """Start the next message; the current one must be complete."""
         assert self.state is ParserState.COMPLETE or self.state is ParserState.BODY_READ, self.state
         self.state = ParserState.HEAD
         self._searched_bytes = 0
@@ -129,7 +129,7 @@
             raise ProtocolError(400, "empty lines in place of a message")
 
     def _check_incomplete_head(self) -> None:
-        """Raise ProtocolError where more input could not complete the head."""
+        """Raise ProtocolError if no further input could make the head valid."""
         buffer = self._buffer
         line_feed = buffer.find(b"\n", self._searched_bytes)
         while line_feed >= 0:
@@ -153,7 +153,7 @@
         return 431 if self._has_first_line() else self.too_long_line_status
 
     def _enter_body(self, framing: int | Framing) -> int | None:
-        """Enter the state of a body with this framing and return its length in bytes, None if unknown."""
+        """Enter the state that reads a body of this framing; return its length in bytes, None if unknown."""
         if isinstance(framing, int):
             self._body_remaining = framing
             self.state = ParserState.FIXED_LENGTH_BODY if framing else ParserState.BODY_READ
--- a/orchidlane/http1/request_parser.py
+++ b/orchidlane/http1/request_parser.py
@@ -1,4 +1,4 @@
-"""Parser of requests, a server's side (RFC 9112 section 3)."""
+"""Parser of requests, for servers (RFC 9112 section 3)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RequestParser(MessageParser):
-    """Parses what a client sends."""
+    """Parses the requests of a client."""
 
     too_long_line_status = 414
 
@@ -49,7 +49,7 @@
 def _check_target(method: str, target: bytes) -> None:
     """Check that the target is in origin, absolute or asterisk form (RFC 9112 section 3.2).
 
-    Raises ProtocolError: 501 for CONNECT, 400 for another form.
+    Raises ProtocolError: 501 for CONNECT, 400 for any other form.
     """
     if method == "CONNECT":
         raise ProtocolError(501, "no tunnels here")
@@ -65,7 +65,7 @@
 def _expects_continue(headers: Headers, minor_version: int) -> bool:
     """Return whether the client waits for 100 Continue (RFC 9110 section 10.1.1).
 
-    Raises ProtocolError (417) for another expectation.
+    Raises ProtocolError (417) for any other expectation.
     """
     expectations = header_tokens(headers, b"expect")
     if not expectations or minor_version == 0:
--- a/orchidlane/http1/response_parser.py
+++ b/orchidlane/http1/response_parser.py
@@ -1,4 +1,4 @@
-"""Parser of responses, a client's side (RFC 9112 section 4)."""
+"""Parser of responses, for clients (RFC 9112 section 4)."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
 
 class ResponseParser(MessageParser):
-    """Parses what a server sends; ``expect_response_to`` comes before each response."""
+    """Parses the responses of a server; call ``expect_response_to`` before each one."""
 
     def __init__(self, limits: ParserLimits | None = None) -> None:
         super().__init__(limits)
         self._request_method = "GET"
 
     def expect_response_to(self, method: str) -> None:
-        """Set the method of the request that the next response answers: a response to HEAD has no body."""
+        """Set the method of the next response's request: a response to HEAD has no body."""
         self._request_method = method
 
     def _parse_head(self, first_line: bytes, headers: Headers) -> Response:
         match = _STATUS_LINE.fullmatch(first_line)
         if match is None or match[1] != b"1" or int(match[2]) > 1:
-            raise ProtocolError(502, "no status line of HTTP/1")
+            raise ProtocolError(502, "the first line is not a status line of HTTP/1.0 or HTTP/1.1")
         minor_version, status, reason = int(match[2]), int(match[3]), match[4] or b""
         if status == _SWITCHING_PROTOCOLS:
-            raise ProtocolError(502, "an upgrade that nobody asked for")
+            raise ProtocolError(502, "status 101 is not allowed: no request asks for an upgrade")
         keep_alive = keeps_alive(headers, minor_version)
         if status < 200:  # interim: another head follows
             return Response(status, reason, minor_version, headers, 0, keep_alive)
--- a/orchidlane/resp/__init__.py
+++ b/orchidlane/resp/__init__.py
@@ -1,4 +1,4 @@
-"""RESP2 and RESP3 without I/O: bytes in, values out, and back (specification of the Redis protocol)."""
+"""Decoder and encoder of RESP2 and RESP3, without I/O (specification of the Redis protocol)."""
 
 from orchidlane.resp.decoder import Decoder
 from orchidlane.resp.encoder import encode
--- a/orchidlane/resp/decoder.py
+++ b/orchidlane/resp/decoder.py
@@ -1,9 +1,9 @@
 """Decoder of RESP2 and RESP3 values and commands.
 
-The decoder keeps a stack of open aggregates instead of recursing: depth, counts and lengths are checked
-before anything is stored. ``next_command`` is a server's side (arrays of bulk strings, or inline commands),
-``next_value`` reads anything. A breach raises ProtocolError and leaves the decoder dead, since what follows
-can't be told apart.
+The decoder keeps a stack of open aggregates instead of recursing. It checks depth, counts and lengths before
+it stores anything. Servers use ``next_command`` (arrays of bulk strings, or inline commands); ``next_value``
+reads values of all types. After invalid input every call raises ProtocolError, as the decoder can't determine
+where the next value starts.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     VerbatimString,
 )
 
-# The first bytes of values.
+# The first byte of a value states its type.
 SIMPLE_STRING = ord("+")
 SIMPLE_ERROR = ord("-")
 INTEGER = ord(":")
@@ -41,9 +41,9 @@
 SET = ord("~")
 PUSH = ord(">")
 ATTRIBUTE = ord("|")
-BULKS = (BULK_STRING, BULK_ERROR, VERBATIM_STRING)
-AGGREGATES = (ARRAY, MAP, SET, PUSH, ATTRIBUTE)
-STREAMABLE = (BULK_STRING, BULK_ERROR, VERBATIM_STRING, ARRAY, MAP, SET, PUSH)
+BULK_TYPES = (BULK_STRING, BULK_ERROR, VERBATIM_STRING)
+AGGREGATE_TYPES = (ARRAY, MAP, SET, PUSH, ATTRIBUTE)
+STREAMABLE_TYPES = (BULK_STRING, BULK_ERROR, VERBATIM_STRING, ARRAY, MAP, SET, PUSH)
 
 CARRIAGE_RETURN = ord("\r")
 INTEGER_TEXT = re.compile(rb"[+-]?[0-9]{1,19}")
@@ -52,22 +52,22 @@
 INLINE_WORD = re.compile(rb'"((?:[^"\\]|\\.)*)"|(\S+)')
 INLINE_ESCAPE = re.compile(rb"\\(.)")
 MAX_LENGTH_DIGITS = 19
-COMPACT_FROM_BYTES = 65_536  # read bytes at the buffer's front that are dropped
+COMPACT_FROM_BYTES = 65_536  # decoded bytes are removed from the buffer once there are more than this
 
 
 class _OpenAggregate:
-    """An aggregate whose items are still coming."""
+    """An aggregate whose items have not all been read."""
 
-    __slots__ = ("items", "kind", "missing")
+    __slots__ = ("items", "kind", "missing_items")
 
-    def __init__(self, kind: int, missing: int) -> None:
+    def __init__(self, kind: int, missing_items: int) -> None:
         self.kind = kind
-        self.missing = missing
+        self.missing_items = missing_items
         self.items: list[Value] = []
 
 
 class Decoder:
-    """Bytes in, values out."""
+    """Decodes the bytes that it receives to values or commands."""
 
     def __init__(self, limits: Limits | None = None) -> None:
         self.limits = limits or Limits()
@@ -75,23 +75,26 @@
         self._position = 0  # of the first unread byte
         self._stack: list[_OpenAggregate] = []
         self._total_items = 0  # of the current value
-        self._bulk: tuple[int, int] | None = None  # kind and length of one that is coming
-        self._dead = False
+        self._bulk: tuple[int, int] | None = None  # type and bytes of a bulk string that is still to be read
+        self._has_failed = False
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes of values that are not complete; an open aggregate counts as one."""
+        """Number of bytes received but not decoded, plus one for each open aggregate."""
         return len(self._buffer) - self._position + len(self._stack)
 
     def unread_bytes(self) -> bytes | None:
-        """Return the bytes of an incomplete command, for another decoder; None if they are no command's."""
+        """Return the bytes of an incomplete command, so that another decoder can continue with them.
+
+        Return None if the incomplete value can't be a command.
+        """
         data = bytearray()
         for aggregate in self._stack:
             if aggregate.kind != ARRAY or len(self._stack) > 1:
                 return None
             if not all(isinstance(item, bytes) for item in aggregate.items):
                 return None
-            data += b"*%d\r\n" % (len(aggregate.items) + aggregate.missing)
+            data += b"*%d\r\n" % (len(aggregate.items) + aggregate.missing_items)
             for item in aggregate.items:
                 data += b"$%d\r\n%s\r\n" % (len(item), item)
         if self._bulk is not None:
@@ -99,16 +102,16 @@
         return bytes(data + self._buffer[self._position :])
 
     def receive(self, data: bytes) -> None:
-        """Feed bytes."""
+        """Append input."""
         if self._position > COMPACT_FROM_BYTES or self._position == len(self._buffer):
             del self._buffer[: self._position]
             self._position = 0
         self._buffer += data
 
     def next_command(self) -> list[bytes] | None:
-        """Return the next command as its words, or None until more bytes come. Raises ProtocolError.
+        """Return the next command as its words, or None until more bytes arrive. Raises ProtocolError.
 
-        An empty line is an empty list.
+        An empty line, an empty array or a null array gives an empty list.
         """
         if not self._stack and self._bulk is None:
             if self._position >= len(self._buffer):
@@ -122,21 +125,21 @@
         if command is None or command == []:
             return []
         if not isinstance(command, list) or not all(isinstance(word, bytes) for word in command):
-            self._dead = True
+            self._has_failed = True
             raise ProtocolError("a command is an array of bulk strings")
         return command
 
     def next_value(self) -> tuple[Value] | None:
-        """Return the next value in a tuple of one, or None until more bytes come. Raises ProtocolError."""
-        self._check_alive()
+        """Return the next value in a tuple of one, or None until more bytes arrive. Raises ProtocolError."""
+        self._check_not_failed()
         try:
             return self._read_value()
         except ProtocolError:
-            self._dead = True
+            self._has_failed = True
             raise
 
-    def _check_alive(self) -> None:
-        if self._dead:
+    def _check_not_failed(self) -> None:
+        if self._has_failed:
             raise ProtocolError("the connection is out of step")
 
     def _read_value(self) -> tuple[Value] | None:
@@ -150,22 +153,22 @@
                 return complete
 
     def _read_part(self) -> tuple[Any] | None:
-        """Return a scalar, or an _OpenAggregate that is new on the stack; None until more bytes come."""
+        """Return a scalar or the aggregate that was pushed on the stack; None until more bytes arrive."""
         if self._bulk is not None:
             return self._read_bulk_body()
         line = self._read_line()
         if line is None:
             return None
         kind, text = (line[0], line[1:]) if line else (0, b"")
-        if kind in STREAMABLE and text == b"?":
+        if kind in STREAMABLE_TYPES and text == b"?":
             raise ProtocolError("streamed strings and aggregates are not taken here")
-        if kind in BULKS:
+        if kind in BULK_TYPES:
             length = self._parse_length(text, self.limits.max_bulk_bytes, nullable=kind == BULK_STRING)
             if length is None:
                 return (None,)
             self._bulk = kind, length
             return self._read_bulk_body()
-        if kind in AGGREGATES:
+        if kind in AGGREGATE_TYPES:
             return self._open_aggregate(kind, text)
         return (self._parse_simple(kind, text),)
 
@@ -180,10 +183,10 @@
         if self._total_items > self.limits.max_total_items:
             raise ProtocolError(f"more than {self.limits.max_total_items} items in one value")
         if kind == ATTRIBUTE:
-            items += 1  # the value that it belongs to follows
+            items += 1  # the value that the attributes belong to
         aggregate = _OpenAggregate(kind, items)
         if items == 0:
-            return (_finish(aggregate),)
+            return (_aggregate_value(aggregate),)
         self._stack.append(aggregate)
         return (aggregate,)
 
@@ -194,11 +197,11 @@
         while self._stack:
             aggregate = self._stack[-1]
             aggregate.items.append(value)
-            aggregate.missing -= 1
-            if aggregate.missing:
+            aggregate.missing_items -= 1
+            if aggregate.missing_items:
                 return None
             self._stack.pop()
-            value = _finish(aggregate)
+            value = _aggregate_value(aggregate)
         return (value,)
 
     def _read_line(self) -> bytes | None:
@@ -265,13 +268,13 @@
         return len(text) <= self.limits.max_big_number_digits and bool(BIG_NUMBER_TEXT.fullmatch(text))
 
     def _read_inline_command(self) -> list[bytes] | None:
-        """Read words on a line, separated by blanks, perhaps quoted: what a person types."""
-        self._check_alive()
+        """Read the words of one line, separated by spaces and optionally quoted, as typed in a terminal."""
+        self._check_not_failed()
         max_bytes = self.limits.max_line_bytes
         end = self._buffer.find(b"\n", self._position, self._position + max_bytes + 1)
         if end < 0:
             if len(self._buffer) - self._position > max_bytes:
-                self._dead = True
+                self._has_failed = True
                 raise ProtocolError("an inline command is too long")
             return None
         line = bytes(self._buffer[self._position : end]).rstrip(b"\r")
@@ -282,8 +285,8 @@
         ]
 
 
-def _finish(aggregate: _OpenAggregate) -> Value:
-    """Return the value of an aggregate whose items have all come."""
+def _aggregate_value(aggregate: _OpenAggregate) -> Value:
+    """Return the value of an aggregate whose items have all been read."""
     items = aggregate.items
     if aggregate.kind == ARRAY:
         return items
@@ -296,5 +299,5 @@
     pairs = list(zip(items[::2], items[1::2], strict=True))
     try:
         return dict(pairs)
-    except TypeError:  # a key that can't be one in Python
+    except TypeError:  # a key that is not hashable in Python
         return pairs
--- a/orchidlane/resp/encoder.py
+++ b/orchidlane/resp/encoder.py
@@ -1,4 +1,4 @@
-"""Encoder of values for RESP2 and RESP3."""
+"""Encoder of values to RESP2 and RESP3."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def encode(value: Value, version: int = 2) -> bytes:
-    """Return a value as bytes of RESP2 or RESP3; what RESP2 lacks gets its nearest form."""
+    """Return a value as bytes of RESP2 or RESP3; types that RESP2 lacks are sent as its nearest type."""
     parts: list[bytes] = []
     _encode(value, version, parts)
     return b"".join(parts)
--- a/orchidlane/resp/errors.py
+++ b/orchidlane/resp/errors.py
@@ -4,4 +4,4 @@
 
 
 class ProtocolError(Exception):
-    """The other side broke the protocol or a limit."""
+    """Raised for input that violates RESP or a limit of the decoder; its text is sent to clients."""
--- a/orchidlane/resp/values.py
+++ b/orchidlane/resp/values.py
@@ -1,4 +1,4 @@
-"""The values of RESP that Python has no type of its own for."""
+"""Types of RESP values that have no equivalent type in Python."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorReply:
-    """An error: an upper-case code, a blank, and what is wrong."""
+    """An error: an upper-case code, a space and a description."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class VerbatimString:
-    """Text with a format of three letters."""
+    """Text with the three letters of its format, such as ``txt``."""
 
     kind: str
     text: bytes
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Push:
-    """Out-of-band data."""
+    """Data that the server sends without a request for it."""
 
     items: list[Value]
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttributedValue:
-    """A value with attributes that stood before it."""
+    """A value with the attributes that were sent before it."""
 
     attributes: list[tuple[Value, Value]]
     value: Value
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 parsing: strictness, bounds, any splitting, and agreement with another implementation."""
+"""HTTP/1.1 parsers and writers: strictness, limits, input split anywhere, and agreement with h11."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def read_events(
     data: bytes, parser: http1.RequestParser | None = None, step: int | None = None
 ) -> list[http1.Event | int]:
-    """Return all events of some input fed in steps; a ProtocolError ends them with its status."""
+    """Return the events of data fed ``step`` bytes at a time; a ProtocolError ends them with its status."""
     parser = parser or http1.RequestParser(
         http1.ParserLimits(max_line_bytes=200, max_head_bytes=600, max_header_lines=8, max_body_bytes=1000)
     )
@@ -32,7 +32,7 @@
 
 
 def collect_events(parser: http1.RequestParser | http1.ResponseParser, events: list[http1.Event]) -> None:
-    """Append the parser's events until there is none; what came before a ProtocolError stays."""
+    """Append the parser's events until there is none; those before a ProtocolError are kept."""
     while (event := parser.next_event()) is not None:
         events.append(event)
 
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize(("status", "data"), INVALID_REQUESTS)
 @pytest.mark.parametrize("step", [None, 1, 7])
-def test_request_that_may_smuggle_or_exceeds_a_limit_is_rejected(status, data, step):
+def test_ambiguous_or_oversized_request_is_rejected(status, data, step):
     assert read_events(data, step=step)[-1] == status
 
 
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("cut", range(1, 60))
-def test_truncated_response_never_ends_as_complete(cut):
+def test_truncated_response_is_never_complete(cut):
     data = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX: y\r\n\r\nabcde"
     parser = http1.ResponseParser()
     parser.receive(data[: min(cut, len(data) - 1)])
@@ -156,7 +156,7 @@
 def test_head_that_would_break_the_framing_is_not_written():
     with pytest.raises(ValueError, match="control"):
         http1.response_head(200, [(b"x", b"a\r\nb: c")])
-    with pytest.raises(ValueError, match="blank"):
+    with pytest.raises(ValueError, match="space"):
         http1.request_head("GET", b"/a b", [])
 
 
@@ -173,14 +173,14 @@
 
 @settings(max_examples=400, deadline=None)
 @given(header_lines, st.binary(max_size=30), st.integers(1, 40))
-def test_accepted_request_means_the_same_to_h11(
+def test_h11_reads_accepted_requests_the_same_way(
     fields: list[tuple[bytes, bytes, bytes]], rest: bytes, step: int
 ) -> None:
     field_lines = b"".join(name + colon + value + b"\r\n" for name, colon, value in fields)
     data = b"POST /x HTTP/1.1\r\nHost: a\r\n" + field_lines + b"\r\n" + rest
     events = read_events(data, http1.RequestParser(), step=step)
     if not events or not isinstance(events[0], http1.Request):
-        return  # this parser may be stricter
+        return  # this parser may reject what h11 accepts
     head = events[0]
     reference = h11.Connection(h11.SERVER)
     reference.receive_data(data)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""RESP: the codec's strictness and limits, ordinary clients against a real gateway."""
+"""RESP: strictness and limits of the codec, and Redis client libraries against a real gateway."""
 
 from __future__ import annotations
 
@@ -29,11 +29,13 @@
 )
 
 CORPUS = Path(__file__).parent / "corpus" / "resp"
-SMALL = resp.Limits(max_line_bytes=100, max_bulk_bytes=50, max_items=20, max_total_items=40, max_depth=4)
+SMALL_LIMITS = resp.Limits(
+    max_line_bytes=100, max_bulk_bytes=50, max_items=20, max_total_items=40, max_depth=4
+)
 
 
-def decode_all(data: bytes, step: int | None = None, limits: resp.Limits = SMALL) -> list:
-    """Return all values of some bytes, fed in steps; a protocol error ends them as its class."""
+def decode_all(data: bytes, step: int | None = None, limits: resp.Limits = SMALL_LIMITS) -> list:
+    """Return the values of data fed ``step`` bytes at a time; a ProtocolError ends them with its class."""
     decoder = Decoder(limits)
     decoded: list = []
     for piece in [data] if step is None else [data[i : i + step] for i in range(0, len(data), step)]:
@@ -108,7 +110,7 @@
     assert decode_all(b"*1\r\n" * 1_000, limits=resp.Limits())[-1] is resp.ProtocolError
 
 
-def test_commands_are_arrays_or_inline():
+def test_commands_are_decoded_from_arrays_and_inline_lines():
     decoder = Decoder()
     decoder.receive(b'*2\r\n$4\r\nECHO\r\n$1\r\na\r\nPING "a b" c\r\n\r\n*-1\r\n*0\r\nQUIT\n')
     commands = [decoder.next_command() for _ in range(6)]
@@ -117,7 +119,7 @@
 
 
 @pytest.mark.parametrize("data", [b"*1\r\n:1\r\n", b"*1\r\n*0\r\n", b"*1\r\n$-1\r\n"])
-def test_a_command_of_other_than_bulk_strings_is_rejected(data):
+def test_a_command_with_items_other_than_bulk_strings_is_rejected(data):
     decoder = Decoder()
     decoder.receive(data)
     with pytest.raises(resp.ProtocolError):
@@ -149,7 +151,7 @@
         or resp.ProtocolError in decoded
         or resp.ProtocolError in decode_all(data, 1)
     )
-    decoder = Decoder(SMALL)
+    decoder = Decoder(SMALL_LIMITS)
     decoder.receive(data)
     try:
         while (command := decoder.next_command()) is not None:
@@ -160,17 +162,17 @@
 
 @pytest.mark.parametrize("step", [None, 1, 3])
 @pytest.mark.parametrize("file", sorted(CORPUS.iterdir()), ids=lambda file: file.name)
-def test_files_of_the_corpus_are_valid_or_invalid_as_their_names_say(file, step):
+def test_only_corpus_files_named_bad_are_protocol_errors(file, step):
     decoded = decode_all(file.read_bytes(), step)
     assert (resp.ProtocolError in decoded) == file.name.startswith("bad")
 
 
-# Ordinary clients against a gateway
+# Redis client libraries against a gateway
 
 
 @pytest.fixture
 def resp_port(gateway_files: GatewayFiles) -> Iterator[int]:
-    """A single gateway with a RESP server; its only customer is acero on basico (4 a second, 12 at once)."""
+    """A single gateway with a RESP server; its only customer acero has plan basico (4 units/s, burst 12)."""
     settings_file = gateway_files.settings
     lines = settings_file.read_text().splitlines()
     remaining = [line for line in lines if 'name: "gw-1"' not in line and 'name: "gw-2"' not in line]
@@ -183,16 +185,16 @@
         yield gateway_files.resp_port
 
 
-def client(port: int, protocol: int, **more) -> redis.Redis:
-    return redis.Redis("127.0.0.1", port, password="secret", protocol=protocol, socket_timeout=5, **more)
+def client(port: int, protocol: int, **options) -> redis.Redis:
+    return redis.Redis("127.0.0.1", port, password="secret", protocol=protocol, socket_timeout=5, **options)
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-@pytest.mark.parametrize("pure", [True, False])
-def test_ordinary_clients_connect_and_take_units(resp_port, protocol, pure):
+@pytest.mark.parametrize("pure_python", [True, False])
+def test_redis_clients_connect_and_take_units(resp_port, protocol, pure_python):
     from redis._parsers import _HiredisParser, _RESP2Parser, _RESP3Parser
 
-    parser = (_RESP2Parser if protocol == 2 else _RESP3Parser) if pure else _HiredisParser
+    parser = (_RESP2Parser if protocol == 2 else _RESP3Parser) if pure_python else _HiredisParser
     pool = redis.ConnectionPool(
         host="127.0.0.1", port=resp_port, password="secret", protocol=protocol, parser_class=parser
     )
@@ -209,34 +211,34 @@
         with connection.pipeline(transaction=False) as pipe:
             for _ in range(20):
                 pipe.execute_command("LIMIT.TAKE", "acero", 1)
-            answers = pipe.execute()
-    assert sum(granted for granted, _, _ in answers) in range(2, 9)
-    rejected = next(answer for answer in answers if not answer[0])
+            replies = pipe.execute()
+    assert sum(granted for granted, _, _ in replies) in range(2, 9)
+    rejected = next(reply for reply in replies if not reply[0])
     assert rejected[2] >= 1
 
 
-def test_the_asyncio_client_takes_units_through_its_pool(resp_port):
-    async def use() -> list:
+def test_the_asyncio_redis_client_takes_units_through_its_pool(resp_port):
+    async def take_units() -> list:
         connection = redis.asyncio.Redis(host="127.0.0.1", port=resp_port, password="secret", protocol=3)
         async with connection:
             return await asyncio.gather(
                 *(connection.execute_command("LIMIT.TAKE", "acero", 1) for _ in range(30))
             )
 
-    answers = asyncio.run(use())
-    assert 9 <= sum(granted for granted, _, _ in answers) <= 13
+    replies = asyncio.run(take_units())
+    assert 9 <= sum(granted for granted, _, _ in replies) <= 13
 
 
-def test_tokens_reservations_and_refunds(resp_port):
+def test_tokens_refunds_and_reservations_are_each_applied_once(resp_port):
     with client(resp_port, 3) as connection:
-        unsure = 0
-        while True:  # an owner that started lately is not sure of any token
+        try_again_replies = 0
+        while True:  # a token owner replies TRYAGAIN for the token lifetime after its start
             try:
                 connection.execute_command("LIMIT.TAKE", "acero", 1, "IDEMPOTENT", "t")
                 break
             except redis.exceptions.TryAgainError:
-                unsure += 1
-                assert unsure < 100_000
+                try_again_replies += 1
+                assert try_again_replies < 100_000
         info = connection.execute_command("LIMIT.INFO")
         repeated = connection.execute_command("LIMIT.TAKE", "acero", 1, "IDEMPOTENT", "t")
         assert repeated[0] == 1
@@ -246,11 +248,11 @@
         name = connection.execute_command("LIMIT.RESERVE", "acero", 2, "FOR", 5_000)
         assert connection.execute_command("LIMIT.COMMIT", "acero", name) == 1
         assert connection.execute_command("LIMIT.RELEASE", "acero", name) == 0
-        brief = connection.execute_command("LIMIT.RESERVE", "acero", 2, "FOR", 1)
+        short_lived = connection.execute_command("LIMIT.RESERVE", "acero", 2, "FOR", 1)
         for _ in range(1_000):  # until it has expired
             connection.execute_command("LIMIT.PEEK", "acero")
         with pytest.raises(redis.ResponseError, match="EXPIRED"):
-            connection.execute_command("LIMIT.COMMIT", "acero", brief)
+            connection.execute_command("LIMIT.COMMIT", "acero", short_lived)
         with pytest.raises(redis.ResponseError, match="NOGRANT"):
             connection.execute_command("LIMIT.COMMIT", "acero", "0-0-0")
 
