--- a/orchidlane/hot_restart/tables.py
+++ b/orchidlane/hot_restart/tables.py
@@ -77,7 +77,7 @@
 
     def watch(self, changed: dict[Hashable, None] | None) -> None:
         """Let the store record the names of entries that it changes in ``changed``; None stops this."""
-        self._entries.touched = changed
+        self._entries.changed_names = changed
 
 
 class ReceivedTables:
