--- a/orchidlane/gateway/server/request_handler.py
+++ b/orchidlane/gateway/server/request_handler.py
@@ -153,7 +153,7 @@
     def _wait(self, request: PendingRequest) -> None:
         """Wait until the response or input wakes the task; fail the request if its deadline passes.
 
-        Raises ProtocolError (408) if the rest of the body doesn't arrive within ``body_progress_us``.
+        Raises ProtocolError (408) if no more of an incomplete body arrives within ``body_progress_us``.
         """
         server, body = self._server, request.body
         is_settled = body.is_complete or body.is_full
