--- a/orchidlane/limits/reservations.py
+++ b/orchidlane/limits/reservations.py
@@ -77,7 +77,7 @@
     ) -> None:
         """Store a grant; with ``reserved_for_us`` it is a reservation. Raises GrantStoreFullError."""
         if self.is_full(now):
-            raise GrantStoreFullError(f"{self.max_grants} grants are stored, which is the maximum")
+            raise GrantStoreFullError(f"{self.max_grants} grants are remembered already")
         reserved = reserved_for_us is not None
         lifetime_us = self.grant_lifetime_us if reserved_for_us is None else reserved_for_us
         expires_at = now + lifetime_us
