--- a/orchidlane/gateway/telemetry/admin_api.py
+++ b/orchidlane/gateway/telemetry/admin_api.py
@@ -1,9 +1,9 @@
-"""The admin address: health, metrics, and what the gateway knows, for tools.
+"""The admin API of a gateway: health, metrics, the policy's state and views of it, and rollout calls.
 
-Queries for the complete state are answered from a ``Snapshot``, in pages and only as fast as the tool reads,
-so that neither its size nor a tool that hangs holds the loop up. One such response at a time, within
-``STATE_TIMEOUT_US``; accounts that are accessed meanwhile are kept as they were, which bounds the memory by
-one row for each account.
+The complete state is sent from a ``Snapshot``, in pages and only as fast as the tool reads, so that neither
+its size nor a tool that hangs blocks the event loop. One such response is sent at a time, within
+``STATE_TIMEOUT_US``. Accounts that the policy accesses during that time are copied, which bounds the memory
+by one row for each account.
 """
 
 from __future__ import annotations
@@ -32,25 +32,25 @@
     TaskGroup,
 )
 
-IO_TIMEOUT_US = 5_000_000  # for a request, and for each piece of a response to be taken
-STATE_TIMEOUT_US = 30_000_000  # for the complete state to be read
-MAX_ROLLOUT_CALLS = 16  # at once: each may hold a content
+IO_TIMEOUT_US = 5_000_000  # to read a request head, each piece of a request body, or to send a state's page
+STATE_TIMEOUT_US = 30_000_000  # to read a request body, or to send a response or the complete state
+MAX_ROLLOUT_CALLS = 16  # at once, since each may have a version's content in memory
 ROLLOUT_PREFIX = b"/change/"
 SIGNATURE_HEADER = b"orchidlane-seal"
 
 
 class RolloutApi(Protocol):
-    """Answers signed calls about the fleet's versions."""
+    """Handles signed calls about the fleet's versions."""
 
     max_body_bytes: int
 
-    def answer(self, method: str, target: bytes, seal: bytes | None, body: bytes) -> tuple[int, bytes]:
-        """Return status and body for one call."""
+    def answer(self, method: str, target: bytes, signature: bytes | None, body: bytes) -> tuple[int, bytes]:
+        """Return the status and body of the response to one call."""
 
 
 @dataclass(frozen=True)
 class AdminSources:
-    """Where the admin API reads what it serves."""
+    """The parts of a gateway that the admin API reads its responses from."""
 
     gateway_name: str
     policy_source: PolicySource
@@ -62,7 +62,7 @@
 
 
 class _Response(NamedTuple):
-    """Status and body."""
+    """The status and body of a response."""
 
     status: int
     body: bytes
@@ -80,7 +80,7 @@
         self._rollout_calls = 0
 
     def listen(self, listener: Listener, scope: TaskGroup) -> None:
-        """Accept connections of a listener, as background work."""
+        """Accept connections from a listener, as background tasks."""
 
         def serve(stream: Stream) -> None:
             scope.spawn(self._serve, stream, priority=BACKGROUND, name="admin")
@@ -105,14 +105,14 @@
             elif request.target == b"/state" and not self.is_sending_state:
                 self._send_state(stream)
             else:
-                self._send(stream, self._answer(request.target))
+                self._send(stream, self._response_to(request.target))
         except (ConnectionClosedError, DeadlineExceededError, ProtocolError):
             pass
         finally:
             stream.close()
 
     def _read_request(self, stream: Stream, parser: http1.RequestParser) -> Request | None:
-        """Read the head of a request; None where the client ended before."""
+        """Return the head of a request, or None where the client closed the connection before its end."""
         deadline = self.loop.now() + IO_TIMEOUT_US
         while (event := parser.next_event()) is None:
             parser.receive(stream.recv(deadline=deadline))
@@ -124,7 +124,7 @@
     def _serve_rollout_call(
         self, stream: Stream, parser: http1.RequestParser, head: Request, rollout: RolloutApi
     ) -> None:
-        """Serve a call about the fleet's versions, within its bounds."""
+        """Serve a call about the fleet's versions, within the limits on calls at once and on body size."""
         too_large = head.body_length is not None and head.body_length > rollout.max_body_bytes
         if self._rollout_calls >= MAX_ROLLOUT_CALLS or too_large:
             self._send(stream, _Response(503, b"too many calls, or one that is too large\n"))
@@ -143,7 +143,7 @@
             self._rollout_calls -= 1
 
     def _read_body(self, stream: Stream, parser: http1.RequestParser, max_bytes: int) -> bytes | None:
-        """Read a body up to its end or beyond ``max_bytes``; None where the client ended before."""
+        """Return a body, cut off after ``max_bytes``; None where the client closed the connection before."""
         body = bytearray()
         deadline = self.loop.now() + STATE_TIMEOUT_US
         while not isinstance(event := parser.next_event(), End):
@@ -166,7 +166,7 @@
         head = http1.response_head(response.status, headers)
         stream.send(head + response.body, self.loop.now() + STATE_TIMEOUT_US)
 
-    def _answer(self, target: bytes) -> _Response:
+    def _response_to(self, target: bytes) -> _Response:
         if target == b"/metrics":
             return _Response(200, self.sources.metrics.render())
         if target == b"/health":
@@ -174,11 +174,11 @@
         if target == b"/state":
             return _Response(503, b"the state is being told to another; one at a time\n")
         if target.partition(b"?")[0] == b"/view":
-            return self._answer_view(target)
+            return self._view_response(target)
         return _Response(404, b"try /metrics, /health, /state or /view\n")
 
-    def _answer_view(self, target: bytes) -> _Response:
-        """Answer with the endpoints, and one customer by its name, number or key."""
+    def _view_response(self, target: bytes) -> _Response:
+        """Return a view of the endpoints, and of one customer by its name, number or key."""
         viewed = None
         if b"?customer=" in target:
             customer = self.sources.find_customer(unquote_to_bytes(target.partition(b"?customer=")[2]))
--- a/orchidlane/gateway/telemetry/metrics.py
+++ b/orchidlane/gateway/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""The counters of a gateway in Prometheus' text format, made when they are asked for."""
+"""The counters of a gateway in Prometheus' text format, rendered on request."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MetricsPage(GatewayCounters, Collector):
-    """The counters of one gateway as a page; ``gauges`` are read when it is rendered."""
+    """The counters of one gateway, which ``render`` returns as a page; ``gauges`` are read at that time."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/orchidlane/gateway/telemetry/plan_counts.py
+++ b/orchidlane/gateway/telemetry/plan_counts.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of the customers of each plan at one moment."""
+"""Counts of the customers of each plan, from a gateway's saved state."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 
 @dataclass
 class PlanCounts:
-    """The counts of one plan's customers."""
+    """The counts of one plan's customers; ``spent`` and ``remaining`` are in units."""
 
     customers: int = 0
     spent: float = 0.0
     remaining: float = 0.0
-    exhausted: int = 0  # rejected until a good part of the burst is back
-    unconfirmed: int = 0  # by other gateways
+    exhausted: int = 0  # customers who are rejected until enough units have refilled
+    unconfirmed: int = 0  # customers whose count no other gateway has reported yet
     in_flight: int = 0  # attempts
-    nearest_to_limit: list[CustomerShare] = field(default_factory=list)  # the least share first
+    nearest_to_limit: list[CustomerShare] = field(default_factory=list)  # the smallest share first
 
 
 def count_by_plan(reader: recording.SegmentReader, max_customers: int) -> dict[str, PlanCounts]:
-    """Return each plan's counts, brought up to the state's moment by the policy.
+    """Return each plan's counts by its name; the policy first refills the quotas up to the state's time.
 
-    Each has at most ``max_customers`` that are nearest to their limit. Raises ViewError, FormatError. Memory
-    does not grow with the customers.
+    Each plan has at most ``max_customers`` customers nearest to their limit. Raises ViewError, FormatError.
+    Memory does not grow with the number of customers.
     """
     header = reader.header
     check_build(header.build)
@@ -76,7 +76,7 @@
     def __init__(self, max_customers: int) -> None:
         self._max_customers = max_customers
         self._counts = PlanCounts()
-        # A heap of negated shares and customers: its first is the farthest from the limit.
+        # A heap of negated shares and customers; its first entry is the customer farthest from its limit.
         self._nearest: list[tuple[float, int]] = []
 
     def add(self, account: Account, plan: policy.Plan) -> None:
--- a/orchidlane/gateway/telemetry/policy_source.py
+++ b/orchidlane/gateway/telemetry/policy_source.py
@@ -1,4 +1,4 @@
-"""What telemetry needs of the running policy; defined here, so that telemetry does not import forwarding."""
+"""The interface to the running policy; defined here, so that telemetry does not import forwarding."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PolicyNames(NamedTuple):
-    """The names that the numbers of a state stand for."""
+    """The names of request classes and plans, by their numbers in a state."""
 
     classes: tuple[str, ...]
     plans: tuple[str, ...]
--- a/orchidlane/gateway/telemetry/policy_views.py
+++ b/orchidlane/gateway/telemetry/policy_views.py
@@ -1,7 +1,7 @@
-"""Views: what one gateway's policy knows, as tools read it.
+"""Views of one gateway's policy, for tools.
 
-A view is a ``StateDump`` of the policy with one customer's account and all endpoints, with the settings and
-names that go with it. ``predictions`` asks a copy made of it what the policy would do next.
+A view is a ``StateDump`` of the policy with one customer's account and all endpoints, with the policy's
+settings and names. ``predictions`` restores a policy from a view to predict what it would do next.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 
 class ViewedCustomer(NamedTuple):
-    """The customer that a view is of, with its replica set."""
+    """The customer of a view, with its replica set."""
 
     number: int
     plan: int
-    set_first: int
-    set_size: int
+    replica_set_start: int
+    replica_set_size: int
 
 
 class PolicyView(msgspec.Struct, frozen=True):
-    """What one gateway knows at the time ``now`` (microseconds of its clock)."""
+    """The view of one gateway's policy at the time ``now``, in microseconds of the gateway's clock."""
 
     format: int
     build: str
@@ -40,7 +40,7 @@
     customer: ViewedCustomer | None
 
     def policy_settings(self) -> policy.Settings:
-        """Return the settings as the policy takes them. Raises ViewError."""
+        """Return the policy's settings. Raises ViewError."""
         try:
             return recording.settings_from_stored(self.settings)
         except msgspec.ValidationError as error:
@@ -48,13 +48,13 @@
 
 
 class ViewError(Exception):
-    """A view that this build can't judge."""
+    """A view or state that this build can't read or use."""
 
 
 def encode_view(
     gateway: Gateway, name: str, now: int, names: PolicyNames, customer: ViewedCustomer | None
 ) -> bytes:
-    """Return a view as bytes: work and size are in proportion to the endpoints and one customer."""
+    """Return a view as bytes; work and size grow with the number of endpoints, not with the customers."""
     customers = [customer.number] if customer is not None else []
     view = PolicyView(
         format=VIEW_FORMAT,
@@ -71,31 +71,33 @@
 
 
 def decode_view(data: bytes) -> PolicyView:
-    """Return the view of some bytes. Raises ViewError."""
+    """Return a view from its bytes. Raises ViewError."""
     try:
         view = msgspec.msgpack.decode(data, type=PolicyView)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ViewError(f"not a view that this build ({recording.build_name()}) can read: {error}") from None
     if view.format != VIEW_FORMAT:
-        raise ViewError(f"a view of format {view.format}; this build reads {VIEW_FORMAT}")
+        raise ViewError(f"the view has format {view.format}; this build reads only format {VIEW_FORMAT}")
     check_build(view.build)
     return view
 
 
 def check_build(build: str) -> None:
-    """Check that a state comes from a build that decides as this one. Raises ViewError."""
+    """Check that a state is from a build that makes the same decisions as this one. Raises ViewError."""
     own = recording.build_name()
     if build != own:
-        raise ViewError(f"told by build {build}, this is {own}: its decisions could differ, so none is told")
+        raise ViewError(
+            f"written by build {build}, this is build {own}: its decisions could differ, so it is not used"
+        )
 
 
 def view_from_state(reader: recording.SegmentReader, number: int) -> PolicyView:
-    """Return the view of a customer, by its number, in a saved state. Raises ViewError, FormatError."""
+    """Return the view of a customer, by its number, from a saved state. Raises ViewError, FormatError."""
     header = reader.header
     check_build(header.build)
     row = next((row for row in reader.account_rows() if row[0] == number), None)
     if row is None:
-        raise ViewError(f"{reader.path}: no customer {number} is known there")
+        raise ViewError(f"{reader.path}: no account of customer {number} is in this state")
     state = header.state
     return PolicyView(
         format=VIEW_FORMAT,
--- a/orchidlane/gateway/telemetry/predictions.py
+++ b/orchidlane/gateway/telemetry/predictions.py
@@ -1,6 +1,7 @@
-"""What the policy would do next: asked of copies made of a view, so that nothing changes.
+"""Predicts what a gateway's policy would do next, with copies that are restored from a view.
 
-A copy is fed one request; the gateway and every tool do this by the same function.
+Each copy receives one more request, so the gateway's own policy does not change. The gateway and all tools
+use the same functions for this.
 """
 
 from __future__ import annotations
@@ -14,12 +15,13 @@
 from orchidlane.gateway.telemetry.policy_views import PolicyView, ViewedCustomer, ViewError
 from orchidlane.policy.gateway import Gateway
 
-PREDICTED_REQUEST = (1 << 32) - 1  # its number
-UNKNOWN_CUSTOMER = (1 << 33) - 1  # its number
-ENDPOINT_SAMPLES = 64  # copies asked where the next request would go: the choice draws
+PREDICTED_REQUEST_NUMBER = (1 << 32) - 1
+UNKNOWN_CUSTOMER_NUMBER = (1 << 33) - 1
+ENDPOINT_SAMPLES = 64  # copies that each select an endpoint, since the selection is random
 NEGLIGIBLE_UNITS = 1e-6
 UNCONFIRMED = "its share while no other gateway has told of it"
-PLAN_WITHOUT_LIMIT: dict[str, dict[str, Any]] = {  # limits of a plan, and how a plan without it looks
+# A plan's limits, by the texts that the command prints, with the settings of a plan without that limit.
+PLAN_WITHOUT_LIMIT: dict[str, dict[str, Any]] = {
     "the ceiling: this gateway's part of it": {"ceiling_rate": 0.0},
     "the cap on requests open at once": {"max_in_flight": 0},
     "the quota": {"rate": 0.0},
@@ -28,7 +30,7 @@
 
 
 class Decision(StrEnum):
-    """What becomes of a request first; values are in the command's output."""
+    """The first decision on a request; the values are part of the command's output."""
 
     FORWARDED = "sent"
     REJECTED = "refused"
@@ -37,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Prediction:
-    """What would become of the next request, and the customer's account before it."""
+    """The decision on the next request, and the customer's account before it."""
 
     decision: Decision
     reason: str
@@ -78,9 +80,9 @@
 
 
 def predict_endpoints(view: PolicyView, request_class: int) -> dict[bytes, int]:
-    """Return how many of ``ENDPOINT_SAMPLES`` copies would forward the next request to which endpoint.
+    """Return for each endpoint how many of ``ENDPOINT_SAMPLES`` copies would forward the next request to it.
 
-    Each copy draws anew. Raises ViewError.
+    Each copy has its own random seed. Raises ViewError.
     """
     forwarded: Counter[bytes] = Counter()
     for seed in range(ENDPOINT_SAMPLES):
@@ -88,7 +90,7 @@
         gateway.random.seed(seed)
         plans = gateway.settings.plans
         plan = next((number for number, plan in enumerate(plans) if not plan.rate), 0)
-        customer = ViewedCustomer(UNKNOWN_CUSTOMER, plan, 0, 1)
+        customer = ViewedCustomer(UNKNOWN_CUSTOMER_NUMBER, plan, 0, 1)
         actions = _feed_request(gateway, view.now, customer, request_class, NEGLIGIBLE_UNITS)
         forwarded.update(action.endpoint for action in actions if isinstance(action, policy.SendAttempt))
     return dict(forwarded)
@@ -96,7 +98,7 @@
 
 def _customer_of(view: PolicyView) -> ViewedCustomer:
     if view.customer is None:
-        raise ViewError("the view names no customer")
+        raise ViewError("the view has no customer, which a prediction needs")
     return view.customer
 
 
@@ -111,14 +113,14 @@
     gateway: Gateway, now: int, customer: ViewedCustomer, request_class: int, units: float
 ) -> list[policy.Action]:
     arrival = policy.RequestArrived(
-        request=PREDICTED_REQUEST,
+        request=PREDICTED_REQUEST_NUMBER,
         customer=customer.number,
         plan=customer.plan,
         request_class=request_class,
         units=units,
         time_left_us=gateway.settings.classes[request_class].deadline_us,
-        replica_set_start=customer.set_first,
-        replica_set_size=customer.set_size,
+        replica_set_start=customer.replica_set_start,
+        replica_set_size=customer.replica_set_size,
         is_retry=False,
     )
     return gateway.handle(now, arrival)
@@ -139,7 +141,10 @@
 
 
 def _rejecting_limit(view: PolicyView, request_class: int, units: float) -> str:
-    """Return which limit rejects, asked of copies that each lack one: no condition is written twice."""
+    """Return which limits reject a request: each of those without which a copy of the policy admits it.
+
+    This way, the conditions of the policy are not repeated here.
+    """
     customer = _customer_of(view)
     limits = []
     for limit, changes in PLAN_WITHOUT_LIMIT.items():
--- a/orchidlane/gateway/telemetry/state_stream.py
+++ b/orchidlane/gateway/telemetry/state_stream.py
@@ -10,9 +10,9 @@
 
 
 class StateStream:
-    """A segment's header as of now, and the frames of its accounts, each made when it is asked for.
+    """The header of a segment with the state as of now; iterating yields the frames of its accounts.
 
-    ``close`` it where not all are wanted.
+    Each frame is made on demand. Call ``close`` where not all frames are read.
     """
 
     def __init__(
--- a/orchidlane/gateway/telemetry/traffic_recorder.py
+++ b/orchidlane/gateway/telemetry/traffic_recorder.py
@@ -1,9 +1,9 @@
-"""Writes what the policy received and decided into rotating segments.
+"""Writes the policy's events and actions, and the responses to clients, into rotating segments.
 
-Entries gather in memory and are written together, so a crash loses at most ``WRITE_INTERVAL_US`` or
-``MAX_BUFFER_BYTES`` of them. The state that a segment begins with is that of one moment between two events;
-its accounts follow in pages, a few at a time, while the gateway goes on (``recording.Snapshot``). A disk that
-fails ends the recording and nothing else.
+Entries are buffered in memory and written together, so a crash loses at most ``WRITE_INTERVAL_US`` or
+``MAX_BUFFER_BYTES`` of them. A segment starts with the policy's state at one moment between two events; the
+accounts follow in pages while the gateway continues to serve (``recording.Snapshot``). A write error stops
+the recording and nothing else.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from orchidlane.runtime import EventLoop
 
 WRITE_INTERVAL_US = 100_000
-MAX_BUFFER_BYTES = 1 << 18  # written at once
+MAX_BUFFER_BYTES = 1 << 18  # a buffer of this size is written without waiting for the interval
 MAX_SEGMENT_BYTES = 16 << 20
 PAGE_INTERVAL_US = 2_000  # between two pages of a state
-MAX_SEGMENTS = 64  # of one gateway; the oldest is removed
+MAX_SEGMENTS = 64  # kept by one recorder; the oldest is removed
 
 
 class TrafficRecorder:
-    """One gateway's record in a folder."""
+    """Records the traffic of one gateway in a folder."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self.failed = False
         self._buffer = bytearray()
         self._segment_bytes = 0
-        self._state: StateStream  # that the segment began with
+        self._state: StateStream  # at the start of the current segment
         self._rotate()
 
     def record_event(self, now: int, event: policy.Event, actions: list[policy.Action]) -> None:
@@ -60,13 +60,13 @@
             self._flush_if_full()
 
     def record_response(self, request: int, status: int, kind: str, duration_us: int) -> None:
-        """Record what a client was answered; the duration is from the request's first byte."""
+        """Record a response to a client; the duration is measured from the request's first byte."""
         if not self.failed:
             self._buffer += pack_response(self.loop.now(), request, status, kind, duration_us)
             self._flush_if_full()
 
     def run(self) -> None:
-        """Write at intervals, and begin a new segment between two events when one is full; never returns."""
+        """Write at intervals, and start a new segment between two events when one is full; never return."""
         while True:
             self.loop.sleep(WRITE_INTERVAL_US)
             self.flush()
@@ -75,12 +75,12 @@
                 self._rotate()
 
     def finish(self) -> None:
-        """Write what has gathered and the rest of the state, as the gateway ends."""
+        """Write the buffer and the rest of the state when the gateway stops."""
         self._buffer += b"".join(self._state)
         self.flush()
 
     def flush(self) -> None:
-        """Write what has gathered."""
+        """Write the buffered entries."""
         if self._buffer and not self.failed:
             data = bytes(self._buffer)
             self._buffer = bytearray()
@@ -112,7 +112,7 @@
         )
         data = self._state.header
         if not self.policy_source.gateway.accounts:
-            data += b"".join(self._state)  # complete from the start, however soon a crash comes
+            data += b"".join(self._state)  # the state is complete even if the gateway crashes right away
         self._segment_bytes = 0
         self._write(data)
         oldest = self.number - MAX_SEGMENTS
--- a/orchidlane/recording/__init__.py
+++ b/orchidlane/recording/__init__.py
@@ -1,4 +1,4 @@
-"""What a gateway received, decided and knew, as bytes for later builds: formats and their readers."""
+"""Stored traffic records and policy states: their formats, readers, replay and audit."""
 
 from orchidlane.recording.audit import audit_records
 from orchidlane.recording.audit_findings import Findings
--- a/orchidlane/recording/audit.py
+++ b/orchidlane/recording/audit.py
@@ -1,10 +1,11 @@
-"""The rules over the records of gateways: what each policy received and decided, merged by time.
-
-The simulation's audit goes by the sockets of clients and servers. This one goes by records alone, as an
-operator has them of a real fleet, and so judges what a gateway can be held to by its own record: rules 1, 2,
-3 and 5. Rule 4 needs the servers' records. Where servers kept records too, every arrival there is looked up
-among the attempts sent: one that no policy decided on is an ``UNDECIDED_ARRIVAL``. Memory is in proportion to
-the requests in flight and the customers, plus a set of the attempts where servers' records are compared.
+"""Audits the traffic records of all gateways: checks the rules on their entries, merged in order of time.
+
+The simulation's audit observes the sockets of clients and endpoints. This audit has only the gateways'
+records, as an operator has them from a real fleet, so it checks the rules that these records can prove:
+rules 1, 2, 3 and 5. Rule 4 needs the endpoints' records. Where endpoints kept records too, every arrival
+there is looked up among the attempts sent; an arrival that no policy decided on is an ``UNDECIDED_ARRIVAL``.
+Memory is in proportion to the requests in flight and the customers, plus the set of all attempts where
+endpoints' records are compared.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 from orchidlane.recording.replay import group_by_incarnation
 from orchidlane.recording.segment_reader import Entry, SegmentReader
 
-MIN_SLACK_UNITS = 1e-9  # where a plan has no slack
+MIN_SLACK_UNITS = 1e-9  # divisor for a plan without slack
 
 
 class _Step(NamedTuple):
-    """One entry of one incarnation."""
+    """One entry of a record, with the audit of the incarnation that recorded it."""
 
     at_us: int
     incarnation: IncarnationAudit
@@ -34,9 +35,10 @@
 
 
 def audit_records(paths: list[str], arrivals: Iterable[tuple[str, int]] | None = None) -> Findings:
-    """Check the rules over the segments of all gateways. Raises FormatError.
+    """Check the rules on the segments of all gateways. Raises FormatError.
 
-    ``arrivals`` are the attempts that servers saw, and when. Clocks of the machines are taken to agree.
+    ``arrivals`` are the names of the attempts that endpoints received, with the time in microseconds. The
+    clocks of all machines are assumed to agree.
     """
     findings = Findings()
     ceilings = _CeilingAudit()
@@ -56,20 +58,20 @@
 
 
 def _check_arrivals(arrivals: Iterable[tuple[str, int]], sent_attempts: set[str], findings: Findings) -> None:
-    for name, arrived_at in arrivals:
-        incarnation = name.rsplit("-", 2)[0]
-        if name in sent_attempts:
+    for attempt_name, arrived_at_us in arrivals:
+        incarnation_name = attempt_name.rsplit("-", 2)[0]
+        if attempt_name in sent_attempts:
             findings.arrivals += 1
-        elif arrived_at > findings.last_entry_at_us.get(incarnation, arrived_at):
+        elif arrived_at_us > findings.last_entry_at_us.get(incarnation_name, arrived_at_us):
             findings.arrivals_after_last_entry += 1
         else:
-            findings.add_fault(Violation.UNDECIDED_ARRIVAL, name)
+            findings.add_fault(Violation.UNDECIDED_ARRIVAL, attempt_name)
 
 
 def _read_incarnation(
     paths: list[str], findings: Findings, sent_attempts: set[str] | None, stack: contextlib.ExitStack
 ) -> Iterator[_Step]:
-    """Yield the entries of one incarnation in their order. A segment that can't be read ends it."""
+    """Yield the entries of one incarnation in order of time, up to a segment that can't be read."""
     incarnation: IncarnationAudit | None = None
     now = 0
     for path in paths:
@@ -90,29 +92,29 @@
             findings.damaged = findings.damaged or not reader.damage.truncated
             break
     if incarnation is not None:
-        incarnation.end(now)
+        incarnation.finish(now)
 
 
 class _CeilingAudit:
-    """The ceilings of all customers over all gateways."""
+    """Checks each customer's ceiling against what all gateways admitted together."""
 
     def __init__(self) -> None:
         self.worst_overshoot = 0.0  # as a multiple of the slack
         self._quotas: dict[int, ReferenceQuota] = {}
 
     def feed(self, incarnation: IncarnationAudit, entry: Entry) -> None:
-        """Draw what an entry admits; the incarnation has been fed the entry before."""
+        """Count the units that an entry admits; ``incarnation`` must have checked the entry before."""
         for action in entry.actions:
             match action:
                 case policy.GrantQuota():
                     if isinstance(entry.event, policy.QuotaRequested):
-                        self._draw(incarnation.settings, entry.event, entry.at_us)
+                        self._consume(incarnation.settings, entry.event, entry.at_us)
                 case policy.SendAttempt():
-                    request = incarnation.open.get(action.request)
+                    request = incarnation.open_requests.get(action.request)
                     if request is not None and len(request.attempts) == 1:
-                        self._draw(incarnation.settings, request.event, entry.at_us)
+                        self._consume(incarnation.settings, request.event, entry.at_us)
 
-    def _draw(
+    def _consume(
         self, settings: policy.Settings, event: policy.RequestArrived | policy.QuotaRequested, now: int
     ) -> None:
         plan = settings.plans[event.plan]
@@ -122,5 +124,7 @@
         if quota is None:
             quota = ReferenceQuota(plan.ceiling_rate, plan.ceiling_burst, now)
             self._quotas[event.customer] = quota
-        overdrawn = quota.draw(now, event.units)
-        self.worst_overshoot = max(self.worst_overshoot, overdrawn / (plan.ceiling_slack or MIN_SLACK_UNITS))
+        overdrawn_units = quota.consume(now, event.units)
+        self.worst_overshoot = max(
+            self.worst_overshoot, overdrawn_units / (plan.ceiling_slack or MIN_SLACK_UNITS)
+        )
--- a/orchidlane/recording/build_identity.py
+++ b/orchidlane/recording/build_identity.py
@@ -1,7 +1,8 @@
 """The name of this build: its version and a digest over the sources of the policy.
 
-Two builds of one version may still decide differently, as while a change is tried out. A tool that judges by
-a copy of the policy may only do so for a gateway with the very same policy, so the name holds both.
+Two builds of one version may decide differently, for example during development. A tool may predict a
+gateway's decisions with its own copy of the policy only if both policies are the same, so the name has both
+parts.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 @cache
 def build_name() -> str:
-    """Return ``version+digest``: equal where the decisions are."""
+    """Return ``version+digest``; builds with the same name make the same decisions."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for source in sorted(POLICY_FOLDER.glob("*.py")):
         digest.update(source.read_bytes())
--- a/orchidlane/recording/codec.py
+++ b/orchidlane/recording/codec.py
@@ -69,7 +69,7 @@
 
 _ENDPOINT_ENTRY_NAMES = _field_names(policy.EndpointEntry)
 _ENDPOINT_ENTRY_FIELDS = _field_getter(policy.EndpointEntry)
-# How a field is made from its plain value, where that is not the value itself.
+# Conversions from a stored value to the value of a field, for the fields where the two differ.
 _FIELD_CONVERTERS: dict[tuple[type, str], Callable[[Any], Any]] = {
     (policy.EndpointListReceived, "kind"): policy.EndpointListKind,
     (policy.EndpointListReceived, "entries"): _endpoint_entries,
@@ -87,7 +87,7 @@
 
 
 def pack_event(event: Any) -> tuple[Any, ...]:
-    """Return an event as plain values."""
+    """Return an event as plain values: its type number, then its fields."""
     event_type = type(event)
     if event_type is policy.EndpointListReceived:
         entries = [_ENDPOINT_ENTRY_FIELDS(entry) for entry in event.entries]
@@ -96,19 +96,19 @@
 
 
 def pack_action(action: policy.Action) -> tuple[Any, ...]:
-    """Return an action as plain values."""
+    """Return an action as plain values: its type number, then its fields."""
     action_type = type(action)
     return (_ACTION_NUMBERS[action_type], *_FIELD_GETTERS[action_type](action))
 
 
 def unpack_event(values: list[Any]) -> policy.Event:
-    """Return the event of plain values. Raises FormatError."""
+    """Return an event from its plain values. Raises FormatError."""
     event: policy.Event = _unpack(values, EVENT_TYPES)
     return event
 
 
 def unpack_action(values: list[Any]) -> policy.Action:
-    """Return the action of plain values. Raises FormatError."""
+    """Return an action from its plain values. Raises FormatError."""
     action: policy.Action = _unpack(values, ACTION_TYPES)
     return action
 
@@ -117,11 +117,13 @@
     try:
         value_type = types[values[0]]
     except (KeyError, IndexError, TypeError):
-        raise FormatError("an event or action of a later build") from None
+        raise FormatError(
+            "the type number of an event or action is missing, or this build does not know it"
+        ) from None
     names = _FIELD_NAMES[value_type]
     fields = values[1:]
     if len(fields) > len(names):
-        raise FormatError(f"{value_type.__name__} has fields of a later build")
+        raise FormatError(f"{value_type.__name__} has more fields than this build knows")
     try:
         return value_type(
             *(_convert(value_type, name, value) for name, value in zip(names, fields, strict=False))
--- a/orchidlane/recording/description.py
+++ b/orchidlane/recording/description.py
@@ -66,7 +66,7 @@
 
 
 def describe(value: Any) -> str:
-    """Return an event, an action or a field of one as text, like a constructor call with stored names."""
+    """Return an event, an action or one of their fields as text: a constructor call with stored names."""
     type_name = TYPE_NAMES.get(type(value), type(value).__name__)
     if isinstance(value, enum.Enum):
         member = MEMBER_NAMES.get(value, value.name)
--- a/orchidlane/recording/errors.py
+++ b/orchidlane/recording/errors.py
@@ -1,4 +1,4 @@
-"""Errors of stored records, states and traffic segments."""
+"""Errors on reading stored records, states and traffic segments."""
 
 from __future__ import annotations
 
@@ -8,4 +8,4 @@
 
 
 class TruncatedHeaderError(FormatError):
-    """A segment whose header or initial state was not written completely: its gateway ended meanwhile."""
+    """A segment whose header or initial state is incomplete: its gateway exited while writing it."""
--- a/orchidlane/recording/frames.py
+++ b/orchidlane/recording/frames.py
@@ -1,6 +1,6 @@
 """Frames: u32 length, u32 CRC-32 of the body, body; little-endian.
 
-Traffic segments and the messages of the hot restart are made of them.
+Traffic segments and the messages of a hot restart consist of frames.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 FRAME_HEADER = struct.Struct("<II")
 MAX_FRAME_BYTES = 1 << 30
-MAX_SCAN_BYTES = 64 << 20  # searched for frames behind a damaged one
+MAX_SCAN_BYTES = 64 << 20  # read after a damaged frame to find intact ones
 
 
 def encode_frame(body: bytes) -> bytes:
@@ -19,10 +19,11 @@
 
 
 def count_frames_after(path: str, offset: int) -> int:
-    """Count the intact frames behind a damaged one at ``offset``, so that a report can say what was not read.
+    """Count the intact frames after a damaged one at ``offset`` in bytes, to report how many were not read.
 
-    A torn tail has none behind it. The next frame is found by the damaged one's length or, where the length
-    itself is damaged, by searching for a frame that fits its checksum. None of them is decoded.
+    After a write that a crash interrupted there are none. The next frame is found by the damaged one's length
+    or, where the length itself is damaged, by searching for a frame that matches its checksum. The frames are
+    not decoded.
     """
     with open(path, "rb") as file:
         file.seek(offset)
@@ -36,7 +37,7 @@
 
 
 def _first_intact_frame(data: bytes) -> int:
-    """Return the position of the first intact frame behind the damaged one, or the end of the data."""
+    """Return the position of the first intact frame after the damaged one, or the end of the data."""
     length = FRAME_HEADER.unpack_from(data)[0] if len(data) >= FRAME_HEADER.size else 0
     position = FRAME_HEADER.size + length
     if _is_intact_frame(data, position):
@@ -45,7 +46,7 @@
 
 
 def _is_intact_frame(data: bytes, position: int) -> bool:
-    """Whether a complete frame that is not empty starts there."""
+    """Return whether a complete frame with a body of at least one byte starts at ``position``."""
     if position + FRAME_HEADER.size > len(data):
         return False
     length, checksum = FRAME_HEADER.unpack_from(data, position)
--- a/orchidlane/recording/incarnation_audit.py
+++ b/orchidlane/recording/incarnation_audit.py
@@ -1,4 +1,4 @@
-"""The rules over the record of one incarnation of a gateway, entry by entry."""
+"""Checks the rules on the record of one incarnation of a gateway, entry by entry."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
 from orchidlane.recording.segments import Header
 
 NOT_EXECUTED_OUTCOMES = (Outcome.ENDPOINT_FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-STALL_US = 1_000_000  # without an entry; gossip rounds come more often, so the gateway was stalled
+# A gateway that records no entry for longer than this was stalled: its gossip rounds are more frequent.
+STALL_US = 1_000_000
 
 
 @dataclass(slots=True)
 class SentAttempt:
-    """An attempt of a request."""
+    """An attempt that a gateway sent for a request."""
 
     sent_at_us: int
     endpoint: bytes
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that is owed a response, with its attempts."""
+    """A request without a final response so far, with its attempts."""
 
     event: policy.RequestArrived
     deadline_at_us: int
@@ -44,8 +45,8 @@
         return [attempt for attempt in self.attempts if attempt.possibly_executed]
 
 
-class _Phase(NamedTuple):
-    """An endpoint's state, and since when it has been ready or not."""
+class _EndpointStatus(NamedTuple):
+    """An endpoint's state, and when it last became ready or stopped being ready."""
 
     state: EndpointState
     since_us: int
@@ -59,46 +60,46 @@
 
 
 class _Stall(NamedTuple):
-    """A time without entries."""
+    """A period without entries."""
 
     from_us: int
     until_us: int
 
 
 class IncarnationAudit:
-    """Checks one incarnation of one gateway; what it finds goes into ``findings``."""
+    """Checks one incarnation of one gateway; violations and counts are added to ``findings``."""
 
     def __init__(self, header: Header, findings: Findings, sent_attempts: set[str] | None) -> None:
-        """Begin at a header; the names of attempts are added to ``sent_attempts`` where that is not None."""
+        """Start from a header; the names of attempts are added to ``sent_attempts`` unless that is None."""
         incarnation = int(header.context.get("incarnation", header.started_at_us))
         self.settings = header.policy_settings()
         self.name = f"{header.gateway}-{incarnation:x}"
-        self.open: dict[int, OpenRequest] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
         self._findings = findings
         self._sent_attempts = sent_attempts
-        self._phases: dict[bytes, _Phase] = {}
+        self._statuses: dict[bytes, _EndpointStatus] = {}
         self._locations: dict[bytes, _Location] = {}
         self._now = header.written_at_us
-        # The part of the client's time that the gateway keeps for the way back.
+        # The part of the client's timeout that the gateway reserves for sending the response.
         self._client_margin_us = int(header.context.get("client_margin", 0))
         self._last_stall = _Stall(0, 0)
         self._read_endpoints(header)
 
     def _read_endpoints(self, header: Header) -> None:
-        """Take over the listed endpoints: an incarnation may begin within a record."""
+        """Add the endpoints that the header lists: the policy may have them before its first event."""
         for entry, _, _, listed in header.state.endpoints:
             if listed:
                 location = _Location(zone=entry[2], cell=entry[3])
-                self._set_phase(bytes(entry[0]), EndpointState(entry[1]), location, header.started_at_us)
+                self._set_status(bytes(entry[0]), EndpointState(entry[1]), location, header.started_at_us)
 
-    def _set_phase(self, endpoint: bytes, state: EndpointState, location: _Location, now: int) -> None:
+    def _set_status(self, endpoint: bytes, state: EndpointState, location: _Location, now: int) -> None:
         self._locations[endpoint] = location
-        previous = self._phases.get(endpoint)
+        previous = self._statuses.get(endpoint)
         if previous is None or (previous.state is EndpointState.READY) != (state is EndpointState.READY):
-            self._phases[endpoint] = _Phase(state, now)
+            self._statuses[endpoint] = _EndpointStatus(state, now)
 
     def feed(self, entry: Entry) -> None:
-        """Check one entry; entries come in their order."""
+        """Check one entry; entries must be fed in order of time."""
         now = entry.at_us
         if now > self._now + STALL_US:
             self._last_stall = _Stall(self._now, now)
@@ -114,14 +115,14 @@
         match event:
             case policy.RequestArrived():
                 self._findings.requests += 1
-                deadline_at = now + event.time_left_us + self._client_margin_us
-                self.open[event.request] = OpenRequest(event, deadline_at)
+                deadline_at_us = now + event.time_left_us + self._client_margin_us
+                self.open_requests[event.request] = OpenRequest(event, deadline_at_us)
             case policy.EndpointListReceived():
                 self._apply_endpoint_list(event, now)
             case policy.AttemptFinished():
                 self._finish_attempt(event, now)
             case policy.ClientDisconnected():
-                self.open.pop(event.request, None)
+                self.open_requests.pop(event.request, None)
 
     def _check_action(self, action: policy.Action, event: policy.Event, now: int) -> None:
         match action:
@@ -129,32 +130,32 @@
                 self._check_send(action, now)
             case policy.RejectRequest() | policy.FailRequest():
                 if not isinstance(event, policy.QuotaRequested):
-                    self._check_final(action, now)
+                    self._check_final_response(action, now)
 
     def _apply_endpoint_list(self, event: policy.EndpointListReceived, now: int) -> None:
         if event.kind is EndpointListKind.FAILED:
             return
         if event.kind is not EndpointListKind.DELTA:
             listed = {entry.endpoint for entry in event.entries}
-            removed = [endpoint for endpoint in self._phases if endpoint not in listed]
+            removed = [endpoint for endpoint in self._statuses if endpoint not in listed]
             for endpoint in removed:
-                self._set_phase(endpoint, EndpointState.GONE, self._locations[endpoint], now)
+                self._set_status(endpoint, EndpointState.GONE, self._locations[endpoint], now)
         for entry in event.entries:
-            self._set_phase(entry.endpoint, entry.state, _Location(entry.zone, entry.cell), now)
+            self._set_status(entry.endpoint, entry.state, _Location(entry.zone, entry.cell), now)
 
     def _finish_attempt(self, event: policy.AttemptFinished, now: int) -> None:
-        request = self.open.get(event.request)
+        request = self.open_requests.get(event.request)
         if request is None:
             return
         if event.attempt < len(request.attempts):
             possibly_executed = event.outcome not in NOT_EXECUTED_OUTCOMES
             request.attempts[event.attempt].possibly_executed = possibly_executed
         if event.outcome is Outcome.SERVED and event.final_response_sent:
-            self._end_request(event.request, request, now)
+            self._finish_request(event.request, request, now)
 
-    def _end_request(self, number: int, request: OpenRequest, now: int) -> None:
+    def _finish_request(self, number: int, request: OpenRequest, now: int) -> None:
         self._findings.responses += 1
-        del self.open[number]
+        del self.open_requests[number]
         if now <= request.deadline_at_us:
             return
         if self._last_stall.from_us <= request.deadline_at_us <= self._last_stall.until_us:
@@ -162,31 +163,31 @@
         else:
             self._add_fault(Violation.LATE_RESPONSE, number)
 
-    def _check_final(self, action: policy.RejectRequest | policy.FailRequest, now: int) -> None:
-        request = self.open.get(action.request)
+    def _check_final_response(self, action: policy.RejectRequest | policy.FailRequest, now: int) -> None:
+        request = self.open_requests.get(action.request)
         if request is None:
             self._add_fault(Violation.DOUBLE_RESPONSE, action.request)
             return
         rejected = isinstance(action, policy.RejectRequest)
         if rejected and request.possibly_executed and not is_safe_to_repeat(self._request_class(request)):
             self._add_fault(Violation.REJECTED_AFTER_EXECUTION, action.request)
-        self._end_request(action.request, request, now)
+        self._finish_request(action.request, request, now)
 
     def _check_send(self, action: policy.SendAttempt, now: int) -> None:
-        request = self.open.get(action.request)
+        request = self.open_requests.get(action.request)
         if request is None:
             self._add_fault(Violation.DOUBLE_RESPONSE, action.request)
             return
-        if not self._may_repeat(request, action, now):
+        if not self._may_retry(request, action, now):
             self._add_fault(Violation.UNSAFE_RETRY, action.request)
-        phase = self._phases.get(action.endpoint, _Phase(EndpointState.GONE, 0))
-        if phase.state is not EndpointState.READY and now > phase.since_us + self.settings.drain_grace_us:
+        status = self._statuses.get(action.endpoint, _EndpointStatus(EndpointState.GONE, 0))
+        if status.state is not EndpointState.READY and now > status.since_us + self.settings.drain_grace_us:
             self._add_fault(Violation.SENT_AFTER_DRAIN, action.request)
         if self._sent_attempts is not None:
             self._sent_attempts.add(f"{self.name}-{action.request}-{len(request.attempts)}")
         request.attempts.append(SentAttempt(now, action.endpoint))
 
-    def _may_repeat(self, request: OpenRequest, action: policy.SendAttempt, now: int) -> bool:
+    def _may_retry(self, request: OpenRequest, action: policy.SendAttempt, now: int) -> bool:
         request_class = self._request_class(request)
         executed = request.possibly_executed
         if not executed or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -201,7 +202,7 @@
         )
 
     def _share_scope(self, first: bytes, second: bytes, scope: DeduplicationScope) -> bool:
-        """Whether two endpoints drop each other's repeats; True where one was never listed."""
+        """Return whether two endpoints deduplicate requests together; True where one was never listed."""
         if first not in self._locations or second not in self._locations:
             return True
         first_location = self._locations[first]
@@ -216,10 +217,14 @@
     def _add_fault(self, violation: Violation, request: int) -> None:
         self._findings.add_fault(violation, f"{self.name}-{request}")
 
-    def end(self, now: int) -> None:
-        """End the incarnation: what is open is the client's to retry, unless its deadline passed before."""
+    def finish(self, now: int) -> None:
+        """Finish the audit at the last entry's time.
+
+        Requests without a final response are counted as in flight, or as missing a response where their
+        deadline passed before.
+        """
         self._findings.last_entry_at_us[self.name] = now
-        for number, request in self.open.items():
+        for number, request in self.open_requests.items():
             if request.deadline_at_us < now:
                 self._add_fault(Violation.MISSING_RESPONSE, number)
             else:
@@ -227,7 +232,7 @@
 
 
 def is_safe_to_repeat(request_class: policy.RequestClass) -> bool:
-    """Whether a request may be repeated by the client anywhere, though it may have been executed."""
+    """Return whether a client may repeat a request at any gateway though it may have been executed."""
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
     has_key = request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
--- a/orchidlane/recording/index.py
+++ b/orchidlane/recording/index.py
@@ -1,9 +1,9 @@
-"""Indexes over the entries of one segment: by request, by customer, by time.
+"""Indexes of the entries of one segment: by request, by customer, by time.
 
 ``KeyIndex`` keeps keys and offsets in two flat arrays sorted by key, built in one pass: 16 bytes an entry,
 and a look-up by bisection. ``TimeIndex`` keeps the time and offset of every ``STRIDE_ENTRIES``-th entry,
 since a segment is written in order of time: a look-up reads at most that many entries before the first one
-wanted. ``benchmarks/index.py`` measures them against a scan and against sorted lists.
+of the period. ``benchmarks/index.py`` measures them against a scan and against sorted lists.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class KeyIndex:
-    """Offsets of a segment's entries by a key; ``key_of`` returns None for entries to leave out."""
+    """Offsets of a segment's entries by a key; entries for which ``key_of`` returns None are left out."""
 
     def __init__(self, reader: SegmentReader, key_of: Callable[[Entry], int | None]) -> None:
         pairs: list[tuple[int, int]] = []
@@ -58,7 +58,7 @@
                 self.offsets.append(entry.offset)
 
     def between(self, since_us: int, until_us: int) -> Iterator[Entry]:
-        """Yield the entries from one time up to another, which is excluded."""
+        """Yield the entries from ``since_us`` up to, but not including, ``until_us``."""
         if not self.times:
             return
         position = bisect_left(self.times, since_us) - 1
--- a/orchidlane/recording/reference_quota.py
+++ b/orchidlane/recording/reference_quota.py
@@ -1,4 +1,4 @@
-"""The exact token bucket that a plan promises each customer: the reference for all gateways' counts."""
+"""The exact token bucket that a plan promises each customer: the reference for the gateways' counts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ReferenceQuota:
-    """A bucket of units that fills at a rate up to a burst; full at first. Draws come in order of time."""
+    """A token bucket that refills at a rate up to a burst, full at first; calls come in order of time."""
 
     __slots__ = ("burst", "rate", "units", "updated_at_us")
 
@@ -17,20 +17,20 @@
         self.updated_at_us = now_us
 
     def available_at(self, now_us: int) -> float:
-        """Fill the bucket up to a time; return the units that are there then."""
+        """Refill the bucket up to a time; return the units that are available then."""
         elapsed_us = max(0, now_us - self.updated_at_us)
         self.units = min(self.burst, self.units + self.rate * elapsed_us / MICROSECONDS_PER_SECOND)
         self.updated_at_us = max(self.updated_at_us, now_us)
         return self.units
 
-    def try_draw(self, now_us: int, units: float) -> bool:
-        """Draw units if they are all there; otherwise draw nothing."""
+    def try_consume(self, now_us: int, units: float) -> bool:
+        """Consume units if all of them are available, else none; return whether they were consumed."""
         if self.available_at(now_us) < units:
             return False
         self.units -= units
         return True
 
-    def draw(self, now_us: int, units: float) -> float:
-        """Draw units whether they are there or not; return how far the bucket is overdrawn then."""
+    def consume(self, now_us: int, units: float) -> float:
+        """Consume units even if they are not available; return by how many units the bucket is overdrawn."""
         self.units = self.available_at(now_us) - units
         return max(0.0, -self.units)
--- a/orchidlane/recording/replay.py
+++ b/orchidlane/recording/replay.py
@@ -1,4 +1,4 @@
-"""Replays a traffic record through the policy of this build: the same actions, or the first difference."""
+"""Replays a traffic record through the policy of this build, and finds the first action that differs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Difference:
-    """The first event on which this build acts otherwise than was recorded."""
+    """The first event for which this build's actions differ from the recorded ones."""
 
     segment: str
     offset: int  # in bytes
@@ -24,7 +24,7 @@
     replayed: list[policy.Action]
 
     def format_lines(self) -> list[str]:
-        """Return the difference as text for a person."""
+        """Return the difference as the lines that the command prints."""
         recorded = [str(action) for action in self.recorded] or ["nothing"]
         replayed = [str(action) for action in self.replayed] or ["nothing"]
         return [
@@ -37,10 +37,10 @@
 
 @dataclass(frozen=True)
 class UncheckedPart:
-    """A part of a record that was not checked; ``torn``: it is the tail that a killed gateway was writing."""
+    """A part of a record that was not checked; ``torn`` where a killed gateway was just writing it."""
 
     reason: str
-    events: int  # intact entries that lie there
+    events: int  # intact entries in that part
     torn: bool
 
 
@@ -55,12 +55,12 @@
 
     @property
     def complete(self) -> bool:
-        """Whether everything was checked but what a crash may leave."""
+        """Whether everything was checked except for a last write that a crash interrupted."""
         return all(part.torn for part in self.unchecked_parts)
 
 
 def group_by_incarnation(paths: list[str]) -> list[list[str]]:
-    """Return the segments of each incarnation of each gateway, in their order."""
+    """Return the segments of each incarnation of each gateway, in the order of ``paths``."""
     incarnations: dict[str, list[str]] = {}
     for path in paths:
         incarnations.setdefault(path.rpartition("-")[0], []).append(path)
@@ -70,14 +70,14 @@
 def replay(paths: list[str]) -> ReplayResult:
     """Replay the segments of one incarnation in order, up to the first difference. Raises FormatError.
 
-    A segment that continues where the last one ended is checked against the policy as it stands; one with a
-    gap before it against the state at its own header.
+    A segment that directly follows the previous one is replayed by the same policy; after a missing or
+    damaged segment, the policy is restored from the state in the next segment's header.
     """
     return _Replay(paths).run()
 
 
 class _Replay:
-    """The replay of one incarnation; ``_gateway`` is None where the next segment needs its own state."""
+    """The replay of one incarnation; ``_gateway`` is None where the next segment's state must be restored."""
 
     def __init__(self, paths: list[str]) -> None:
         self._paths = paths
@@ -115,7 +115,7 @@
             self._add_unchecked(str(reader.damage), intact_frames, torn)
 
     def _restore(self, reader: SegmentReader) -> Gateway | None:
-        """Return the policy as it was at a segment's header; None where its state is truncated."""
+        """Return the policy as it was at a segment's header, or None where the state is truncated."""
         try:
             state = reader.read_state()
         except TruncatedHeaderError as error:
--- a/orchidlane/recording/segment_reader.py
+++ b/orchidlane/recording/segment_reader.py
@@ -1,7 +1,7 @@
-"""Reads traffic segments, also those that a crash cut short.
+"""Reads traffic segments, including those that a crash truncated.
 
-A frame that is cut or does not fit its checksum ends what is read of a segment; everything before it counts,
-nothing after it is guessed.
+Reading stops at a frame that is truncated or does not match its checksum: the entries before it are valid,
+and nothing after it is read.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class RecordedResponse(NamedTuple):
-    """What a client was answered; ``duration_us`` counts from the request's first byte."""
+    """A response that a client received; ``duration_us`` is measured from the request's first byte."""
 
     request: int
     status: int
@@ -47,28 +47,28 @@
     actions: list[policy.Action]
     response: RecordedResponse | None
     offset: int  # of its frame in the segment, in bytes
-    account_rows: tuple[Any, ...] | None = None  # as the accounts were at the header
+    account_rows: tuple[Any, ...] | None = None  # the accounts when the header was written
     is_last_page: bool = False  # the state is complete with this page
 
 
 @dataclass(frozen=True)
 class Damage:
-    """Where and why the reading of a segment ended early."""
+    """Where and why reading a segment stopped early; the command prints ``reason``."""
 
     path: str
     offset: int  # in bytes
     reason: str
-    truncated: bool = False  # the file ends there
+    truncated: bool = False  # the file ends within the damaged frame
 
     def __str__(self) -> str:
         return f"{self.path}: byte {self.offset}: {self.reason}"
 
 
 class SegmentReader:
-    """Reads one segment; ``damage`` says afterwards whether and why it ended early."""
+    """Reads one segment; ``damage`` is set where reading stopped before the end of the segment."""
 
     def __init__(self, path: str, data: bytes | None = None) -> None:
-        """Read the file, or ``data`` that was read from it. Raises FormatError, OSError."""
+        """Open the file, or ``data`` read from it, and read the header. Raises FormatError, OSError."""
         self.path = path
         self.damage: Damage | None = None
         self._file: BinaryIO = open(path, "rb") if data is None else io.BytesIO(data)  # noqa: SIM115
@@ -92,18 +92,18 @@
         self._file.close()
 
     def read_state(self) -> StateDump:
-        """Return the complete state at the header. Raises TruncatedHeaderError where it was not all written.
+        """Return the complete state at the header. Raises TruncatedHeaderError where it is incomplete.
 
-        Reading continues at the first entry afterwards.
+        Afterwards, iteration continues at the first entry.
         """
         rows = list(self.account_rows())
         self._file.seek(self._entries_offset)
         return msgspec.structs.replace(self.header.state, accounts=rows)
 
     def account_rows(self) -> Iterator[list[Any]]:
-        """Yield the accounts as they were at the header; memory is that of one page.
+        """Yield the accounts as they were when the header was written, with one page in memory at a time.
 
-        Raises TruncatedHeaderError at the end where not all of them were written.
+        Raises TruncatedHeaderError after the last account that was written where others are missing.
         """
         yield from self.header.state.accounts
         if self.header.format == 1:
@@ -113,11 +113,12 @@
             yield from entry.account_rows or ()
             if entry.is_last_page:
                 return
-        self.damage = None  # a later pass finds it again
+        self.damage = None  # the next reading sets it again
+        # The replay and audit commands print this text and those on a truncated header.
         raise TruncatedHeaderError(f"{self.path}: the state at its head was not written to its end")
 
     def __iter__(self) -> Iterator[Entry]:
-        """Yield all entries that follow, pages of accounts too."""
+        """Yield all entries from the current position on, including pages of accounts."""
         while True:
             offset = self._file.tell()
             body = self._read_frame()
@@ -126,12 +127,12 @@
             yield _decode_entry(body, offset, self.path)
 
     def entries(self, offset: int | None = None) -> Iterator[Entry]:
-        """Yield all entries but the pages of accounts, from the first or from an offset on."""
+        """Yield all entries except pages of accounts, from ``offset`` in bytes or from the first entry on."""
         self._file.seek(self._entries_offset if offset is None else offset)
         return (entry for entry in self if entry.account_rows is None)
 
     def entry_at(self, offset: int) -> Entry:
-        """Return the entry whose frame begins there. Raises FormatError."""
+        """Return the entry whose frame starts at ``offset`` in bytes. Raises FormatError."""
         self._file.seek(offset)
         body = self._read_frame()
         if body is None:
@@ -143,23 +144,25 @@
         if magic != MAGIC:
             if MAGIC.startswith(magic):
                 raise TruncatedHeaderError(f"{self.path}: its head is cut")
-            raise FormatError(f"{self.path}: not a segment of a record")
+            raise FormatError(f"{self.path}: not a traffic segment, which starts with the bytes OLREC1")
         body = self._read_frame()
         if body is None:
             if self.damage is None or self.damage.truncated:
                 raise TruncatedHeaderError(f"{self.path}: its head is cut")
-            raise FormatError(f"{self.path}: its head is broken")
+            raise FormatError(
+                f"{self.path}: the header does not match its checksum, or its length is impossible"
+            )
         try:
             header = msgspec.msgpack.decode(body, type=Header)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise FormatError(f"{self.path}: a head that this build can't read: {error}") from None
+            raise FormatError(f"{self.path}: this build can't read the header: {error}") from None
         if header.format not in READABLE_FORMATS:
             allowed = " and ".join(map(str, READABLE_FORMATS))
             raise FormatError(f"{self.path}: format {header.format}; this build reads {allowed}")
         return header
 
     def _read_frame(self) -> bytes | None:
-        """Return the next frame's body, or None at the end; ``damage`` is set where that is an early end."""
+        """Return the next frame's body; None at the end of the file or, with ``damage`` set, at damage."""
         offset = self._file.tell()
         frame_header = self._file.read(FRAME_HEADER.size)
         if not frame_header:
@@ -196,4 +199,4 @@
             return Entry(at_us, None, [], None, offset, tuple(rows), bool(last))
     except (msgspec.DecodeError, ValueError, TypeError) as error:
         raise FormatError(f"{path}: byte {offset}: {error}") from None
-    raise FormatError(f"{path}: byte {offset}: an entry of a later build")
+    raise FormatError(f"{path}: byte {offset}: the entry is of a kind that this build does not know")
--- a/orchidlane/recording/settings_codec.py
+++ b/orchidlane/recording/settings_codec.py
@@ -1,7 +1,7 @@
-"""The policy's settings in their stored form: the names on disk and on the wire stay, the code has its own.
+"""Converts the policy's settings to and from their stored form, whose names differ from the code's.
 
-Traffic records, state files, the hot restart and the admin API hold settings as plain objects; the table
-``STORED_NAMES`` is the one place that maps the fields of the code to the names of that form.
+Traffic records, state files, hot restart messages and the admin API have the settings in this form, and its
+names never change. The table ``STORED_NAMES`` maps the fields of the code to them.
 """
 
 from __future__ import annotations
@@ -57,24 +57,24 @@
 
 def settings_to_stored(settings: policy.Settings) -> dict[str, Any]:
     """Return settings as plain values under their stored names, in the order of the fields."""
-    return _with_names(msgspec.to_builtins(settings), STORED_NAMES)
+    return _rename_fields(msgspec.to_builtins(settings), STORED_NAMES)
 
 
 def settings_from_stored(stored: dict[str, Any]) -> policy.Settings:
-    """Return settings from their stored form. Raises msgspec.ValidationError for what does not fit."""
-    return msgspec.convert(_with_names(stored, _CODE_NAMES), policy.Settings)
+    """Return settings from their stored form. Raises msgspec.ValidationError for invalid values."""
+    return msgspec.convert(_rename_fields(stored, _CODE_NAMES), policy.Settings)
 
 
-def _with_names(values: dict[str, Any], names: dict[type, dict[str, str]]) -> dict[str, Any]:
-    renamed = _renamed(values, names[policy.Settings])
+def _rename_fields(values: dict[str, Any], names: dict[type, dict[str, str]]) -> dict[str, Any]:
+    renamed = _rename_keys(values, names[policy.Settings])
     for field, entry_type in _NESTED_TYPES.items():
         entries = renamed.get(field)
         if isinstance(entries, (list, tuple)):
-            renamed[field] = [_renamed(entry, names[entry_type]) for entry in entries]
+            renamed[field] = [_rename_keys(entry, names[entry_type]) for entry in entries]
     return renamed
 
 
-def _renamed(values: Any, names: dict[str, str]) -> Any:
+def _rename_keys(values: Any, names: dict[str, str]) -> Any:
     if not isinstance(values, dict):
         return values
     return {names.get(name, name): value for name, value in values.items()}
--- a/orchidlane/recording/snapshot.py
+++ b/orchidlane/recording/snapshot.py
@@ -1,14 +1,14 @@
-"""An exact state of a policy that goes on deciding: accounts are copied before they are first accessed.
+"""Takes the exact state of a running policy: each account is copied before the policy next accesses it.
 
-Dumping 100,000 accounts at once would hold the loop up for seconds. A ``Snapshot`` fixes one moment between
-two events: everything but the accounts is dumped there, which costs in proportion to the endpoints and the
-requests in flight. The accounts follow page by page while the policy goes on; an account that is about to be
-read or changed before its page came is copied first. What the pages hold together is the state of that one
-moment.
+Dumping 100,000 accounts at once would block the event loop for seconds. A ``Snapshot`` is of one moment
+between two events: everything except the accounts is dumped at once, which costs in proportion to the
+endpoints and the requests in flight. The accounts follow page by page while the policy continues; an account
+that the policy is about to read or change before its page is made is copied first. All pages together have
+the accounts as they were at that moment.
 
 The policy reaches its accounts through one dictionary, and through pending requests, whose accounts are
-copied at the start. ``track_accounts`` puts a dictionary in its place that behaves the same and whose class
-changes while a snapshot is taken, so that the policy pays nothing at other times.
+copied at the start. ``track_accounts`` replaces the dictionary by one that behaves the same and whose class
+changes while a snapshot is taken, so that accounts cost nothing extra at other times.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from orchidlane.policy.gateway import Gateway
 from orchidlane.recording.state_dump import StateDump, account_to_row, dump_state
 
-PAGE_ACCOUNTS = 256  # about 2 ms of the loop
+PAGE_ACCOUNTS = 256  # dumping them takes the event loop about 2 ms
 
 
 class AccountObserver(Protocol):
-    """Is notified of each account before the policy accesses it."""
+    """An observer that is notified of each account before the policy accesses it."""
 
     def before_access(self, customer: int) -> None:
-        """Note that the account of this customer may be changed, created or dropped next."""
+        """Handle that the policy may change, create or drop this customer's account next."""
 
 
 class ObservableAccounts(dict[int, Account]):
-    """The accounts of a policy by customer, with the observers of their use."""
+    """The accounts of a policy by customer, which can have observers."""
 
     observers: tuple[AccountObserver, ...] = ()
 
@@ -48,7 +48,7 @@
 
 
 class _ObservedAccounts(ObservableAccounts):
-    """The same dictionary while somebody observes it: whoever accesses an account may change it."""
+    """The dictionary while it has observers; reads notify too, since the reader may change the account."""
 
     def _notify(self, customer: int) -> None:
         for observer in self.observers:
@@ -59,7 +59,7 @@
         return super().__getitem__(customer)
 
     def get(self, customer: int, default: Any = None) -> Any:
-        """Return an account, after the observers were notified."""
+        """Notify the observers, then return an account or the default."""
         self._notify(customer)
         return super().get(customer, default)
 
@@ -73,21 +73,22 @@
 
 
 def track_accounts(gateway: Gateway) -> None:
-    """Let snapshots be taken of a policy; once, at its start."""
+    """Prepare a policy for snapshots; called once, when the policy starts."""
     if not isinstance(gateway.accounts, ObservableAccounts):
         gateway.accounts = ObservableAccounts(gateway.accounts)
 
 
 class Snapshot:
-    """One moment of a tracked policy, to be made between two events; ``state`` is all but the accounts.
+    """The state of a tracked policy at one moment; create it between two events.
 
-    ``pages`` yields the accounts as rows of ``StateDump.accounts``, at most ``PAGE_ACCOUNTS`` at a time; go
-    on with it whenever there is time, or ``close`` it. Memory: one number for each account, and a row for
-    each account that was accessed before its page.
+    ``state`` has everything except the accounts. ``pages`` yields the accounts as rows of
+    ``StateDump.accounts``, at most ``PAGE_ACCOUNTS`` at a time, and may be iterated as slowly as needed. Call
+    ``close`` where not all pages are read. Memory: one number for each account, and a row for each account
+    that was accessed before its page was made.
     """
 
     def __init__(self, gateway: Gateway) -> None:
-        assert isinstance(gateway.accounts, ObservableAccounts), "not tracked"
+        assert isinstance(gateway.accounts, ObservableAccounts), "track_accounts was not called"
         self._accounts: ObservableAccounts = gateway.accounts
         self._rows_copied_early: list[list[Any]] = []
         self._order = list(gateway.accounts)
@@ -102,13 +103,13 @@
         self._accounts.add_observer(self)
 
     def before_access(self, customer: int) -> None:
-        """Copy an account that the policy is about to access, unless its page came."""
+        """Copy an account that the policy is about to access, unless it is copied already."""
         if customer in self._remaining:
             self._remaining.remove(customer)
             self._rows_copied_early.append(self._row(customer))
 
     def pages(self) -> Iterator[list[list[Any]]]:
-        """Yield the accounts; each page is made when it is asked for. Closes the snapshot at its end."""
+        """Yield the accounts page by page, each made on demand; close the snapshot at the end."""
         try:
             while self._remaining or self._rows_copied_early:
                 yield self._next_page()
@@ -116,7 +117,7 @@
             self.close()
 
     def close(self) -> None:
-        """Drop the remaining pages: the policy pays nothing for this snapshot from here on."""
+        """Drop the remaining pages and stop observing the policy's accounts."""
         self._order = []
         self._remaining = set()
         self._rows_copied_early = []
--- a/orchidlane/recording/state_dump.py
+++ b/orchidlane/recording/state_dump.py
@@ -1,8 +1,8 @@
-"""All that a policy knows, as plain values; ``state_restore`` makes a policy from them that goes on the same.
+"""Dumps the complete state of a policy as plain values, from which ``state_restore`` makes an equal policy.
 
-Endpoints and accounts are shared by many objects of the policy; here each stands once, and the others refer
-to it: endpoints by their position in ``StateDump.endpoints``, accounts by their customer. The order of pools,
-queues and dictionaries is kept, since random draws and look-ups go by it.
+Many objects of the policy share endpoints and accounts; here each is stored once, and the others refer to it:
+to endpoints by their position in ``StateDump.endpoints``, to accounts by their customer. The order of pools,
+queues and dictionaries is kept, since random choices and look-ups depend on it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from orchidlane.recording.codec import pack_event
 
 FORMAT_VERSION = 1
-NO_CUSTOMER = -1  # of a request that has no account yet
+NO_CUSTOMER = -1  # stands for the customer of a request that has no account yet
 SCALAR_NAMES = {  # stored name -> attribute of the gateway
     "now": "now",
     "filled": "allowance_refilled_at_us",
@@ -41,14 +41,14 @@
     """The state of one policy. Fields are stored by position: add new ones at the end, with a default."""
 
     format: int
-    scalars: dict[str, Any]  # by the names of ``SCALAR_NAMES``
+    scalars: dict[str, Any]  # by the stored names in ``SCALAR_NAMES``
     random_state: list[Any]
     accounts: list[list[Any]]  # rows of ``account_to_row``
     idle_queue: list[int]
     pending_changes: list[int]
-    last_seen: list[tuple[int, int]]  # replica, when
-    awaited_replies: list[tuple[int, int, int, int]]
-    endpoints: list[list[Any]]  # entry, health estimate, fields, whether it is the listed one
+    last_seen: list[tuple[int, int]]  # replica, time in microseconds
+    awaited_replies: list[tuple[int, int, int, int]]  # fields of ``AwaitedReply``
+    endpoints: list[list[Any]]  # entry, health estimate, ``ENDPOINT_FIELDS``, whether listed
     fleet_health: list[float]
     zone_health: list[tuple[int, list[float]]]
     pools: list[list[int]]  # warm, cold
@@ -56,12 +56,12 @@
     zone_pools: list[tuple[int, list[int]]]
     slow_start_queue: list[int]
     requests: list[list[Any]]
-    detached_attempts: list[list[Any]]  # whose request has ended
-    pending_deltas: list[
-        tuple[int, list[tuple[int, int]]]
-    ] = []  # replica, its customers and the owner's turn
+    detached_attempts: list[list[Any]]  # attempts whose request is finished
+    # For each token owner: its replica, then customers with the owner's index in their replica sets.
+    pending_deltas: list[tuple[int, list[tuple[int, int]]]] = []
     exhausted_customers: list[int] = []
-    exhaustion_notices: list[int] = []  # how often each of these was announced besides; older files have none
+    # The number of messages that each exhausted customer was attached to; older files have an empty list.
+    exhaustion_notices: list[int] = []
 
 
 def dump_state(
@@ -69,7 +69,7 @@
 ) -> StateDump:
     """Return the state of a policy; with ``customers`` only their accounts, and no pending requests.
 
-    With ``include_accounts`` false all but the accounts: a ``Snapshot`` brings them page by page.
+    With ``include_accounts`` false the accounts are left out: a ``Snapshot`` yields them page by page.
     """
     endpoints = _EndpointTable(gateway)
     complete = customers is None
@@ -81,7 +81,7 @@
     exhausted = _select(gateway.exhausted_customers, selected)
     return StateDump(
         format=FORMAT_VERSION,
-        # copies, as lists among them go on changing
+        # Copied, since the policy continues to change the lists among these values.
         scalars={stored: copy(getattr(gateway, name)) for stored, name in SCALAR_NAMES.items()},
         random_state=_dump_random(gateway),
         accounts=[account_to_row(account) for account in accounts] if include_accounts else [],
@@ -89,7 +89,7 @@
         pending_changes=_select(gateway.pending_changes, selected),
         last_seen=list(gateway.last_seen_at_us.items()),
         awaited_replies=list(gateway.awaited_replies) if complete else [],
-        endpoints=endpoints.rows(),  # after all that refers to an endpoint
+        endpoints=endpoints.rows(),  # complete now: all references are collected
         fleet_health=_dump_health(gateway.fleet_health),
         zone_health=[(zone, _dump_health(health)) for zone, health in gateway.zone_health.items()],
         pools=[pools.warm, pools.cold],
@@ -114,7 +114,7 @@
 
 
 class _EndpointTable:
-    """Every endpoint that anything of the policy refers to, each once."""
+    """The endpoints that the policy's objects refer to, each once."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
--- a/orchidlane/recording/state_restore.py
+++ b/orchidlane/recording/state_restore.py
@@ -1,7 +1,7 @@
-"""Makes a policy from a ``StateDump`` that goes on deciding just as the dumped one.
+"""Restores a policy from a ``StateDump``; it decides exactly as the dumped policy would.
 
-Nothing in a file or in a peer's message is trusted: what does not fit is a FormatError, never a policy made
-by half.
+Files and peers' messages are not trusted: invalid content raises FormatError, and a policy is never restored
+in part.
 """
 
 from __future__ import annotations
@@ -27,17 +27,19 @@
 
 
 def restore_gateway(settings: policy.Settings, state: StateDump) -> Gateway:
-    """Return a policy that goes on where the dumped one stood. Raises FormatError."""
+    """Return a policy that continues from the dumped state. Raises FormatError."""
     if state.format != FORMAT_VERSION:
-        raise FormatError(f"a state of format {state.format}; this build reads {FORMAT_VERSION}")
+        raise FormatError(
+            f"the state has format {state.format}; this build reads only format {FORMAT_VERSION}"
+        )
     try:
         return _Restorer(settings, state).restore()
     except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
-        raise FormatError(f"a state that can't be read: {type(error).__name__} {error}") from None
+        raise FormatError(f"the state can't be restored: {type(error).__name__} {error}") from None
 
 
 def account_from_row(row: list[Any]) -> Account:
-    """Return the account of a row of ``StateDump.accounts``. Raises ValueError, TypeError."""
+    """Return the account in a row of ``StateDump.accounts``. Raises ValueError, TypeError."""
     values = dict(zip(ACCOUNT_FIELDS, row, strict=True))
     values["key"] = AccountKey(*values["key"])
     values["replica_counts"] = {
@@ -73,7 +75,7 @@
 
     def _restore_scalars(self) -> None:
         now = self._state.scalars["now"]
-        scalars = {"born": now, "last_sent": now, **self._state.scalars}  # older files have none of the two
+        scalars = {"born": now, "last_sent": now, **self._state.scalars}  # older files lack these two
         for stored, name in SCALAR_NAMES.items():
             value = scalars[stored]
             setattr(self._gateway, name, list(value) if isinstance(value, list | tuple) else value)
@@ -84,7 +86,7 @@
         gateway, state = self._gateway, self._state
         gateway.accounts = {row[0]: account_from_row(row) for row in state.accounts}
         for customer in (*state.idle_queue, *state.pending_changes, *state.exhausted_customers):
-            if customer not in gateway.accounts:  # the policy would fail on it later
+            if customer not in gateway.accounts:  # the policy would fail later
                 raise KeyError(customer)
         gateway.idle_queue = deque(state.idle_queue)
         gateway.pending_changes = dict.fromkeys(state.pending_changes)
@@ -149,7 +151,7 @@
 
 
 def _dropped_account(customer: int, event: Any, now_us: int) -> Account:
-    """Return an account that the policy has dropped, for an attempt that still refers to it."""
+    """Return a replacement for an account that the policy dropped while an attempt still refers to it."""
     key = AccountKey(event.plan, event.replica_set_start, max(1, event.replica_set_size))
     account = Account(customer, key, 0.0, now_us)
     account.in_flight = 1
--- a/orchidlane/recording/what_if.py
+++ b/orchidlane/recording/what_if.py
@@ -1,4 +1,4 @@
-"""Simulates how the requests of a record would have fared under other settings."""
+"""Simulates which requests of a record would have been admitted under other settings."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from orchidlane.recording.state_dump import StateDump
 from orchidlane.recording.state_restore import restore_gateway
 
-DEFAULT_DURATION_US = 50_000  # of an attempt where the record has none of the class
+DEFAULT_DURATION_US = 50_000  # of an attempt whose request class has no served attempt in the record
 ClassAndPlan = tuple[str, str]
 Arrival = policy.RequestArrived | policy.QuotaRequested
 
 
 @dataclass
 class WhatIfResult:
-    """How requests fared as recorded and as simulated: [admitted, rejected] by class and plan."""
+    """The recorded and the simulated counts of requests: [admitted, rejected] by class and plan."""
 
     recorded: dict[ClassAndPlan, list[int]] = field(default_factory=dict)
     simulated: dict[ClassAndPlan, list[int]] = field(default_factory=dict)
@@ -45,7 +45,7 @@
 
 
 class _RecordedAttempt(NamedTuple):
-    """How an attempt ended in the record, and how long after it was sent."""
+    """How an attempt finished in the record, and how long after it was sent."""
 
     event: policy.AttemptFinished
     elapsed_us: int
@@ -56,9 +56,9 @@
 ) -> WhatIfResult:
     """Simulate the requests of one incarnation under other settings. Raises FormatError.
 
-    What came from outside stays: arrivals, clients' disconnecting, endpoint lists, peers' messages, and the
-    outcome of each attempt that the record knows. Timers are the policy's own. An attempt that the record
-    does not know is taken to be served in the median time of its class.
+    Events from outside are as recorded: arrivals, client disconnects, endpoint lists, peers' messages, and
+    the outcome of each recorded attempt. Timers are set by the simulated policy. An attempt that is not in
+    the record is assumed to be served in the median time of its class.
     """
     traffic = _read_first_incarnation(paths)
     simulation = _Simulation(traffic, settings or traffic.header.policy_settings())
@@ -94,7 +94,7 @@
 
 
 class _Simulation:
-    """Feeds the outside events of a record to a policy with other settings."""
+    """Feeds the events from outside in a record to a policy with other settings."""
 
     def __init__(self, traffic: _RecordedTraffic, settings: policy.Settings) -> None:
         self.arrivals: dict[int, Arrival] = {}
@@ -104,7 +104,7 @@
         self._entries = traffic.entries
         self._recorded_attempts: dict[tuple[int, int], _RecordedAttempt] = {}
         self._median_duration_us: dict[int, int] = {}  # by request class
-        self._scheduled: list[tuple[int, int, policy.Event]] = []  # when, order of scheduling
+        self._scheduled: list[tuple[int, int, policy.Event]] = []  # due time, order of scheduling, event
         self._schedule_count = 0
         self._attempt_counts: Counter[int] = Counter()
         self._read_record()
@@ -113,22 +113,24 @@
         """Feed all events in order of time: those from outside, and those that the policy's actions cause."""
         for now, event in self._outside_events():
             while self._scheduled and self._scheduled[0][0] <= now:
-                due_at, _, scheduled_event = heapq.heappop(self._scheduled)
-                self._feed(due_at, scheduled_event)
+                due_at_us, _, scheduled_event = heapq.heappop(self._scheduled)
+                self._feed(due_at_us, scheduled_event)
             self._feed(now, event)
 
     def _read_record(self) -> None:
-        """Collect arrivals, which of them were admitted, and how each attempt ended."""
+        """Collect arrivals, which of them were admitted, and how each attempt finished."""
         durations: dict[int, list[int]] = defaultdict(list)
-        sent_at: dict[tuple[int, int], int] = {}
+        sent_at_us: dict[tuple[int, int], int] = {}
         attempt_counts: Counter[int] = Counter()
         for entry in self._entries:
             match entry.event:
                 case policy.RequestArrived() | policy.QuotaRequested() as event:
                     self.arrivals[event.request] = event
                 case policy.AttemptFinished() as event:
-                    started_at = sent_at.get((event.request, event.attempt), entry.at_us - event.duration_us)
-                    attempt = _RecordedAttempt(event, entry.at_us - started_at)
+                    started_at_us = sent_at_us.get(
+                        (event.request, event.attempt), entry.at_us - event.duration_us
+                    )
+                    attempt = _RecordedAttempt(event, entry.at_us - started_at_us)
                     self._recorded_attempts[event.request, event.attempt] = attempt
                     if event.outcome is Outcome.SERVED and event.request in self.arrivals:
                         durations[self.arrivals[event.request].request_class].append(event.duration_us)
@@ -136,7 +138,7 @@
                 match action:
                     case policy.SendAttempt():
                         self.recorded_admitted.add(action.request)
-                        sent_at[action.request, attempt_counts[action.request]] = entry.at_us
+                        sent_at_us[action.request, attempt_counts[action.request]] = entry.at_us
                         attempt_counts[action.request] += 1
                     case policy.GrantQuota():
                         self.recorded_admitted.add(action.request)
@@ -163,12 +165,12 @@
                 case policy.SetTimer():
                     self._schedule(now + action.delay_us, policy.TimerFired(action.token))
 
-    def _schedule(self, due_at: int, event: policy.Event) -> None:
+    def _schedule(self, due_at_us: int, event: policy.Event) -> None:
         self._schedule_count += 1
-        heapq.heappush(self._scheduled, (due_at, self._schedule_count, event))
+        heapq.heappush(self._scheduled, (due_at_us, self._schedule_count, event))
 
     def _schedule_outcome(self, now: int, send: policy.SendAttempt) -> None:
-        """Schedule the recorded outcome of an attempt, or that it is served in the median time."""
+        """Schedule the recorded outcome of an attempt, or a served outcome after the median time."""
         number = self._attempt_counts[send.request]
         self._attempt_counts[send.request] += 1
         recorded = self._recorded_attempts.get((send.request, number))
--- a/orchidlane/simulation/quota_audit.py
+++ b/orchidlane/simulation/quota_audit.py
@@ -44,7 +44,7 @@
         if quota is None or not quota.rate:
             continue
         store = stores.setdefault(customer, ReferenceQuota(quota.rate, quota.burst, at))
-        if not store.try_draw(at, units):
+        if not store.try_consume(at, units):
             beyond += units
     return beyond
 
@@ -58,5 +58,5 @@
         if ceiling is None:
             continue
         store = stores.setdefault(customer, ReferenceQuota(ceiling.rate, ceiling.burst, at))
-        worst = max(worst, store.draw(at, units) / ceiling.slack)
+        worst = max(worst, store.consume(at, units) / ceiling.slack)
     return worst
--- a/tests/harness/golden_writers.py
+++ b/tests/harness/golden_writers.py
@@ -1,4 +1,4 @@
-"""How the golden values are written today, and how files of new formats are written.
+"""Encodes the golden values with the current code, and writes the golden files of new formats.
 
 A format that is added gets its file by ``GOLDEN_WRITE=1 python -m pytest -n 0 tests/test_golden_stored.py``.
 Files that exist are never replaced, and without the variable nothing is written: a file that is missing
@@ -68,21 +68,21 @@
 
 
 class FakeEventLoop:
-    """An event loop and backend with a clock that stands still and files in memory."""
+    """An event loop and backend with a fixed clock and files in memory."""
 
     def __init__(self, **files: bytes) -> None:
         self.files: dict[str, bytes] = files
         self.backend = self
 
     def now(self) -> int:
-        """Return the one time of this clock."""
+        """Return the fixed time of this clock."""
         return START_US
 
     def call_at(self, *_: Any) -> None:
         """Ignore timers: time doesn't pass."""
 
     def run_in_thread(self, work: Callable[[], Any]) -> Any:
-        """Run the work at once."""
+        """Run the work in the calling thread."""
         return work()
 
     def read_file(self, path: str) -> bytes | None:
@@ -222,11 +222,11 @@
 
 
 def write_messages(messages: dict[str, Any], encode: Callable[[Any], bytes]) -> bytes:
-    """Encode some messages as one file."""
+    """Encode messages as one file, by their names."""
     return encode_as_hex({name: encode(message) for name, message in messages.items()})
 
 
-WRITERS: dict[str, Callable[[], bytes]] = {  # file name -> what is written today
+WRITERS: dict[str, Callable[[], bytes]] = {  # file name -> encoder of its content with the current code
     "module-state.msgpack": write_state,
     "traffic-record.olr": write_record,
     "account-store.olr": write_account_store,
@@ -257,12 +257,12 @@
     parser = restart_messages.Parser()
     parser.receive(golden_examples("hot-restart-messages.json")[name])
     message = parser.next_message()
-    assert parser.next_message() is None, "bytes that belong to no message"
+    assert parser.next_message() is None, "the file has bytes after its message"
     return message
 
 
 def write_missing() -> None:
-    """Write the golden files that are not there yet, where ``GOLDEN_WRITE=1`` asks for it."""
+    """Write the golden files that do not exist, if the environment has ``GOLDEN_WRITE=1``."""
     if os.environ.get("GOLDEN_WRITE") != "1":
         return
     for name, write in WRITERS.items():
@@ -272,7 +272,7 @@
 
 
 def first_state() -> bytes:
-    """Return the state of a policy after random events, all of its fields filled."""
+    """Return the state of a policy after random events; none of its fields is empty."""
     from harness.recording_harness import PolicyFuzzer
 
     fuzzer = PolicyFuzzer(20)
--- a/tests/harness/saved_states.py
+++ b/tests/harness/saved_states.py
@@ -1,4 +1,4 @@
-"""Complete states in files, as a gateway's admin API gives them."""
+"""Writes complete states to files, as a gateway's admin API sends them."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from harness.recording_harness import PolicyFuzzer
 from orchidlane import recording
 
-NAMES = tuple("abcde"), tuple("pqrs")
+NAMES = tuple("abcde"), tuple("pqrs")  # of request classes, of plans
 
 
 def write_state(fuzzer: PolicyFuzzer, path: Path, events_between_pages: int = 0, build: str = "") -> None:
-    """Write a complete state as a gateway sends it; so many more events happen between its pages."""
+    """Write a complete state as a gateway sends it, feeding the policy events after each page."""
     gateway = fuzzer.harness.gateway
     recording.track_accounts(gateway)
     snapshot = recording.Snapshot(gateway)
--- a/tests/test_fleet_totals.py
+++ b/tests/test_fleet_totals.py
@@ -116,10 +116,10 @@
     def is_over_quota(self, now: int) -> bool | None:
         """Return whether a request is admitted over quota; None if it is rejected."""
         while self._admitted_at_us and self._admitted_at_us[0] <= now - POLICY_DELAY_US:
-            self.delayed.draw(self._admitted_at_us.popleft(), 1.0)
+            self.delayed.consume(self._admitted_at_us.popleft(), 1.0)
         if self.delayed.available_at(now - POLICY_DELAY_US) < 1.0:
             return None
-        if not self.exact.try_draw(now, 1.0):
+        if not self.exact.try_consume(now, 1.0):
             return True
         self._admitted_at_us.append(now)
         return False
@@ -142,11 +142,11 @@
     policies = [DelayedExactPolicy(*limit) for limit in limits]
     for now, customer in fleet.requests:
         price, charge = plans[customer]["pays"], plans[customer]["overrunCost"]
-        income += price * offered[customer].try_draw(now, 1.0)
+        income += price * offered[customer].try_consume(now, 1.0)
         delayed += price * charge * (policies[customer].is_over_quota(now) is True)
     for now, customer in fleet.servers.first_attempts:
         price, charge = plans[customer]["pays"], plans[customer]["overrunCost"]
-        measured += price * charge * (not admitted[customer].try_draw(now, 1.0))
+        measured += price * charge * (not admitted[customer].try_consume(now, 1.0))
     return OverQuotaCosts(measured / income, delayed / income)
 
 
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -1,4 +1,4 @@
-"""Stored formats are read and written byte for byte as the files in ``corpus/golden`` have them.
+"""Stored formats are read and written byte for byte as in the files in ``corpus/golden``.
 
 The files were written by an earlier build; a later build must read them and write the same bytes from the
 same values, whatever its types and fields are called. Each format has one builder in
@@ -52,7 +52,7 @@
     assert [name for name in state.__struct_fields__ if not getattr(state, name)] == []
 
 
-def test_a_policy_restored_from_the_golden_state_is_dumped_to_the_same_bytes(gateway):
+def test_a_policy_restored_from_the_golden_state_has_the_same_dump(gateway):
     assert msgspec.msgpack.encode(recording.dump_state(gateway)) == golden("module-state.msgpack")
     assert gateway.accounts
     assert gateway.endpoints
@@ -63,7 +63,7 @@
 ENDPOINT, OTHER_ENDPOINT = (b"\n\x00\x00%c\x00P" % number for number in (2, 4))
 
 
-def test_every_scalar_of_the_golden_state_is_restored_to_its_place(gateway):
+def test_every_scalar_of_the_golden_state_is_restored(gateway):
     assert gateway.now == 1_000_549_025
     assert gateway.allowance_refilled_at_us == 1_000_470_794
     assert gateway.started_at_us == START_US
@@ -74,7 +74,7 @@
     assert gateway.baseline_latency_us == [125_000.0, 125_000.0, 125_000.0, 125_000.0, 122_750.0]
 
 
-def test_every_endpoint_of_the_golden_state_is_restored_to_its_place(gateway):
+def test_every_endpoint_of_the_golden_state_is_restored(gateway):
     endpoint = gateway.endpoints[ENDPOINT]
     assert endpoint.entry == policy.EndpointEntry(ENDPOINT, policy.EndpointState.READY, 0, 0, 0, 1.0)
     assert [endpoint.updated_at_us, endpoint.slowness, endpoint.failure_score] == [1_000_184_111, 1.0, 0.0]
@@ -92,7 +92,7 @@
     assert [queued.entry.started_at_us for queued in gateway.slow_start_queue] == [1_000_518_714]
 
 
-def test_every_request_of_the_golden_state_is_restored_to_its_place(gateway):
+def test_every_request_of_the_golden_state_is_restored(gateway):
     request = gateway.requests[1]
     assert request.event == policy.RequestArrived(1, 5, 0, 2, 1.0, 2_000_000, 0, 3, False)
     assert [request.deadline_at_us, request.sampled_value] == [1_002_009_909, 0.1723255663561437]
@@ -103,13 +103,17 @@
     assert [second.sent_at_us, second.load] == [1_000_412_080, 4.0]
     assert [second.in_flight, second.possibly_executed] == [True, True]
     assert gateway.attempts[1, 1] == (second, request)
-    attempt, ended = gateway.attempts[2, 2]
-    assert [attempt.sent_at_us, attempt.load, ended.deadline_at_us] == [1_000_378_452, 3.0, 1_002_052_372]
+    attempt, finished_request = gateway.attempts[2, 2]
+    assert [attempt.sent_at_us, attempt.load, finished_request.deadline_at_us] == [
+        1_000_378_452,
+        3.0,
+        1_002_052_372,
+    ]
     assert attempt.endpoint is gateway.endpoints[ENDPOINT]
-    assert ended.account is gateway.accounts[2]
+    assert finished_request.account is gateway.accounts[2]
 
 
-def test_every_queue_of_the_golden_state_is_restored_to_its_place(gateway):
+def test_every_queue_of_the_golden_state_is_restored(gateway):
     assert list(gateway.idle_queue) == golden_state().idle_queue == [1, 4, 5, 0, 2]
     assert list(gateway.pending_changes) == [1, 0]
     assert gateway.exhausted_customers == {2: 2}
@@ -124,8 +128,8 @@
     rows = [row for page in snapshot.pages() for row in page]
     state = golden_state()
     snapshot_state, snapshot_rows = msgspec.msgpack.decode(msgspec.msgpack.encode((snapshot.state, rows)))
-    head = msgspec.structs.replace(state, accounts=[])
-    assert snapshot_state == msgspec.msgpack.decode(msgspec.msgpack.encode(head))
+    state_without_accounts = msgspec.structs.replace(state, accounts=[])
+    assert snapshot_state == msgspec.msgpack.decode(msgspec.msgpack.encode(state_without_accounts))
     assert sorted(snapshot_rows) == sorted(msgspec.to_builtins(state.accounts))
 
 
@@ -141,8 +145,8 @@
         == set(get_args(policy.Action))
         == set(recording.ACTION_TYPES.values())
     )
-    for kind in (policy.AttemptFinished, policy.HealthCheckFinished, policy.CounterCallFinished):
-        assert {one.outcome for one in events if type(one) is kind} == set(policy.Outcome)
+    for event_type in (policy.AttemptFinished, policy.HealthCheckFinished, policy.CounterCallFinished):
+        assert {event.outcome for event in events if type(event) is event_type} == set(policy.Outcome)
     listed = [event for event in events if isinstance(event, policy.EndpointListReceived)]
     assert {event.kind for event in listed} == set(policy.EndpointListKind)
     assert {entry.state for event in listed for entry in event.entries} == set(policy.EndpointState)
@@ -153,29 +157,38 @@
     assert reader.header == golden_header()
     assert reader.header.policy_settings() == SETTINGS
     assert [recording.account_from_row(row) for row in reader.read_state().accounts] == golden_accounts()
-    *entries, answer = reader.entries()
+    *entries, response_entry = reader.entries()
     assert reader.damage is None
     assert [entry.event for entry in entries] == golden_events()
     assert [entry.at_us for entry in entries] == [START_US + 2 + number for number in range(len(entries))]
     assert entries[0].actions == golden_actions()
-    assert (answer.at_us, answer.event, answer.response) == (START_US + 91, None, (1, 429, "refused", 6_000))
+    assert (response_entry.at_us, response_entry.event, response_entry.response) == (
+        START_US + 91,
+        None,
+        (1, 429, "refused", 6_000),
+    )
 
 
 def test_the_accounts_of_a_golden_account_store_are_restored():
     reader = recording.SegmentReader("golden", golden("account-store.olr"))
     rows = {row[0]: row for row in reader.read_state().accounts}
-    assert [recording.account_from_row(rows[one.customer]) for one in golden_accounts()] == golden_accounts()
+    assert [
+        recording.account_from_row(rows[account.customer]) for account in golden_accounts()
+    ] == golden_accounts()
     store = account_store(FakeEventLoop(accounts=golden("account-store.olr")))
     assert store.load() == len(golden_accounts())
     accounts = store.gateway.policy_driver.gateway.accounts
-    for one in golden_accounts():
-        found = accounts[one.customer]
-        assert (found.key, found.spent_total, found.counted_total) == (
-            one.key,
-            one.spent_total,
-            one.counted_total,
+    for account in golden_accounts():
+        restored = accounts[account.customer]
+        assert (restored.key, restored.spent_total, restored.counted_total) == (
+            account.key,
+            account.spent_total,
+            account.counted_total,
+        )
+        assert (restored.limit, restored.refilled_at_us) == (
+            max(account.limit, account.spent_total),
+            START_US,
         )
-        assert (found.limit, found.refilled_at_us) == (max(one.limit, one.spent_total), START_US)
 
 
 def test_a_golden_view_is_read_as_its_values():
--- a/tests/test_live_tools.py
+++ b/tests/test_live_tools.py
@@ -1,4 +1,4 @@
-"""Tools against gateways: records replay without a difference, and tools agree with live gateways."""
+"""Tools with live gateways: their records replay without a difference, and tools show what they do."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class ToolRun(NamedTuple):
-    """Exit codes and outputs of the tools that ran while a fleet of processes served, and its records."""
+    """Exit codes and outputs of tools that ran while a fleet served; ``folder`` has the fleet's records."""
 
     folder: Path
     endpoint_count: int
@@ -95,7 +95,7 @@
     }
 
 
-def test_counts_of_a_live_gateway_are_close_to_what_it_has_granted(tool_run):
+def test_counts_of_a_live_gateway_are_close_to_what_it_granted(tool_run):
     code, text = tool_run.results["counts"]
     assert code == 0, text
     counts = json.loads(text)
--- a/tests/test_recording_audit.py
+++ b/tests/test_recording_audit.py
@@ -1,4 +1,4 @@
-"""The audit of records agrees with the audit of the sockets, and reports each kind of violation."""
+"""The audit of traffic records agrees with the audit of sockets, and reports each kind of violation."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
     runner.write_records(str(tmp_path))
     code, text = run_command("audit", str(tmp_path), "--json")
     output = json.loads(text)
-    held = all(output["sockets"]["rules"].values()) and all(output["gateways"]["rules"].values())
-    assert code == (0 if held else 1)
+    rules_kept = all(output["sockets"]["rules"].values()) and all(output["gateways"]["rules"].values())
+    assert code == (0 if rules_kept else 1)
     return output
 
 
@@ -78,26 +78,28 @@
 def test_the_audit_of_records_reports_an_arrival_that_no_policy_decided_on(tmp_path, monkeypatch):
     from orchidlane.gateway.forwarding.attempt import Attempt
 
-    head = Attempt._request_head
+    original_request_head = Attempt._request_head
     monkeypatch.setattr(
         Attempt,
         "_request_head",
-        lambda self: head(self).replace(b"-0\r\norchidlane-customer", b"-7\r\norchidlane-customer"),
+        lambda self: original_request_head(self).replace(
+            b"-0\r\norchidlane-customer", b"-7\r\norchidlane-customer"
+        ),
     )
     output = run_recorded(tmp_path, span=2)
     assert output["gateways"]["faults"]["undecided"] > 0
 
 
 class EditedRecord:
-    """A record of one request that an endpoint served, whose entries a test takes out or changes."""
+    """Writes records of one request that an endpoint served, with entries left out or changed by a test."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         fuzzer = PolicyFuzzer(5)
-        self.began_at, self.settings = fuzzer.harness.now, fuzzer.harness.settings
+        self.started_at_us, self.settings = fuzzer.harness.now, fuzzer.harness.settings
         recording.track_accounts(fuzzer.harness.gateway)
         fuzzer.feed(policy.RequestArrived(1, 7, 0, 0, 1.0, 2 * SECOND, 0, 3, False))
-        self.arrived = fuzzer.log[-1]
+        self.arrived = fuzzer.log[-1]  # (time, event, actions)
         self.endpoint = next(
             action.endpoint for action in self.arrived[2] if isinstance(action, policy.SendAttempt)
         )
@@ -107,21 +109,21 @@
         )
         fuzzer.feed(self.attempt_finished)
         self.served = fuzzer.log[-1]
-        self.timers = [(self.began_at + i * 500 * MS, policy.TimerFired(0), []) for i in range(1, 12)]
+        self.timers = [(self.started_at_us + i * 500 * MS, policy.TimerFired(0), []) for i in range(1, 12)]
 
     def faults(self, *entries) -> dict[str, int]:
-        """Return the faults that the audit finds in a record of these entries."""
+        """Return the counts of faults by kind that the audit finds in a record of these entries."""
         header = recording.Header(
             recording.FORMAT_VERSION,
             "b",
             "gw",
-            self.began_at,
+            self.started_at_us,
             0,
             recording.settings_to_stored(self.settings),
             recording.dump_state(PolicyFuzzer(5).harness.gateway),
             *NAMES,
         )
-        data = recording.pack_header(header) + recording.pack_account_page(self.began_at, [], last=True)
+        data = recording.pack_header(header) + recording.pack_account_page(self.started_at_us, [], last=True)
         for now, event, actions in entries:
             data += recording.pack_entry(now, event, actions)
         self.path.write_bytes(data)
@@ -131,7 +133,7 @@
 
 @pytest.fixture
 def record(tmp_path) -> EditedRecord:
-    """A record of a request that an endpoint served."""
+    """Return the writer of records of a request that an endpoint served."""
     return EditedRecord(tmp_path / "gw-1-0.olr")
 
 
@@ -139,32 +141,32 @@
     assert record.faults(record.arrived, record.served) == {}
 
 
-def test_a_request_without_a_response_is_missing(record):
+def test_a_request_without_a_response_is_reported_as_missing(record):
     assert record.faults(record.arrived, *record.timers) == {"missing": 1}
 
 
-def test_a_response_after_the_deadline_is_late(record):
-    late_end = (record.timers[-1][0], record.attempt_finished, [])
-    assert record.faults(record.arrived, *record.timers, late_end) == {"late": 1}
+def test_a_response_after_the_deadline_is_reported_as_late(record):
+    late_response = (record.timers[-1][0], record.attempt_finished, [])
+    assert record.faults(record.arrived, *record.timers, late_response) == {"late": 1}
 
 
-def test_a_second_response_is_doubled(record):
-    failed_too = (record.served[0], record.attempt_finished, [policy.FailRequest(1)])
-    assert record.faults(record.arrived, failed_too) == {"doubled": 1}
+def test_a_second_response_is_reported_as_doubled(record):
+    served_and_failed = (record.served[0], record.attempt_finished, [policy.FailRequest(1)])
+    assert record.faults(record.arrived, served_and_failed) == {"doubled": 1}
 
 
-def test_an_attempt_later_than_the_grace_after_a_drain_is_a_fault(record):
-    at, event, _ = record.arrived
-    drained = (at, policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 2, ()), [])
-    late = (at + 900 * MS, event, [policy.SendAttempt(1, record.endpoint, 0)])
-    late_end = (late[0], record.attempt_finished, [])
-    assert record.faults(drained, late, late_end) == {"sent after drain": 1}
+def test_an_attempt_after_the_drain_grace_is_a_fault(record):
+    arrived_at_us, event, _ = record.arrived
+    drained = (arrived_at_us, policy.EndpointListReceived(policy.EndpointListKind.COMPLETE, 2, ()), [])
+    late_attempt = (arrived_at_us + 900 * MS, event, [policy.SendAttempt(1, record.endpoint, 0)])
+    response = (late_attempt[0], record.attempt_finished, [])
+    assert record.faults(drained, late_attempt, response) == {"sent after drain": 1}
 
 
 @pytest.mark.parametrize(("grant_count", "faults"), [(5, {}), (7, {"ceiling": 1})])
 def test_grants_beyond_a_ceiling_and_its_slack_are_a_fault(record, grant_count, faults):
     grants = [
-        (record.began_at + i, policy.QuotaRequested(i, 7, 2, 0, 3.0, 0, 3), [policy.GrantQuota(i)])
+        (record.started_at_us + i, policy.QuotaRequested(i, 7, 2, 0, 3.0, 0, 3), [policy.GrantQuota(i)])
         for i in range(1, grant_count + 1)
     ]
     assert record.faults(*grants) == faults
--- a/tests/test_recording_state.py
+++ b/tests/test_recording_state.py
@@ -1,4 +1,4 @@
-"""States of a policy: exact dumps, restored policies and stored events."""
+"""State dumps, restored policies, snapshots, and the stored form of events and actions."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 2**32), st.integers(0, 150))
-def test_a_policy_restored_at_any_time_decides_the_same(seed, cut):
+def test_a_policy_restored_at_any_time_decides_the_same(seed, steps_before):
     fuzzer = PolicyFuzzer(seed)
-    for _ in range(cut):
+    for _ in range(steps_before):
         fuzzer.step()
     state = recording.dump_state(fuzzer.harness.gateway)
     packed = msgspec.msgpack.encode(state)
@@ -57,45 +57,49 @@
 
 
 def test_a_state_of_another_format_or_with_dangling_references_is_rejected():
-    bench = PolicyHarness()
-    state = recording.dump_state(bench.gateway)
+    harness = PolicyHarness()
+    state = recording.dump_state(harness.gateway)
     with pytest.raises(recording.FormatError, match="format 9"):
-        recording.restore_gateway(bench.settings, msgspec.structs.replace(state, format=9))
+        recording.restore_gateway(harness.settings, msgspec.structs.replace(state, format=9))
     with pytest.raises(recording.FormatError):
-        recording.restore_gateway(bench.settings, msgspec.structs.replace(state, pools=[[99], []]))
+        recording.restore_gateway(harness.settings, msgspec.structs.replace(state, pools=[[99], []]))
     with pytest.raises(recording.FormatError):
-        recording.restore_gateway(bench.settings, msgspec.structs.replace(state, scalars={}))
+        recording.restore_gateway(harness.settings, msgspec.structs.replace(state, scalars={}))
 
 
 @settings(max_examples=30, deadline=None)
 @given(st.integers(0, 2**32), st.integers(0, 120), st.integers(1, 3))
-def test_a_snapshot_is_the_state_of_its_moment_whatever_happens_between_its_pages(seed, before, page):
-    fuzzer, gateways = PolicyFuzzer(seed), []
-    for _ in range(before):
+def test_a_snapshot_is_the_state_of_its_moment_despite_later_events(seed, steps_before, page_size):
+    fuzzer, snapshot_states = PolicyFuzzer(seed), []
+    for _ in range(steps_before):
         fuzzer.step()
     gateway = fuzzer.harness.gateway
     recording.track_accounts(gateway)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", page)
-        wanted = msgspec.msgpack.encode(recording.dump_state(gateway))
+        patch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", page_size)
+        expected = msgspec.msgpack.encode(recording.dump_state(gateway))
         snapshots = recording.Snapshot(gateway), recording.Snapshot(gateway)  # two at once
         for snapshot in snapshots:
             rows = []
-            for some in snapshot.pages():
-                assert len(some) <= page
-                rows += msgspec.msgpack.decode(msgspec.msgpack.encode(some))
+            for page_rows in snapshot.pages():
+                assert len(page_rows) <= page_size
+                rows += msgspec.msgpack.decode(msgspec.msgpack.encode(page_rows))
                 for _ in range(4):
                     fuzzer.step()
-            gateways.append((snapshot.state, rows))
-    state = msgspec.msgpack.decode(wanted, type=recording.StateDump)
-    for head, rows in gateways:
-        head = msgspec.msgpack.decode(msgspec.msgpack.encode(head), type=recording.StateDump)
+            snapshot_states.append((snapshot.state, rows))
+    state = msgspec.msgpack.decode(expected, type=recording.StateDump)
+    for snapshot_state, rows in snapshot_states:
+        snapshot_state = msgspec.msgpack.decode(
+            msgspec.msgpack.encode(snapshot_state), type=recording.StateDump
+        )
         assert sorted(rows) == sorted(state.accounts)
-        assert msgspec.structs.replace(head, accounts=[]) == msgspec.structs.replace(state, accounts=[])
-    assert type(gateway.accounts) is recording.ObservableAccounts  # nothing is paid any more
+        assert msgspec.structs.replace(snapshot_state, accounts=[]) == msgspec.structs.replace(
+            state, accounts=[]
+        )
+    assert type(gateway.accounts) is recording.ObservableAccounts  # accounts are no longer observed
 
 
-def test_a_closed_snapshot_observes_accounts_no_more():
+def test_a_closed_snapshot_no_longer_observes_accounts():
     fuzzer = PolicyFuzzer(3)
     for _ in range(50):
         fuzzer.step()
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Telemetry for tools: predictions, plan counts, and states that are read while requests are served."""
+"""Telemetry for tools: predictions, counts of plans, and states that are read while requests are served."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 def decision_of(actions: list[policy.Action]) -> str:
-    """Return the decision on a request, in the words of a prediction."""
+    """Return the decision on a request, as a value of ``predictions.Decision``."""
     if actions_of(actions, policy.SendAttempt):
         return "sent"
     return "refused" if actions_of(actions, policy.RejectRequest) else "held"
 
 
 def test_a_prediction_from_a_view_is_the_decision_that_follows():
-    """Thousands of next requests, predicted by a copy and then made."""
+    """Each prediction by a restored copy is compared with the policy's decision on the same request."""
     compared = 0
     for seed in range(20):
         fuzzer = PolicyFuzzer(seed)
@@ -79,20 +79,22 @@
     write_state(fuzzer, path, events_between_pages=0)
     now, gateway = fuzzer.harness.now, fuzzer.harness.gateway
     gateway.now = now
-    found = count_by_plan(recording.SegmentReader(str(path)), 2)
+    plan_counts = count_by_plan(recording.SegmentReader(str(path)), 2)
     for plan, name in enumerate(NAMES[1]):
         accounts = [account for account in gateway.accounts.values() if account.plan == plan]
         for account in accounts:
             quota.refill(gateway, account)
         if accounts:
-            assert found[name].spent == pytest.approx(sum(account.spent_total for account in accounts))
-            assert found[name].remaining == pytest.approx(sum(account.remaining for account in accounts))
+            assert plan_counts[name].spent == pytest.approx(sum(account.spent_total for account in accounts))
+            assert plan_counts[name].remaining == pytest.approx(
+                sum(account.remaining for account in accounts)
+            )
             burst = gateway.settings.plans[plan].burst
             shares = sorted((account.remaining / burst, account.customer) for account in accounts)
-            assert found[name].nearest_to_limit == [pytest.approx(pair) for pair in shares[:2]]
+            assert plan_counts[name].nearest_to_limit == [pytest.approx(pair) for pair in shares[:2]]
 
 
-def test_a_gateway_serves_its_complete_state_and_views_of_known_customers_only(tmp_path):
+def test_a_gateway_serves_its_state_and_views_of_known_customers_only(tmp_path):
     def test(harness: GatewayHarness) -> None:
         assert harness.ask(GET)[0] == 200
         status, _, body = request_admin(harness, "/state")
@@ -118,8 +120,8 @@
         gateway = harness.program.policy_driver.gateway
         for customer in range(2_000):
             quota.update_account_key(gateway, customer + 10, 0, 0, 3)
-        hanging = harness.backend.connect(("127.0.0.1", 8280))
-        hanging.send(b"GET /state HTTP/1.1\r\nHost: a\r\n\r\n")
+        hanging_tool = harness.backend.connect(("127.0.0.1", 8280))
+        hanging_tool.send(b"GET /state HTTP/1.1\r\nHost: a\r\n\r\n")
         harness.loop.sleep(100 * MS)
         assert harness.program.admin.is_sending_state
         assert request_admin(harness, "/state")[0] == 503
@@ -135,28 +137,28 @@
     GatewayHarness(good).run(test)
 
 
-def test_each_segment_begins_with_a_state_in_pages_and_can_be_replayed_alone(tmp_path, monkeypatch):
-    """Small segments under load: each can be replayed alone, and all in a row."""
+def test_each_segment_starts_with_its_state_and_can_be_replayed_alone(tmp_path, monkeypatch):
+    """Segments are small and the gateways under load, so that events happen between the pages of a state."""
     monkeypatch.setattr("orchidlane.gateway.telemetry.traffic_recorder.MAX_SEGMENT_BYTES", 30_000)
     monkeypatch.setattr("orchidlane.recording.snapshot.PAGE_ACCOUNTS", 3)
     backend = SimulatedBackend(6)
     loop = EventLoop(backend)
-    backing = SimulatedFleetBackend(loop, backend, record_to="rec")
-    plan = make_plan(make_scenario(span=3, request_rate=200.0), "sim", backing.free_addresses)
-    backing.prepare(plan)
-    loop.run(ScenarioRunner(loop, plan, backing).run)
+    fleet_backend = SimulatedFleetBackend(loop, backend, record_to="rec")
+    plan = make_plan(make_scenario(span=3, request_rate=200.0), "sim", fleet_backend.free_addresses)
+    fleet_backend.prepare(plan)
+    loop.run(ScenarioRunner(loop, plan, fleet_backend).run)
     for name, data in backend.files.items():
         if name.startswith("rec/"):
             (tmp_path / name[4:]).write_bytes(data)
     paths = recording.list_segments(str(tmp_path))
-    alone = 0
+    events_replayed_alone = 0
     for path in paths:
-        found = recording.replay([path])
-        assert found.difference is None
-        alone += found.events
+        result = recording.replay([path])
+        assert result.difference is None
+        events_replayed_alone += result.events
     results = [recording.replay(group) for group in recording.group_by_incarnation(paths)]
     assert len(paths) > 3 * len(results)
-    assert sum(result.events for result in results) == alone > 2_500
+    assert sum(result.events for result in results) == events_replayed_alone > 2_500
     assert all(result.difference is None and not result.unchecked_parts for result in results)
 
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -1,4 +1,4 @@
-"""Commands for operators: honest across builds, clear about what they can't do; the screen and the shell."""
+"""Commands for operators: states of other builds, unusable input, the live table and shell completion."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 @pytest.fixture(scope="module")
 def other_build(tmp_path_factory) -> Path:
-    """This program with one constant of its decisions changed: a folder for PYTHONPATH."""
+    """Return a folder for PYTHONPATH with this program, in which two constants of the policy are changed."""
     folder = tmp_path_factory.mktemp("other")
     source = Path(orchidlane.__file__).parent
     shutil.copytree(source, folder / "orchidlane", ignore=shutil.ignore_patterns("__pycache__"))
     quota_source = folder / "orchidlane" / "policy" / "quota.py"
     text = quota_source.read_text()
-    for constant, value in {
+    for assignment, value in {
         "EXHAUSTED_BELOW_SHARE = 0.25": "0.9",
         "READMISSION_SHARE = 0.6": "0.95",
     }.items():
-        assert text.count(constant) == 1
-        text = text.replace(constant, constant.rpartition(" ")[0] + " " + value)
+        assert text.count(assignment) == 1
+        text = text.replace(assignment, assignment.rpartition(" ")[0] + " " + value)
     quota_source.write_text(text)
     return folder
 
 
 def run_other_build(folder: Path, *arguments: str) -> tuple[int, str]:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "orchidlane", *arguments],
         cwd=folder,
         env={**os.environ, "PYTHONPATH": str(folder)},
@@ -45,12 +45,10 @@
         text=True,
         timeout=60,
     )
-    return done.returncode, done.stdout + done.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-def test_a_tool_of_another_build_rejects_a_state_and_replays_a_record_with_a_difference(
-    tmp_path, other_build
-):
+def test_another_build_rejects_a_state_and_replays_with_a_difference(tmp_path, other_build):
     fuzzer = PolicyFuzzer(12)
     for _ in range(150):
         fuzzer.step()
@@ -58,16 +56,16 @@
     write_state(fuzzer, state)
     code, text = run_command("counts", str(state), "3")
     assert code == 0, text
-    with pytest.raises(recording.FormatError):  # what does not fit together is no state
+    with pytest.raises(recording.FormatError):  # the header refers to accounts that are not in it
         recording.restore_gateway(fuzzer.harness.settings, recording.SegmentReader(str(state)).header.state)
     code, text = run_other_build(other_build, "counts", str(state), "3")
     assert (code, "its decisions could differ" in text) == (2, True), text
     assert run_other_build(other_build, "state", str(state))[0] == 2
-    rec = tmp_path / "rec"
-    rec.mkdir()
-    write_segment(fuzzer, 400, rec / "gw-1-0.olr")
-    assert run_command("replay", str(rec))[0] == 0
-    code, text = run_other_build(other_build, "replay", str(rec))
+    record = tmp_path / "rec"
+    record.mkdir()
+    write_segment(fuzzer, 400, record / "gw-1-0.olr")
+    assert run_command("replay", str(record))[0] == 0
+    code, text = run_other_build(other_build, "replay", str(record))
     assert (code, "recorded" in text and "acted" in text) == (1, True), text
 
 
@@ -81,7 +79,7 @@
     assert "9.9+abc" in text
 
 
-def test_top_shows_which_gateways_answer():
+def test_top_shows_which_gateways_respond():
     from orchidlane.cli.screen import Screen, rates_as_json
 
     def test(harness: GatewayHarness) -> None:
