--- a/orchidlane/__init__.py
+++ b/orchidlane/__init__.py
@@ -1,3 +1,3 @@
-"""An API gateway that keeps quotas and priorities across a fleet; ``policy`` holds the decisions."""
+"""An API gateway that enforces quotas and priorities across a fleet; ``policy`` makes the decisions."""
 
 __version__ = "0.2.0"
--- a/orchidlane/__main__.py
+++ b/orchidlane/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m orchidlane``."""
+"""Entry point of ``python -m orchidlane``."""
 
 from orchidlane.cli import main
 
--- a/orchidlane/config/__init__.py
+++ b/orchidlane/config/__init__.py
@@ -1,4 +1,4 @@
-"""Settings as typed records in a documented subset of CUE: parsed, unified with a schema, checked whole."""
+"""Settings files in a subset of CUE: parsed, unified with a schema, and converted to typed records."""
 
 from orchidlane.config.errors import ConfigError, Problem
 from orchidlane.config.load import load, plain_values, render
--- a/orchidlane/config/errors.py
+++ b/orchidlane/config/errors.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong: the field's path, what was found, what is allowed."""
+    """One problem: its position, the path of the field, and what was found and what is allowed."""
 
     position: SourcePosition
     path: str
--- a/orchidlane/config/expressions.py
+++ b/orchidlane/config/expressions.py
@@ -1,4 +1,4 @@
-"""Expressions of the settings' language: what the parser makes of a file, each with its position."""
+"""Expressions of the settings language, as the parser returns them, each with its position."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Bound:
-    """``>=1``, ``=~"re"`` and their like."""
+    """A bound such as ``>=1`` or ``=~"re"``."""
 
     position: SourcePosition
     operator: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Reference:
-    """``a.b`` or ``#Definition``."""
+    """A reference such as ``a.b`` or ``#Definition``."""
 
     position: SourcePosition
     names: tuple[str, ...]
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Conjunction:
-    """``a & b``."""
+    """A conjunction such as ``a & b``."""
 
     position: SourcePosition
     parts: tuple[Expression, ...]
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Disjunction:
-    """``*a | b``: the options, each with whether it is a default."""
+    """A disjunction such as ``*a | b``: its options, each with whether it is marked as a default."""
 
     position: SourcePosition
     options: tuple[tuple[bool, Expression], ...]
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Struct:
-    """Fields, patterns for names that no field names, and whether ``...`` stands in it."""
+    """Fields, constraints of ``[string]: T`` for undeclared fields, and whether ``...`` allows any others."""
 
     position: SourcePosition
     fields: tuple[Field, ...]
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class List:
-    """Items, and what further ones must be (None: there may be none)."""
+    """Items, and the type of further items; None allows no further ones."""
 
     position: SourcePosition
     items: tuple[Expression, ...]
--- a/orchidlane/config/load.py
+++ b/orchidlane/config/load.py
@@ -1,4 +1,4 @@
-"""From a settings file to a typed record."""
+"""Load a settings file into a typed record."""
 
 from __future__ import annotations
 
@@ -14,11 +14,14 @@
 from orchidlane.config.unification import unify
 
 Record = TypeVar("Record")
-MAX_FILE_BYTES = 8 << 20  # bytes of a settings file
+MAX_FILE_BYTES = 8 << 20
 
 
 def load(text: str, file: str, schema: str, root: str, record: type[Record]) -> Record:
-    """Return the record that a file's text gives under a definition of the schema. Raises ConfigError."""
+    """Return a file's settings, met with the definition ``root`` of a schema, as a record.
+
+    Raises ConfigError with all problems.
+    """
     value = plain_values(text, file, schema, root)
     try:
         return msgspec.convert(value, record, dec_hook=_decode_quantity, strict=False)
@@ -43,7 +46,7 @@
 
 
 def render(value: Any, depth: int = 0) -> str:
-    """Plain values as text that the language reads again."""
+    """Return plain values as text in the settings language."""
     if isinstance(value, dict):
         pad = "\t" * (depth + 1)
         fields = (f"{_render_label(name)}: {render(part, depth + 1)}" for name, part in value.items())
--- a/orchidlane/config/parser.py
+++ b/orchidlane/config/parser.py
@@ -1,9 +1,9 @@
-"""Parser of the settings' language, a subset of CUE (cuelang.org, language specification).
+"""Parser of the settings language, a subset of CUE (cuelang.org, language specification).
 
-In the subset: packages, comments, fields (plain, quoted, optional, nested by ``a: b: 1``), definitions
+Supported: packages, comments, fields (plain, quoted, optional, nested by ``a: b: 1``), definitions
 (``#Name``, closed), hidden fields, patterns (``[string]: T``), ``...``, lists (``[...T]``), strings,
 numbers, bounds, ``=~`` and ``!~``, ``&``, ``|`` with ``*`` defaults, references and selectors.
-Not in it: arithmetic, comprehensions, interpolation, imports, attributes. What is not in it is rejected.
+Not supported, and rejected: arithmetic, comprehensions, interpolation, imports, attributes.
 """
 
 from __future__ import annotations
@@ -65,8 +65,8 @@
 %ignore COMMENT
 """
 
-MAX_EXCERPT_CHARACTERS = 20  # of the text at which parsing failed
-# A newline ends a field where the line could end there: CUE's own rule for leaving commas out.
+MAX_EXCERPT_CHARACTERS = 20  # of the input, shown in a syntax error
+# A newline after one of these tokens counts as a comma, as in CUE's specification, section "Commas".
 LINE_ENDING_TOKENS = frozenset(
     [
         "NAME",
@@ -87,12 +87,12 @@
 
 
 class _CommaInserter(PostLex):
-    """Inserts a comma where a newline stands for one."""
+    """Replaces the newlines that end a declaration or an item by commas."""
 
     always_accept = ("_NL",)
 
     def process(self, stream: Iterator[Token]) -> Iterator[Token]:
-        """Return the tokens without newlines, with the commas that they stand for."""
+        """Yield the tokens; a newline becomes a comma or is dropped."""
         last = None
         for token in stream:
             if token.type == "_NL":
@@ -120,7 +120,7 @@
 
 
 class _TreeBuilder(Transformer):
-    """Makes expressions of Lark's tree; each method is named for the rule of the grammar that it handles."""
+    """Converts Lark's tree to expressions; each method is named after the grammar rule that it handles."""
 
     def __init__(self, file: str) -> None:
         super().__init__()
@@ -154,14 +154,14 @@
         return Struct(position, fields, patterns, any(isinstance(part, _Ellipsis) for part in parts))
 
     def open(self, _parts: Items) -> _Ellipsis:
-        """Return the mark of a struct that allows further fields."""
+        """Return the marker of a struct that allows further fields."""
         return _Ellipsis(None)
 
     def pattern(self, parts: Items) -> _Pattern:
         """Return the constraint of ``[string]: value``. Raises ConfigError for other patterns."""
         names = parts[0].items
         if len(names) != 1 or not isinstance(names[0], Reference) or names[0].names != ("string",):
-            raise ConfigError([Problem(parts[0].position, "", "only [string] stands for names")])
+            raise ConfigError([Problem(parts[0].position, "", "unsupported pattern, allowed: [string]")])
         return _Pattern(parts[1])
 
     @v_args(meta=True)
@@ -234,7 +234,7 @@
 
     @v_args(meta=True)
     def rest(self, meta: Any, parts: Items) -> _Ellipsis:
-        """Return the mark of an open list, with the type of further items."""
+        """Return the marker of an open list, with the type of further items."""
         return _Ellipsis(parts[1] if len(parts) > 1 else Reference(self._position(meta), ("_",)))
 
     @v_args(meta=True)
@@ -260,7 +260,7 @@
 
 
 def parse(text: str, file: str) -> Struct:
-    """Return the expression of one file. Raises ConfigError at what is not in the subset."""
+    """Return the expression of one file. Raises ConfigError for a syntax error or unsupported syntax."""
     try:
         tree = _parser().parse(text + "\n")
         return _TreeBuilder(file).transform(tree)
@@ -271,4 +271,4 @@
         near = ""
         if error.pos_in_stream:
             near = text[error.pos_in_stream :][:MAX_EXCERPT_CHARACTERS].split("\n")[0]
-        raise ConfigError([Problem(position, "", f"not of the settings' language near {near!r}")]) from None
+        raise ConfigError([Problem(position, "", f"invalid syntax near {near!r}")]) from None
--- a/orchidlane/config/quantity.py
+++ b/orchidlane/config/quantity.py
@@ -1,4 +1,4 @@
-"""Durations and sizes as checked strings."""
+"""Durations and sizes, which settings write as strings such as ``250ms`` and ``64KiB``."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
     @classmethod
     def parse(cls, text: str) -> Duration:
-        """Return the duration of a text. Raises ValueError where it is none."""
+        """Return the duration that a text states. Raises ValueError if it is not a duration."""
         match = DURATION.fullmatch(text)
         if match is None:
-            raise ValueError(f"{text!r} is no duration such as 250ms, 2s or 1m")
+            raise ValueError(f"{text!r} is not a duration such as 250ms, 2s or 1m")
         return cls(round(float(match[1]) * MICROSECONDS_OF_UNIT[match[2]]))
 
 
@@ -27,8 +27,8 @@
 
     @classmethod
     def parse(cls, text: str) -> Size:
-        """Return the size of a text. Raises ValueError where it is none."""
+        """Return the size that a text states. Raises ValueError if it is not a size."""
         match = SIZE.fullmatch(text)
         if match is None:
-            raise ValueError(f"{text!r} is no size such as 64KiB or 1MiB")
+            raise ValueError(f"{text!r} is not a size such as 64KiB or 1MiB")
         return cls(int(match[1]) * BYTES_OF_UNIT[match[2]])
--- a/orchidlane/config/scalars.py
+++ b/orchidlane/config/scalars.py
@@ -1,4 +1,4 @@
-"""Scalars of the settings' language: types, bounds, and expressions as text for problems."""
+"""Scalars of the settings language: types, bounds, and the text of expressions in error messages."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def has_type(name: str, value: Any) -> bool:
-    """Return whether a value is of a built-in type; a bool is no int."""
+    """Return whether a value is of a built-in type; a bool is not an int."""
     return type(value) in PYTHON_TYPES.get(name, ())
 
 
@@ -71,7 +71,7 @@
 
 
 def describe(expression: Expression) -> str:
-    """Return an expression as it may be written, shortened."""
+    """Return an expression in the settings language; structs and lists are abbreviated."""
     match expression:
         case Literal():
             return _literal_text(expression.value)
--- a/orchidlane/config/unification.py
+++ b/orchidlane/config/unification.py
@@ -1,9 +1,10 @@
-"""Unification: from expressions to plain values.
+"""Unification of expressions into plain values.
 
 A field's value is the meet of all its conjuncts, each an expression with the scope that it was written in.
 ``_Evaluator.evaluate`` flattens references, ``&`` and parentheses, then meets what remains: structs field by
-field, lists item by item, scalars with types and bounds, and disjunctions by trying their options, defaults
-first where several remain. Problems are collected, not raised, so that one run names them all.
+field, lists item by item, scalars with types and bounds, and disjunctions by trying their options; where
+several options fit, the defaults decide. Problems are collected, not raised, so that one run reports all of
+them.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 from orchidlane.config.scalars import describe, has_type, is_builtin_type, is_top, satisfies
 
 MAX_COMBINATIONS = 512  # combinations of options tried for one field
-MAX_DEPTH = 60  # references and fields within each other
+MAX_DEPTH = 60  # of nested fields, and of references to references
 
 
 class _Absent:
@@ -59,7 +60,7 @@
 
 @dataclass(eq=False)
 class Conjunct:
-    """An expression, its scope, and whether it came through a definition (which closes structs)."""
+    """An expression, its scope, and whether it is part of a definition, which closes its structs."""
 
     expression: Expression
     scope: Scope | None
@@ -76,7 +77,10 @@
 
 
 def unify(trees: list[Struct], root: str) -> Any:
-    """Return the value of a definition met with all the trees. Raises ConfigError with all problems."""
+    """Return the meet of the files and the schema's definition ``root``; the schema is the first tree.
+
+    Raises ConfigError with all problems.
+    """
     evaluator = _Evaluator()
     schema, *files = trees
     scope = evaluator.file_scope(schema)
@@ -92,11 +96,11 @@
 
 @dataclass
 class _MergedFields:
-    """All fields of some structs by name."""
+    """The fields of several structs, by name."""
 
     conjuncts: dict[str, list[Conjunct]] = field(default_factory=dict)
     optional: dict[str, bool] = field(default_factory=dict)
-    positions: dict[str, SourcePosition] = field(default_factory=dict)  # the first position of each
+    positions: dict[str, SourcePosition] = field(default_factory=dict)  # where each is first declared
 
 
 class _Evaluator:
@@ -108,7 +112,7 @@
             merged.setdefault(member.name, []).append(Conjunct(member.value, scope))
         return scope
 
-    # -- one value
+    # -- values
 
     def evaluate(self, conjuncts: list[Conjunct], path: str, depth: int, position: SourcePosition) -> Result:
         """Return the meet of the conjuncts."""
@@ -178,12 +182,12 @@
         structs = [c for c in flat if isinstance(c.expression, Struct)]
         return self._merge(structs).conjuncts.get(name, [])
 
-    # -- choices
+    # -- disjunctions
 
     def _disjunction(
         self, choices: list[Conjunct], rest: list[Conjunct], path: str, depth: int, position: SourcePosition
     ) -> Result:
-        """Options that meet with the rest; several left are settled by their defaults, if those agree."""
+        """Return the option that fits the other conjuncts; of several, the defaults decide if they agree."""
         sets = [self._options(choice) for choice in choices]
         count = 1
         for options in sets:
@@ -192,12 +196,14 @@
             return Result(problems=[Problem(position, path, f"more than {MAX_COMBINATIONS} combinations")])
         fitting: list[tuple[bool, Result]] = []
         failed: list[Result] = []
-        for pick in itertools.product(*sets):
-            result = self.evaluate([*rest, *(conjunct for _, conjunct in pick)], path, depth + 1, position)
+        for combination in itertools.product(*sets):
+            result = self.evaluate(
+                [*rest, *(conjunct for _, conjunct in combination)], path, depth + 1, position
+            )
             if result.problems:
                 failed.append(result)
             else:
-                fitting.append((all(default for default, _ in pick), result))
+                fitting.append((all(default for default, _ in combination), result))
         remaining = [result for default, result in fitting if default] or [result for _, result in fitting]
         values = [result.value for result in remaining]
         if remaining and all(value == values[0] and value is not ABSENT for value in values):
@@ -270,7 +276,7 @@
         return result
 
     def _is_not_given(self, name: str, structs: list[Conjunct]) -> bool:
-        """Whether an optional field is nowhere given."""
+        """Return whether no struct gives an optional field a value."""
         return not any(
             member.name == name and not member.optional
             for c in structs
@@ -287,19 +293,19 @@
         ]
 
     def _unknown_fields(self, structs: list[Conjunct], path: str) -> list[Problem]:
-        """Fields that a closed struct does not know."""
+        """Return a problem for each field that the closed structs do not declare."""
         closed = [c.expression for c in structs if c.is_closed and isinstance(c.expression, Struct)]
         if not closed or any(tree.is_open or tree.patterns for tree in closed):
             return []
-        known = {member.name for tree in closed for member in tree.fields}
+        declared_names = {member.name for tree in closed for member in tree.fields}
         problems = []
         for conjunct in structs:
             if conjunct.is_closed or not isinstance(conjunct.expression, Struct):
                 continue
             for member in conjunct.expression.fields:
-                if member.name not in known and not member.name.startswith(("#", "_")):
+                if member.name not in declared_names and not member.name.startswith(("#", "_")):
                     field_path = f"{path}.{member.name}" if path else member.name
-                    message = f"is no field here, allowed: {', '.join(sorted(known))}"
+                    message = f"is not a field here, allowed: {', '.join(sorted(declared_names))}"
                     problems.append(Problem(member.position, field_path, message))
         return problems
 
@@ -336,13 +342,13 @@
         literals = [c.expression for c in scalars if isinstance(c.expression, Literal)]
         if not literals:
             return Result(allowed=allowed)
-        first = literals[-1]
+        literal = literals[-1]
         for conjunct in scalars:
-            if not self._allows(conjunct, first.value):
-                others = [describe(c.expression) for c in scalars if c.expression is not first]
-                message = f"found {describe(first)}, allowed: {' & '.join(dict.fromkeys(others))}"
-                return Result(problems=[Problem(first.position, path, message)])
-        return Result(value=first.value, allowed=allowed)
+            if not self._allows(conjunct, literal.value):
+                others = [describe(c.expression) for c in scalars if c.expression is not literal]
+                message = f"found {describe(literal)}, allowed: {' & '.join(dict.fromkeys(others))}"
+                return Result(problems=[Problem(literal.position, path, message)])
+        return Result(value=literal.value, allowed=allowed)
 
     def _allows(self, conjunct: Conjunct, value: Any) -> bool:
         expression = conjunct.expression
@@ -370,5 +376,5 @@
 
 
 def _is_builtin(expression: Reference, scope: Scope | None) -> bool:
-    """Return whether a name is a built-in type that no field hides."""
+    """Return whether a name is a built-in type that no field in scope shadows."""
     return is_builtin_type(expression) and (scope is None or not scope.find(expression.names[0]))
--- a/orchidlane/routes/__init__.py
+++ b/orchidlane/routes/__init__.py
@@ -1,4 +1,4 @@
-"""An OpenAPI description as the source of routes, classes and costs."""
+"""Routes, request classes and costs, read from an OpenAPI description."""
 
 from orchidlane.routes.build import build
 from orchidlane.routes.description import load_description
--- a/orchidlane/routes/build.py
+++ b/orchidlane/routes/build.py
@@ -1,6 +1,6 @@
-"""From an OpenAPI description to a generation of routes, classes and costs.
+"""Build a generation of routes, request classes and costs from an OpenAPI description.
 
-Defaults are the safe ones: an operation of unknown effect is never run twice, and costs one unit.
+The defaults are safe: an operation whose idempotency is unknown is never executed twice, and costs one unit.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def build(values: dict[str, Any], file: str, number: int = 1, validate: bool = True) -> Generation:
-    """Return the generation of a description. Raises DescriptionError with all problems."""
+    """Return the generation that a description defines. Raises DescriptionError with all problems."""
     description = Description(values, file)
     description.check_version()
     description.check_references()
@@ -36,7 +36,7 @@
 
 
 class _ApiKeys(NamedTuple):
-    """Where an operation's API key may stand."""
+    """Where a request may carry its API key, and whether it may come without one."""
 
     headers: tuple[bytes, ...]
     queries: tuple[str, ...]
@@ -47,17 +47,17 @@
     def __init__(self, description: Description, number: int) -> None:
         self._description = description
         self._number = number
-        self._methods: list[dict[str, Operation]] = []  # of each path, the same objects as in the tree
+        self._methods: list[dict[str, Operation]] = []  # one for each path; the same objects as in the tree
         self._root = read_extension(description, description.values, "")
         self._classes = RequestClasses(description, self._root)
 
     def build(self) -> Generation:
-        """Return the generation of all operations; problems go to the description."""
+        """Return the generation of all operations. Raises DescriptionError with all problems."""
         values = self._description.values
         tree: Tree[dict[str, Operation]] = Tree()
-        for template, item in values.get("paths", {}).items():
+        for template, path_item in values.get("paths", {}).items():
             if template.startswith("/"):
-                self._add_path(tree, template, self._description.resolve(item, f"paths/{template}"))
+                self._add_path(tree, template, self._description.resolve(path_item, f"paths/{template}"))
         self._description.raise_problems()
         class_names = self._classes.names()
         for methods in self._methods:
@@ -72,17 +72,17 @@
             tree=tree,
         )
 
-    def _add_path(self, tree: Tree[dict[str, Operation]], template: str, item: dict[str, Any]) -> None:
+    def _add_path(self, tree: Tree[dict[str, Operation]], template: str, path_item: dict[str, Any]) -> None:
         location = f"paths/{template}"
-        path_extension = read_extension(self._description, item, location)
+        path_extension = read_extension(self._description, path_item, location)
         operations = {
-            method: self._operation(template, method, item, path_extension)
+            method: self._operation(template, method, path_item, path_extension)
             for method in METHODS
-            if method in item
+            if method in path_item
         }
         methods_by_path: dict[str, dict[str, Operation]] = {}
         for method, operation in operations.items():
-            for base_path in self._base_paths(item[method], item):
+            for base_path in self._base_paths(path_item[method], path_item):
                 path = self._full_path(base_path, template, location)
                 methods_by_path.setdefault(path, {})[operation.method] = replace(operation, path=path)
         for path, methods in methods_by_path.items():
@@ -93,8 +93,10 @@
             self._methods.append(methods)
 
     def _full_path(self, base_path: str, template: str, location: str) -> str:
-        """Return base path and template in the canonical form in which requests are matched."""
+        """Return base path and template in the canonical form that request paths are converted to."""
         parts = TEMPLATE.split(base_path + template)
+        # Only the literal parts are normalized. Each parameter is replaced by "~t~" in the meantime: its
+        # characters are unreserved, so normalization leaves them as they are.
         literal = "\x01".join(parts[::2])
         try:
             canonical = canonical_path(literal.replace("\x01", "~t~").encode("utf-8")).replace("~t~", "\x01")
@@ -106,27 +108,29 @@
         return "".join(text + name for text, name in zip(literals, [*parameters, ""], strict=True))
 
     def _operation(
-        self, template: str, method: str, item: dict[str, Any], path_extension: Extension
+        self, template: str, method: str, path_item: dict[str, Any], path_extension: Extension
     ) -> Operation:
-        holder = item[method]
+        operation_object = path_item[method]
         location = f"paths/{template}/{method}"
-        own = read_extension(self._description, holder, location)
-        nearer = (own, path_extension)
-        name = str(holder.get("operationId") or f"{method.upper()} {template}")
-        class_name = own.class_name or path_extension.class_name or self._root.class_name or name
-        self._classes.add(class_name, method, nearer, location)
-        cost = self._cost(class_name, nearer, location)
-        headers = self._header_parameters(item, holder, location)
-        sources = (*nearer, self._root)
+        operation_extension = read_extension(self._description, operation_object, location)
+        inner_extensions = (operation_extension, path_extension)
+        name = str(operation_object.get("operationId") or f"{method.upper()} {template}")
+        class_name = (
+            operation_extension.class_name or path_extension.class_name or self._root.class_name or name
+        )
+        self._classes.add(class_name, method, inner_extensions, location)
+        cost = self._cost(class_name, inner_extensions, location)
+        headers = self._header_parameters(path_item, operation_object, location)
+        sources = (*inner_extensions, self._root)
         idempotency_header = inherit(sources, lambda source: source.idempotency_header) or IDEMPOTENCY_HEADER
         give_up_header = inherit(sources, lambda source: source.give_up_header) or GIVE_UP_HEADER
-        api_keys = self._api_keys(holder, location)
+        api_keys = self._api_keys(operation_object, location)
         return Operation(
             method=method.upper(),
             path=template,
             name=name,
             class_name=class_name,
-            class_index=0,  # known once all classes are
+            class_index=0,  # set by ``build`` once all classes are collected
             cost=cost,
             key_headers=api_keys.headers,
             key_queries=api_keys.queries,
@@ -135,18 +139,18 @@
             anonymous=api_keys.anonymous,
         )
 
-    def _cost(self, class_name: str, nearer: tuple[Extension, ...], location: str) -> float:
-        sources = (*nearer, self._classes.declared(class_name), self._root)
-        stated = inherit(sources, lambda source: source.cost)
-        cost = DEFAULT_COST_UNITS if stated is None else stated
+    def _cost(self, class_name: str, inner_extensions: tuple[Extension, ...], location: str) -> float:
+        sources = (*inner_extensions, self._classes.declared(class_name), self._root)
+        declared_cost = inherit(sources, lambda source: source.cost)
+        cost = DEFAULT_COST_UNITS if declared_cost is None else declared_cost
         if not 0 < cost <= MAX_COST_UNITS:
             self._description.report(location, f"found cost {cost}, allowed: above 0, at most 1000000")
         return float(cost)
 
-    def _base_paths(self, holder: dict[str, Any], item: dict[str, Any]) -> tuple[str, ...]:
-        """Return the paths of the servers that an operation has, without a slash at their end."""
+    def _base_paths(self, operation_object: dict[str, Any], path_item: dict[str, Any]) -> tuple[str, ...]:
+        """Return the path of each server URL of an operation, without a trailing slash."""
         values = self._description.values
-        servers = holder.get("servers") or item.get("servers") or values.get("servers") or []
+        servers = operation_object.get("servers") or path_item.get("servers") or values.get("servers") or []
         paths = []
         for server in servers:
             url = str(server.get("url", "/"))
@@ -155,18 +159,20 @@
             paths.append(urlsplit(url).path.rstrip("/"))
         return tuple(dict.fromkeys(paths)) or ("",)
 
-    def _header_parameters(self, item: dict[str, Any], holder: dict[str, Any], location: str) -> set[str]:
-        """Return the names of the header parameters of an operation and of its path, in lower case."""
+    def _header_parameters(
+        self, path_item: dict[str, Any], operation_object: dict[str, Any], location: str
+    ) -> set[str]:
+        """Return the names, in lower case, of the header parameters of an operation and of its path."""
         names: set[str] = set()
-        for parameter in [*item.get("parameters", ()), *holder.get("parameters", ())]:
+        for parameter in [*path_item.get("parameters", ()), *operation_object.get("parameters", ())]:
             resolved = self._description.resolve(parameter, location)
             if resolved.get("in") == "header":
                 names.add(str(resolved.get("name", "")).lower())
         return names
 
-    def _api_keys(self, holder: dict[str, Any], location: str) -> _ApiKeys:
+    def _api_keys(self, operation_object: dict[str, Any], location: str) -> _ApiKeys:
         values = self._description.values
-        requirements = holder.get("security", values.get("security", []))
+        requirements = operation_object.get("security", values.get("security", []))
         schemes = values.get("components", {}).get("securitySchemes", {})
         headers: list[bytes] = []
         queries: list[str] = []
@@ -182,13 +188,13 @@
                     headers.append(b"authorization")
                 case _:
                     self._description.report(
-                        scheme_location, "allowed: apiKey in header or query, http bearer"
+                        scheme_location, "unsupported scheme, allowed: apiKey in header or query, http bearer"
                     )
         anonymous = not requirements or any(not requirement for requirement in requirements)
         return _ApiKeys(tuple(dict.fromkeys(headers)), tuple(dict.fromkeys(queries)), anonymous)
 
 
 def _if_declared(name: str, header_parameters: set[str]) -> bytes | None:
-    """Return a header's name in lower case, None where the description does not declare it."""
+    """Return a header's name in lower case, or None where the description does not declare it."""
     lower = name.lower()
     return lower.encode("latin-1") if lower in header_parameters else None
--- a/orchidlane/routes/description.py
+++ b/orchidlane/routes/description.py
@@ -1,4 +1,4 @@
-"""Reading an OpenAPI description: text to plain values, validation, references within the document."""
+"""Parse and validate an OpenAPI description, and resolve references within the document."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from orchidlane.routes.errors import DescriptionError, DescriptionProblem
 
 MAX_DESCRIPTION_BYTES = 32 << 20
-MAX_REFERENCE_CHAIN = 16  # references that may follow one another
+MAX_REFERENCE_CHAIN = 16  # references that ``resolve`` follows from one object
 MAX_MESSAGE_CHARACTERS = 300
 VALIDATORS = {"3.0": OpenAPIV30SpecValidator, "3.1": OpenAPIV31SpecValidator}
 
@@ -27,9 +27,9 @@
     except (yaml.YAMLError, UnicodeDecodeError, RecursionError) as error:
         mark = getattr(error, "problem_mark", None)
         location = f"line {mark.line + 1}" if mark else "file"
-        raise _error(file, location, str(getattr(error, "problem", None) or "not YAML")) from None
+        raise _error(file, location, str(getattr(error, "problem", None) or "not valid YAML")) from None
     if not isinstance(value, dict):
-        raise _error(file, "file", "holds no object")
+        raise _error(file, "file", "the document is not an object")
     return _with_text_keys(value)
 
 
@@ -44,7 +44,7 @@
 
 
 def _with_text_keys(value: Any) -> Any:
-    """Make every key text: YAML reads the key 200 as a number."""
+    """Convert all keys to strings: YAML reads the key 200 as a number."""
     if isinstance(value, dict):
         return {str(key): _with_text_keys(part) for key, part in value.items()}
     if isinstance(value, list):
@@ -53,7 +53,7 @@
 
 
 class Description:
-    """One description as plain values, and the problems that were found in it so far."""
+    """A description as plain values, and the problems found in it so far."""
 
     def __init__(self, values: dict[str, Any], file: str) -> None:
         self.values = values
@@ -65,30 +65,30 @@
         self.problems.append(DescriptionProblem(location, message))
 
     def raise_problems(self) -> None:
-        """Raise DescriptionError where a problem was reported."""
+        """Raise DescriptionError with all reported problems, if there are any."""
         if self.problems:
             raise DescriptionError(self.file, self.problems)
 
     def check_version(self) -> None:
-        """Raise DescriptionError where the version of OpenAPI is not one that is read."""
+        """Raise DescriptionError where the version of OpenAPI is not supported."""
         version = str(self.values.get("openapi", ""))
         if version[:3] not in VALIDATORS:
             raise _error(self.file, "openapi", f"found {version!r}, allowed: 3.0.x, 3.1.x")
 
     def validate(self) -> None:
-        """Report what breaks the OpenAPI specification. The references must have been checked before."""
+        """Report violations of the OpenAPI specification. All references must be valid."""
         validator = VALIDATORS[str(self.values["openapi"])[:3]](self.values)
         try:
             for error in validator.iter_errors():
                 location = "/".join(str(part) for part in error.absolute_path) or "file"
                 self.report(location, error.message[:MAX_MESSAGE_CHARACTERS])
         except Exception as error:
-            # The validator's later checks raise on what its earlier ones have reported.
+            # The validator's later checks raise on values that its earlier checks have already reported.
             if not self.problems:
-                self.report("file", f"can't be read as a description: {type(error).__name__} {error}")
+                self.report("file", f"the OpenAPI validator failed: {type(error).__name__} {error}")
 
     def check_references(self) -> None:
-        """Report each ``$ref`` that points at nothing within the document."""
+        """Report each ``$ref`` that has no target within the document."""
         self._check_references(self.values, "")
 
     def _check_references(self, value: Any, location: str) -> None:
@@ -102,21 +102,23 @@
             self._check_references(part, f"{location}/{key}".lstrip("/"))
 
     def resolve(self, value: Any, location: str) -> dict[str, Any]:
-        """Follow the references of an object; an empty one, and a problem, where they lead nowhere."""
+        """Return an object after following its references; report a failure and return an empty object."""
         for _ in range(MAX_REFERENCE_CHAIN):
             if not isinstance(value, dict):
-                self.report(location, "is no object")
+                self.report(location, "is not an object")
                 return {}
             if "$ref" not in value:
                 return value
             value = self._target(str(value["$ref"]), location)
-        self.report(location, "a $ref that leads to itself")
+        self.report(location, "the chain of $refs is circular or too long")
         return {}
 
     def _target(self, reference: str, location: str) -> Any:
-        """Return what a JSON pointer (RFC 6901) within the document points at."""
+        """Return the value that a JSON pointer (RFC 6901) refers to; report a failure and return ``{}``."""
         if not reference.startswith("#/"):
-            self.report(location, f"$ref {reference!r} leaves the document")
+            self.report(
+                location, f"$ref {reference!r} does not start with #/, so it is not within the document"
+            )
             return {}
         value: Any = self.values
         for token in reference[2:].split("/"):
@@ -124,7 +126,7 @@
             if isinstance(value, list):
                 value = {str(index): item for index, item in enumerate(value)}
             if not isinstance(value, dict) or key not in value:
-                self.report(location, f"$ref {reference!r} points nowhere")
+                self.report(location, f"$ref {reference!r} has no target in the document")
                 return {}
             value = value[key]
         return value
--- a/orchidlane/routes/extension.py
+++ b/orchidlane/routes/extension.py
@@ -1,7 +1,7 @@
 """The ``x-orchidlane`` extension of an OpenAPI description, and how its fields are inherited.
 
-It stands at the root (defaults, and ``classes`` by name), on a path or on an operation; the nearer one wins
-field by field.
+It may be set at the root (defaults, and ``classes`` by name), on a path and on an operation. Each field is
+taken from the innermost object that sets it.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
         "late_priority_weight": "late_worth",
     },
 ):
-    """One ``x-orchidlane`` object; a field that is absent is inherited from the object around it."""
+    """One ``x-orchidlane`` object; a field that is absent is inherited from the enclosing object."""
 
     class_name: str | None = None
     cost: float | None = None
@@ -48,11 +48,11 @@
     idempotency_header: str | None = None
 
 
-Sources = tuple[Extension, ...]  # nearest first
+Sources = tuple[Extension, ...]  # innermost first
 
 
 def read_extension(description: Description, holder: dict[str, Any], location: str) -> Extension:
-    """Return the extension of an object, an empty one where it has none or where it can't be read."""
+    """Return the extension of an object; an empty one where it has none, or an invalid one (reported)."""
     if NAME not in holder:
         return Extension()
     try:
@@ -63,7 +63,7 @@
 
 
 def inherit(sources: Sources, field: Callable[[Extension], Value | None]) -> Value | None:
-    """Return a field's value from the nearest source that states it."""
+    """Return a field's value from the first source that sets it, or None."""
     for source in sources:
         value = field(source)
         if value is not None:
--- a/orchidlane/routes/generation.py
+++ b/orchidlane/routes/generation.py
@@ -1,4 +1,4 @@
-"""One generation of routes, classes and costs: immutable; a request keeps the one that it arrived under."""
+"""One generation of routes, classes and costs: immutable; a request keeps the one it arrived under."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Operation:
-    """What one method of one path means to the gateway."""
+    """One method of one path: its request class, its cost, and which header fields and queries it reads."""
 
     method: str
     path: str  # the template, base path included
@@ -24,15 +24,15 @@
     class_name: str
     class_index: int  # in the generation's ``classes``
     cost: float  # units of the quota
-    key_headers: tuple[bytes, ...]  # where the API key may stand; lower case
+    key_headers: tuple[bytes, ...]  # names of headers that may carry the API key, in lower case
     key_queries: tuple[str, ...]
     idempotency_header: bytes | None
     give_up_header: bytes | None
-    anonymous: bool = False  # the description asks for no key
+    anonymous: bool = False  # the description allows requests without an API key
 
 
 class Match(NamedTuple):
-    """A request's operation and the parameters in its path."""
+    """A request's operation, the parameters in its path, and its path in canonical form."""
 
     operation: Operation
     parameters: dict[str, str]
@@ -41,7 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Miss:
-    """No operation: 400, 404, or 405 with what is allowed; 204 answers OPTIONS."""
+    """The response to a request without an operation: 204 to OPTIONS, else 400, 404 or 405.
+
+    ``allow`` holds the methods that the path allows.
+    """
 
     status: int
     allow: tuple[str, ...] = ()
@@ -50,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Generation:
-    """All operations of a description."""
+    """All operations and request classes of a description."""
 
     number: int
     title: str
@@ -60,17 +63,17 @@
     tree: Tree[dict[str, Operation]] = field(repr=False)
 
     def match(self, method: str, target: bytes) -> Match | Miss:
-        """Return the operation of a request target in origin, absolute or asterisk form."""
+        """Return the operation for a request target in origin, absolute or asterisk form."""
         if target == ASTERISK_FORM:
             return Miss(204, ("OPTIONS",))
         try:
             path = canonical_path(request_path(target))
         except PathError as error:
             return Miss(400, detail=str(error))
-        found = self.tree.match(path)
-        if found is None:
+        path_match = self.tree.match(path)
+        if path_match is None:
             return Miss(404, detail="no path of the description")
-        operations, parameters = found
+        operations, parameters = path_match
         operation = operations.get(method)
         if operation is None and method == "HEAD":
             operation = operations.get("GET")
@@ -81,7 +84,7 @@
 
 
 def allowed_methods(operations: dict[str, Operation]) -> tuple[str, ...]:
-    """Return the methods that a path takes, with those that the gateway itself answers."""
+    """Return the methods that a path allows, with those that the gateway itself provides."""
     implied = ("OPTIONS", "HEAD") if "GET" in operations else ("OPTIONS",)
     return tuple(sorted({*operations, *implied}))
 
@@ -97,10 +100,11 @@
 
 
 def client_timeout_us(operation: Operation, headers: http1.Headers, deadline_us: int) -> int | None:
-    """Return the client's time in microseconds, at most the deadline.
+    """Return the client's timeout in microseconds, at most the deadline.
 
-    The client states it in milliseconds, in the header that the operation declares; None stands for a value
-    that is no positive number.
+    The client sends it in milliseconds, in the header that the operation declares; without the header, the
+    deadline applies. Return None where the value is not a positive integer of at most MAX_TIMEOUT_DIGITS
+    digits.
     """
     if operation.give_up_header is None:
         return deadline_us
--- a/orchidlane/routes/path.py
+++ b/orchidlane/routes/path.py
@@ -1,4 +1,4 @@
-"""The canonical form of a path, so that no rule is bypassed by another spelling (RFC 3986 section 6.2.2)."""
+"""The canonical form of a path, so that no other spelling bypasses a rule (RFC 3986 section 6.2.2)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PathError(ValueError):
-    """The path has no canonical form, or one that is not allowed."""
+    """The path has no canonical form, or is ambiguous. The message is sent to the client."""
 
 
 def canonical_path(raw: bytes) -> str:
--- a/orchidlane/routes/request_classes.py
+++ b/orchidlane/routes/request_classes.py
@@ -1,4 +1,4 @@
-"""Request classes of a description: made from the extension, numbered by declaration, then first use."""
+"""Request classes of a description, made from its extensions."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 SAFE_METHODS = ("get", "head", "options")  # RFC 9110 section 9.2.1
 DEFAULT_DEADLINE = "10s"
-DEFAULT_OBJECTIVE_DIVISOR = 4  # of the deadline
-INVALID_DURATION_US = 1_000_000  # stands for a duration that can't be read; the description is refused
+DEFAULT_OBJECTIVE_DIVISOR = 4  # the default objective is the deadline divided by this
+INVALID_DURATION_US = 1_000_000  # placeholder for an invalid duration; the description is rejected
 Choice = TypeVar("Choice", bound=enum.Enum)
 
 
@@ -23,7 +23,7 @@
 
 
 class RequestClasses:
-    """The request classes that operations of one description belong to."""
+    """The request classes of one description, in the order of their declaration, then of first use."""
 
     def __init__(self, description: Description, root: Extension) -> None:
         self._description = description
@@ -33,7 +33,7 @@
     def names(self) -> tuple[str, ...]:
         """Return the names in their final order: as declared, then by first use.
 
-        Operations that move about in the description leave the numbers of the classes alone.
+        So a declared class keeps its number when operations are reordered in the description.
         """
         declared = {name: index for index, name in enumerate(self._root.classes or {})}
         return tuple(sorted(self._definitions, key=lambda name: declared.get(name, len(declared))))
@@ -43,12 +43,12 @@
         return tuple(self._definitions[name].request_class for name in self.names())
 
     def declared(self, name: str) -> Extension:
-        """Return what the root's ``classes`` says of a class."""
+        """Return the extension of a class in the root's ``classes``; an empty one if it is not declared."""
         return (self._root.classes or {}).get(name, Extension())
 
-    def add(self, name: str, method: str, nearer: Sources, location: str) -> None:
-        """Add the class of an operation; reports one that differs from the same name elsewhere."""
-        sources = (*nearer, self.declared(name), self._root)
+    def add(self, name: str, method: str, inner_extensions: Sources, location: str) -> None:
+        """Add the class of an operation; report a class that differs from an earlier one of that name."""
+        sources = (*inner_extensions, self.declared(name), self._root)
         request_class = self._make(name, method, sources, location)
         first = self._definitions.setdefault(name, _Definition(request_class, location))
         if first.request_class != request_class:
@@ -75,9 +75,9 @@
             "window", inherit(sources, lambda source: source.deduplication_window), location
         )
         if idempotency is Idempotency.IDEMPOTENT_WITH_KEY and not window_us:
-            self._description.report(location, f"class {name} is keyed and states no window")
+            self._description.report(location, f"class {name} has the effect keyed and needs a window")
         if objective_us > deadline_us:
-            self._description.report(location, f"class {name} has an aim beyond its deadline")
+            self._description.report(location, f"class {name} has an aim longer than its deadline")
         weight = inherit(sources, lambda source: source.priority_weight)
         late_weight = inherit(sources, lambda source: source.late_priority_weight)
         return RequestClass(
@@ -102,7 +102,7 @@
             return default
 
     def _duration(self, field: str, text: str | None, location: str) -> int:
-        """Return a duration in microseconds, 0 where none is stated."""
+        """Return a duration in microseconds, 0 where none is set."""
         if not text:
             return 0
         try:
--- a/orchidlane/routes/tree.py
+++ b/orchidlane/routes/tree.py
@@ -1,8 +1,9 @@
-"""A radix tree over path segments: a match costs work in the length of the path, not in the routes.
+"""A radix tree over path segments: a match's cost grows with the path, not with the number of routes.
 
-Concrete segments go before templated ones at every place (OpenAPI 3.1, Paths Object); a segment may hold
-several templates and literals (``{name}.{ending}``). A branch that leads nowhere is left for the next one, so
-``/a/{x}/c`` is found beside ``/a/b/d``; one match looks at ``MAX_VISITED_NODES`` nodes at most.
+At every position, concrete segments are tried before templated ones (OpenAPI 3.1, Paths Object). A segment
+may hold several templates and literals (``{name}.{ending}``). Where a branch does not match, the search
+continues with the next one, so ``/a/b/c`` matches ``/a/{x}/c`` even if the tree also holds ``/a/b/d``. One
+match visits at most ``MAX_VISITED_NODES`` nodes.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 class _Pattern(NamedTuple, Generic[Value]):
     """A segment with templates and literals in it; the one with the most literal text is tried first."""
 
-    rank: int  # the number of literal characters, negated
+    sort_key: int  # the number of literal characters, negated
     source: str
     expression: re.Pattern[str]
     node: _Node[Value]
 
 
 class _Node(Generic[Value]):
-    """What follows one prefix: concrete segments, patterns within a segment, a whole-segment template."""
+    """The continuations of one path prefix: concrete segments, patterns, and a whole-segment template."""
 
     __slots__ = ("concrete", "names", "patterns", "value", "wildcard")
 
@@ -38,7 +39,7 @@
 
 
 class Tree(Generic[Value]):
-    """Templated paths and their values."""
+    """Path templates and their values."""
 
     def __init__(self) -> None:
         self._root: _Node[Value] = _Node()
@@ -48,7 +49,7 @@
         return self._count
 
     def add(self, template: str, value: Value) -> None:
-        """Add a path such as ``/a/{b}``. Raises ValueError where a template of the same shape is present."""
+        """Add a template such as ``/a/{b}``. Raises ValueError if it is invalid or equivalent to another."""
         node = self._root
         names: list[str] = []
         for segment in template.split("/")[1:]:
@@ -66,7 +67,7 @@
     def _child(self, node: _Node[Value], segment: str, has_template: bool) -> _Node[Value]:
         if not has_template:
             if "{" in segment or "}" in segment:
-                raise ValueError(f"a lone brace in the segment {segment!r}")
+                raise ValueError(f"unbalanced braces in the segment {segment!r}")
             return node.concrete.setdefault(segment, _Node())
         if TEMPLATE.fullmatch(segment):
             node.wildcard = node.wildcard or _Node()
@@ -80,13 +81,13 @@
             if pattern.source == source:
                 return pattern.node
         child: _Node[Value] = _Node()
-        rank = -sum(len(literal) for literal in literals)
-        node.patterns.append(_Pattern(rank, source, re.compile(source, re.DOTALL), child))
-        node.patterns.sort(key=lambda pattern: (pattern.rank, pattern.source))
+        sort_key = -sum(len(literal) for literal in literals)
+        node.patterns.append(_Pattern(sort_key, source, re.compile(source, re.DOTALL), child))
+        node.patterns.sort(key=lambda pattern: (pattern.sort_key, pattern.source))
         return child
 
     def match(self, path: str) -> tuple[Value, dict[str, str]] | None:
-        """Return the value of the first template that fits a path in canonical form, and its parameters."""
+        """Return the value and the parameters of the first template that matches a path in canonical form."""
         search: _Search[Value] = _Search(path.split("/"))
         node = search.walk(self._root, 1)
         if node is None or node.value is None:
@@ -95,7 +96,7 @@
 
 
 class _Search(Generic[Value]):
-    """One walk over the tree: the parameters on the way so far, and how many nodes it may still visit."""
+    """The state of one search: the parameters matched so far, and the number of nodes it may still visit."""
 
     __slots__ = ("parameters", "remaining_visits", "segments")
 
@@ -105,7 +106,7 @@
         self.remaining_visits = MAX_VISITED_NODES
 
     def walk(self, node: _Node[Value], index: int) -> _Node[Value] | None:
-        """Return the node at which the segments from ``index`` on end."""
+        """Return the node that the segments from ``index`` on lead to, or None."""
         segments = self.segments
         remaining_visits = self.remaining_visits
         for position in range(index, len(segments)):
@@ -117,7 +118,7 @@
             if child is None or node.patterns or node.wildcard is not None:
                 self.remaining_visits = remaining_visits
                 return self._branch(node, child, position)
-            node = child  # the only way: no need to come back
+            node = child  # the only branch, so no backtracking is needed
         self.remaining_visits = remaining_visits
         return node if node.value is not None else None
 
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -1,4 +1,4 @@
-"""Settings, scenario files and the platform's configuration have the golden names and defaults."""
+"""Settings, scenario files and the platform's configuration have the names and defaults of golden files."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from orchidlane.platform import configuration as platform_config
 from orchidlane.simulation import scenario
 
-SMALLEST = """
+SMALLEST_SETTINGS = """
 description: "d.yaml"
 customers:   "c.json"
 gateways: [{name: "a", listen: "127.0.0.1:1", peer: "127.0.0.1:2"}]
@@ -45,13 +45,13 @@
 
 
 def paths_of(value: Any, *path: Any) -> list[tuple[Any, ...]]:
-    """Return the path of each key within a value."""
+    """Return the path of each key and index within a value."""
     inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    return [found for key, part in inner for found in [(*path, key), *paths_of(part, *path, key)]]
+    return [below for key, part in inner for below in [(*path, key), *paths_of(part, *path, key)]]
 
 
 def is_accepted(value: dict) -> bool:
-    """Return whether the platform's configuration may have this content."""
+    """Return whether a value is a valid configuration of the platform."""
     try:
         platform_config.parse_configuration(json.dumps(value).encode(), "config.json")
     except platform_config.ConfigurationError:
@@ -60,30 +60,30 @@
 
 
 def test_the_platforms_configuration_has_the_golden_keys():
-    """Which keys may be missing, and which may not."""
+    """Removes each key in turn; the golden file holds which configurations are still accepted."""
     known = {"generation": 3, "reset": True, "instances": []}
     complete = platform_file(known=known)
-    found = {"whole": is_accepted(complete)}
+    accepted = {"whole": is_accepted(complete)}
     for path in paths_of(complete):
         value = json.loads(json.dumps(complete))
         inner = value
         for key in path[:-1]:
             inner = inner[key]
         del inner[path[-1]]
-        found["without " + "/".join(map(str, path))] = is_accepted(value)
-    assert found["whole"]
-    check_golden("platform-configuration", found)
+        accepted["without " + "/".join(map(str, path))] = is_accepted(value)
+    assert accepted["whole"]
+    check_golden("platform-configuration", accepted)
 
 
 def test_settings_have_the_golden_names_and_defaults():
     schema = settings_loader.schema_text()
-    found = config.plain_values(SMALLEST, "smallest.cue", schema, "#Fleet")
-    settings_loader.parse_settings(SMALLEST, "smallest.cue")
-    check_golden("settings", {"defaults": found, "schema": schema_without_comments(schema)})
+    defaults = config.plain_values(SMALLEST_SETTINGS, "smallest.cue", schema, "#Fleet")
+    settings_loader.parse_settings(SMALLEST_SETTINGS, "smallest.cue")
+    check_golden("settings", {"defaults": defaults, "schema": schema_without_comments(schema)})
 
 
 def test_scenario_files_have_the_golden_names_and_defaults():
     schema = scenario.SCHEMA_PATH.read_text()
-    found = config.plain_values(SMALLEST_SCENARIO, "smallest.cue", schema, "#Day")
+    defaults = config.plain_values(SMALLEST_SCENARIO, "smallest.cue", schema, "#Day")
     config.load(SMALLEST_SCENARIO, "smallest.cue", schema, "#Day", scenario.Scenario)
-    check_golden("settings-of-a-day", {"defaults": found, "schema": schema_without_comments(schema)})
+    check_golden("settings-of-a-day", {"defaults": defaults, "schema": schema_without_comments(schema)})
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes, classes and costs of a description: precedence, canonical paths, safe defaults, clear errors."""
+"""Routes, request classes and costs of a description: precedence, canonical paths, defaults, errors."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from orchidlane.routes import Match, Miss
 
 ROOT = Path(__file__).parent.parent
-FILE = ROOT / "examples" / "materials" / "openapi.yaml"
-SMALL = {
+DESCRIPTION_FILE = ROOT / "examples" / "materials" / "openapi.yaml"
+SMALL_DESCRIPTION = {
     "openapi": "3.0.3",
     "info": {"title": "t", "version": "1"},
     "paths": {"/a": {"post": {"responses": {"200": {"description": "ok"}}}}},
@@ -24,8 +24,10 @@
 
 @pytest.fixture(scope="module")
 def materials() -> routes.Generation:
-    """Return the routes of the example's description."""
-    return routes.build(routes.load_description(FILE.read_bytes(), "openapi.yaml"), "openapi.yaml")
+    """Return the generation of the example's description."""
+    return routes.build(
+        routes.load_description(DESCRIPTION_FILE.read_bytes(), "openapi.yaml"), "openapi.yaml"
+    )
 
 
 @pytest.mark.parametrize(
@@ -43,7 +45,7 @@
         ("POST /v1/reports", "issueReport", 3),
     ],
 )
-def test_each_request_has_its_operation_and_cost(materials, line, name, cost):
+def test_a_request_matches_an_operation_with_its_cost(materials, line, name, cost):
     method, target = line.split(" ")
     match = materials.match(method, target.encode())
     assert isinstance(match, Match)
@@ -65,7 +67,7 @@
         ("OPTIONS /v1/reports", 204),
     ],
 )
-def test_a_target_without_an_operation_has_the_status_of_its_reason(materials, line, status):
+def test_a_request_without_an_operation_has_the_status_for_its_reason(materials, line, status):
     method, target = line.split(" ")
     miss = materials.match(method, target.encode())
     assert isinstance(miss, Miss)
@@ -74,7 +76,7 @@
         assert miss.allow == ("OPTIONS", "POST")
 
 
-def test_classes_come_from_the_extension(materials):
+def test_request_classes_are_read_from_the_extension(materials):
     classes = dict(zip(materials.class_names, materials.classes, strict=True))
     assert classes["report-issue"].idempotency is policy.Idempotency.NOT_IDEMPOTENT
     upload = classes["test-upload"]
@@ -87,15 +89,15 @@
     assert materials.match("POST", b"/v1/reports").operation.give_up_header == b"give-up-after-ms"
 
 
-def test_an_operation_of_unknown_effect_is_not_idempotent_and_costs_one_unit():
-    generation = routes.build(SMALL, "f")
+def test_an_operation_is_not_idempotent_and_costs_one_unit_by_default():
+    generation = routes.build(SMALL_DESCRIPTION, "f")
     assert generation.classes[0].idempotency is policy.Idempotency.NOT_IDEMPOTENT
     assert generation.operations[0].cost == 1
 
 
 def build_error(**changes) -> str:
-    """Return the error text of the small description with a changed operation."""
-    description = copy.deepcopy(SMALL)
+    """Return the error text for the small description with changes to its operation."""
+    description = copy.deepcopy(SMALL_DESCRIPTION)
     operation = description["paths"]["/a"]["post"]
     operation.update(changes)
     with pytest.raises(routes.DescriptionError) as caught:
@@ -103,12 +105,12 @@
     return str(caught.value)
 
 
-def test_each_problem_of_a_description_is_reported_with_its_place():
+def test_each_problem_of_a_description_is_reported_with_its_location():
     assert "f.json: paths//a/post/x-orchidlane: " in build_error(**{"x-orchidlane": {"cots": 1}})
     assert "found effect 'often'" in build_error(**{"x-orchidlane": {"effect": "often"}})
-    assert "states no window" in build_error(**{"x-orchidlane": {"effect": "keyed"}})
-    assert "no duration" in build_error(**{"x-orchidlane": {"aim": "5"}})
-    assert "points nowhere" in build_error(parameters=[{"$ref": "#/components/parameters/x"}])
+    assert "needs a window" in build_error(**{"x-orchidlane": {"effect": "keyed"}})
+    assert "not a duration" in build_error(**{"x-orchidlane": {"aim": "5"}})
+    assert "has no target" in build_error(parameters=[{"$ref": "#/components/parameters/x"}])
     assert "f.json: paths//a/post" in build_error(responses=3)
     with pytest.raises(routes.DescriptionError, match=r"line 2"):
         routes.load_description(b"{\n,}", "f")
@@ -116,7 +118,7 @@
         routes.build({"openapi": "2.0"}, "f")
 
 
-def test_a_second_template_of_the_same_shape_is_rejected():
+def test_a_template_that_matches_the_same_paths_as_another_is_rejected():
     tree: routes.Tree[int] = routes.Tree()
     tree.add("/a/{x}", 1)
     with pytest.raises(ValueError, match="same paths"):
@@ -128,29 +130,31 @@
 
 
 @given(st.lists(template, max_size=12), st.lists(st.sampled_from(["a", "b", "c.d", "e", "z"]), max_size=4))
-def test_the_tree_agrees_with_a_list_of_regular_expressions(templates, parts):
+def test_the_tree_finds_a_match_whenever_a_regular_expression_does(templates, parts):
     tree: routes.Tree[str] = routes.Tree()
-    added = []
+    added_templates = []
     for text in templates:
         try:
             tree.add(text, text)
-            added.append(text)
+            added_templates.append(text)
         except ValueError:
             continue
     path = "/" + "/".join(parts)
     match = tree.match(path)
-    fitting = [t for t in added if re.fullmatch(re.sub(r"\\{\w\\}", "[^/]+", re.escape(t)), path)]
-    if not fitting:
+    matching_templates = [
+        t for t in added_templates if re.fullmatch(re.sub(r"\\{\w\\}", "[^/]+", re.escape(t)), path)
+    ]
+    if not matching_templates:
         assert match is None
     else:
         assert match is not None
-        assert match[0] in fitting
-        concrete = [t for t in fitting if "{" not in t]
+        assert match[0] in matching_templates
+        concrete = [t for t in matching_templates if "{" not in t]
         assert not concrete or match[0] == path
 
 
 @given(st.binary(max_size=20))
-def test_the_canonical_form_is_a_fixed_point(tail):
+def test_a_canonical_path_is_its_own_canonical_form(tail):
     try:
         path = routes.canonical_path(b"/" + tail)
     except routes.PathError:
