--- a/orchidlane/cli/__init__.py
+++ b/orchidlane/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one command, sub-commands, each a small program."""
+"""The ``orchidlane`` command and its sub-commands."""
 
 from orchidlane.cli.main import main
 
--- a/orchidlane/cli/admin_client.py
+++ b/orchidlane/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Reads responses of gateways' admin addresses."""
+"""HTTP client for the admin addresses of gateways."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from orchidlane.gateway.telemetry.policy_views import ViewError
 from orchidlane.http1 import Data, End, ProtocolError, Response
 
-TIMEOUT_SECONDS = 5.0  # for each piece of a response
+TIMEOUT_SECONDS = 5.0  # to connect, and for each part of a response
 RECEIVE_BYTES = 1 << 16
 HTTP_OK = 200
 
 
 def fetch(admin: str, target: str, max_bytes: int) -> Iterator[bytes]:
-    """Yield the parts of a response of a gateway's admin address. Raises ViewError."""
+    """Yield the body of a response from a gateway's admin address, in parts. Raises ViewError."""
     try:
         admin_address = parse_host_port(admin)
     except ValueError:
-        raise ViewError(f"{admin}: no such file, and not an address as host:port") from None
+        raise ViewError(f"{admin}: neither a file nor an address in the form host:port") from None
     try:
         with socket.create_connection(admin_address, TIMEOUT_SECONDS) as connection:
             connection.sendall(http1.request_head("GET", target.encode(), [(b"host", b"admin")]))
             yield from _read_body(connection, admin, max_bytes)
     except ProtocolError as error:
-        raise ViewError(f"{admin} does not answer as a gateway: {error}") from None
+        raise ViewError(f"{admin} did not send a valid HTTP response: {error}") from None
     except TimeoutError:
-        raise ViewError(f"{admin} does not answer within {TIMEOUT_SECONDS:g} s") from None
+        raise ViewError(f"{admin} did not respond within {TIMEOUT_SECONDS:g} s") from None
     except OSError as error:
         raise ViewError(f"{admin}: {error.strerror or error}") from None
 
@@ -42,17 +42,19 @@
         match event:
             case None:
                 if parser.input_ended:
-                    raise ViewError(f"{admin} ended its answer early")
+                    raise ViewError(f"{admin} closed the connection before the end of its response")
                 parser.receive(connection.recv(RECEIVE_BYTES))
             case Response():
                 status = event.status
             case Data():
                 size += len(event.data)
                 if size > max_bytes:
-                    raise ViewError(f"{admin}: its answer has more than {max_bytes} bytes")
+                    raise ViewError(f"{admin}: the response is larger than {max_bytes} bytes")
                 if status == HTTP_OK:
                     yield event.data
                 else:
                     error_text += event.data
     if status != HTTP_OK:
-        raise ViewError(error_text.decode("utf-8", "replace").strip() or f"{admin} answers {status}")
+        raise ViewError(
+            error_text.decode("utf-8", "replace").strip() or f"{admin} responded with status {status}"
+        )
--- a/orchidlane/cli/audit_command.py
+++ b/orchidlane/cli/audit_command.py
@@ -1,4 +1,4 @@
-"""The command that checks the rules over records."""
+"""``orchidlane audit``: check the five rules against the records in a folder."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         paths = sorted(str(path) for path in Path(folder).glob(f"*{SEGMENT_SUFFIX}"))
         if socket_audit is None and not paths:
             raise ValueError(f"{folder}: no records of gateways, nodes or clients")
-        arrivals = [(one.attempt, one.at) for one in socket_audit[1]] if socket_audit else None
+        arrivals = [(arrival.attempt, arrival.at) for arrival in socket_audit[1]] if socket_audit else None
         findings = recording.audit_records(paths, arrivals) if paths else None
     value: dict[str, Any] = {}
     rules_held: list[bool] = []
--- a/orchidlane/cli/change.py
+++ b/orchidlane/cli/change.py
@@ -1,4 +1,4 @@
-"""``orchidlane change``: propose a version for the whole fleet, show its progress, revert it."""
+"""``orchidlane change``: propose a version for the whole fleet, show its rollout, revert a version."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from orchidlane.cli.errors import report_input_errors
 from orchidlane.cli.rollout_client import RolloutClient
-from orchidlane.cli.rollout_text import MICROSECONDS, history_line, proposal_progress, status_lines
+from orchidlane.cli.rollout_text import MICROSECONDS_PER_SECOND, history_line, proposal_progress, status_lines
 from orchidlane.gateway.control.configuration import build_snapshot, read_source_files
 from orchidlane.gateway.rollout_agent.admin_messages import CommandOutcome, CommandRequest, RolloutStatus
 from orchidlane.gateway.rollout_agent.configuration_reader import customer_assignments
@@ -25,10 +25,10 @@
 from orchidlane.rollout.version import ContentHashes, Version
 from orchidlane.runtime import RealBackend
 
-RETRY_TIMEOUT_S = 15.0  # of a command while nobody leads
+RETRY_TIMEOUT_S = 15.0  # for sending a command again while there is no leader
 POLL_INTERVAL_S = 0.1
-EXTRA_WAIT_S = 5.0  # beyond the longest course of a rollout's stage
-EXIT_DONE, EXIT_REFUSED, EXIT_UNKNOWN = 0, 1, 3
+EXTRA_WAIT_S = 5.0  # margin beyond the longest decision and the leases that may have to expire
+EXIT_DONE, EXIT_NOT_ADOPTED, EXIT_UNKNOWN = 0, 1, 3
 ID_BITS = 128
 
 Parameters = ParamSpec("Parameters")
@@ -36,14 +36,14 @@
 
 
 class Contents(NamedTuple):
-    """The contents of a version, and of those that follow it."""
+    """The contents of a version, and of the further versions of the same migration."""
 
     first: ContentHashes
     followed_by: tuple[ContentHashes, ...] = ()
 
 
 def _latest(status: RolloutStatus) -> Version:
-    """Return the latest version. Raises ValueError where there is none."""
+    """Return the version that is being rolled out, else the current one. Raises ValueError if none exists."""
     version = status.rollout_version or status.current_version
     if version is None:
         raise ValueError("there is no replicated state yet: all voters are needed to create it, once")
@@ -66,11 +66,11 @@
     """Versions of the rules that the whole fleet goes by, approved by a quorum of its voters."""
 
 
-def _with_input_errors_reported(work: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
-    @wraps(work)
+def _with_input_errors_reported(command: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
+    @wraps(command)
     def run(*args: Parameters.args, **options: Parameters.kwargs) -> Result:
         with report_input_errors():
-            return work(*args, **options)
+            return command(*args, **options)
 
     return run
 
@@ -106,7 +106,7 @@
         contents=contents.first,
         followed_by=contents.followed_by,
     )
-    _carry_through(client, request, wait)
+    _propose_and_exit(client, request, wait)
 
 
 @change.command()
@@ -136,30 +136,33 @@
         reverts=reverted.number,
         followed_by=contents.followed_by,
     )
-    _carry_through(client, request, wait)
+    _propose_and_exit(client, request, wait)
 
 
 def _version_to_revert(status: RolloutStatus, number: int) -> Version:
-    """Return a known version that has one before it. Raises ValueError."""
-    known = _versions_by_number(status)
-    if number not in known:
-        raise ValueError(f"version {number} is not known any more, known: {sorted(known)}")
+    """Return a version by its number. Raises ValueError if it is not in the history, or is the first."""
+    versions = _versions_by_number(status)
+    if number not in versions:
+        raise ValueError(f"version {number} is not in the history, allowed: {sorted(versions)}")
     if number == 0:
-        raise ValueError("version 0 is the first: there is nothing before it")
-    return known[number]
+        raise ValueError("version 0 is the first version, so it can't be reverted")
+    return versions[number]
 
 
 def _reverted_contents(
     client: RolloutClient, status: RolloutStatus, reverted: Version, latest: Version
 ) -> Contents:
-    """Return the latest contents without a version's edit; while it is rolled out, the contents before it."""
+    """Return the latest contents without a version's edit.
+
+    For a version that is being rolled out, these are the current contents. Raises ValueError.
+    """
     if reverted == status.rollout_version:
         assert status.current_version is not None
         return Contents(status.current_version.contents)
     base = _versions_by_number(status).get(reverted.base)
     if base is None:
         raise ValueError(
-            f"version {reverted.base}, which {reverted.number} was made from, is not known any more"
+            f"version {reverted.base}, on which {reverted.number} is based, is not in the history"
         )
     versions = (base, reverted, latest)
     try:
@@ -170,7 +173,9 @@
             client, [version.contents.customers for version in versions], revert_customers_edit
         )
     except RollbackConflictError as error:
-        raise ValueError(f"version {reverted.number} can't be taken back alone: {error}") from None
+        raise ValueError(
+            f"version {reverted.number} can't be reverted without later versions: {error}"
+        ) from None
     if customers == latest.contents.customers:
         return Contents(msgspec.structs.replace(latest.contents, rules=rules))
     return _migration_contents(client, latest, rules, client.content(customers))
@@ -179,7 +184,10 @@
 def _reverted_content(
     client: RolloutClient, hashes: list[str], revert: Callable[[bytes, bytes, bytes], bytes]
 ) -> str:
-    """Return the hash of a content without an edit; ``hashes``: before it, with it, and the latest."""
+    """Return the hash of the latest content without an edit.
+
+    ``hashes`` are those of the content before the edit, after it, and the latest.
+    """
     before, after, latest = hashes
     if before == after:
         return latest
@@ -189,7 +197,7 @@
 
 
 def _migration_contents(client: RolloutClient, base: Version, rules: str, customers: bytes) -> Contents:
-    """Return the versions that lead to a customers' file: one, or those of a migration."""
+    """Return the contents of the one version, or of a migration's versions, that lead to a customers file."""
     fleet = client.fleet
     log = structlog.get_logger()
     description = client.content(base.contents.rules)
@@ -224,22 +232,22 @@
     client = RolloutClient(settings)
     version = client.status().rollout_version
     if version is None:
-        raise ValueError("no change is on its way")
+        raise ValueError("no version is being rolled out")
     request = CommandRequest(_new_id(), action, version.number, author or getpass.getuser(), reason)
     outcome = _send_with_retries(client, request)
     if not outcome.is_accepted:
-        _exit_refused(outcome)
+        _exit_rejected(outcome)
     click.echo(f"{action}: version {version.number}")
     sys.exit(EXIT_DONE)
 
 
-def _exit_refused(outcome: CommandOutcome) -> NoReturn:
+def _exit_rejected(outcome: CommandOutcome) -> NoReturn:
     click.echo(f"not taken: {outcome.reason}")
-    sys.exit(EXIT_REFUSED)
+    sys.exit(EXIT_NOT_ADOPTED)
 
 
 def _send_with_retries(client: RolloutClient, request: CommandRequest) -> CommandOutcome:
-    """Send a command again while nobody leads: by its id it is carried out once at most."""
+    """Send a command, and again while there is no leader; its id makes it take effect at most once."""
     deadline = time.monotonic() + RETRY_TIMEOUT_S
     while True:
         outcome = client.send_command(request)
@@ -248,29 +256,29 @@
         time.sleep(POLL_INTERVAL_S)
 
 
-def _carry_through(client: RolloutClient, request: CommandRequest, wait: bool) -> NoReturn:
-    """Propose a version, and show its progress until it is over."""
+def _propose_and_exit(client: RolloutClient, request: CommandRequest, wait: bool) -> NoReturn:
+    """Propose a version, show its progress until it is adopted, rejected or reverted, and exit."""
     outcome = _send_with_retries(client, request)
     if not outcome.is_accepted:
-        _exit_refused(outcome)
+        _exit_rejected(outcome)
     if not wait:
         click.echo("taken")
         sys.exit(EXIT_DONE)
-    terms = client.fleet.rollout
-    longest_us = int(terms.decision_timeout_us) + 3 * int(terms.lease_us)
-    deadline = time.monotonic() + longest_us / MICROSECONDS + EXTRA_WAIT_S
-    shown = ""
+    rollout_settings = client.fleet.rollout
+    longest_us = int(rollout_settings.decision_timeout_us) + 3 * int(rollout_settings.lease_us)
+    deadline = time.monotonic() + longest_us / MICROSECONDS_PER_SECOND + EXTRA_WAIT_S
+    last_line = ""
     while time.monotonic() < deadline:
         try:
             progress = proposal_progress(request, client.status())
         except ValueError:
             time.sleep(POLL_INTERVAL_S)
             continue
-        if progress.line and progress.line != shown:
-            shown = progress.line
-            click.echo(shown)
+        if progress.line and progress.line != last_line:
+            last_line = progress.line
+            click.echo(last_line)
         if progress.is_done is not None:
-            sys.exit(EXIT_DONE if progress.is_done else EXIT_REFUSED)
+            sys.exit(EXIT_DONE if progress.is_done else EXIT_NOT_ADOPTED)
         time.sleep(POLL_INTERVAL_S)
     click.echo("it is not over; see `orchidlane change status`")
     sys.exit(EXIT_UNKNOWN)
--- a/orchidlane/cli/completion.py
+++ b/orchidlane/cli/completion.py
@@ -1,4 +1,4 @@
-"""The command that prints a shell's completion."""
+"""``orchidlane completion``: print the completion script of a shell."""
 
 from __future__ import annotations
 
--- a/orchidlane/cli/config_commands.py
+++ b/orchidlane/cli/config_commands.py
@@ -1,4 +1,4 @@
-"""Commands on settings files: check one, show one with its defaults."""
+"""``orchidlane config``: check a settings file, or show it with its defaults."""
 
 from __future__ import annotations
 
--- a/orchidlane/cli/customer_commands.py
+++ b/orchidlane/cli/customer_commands.py
@@ -1,4 +1,4 @@
-"""Commands on what gateways know of customers: counts, and the difference of two gateways' views."""
+"""Commands that show customers' counts at gateways, and how two gateways' views of a customer differ."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from orchidlane.gateway.telemetry.policy_views import PolicyView, ViewError
 from orchidlane.gateway.telemetry.predictions import Prediction, predict_request
 
-MAX_CUSTOMERS_SHOWN = 10  # of each plan, those nearest to their limit
+MAX_CUSTOMERS_SHOWN = 10  # per plan; those nearest to their limit
 MICROSECONDS_PER_SECOND = 1e6
 CountPair = list[float | None]
 
@@ -36,7 +36,7 @@
     """
     with report_input_errors():
         if (customer is None) == (plan is None):
-            raise ValueError("either CUSTOMER or --plan is wanted")
+            raise ValueError("exactly one of CUSTOMER and --plan is required")
         if plan is not None:
             rows = [_plan_row(source, plan) for source in find_sources(where)]
         else:
@@ -121,7 +121,7 @@
 
 
 def _when_views_agree(views: list[PolicyView], different_counts: dict[int, CountPair]) -> str:
-    """Return when what one knows reaches the other: gateways that see each other gossip pending changes."""
+    """Return when the views will agree: a gateway's next message to the other holds its pending changes."""
     if not different_counts:
         return "now"
     first, second = (view.policy_settings().replica for view in views)
@@ -132,13 +132,13 @@
     if any(view.state.pending_changes for view in views):
         when = "with the next message between them"
     else:
-        when = "with the next approval: none is pending"
+        when = "with the next admitted request: no change is pending"
     return f"{when}; {', '.join(last_seen)}"
 
 
 def _describe_last_seen(view: PolicyView, replica: int, other: int) -> str:
     seen_at_us = dict(view.state.last_seen).get(other)
     if seen_at_us is None:
-        return f"gateway {replica} heard gateway {other} never"
+        return f"gateway {replica}: gateway {other} never seen"
     age = (view.now - seen_at_us) / MICROSECONDS_PER_SECOND
-    return f"gateway {replica} heard gateway {other} {age:.1f} s ago"
+    return f"gateway {replica}: gateway {other} last seen {age:.1f} s ago"
--- a/orchidlane/cli/errors.py
+++ b/orchidlane/cli/errors.py
@@ -1,4 +1,4 @@
-"""Exit codes, and errors of the input as messages in place of tracebacks."""
+"""Exit codes, and the printing of input errors without a traceback."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from orchidlane.recording import FormatError
 from orchidlane.routes import DescriptionError
 
-EXIT_FAILED_CHECK = 1  # the answer is no: a rule broken, a check failed
+EXIT_FAILED_CHECK = 1  # a rule was violated, or a check failed
 EXIT_UNUSABLE_INPUT = 2
-EXIT_INCOMPLETE_CHECK = 3  # no fault found, but not all could be checked
+EXIT_INCOMPLETE_CHECK = 3  # no fault was found, but a part could not be checked
 
 INPUT_ERRORS = (ConfigError, DescriptionError, CustomersError, FormatError, ViewError, ValueError)
 
 
 @contextmanager
 def report_input_errors() -> Iterator[None]:
-    """Print an error of the input, one problem a line and without a traceback, and exit."""
+    """Print an error of the input, one problem per line, and exit with EXIT_UNUSABLE_INPUT."""
     try:
         yield
     except INPUT_ERRORS as error:
--- a/orchidlane/cli/gateway_commands.py
+++ b/orchidlane/cli/gateway_commands.py
@@ -1,4 +1,4 @@
-"""Commands on running gateways: state, view of the endpoints, and a live screen."""
+"""Commands on running gateways: their state, their views of the endpoints, and a live screen."""
 
 from __future__ import annotations
 
@@ -75,8 +75,8 @@
     """A gateway's view of each node, and where its next request would go."""
     with report_input_errors():
         view = load_endpoint_view(admin)
-        forwarded = predict_endpoints(view, request_class_number(view, class_name))
-        rows = [_endpoint_row(view, endpoint, forwarded) for endpoint in listed_endpoints(view.state)]
+        next_requests = predict_endpoints(view, request_class_number(view, class_name))
+        rows = [_endpoint_row(view, endpoint, next_requests) for endpoint in listed_endpoints(view.state)]
     lines = ["node                  phase     cold   out  slow  fails  next of 64"]
     for row in rows:
         cells = f"{row['node']:21} {row['phase']:9} {row['cold']!s:6} {row['out']:3} {row['slow']:5}"
@@ -84,7 +84,7 @@
     print_result(rows, lines, as_json)
 
 
-def _endpoint_row(view: PolicyView, endpoint: Endpoint, forwarded: dict[bytes, int]) -> dict[str, Any]:
+def _endpoint_row(view: PolicyView, endpoint: Endpoint, next_requests: dict[bytes, int]) -> dict[str, Any]:
     entry = endpoint.entry
     is_warming_up = False
     if entry.started_at_us:
@@ -97,7 +97,7 @@
         "slow": round(endpoint.slowness, 2),
         "fails": round(endpoint.failure_score, 2),
         "typical": round(endpoint.baseline_load, 2),
-        "next": forwarded.get(entry.endpoint, 0),
+        "next": next_requests.get(entry.endpoint, 0),
     }
 
 
@@ -128,10 +128,10 @@
 
 
 def _admin_addresses(where: str) -> list[tuple[str, Address]]:
-    """Return the names and admin addresses of the gateways that a word names."""
+    """Return the names and admin addresses of a settings file's gateways, or of one gateway."""
     if not where.endswith(SETTINGS_SUFFIX):
         return [(where, parse_host_port(where))]
-    find_sources(where)  # says what is wrong where no gateway has an admin address
+    find_sources(where)  # raises ViewError where no gateway has an admin address
     return [
         (entry.name, parse_host_port(entry.admin)) for entry in load_settings(where).gateways if entry.admin
     ]
--- a/orchidlane/cli/gateway_figures.py
+++ b/orchidlane/cli/gateway_figures.py
@@ -29,7 +29,8 @@
 
 GAUGES = (Figure.OPEN_REQUESTS, Figure.ENDPOINTS, Figure.LONGEST_TURN_MS)
 COUNTERS = tuple(figure for figure in Figure if figure not in GAUGES)
-RESPONSE_KINDS = (Figure.SERVED, Figure.REJECTED, Figure.FAILED)  # labelled by their JSON keys
+# The metric's label ``kind`` is the figure's JSON key.
+RESPONSE_KINDS = (Figure.SERVED, Figure.REJECTED, Figure.FAILED)
 GAUGE_SCALES = {  # by metric: the figure, and the factor to its unit
     "orchidlane_open_requests": (Figure.OPEN_REQUESTS, 1.0),
     "orchidlane_nodes": (Figure.ENDPOINTS, 1.0),
@@ -48,7 +49,7 @@
 
 
 def read_figures(loop: EventLoop, admin: Address, timeout_us: int) -> Reading | None:
-    """Return the figures of a gateway's metrics page, or None where it does not answer in time."""
+    """Return the figures of a gateway's metrics page, or None where it does not respond in time."""
     deadline = loop.now() + timeout_us
     try:
         stream = loop.backend.connect(admin, deadline)
@@ -91,9 +92,9 @@
 
 
 def rates_between(before: Reading | None, now: Reading) -> Figures:
-    """Return the counters' rates a second since the reading before, and the gauges as they are.
+    """Return the counters' rates per second since the previous reading, and the gauges as they are.
 
-    The rates are zero without a reading before, or where the gateway was restarted meanwhile.
+    The rates are 0 without a previous reading, or where the gateway was restarted in between.
     """
     if before is None:
         return {figure: now.figures[figure] if figure in GAUGES else 0.0 for figure in Figure}
--- a/orchidlane/cli/main.py
+++ b/orchidlane/cli/main.py
@@ -1,7 +1,7 @@
 """The ``orchidlane`` command: its group of sub-commands.
 
-Exit codes: 0 done, 1 the answer is no (a rule broken, a check failed), 2 the input can't be used, 3 no fault
-found, but not all could be checked.
+Exit codes: 0 success, 1 a rule was violated or a check failed, 2 the input can't be used, 3 no fault was
+found, but a part could not be checked. ``change``, ``roll`` and ``upgrade`` describe their own.
 """
 
 from __future__ import annotations
--- a/orchidlane/cli/output.py
+++ b/orchidlane/cli/output.py
@@ -1,4 +1,4 @@
-"""Output of commands: for a person, or as JSON."""
+"""Output of commands, as text or as JSON."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 
 def print_result(value: Any, lines: list[str], as_json: bool) -> None:
-    """Print the lines for a person, or the value as JSON."""
+    """Print the lines of text, or the value as JSON."""
     click.echo(json.dumps(value, indent=2) if as_json else "\n".join(lines))
--- a/orchidlane/cli/process_commands.py
+++ b/orchidlane/cli/process_commands.py
@@ -1,6 +1,6 @@
-"""Commands that run processes: a gateway, a fake endpoint, a fleet for trying out.
+"""Commands that run processes: a gateway, a fake endpoint, a demo fleet.
 
-What a command runs is imported by the command itself, so that the others start without it.
+Each command imports what it runs when it is called, so that the other commands start without these imports.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     with report_input_errors():
         failure = run_gateway(load_settings(settings), rank, folder, take_over, ready_fd)
     if failure:
-        click.echo(f"the take-over ended: {failure}", err=True)
+        click.echo(f"the hot restart failed: {failure}", err=True)
         sys.exit(EXIT_FAILED_CHECK)
 
 
--- a/orchidlane/cli/record_commands.py
+++ b/orchidlane/cli/record_commands.py
@@ -1,4 +1,4 @@
-"""Commands on traffic records: replay, other settings, and the story of a request."""
+"""Commands on traffic records: replay them, simulate other settings, explain a request."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     lines = [f"{len(results)} lives, {events} events, {len(differences)} with a difference"]
     if incomplete:
         lines.append(
-            f"{incomplete} lives were not checked to their ends: {unchecked_events} events and what was lost"
+            f"{incomplete} lives were not checked to the end: {unchecked_events} events, and any lost ones"
         )
     lines += unchecked_parts
     for difference in differences:
@@ -63,7 +63,7 @@
 
 
 def _describe_unchecked(part: recording.UncheckedPart) -> str:
-    return part.reason + (" (torn when its gateway ended)" if part.torn else "")
+    return part.reason + (" (truncated when its gateway exited)" if part.torn else "")
 
 
 def _simulate_settings(paths: list[str], settings_file: str, as_json: bool) -> None:
@@ -85,7 +85,7 @@
     for name, row in rows.items():
         recorded, simulated = row["recorded"], row["instead"]
         lines.append(f"{name:30} {recorded[0]:8} {recorded[1]:7} {simulated[0]:19} {simulated[1]:7}")
-    lines.append(f"{result.changed_decisions} requests would have been decided otherwise")
+    lines.append(f"{result.changed_decisions} requests would have been decided differently")
     print_result({"rows": rows, "turned": result.changed_decisions}, lines, as_json)
 
 
@@ -109,7 +109,7 @@
     """One request's life, step by step, or the requests of a customer, from a traffic record."""
     with report_input_errors():
         if (request is None) == (customer is None):
-            raise ValueError("either REQUEST or --customer is wanted")
+            raise ValueError("exactly one of REQUEST and --customer is required")
         paths = recording.list_segments(folder)
         if request is not None:
             steps = _request_steps(paths, request)
@@ -117,8 +117,12 @@
             steps = _customer_arrivals(paths, customer, since, until)
     steps = [step for step in steps if gateway in (None, step["gateway"])]
     if not steps:
-        what = f"request {request}" if request is not None else f"request of customer {customer} then"
-        click.echo(f"{folder}: no {what}", err=True)
+        missing = (
+            f"request {request}"
+            if request is not None
+            else f"request of customer {customer} in this time range"
+        )
+        click.echo(f"{folder}: no {missing}", err=True)
         sys.exit(1)
     print_result(steps, _format_steps(steps, by_incarnation=request is not None), as_json)
 
@@ -151,7 +155,7 @@
 def _customer_arrivals(
     paths: list[str], customer: int | None, since: float, until: float
 ) -> list[dict[str, Any]]:
-    """Return the arrivals of a customer's requests, with what the policy decided at once."""
+    """Return the arrivals of a customer's requests, with the policy's immediate decisions."""
     steps: list[dict[str, Any]] = []
     record_started_at_us: int | None = None
     for path in paths:
--- a/orchidlane/cli/roll.py
+++ b/orchidlane/cli/roll.py
@@ -1,4 +1,4 @@
-"""``orchidlane roll``: upgrade all gateways of a fleet, stop at the first sign of harm and roll back."""
+"""``orchidlane roll``: rolling upgrade of all gateways, which is rolled back at the first regression."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from orchidlane.hot_restart.rolling_upgrade import Phase, RollState
 from orchidlane.runtime import EventLoop, RealBackend
 
-# Runs a command once a line is written to its standard input; exits if that is closed before.
+# Runs a command once a line is written to its standard input; exits if the input is closed before that.
 WAIT_FOR_RELEASE = ("/bin/sh", "-c", 'read -r go && exec "$@"', "sh")
 EXIT_CODES = {Phase.DONE: 0, Phase.ROLLED_BACK: 1, Phase.STUCK: 4}
 
 
 class LocalProcesses:
-    """Starts successors on this machine, in sessions of their own: they outlive the roll.
+    """Starts new processes on this machine, each in its own session, so that they outlive this command.
 
     Implements ``orchidlane.gateway.lifecycle.rolling_upgrade.NewProcessStarter``.
     """
@@ -36,7 +36,7 @@
     def __init__(self, settings: list[str], log: IO[bytes]) -> None:
         self.settings = settings  # one path for each gateway
         self.log = log
-        self.commands = ("", "")  # of the old and of the new build
+        self.commands = ("", "")  # of the old build and of the new build
         self._children: dict[int, subprocess.Popen[bytes]] = {}
 
     def prepare(self, rank: int, new_build: bool) -> int:
@@ -53,7 +53,7 @@
         return child.pid
 
     def release(self, pid: int) -> None:
-        """Let a prepared process run; one that has exited meanwhile is noticed by the next status."""
+        """Let a prepared process run; if it has already exited, the next status query detects that."""
         child = self._children[pid]
         assert child.stdin is not None
         with contextlib.suppress(BrokenPipeError):
@@ -61,7 +61,7 @@
             child.stdin.close()
 
     def alive(self, pid: int) -> bool:
-        """Return whether a process has not exited; it may be a child of an earlier roll."""
+        """Return whether a process has not exited; it may be a child of an earlier run of the command."""
         if pid in self._children:
             return self._children[pid].poll() is None
         with _open_process(pid) as descriptor:
@@ -122,15 +122,15 @@
     with report_input_errors():
         fleet = load_settings(settings)
         if not fleet.state_directory:
-            raise ValueError(f"{settings}: state: a folder is wanted, where the gateways take the call")
+            raise ValueError(f"{settings}: state: a folder is required, for the sockets of hot restarts")
         with open(log_to or "/dev/null", "ab") as log:
-            starter = LocalProcesses(_settings_of_each(fleet, settings, each), log)
+            starter = LocalProcesses(_settings_paths(fleet, settings, each), log)
             driver = RollDriver(EventLoop(RealBackend()), fleet, starter, click.echo)
             if only_status:
-                _show(driver.load_stored(), fleet)
+                _print_status(driver.load_stored(), fleet)
                 return
             if bool(program) + resume + recall != 1:
-                raise ValueError("one of --program, --resume and --recall is wanted")
+                raise ValueError("exactly one of --program, --resume and --recall is required")
             states: list[RollState] = []
             driver.loop.run(lambda: states.append(_run(driver, starter, (back, program), recall)))
     state = states[0]
@@ -138,7 +138,7 @@
     sys.exit(EXIT_CODES[state.phase])
 
 
-def _settings_of_each(fleet: FleetSettings, settings: str, each: str) -> list[str]:
+def _settings_paths(fleet: FleetSettings, settings: str, each: str) -> list[str]:
     """Return the path of each gateway's settings file."""
     if not each:
         return [settings] * len(fleet.gateways)
@@ -146,7 +146,10 @@
 
 
 def _run(driver: RollDriver, starter: LocalProcesses, commands: tuple[str, str], recall: bool) -> RollState:
-    """Run a roll under a lock that the kernel releases if we die: a listening Unix socket."""
+    """Run or resume a rolling upgrade under a lock.
+
+    The lock is a listening Unix socket, which the kernel closes when this process exits.
+    """
     path = os.path.abspath(f"{driver.fleet.state_directory}/roll.lock")
     try:
         lock = driver.loop.backend.listen((path, 0))
@@ -169,10 +172,10 @@
     return f"{state.phase.value}: {state.reason}" if state.reason else state.phase.value
 
 
-def _show(stored: StoredRoll | None, fleet: FleetSettings) -> None:
-    """Print how the latest roll stands."""
+def _print_status(stored: StoredRoll | None, fleet: FleetSettings) -> None:
+    """Print the state of the latest rolling upgrade."""
     if stored is None:
-        click.echo("no roll so far")
+        click.echo("no rolling upgrade was started yet")
         sys.exit(EXIT_UNUSABLE_INPUT)
     old_command, new_command = stored.commands
     click.echo(_summary(stored.state))
@@ -180,4 +183,4 @@
     for entry, gateway, load in zip(fleet.gateways, stored.state.gateways, stored.loads, strict=True):
         process = f", process {gateway.new_process_pid}" if gateway.new_process_pid else ""
         phase = gateway.phase.value
-        click.echo(f"{entry.name:12} {entry.zone:10} {phase:7} {load:7.1f} answers/s{process}")
+        click.echo(f"{entry.name:12} {entry.zone:10} {phase:7} {load:7.1f} responses/s{process}")
--- a/orchidlane/cli/rollout_client.py
+++ b/orchidlane/cli/rollout_client.py
@@ -1,4 +1,4 @@
-"""Calls of the ``change`` commands to the rollout API of a fleet's gateways."""
+"""Client of the gateways' rollout API, for the ``change`` commands."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from orchidlane.runtime import EventLoop, RealBackend
 
 CALL_TIMEOUT_US = 8_000_000
-MAX_RESPONSE_BYTES = 1 << 20  # of a response that is no content
+MAX_RESPONSE_BYTES = 1 << 20  # of a response that is not a content
 
 
 class RolloutClient:
-    """Sealed calls to the gateways of a fleet, each with a scheduler of its own."""
+    """Calls to the gateways of a fleet, sealed under its secret; each runs in its own event loop."""
 
     def __init__(self, settings: str) -> None:
-        """Read the settings. Raises ValueError where the fleet has no versions."""
+        """Read the settings. Raises ValueError where they name no voters."""
         self.fleet: FleetSettings = load_settings(settings)
         check_rollout_settings(self.fleet)
         if not self.fleet.rollout.voting_members:
-            raise ValueError(f"{settings}: change.voters: none are named, so the fleet has no versions")
+            raise ValueError(f"{settings}: change.voters: is empty, so the fleet has no versions")
         self.secret = read_secret(self.fleet.peers.secret_file)
         self.voters = voter_ranks(self.fleet)
         self.max_content_bytes = int(self.fleet.rollout.max_content_bytes)
@@ -60,7 +60,7 @@
         return _run(loop, call)
 
     def status(self) -> RolloutStatus:
-        """Return the status as the leader knows it, or the latest that any voter knows. Raises ValueError."""
+        """Return the leader's status, or else the latest of any voter. Raises ValueError."""
         statuses: list[RolloutStatus] = []
         failure = ""
         for rank in self.voters:
@@ -70,20 +70,20 @@
                 failure = f"{self.gateway_name(rank)}: {error}"
                 continue
             if response.status != 200:
-                raise ValueError(_unexpected(response))
+                raise ValueError(_unexpected_status(response))
             status = msgspec.msgpack.decode(response.body, type=RolloutStatus)
             if status.is_leader and 0 <= status.confirmed_us_ago <= self.fleet.rollout.election_timeout_us:
                 return status
             statuses.append(status)
         if not statuses:
-            raise ValueError(f"no voter answers; {failure}")
+            raise ValueError(f"no voter responded; {failure}")
         return max(statuses, key=lambda status: (status.index, -status.confirmed_us_ago))
 
     def content(self, blob_hash: str) -> bytes:
-        """Return a content, from voters before others. Raises ValueError."""
+        """Return a content; voters are tried before other gateways. Raises ValueError."""
         response = self._first_response("GET", f"content/{blob_hash}")
         if response.status != 200 or content_hash(response.body) != blob_hash:
-            raise ValueError(f"content {blob_hash[:12]} is not to be had: status {response.status}")
+            raise ValueError(f"content {blob_hash[:12]} is not available: status {response.status}")
         return response.body
 
     def _first_response(self, method: str, path: str) -> AdminResponse:
@@ -98,12 +98,12 @@
                 continue
             if response.status != 404:
                 return response
-        raise ValueError(f"no gateway answers for this; {failure}")
+        raise ValueError(f"no gateway returned the content; {failure}")
 
     def upload(self, data: bytes) -> str:
-        """Leave a content with every voter that answers, at least one; return its hash. Raises ValueError."""
+        """Store a content at the voters and return its hash. Raises ValueError if none stored it."""
         if len(data) > self.max_content_bytes:
-            raise ValueError(f"a content of {len(data)} bytes, allowed: {self.max_content_bytes}")
+            raise ValueError(f"the content has {len(data)} bytes, allowed: at most {self.max_content_bytes}")
         blob_hash = content_hash(data)
         stored = 0
         failure = ""
@@ -116,28 +116,28 @@
             if response.status == 200:
                 stored += 1
             else:
-                failure = _text(response)
+                failure = _body_text(response)
         if not stored:
-            raise ValueError(f"no voter takes the contents: {failure}")
+            raise ValueError(f"no voter stored the content: {failure}")
         return blob_hash
 
     def send_command(self, request: CommandRequest) -> CommandOutcome:
-        """Send a command to the leader, as far as any voter knows one. Raises ValueError."""
+        """Send a command to the leader that the voters report. Raises ValueError."""
         leader = self.status().leader
         if leader < 0:
-            return CommandOutcome(False, "nobody leads yet", is_retryable=True)
+            return CommandOutcome(False, "there is no leader yet", is_retryable=True)
         try:
             response = self.call(leader, "POST", "command", msgspec.msgpack.encode(request))
         except AdminCallError as error:
-            reason = f"{self.gateway_name(leader)}, which leads, does not answer: {error}"
+            reason = f"{self.gateway_name(leader)}, the leader, did not respond: {error}"
             return CommandOutcome(False, reason, is_retryable=True)
         if response.status not in (200, 409):
-            raise ValueError(_unexpected(response))
+            raise ValueError(_unexpected_status(response))
         return msgspec.msgpack.decode(response.body, type=CommandOutcome)
 
 
 def _run(loop: EventLoop, call: Callable[[], AdminResponse]) -> AdminResponse:
-    """Run a call to its end. Raises AdminCallError."""
+    """Run a call in an event loop and return its response. Raises AdminCallError."""
     results: list[AdminResponse | AdminCallError] = []
 
     def run() -> None:
@@ -153,9 +153,9 @@
     return result
 
 
-def _unexpected(response: AdminResponse) -> str:
-    return f"status {response.status}: {_text(response)}"
+def _unexpected_status(response: AdminResponse) -> str:
+    return f"status {response.status}: {_body_text(response)}"
 
 
-def _text(response: AdminResponse) -> str:
+def _body_text(response: AdminResponse) -> str:
     return response.body.decode(errors="replace").strip()
--- a/orchidlane/cli/routes_command.py
+++ b/orchidlane/cli/routes_command.py
@@ -1,4 +1,4 @@
-"""Command on an API description: list its operations, or explain the match of one request."""
+"""``orchidlane routes``: list a description's operations, or explain which one a request matches."""
 
 from __future__ import annotations
 
--- a/orchidlane/cli/run.py
+++ b/orchidlane/cli/run.py
@@ -27,8 +27,8 @@
 ) -> str:
     """Run one gateway: SIGTERM and SIGINT drain it, SIGHUP reloads description and customers.
 
-    With ``is_hot_restart`` it replaces the process that runs now; the result is the reason why it did not, or
-    empty. A line "ready" is written to ``ready_descriptor``, if not negative, once requests are served.
+    With ``is_hot_restart`` it replaces the running process. Return the reason why that failed, or an empty
+    text. A line "ready" is written to ``ready_descriptor``, if not negative, once requests are served.
     Raises ValueError for a rank that the fleet does not have.
     """
     if not 0 <= rank < len(fleet.gateways):
@@ -47,13 +47,13 @@
 
 
 def _write_ready(descriptor: int) -> None:
-    with contextlib.suppress(OSError):  # the reader has gone
+    with contextlib.suppress(OSError):  # the reader has closed its end
         os.write(descriptor, b"ready\n")
         os.close(descriptor)
 
 
 def run_node(spec_path: str) -> None:
-    """Run one fake endpoint by a file with its parameters, until it is killed."""
+    """Run one fake endpoint with the parameters in a file, until it is killed."""
     spec = msgspec.json.decode(Path(spec_path).read_bytes(), type=EndpointSpec)
     loop = EventLoop(RealBackend())
     with contextlib.suppress(KeyboardInterrupt):
--- a/orchidlane/cli/screen.py
+++ b/orchidlane/cli/screen.py
@@ -1,4 +1,4 @@
-"""One screen of a fleet: what its gateways' metrics say happened since the last refresh."""
+"""A live screen of a fleet: rates of its gateways' metrics since the previous refresh."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 REFRESH_INTERVAL_US = 1_000_000
 READ_TIMEOUT_US = REFRESH_INTERVAL_US // 2
-LINE_INTERVAL_US = 5 * REFRESH_INTERVAL_US  # without a terminal
+LINE_INTERVAL_US = 5 * REFRESH_INTERVAL_US  # between summary lines, without a terminal
 COLUMN_TITLES = {
     Figure.SERVED: "served/s",
     Figure.REJECTED: "refused/s",
@@ -43,7 +43,7 @@
         self._readings: list[Reading | None] = [None] * len(gateways)
 
     def show(self, refresh_count: int = 0) -> None:
-        """Draw so many times, or without end for 0; without a terminal, print a line now and then."""
+        """Draw ``refresh_count`` times, or indefinitely for 0; without a terminal, print summary lines."""
         console = Console()
         if console.is_terminal:
             self._show_table(console, refresh_count)
@@ -51,8 +51,8 @@
             self._show_lines(refresh_count)
 
     def _show_table(self, console: Console, remaining: int) -> None:
-        nothing_yet: list[Figures] = [{} for _ in self.gateways]
-        with Live(self.table(nothing_yet), console=console, auto_refresh=False) as live:
+        empty_rows: list[Figures] = [{} for _ in self.gateways]
+        with Live(self.table(empty_rows), console=console, auto_refresh=False) as live:
             live.refresh()
             while True:
                 live.update(self.table(self.read_rates()), refresh=True)
@@ -73,11 +73,11 @@
     def _summary(self, rows: list[Figures]) -> str:
         served = _total(rows, Figure.SERVED)
         rejected = _total(rows, Figure.REJECTED)
-        silent = sum(not row for row in rows)
-        return f"served {served:.0f}/s, refused {rejected:.0f}/s, gateways silent {silent}"
+        unresponsive = sum(not row for row in rows)
+        return f"served {served:.0f}/s, refused {rejected:.0f}/s, gateways not responding {unresponsive}"
 
     def read_rates(self) -> list[Figures]:
-        """Return each gateway's rates since the last call; an empty row for one that does not answer."""
+        """Return each gateway's rates since the last call; an empty row for one that does not respond."""
         return [self._read_rates_of(index) for index in range(len(self.gateways))]
 
     def _read_rates_of(self, index: int) -> Figures:
@@ -107,7 +107,7 @@
 
 
 def rates_as_json(gateways: list[tuple[str, Address]], rows: list[Figures]) -> list[dict[str, Any]]:
-    """Return rows for JSON output: a gateway that does not answer has ``up`` false and no figures."""
+    """Return rows for JSON output: a gateway that does not respond has ``up`` false and no figures."""
     return [
         {"gateway": name, "up": bool(row), **{figure.value: round(value, 3) for figure, value in row.items()}}
         for (name, _), row in zip(gateways, rows, strict=True)
--- a/orchidlane/cli/simulation_commands.py
+++ b/orchidlane/cli/simulation_commands.py
@@ -1,6 +1,6 @@
-"""Commands that play scenarios: one day, or random faults over many seeds.
+"""Commands that run scenarios: one scenario, or random faults for many seeds.
 
-The simulation is imported by the commands themselves, so that the others start without it.
+Each command imports the simulation when it is called, so that the other commands start without it.
 """
 
 from __future__ import annotations
@@ -70,9 +70,9 @@
         return scenario
     mapped = map_bench_scenario(Path(bench_day_path).read_bytes(), scenario)
     for line in mapped.mapped:
-        click.echo(f"mapped  {line}", err=True)
+        click.echo(f"mapped    {line}", err=True)
     for line in mapped.unmapped:
-        click.echo(f"left    {line}", err=True)
+        click.echo(f"unmapped  {line}", err=True)
     return mapped.scenario
 
 
--- a/orchidlane/cli/up.py
+++ b/orchidlane/cli/up.py
@@ -1,4 +1,4 @@
-"""``orchidlane up``: a fleet with fake endpoints and clients, and one screen of what it does."""
+"""``orchidlane up``: a fleet with fake endpoints and clients, and a live screen."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 ADDRESS_FIELDS = ("listen", "peer", "admin", "resp")
 DATAGRAM_ADDRESS_FIELD = "peer"
 ENDING_SIGNALS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
-MAX_OBSERVATIONS = 100_000  # kept for the closing line
+MAX_OBSERVATIONS = 100_000  # that the rules are checked against at the end
 UNLIMITED_SECONDS = 365 * 24 * 3600
 REQUEST_KINDS = (
     RequestKindEntry("sheet-read", 0.7, "GET", "/v1/sheets/{}", Duration(15_000)),
@@ -57,7 +57,7 @@
             try:
                 loop.run(_run, loop, runner, screen)
             finally:
-                _ignore_signals()  # a second one must not end the clean-up
+                _ignore_signals()  # a second signal must not interrupt the clean-up
                 fleet_backend.end()
 
 
@@ -96,7 +96,7 @@
 
 
 def _check_addresses_are_free(settings: str, fleet: FleetSettings) -> None:
-    """Raise ValueError for the first address that another process has, before anything is started."""
+    """Raise ValueError for the first address that is in use, before any process is started."""
     _check_address_is_free(settings, "nodes.list", fleet.endpoints.list_address, socket.SOCK_STREAM)
     for rank, entry in enumerate(fleet.gateways):
         for field in ADDRESS_FIELDS:
@@ -112,7 +112,7 @@
             probe.bind(parse_host_port(address))
         except OSError as error:
             raise ValueError(
-                f"{settings}: {path}: {address}: {error.strerror}; does it run already?"
+                f"{settings}: {path}: {address}: {error.strerror}; is the fleet already running?"
             ) from None
 
 
--- a/orchidlane/cli/upgrade.py
+++ b/orchidlane/cli/upgrade.py
@@ -1,4 +1,4 @@
-"""``orchidlane upgrade``: start a successor of one gateway, and report the outcome."""
+"""``orchidlane upgrade``: hot restart of one gateway with a new process, and its outcome."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 STATUS_INTERVAL_SECONDS = 0.1
 STATUS_TIMEOUT_US = 5_000_000
-MAX_LOG_BYTES = 1 << 20  # of a failed successor's output that are searched
-MAX_LOG_LINES = 5  # of it that are shown
+MAX_LOG_BYTES = 1 << 20  # of a failed process's output that is searched
+MAX_LOG_LINES = 5  # of that output that are printed
 THIS_PROGRAM = (sys.executable, "-m", "orchidlane")
 
 
 class Outcome(NamedTuple):
-    """What became of an upgrade, and a line that says so."""
+    """Whether a hot restart passed, and a line with the result."""
 
     passed: bool
     summary: str
 
 
 def new_process_command(program: str, settings: str, rank: int) -> list[str]:
-    """Return the command of a gateway's successor: of this program if none is named."""
+    """Return the command that starts a gateway's new process; an empty ``program`` means this program."""
     build = shlex.split(program) or THIS_PROGRAM
     return [*build, "gateway", settings, "--rank", str(rank), "--take-over"]
 
@@ -60,11 +60,11 @@
             raise ValueError(f"--rank: found {rank}, allowed: 0 to {len(fleet.gateways) - 1}")
         address = hot_restart_address(fleet, fleet.gateways[rank])
         if address is None:
-            raise ValueError(f"{settings}: state: a folder is wanted, where the gateway takes the call")
+            raise ValueError(f"{settings}: state: a folder is required, for the socket of hot restarts")
         path = address[0]
         status = _request_status(path)
         if status is None:
-            raise ValueError(f"{path}: no gateway answers there")
+            raise ValueError(f"{path}: no gateway responds at this socket")
     if only_status:
         process = f"process {status.pid}, build {status.build}"
         click.echo(f"{status.phase}, {process}; latest: {status.last_outcome}")
@@ -75,37 +75,37 @@
 
 
 def _run_new_process(command: list[str], log_to: str | None, path: str, timeout_seconds: float) -> Outcome:
-    """Start a successor in a session of its own, and report what becomes of it."""
+    """Start a new process in its own session, print the outcome of the hot restart and return it."""
     with open(log_to, "a+b") if log_to else tempfile.TemporaryFile() as log:
-        start = log.seek(0, os.SEEK_END)
-        successor = subprocess.Popen(
+        start_offset = log.seek(0, os.SEEK_END)
+        new_process = subprocess.Popen(
             command, stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True
         )
-        outcome = _await_outcome(successor, path, time.monotonic() + timeout_seconds)
+        outcome = _await_outcome(new_process, path, time.monotonic() + timeout_seconds)
         click.echo(outcome.summary)
         if not outcome.passed:
-            _show_last_lines(log, start)
+            _print_last_lines(log, start_offset)
     return outcome
 
 
-def _show_last_lines(log: IO[bytes], start: int) -> None:
-    """Show the last lines that are neither log events nor tracebacks: they may be all that is known."""
-    log.seek(start)
+def _print_last_lines(log: IO[bytes], start_offset: int) -> None:
+    """Print the last lines that are neither log events nor tracebacks; they may be the only error message."""
+    log.seek(start_offset)
     lines = log.read(MAX_LOG_BYTES).decode(errors="replace").splitlines()
     plain_lines = [line for line in lines if line and line[0] not in "{ "]
     for line in plain_lines[-MAX_LOG_LINES:]:
-        click.echo(f"its words: {line}", err=True)
+        click.echo(f"its output: {line}", err=True)
 
 
-def _await_outcome(successor: subprocess.Popen[bytes], path: str, deadline: float) -> Outcome:
-    """Wait until the successor serves alone or has exited."""
+def _await_outcome(new_process: subprocess.Popen[bytes], path: str, deadline: float) -> Outcome:
+    """Wait until the new process serves alone or has exited."""
     while time.monotonic() < deadline:
-        if successor.poll() is not None:
+        if new_process.poll() is not None:
             status = _request_status(path)
-            reason = status.last_outcome if status is not None else "no gateway answers any more"
-            return Outcome(False, f"the old process goes on: {reason}")
+            reason = status.last_outcome if status is not None else "no gateway responds any more"
+            return Outcome(False, f"the old process continues to serve: {reason}")
         status = _request_status(path)
-        if status is not None and status.pid == successor.pid:
+        if status is not None and status.pid == new_process.pid:
             return Outcome(True, f"passed: process {status.pid}, build {status.build}")
         time.sleep(STATUS_INTERVAL_SECONDS)
-    return Outcome(False, "it took too long; see --status")
+    return Outcome(False, "the hot restart did not finish in time; see --status")
--- a/orchidlane/cli/views.py
+++ b/orchidlane/cli/views.py
@@ -1,4 +1,4 @@
-"""Where commands get what a gateway knows: an admin address, a saved state, or a settings file."""
+"""Sources of a gateway's state for commands: an admin address, a saved state, or a settings file."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def find_sources(where: str) -> list[str]:
-    """Return the admin addresses or the saved state that ``host:port``, a state or settings name."""
+    """Return the sources that an argument names: itself, or the admin addresses in a settings file."""
     if not where.endswith(SETTINGS_SUFFIX):
         return [where]
     admins = [entry.admin for entry in load_settings(where).gateways if entry.admin]
@@ -30,7 +30,7 @@
 
 
 def is_saved_state(source: str) -> bool:
-    """Whether a word names a saved state and not an admin address."""
+    """Return whether an argument names a saved state and not an admin address."""
     return os.path.exists(source)
 
 
@@ -38,10 +38,12 @@
     """Return what one gateway knows of a customer. Raises ViewError, FormatError, OSError."""
     if is_saved_state(source):
         if not customer.isdigit():
-            raise ViewError(f"{source}: a saved state knows customers by their numbers only")
+            raise ViewError(
+                f"{source}: a saved state holds customers by number, allowed: a customer's number"
+            )
         with recording.SegmentReader(source) as reader:
             return view_from_state(reader, int(customer))
-    name = quote(os.fsencode(customer), safe="")  # names need not be printable
+    name = quote(os.fsencode(customer), safe="")  # a name may hold bytes that are not valid UTF-8
     return decode_view(b"".join(fetch(source, f"/view?customer={name}", MAX_VIEW_BYTES)))
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: what it prints, and one clear line for input that can't be used."""
+"""The command line: its output, and its error messages for unusable input."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
         ("day", str(MATERIALS / "quiet.cue"), "--bench-day", str(MATERIALS / "quiet.cue")),
     ],
 )
-def test_unusable_input_ends_with_exit_code_2_and_a_message(arguments):
+def test_unusable_input_is_reported_with_exit_code_2(arguments):
     code, text = run_command(*arguments)
     assert code == 2
     assert text.strip()
--- a/tests/test_golden_command.py
+++ b/tests/test_golden_command.py
@@ -1,4 +1,4 @@
-"""The command's verbs, flags and output are the golden ones."""
+"""The command's verbs, flags and output match the golden files."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def describe_command(command: click.Command) -> dict[str, Any]:
-    """Return verbs, arguments and options of a command and of all below it, without their prose."""
+    """Return verbs, arguments and options of a command and its sub-commands, without help texts."""
     description: dict[str, Any] = {
         "hidden": command.hidden,
         "parameters": [describe_parameter(parameter) for parameter in command.params],
@@ -44,7 +44,7 @@
     parameter_type = parameter.type.to_info_dict()
     description: dict[str, Any] = {
         "kind": parameter.param_type_name,
-        "words": [],  # an argument's name is prose
+        "words": [],  # an argument's name is only shown in help texts
         "count": parameter.nargs,
         "type": parameter_type["param_type"],
         "required": parameter.required,
@@ -52,7 +52,8 @@
         "choices": list(parameter_type.get("choices", ())),
     }
     if isinstance(parameter, click.Option):
-        has_default = isinstance(parameter.default, (str, int, float))  # else click's own mark for none
+        # Without a default, click has a marker of its own here.
+        has_default = isinstance(parameter.default, (str, int, float))
         default = str(parameter.default).replace(sys.executable, "python") if has_default else ""
         description["words"] = [*parameter.opts, *parameter.secondary_opts]
         description |= {"flag": parameter.is_flag, "default": default}
@@ -60,9 +61,9 @@
 
 
 def command_words(command: click.Command, words: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
-    """Return the words of a command and of each one below it."""
+    """Return the words that call a command and each of its sub-commands."""
     children = command.commands.items() if isinstance(command, click.Group) else ()
-    return [words, *(found for name, child in children for found in command_words(child, (*words, name)))]
+    return [words, *(call for name, child in children for call in command_words(child, (*words, name)))]
 
 
 def test_the_command_has_the_golden_verbs_and_flags():
@@ -76,19 +77,19 @@
     for word in words:
         command = command.commands[word]
     assert code == 0
-    for one in command.params:
-        assert one.param_type_name == "argument" or any(word in text for word in one.opts)
+    for parameter in command.params:
+        assert parameter.param_type_name == "argument" or any(word in text for word in parameter.opts)
 
 
-def test_settings_and_routes_are_shown_as_golden():
-    found = {
+def test_settings_and_routes_are_printed_as_in_the_golden_file():
+    outputs = {
         "config show": run_command("config", "show", str(MATERIALS / "fleet.cue")),
         "routes": run_command("routes", str(MATERIALS / "openapi.yaml")),
         "routes --match": run_command(
             "routes", str(MATERIALS / "openapi.yaml"), "--match", "PUT /v1/tests/7"
         ),
     }
-    check_golden("command-output", {what: list(pair) for what, pair in found.items()})
+    check_golden("command-output", {name: list(pair) for name, pair in outputs.items()})
 
 
 @pytest.mark.parametrize("script", ["bad", "quiet"])
@@ -102,7 +103,7 @@
 
 
 def without_folder(text: str, folder: Path) -> str:
-    """Return an output without what differs by machine and build: the folder, and the build's name."""
+    """Return an output without the folder and the name of the build, which differ between runs."""
     return re.sub(r'"build": ".*?"', '"build": ""', text.replace(str(folder), "FOLDER"))
 
 
@@ -122,31 +123,31 @@
         "counts of a plan": ("counts", str(path), "--plan", "basico", "--json"),
         "diff": ("diff", str(path), str(path), "1", "--json"),
     }
-    found = {what: run_command(*words) for what, words in calls.items()}
+    outputs = {name: run_command(*words) for name, words in calls.items()}
     check_golden(
         "tools-of-a-state",
-        {what: [code, without_folder(text, tmp_path)] for what, (code, text) in found.items()},
+        {name: [code, without_folder(text, tmp_path)] for name, (code, text) in outputs.items()},
     )
 
 
 def test_tools_print_the_golden_json_of_a_record(tmp_path):
-    """A record of a released format, so that none of it depends on what this build writes."""
+    """Reads a record of a released format, so that the output does not depend on what this build writes."""
     shutil.copy(Path(__file__).parent / "corpus/record/format-2.olr", tmp_path / "gw-1-0.olr")
     folder = str(tmp_path)
     calls = {
         "replay": ("replay", folder, "--json"),
         "audit": ("audit", folder, "--json"),
     }
-    found = {what: run_command(*words) for what, words in calls.items()}
+    outputs = {name: run_command(*words) for name, words in calls.items()}
     check_golden(
         "tools-of-a-record",
-        {what: [code, without_folder(text, tmp_path)] for what, (code, text) in found.items()},
+        {name: [code, without_folder(text, tmp_path)] for name, (code, text) in outputs.items()},
     )
 
 
 @pytest.mark.parametrize("words", [("38",), ("--customer", "3")], ids=["request", "customer"])
 def test_explain_prints_the_golden_json(words, tmp_path):
-    """Its events and actions are printed as text with the names of their types and fields."""
+    """Events and actions are printed as text, with the recorded names of their types and fields."""
     shutil.copy(Path(__file__).parent / "corpus/record/format-2.olr", tmp_path / "gw-1-0.olr")
     code, text = run_command("explain", str(tmp_path), *words, "--json")
     check_golden(f"explain-{words[0].lstrip('-')}", [code, json.loads(text)])
