--- a/tests/test_broken_guards.py
+++ b/tests/test_broken_guards.py
@@ -176,14 +176,14 @@
         discovery_watch,
         "SILENCE_TIMEOUT_US",
         6_500_000,
-        discovery.test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline,
+        discovery.test_events_missed_by_a_broken_watch_arrive_by_their_deadline,
         (PlatformHarness, "silent"),
     ),
     "any byte counts as a message": (
         JsonObjectSplitter,
         "feed",
         lambda *_: [b""],
-        discovery.test_events_missed_by_a_broken_watch_are_known_by_the_notification_deadline,
+        discovery.test_events_missed_by_a_broken_watch_arrive_by_their_deadline,
         (PlatformHarness, "trickles"),
     ),
     "each line counts as an object": (
@@ -197,7 +197,7 @@
         lifecycle,
         "retry_interval_us",
         lambda grace: 3 * grace,
-        discovery.test_events_at_the_return_of_discovery_are_known_within_the_drain_grace,
+        discovery.test_events_after_an_outage_are_applied_within_the_drain_grace,
         (PlatformHarness, "refuses"),
     ),
     "older lists are applied": (
@@ -211,7 +211,7 @@
         DiscoveryTracker,
         "_is_newer",
         return_true,
-        discovery.test_changes_after_an_older_list_do_not_make_a_draining_endpoint_ready,
+        discovery.test_an_older_list_does_not_make_a_draining_endpoint_ready,
         (),
     ),
     "ready before discovery responds": (
