--- a/tests/harness/golden_session.py
+++ b/tests/harness/golden_session.py
@@ -47,10 +47,10 @@
     """A fleet with endpoints, clients, discovery and a network, all generated from one seed."""
 
     def __init__(
-        self, seed: int, gateways: int, span: int, with_quota_events: bool, **permissions: Any
+        self, seed: int, gateways: int, duration_us: int, with_quota_events: bool, **permissions: Any
     ) -> None:
         self.random = random.Random(seed)
-        self.now, self.end = START_US, START_US + span
+        self.now, self.end = START_US, START_US + duration_us
         self.gateway_count = gateways
         self.with_quota_events = with_quota_events
         self.scheduled: list[tuple] = []  # heap of time, order of scheduling, function and its arguments
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -31,13 +31,13 @@
 from orchidlane.simulator_protocol import process
 
 SESSIONS = {
-    "large-sets": {"seed": 1, "gateways": 24, "span": 12 * SECOND, "with_quota_events": False},
+    "large-sets": {"seed": 1, "gateways": 24, "duration_us": 12 * SECOND, "with_quota_events": False},
     "three-gateways": {
-        "seed": 2, "gateways": 3, "span": 14 * SECOND, "with_quota_events": False, "maxAttempts": 2,
+        "seed": 2, "gateways": 3, "duration_us": 14 * SECOND, "with_quota_events": False, "maxAttempts": 2,
     },
-    "takes-and-moves": {"seed": 3, "gateways": 5, "span": 12 * SECOND, "with_quota_events": True},
+    "takes-and-moves": {"seed": 3, "gateways": 5, "duration_us": 12 * SECOND, "with_quota_events": True},
     "gateways-alone": {
-        "seed": 4, "gateways": 2, "span": 6 * SECOND, "with_quota_events": True,
+        "seed": 4, "gateways": 2, "duration_us": 6 * SECOND, "with_quota_events": True,
         "peers": False, "cancel": False, "retryAfter": False,
     },
 }  # fmt: skip
