--- a/examples/materials/bad.cue
+++ b/examples/materials/bad.cue
@@ -1,4 +1,4 @@
-// A bad day: kills, resets, drains, a cold deploy, stalls and a cut, many of them at once.
+// A scenario with many faults at once: kills, resets, drains, a cold deploy, stalls and a partition.
 fleet:     "fleet.cue"
 gateways:  3
 racks:     3
--- a/examples/materials/hundred.cue
+++ b/examples/materials/hundred.cue
@@ -1,4 +1,4 @@
-// A day at size: 100 gateways and 24 nodes, for the simulated world.
+// A large scenario: 100 gateways and 24 endpoints, for the simulated backend.
 fleet:     "fleet.cue"
 gateways:  100
 racks:     8
--- a/examples/materials/quiet.cue
+++ b/examples/materials/quiet.cue
@@ -1,4 +1,4 @@
-// A short day on which nothing happens.
+// A short scenario without faults.
 fleet:     "fleet.cue"
 gateways:  3
 racks:     3
--- a/examples/materials/random.cue
+++ b/examples/materials/random.cue
@@ -1,4 +1,4 @@
-// A fleet for random troubles: see `orchidlane seeds`.
+// A scenario for random faults: see `orchidlane seeds`.
 fleet:     "fleet.cue"
 gateways:  3
 racks:     3
