--- a/orchidlane/cli/audit_command.py
+++ b/orchidlane/cli/audit_command.py
@@ -21,9 +21,9 @@
 @click.argument("folder", type=click.Path(file_okay=False, exists=True))
 @click.option("--json", "as_json", is_flag=True)
 def audit(folder: str, as_json: bool) -> None:
-    """The five rules over the records of gateways, nodes and clients in a folder (`day --keep` leaves all).
+    """Check the five rules on the records of gateways, endpoints and clients in a folder (see `day --keep`).
 
-    Exit 0: held; 1: a rule was broken; 3: held, but part of a record could not be read.
+    Exit 0: the rules held; 1: a rule was broken; 3: they held, but part of a record could not be read.
     """
     with report_input_errors():
         socket_audit = audit_folder(folder)
--- a/orchidlane/cli/change.py
+++ b/orchidlane/cli/change.py
@@ -63,7 +63,7 @@
 
 @click.group()
 def change() -> None:
-    """Versions of the rules that the whole fleet goes by, approved by a quorum of its voters."""
+    """Configuration versions of the whole fleet, approved by a quorum of its voters."""
 
 
 def _with_input_errors_reported(command: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
@@ -76,9 +76,11 @@
 
 
 SETTINGS = click.argument("settings")
-REASON = click.option("--reason", default="", help="Why; others see it.")
-AUTHOR = click.option("--author", default=None, help="Who; your user's name if left out.")
-WAIT = click.option("--wait/--no-wait", default=True, help="Wait until it is over.")
+REASON = click.option("--reason", default="", help="Reason, shown to other users.")
+AUTHOR = click.option("--author", default=None, help="Author; your user name by default.")
+WAIT = click.option(
+    "--wait/--no-wait", default=True, help="Wait until the version is adopted, rejected or reverted."
+)
 
 
 @change.command()
@@ -88,9 +90,9 @@
 @WAIT
 @_with_input_errors_reported
 def propose(settings: str, reason: str, author: str | None, wait: bool) -> None:
-    """Have the fleet go by the description and the customers that the settings' files have now.
+    """Propose a version for the whole fleet, from the settings' current description and customer files.
 
-    Exit 0: every gateway goes by it, or does not serve; 1: it was refused, or taken back; 3: not known yet.
+    Exit 0: every gateway runs it, or does not serve; 1: it was rejected or reverted; 3: not known yet.
     """
     client = RolloutClient(settings)
     description, customers = read_source_files(RealBackend(), client.fleet)
@@ -117,9 +119,9 @@
 @WAIT
 @_with_input_errors_reported
 def undo(settings: str, number: int | None, reason: str, author: str | None, wait: bool) -> None:
-    """Take a version's edit back, by a new version; the latest one if no number is given.
+    """Revert a version's edit with a new version; by default, the edit of the latest version.
 
-    Later edits of other operations and customers stay. Exit codes are those of `propose`.
+    Later edits of other operations and customers are kept. Exit codes are those of `propose`.
     """
     client = RolloutClient(settings)
     status = client.status()
@@ -215,7 +217,7 @@
 @AUTHOR
 @_with_input_errors_reported
 def stop(settings: str, reason: str, author: str | None) -> None:
-    """Stop the change on its way: one that is asked about ends, one that is adopted goes no further."""
+    """Stop the current rollout: a version being voted on is rejected, one being adopted is paused."""
     _command_on_rollout(settings, "stop", reason, author)
 
 
@@ -224,7 +226,7 @@
 @AUTHOR
 @_with_input_errors_reported
 def resume(settings: str, author: str | None) -> None:
-    """Let a stopped change go on."""
+    """Continue a paused rollout."""
     _command_on_rollout(settings, "resume", "", author)
 
 
@@ -289,9 +291,9 @@
 @click.option("--json", "as_json", is_flag=True)
 @_with_input_errors_reported
 def status_command(settings: str, as_json: bool) -> None:
-    """How the fleet's versions stand: who leads, what is on its way, which gateways run what.
+    """Show the leader, the current version, the rollout in progress and the version that each gateway runs.
 
-    Exit 0: a quorum confirmed this lately; 3: none did, and what is shown may be old.
+    Exit 0: a quorum confirmed this recently; 3: none did, and what is shown may be out of date.
     """
     client = RolloutClient(settings)
     status = client.status()
@@ -310,7 +312,7 @@
 @click.option("--json", "as_json", is_flag=True)
 @_with_input_errors_reported
 def history(settings: str, as_json: bool) -> None:
-    """The versions that are remembered, the latest last."""
+    """Show the versions in the history with their outcomes, the latest last."""
     entries = RolloutClient(settings).status().history
     if as_json:
         click.echo(msgspec.json.encode(entries).decode())
--- a/orchidlane/cli/completion.py
+++ b/orchidlane/cli/completion.py
@@ -9,7 +9,7 @@
 @click.command()
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> None:
-    """Print what makes a shell complete this command: `eval "$(orchidlane completion bash)"`."""
+    """Print the shell completion script; to load it: `eval "$(orchidlane completion bash)"`."""
     root = click.get_current_context().find_root().command
     completion_class = get_completion_class(shell)
     assert completion_class is not None
--- a/orchidlane/cli/config_commands.py
+++ b/orchidlane/cli/config_commands.py
@@ -19,7 +19,7 @@
 @config_group.command("check")
 @click.argument("file")
 def config_check(file: str) -> None:
-    """Whether a file of settings can be used; every problem on a line of its own."""
+    """Check whether a settings file is valid, and print each problem on a line of its own."""
     with report_input_errors():
         load_settings(file)
     click.echo(f"{file}: fine")
@@ -28,7 +28,7 @@
 @config_group.command("show")
 @click.argument("file")
 def config_show(file: str) -> None:
-    """The settings with all defaults filled in."""
+    """Show the settings with all defaults filled in."""
     with report_input_errors():
         value = config.plain_values(Path(file).read_text(), file, schema_text(), "#Fleet")
     fields_in_braces = config.render(value)
--- a/orchidlane/cli/customer_commands.py
+++ b/orchidlane/cli/customer_commands.py
@@ -22,16 +22,16 @@
 @click.command()
 @click.argument("where")
 @click.argument("customer", required=False)
-@click.option("--plan", help="All customers of a plan, in place of one.")
-@click.option("--class", "class_name", default="", help="Class of the next request; the first if left out.")
+@click.option("--plan", help="All customers of a plan, instead of one.")
+@click.option("--class", "class_name", default="", help="Class of the next request; the first by default.")
 @click.option("--units", type=float, default=1.0, show_default=True)
 @click.option("--json", "as_json", is_flag=True)
 def counts(
     where: str, customer: str | None, plan: str | None, class_name: str, units: float, as_json: bool
 ) -> None:
-    """A customer's counts, and what would become of its next request; or a plan's counts.
+    """Show a customer's counts and the decision that its next request would get, or a plan's counts.
 
-    WHERE is a gateway's admin address, a state saved by `state`, or a settings file for all its gateways.
+    WHERE is a gateway's admin address, a file saved by `state --out`, or a settings file for all gateways.
     CUSTOMER is a name, a number or a key.
     """
     with report_input_errors():
@@ -94,7 +94,7 @@
 @click.argument("customer")
 @click.option("--json", "as_json", is_flag=True)
 def diff(admins: tuple[str, str], customer: str, as_json: bool) -> None:
-    """Two gateways' views of one customer, and when they would agree; exit 1 where decisions differ."""
+    """Compare two gateways' views of a customer; show when they would agree. Exit 1: decisions differ."""
     with report_input_errors():
         views = [load_customer_view(admin, customer) for admin in admins]
         predictions = [predict_request(view, 0, 1.0) for view in views]
--- a/orchidlane/cli/gateway_commands.py
+++ b/orchidlane/cli/gateway_commands.py
@@ -40,10 +40,10 @@
 
 @click.command()
 @click.argument("admin")
-@click.option("--out", type=click.Path(dir_okay=False), help="Save it to a file, for later looks.")
+@click.option("--out", type=click.Path(dir_okay=False), help="Save the state to a file, for later use.")
 @click.option("--json", "as_json", is_flag=True)
 def state(admin: str, out: str | None, as_json: bool) -> None:
-    """All that a gateway knows at one moment (or a saved state), in short; it goes on serving meanwhile."""
+    """Summarize a gateway's whole state at one moment, or a saved state; the gateway continues to serve."""
     with report_input_errors():
         if out:
             save_state(admin, out)
@@ -69,10 +69,10 @@
 
 @click.command()
 @click.argument("admin")
-@click.option("--class", "class_name", default="", help="Class of the next request; the first if left out.")
+@click.option("--class", "class_name", default="", help="Class of the next request; the first by default.")
 @click.option("--json", "as_json", is_flag=True)
 def nodes(admin: str, class_name: str, as_json: bool) -> None:
-    """A gateway's view of each node, and where its next request would go."""
+    """Show a gateway's view of each endpoint, and where its next requests would go."""
     with report_input_errors():
         view = load_endpoint_view(admin)
         next_requests = predict_endpoints(view, request_class_number(view, class_name))
@@ -103,10 +103,10 @@
 
 @click.command()
 @click.argument("where")
-@click.option("--once", is_flag=True, help="Two looks a second apart, then end.")
+@click.option("--once", is_flag=True, help="Show two samples a second apart, then exit.")
 @click.option("--json", "as_json", is_flag=True, help="Implies --once.")
 def top(where: str, once: bool, as_json: bool) -> None:
-    """A live screen of a fleet: WHERE is a settings file or one gateway's admin address."""
+    """Show live figures of a fleet: WHERE is a settings file or one gateway's admin address."""
     with report_input_errors():
         admins = _admin_addresses(where)
     loop = EventLoop(RealBackend())
--- a/orchidlane/cli/main.py
+++ b/orchidlane/cli/main.py
@@ -51,7 +51,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="orchidlane")
 def main() -> None:
-    """An API gateway that keeps quotas and priorities across a fleet of instances."""
+    """An API gateway that enforces quotas and priorities across a fleet of instances."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/orchidlane/cli/process_commands.py
+++ b/orchidlane/cli/process_commands.py
@@ -15,12 +15,16 @@
 
 @click.command()
 @click.argument("settings")
-@click.option("--rank", type=int, default=0, help="Place in the settings' list of gateways.")
+@click.option("--rank", type=int, default=0, help="Index in the settings' list of gateways.")
 @click.option(
-    "--record", "folder", type=click.Path(file_okay=False, exists=True), help="Record traffic here."
+    "--record", "folder", type=click.Path(file_okay=False, exists=True), help="Record traffic in this folder."
+)
+@click.option(
+    "--take-over", is_flag=True, help="Replace the running process by a hot restart; see `upgrade`."
+)
+@click.option(
+    "--ready-fd", type=int, default=-1, help="File descriptor to write a line to once the gateway serves."
 )
-@click.option("--take-over", is_flag=True, help="Go on in place of the process that runs now; see `upgrade`.")
-@click.option("--ready-fd", type=int, default=-1, help="A line is written to this descriptor once it serves.")
 def gateway(settings: str, rank: int, folder: str | None, take_over: bool, ready_fd: int) -> None:
     """Run one gateway of the fleet until SIGTERM."""
     from orchidlane.cli.run import run_gateway
@@ -34,11 +38,15 @@
 
 @click.command()
 @click.argument("settings")
-@click.option("--rate", type=float, default=30.0, show_default=True, help="Stand-in requests a second.")
-@click.option("--nodes", type=int, default=6, show_default=True, help="Stand-in nodes, two to a rack.")
-@click.option("--seconds", type=int, default=0, help="Stop by itself; 0 goes on until Ctrl-C.")
+@click.option(
+    "--rate", type=float, default=30.0, show_default=True, help="Requests per second of the fake clients."
+)
+@click.option(
+    "--nodes", type=int, default=6, show_default=True, help="Number of fake endpoints, two per rack."
+)
+@click.option("--seconds", type=int, default=0, help="Stop after this many seconds; 0 runs until Ctrl-C.")
 def up(settings: str, rate: float, nodes: int, seconds: int) -> None:
-    """Run a fleet with stand-ins for trying out, and show what it does."""
+    """Run a fleet with fake endpoints and clients, for trying it out, and show what it does."""
     from orchidlane.cli.up import run_demo_fleet
 
     with report_input_errors():
@@ -48,7 +56,7 @@
 @click.command("lab-node", hidden=True)
 @click.argument("spec")
 def lab_node(spec: str) -> None:
-    """Run one stand-in node."""
+    """Run one fake endpoint."""
     from orchidlane.cli.run import run_node
 
     run_node(spec)
--- a/orchidlane/cli/record_commands.py
+++ b/orchidlane/cli/record_commands.py
@@ -22,12 +22,14 @@
 
 @click.command("replay")
 @click.argument("folder")
-@click.option("--what-if", "other_settings", help="Another fleet's settings: what would have changed.")
+@click.option(
+    "--what-if", "other_settings", help="Settings file to replay with: show what would have changed."
+)
 @click.option("--json", "as_json", is_flag=True)
 def replay(folder: str, other_settings: str | None, as_json: bool) -> None:
     """Replay a traffic record through this build.
 
-    Exit 0: no difference; 1: the first one is shown; 3: none, but a broken part could not be checked.
+    Exit 0: no difference; 1: the first difference is shown; 3: none, but a damaged part could not be checked.
     """
     with report_input_errors():
         paths = recording.list_segments(folder)
@@ -92,10 +94,10 @@
 @click.command()
 @click.argument("folder")
 @click.argument("request", type=int, required=False)
-@click.option("--customer", type=int, help="The requests of a customer, by its number, in place of one.")
-@click.option("--gateway", help="Only what this one recorded: each life numbers its requests anew.")
-@click.option("--since", type=float, default=0.0, help="Seconds from the record's begin.")
-@click.option("--until", type=float, default=1e9, help="Seconds from the record's begin.")
+@click.option("--customer", type=int, help="Number of a customer: show its requests, instead of one.")
+@click.option("--gateway", help="Only what this gateway recorded; each incarnation restarts request numbers.")
+@click.option("--since", type=float, default=0.0, help="Start, in seconds from the start of the record.")
+@click.option("--until", type=float, default=1e9, help="End, in seconds from the start of the record.")
 @click.option("--json", "as_json", is_flag=True)
 def explain(
     folder: str,
@@ -106,7 +108,7 @@
     until: float,
     as_json: bool,
 ) -> None:
-    """One request's life, step by step, or the requests of a customer, from a traffic record."""
+    """Show one request step by step, or the requests of a customer, from a traffic record."""
     with report_input_errors():
         if (request is None) == (customer is None):
             raise ValueError("exactly one of REQUEST and --customer is required")
--- a/orchidlane/cli/roll.py
+++ b/orchidlane/cli/roll.py
@@ -93,17 +93,21 @@
 
 @click.command()
 @click.argument("settings")
-@click.option("--program", default="", help="The new build's command.")
+@click.option("--program", default="", help="Command that runs the new build.")
 @click.option(
     "--back",
     default=shlex.join(THIS_PROGRAM),
-    help="The old build's command, to go back; this very program if left out.",
+    help="Command that runs the old build, for a rollback; this program by default.",
+)
+@click.option("--each", default="", help="Settings file of each gateway, with {rank} or {name} in the path.")
+@click.option(
+    "--log", "log_to", type=click.Path(dir_okay=False), help="File for the output of the new processes."
+)
+@click.option("--resume", is_flag=True, help="Continue a rolling upgrade that was killed or interrupted.")
+@click.option("--recall", is_flag=True, help="Like --resume, but roll back to the old build.")
+@click.option(
+    "--status", "only_status", is_flag=True, help="Only show the state of the latest rolling upgrade."
 )
-@click.option("--each", default="", help="Each gateway's own settings, with {rank} or {name} in the path.")
-@click.option("--log", "log_to", type=click.Path(dir_okay=False), help="What the successors print goes here.")
-@click.option("--resume", is_flag=True, help="Go on with a roll that was killed or interrupted.")
-@click.option("--recall", is_flag=True, help="The same, but back to the old build.")
-@click.option("--status", "only_status", is_flag=True, help="Only say how the latest roll stands.")
 def roll(
     settings: str,
     program: str,
@@ -116,8 +120,8 @@
 ) -> None:
     """Upgrade all gateways of a fleet on this machine, batch by batch.
 
-    Exit 0: all run the new build; 1: harm was seen, and all run the old build again; 4: some could not be
-    brought back. It may be killed at any time and resumed.
+    Exit 0: all run the new build; 1: a regression was seen, and all run the old build again; 4: some could
+    not be rolled back. The command may be killed at any time and continued with --resume.
     """
     with report_input_errors():
         fleet = load_settings(settings)
--- a/orchidlane/cli/routes_command.py
+++ b/orchidlane/cli/routes_command.py
@@ -16,7 +16,7 @@
 @click.argument("file")
 @click.option("--match", "request_line", help="Explain one request, such as 'GET /x/y'.")
 def routes(file: str, request_line: str | None) -> None:
-    """Print class, cost and path of each operation of a description."""
+    """Print the class, cost and path of each operation of an API description."""
     with report_input_errors():
         generation = build(load_description(Path(file).read_bytes(), file), file)
     if request_line is None:
--- a/orchidlane/cli/simulation_commands.py
+++ b/orchidlane/cli/simulation_commands.py
@@ -33,7 +33,7 @@
     "--bench-day",
     "bench_day_path",
     type=click.Path(dir_okay=False),
-    help="Troubles from a day file of the bench.",
+    help="Faults from a day file of the bench.",
 )
 def day(
     script: str,
@@ -43,7 +43,7 @@
     keep: str | None,
     bench_day_path: str | None,
 ) -> None:
-    """Play a scripted day and audit it: exit 0 only when all five rules held."""
+    """Run a scripted scenario and audit it: exit 0 only when all five rules held."""
     from orchidlane.simulation.process_backend import run_processes
     from orchidlane.simulation.simulated_fleet import simulate
 
@@ -80,9 +80,9 @@
 @click.argument("script")
 @click.option("--first", type=int, default=1, show_default=True)
 @click.option("--count", type=int, default=200, show_default=True)
-@click.option("--jobs", type=int, default=None, help="Days played at once; as many as cores if left out.")
+@click.option("--jobs", type=int, default=None, help="Scenarios run in parallel; one per core by default.")
 def seeds(script: str, first: int, count: int, jobs: int | None) -> None:
-    """Play random troubles over a script's fleet in the simulated world, a day for each seed."""
+    """Run random faults on a script's fleet in the simulated world, a scenario for each seed."""
     from orchidlane.simulation.random_faults import broken_seeds, run_seeds
     from orchidlane.simulation.scenario import load_scenario
 
--- a/orchidlane/cli/upgrade.py
+++ b/orchidlane/cli/upgrade.py
@@ -44,15 +44,17 @@
 @click.command()
 @click.argument("settings")
 @click.option(
-    "--rank", type=int, default=0, show_default=True, help="Place in the settings' list of gateways."
+    "--rank", type=int, default=0, show_default=True, help="Index in the settings' list of gateways."
 )
-@click.option("--program", default="", help="The successor's command; this very program if left out.")
-@click.option("--log", "log_to", type=click.Path(dir_okay=False), help="What the successor prints goes here.")
-@click.option("--status", "only_status", is_flag=True, help="Only say how things stand.")
+@click.option("--program", default="", help="Command that runs the new process; this program by default.")
+@click.option(
+    "--log", "log_to", type=click.Path(dir_okay=False), help="File for the output of the new process."
+)
+@click.option("--status", "only_status", is_flag=True, help="Only show the state of the hot restart.")
 def upgrade(settings: str, rank: int, program: str, log_to: str | None, only_status: bool) -> None:
     """Hand a running gateway over to a new process, with no request lost.
 
-    Exit 0: the successor passed its trial and serves; 1: the old process goes on, and why.
+    Exit 0: the new process passed its trial and serves; 1: the old process continues, and why is printed.
     """
     with report_input_errors():
         fleet = load_settings(settings)
