--- a/benchmarks/loaded_gateway.py
+++ b/benchmarks/loaded_gateway.py
@@ -100,11 +100,11 @@
             if not isinstance(attempt, ClientAttempt) or attempt.outcome != "answer":
                 continue
             overlaps = any(
-                attempt.at <= upgrade.ended_us and attempt.ended_at >= upgrade.began_us
+                attempt.at <= upgrade.ended_us and attempt.finished_at >= upgrade.began_us
                 for upgrade in self.upgrades
             )
             series = times.during_upgrades_ms if overlaps else times.otherwise_ms
-            series.append((attempt.ended_at - attempt.at) / 1e3)
+            series.append((attempt.finished_at - attempt.at) / 1e3)
         return times
 
     def pauses_ms(self) -> list[float]:
--- a/benchmarks/real_rollout.py
+++ b/benchmarks/real_rollout.py
@@ -76,7 +76,7 @@
     datagrams: list[int] = []
     fleet.on_message(lambda *_: datagrams.append(1))
     seconds = measure_seconds(lambda: time.sleep(IDLE_SECONDS))
-    return len(datagrams) / seconds / fleet.count
+    return len(datagrams) / seconds / fleet.gateway_count
 
 
 def _measure_command_ms(fleet: ProcessFleet, *words: str) -> float:
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -51,7 +51,7 @@
             for build in choose_builds(count):
                 gateway.upgrade(build, programs.get(build, ""))
                 time.sleep(SETTLE_SECONDS)
-            gateway.runner.end_load()
+            gateway.runner.stop_load()
             with contextlib.suppress(OSError):  # until the gateway ends: the last count is complete
                 while True:
                     counted_units = gateway.counted_units()
--- a/orchidlane/cli/up.py
+++ b/orchidlane/cli/up.py
@@ -58,7 +58,7 @@
                 loop.run(_run, loop, runner, screen)
             finally:
                 _ignore_signals()  # a second one must not end the clean-up
-                fleet_backend.end()
+                fleet_backend.stop_all()
 
 
 def _ignore_signals() -> None:
@@ -81,7 +81,7 @@
         endpoint_list_delay=(Duration(200_000), Duration(900_000)),
         peer_loss=0.0,
         quota_request_rate=rate / 5,
-        upgrade_count=0,
+        hot_restart_count=0,
         response_slack=Duration(100_000),
         arrival_slack=Duration(100_000),
         steps=(),
--- a/orchidlane/simulation/__init__.py
+++ b/orchidlane/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Simulation: fake endpoints, discovery and clients, scenarios with faults, and the audit of their runs."""
+"""Test fleets: fake endpoints, discovery and clients, scenarios with faults, and the audit of their runs."""
--- a/orchidlane/simulation/audit.py
+++ b/orchidlane/simulation/audit.py
@@ -1,7 +1,7 @@
 """The audit of a run: five rules over what clients, endpoints and discovery observed on their sockets.
 
-Nothing here is a gateway's own statement. A gateway that was killed or suspended need not answer what was in
-flight then: such attempts are excused, and counted.
+The audit uses no data that a gateway reports about itself. A gateway that was killed or suspended need not
+respond to the attempts that were in flight at that time: they are excused, and the report has their number.
 """
 
 from __future__ import annotations
@@ -29,34 +29,34 @@
 )
 from orchidlane.simulation.outages import Outages
 
-MAX_EXAMPLES = 5  # of each violation in a report
+MAX_EXAMPLES = 5  # attempts or requests that a report names for each kind of violation
 TimedRecord = TypeVar("TimedRecord", Arrival, Execution)
 
 
 @dataclass
 class Verdict:
-    """What the audit found; lists have the names of attempts or requests that violate a rule."""
+    """What the audit found; each list names the attempts, requests or endpoints that violate a rule."""
 
     request_count: int
     attempt_count: int
-    responses: dict[str, int]  # by status or outcome
+    responses: dict[str, int]  # number of attempts by status, or by outcome without a response
     missing_responses: list[str]
     duplicate_responses: list[str]
     late_responses: list[str]
-    excused_count: int
+    excused_count: int  # attempts that rule 1 does not check
     duplicate_effects: list[str]
     rejected_but_executed: list[str]
     sent_after_drain: list[str]
     overloaded_endpoints: list[str]
-    worst_ceiling_ratio: float  # excess over the allowed slack: above 1 breaks the rule
+    worst_ceiling_ratio: float  # largest excess over a ceiling, divided by its slack: above 1 violates rule 5
     execution_count: int
-    quota_responses: dict[str, int]  # by outcome
-    units_used: float  # over both protocols
-    units_beyond_quota: float  # of them, what one exact store for each customer would not have granted
+    quota_responses: dict[str, int]  # number of quota attempts by outcome
+    units_used: float  # units granted over HTTP and RESP
+    units_beyond_quota: float  # part of units_used that one exact store per customer would not have granted
 
     @property
     def rules(self) -> dict[str, bool]:
-        """Which of the five rules held."""
+        """Whether each of the five rules held, by its number."""
         return {
             "1": not (self.missing_responses or self.duplicate_responses or self.late_responses),
             "2": not (self.duplicate_effects or self.rejected_but_executed),
@@ -93,21 +93,21 @@
 
 
 class AuditedFolder(NamedTuple):
-    """The verdict over a run that was kept, and what arrived at its endpoints."""
+    """The verdict on a run that was saved to a folder, and the attempts that arrived at its endpoints."""
 
     verdict: Verdict
     arrivals: list[Arrival]
 
 
 def audit(records: list[Record], limits: AuditLimits) -> Verdict:
-    """Return the verdict over the records of one run."""
+    """Return the verdict on the records of one run."""
     attempts = [record for record in records if isinstance(record, ClientAttempt)]
     quota_attempts = [record for record in records if isinstance(record, QuotaAttempt)]
     executions = _sorted_by_time([record for record in records if isinstance(record, Execution)])
     arrivals = _sorted_by_time([record for record in records if isinstance(record, Arrival)])
     outages = Outages(records)
     responses = response_audit.check_responses(records, outages, limits)
-    draws = quota_audit.collect_draws(arrivals, quota_attempts)
+    grants = quota_audit.collect_grants(arrivals, quota_attempts)
     return Verdict(
         request_count=len({attempt.request for attempt in attempts}),
         attempt_count=len(attempts),
@@ -120,18 +120,18 @@
         rejected_but_executed=execution_audit.find_rejected_but_executed(attempts, executions, limits),
         sent_after_drain=drain_audit.find_sent_after_drain(arrivals, records, outages, limits),
         overloaded_endpoints=[record.endpoint for record in records if isinstance(record, EndpointOverload)],
-        worst_ceiling_ratio=quota_audit.worst_ceiling_ratio(draws, limits),
+        worst_ceiling_ratio=quota_audit.worst_ceiling_ratio(grants, limits),
         execution_count=len(executions),
         quota_responses=_count(attempt.outcome.value for attempt in quota_attempts),
-        units_used=sum(draw.units for draw in draws),
-        units_beyond_quota=quota_audit.units_beyond_quota(draws, limits),
+        units_used=sum(grant.units for grant in grants),
+        units_beyond_quota=quota_audit.units_beyond_quota(grants, limits),
     )
 
 
 def audit_folder(folder: str) -> AuditedFolder | None:
-    """Return the verdict over a run that was kept; None if the folder has none.
+    """Return the verdict on a run that was saved to a folder; None if the folder has no saved run.
 
-    Raises ValueError if a file can't be read.
+    Raises ValueError if a file can't be decoded.
     """
     limits_path = Path(folder, LIMITS_FILE)
     if not limits_path.exists():
--- a/orchidlane/simulation/audit_limits.py
+++ b/orchidlane/simulation/audit_limits.py
@@ -1,4 +1,4 @@
-"""The limits that the audit checks a run against; their keys in a file are mapped here."""
+"""The limits that the audit checks a run against, with the keys of the file that stores them."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class RateLimit(NamedTuple):
-    """Units per second, and units at once."""
+    """A customer's quota: units per second, and units that may be used at once."""
 
     rate: float
     burst: float
 
 
 class CeilingLimit(NamedTuple):
-    """A customer's ceiling, and by how many units the fleet may exceed it."""
+    """A customer's ceiling: units per second, units at once, and how many more the fleet may grant."""
 
     rate: float
     burst: float
@@ -25,11 +25,12 @@
 
 
 class AuditLimits(msgspec.Struct, frozen=True):
-    """Classes by name, and limits by customer; durations in microseconds."""
+    """Request classes by name, ceilings and quotas by the customer's id; durations in microseconds."""
 
     classes: dict[str, policy.RequestClass] = msgspec.field(name="effects")
     drain_grace_us: int = msgspec.field(name="drain_grace")
-    response_slack_us: int = msgspec.field(name="answer_slack")  # for the way of a response to its client
-    arrival_slack_us: int = msgspec.field(name="arrival_slack")  # from a decision to the reading endpoint
+    response_slack_us: int = msgspec.field(name="answer_slack")  # transfer time of a response to its client
+    # from a gateway's decision until the endpoint reads the attempt
+    arrival_slack_us: int = msgspec.field(name="arrival_slack")
     ceilings: dict[int, CeilingLimit]
     quotas: dict[int, RateLimit]
--- a/orchidlane/simulation/background_load.py
+++ b/orchidlane/simulation/background_load.py
@@ -1,4 +1,4 @@
-"""Runs a test's script in a thread while the clients of a scenario send requests to processes."""
+"""Runs a test's script in a thread while the clients of a scenario send requests to gateway processes."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class ScriptThread:
-    """A script in a thread of its own; an exception that it raises is kept."""
+    """Runs a script in a separate thread; ``failure`` keeps the exception that it raises."""
 
     def __init__(self, script: Callable[[], None]) -> None:
         self._script = script
-        self._ended = threading.Event()
+        self._finished = threading.Event()
         self.failure: BaseException | None = None
 
     @property
-    def has_ended(self) -> bool:
+    def has_finished(self) -> bool:
         """Whether the script has returned or raised."""
-        return self._ended.is_set()
+        return self._finished.is_set()
 
     def start(self) -> None:
         """Start the script."""
@@ -38,19 +38,19 @@
     def _run(self) -> None:
         try:
             self._script()
-        except BaseException as error:  # raised again where the load ends
+        except BaseException as error:  # run_during_load raises it again once the load has stopped
             self.failure = error
         finally:
-            self._ended.set()
+            self._finished.set()
 
 
 def run_during_load(
     runner: ScenarioRunner, script: Callable[[], None], warm_up_requests: int = WARM_UP_REQUESTS
 ) -> Verdict:
-    """Run a script after some requests; return the verdict over the load, which ends with the script.
+    """Run a script once ``warm_up_requests`` were sent; return the verdict on the load.
 
-    A process that an upgrade left serving is no child of this one: it is killed at the end.
-    Raises what the script raises.
+    The load stops when the script has finished. A process that serves after a hot restart may not be a child
+    of this process, so all serving processes are killed by their ids. Raises what the script raises.
     """
     loop = runner.loop
     thread = ScriptThread(script)
@@ -60,10 +60,10 @@
         while runner.http_clients is None or runner.http_clients.sent_count < warm_up_requests:
             loop.sleep(WARM_UP_POLL_INTERVAL_US)
         thread.start()
-        while not thread.has_ended:
+        while not thread.has_finished:
             loop.sleep(SCRIPT_POLL_INTERVAL_US)
         serving_pids.extend(_serving_pids(runner))
-        runner.end_load()
+        runner.stop_load()
 
     try:
         verdict = run_in_loop(runner, drive)
@@ -77,7 +77,7 @@
 
 
 def _serving_pids(runner: ScenarioRunner) -> list[int]:
-    """Return the processes that serve as gateways, as they say themselves."""
+    """Return the ids of the processes that serve as gateways, as their status reports them."""
     fleet = runner.plan.fleet
     addresses = [hot_restart_address(fleet, entry) for entry in fleet.gateways]
     statuses = [request_status(runner.loop, address) for address in addresses if address is not None]
--- a/orchidlane/simulation/bench_scenario.py
+++ b/orchidlane/simulation/bench_scenario.py
@@ -1,6 +1,6 @@
-"""Faults of the bench's day files as steps of a scenario: mapped where there is a counterpart, else named.
+"""Maps the faults of the bench's day files to steps of a scenario, and lists those without a counterpart.
 
-A day file is JSON; only its length, machines and faults are read, under names that are mapped here.
+A day file is JSON. Only its length, machines and faults are read; the classes here map its keys to names.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 from orchidlane.simulation.scenario import FaultKind, Scenario, Step
 
 MAX_STEPS = 500
-MS, SECOND = 1_000, 1_000_000  # microseconds
+MILLISECOND_US, SECOND_US = 1_000, 1_000_000
 ENDPOINTS_PER_RACK = 2
-ENDPOINT_RESTART_DELAY_US = 500 * MS
-MIN_PAUSE_INTERVAL_US = 50 * MS
-PAUSE_INTERVAL_OVER_LENGTH = 1.2  # at least: pauses of one machine don't overlap
+ENDPOINT_RESTART_DELAY_US = 500 * MILLISECOND_US
+MIN_PAUSE_INTERVAL_US = 50 * MILLISECOND_US
+MIN_PAUSE_INTERVAL_RATIO = 1.2  # interval over length of a pause: pauses of one machine don't overlap
 MIN_REJECT_PROBABILITY, MAX_REJECT_PROBABILITY = 0.05, 0.9
-SIMULTANEOUS = ("together", "zone")  # values of ``how`` by which pauses begin at once
+SIMULTANEOUS_MODES = ("together", "zone")  # values of ``how`` that pause all machines at the same time
 NO_COUNTERPART = {
-    "reconnect": "clients keep their weights here",
-    "scan": "every client has a key here",
-    "neighbour": "the fake endpoints share no cores",
-    "burst": "the clients send at one rate here",
-    "hot_caller": "clients keep their weights here",
-    "origin_slow": "there is no shared counter",
-    "report_gap": "gateways do not select endpoints by reports",
+    "reconnect": "the weights of clients are constant in a scenario",
+    "scan": "every client of a scenario has a valid key",
+    "neighbour": "fake endpoints share no cores",
+    "burst": "the request rate is constant in a scenario",
+    "hot_caller": "the weights of clients are constant in a scenario",
+    "origin_slow": "the gateways use no shared counter",
+    "report_gap": "gateways do not select endpoints by load reports",
 }
 
 
 class DeployBatch(msgspec.Struct, frozen=True):
-    """The machines that a deployment stops at a time."""
+    """The machines that a deployment stops at the same time."""
 
     at_us: int = msgspec.field(name="at")
     stop: tuple[int, ...] = ()
 
 
 class BenchFault(msgspec.Struct, frozen=True):
-    """One fault; what ``size`` and ``extra`` mean depends on its kind."""
+    """One fault; the meaning and unit of ``size`` and ``extra`` depend on its kind."""
 
     kind: str
     at_us: int = msgspec.field(name="at")
@@ -61,7 +61,7 @@
 
 
 class BenchScenario(msgspec.Struct, frozen=True):
-    """A day file, as far as it is used here."""
+    """The parts of a day file that are mapped."""
 
     length_us: int = msgspec.field(name="length")
     endpoints: tuple[Machine, ...] = msgspec.field(name="servers")
@@ -71,7 +71,7 @@
 
 @dataclass
 class MappedScenario:
-    """The scenario, and which faults were mapped or have no counterpart, one line each."""
+    """The scenario, and a line for each fault that was mapped and for each without a counterpart."""
 
     scenario: Scenario
     mapped: list[str]
@@ -79,7 +79,7 @@
 
 
 class FleetSize(NamedTuple):
-    """The numbers of machines that the scenario has."""
+    """The numbers of gateways and endpoints of the scenario."""
 
     gateways: int
     endpoints: int
@@ -88,7 +88,10 @@
 def map_bench_scenario(
     text: bytes, base: Scenario, max_gateways: int = 12, max_endpoints: int = 24
 ) -> MappedScenario:
-    """Return a day file's faults over the fleet and load of ``base``. Raises ValueError if it is none."""
+    """Return ``base`` with the length, fleet size and faults of a day file.
+
+    Raises ValueError if the text is not a day file.
+    """
     try:
         bench = msgspec.json.decode(text, type=BenchScenario)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -102,13 +105,13 @@
     for fault in bench.faults:
         mapping = MAPPINGS.get(fault.kind)
         if mapping is None:
-            unmapped.append(f"{fault.kind}: {NO_COUNTERPART.get(fault.kind, 'not known here')}")
+            unmapped.append(f"{fault.kind}: {NO_COUNTERPART.get(fault.kind, 'unknown kind of fault')}")
             continue
-        made = mapping(fault, bench, size)
-        steps += made
-        mapped.append(f"{fault.kind}: {len(made)} steps")
+        fault_steps = mapping(fault, bench, size)
+        steps += fault_steps
+        mapped.append(f"{fault.kind}: {len(fault_steps)} steps")
     if len(steps) > MAX_STEPS:
-        unmapped.append(f"{len(steps) - MAX_STEPS} steps beyond the {MAX_STEPS} that are played")
+        unmapped.append(f"{len(steps) - MAX_STEPS} steps beyond the maximum of {MAX_STEPS} were left out")
     return MappedScenario(_with_steps(base, bench, size, steps), mapped, unmapped)
 
 
@@ -124,7 +127,7 @@
 
 
 def _fold(numbers: tuple[int, ...], count: int) -> tuple[int, ...]:
-    """Return the scenario's machines for those of the bench, of which there may be more."""
+    """Map indexes of the bench's machines to a fleet of ``count`` machines, each at most once."""
     return tuple(dict.fromkeys(number % count for number in numbers))
 
 
@@ -156,7 +159,7 @@
 
 
 def _gateway_deployment(fault: BenchFault, _bench: BenchScenario, size: FleetSize) -> list[Step]:
-    down_time = fault.extra * SECOND
+    down_time = fault.extra * SECOND_US
     return [
         _step(
             batch.at_us,
@@ -178,14 +181,18 @@
 
 
 def _pauses(fault: BenchFault, kind: FaultKind, targets: tuple[int, ...]) -> list[Step]:
-    """Return pauses of each machine: ``extra`` is their interval in seconds, ``size`` their length in ms."""
-    interval = max(fault.extra * SECOND, fault.size * MS * PAUSE_INTERVAL_OVER_LENGTH, MIN_PAUSE_INTERVAL_US)
+    """Return the pauses of the targets; ``extra`` is their interval in s, ``size`` their length in ms."""
+    interval = max(
+        fault.extra * SECOND_US,
+        fault.size * MILLISECOND_US * MIN_PAUSE_INTERVAL_RATIO,
+        MIN_PAUSE_INTERVAL_US,
+    )
     steps = []
     for index, target in enumerate(targets):
-        offset = 0 if fault.how in SIMULTANEOUS else interval * index / max(1, len(targets))
+        offset = 0 if fault.how in SIMULTANEOUS_MODES else interval * index / max(1, len(targets))
         at = fault.at_us + offset
         while at < fault.at_us + fault.length_us:
-            steps.append(_step(int(at), kind, (target,), duration=fault.size * MS))
+            steps.append(_step(int(at), kind, (target,), duration=fault.size * MILLISECOND_US))
             at += interval
     return steps
 
@@ -196,7 +203,7 @@
             batch.at_us,
             FaultKind.DRAIN_ENDPOINT,
             _fold(batch.stop, size.endpoints),
-            duration=fault.extra * SECOND,
+            duration=fault.extra * SECOND_US,
             restart_delay=ENDPOINT_RESTART_DELAY_US,
         )
         for batch in fault.batches
--- a/orchidlane/simulation/client_load.py
+++ b/orchidlane/simulation/client_load.py
@@ -1,4 +1,4 @@
-"""What the clients of both protocols share: customers, gateways, and requests that arrive at random."""
+"""The common part of HTTP and quota clients: customers, gateways, and random send times."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class GatewayAddress(NamedTuple):
-    """A gateway and where it serves clients."""
+    """A gateway's name, and the address at which it serves clients."""
 
     name: str
     address: Address
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientProfile:
-    """The clients of one customer; ``weight`` is their part of the load."""
+    """The clients of one customer; their share of the load is ``weight`` over the sum of all weights."""
 
     customer: int
     key: str
@@ -33,7 +33,7 @@
 
 @dataclass(kw_only=True)
 class ClientLoad:
-    """An open load: ``rate`` requests per second, whether or not earlier ones have been answered."""
+    """An open-loop load: ``rate`` requests per second, whether or not earlier requests have responses."""
 
     loop: EventLoop
     gateways: list[GatewayAddress]
@@ -44,15 +44,15 @@
     sent_count: int = 0
 
     def arrivals(self) -> Iterator[None]:
-        """Yield at the times of a Poisson process until the duration is over."""
-        random, began_at = self.loop.backend.random, self.loop.now()
+        """Wait for each arrival of a Poisson process, and yield; stop when ``duration_us`` is over."""
+        random, started_at = self.loop.backend.random, self.loop.now()
         due = float(self.loop.now())
-        while due < began_at + self.duration_us:
+        while due < started_at + self.duration_us:
             due += random.expovariate(self.rate) * MICROSECONDS_PER_SECOND
             self.loop.sleep(int(due) - self.loop.now())
             yield
 
-    def draw_profile(self) -> ClientProfile:
-        """Draw the customer of the next request, by weight."""
+    def choose_profile(self) -> ClientProfile:
+        """Choose the customer of the next request at random, by weight."""
         weights = [profile.weight for profile in self.profiles]
         return self.loop.backend.random.choices(self.profiles, weights)[0]
--- a/orchidlane/simulation/datagram_relay.py
+++ b/orchidlane/simulation/datagram_relay.py
@@ -1,4 +1,4 @@
-"""A relay for the datagrams between gateways: it loses, delays, duplicates or cuts them."""
+"""A relay for the datagrams between gateways that can drop, delay and duplicate them."""
 
 from __future__ import annotations
 
@@ -9,21 +9,23 @@
 from orchidlane.runtime import PEERS, EventLoop, TaskGroup
 from orchidlane.runtime.backend import Address, DatagramSocket
 
-UNKNOWN_SENDER = -1  # of a datagram too short for a header
+UNKNOWN_SENDER = -1  # rank for a datagram that is too short for a header
 
 
 class DatagramRoute(NamedTuple):
-    """Where the relay receives datagrams to a gateway, and where that gateway receives them."""
+    """The address at which the relay receives a gateway's datagrams, and the gateway's own address."""
 
     relay: Address
     gateway: Address
 
 
 class DatagramRelay:
-    """Forwards datagrams; what it does to them may be changed at any time. Delays in microseconds.
+    """Forwards datagrams between gateways; the faults may be changed at any time.
 
-    ``cuts`` are pairs of ranks between which nothing passes. ``one_way_cuts`` and ``extra_delay_us`` go by
-    sender and receiver. ``on_datagram`` is called with both and the data before anything is decided.
+    ``loss`` and ``duplication`` are probabilities; ``delay_us`` is the range of random delays. ``cuts`` are
+    pairs of ranks between which no datagram passes in either direction. ``one_way_cuts`` and
+    ``extra_delay_us`` apply to a pair of sender and receiver. ``on_datagram`` is called with sender, receiver
+    and data of each datagram, also of those that are dropped.
     """
 
     def __init__(self, loop: EventLoop, routes: Sequence[DatagramRoute]) -> None:
--- a/orchidlane/simulation/drain_audit.py
+++ b/orchidlane/simulation/drain_audit.py
@@ -1,4 +1,4 @@
-"""Rule 3: no attempt reaches an endpoint later than the grace after its gateway knew that it drains."""
+"""Rule 3: no attempt reaches an endpoint after the drain grace, counted from the notice to its gateway."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from orchidlane.simulation.outages import Outages
 
 READY = "ready"
-AFTER_ALL_STATES = "~"  # sorts behind each name of a state
+AFTER_ALL_STATES = "~"  # sorts after the name of each endpoint state
 
 
 class Notice(NamedTuple):
@@ -24,7 +24,7 @@
 def find_sent_after_drain(
     arrivals: list[Arrival], records: list[Record], outages: Outages, limits: AuditLimits
 ) -> list[str]:
-    """Return the attempts that arrived too late."""
+    """Return the names of the attempts that arrived after the drain grace."""
     notices = _notices_by_watch(records)
     late = []
     for arrival in arrivals:
@@ -43,7 +43,7 @@
 
 
 def _notices_by_watch(records: list[Record]) -> dict[tuple[str, str], list[Notice]]:
-    """Return the notices in their order, by gateway and endpoint."""
+    """Return the notices in the order of time, by gateway and endpoint."""
     notices: dict[tuple[str, str], list[Notice]] = defaultdict(list)
     for record in records:
         if isinstance(record, EndpointNotice):
@@ -54,16 +54,16 @@
 
 
 def _drain_notified_at(notices: list[Notice], at: int) -> int | None:
-    """Return since when, at a time, the notices say that the endpoint is not ready; None if it is ready."""
+    """Return when the gateway was notified that the endpoint is not ready; None if it is ready at ``at``."""
     latest = bisect_right(notices, Notice(at, AFTER_ALL_STATES)) - 1
     if latest < 0 or notices[latest].state == READY:
         return None
     while latest and notices[latest - 1].state != READY:
-        latest -= 1  # gone after draining: the grace counts from the first notice
+        latest -= 1  # draining, then gone: the grace counts from the first notice
     return notices[latest].at
 
 
 def _earliest_arrival(arrival: Arrival, outages: Outages, slack_us: int) -> int:
-    """Return the earliest time at which an attempt may have arrived: a suspended endpoint reads late."""
-    suspended = outages.overlapping(arrival.endpoint, arrival.at - slack_us, arrival.at)
-    return min((outage.began_at for outage in suspended), default=arrival.at)
+    """Return the earliest time at which an attempt may have arrived: a suspended endpoint reads it later."""
+    recent_outages = outages.overlapping(arrival.endpoint, arrival.at - slack_us, arrival.at)
+    return min((outage.began_at for outage in recent_outages), default=arrival.at)
--- a/orchidlane/simulation/endpoint_capacity.py
+++ b/orchidlane/simulation/endpoint_capacity.py
@@ -1,7 +1,7 @@
 """The capacity of a fake endpoint: shared virtual cores, slow start, and overload while it warms up.
 
 Work is time on virtual cores and uses no CPU: each of ``n`` active requests gets ``min(1, cores / n)`` of a
-core, times the share of the capacity that a starting endpoint has.
+core. An endpoint that warms up has only a share of its cores.
 """
 
 from __future__ import annotations
@@ -13,15 +13,16 @@
 from orchidlane.runtime import EventLoop, Task
 from orchidlane.simulation.endpoint_spec import EndpointSpec
 
-# Bounds of the time between two updates: work ends no more exactly than this, and a slow start is followed
+# Bounds of the time between two updates. The minimum limits how exactly the end of a job is simulated; the
+# maximum lets the speed follow a slow start.
 MIN_UPDATE_INTERVAL_US = 500
 MAX_UPDATE_INTERVAL_US = 50_000
-OVERLOAD_TOLERANCE = 1.1
+OVERLOAD_TOLERANCE = 1.1  # an endpoint breaks down only beyond the overload limit times this factor
 
 
 @dataclass(eq=False, slots=True)
 class Job:
-    """The work of a request that is active or queued; ``remaining_us`` is time of a core."""
+    """The work of a request that is active or queued; ``remaining_us`` is time on one core."""
 
     remaining_us: float
     task: Task
@@ -30,7 +31,7 @@
 
 
 class VirtualCores:
-    """Cores that active jobs share; further jobs are queued."""
+    """Cores that the active jobs share; jobs beyond ``max_active`` are queued."""
 
     def __init__(self, loop: EventLoop, spec: EndpointSpec) -> None:
         self.loop = loop
@@ -40,11 +41,11 @@
         self._started_at = loop.now()
         self._updated_at = loop.now()
         self._timer: Any = None
-        self._arrivals: deque[tuple[int, float]] = deque()  # time and work, within the overload duration
+        self._arrivals: deque[tuple[int, float]] = deque()  # (time, work_us) within the overload duration
         self._arrived_work = 0.0
 
     def capacity_share(self) -> float:
-        """Return the share of its capacity that the endpoint has so far."""
+        """Return the share of its capacity that the endpoint has reached in its slow start."""
         if not self.spec.slow_start:
             return 1.0
         progress = (self.loop.now() - self._started_at) / self.spec.slow_start_duration_us
@@ -52,22 +53,22 @@
         return min(1.0, initial_share + (1 - initial_share) * progress)
 
     def utilization(self) -> float:
-        """Return the share of the cores that is in use."""
+        """Return the share of the cores that are in use."""
         return min(1.0, len(self.active) / self.spec.cores)
 
     def submit(self, job: Job) -> None:
-        """Queue a job; it becomes active at once if there is room."""
+        """Queue a job; it becomes active at once if fewer than ``max_active`` are."""
         self.queue.append(job)
         self._update()
 
     def abandon(self, job: Job) -> None:
-        """Drop a job that has ended or is no longer wanted."""
+        """Remove a job that is done or whose client has left."""
         job.is_wanted = False
         if not job.is_done:
             self.active.pop(job, None)
 
     def is_overloaded_by(self, work_us: float) -> bool:
-        """Add arriving work; return whether it overloads an endpoint that is warming up."""
+        """Count arriving work; return whether it overloads an endpoint that is warming up."""
         now, window_us = self.loop.now(), self.spec.overload_duration_us
         self._arrivals.append((now, work_us))
         self._arrived_work += work_us
@@ -81,7 +82,7 @@
         return min(1.0, self.spec.cores * self.capacity_share() / max(1, len(self.active)))
 
     def _update(self) -> None:
-        """Bring all jobs up to now, wake those that are done or become active, and set the next timer."""
+        """Advance all jobs to now, wake tasks whose job is done or becomes active, and set the next timer."""
         now = self.loop.now()
         progress_us = (now - self._updated_at) * self._speed()
         self._updated_at = now
--- a/orchidlane/simulation/endpoint_spec.py
+++ b/orchidlane/simulation/endpoint_spec.py
@@ -1,4 +1,4 @@
-"""What a fake endpoint is, and its faults: read from a file, or set over a connection."""
+"""The specification of a fake endpoint, read from a file, and its faults, set over a connection."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ClassWork(msgspec.Struct, frozen=True):
-    """The work of one class of requests: mean time of a core in microseconds, and its cost in units."""
+    """The work of one request class: mean time on one core in microseconds, and cost in units."""
 
     method: str
     class_name: str
@@ -24,7 +24,7 @@
     name: str
     address: Address
     cell: str
-    records_path: str = msgspec.field(name="records")  # none are written if empty
+    records_path: str = msgspec.field(name="records")  # no records are written if it is empty
     work_by_class: tuple[ClassWork, ...] = msgspec.field(name="work")
     cores: float = 2.0
     max_active: int = msgspec.field(name="slots", default=32)
@@ -38,9 +38,10 @@
 
 
 class EndpointFaults(msgspec.Struct, frozen=True):
-    """Probabilities for each request.
+    """Probability of each fault of a request.
 
-    A reset before or after its execution, a truncated response, none, or 503.
+    The connection is reset before or after the request is executed, the response is truncated, no response is
+    sent (``hang``), or the response is 503 (``reject``).
     """
 
     reset_before: float = 0.0
--- a/orchidlane/simulation/execution_audit.py
+++ b/orchidlane/simulation/execution_audit.py
@@ -1,4 +1,4 @@
-"""Rule 2: no effect comes about twice, and none comes about that a response denies."""
+"""Rule 2: no request has its effect twice, and no attempt is executed whose response calls a retry safe."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def find_duplicate_effects(executions: list[Execution], limits: AuditLimits) -> list[str]:
-    """Return requests whose effect came about more than once, after deduplication by the endpoints."""
+    """Return the requests that had their effect more than once, after deduplication by the endpoints."""
     effects: dict[str, list[Execution]] = defaultdict(list)
     for execution in executions:
         request_class = limits.classes[execution.class_name]
@@ -20,7 +20,7 @@
         earlier = effects[execution.request]
         if not any(_is_deduplicated(execution, other, request_class) for other in earlier):
             earlier.append(execution)
-    return [request for request, found in effects.items() if len(found) > 1]
+    return [request for request, distinct in effects.items() if len(distinct) > 1]
 
 
 def _is_deduplicated(execution: Execution, earlier: Execution, request_class: policy.RequestClass) -> bool:
@@ -36,7 +36,10 @@
 def find_rejected_but_executed(
     attempts: list[ClientAttempt], executions: list[Execution], limits: AuditLimits
 ) -> list[str]:
-    """Return attempts whose response calls a retry safe after the effect may have come about."""
+    """Return the attempts that were executed although their response calls a retry safe.
+
+    Request classes that are safe to repeat are not checked.
+    """
     executed = {execution.client_attempt for execution in executions}
     return [
         attempt.name
--- a/orchidlane/simulation/fake_discovery.py
+++ b/orchidlane/simulation/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A fake discovery service: it has the endpoint list and streams its changes to watching gateways."""
+"""A fake discovery service: it keeps the endpoint list and streams its changes to gateways that watch it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from orchidlane.simulation.endpoint_spec import EndpointSpec
 from orchidlane.simulation.observations import EndpointNotice, Record
 
-HEARTBEAT_INTERVAL_US = 3_000_000  # between two empty lines
+HEARTBEAT_INTERVAL_US = 3_000_000  # between the empty lines that show that a watch is alive
 SEND_TIMEOUT_US = 5_000_000
 ZONE = "hall-1"
 EPOCH = "one"
@@ -31,12 +31,12 @@
 
 
 def endpoint_record(spec: EndpointSpec, state: EndpointPhase, started_at_us: int = 0) -> EndpointRecord:
-    """Return the entry of an endpoint in the list; 0 as its start means long ago."""
+    """Return an endpoint's entry in the list; ``started_at_us`` 0 is for one that warmed up long ago."""
     return EndpointRecord(format_address(spec.address), state, ZONE, spec.cell, started_at_us, 1.0)
 
 
 class FakeDiscovery:
-    """Serves watches of the endpoint list; a change reaches them after a delay drawn from ``delay_us``."""
+    """Serves watches of the endpoint list; changes are sent after a random delay within ``delay_us``."""
 
     def __init__(
         self, loop: EventLoop, address: Address, delay_us: tuple[int, int], record: Callable[[Record], None]
@@ -48,17 +48,18 @@
         self.version = 0
         self.endpoints: dict[str, EndpointRecord] = {}  # by address
         self.endpoint_names: dict[str, str] = {}  # by address
-        self.watchers: dict[Stream, str] = {}  # names of the gateways
-        self._last_due: dict[str, int] = {}  # of each endpoint's latest change: its changes keep their order
+        self.watchers: dict[Stream, str] = {}  # name of the gateway, by the connection of its watch
+        # Time of each endpoint's latest change: a later change is published after it
+        self._last_due: dict[str, int] = {}
         self.listener = loop.backend.listen(address)
 
     def add_endpoint(self, name: str, record: EndpointRecord) -> None:
-        """Add an endpoint to the list before it is watched."""
+        """Add an endpoint to the list without notifying any watch: for use before the gateways start."""
         self.endpoints[record.address] = record
         self.endpoint_names[record.address] = name
 
     def set_endpoint(self, name: str, record: EndpointRecord) -> None:
-        """Change an endpoint's entry; watches are notified later."""
+        """Change an endpoint's entry; the list and the watches get the change after the random delay."""
         due = self.loop.now() + self.loop.backend.random.randint(*self.delay_us)
         self._last_due[name] = due = max(due, self._last_due.get(name, 0) + 1)
         self.loop.call_at(due, self._publish, (name, record))
@@ -115,7 +116,7 @@
             self._drop(stream)
 
     def _read_head(self, stream: Stream) -> Request | None:
-        """Return the head of a request; None if the connection ended before it."""
+        """Return the head of a request; None if the connection was closed before it was complete."""
         parser = http1.RequestParser()
         while not isinstance(head := parser.next_event(), Request):
             parser.receive(stream.recv())
@@ -128,7 +129,7 @@
         self.watchers[stream] = gateway
         self._send(stream, gateway, event)
         for address, name in self.endpoint_names.items():
-            if address not in self.endpoints:  # a complete list says which endpoints are gone, too
+            if address not in self.endpoints:  # an endpoint that is missing in a complete list is gone
                 self._record_notice(gateway, name, "gone")
 
     def _drop(self, stream: Stream) -> None:
--- a/orchidlane/simulation/fake_endpoint.py
+++ b/orchidlane/simulation/fake_endpoint.py
@@ -1,7 +1,7 @@
 """A fake endpoint: it executes requests on virtual cores, and injects the faults that are set.
 
-It is the same in a process and in a simulation. An endpoint that is overloaded while it warms up closes all
-its connections and stays down.
+The same code runs in a process and in a simulation. An endpoint that is overloaded while it warms up closes
+all its connections and stays down.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
         self._work = {work.method: work for work in spec.work_by_class}
 
     def run(self) -> None:
-        """Listen and serve; an endpoint that broke down stays down."""
+        """Accept connections and serve them; an endpoint that broke down stays down."""
         self.listener = self.loop.backend.listen(self.spec.address)
         with TaskGroup(self.loop) as scope:
             while True:
@@ -82,7 +82,7 @@
             stream.close()
 
     def _serve_request(self, stream: Stream, parser: http1.RequestParser) -> bool:
-        """Serve one request; return whether the connection can serve a further one."""
+        """Serve one request; return whether the connection can be used for another one."""
         head, body = self._read_request(stream, parser)
         if head is None:
             return False
@@ -98,7 +98,7 @@
         return self._is_accepted(stream) and self._execute(stream, head, work) and head.keep_alive
 
     def _is_accepted(self, stream: Stream) -> bool:
-        """Return whether no fault ends the connection before the request is looked at."""
+        """Return whether no fault closes the connection before the request is processed."""
         random = self.loop.backend.random
         if random.random() < self.faults.hang:
             self.loop.sleep(HANG_TIME_US)
@@ -109,7 +109,7 @@
         return True
 
     def _read_request(self, stream: Stream, parser: http1.RequestParser) -> tuple[Request | None, bytes]:
-        """Return head and body of a request; no head if the connection has ended."""
+        """Return head and body of a request; None and no body if the connection was closed."""
         head, body = None, b""
         while True:
             event = parser.next_event()
@@ -158,7 +158,7 @@
         return self._respond(stream, head)
 
     def _await_execution(self, stream: Stream, work_us: float) -> bool:
-        """Wait until the work is done; return False if the client leaves while it is queued."""
+        """Wait until the work is done; return False if the client disconnects while it is queued."""
         task = self.loop.current
         assert task is not None
         job = Job(work_us, task)
--- a/orchidlane/simulation/fleet_backend.py
+++ b/orchidlane/simulation/fleet_backend.py
@@ -1,4 +1,4 @@
-"""How a scenario starts, ends and freezes gateways and endpoints: as processes, or within a simulation."""
+"""The interface by which a scenario starts, stops and suspends its gateways and endpoints."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FleetBackend(Protocol):
-    """Controls the gateways, by rank, and the endpoints, by name."""
+    """Controls the gateways, by rank, and the endpoints, by name: as processes or within a simulation."""
 
     def free_addresses(self, count: int) -> list[Address]:
         """Return addresses that nothing listens on."""
@@ -22,20 +22,20 @@
     def start_gateway(self, rank: int) -> None:
         """Start a gateway."""
 
-    def end_gateway(self, rank: int, kill: bool) -> None:
-        """Kill a gateway, or let it shut down gracefully."""
+    def stop_gateway(self, rank: int, kill: bool) -> None:
+        """Kill a gateway, or start its graceful shutdown."""
 
-    def gateway_ended(self, rank: int) -> bool:
-        """Return whether a gateway that was to end has ended."""
+    def gateway_has_exited(self, rank: int) -> bool:
+        """Return whether a gateway that is being stopped has exited."""
 
-    def begin_upgrade(self, rank: int) -> None:
-        """Start the successor of a gateway."""
+    def start_hot_restart(self, rank: int) -> None:
+        """Start the new process of a gateway's hot restart."""
 
     def kill_new_process(self, rank: int) -> None:
-        """Kill the successor of a gateway."""
+        """Kill the new process of a gateway's hot restart."""
 
-    def upgrade_result(self, rank: int, loop: EventLoop) -> bool | None:
-        """Return whether the successor has replaced the gateway; None while that is open."""
+    def hot_restart_result(self, rank: int, loop: EventLoop) -> bool | None:
+        """Return whether the new process has replaced the old one; None while this is undecided."""
 
     def freeze_gateway(self, rank: int, frozen: bool) -> None:
         """Suspend a gateway, or resume it."""
@@ -50,10 +50,10 @@
         """Suspend an endpoint, or resume it."""
 
     def check_leaks(self) -> None:
-        """Check that no request is left once all have ended. Raises AssertionError."""
+        """Check that no gateway keeps state of finished requests. Raises AssertionError."""
 
-    def end(self) -> None:
-        """End everything that runs."""
+    def stop_all(self) -> None:
+        """Kill all processes that run."""
 
 
 def wait_until_listening(loop: EventLoop, address: Address) -> None:
--- a/orchidlane/simulation/http_clients.py
+++ b/orchidlane/simulation/http_clients.py
@@ -1,8 +1,8 @@
-"""HTTP clients: requests, retries, and what they observe of the responses.
+"""HTTP clients: they send requests, retry them, and record what they observe of the responses.
 
-A client retries after a response that says that this is safe, and when it could not reach the gateway; an
+A client retries after a response that calls a retry safe, and when it could not reach the gateway; an
 idempotent request also after any other failure. Each attempt may go to another gateway of the replica set. A
-client gives up at a time of its own, but reads a little longer, so that a late response is observed.
+client has its own deadline, but reads for a short time after it, so that a late response is observed.
 """
 
 from __future__ import annotations
@@ -29,19 +29,19 @@
     UnexpectedData,
 )
 
-LATE_RESPONSE_WAIT_US = 400_000  # after a client gave up
+LATE_RESPONSE_WAIT_US = 400_000  # how long a client reads after its deadline
 RETRY_DELAY_US = (20_000, 120_000)
 SAFE_TO_RETRY_STATUSES = (429, 503)
 GATEWAY_PREFERENCE = 0.9  # rate of the exponential distribution over the ranks of a replica set
 
 
 class TruncatedResponseError(ConnectionClosedError):
-    """The connection ended within a response."""
+    """The connection was closed within a response."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """One kind of request."""
+    """One kind of request, and its share of the load."""
 
     class_name: str
     share: float
@@ -61,7 +61,7 @@
 
 
 class AttemptPlan(NamedTuple):
-    """One attempt before it is made."""
+    """An attempt that a client is about to make."""
 
     request: str
     name: str
@@ -76,7 +76,7 @@
     """What a client observed of one attempt."""
 
     outcome: AttemptOutcome
-    ended_at: int
+    finished_at: int
     status: int = 0
     is_safe_to_retry: bool = False
     extra_bytes: int = 0
@@ -89,7 +89,7 @@
 
     kinds: list[RequestKind]
     max_attempts: int = 3
-    disconnect_probability: float = 0.03  # of leaving before the response and the time to give up
+    disconnect_probability: float = 0.03  # of closing the connection before the response and the deadline
     idle_connections: dict[int, list[Connection]] = field(default_factory=dict)  # by rank
 
     def run(self) -> None:
@@ -97,13 +97,13 @@
         shares = [kind.share for kind in self.kinds]
         with TaskGroup(self.loop) as scope:
             for _ in self.arrivals():
-                profile = self.draw_profile()
+                profile = self.choose_profile()
                 kind = self.loop.backend.random.choices(self.kinds, shares)[0]
                 self.sent_count += 1
                 scope.spawn(self._send_request, f"r{self.sent_count}", profile, kind, priority=REQUESTS)
         for connections in self.idle_connections.values():
             for connection in connections:
-                self._is_quiet(connection)
+                self._is_reusable(connection)  # records data that came after the last response
 
     def _send_request(self, request: str, profile: ClientProfile, kind: RequestKind) -> None:
         """Send a request, with retries until its deadline."""
@@ -111,7 +111,7 @@
         timeout_us = int(kind.deadline_us * random.uniform(0.5, 1.0))
         deadline = self.loop.now() + kind.deadline_us
         for number in range(self.max_attempts):
-            rank = self._draw_gateway(profile)
+            rank = self._choose_gateway(profile)
             give_up_at = self.loop.now() + timeout_us
             plan = AttemptPlan(request, f"{request}.{number}", profile, kind, rank, give_up_at)
             attempt = self._attempt(plan)
@@ -119,18 +119,18 @@
                 return
             self.loop.sleep(random.randint(*RETRY_DELAY_US))
 
-    def _draw_gateway(self, profile: ClientProfile) -> int:
-        """Draw a gateway of the replica set; the first is the most likely."""
+    def _choose_gateway(self, profile: ClientProfile) -> int:
+        """Choose a gateway of the replica set at random; the first is the most likely."""
         ranks = profile.gateways
         return ranks[min(int(self.loop.backend.random.expovariate(GATEWAY_PREFERENCE)), len(ranks) - 1)]
 
     def _attempt(self, plan: AttemptPlan) -> ClientAttempt:
-        began_at = self.loop.now()
+        started_at = self.loop.now()
         result = self._exchange(plan)
         attempt = ClientAttempt(
-            at=began_at,
+            at=started_at,
             give_up_at=plan.give_up_at,
-            ended_at=result.ended_at,
+            finished_at=result.finished_at,
             gateway=self.gateways[plan.rank].name,
             request=plan.request,
             name=plan.name,
@@ -146,7 +146,7 @@
         return attempt
 
     def _exchange(self, plan: AttemptPlan) -> AttemptResult:
-        """Make an attempt; the connection is kept if it can be used again."""
+        """Make an attempt, and return its result."""
         try:
             deadline = min(plan.give_up_at, self.loop.now() + CONNECT_TIMEOUT_US)
             connection = self._connect(plan.rank, deadline)
@@ -157,7 +157,7 @@
             connection.stream.send(self._request_bytes(plan), plan.give_up_at)
             connection.parser.expect_response_to(plan.kind.method)
             leaves_early = self.loop.backend.random.random() < self.disconnect_probability
-            head = _read_response(connection, self._draw_read_deadline(plan, leaves_early))
+            head = _read_response(connection, self._choose_read_deadline(plan, leaves_early))
         except DeadlineExceededError:
             outcome = AttemptOutcome.CLIENT_LEFT if leaves_early else AttemptOutcome.TIMED_OUT
         except (TruncatedResponseError, ProtocolError):
@@ -165,22 +165,22 @@
         except ConnectionClosedError:
             outcome = AttemptOutcome.RESET
         else:
-            return self._end_exchange(plan, connection, head)
+            return self._finish_exchange(plan, connection, head)
         connection.stream.close()
         return AttemptResult(outcome, self.loop.now())
 
-    def _draw_read_deadline(self, plan: AttemptPlan, leaves_early: bool) -> int:
+    def _choose_read_deadline(self, plan: AttemptPlan, leaves_early: bool) -> int:
         if leaves_early:
             return self.loop.backend.random.randint(self.loop.now(), plan.give_up_at)
         return plan.give_up_at + LATE_RESPONSE_WAIT_US
 
-    def _end_exchange(self, plan: AttemptPlan, connection: Connection, head: Response) -> AttemptResult:
-        """Return the result of an attempt that was answered, and keep its connection if that is possible."""
+    def _finish_exchange(self, plan: AttemptPlan, connection: Connection, head: Response) -> AttemptResult:
+        """Return the result of an attempt that got a response; keep its connection if it can be reused."""
         stream, parser, _ = connection
         version = http1.header(head.headers, b"orchidlane-version") or b""
         result = AttemptResult(
             outcome=AttemptOutcome.ANSWERED,
-            ended_at=self.loop.now(),
+            finished_at=self.loop.now(),
             status=head.status,
             is_safe_to_retry=head.status in SAFE_TO_RETRY_STATUSES,
             extra_bytes=parser.pending_bytes,
@@ -198,14 +198,14 @@
         idle = self.idle_connections.get(rank, [])
         while idle:
             connection = idle.pop()
-            if self._is_quiet(connection):
+            if self._is_reusable(connection):
                 return connection
             connection.stream.close()
         stream = self.loop.backend.connect(self.gateways[rank].address, deadline)
         return Connection(stream, http1.ResponseParser())
 
-    def _is_quiet(self, connection: Connection) -> bool:
-        """Return whether nothing came after the last response; data would be a second one."""
+    def _is_reusable(self, connection: Connection) -> bool:
+        """Return whether a connection is open and idle; record data after its last response as unexpected."""
         try:
             data = connection.stream.try_recv()
         except ConnectionClosedError:
@@ -245,7 +245,7 @@
 
 
 def _read_response(connection: Connection, deadline: int) -> Response:
-    """Return the head of a response that was read to its end.
+    """Read a response completely, and return its head.
 
     Raises DeadlineExceededError, ProtocolError, TruncatedResponseError, ConnectionClosedError.
     """
@@ -258,8 +258,8 @@
             parser.receive(data)
             if not data and parser.next_event() is None:
                 if head is None:
-                    raise ConnectionClosedError("the end before a response")
-                raise TruncatedResponseError("the end within a response")
+                    raise ConnectionClosedError("the connection was closed before a response")
+                raise TruncatedResponseError("the connection was closed within a response")
         elif isinstance(event, Response) and event.status >= 200:
             head = event
         elif isinstance(event, End):
--- a/orchidlane/simulation/loopback_addresses.py
+++ b/orchidlane/simulation/loopback_addresses.py
@@ -1,4 +1,4 @@
-"""Free addresses of the loopback interface, for processes that a scenario, a test or a benchmark starts."""
+"""Finds free addresses of the loopback interface for processes of scenarios, tests and benchmarks."""
 
 from __future__ import annotations
 
--- a/orchidlane/simulation/mutants.py
+++ b/orchidlane/simulation/mutants.py
@@ -1,4 +1,4 @@
-"""Broken builds for tests of the hot restart: copies of this program with one text replaced."""
+"""Broken builds for tests of the hot restart: copies of this program with one piece of source replaced."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SourceChange(NamedTuple):
-    """Replaces one text of a source file."""
+    """Replaces the first occurrence of ``old`` in a source file."""
 
     file: str
     old: str
@@ -24,7 +24,7 @@
 
 
 def _soon_after_start(expression: str) -> SourceChange:
-    """Return a change that runs an expression 150 ms after the new process began to serve."""
+    """Return a change that runs an expression 150 ms after the new process has started to serve."""
     timer = f"        self.loop.call_at(self.loop.now() + 150_000, lambda _: {expression})\n"
     return SourceChange(_NEW_SIDE, _STARTED, _STARTED + timer)
 
@@ -37,7 +37,9 @@
         f"            case new_process.RunSelfCheck():\n                {_CRASH}\n",
     ),
     "crashes as it serves": _soon_after_start(_CRASH),
-    "fails as it serves": _soon_after_start("1 // 0"),  # not a crash: its tasks are cancelled in order
+    "fails as it serves": _soon_after_start(
+        "1 // 0"
+    ),  # no crash: an exception that cancels the tasks in order
     "hangs as it serves": _soon_after_start('__import__("time").sleep(60)'),
     "refuses everything": SourceChange(
         "policy/admission.py",
@@ -48,9 +50,9 @@
 
 
 def make_build(folder: Path, change: SourceChange) -> str:
-    """Copy this program with a change, and return the command that runs the copy.
+    """Copy this program with a change, and return the path of the script that runs the copy.
 
-    Raises ValueError if the text to be replaced is not there.
+    Raises ValueError if the file does not contain the text to be replaced.
     """
     source = Path(orchidlane.__file__).parent
     copy = folder / "orchidlane"
@@ -58,7 +60,7 @@
     changed = copy / change.file
     text = changed.read_text()
     if change.old not in text:
-        raise ValueError(f"{change.file}: the text to be changed is not there")
+        raise ValueError(f"{change.file}: the text to be replaced is not in this file")
     changed.write_text(text.replace(change.old, change.new, 1))
     start = folder / "start"
     python = f"PYTHONPATH={folder} exec {sys.executable} -m orchidlane"
--- a/orchidlane/simulation/network_links.py
+++ b/orchidlane/simulation/network_links.py
@@ -1,6 +1,7 @@
-"""Relays for the connections between gateways: cut, cut one way, delayed, reset, or slowed to a trickle.
+"""Relays for the connections between gateways that can block, delay, reset and slow them down.
 
-Each pair of gateways has an address of its own, so that a fault affects one direction between two of them.
+Each ordered pair of gateways has its own relay address, so that a fault can affect the connections from one
+gateway to another without those in the other direction.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 class LinkRoute(NamedTuple):
-    """Where a relay listens, and where the server listens that it connects to."""
+    """The address at which a relay listens, and that of the server to which it connects."""
 
     relay: Address
     server: Address
@@ -36,18 +37,19 @@
 
 @dataclass
 class NetworkLinks:
-    """The relays; what they do to a pair may be changed at any time.
+    """The relays of all pairs; the faults of a pair may be changed at any time.
 
-    On a pair in ``cuts`` nothing passes; on one in ``response_cuts`` requests arrive and responses do not.
+    For a pair in ``cuts`` no data passes in either direction; for one in ``response_cuts`` requests arrive
+    and responses do not.
     """
 
     loop: EventLoop
     routes: Mapping[Pair, LinkRoute]
     cuts: set[Pair] = field(default_factory=set)
     response_cuts: set[Pair] = field(default_factory=set)
-    delays_us: dict[Pair, int] = field(default_factory=dict)  # of each piece
-    max_bytes_per_interval: dict[Pair, int] = field(default_factory=dict)
-    reset_probability: dict[Pair, float] = field(default_factory=dict)  # for each piece
+    delays_us: dict[Pair, int] = field(default_factory=dict)  # delay of each piece of data
+    max_bytes_per_interval: dict[Pair, int] = field(default_factory=dict)  # within POLL_INTERVAL_US
+    reset_probability: dict[Pair, float] = field(default_factory=dict)  # for each piece of data
     connection_counts: dict[Pair, int] = field(default_factory=dict)
 
     def serve(self) -> None:
@@ -85,7 +87,7 @@
             self.loop.sleep(POLL_INTERVAL_US)
 
     def _forward(self, pair: Pair, source: Stream, sink: Stream, cuts: set[Pair]) -> None:
-        """Forward one direction to its end."""
+        """Forward one direction until the source closes it or a side fails."""
         try:
             while data := source.recv():
                 self._wait_while_cut(pair, cuts)
--- a/orchidlane/simulation/observations.py
+++ b/orchidlane/simulation/observations.py
@@ -1,7 +1,7 @@
-"""What endpoints, clients and discovery observe on their sockets: the audit's only source.
+"""Records of what endpoints, clients and discovery observe on their sockets: the only input of the audit.
 
-Records are stored as JSON lines; tags and keys of the files are mapped here. Times are microseconds of the
-backend's clock.
+Records are stored as JSON lines; the classes here map tags and keys of the files to names. Times are
+microseconds of the backend's clock.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 
 import msgspec
 
-# Files of a run that is kept, beside the records of its endpoints
+# Files of a run that is saved to a folder, in addition to the records of its endpoints
 CLIENT_RECORDS_FILE = "clients.records"
 LIMITS_FILE = "terms.json"
 RECORD_FILES = "*.records"
 
-# Headers by which observations of clients and endpoints are matched
+# Headers that identify a client's request and attempt at the endpoint
 REQUEST_HEADER = b"lab-request"
 ATTEMPT_HEADER = b"lab-try"
 
 
 class AttemptOutcome(enum.StrEnum):
-    """How a client's attempt ended."""
+    """The outcome of a client's attempt."""
 
     ANSWERED = "answer"
     TRUNCATED = "cut"
@@ -32,7 +32,7 @@
 
 
 class QuotaOutcome(enum.StrEnum):
-    """How an attempt to obtain quota ended."""
+    """The outcome of an attempt to obtain quota."""
 
     GRANTED = "granted"
     REJECTED = "refused"
@@ -57,14 +57,14 @@
     endpoint: str = msgspec.field(name="node")
     gateway: str
     attempt: str
-    request: str  # the client's, the same in all its attempts
+    request: str  # name of the client's request, the same in all its attempts
     client_attempt: str = msgspec.field(name="attempt_of")
     customer: int
     units: float
 
 
 class Execution(msgspec.Struct, frozen=True, tag="run"):
-    """An endpoint executed a request: its effect, if it has one, has come about."""
+    """An endpoint executed a request, with its effect if it has one."""
 
     at: int
     endpoint: str = msgspec.field(name="node")
@@ -96,7 +96,7 @@
 
     at: int
     give_up_at: int = msgspec.field(name="by")
-    ended_at: int = msgspec.field(name="ended")
+    finished_at: int = msgspec.field(name="ended")
     gateway: str
     request: str
     name: str
@@ -104,9 +104,10 @@
     customer: int
     outcome: AttemptOutcome = msgspec.field(name="end")
     status: int = 0
-    is_safe_to_retry: bool = msgspec.field(name="harmless", default=False)  # as the response says
-    extra_bytes: int = msgspec.field(name="extra", default=0)  # after the response
-    version: str = ""  # of the rules that applied, if the response says so
+    # whether the response calls a retry safe
+    is_safe_to_retry: bool = msgspec.field(name="harmless", default=False)
+    extra_bytes: int = msgspec.field(name="extra", default=0)  # data after the response
+    version: str = ""  # of the rules that the gateway applied, if the response has it
 
 
 class QuotaAttempt(msgspec.Struct, frozen=True, tag="take"):
@@ -114,9 +115,9 @@
 
     at: int
     give_up_at: int = msgspec.field(name="by")
-    ended_at: int = msgspec.field(name="ended")
+    finished_at: int = msgspec.field(name="ended")
     gateway: str
-    name: str  # the same in all attempts, and the idempotency token
+    name: str  # the same in all attempts of a request; its idempotency token
     customer: int
     units: float
     outcome: QuotaOutcome = msgspec.field(name="end")
@@ -124,7 +125,7 @@
 
 
 class UnexpectedData(msgspec.Struct, frozen=True, tag="extra"):
-    """Data came on a client's connection after the response to an attempt, and belongs to none."""
+    """A client's idle connection received data that belongs to no attempt; ``name`` is its last attempt."""
 
     name: str
 
@@ -151,12 +152,12 @@
 
 
 def encode(record: Record) -> bytes:
-    """Return a record as one line."""
+    """Return a record as one line of JSON."""
     return msgspec.json.encode(record) + b"\n"
 
 
 def decode(data: bytes) -> list[Record]:
-    """Return the records of all complete lines; a kill may leave the last line incomplete.
+    """Return the records of all complete lines; a killed process may leave the last line incomplete.
 
     Raises msgspec.DecodeError.
     """
--- a/orchidlane/simulation/outages.py
+++ b/orchidlane/simulation/outages.py
@@ -1,4 +1,4 @@
-"""When the gateways and endpoints of a run did not serve, as the audit excuses it."""
+"""The times at which gateways and endpoints of a run did not serve, for the rules of the audit."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
         """Return the outages of a process."""
         return self._by_process.get(process, [])
 
-    def overlapping(self, process: str, begin: int, end: int) -> list[Outage]:
-        """Return the outages of a process that have a time in common with this interval."""
-        return [outage for outage in self.of(process) if outage.began_at <= end and outage.ended_at >= begin]
+    def overlapping(self, process: str, start: int, end: int) -> list[Outage]:
+        """Return the outages of a process that overlap an interval, whose ends belong to it."""
+        return [outage for outage in self.of(process) if outage.began_at <= end and outage.ended_at >= start]
 
     def last_start(self, process: str, at: int) -> int:
-        """Return when a process last started before a time; 0 if it runs since the begin."""
+        """Return the end of the latest restart that began by ``at``; 0 if the process was never restarted."""
         starts = [
             outage.ended_at
             for outage in self.of(process)
@@ -35,7 +35,7 @@
         return max(starts, default=0)
 
     def next_running(self, process: str, at: int) -> int:
-        """Return the first time from ``at`` on that a process runs."""
+        """Return the first time from ``at`` on at which a process runs."""
         for outage in self.of(process):
             if outage.began_at <= at <= outage.ended_at:
                 at = outage.ended_at
--- a/orchidlane/simulation/process_backend.py
+++ b/orchidlane/simulation/process_backend.py
@@ -1,4 +1,4 @@
-"""A fleet whose gateways and endpoints are processes of this machine."""
+"""A fleet backend whose gateways and endpoints are processes of this machine."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 )
 from orchidlane.simulation.scenario_runner import ScenarioRunner, run_in_loop
 from orchidlane.simulation.successors import (
-    TAKE_OVER_TIMEOUT_S,
+    HOT_RESTART_TIMEOUT_S,
     addresses_with_new_process,
     kill_serving_process,
 )
@@ -37,20 +37,20 @@
 
 
 def loopback_host() -> str:
-    """Return a loopback address of this process alone: no other takes its ports before they are used."""
+    """Return a loopback address that only this process uses: no other process takes its free ports."""
     pid = os.getpid()
     return f"127.{1 + (pid >> 15) % 250}.{(pid >> 7) & 0xFF}.{1 + (pid & 0x7F)}"
 
 
 class ProcessFleetBackend:
-    """Controls processes by signals; see ``FleetBackend``. Their output goes to files in the folder."""
+    """Controls processes by signals, as a ``FleetBackend``; their output goes to files in the folder."""
 
     def __init__(self, folder: str, records: bool = False) -> None:
         self.folder = Path(folder)
         self.record_arguments = ("--record", folder) if records else ()
         self.plan: ScenarioPlan
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.successors: dict[int, subprocess.Popen[bytes]] = {}
+        self.new_processes: dict[int, subprocess.Popen[bytes]] = {}
         self.replaced_processes: list[subprocess.Popen[bytes]] = []
         self._allocated: set[Address] = set()
 
@@ -61,7 +61,7 @@
         return addresses
 
     def prepare(self, plan: ScenarioPlan) -> None:
-        """Write the files of the gateways."""
+        """Write the files that the gateways read: customers, secret and settings."""
         self.plan = plan
         (self.folder / "customers.json").write_bytes(customers_file(plan))
         secret = os.open(plan.secret_file, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
@@ -73,7 +73,7 @@
     def start_process(
         self, name: str, *arguments: str, inherited_fds: tuple[int, ...] = ()
     ) -> subprocess.Popen[bytes]:
-        """Start the program; its output goes to the log of this name."""
+        """Start the program with its output in the log ``<name>.log``."""
         with open(self.folder / f"{name}.log", "ab") as log:
             return subprocess.Popen(
                 [sys.executable, "-m", "orchidlane", *arguments],
@@ -84,7 +84,7 @@
             )
 
     def gateway_arguments(self, rank: int) -> tuple[str, ...]:
-        """Return the arguments by which the program runs a gateway."""
+        """Return the program's arguments for a gateway."""
         settings = str(self.folder / f"gw-{rank}.cue")
         return "gateway", settings, "--rank", str(rank), *self.record_arguments
 
@@ -93,32 +93,32 @@
         name = f"gw-{rank}"
         self.processes[name] = self.start_process(name, *self.gateway_arguments(rank))
 
-    def begin_upgrade(self, rank: int) -> None:
-        """Start the successor of a gateway."""
+    def start_hot_restart(self, rank: int) -> None:
+        """Start the new process of a gateway's hot restart."""
         arguments = (*self.gateway_arguments(rank), "--take-over")
-        self.successors[rank] = self.start_process(f"gw-{rank}", *arguments)
+        self.new_processes[rank] = self.start_process(f"gw-{rank}", *arguments)
 
     def kill_new_process(self, rank: int) -> None:
-        """Kill the successor of a gateway."""
-        self.successors[rank].kill()
+        """Kill the new process of a gateway's hot restart."""
+        self.new_processes[rank].kill()
 
-    def upgrade_result(self, rank: int, loop: EventLoop) -> bool | None:
-        """Return whether the successor has replaced the gateway; None while that is open."""
-        successor = self.successors[rank]
-        if successor.poll() is not None:
+    def hot_restart_result(self, rank: int, loop: EventLoop) -> bool | None:
+        """Return whether the new process has replaced the old one; None while this is undecided."""
+        process = self.new_processes[rank]
+        if process.poll() is not None:
             return False
         status = request_status(loop, self._hot_restart_address(rank))
-        if status is None or status.pid != successor.pid:
+        if status is None or status.pid != process.pid:
             return None
         self.replaced_processes.append(self.processes[f"gw-{rank}"])
-        self.processes[f"gw-{rank}"] = successor
+        self.processes[f"gw-{rank}"] = process
         return True
 
     def _hot_restart_address(self, rank: int) -> Address:
         return f"{self.folder}/gw-{rank}.upgrade", 0
 
     def _hot_restart_addresses(self) -> list[Address]:
-        """Return where gateways accept successors; none where the folder's path is too long for that."""
+        """Return the gateways' hot restart addresses; none if the path of a Unix socket would be too long."""
         fleet = self.plan.fleet
         try:
             addresses = [hot_restart_address(fleet, entry) for entry in fleet.gateways]
@@ -126,12 +126,12 @@
             return []
         return [address for address in addresses if address is not None]
 
-    def end_gateway(self, rank: int, kill: bool) -> None:
-        """Kill a gateway, or let it shut down gracefully."""
+    def stop_gateway(self, rank: int, kill: bool) -> None:
+        """Kill a gateway, or start its graceful shutdown."""
         self.processes[f"gw-{rank}"].send_signal(signal.SIGKILL if kill else signal.SIGTERM)
 
-    def gateway_ended(self, rank: int) -> bool:
-        """Return whether a gateway that was to end has ended."""
+    def gateway_has_exited(self, rank: int) -> bool:
+        """Return whether a gateway that is being stopped has exited."""
         return self.processes[f"gw-{rank}"].poll() is not None
 
     def freeze_gateway(self, rank: int, frozen: bool) -> None:
@@ -157,18 +157,18 @@
         self._freeze(name, frozen)
 
     def check_leaks(self) -> None:
-        """Check nothing: the requests of a process can't be seen from here."""
+        """Check nothing: the state of another process is not accessible."""
 
-    def end(self) -> None:
-        """End everything that runs, also successors that ``orchidlane upgrade`` has started."""
+    def stop_all(self) -> None:
+        """Kill all processes that run, also the new processes that ``orchidlane upgrade`` has started."""
         addresses = self._hot_restart_addresses()
-        upgrading = addresses_with_new_process(addresses)
-        self._end_started_processes()
+        restarting = addresses_with_new_process(addresses)
+        self._kill_started_processes()
         for address in addresses:
-            kill_serving_process(address, TAKE_OVER_TIMEOUT_S if address in upgrading else 0.0)
+            kill_serving_process(address, HOT_RESTART_TIMEOUT_S if address in restarting else 0.0)
 
-    def _end_started_processes(self) -> None:
-        started = [*self.processes.values(), *self.successors.values(), *self.replaced_processes]
+    def _kill_started_processes(self) -> None:
+        started = [*self.processes.values(), *self.new_processes.values(), *self.replaced_processes]
         for process in started:
             if process.poll() is None:
                 process.kill()
@@ -177,7 +177,10 @@
 
 
 def run_processes(scenario: Scenario, seed: int, folder: str | None = None) -> Verdict:
-    """Run a scenario on this machine's loopback; a folder gets the logs, and the records of the traffic."""
+    """Run a scenario with processes on the loopback interface, and return the verdict.
+
+    If a folder is given, logs and records of the traffic are kept there.
+    """
     with tempfile.TemporaryDirectory(prefix="orchidlane-") as temporary_folder:
         fleet_backend = ProcessFleetBackend(folder or temporary_folder, records=folder is not None)
         plan = make_plan(scenario, folder or temporary_folder, fleet_backend.free_addresses)
--- a/orchidlane/simulation/quota_clients.py
+++ b/orchidlane/simulation/quota_clients.py
@@ -1,4 +1,4 @@
-"""Services that request quota over RESP, and retry through other gateways."""
+"""Clients that request quota over RESP, and retry through other gateways."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 REPLY_TIMEOUT_US = 1_500_000
 MAX_ATTEMPTS = 4
-IDEMPOTENT_SHARE = 0.8  # of the requests
-RETRY_TIMEOUT_US = 1_000_000  # after the first attempt: less than gateways remember a token
+IDEMPOTENT_SHARE = 0.8  # share of the requests that have an idempotency token
+RETRY_TIMEOUT_US = 1_000_000  # after the first attempt; shorter than gateways remember a token
 RETRY_DELAY_US = (20_000, 200_000)
 
 
@@ -33,7 +33,7 @@
 
 
 class QuotaRequest(NamedTuple):
-    """A request for units; its name is the idempotency token, where it has one."""
+    """A request for units; its name is its idempotency token if ``is_idempotent`` is set."""
 
     name: str
     profile: ClientProfile
@@ -42,7 +42,7 @@
 
 
 class QuotaReply(NamedTuple):
-    """What came of an attempt; ``extra_bytes`` came after the reply."""
+    """The outcome of an attempt; ``extra_bytes`` is the amount of data after the reply."""
 
     outcome: QuotaOutcome
     extra_bytes: int = 0
@@ -50,7 +50,7 @@
 
 @dataclass(kw_only=True)
 class QuotaClients(ClientLoad):
-    """The services of all customers."""
+    """The RESP clients of all customers."""
 
     idle_connections: dict[int, list[Connection]] = field(default_factory=dict)  # by rank
 
@@ -59,11 +59,11 @@
         with TaskGroup(self.loop) as scope:
             for _ in self.arrivals():
                 self.sent_count += 1
-                profile = self.draw_profile()
+                profile = self.choose_profile()
                 scope.spawn(self._request_quota, f"t{self.sent_count}", profile, priority=REQUESTS)
 
     def _request_quota(self, name: str, profile: ClientProfile) -> None:
-        """Send a request, with retries."""
+        """Send a request, with retries until ``RETRY_TIMEOUT_US`` is over."""
         random = self.loop.backend.random
         units, is_idempotent = random.randint(1, 3), random.random() < IDEMPOTENT_SHARE
         request = QuotaRequest(name, profile, units, is_idempotent)
@@ -76,13 +76,13 @@
             self.loop.sleep(random.randint(*RETRY_DELAY_US))
 
     def _attempt(self, request: QuotaRequest, rank: int) -> QuotaAttempt:
-        began_at = self.loop.now()
-        give_up_at = began_at + REPLY_TIMEOUT_US
+        started_at = self.loop.now()
+        give_up_at = started_at + REPLY_TIMEOUT_US
         reply = self._exchange(request, rank, give_up_at)
         return QuotaAttempt(
-            at=began_at,
+            at=started_at,
             give_up_at=give_up_at,
-            ended_at=self.loop.now(),
+            finished_at=self.loop.now(),
             gateway=self.gateways[rank].name,
             name=request.name,
             customer=request.profile.customer,
@@ -113,7 +113,7 @@
         idle = self.idle_connections.get(rank, [])
         while idle:
             connection = idle.pop()
-            if _is_quiet(connection):
+            if _is_reusable(connection):
                 return connection
             connection.stream.close()
         address = self.gateways[rank].address
@@ -127,14 +127,14 @@
 
 
 def _read_reply(connection: Connection, deadline: int) -> Any:
-    """Return the value of a reply.
+    """Read a reply, and return its value.
 
     Raises DeadlineExceededError, ConnectionClosedError, resp.ProtocolError.
     """
     while (decoded := connection.decoder.next_value()) is None:
         data = connection.stream.recv(deadline=deadline)
         if not data:
-            raise ConnectionClosedError("the end before a reply")
+            raise ConnectionClosedError("the connection was closed before a reply")
         connection.decoder.receive(data)
     return decoded[0]
 
@@ -151,8 +151,8 @@
     return request.is_idempotent or attempt.outcome is QuotaOutcome.UNREACHABLE
 
 
-def _is_quiet(connection: Connection) -> bool:
-    """Return whether a connection is open and nothing came after the last reply."""
+def _is_reusable(connection: Connection) -> bool:
+    """Return whether a connection is open and has no data after its last reply."""
     try:
         return connection.stream.try_recv() is None
     except ConnectionClosedError:
--- a/orchidlane/simulation/relayed_backend.py
+++ b/orchidlane/simulation/relayed_backend.py
@@ -1,4 +1,4 @@
-"""Gateway processes that reach each other through relays, so that tests can disturb their connections."""
+"""Gateway processes that connect to each other through relays, so that tests can inject network faults."""
 
 from __future__ import annotations
 
@@ -15,12 +15,15 @@
 from orchidlane.simulation.scenario_plan import ScenarioPlan, gateway_settings, render_settings
 
 DESCRIPTION_FILE = "openapi.yaml"
-FLEET_FILE = "fleet.cue"  # for commands
-COMMANDS_RANK = -1  # commands reach the gateways without relays
+FLEET_FILE = "fleet.cue"  # the settings that commands use
+COMMANDS_RANK = -1  # in place of a rank, for settings without relays: commands connect directly
 
 
 class RelayedFleetBackend(ProcessFleetBackend):
-    """Gateway processes, each with settings by which it reaches the others through relays."""
+    """Gateway processes, each with settings that have the addresses of relays for the other gateways.
+
+    ``edit_settings`` changes the settings of the gateways and of the commands before they are written.
+    """
 
     def __init__(self, folder: str, edit_settings: Callable[[dict[str, Any]], None]) -> None:
         super().__init__(folder)
@@ -29,7 +32,7 @@
         self.ready_pipes: dict[int, int] = {}  # read ends, by rank
 
     def prepare(self, plan: ScenarioPlan) -> None:
-        """Write the settings of each gateway, and those of the fleet for commands."""
+        """Write the settings of each gateway, and those that commands use."""
         super().prepare(plan)
         count = plan.scenario.gateway_count
         pairs = [(client, server) for client in range(count) for server in range(count) if client != server]
@@ -54,7 +57,7 @@
         (self.folder / name).write_text(render_settings(settings))
 
     def start_gateway(self, rank: int) -> None:
-        """Start a process that inherits the write end of its ready pipe."""
+        """Start a gateway process that inherits the write end of its ready pipe."""
         read_end, write_end = os.pipe()
         if rank in self.ready_pipes:
             os.close(self.ready_pipes[rank])
@@ -64,9 +67,9 @@
         self.processes[name] = self.start_process(name, *arguments, inherited_fds=(write_end,))
         os.close(write_end)
 
-    def end(self) -> None:
-        """End all processes and close their pipes."""
-        super().end()
+    def stop_all(self) -> None:
+        """Kill all processes, and close the ready pipes."""
+        super().stop_all()
         for read_end in self.ready_pipes.values():
             os.close(read_end)
         self.ready_pipes.clear()
--- a/orchidlane/simulation/response_audit.py
+++ b/orchidlane/simulation/response_audit.py
@@ -1,4 +1,4 @@
-"""Rule 1: each request is answered once, and in time."""
+"""Rule 1: each attempt gets exactly one response, in time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ResponseFindings(NamedTuple):
-    """Names of attempts without a response, with several, or with a late one; attempts that do not count."""
+    """Names of attempts without, with several or with a late response; number of attempts not checked."""
 
     missing: list[str]
     duplicate: list[str]
@@ -27,13 +27,13 @@
 
 
 def check_responses(records: list[Record], outages: Outages, limits: AuditLimits) -> ResponseFindings:
-    """Check the responses of both protocols."""
+    """Check the responses of HTTP and the replies of RESP."""
     slack_us = limits.response_slack_us
     attempts = [record for record in records if isinstance(record, ClientAttempt)]
     quota_attempts = [record for record in records if isinstance(record, QuotaAttempt)]
-    counted = [attempt for attempt in attempts if _counts(attempt, outages, slack_us)]
-    answered = [attempt for attempt in counted if attempt.outcome is AttemptOutcome.ANSWERED]
-    unanswered = [attempt for attempt in counted if attempt.outcome is not AttemptOutcome.ANSWERED]
+    checked = [attempt for attempt in attempts if _is_checked(attempt, outages, slack_us)]
+    answered = [attempt for attempt in checked if attempt.outcome is AttemptOutcome.ANSWERED]
+    unanswered = [attempt for attempt in checked if attempt.outcome is not AttemptOutcome.ANSWERED]
     unanswered_quota = [attempt for attempt in quota_attempts if _lacks_reply(attempt, outages, slack_us)]
     return ResponseFindings(
         missing=[
@@ -45,21 +45,21 @@
             *(attempt.name for attempt in quota_attempts if attempt.extra_bytes),
             *(record.name for record in records if isinstance(record, UnexpectedData)),
         ],
-        late=[attempt.name for attempt in answered if attempt.ended_at > attempt.give_up_at + slack_us],
-        excused_count=len(attempts) - len(counted),
+        late=[attempt.name for attempt in answered if attempt.finished_at > attempt.give_up_at + slack_us],
+        excused_count=len(attempts) - len(checked),
     )
 
 
-def _counts(attempt: ClientAttempt, outages: Outages, slack_us: int) -> bool:
-    """Return whether an attempt counts: it was answered in time, or its gateway served all the time.
+def _is_checked(attempt: ClientAttempt, outages: Outages, slack_us: int) -> bool:
+    """Return whether rule 1 checks an attempt: it was answered in time, or its gateway served all the time.
 
-    A gateway that drains must answer what it has accepted. Only a connection that it closed before a request
-    arrived on it may end without a response.
+    A gateway that drains must respond to every request that it has accepted. Only a connection that it closed
+    before a request arrived on it may be without a response.
     """
     if attempt.outcome in (AttemptOutcome.UNREACHABLE, AttemptOutcome.CLIENT_LEFT):
         return False
     deadline = attempt.give_up_at + slack_us
-    if attempt.outcome is AttemptOutcome.ANSWERED and attempt.ended_at <= deadline:
+    if attempt.outcome is AttemptOutcome.ANSWERED and attempt.finished_at <= deadline:
         return True
     for outage in outages.overlapping(attempt.gateway, attempt.at - slack_us, deadline):
         was_reset = attempt.outcome is AttemptOutcome.RESET and attempt.at >= outage.began_at - slack_us
@@ -69,7 +69,7 @@
 
 
 def _lacks_reply(attempt: QuotaAttempt, outages: Outages, slack_us: int) -> bool:
-    """Return whether an attempt got no reply from a gateway that served all the time."""
+    """Return whether an attempt has no reply although its gateway served all the time."""
     if attempt.outcome not in (QuotaOutcome.TIMED_OUT, QuotaOutcome.RESET):
         return False
-    return not outages.overlapping(attempt.gateway, attempt.at - slack_us, attempt.ended_at + slack_us)
+    return not outages.overlapping(attempt.gateway, attempt.at - slack_us, attempt.finished_at + slack_us)
--- a/orchidlane/simulation/rollout_checker.py
+++ b/orchidlane/simulation/rollout_checker.py
@@ -1,4 +1,4 @@
-"""What must hold in a rollout scenario at every moment: see ``rollout_scenarios``."""
+"""Checks the invariants of a rollout scenario while it runs: see ``rollout_scenarios``."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 
 class InvariantViolationError(AssertionError):
-    """What must never be, or what never came."""
+    """An invariant was violated, or an expected condition did not come about in time."""
 
 
 class RolloutChecker:
-    """Collects the replicated states that were ever seen, and checks gateways against them."""
+    """Collects all replicated states seen in a run, and checks the gateways against them."""
 
     def __init__(self, lease_us: int) -> None:
         self.lease_us = lease_us
-        self.state_hashes: dict[int, str] = {}  # by index
+        self.state_hashes: dict[int, str] = {}  # by the state's index
         self.states: dict[int, ReplicatedState] = {}
         self.first_seen_at: dict[int, int] = {}
-        self.approved: set[tuple[int, str]] = set()  # number and combined hash of versions
+        self.approved: set[tuple[int, str]] = set()  # (number, combined hash) of versions
 
     def check(self, rank: int, agent: RolloutAgent, is_frozen: bool, now: int) -> None:
-        """Check one gateway that runs; ``is_frozen``: it stands still. Raises InvariantViolationError."""
+        """Check a gateway that runs; ``is_frozen`` is set if it is paused. Raises InvariantViolationError."""
         if agent.state is None:
             return
         self._record_state(agent.state, agent.dissemination.state_hash, now)
         if agent.leadership is not None and agent.leadership.state is not None:
-            chosen = agent.leadership.state
-            self._record_state(chosen, content_hash(msgspec.msgpack.encode(chosen)), now)
+            leader_state = agent.leadership.state
+            self._record_state(leader_state, content_hash(msgspec.msgpack.encode(leader_state)), now)
         if agent.agent_state.running is not None:
             self._check_running(rank, agent.agent_state.running)
         if not is_frozen and not agent.rejection_reason():
@@ -43,7 +43,9 @@
     def _record_state(self, state: ReplicatedState, state_hash: str, now: int) -> None:
         index = state.index
         if self.state_hashes.setdefault(index, state_hash) != state_hash:
-            raise InvariantViolationError(f"two states of index {index}: {state}; {self.states[index]}")
+            raise InvariantViolationError(
+                f"two different states have index {index}: {state}; {self.states[index]}"
+            )
         if index in self.first_seen_at:
             return
         self.first_seen_at[index] = now
@@ -61,15 +63,19 @@
     def _check_running(self, rank: int, running: Certificate) -> None:
         version = running.version
         if (version.number, version.combined_hash) not in self.approved:
-            raise InvariantViolationError(f"gw-{rank} runs {version.label()}, which nobody approved")
+            raise InvariantViolationError(
+                f"gw-{rank} runs {version.label()}, which no replicated state has approved"
+            )
 
     def _check_serving(self, rank: int, number: int, now: int) -> None:
-        lease_began = now - self.lease_us - LEASE_TOLERANCE_US
-        oldest = max((index for index, at in self.first_seen_at.items() if at <= lease_began), default=0)
+        lease_started_at = now - self.lease_us - LEASE_TOLERANCE_US
+        oldest = max((index for index, at in self.first_seen_at.items() if at <= lease_started_at), default=0)
         targets = {
             state.target_certificate(rank).version.number
             for index, state in self.states.items()
             if index >= oldest
         }
         if number not in targets:
-            raise InvariantViolationError(f"gw-{rank} serves by version {number}, wanted of late: {targets}")
+            raise InvariantViolationError(
+                f"gw-{rank} serves version {number}; the states of the last lease allow only {targets}"
+            )
--- a/orchidlane/simulation/rollout_faults.py
+++ b/orchidlane/simulation/rollout_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a rollout scenario: see ``rollout_scenarios``."""
+"""Injects the faults of a rollout scenario: see ``rollout_scenarios``."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from orchidlane.runtime import EventLoop, Process
 from orchidlane.runtime.simulated_backend import SimulatedBackend
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 NORMAL_DELAY_US = (100, 900)
 LONG_DELAY_US = (100, 50_000)
 
@@ -19,14 +19,14 @@
 
 
 class Scenario(Protocol):
-    """What the faults need to know of a scenario."""
+    """The part of a rollout scenario that the faults use."""
 
     gateways: int
     voters: int
 
     @property
     def event_counts(self) -> dict[str, int]:
-        """What was done, by kind."""
+        """The number of injected faults and of commands, by kind."""
 
 
 class Fleet(Protocol):
@@ -40,32 +40,32 @@
 
     @property
     def scenario(self) -> Scenario:
-        """The scenario that is played."""
+        """The scenario that runs."""
 
     def start(self, rank: int) -> None:
-        """Start a gateway with the files that there are."""
+        """Start a gateway with the files that it has on disk."""
 
     def kill(self, rank: int) -> None:
-        """End a gateway as SIGKILL does."""
+        """Kill a gateway, as SIGKILL does."""
 
     def running_ranks(self) -> list[int]:
-        """Return the gateways that run, standing still or not."""
+        """Return the ranks of the gateways that run, including those that are paused."""
 
     def agent(self, rank: int) -> RolloutAgent:
         """Return a gateway's rollout agent."""
 
     def files_of(self, rank: int) -> dict[str, bytes]:
-        """Return all that a gateway has on disk."""
+        """Return the files that a gateway has on disk, by path."""
 
 
 class FaultInjector:
-    """Injects faults of each kind into a fleet, and ends them."""
+    """Injects faults of each kind into a fleet, and removes them."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
 
     def clear(self) -> None:
-        """End all faults."""
+        """Remove all faults: heal the network and the disks, start or resume the gateways."""
         self.fleet.backend.heal_all()
         self.fleet.backend.processes_with_full_disk.clear()
         self._restore_network()
@@ -82,7 +82,10 @@
         faults.delay_us = NORMAL_DELAY_US
 
     def inject(self, kind: str) -> None:
-        """Begin a fault again and again; each generator's steps are some time apart."""
+        """Inject a kind of fault repeatedly until cancelled.
+
+        A fault is a generator that yields between its steps; a random time passes at each yield.
+        """
         faults: dict[str, Callable[[int], Iterator[None]]] = {
             "kill": self._kill,
             "still": self._freeze,
@@ -90,15 +93,15 @@
             "loss": self._lose_datagrams,
             "old": self._restore_old_files,
             "empty": self._lose_files,
-            "broken": self._cut_files,
+            "broken": self._truncate_files,
             "full": self._fill_disk,
         }
         fault = faults[kind]
         while True:
-            self.fleet.loop.sleep(self.fleet.random.randint(SECOND // 5, 3 * SECOND))
+            self.fleet.loop.sleep(self.fleet.random.randint(SECOND_US // 5, 3 * SECOND_US))
             self.fleet.scenario.event_counts[kind] += 1
             for _ in fault(self.fleet.random.randrange(self.fleet.scenario.gateways)):
-                self.fleet.loop.sleep(self.fleet.random.randint(SECOND // 50, 3 * SECOND))
+                self.fleet.loop.sleep(self.fleet.random.randint(SECOND_US // 50, 3 * SECOND_US))
 
     def _kill(self, rank: int) -> Iterator[None]:
         if self.fleet.processes[rank].is_dead:
@@ -141,7 +144,7 @@
         self.fleet.backend.processes_with_full_disk.discard(f"gw-{rank}")
 
     def _restore_old_files(self, rank: int) -> Iterator[None]:
-        """Restart with the files of some time ago."""
+        """Restart a gateway with an older copy of its files, as a restored backup does."""
         files = self.fleet.files_of(rank)
         yield
         yield from self._restart_with(rank, files)
@@ -149,7 +152,7 @@
     def _lose_files(self, rank: int) -> Iterator[None]:
         yield from self._restart_with(rank, {})
 
-    def _cut_files(self, rank: int) -> Iterator[None]:
+    def _truncate_files(self, rank: int) -> Iterator[None]:
         files = {
             path: data[: self.fleet.random.randint(0, len(data))]
             for path, data in self.fleet.files_of(rank).items()
@@ -169,14 +172,17 @@
         self.fleet.start(rank)
 
     def _can_lose_disk(self, rank: int) -> bool:
-        """Tell whether a quorum of voters keeps its disks; without one the state is lost, as documented."""
+        """Return whether a quorum of voters keeps its disks if a gateway loses its own.
+
+        Without such a quorum the replicated state is lost, as documented.
+        """
         if rank >= self.fleet.scenario.voters:
             return True
         states = [
             program.rollout_agent.state for program in self.fleet.programs.values() if program.rollout_agent
         ]
         if any(state.previous_members for state in states if state is not None):
-            return False  # a membership change is not settled: both sides are needed
+            return False  # a membership change in progress needs the quorums of old and new members
         voting = [
             other
             for other in self.fleet.running_ranks()
--- a/orchidlane/simulation/rollout_scenarios.py
+++ b/orchidlane/simulation/rollout_scenarios.py
@@ -1,13 +1,14 @@
-"""Random rollout scenarios in the simulated world: the gateway program itself; a seed gives one scenario.
+"""Random rollout scenarios of simulated gateways, which run the gateway program; a seed gives one scenario.
 
-Proposals and rollbacks come while gateways die, restart with old, cut or no files, stand still and are cut
-off, while datagrams are lost, duplicated and delayed, and disks are full. Checked all the time:
+Versions are proposed and rolled back while gateways are killed, restarted with old, truncated or no files,
+paused and partitioned, while datagrams are lost, duplicated and delayed, and while disks are full. Invariants
+that are checked throughout:
 
-- states: no two replicated states of one index;
-- versions: what runs was approved in a chosen state, with its certificate;
-- serving: a gateway that serves runs what some state of the last lease wanted it to run;
+- states: no two replicated states have the same index;
+- versions: a version that runs was approved in a chosen state, with its certificate;
+- serving: a gateway that serves runs the version that some state of the last lease assigns to it.
 
-and at the end, with all faults over, all gateways run one version.
+At the end, once all faults are removed, all gateways must run the same version.
 """
 
 from __future__ import annotations
@@ -36,23 +37,23 @@
 )
 from orchidlane.simulation.rollout_faults import FAULT_KINDS, NORMAL_DELAY_US, FaultInjector
 
-SECOND = 1_000_000
-CONVERGENCE_TIMEOUT_US = 40 * SECOND
-BOOTSTRAP_TIMEOUT_US = 20 * SECOND
-CALL_TIMEOUT_US = 3 * SECOND
+SECOND_US = 1_000_000
+CONVERGENCE_TIMEOUT_US = 40 * SECOND_US
+BOOTSTRAP_TIMEOUT_US = 20 * SECOND_US
+CALL_TIMEOUT_US = 3 * SECOND_US
 MAX_RESPONSE_BYTES = 1 << 20
-INVALID_EDIT = -1  # a description that can't be used
+INVALID_EDIT = -1  # number of an edit whose description is invalid
 
 
 @dataclass
 class RolloutScenario:
-    """One seed's fleet, faults and duration; ``event_counts`` tells afterwards what was done."""
+    """A seed's fleet, faults and duration; ``event_counts`` counts faults and commands of the run by kind."""
 
     seed: int
     gateways: int
     voters: int
-    duration_us: int = 12 * SECOND
-    soak_us: int = 0  # 0: no stages
+    duration_us: int = 12 * SECOND_US
+    soak_us: int = 0  # time in each stage of a rollout; 0 for a rollout without stages
     faults: frozenset[str] = frozenset()
     event_counts: Counter[str] = field(default_factory=Counter)
 
@@ -63,19 +64,19 @@
     voters = rng.choice((3, 3, 3, 5))
     gateways = rng.randint(voters, max(voters, max_gateways))
     faults = frozenset(kind for kind in FAULT_KINDS if rng.random() < 0.5)
-    soak_us = rng.choice((0, 0, SECOND // 4))
+    soak_us = rng.choice((0, 0, SECOND_US // 4))
     return RolloutScenario(seed, gateways, voters, faults=faults, soak_us=soak_us)
 
 
 def run_scenario(
     scenario: RolloutScenario, fleet: FleetSettings, describe_edit: Callable[[int], bytes], customers: bytes
 ) -> Counter[str]:
-    """Return what was done in a scenario. Raises InvariantViolationError."""
+    """Run a scenario; return the numbers of faults and commands. Raises InvariantViolationError."""
     return SimulatedRolloutFleet(scenario, fleet, describe_edit, customers).run().event_counts
 
 
 class SimulatedRolloutFleet:
-    """The gateways of a scenario; ``describe_edit`` makes the description of an edit."""
+    """The gateways of a scenario; ``describe_edit`` returns the OpenAPI description of an edit by number."""
 
     def __init__(
         self,
@@ -99,10 +100,10 @@
         self.faults = FaultInjector(self)
         self.edits = 0
 
-    # -- gateways
+    # Gateways
 
     def start(self, rank: int) -> None:
-        """Start a gateway with the files that there are."""
+        """Start a gateway with the files that it has on disk."""
         self.processes[rank] = self.backend.start(f"gw-{rank}", self._run_gateway, rank)
 
     def _run_gateway(self, rank: int) -> None:
@@ -111,12 +112,12 @@
         program.run()
 
     def kill(self, rank: int) -> None:
-        """End a gateway as SIGKILL does."""
+        """Kill a gateway, as SIGKILL does."""
         if not self.processes[rank].is_dead:
             self.backend.kill(self.processes[rank])
 
     def running_ranks(self) -> list[int]:
-        """Return the gateways that run, standing still or not."""
+        """Return the ranks of the gateways that run, including those that are paused."""
         return [rank for rank, process in self.processes.items() if not process.is_dead]
 
     def agent(self, rank: int) -> RolloutAgent:
@@ -126,14 +127,14 @@
         return agent
 
     def files_of(self, rank: int) -> dict[str, bytes]:
-        """Return all that a gateway has on disk."""
+        """Return the files that a gateway has on disk, by path."""
         prefix = f"state/gw-{rank}."
         return {path: data for path, data in self.backend.files.items() if path.startswith(prefix)}
 
-    # -- the scenario
+    # The scenario
 
     def run(self) -> RolloutScenario:
-        """Play the scenario from the first start to the final check. Raises InvariantViolationError."""
+        """Run the scenario from the first start to the final check. Raises InvariantViolationError."""
         self.loop.run(self._run)
         return self.scenario
 
@@ -153,7 +154,9 @@
         for task in (author, *injectors):
             self.loop.cancel(task)
         self.faults.clear()
-        self.wait_until(self.has_converged, CONVERGENCE_TIMEOUT_US, "the gateways came to no one version")
+        self.wait_until(
+            self.has_converged, CONVERGENCE_TIMEOUT_US, "the gateways did not converge to one version"
+        )
         if checker.is_done:
             raise InvariantViolationError(str(checker.error))
         self.check_invariants()
@@ -162,7 +165,7 @@
             self.kill(rank)
 
     def wait_until(self, condition: Callable[[], bool], timeout_us: int, message: str) -> None:
-        """Wait for a condition. Raises InvariantViolationError where it does not come in time."""
+        """Wait for a condition. Raises InvariantViolationError if it is not met in time."""
         deadline = self.loop.now() + timeout_us
         while not condition():
             if self.loop.now() > deadline:
@@ -170,7 +173,7 @@
             self.loop.sleep(CHECK_INTERVAL_US)
 
     def describe(self) -> list[str]:
-        """Return a line on each gateway, for the reader of a failure."""
+        """Return a line with the state of each gateway, for error messages."""
         return [self._describe_gateway(rank) for rank in self.programs]
 
     def _describe_gateway(self, rank: int) -> str:
@@ -186,24 +189,24 @@
         return "; ".join(parts)
 
     def has_converged(self) -> bool:
-        """Tell whether all gateways serve by one version, with no rollout in progress."""
+        """Return whether all gateways serve the same version, and no rollout is in progress."""
         if len(self.programs) < self.scenario.gateways:
             return False
-        seen = set()
+        running_versions = set()
         for rank in self.programs:
             agent = self.agent(rank)
             if agent.state is None or agent.state.rollout is not None or agent.rejection_reason():
                 return False
             if agent.agent_state.running is None:
                 return False
-            seen.add((agent.state.index, agent.agent_state.running.version))
-        return len(seen) == 1
+            running_versions.add((agent.state.index, agent.agent_state.running.version))
+        return len(running_versions) == 1
 
-    # -- the author of versions
+    # The author of versions, who sends random commands
 
     def _run_author(self) -> None:
         while True:
-            self.loop.sleep(self.random.randint(SECOND // 5, 2 * SECOND))
+            self.loop.sleep(self.random.randint(SECOND_US // 5, 2 * SECOND_US))
             rank = self.random.choice(list(self.processes))
             try:
                 self._send_random_command(rank)
@@ -211,7 +214,7 @@
                 self.scenario.event_counts["unheard"] += 1
 
     def call(self, rank: int, method: str, path: str, body: bytes = b"") -> bytes:
-        """Return the body of a response. Raises AdminCallError."""
+        """Send a request to a gateway's admin address; return the response's body. Raises AdminCallError."""
         response = self.client.call(
             rank,
             method,
@@ -227,13 +230,16 @@
         request = self._random_request(rank, status)
         if request is None:
             return
-        answer = self.call(rank, "POST", "command", msgspec.msgpack.encode(request))
-        outcome = msgspec.msgpack.decode(answer, type=CommandOutcome)
+        response = self.call(rank, "POST", "command", msgspec.msgpack.encode(request))
+        outcome = msgspec.msgpack.decode(response, type=CommandOutcome)
         result = "taken" if outcome.is_accepted else "not taken"
         self.scenario.event_counts[f"{request.action} {result}"] += 1
 
     def _random_request(self, rank: int, status: RolloutStatus) -> CommandRequest | None:
-        """Take back a rollout, revert the latest version, stop or resume, or propose an edit."""
+        """Return a random command: roll back, revert the latest version, stop, resume or propose an edit.
+
+        None if there is no version to start from.
+        """
         latest = status.rollout_version or status.current_version
         if latest is None:
             return None
@@ -268,7 +274,7 @@
             self.loop.sleep(CHECK_INTERVAL_US)
 
     def check_invariants(self) -> None:
-        """Check every gateway that runs. Raises InvariantViolationError."""
+        """Check the invariants of all gateways that run. Raises InvariantViolationError."""
         for rank in self.running_ranks():
             if rank in self.programs:
                 is_frozen = self.processes[rank].is_frozen
@@ -289,20 +295,20 @@
         )
         for rank in range(scenario.gateways)
     )
-    terms = msgspec.structs.replace(
+    rollout = msgspec.structs.replace(
         fleet.rollout,
         voting_members=tuple(f"gw-{rank}" for rank in range(scenario.voters)),
-        lease_us=Duration(2 * SECOND),
-        poll_interval_us=Duration(SECOND // 10),
-        heartbeat_interval_us=Duration(SECOND // 20),
-        election_timeout_us=Duration(SECOND * 3 // 10),
-        decision_timeout_us=Duration(3 * SECOND),
+        lease_us=Duration(2 * SECOND_US),
+        poll_interval_us=Duration(SECOND_US // 10),
+        heartbeat_interval_us=Duration(SECOND_US // 20),
+        election_timeout_us=Duration(SECOND_US * 3 // 10),
+        decision_timeout_us=Duration(3 * SECOND_US),
         soak_us=Duration(scenario.soak_us),
     )
     return msgspec.structs.replace(
         fleet,
         gateways=entries,
-        rollout=terms,
+        rollout=rollout,
         description="openapi",
         customers="customers",
         state_directory="state",
--- a/orchidlane/simulation/scenario.py
+++ b/orchidlane/simulation/scenario.py
@@ -1,6 +1,6 @@
-"""Scenarios as files describe them: a fleet, its load, and the faults that are injected while it runs.
+"""Scenarios read from files: a fleet, its load, and the faults that are injected while it runs.
 
-``scenario.cue`` is the schema. Field names of the files are mapped here to those of the code.
+``scenario.cue`` is the schema. The classes here map the keys of the files to names of the code.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 
 class FaultKind(enum.StrEnum):
-    """What a step does; the values are those of ``do`` in a file."""
+    """The kind of fault of a step; the values are those of the key ``do`` in a file."""
 
     KILL_GATEWAY = "kill_gateway"
     DRAIN_GATEWAY = "drain_gateway"
     FREEZE_GATEWAY = "freeze_gateway"
-    UPGRADE_GATEWAY = "upgrade_gateway"
+    HOT_RESTART_GATEWAY = "upgrade_gateway"
     KILL_ENDPOINT = "kill_node"
     DRAIN_ENDPOINT = "drain_node"
     FREEZE_ENDPOINT = "freeze_node"
@@ -34,9 +34,9 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """One fault (``#Step``), ``at`` a time after the begin of the load; probabilities are per message.
+    """One fault (``#Step``); ``at`` is counted from the start of the load, probabilities are per message.
 
-    ``targets`` are ranks of gateways or indexes of endpoints, as the kind of fault has it.
+    ``targets`` are ranks of gateways or indexes of endpoints, depending on the kind of fault.
     """
 
     at: Duration
@@ -55,7 +55,7 @@
 
 
 class RequestKindEntry(msgspec.Struct, frozen=True):
-    """One kind of request (``#Kind``): its share of the load, and the mean work of an endpoint."""
+    """One kind of request (``#Kind``): its share of the load, and its mean work at an endpoint."""
 
     class_name: str = msgspec.field(name="class")
     share: float = 1.0
@@ -80,19 +80,19 @@
     endpoint_list_delay: tuple[Duration, Duration] = msgspec.field(name="list_delay")
     peer_loss: float
     quota_request_rate: float = msgspec.field(name="takes")
-    upgrade_count: int = msgspec.field(name="upgrades")
+    hot_restart_count: int = msgspec.field(name="upgrades")
     response_slack: Duration = msgspec.field(name="answer_slack")
     arrival_slack: Duration
     steps: tuple[Step, ...]
 
     @property
     def endpoint_count(self) -> int:
-        """The number of endpoints of all racks."""
+        """The number of endpoints in all racks."""
         return self.rack_count * self.rack_size
 
 
 def load_scenario(path: str) -> Scenario:
-    """Return the scenario of a file; its fleet is relative to the file. Raises ConfigError, OSError."""
+    """Return the scenario of a file; its ``fleet`` is a path relative to it. Raises ConfigError, OSError."""
     text = Path(path).read_text()
     scenario = config.load(text, path, SCHEMA_PATH.read_text(), ROOT_DEFINITION, Scenario)
     return msgspec.structs.replace(scenario, fleet=str(Path(path).parent / scenario.fleet))
--- a/orchidlane/simulation/scenario_faults.py
+++ b/orchidlane/simulation/scenario_faults.py
@@ -1,4 +1,4 @@
-"""The faults of a scenario's steps, injected into a fleet that runs."""
+"""Injects the faults of a scenario's steps into a running fleet."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from orchidlane.simulation.scenario_plan import ScenarioPlan
 
 EXIT_POLL_INTERVAL_US = 10_000
-UPGRADE_POLL_INTERVAL_US = 20_000
+HOT_RESTART_POLL_INTERVAL_US = 20_000
 SET_FAULTS_TIMEOUT_US = 500_000
 
 
@@ -34,11 +34,12 @@
     relay: DatagramRelay
     discovery: FakeDiscovery
     records: MutableSequence[Record]
-    upgrades: Counter[bool] = field(default_factory=Counter)  # by whether the successor stayed
-    restarting: set[str] = field(default_factory=set)
+    # Number of hot restarts by whether the new process replaced the old one
+    hot_restarts: Counter[bool] = field(default_factory=Counter)
+    restarting: set[str] = field(default_factory=set)  # names of gateways and endpoints
 
     def run(self, step: Step) -> None:
-        """Wait for a step's time, and inject its fault until it is over."""
+        """Wait for a step's time, and inject its fault for the step's duration."""
         self.loop.sleep(step.at)
         self._injections()[step.fault](step)
 
@@ -47,7 +48,7 @@
             FaultKind.KILL_GATEWAY: self._kill_gateways,
             FaultKind.DRAIN_GATEWAY: self._drain_gateways,
             FaultKind.FREEZE_GATEWAY: self._freeze_gateways,
-            FaultKind.UPGRADE_GATEWAY: self._upgrade_gateways,
+            FaultKind.HOT_RESTART_GATEWAY: self._hot_restart_gateways,
             FaultKind.KILL_ENDPOINT: self._kill_endpoints,
             FaultKind.DRAIN_ENDPOINT: self._drain_endpoints,
             FaultKind.FREEZE_ENDPOINT: self._freeze_endpoints,
@@ -66,43 +67,43 @@
         self._restart_gateways(step, kill=False)
 
     def _restart_gateways(self, step: Step, kill: bool) -> None:
-        """End and start gateways one after another, as a deployment does."""
+        """Stop and start gateways one after another, as a deployment does."""
         reason = OutageReason.KILLED if kill else OutageReason.DRAINED
         for rank in step.targets:
             name = f"gw-{rank}"
             self._claim(name)
             began_at = self.loop.now()
-            self._end_gateway(rank, kill)
+            self._stop_gateway(rank, kill)
             self.loop.sleep(step.restart_delay)
             self.fleet_backend.start_gateway(rank)
             wait_until_listening(self.loop, self.plan.gateways[rank])
             self._record_outage(name, began_at, reason)
             self._release(name)
 
-    def _end_gateway(self, rank: int, kill: bool) -> None:
-        self.fleet_backend.end_gateway(rank, kill)
-        while not self.fleet_backend.gateway_ended(rank):
+    def _stop_gateway(self, rank: int, kill: bool) -> None:
+        self.fleet_backend.stop_gateway(rank, kill)
+        while not self.fleet_backend.gateway_has_exited(rank):
             self.loop.sleep(EXIT_POLL_INTERVAL_US)
 
-    def _upgrade_gateways(self, step: Step) -> None:
-        """Upgrade gateways one after another; an upgrade is no outage, whatever becomes of it.
+    def _hot_restart_gateways(self, step: Step) -> None:
+        """Hot-restart gateways one after another; no outage is recorded, even if a hot restart fails.
 
-        If the step has a duration, a successor that has not taken over by then is killed.
+        If the step has a duration, a new process that has not replaced the old one by then is killed.
         """
         for rank in step.targets:
             name = f"gw-{rank}"
             self._claim(name)
-            self.upgrades[self._upgrade_gateway(rank, step.duration)] += 1
+            self.hot_restarts[self._hot_restart_gateway(rank, step.duration)] += 1
             self._release(name)
 
-    def _upgrade_gateway(self, rank: int, timeout_us: int) -> bool:
-        """Return whether the successor has replaced the gateway."""
-        self.fleet_backend.begin_upgrade(rank)
+    def _hot_restart_gateway(self, rank: int, timeout_us: int) -> bool:
+        """Run a hot restart; return whether the new process has replaced the old one."""
+        self.fleet_backend.start_hot_restart(rank)
         deadline = self.loop.now() + timeout_us
-        while (replaced := self.fleet_backend.upgrade_result(rank, self.loop)) is None:
+        while (replaced := self.fleet_backend.hot_restart_result(rank, self.loop)) is None:
             if timeout_us and self.loop.now() >= deadline:
                 self.fleet_backend.kill_new_process(rank)
-            self.loop.sleep(UPGRADE_POLL_INTERVAL_US)
+            self.loop.sleep(HOT_RESTART_POLL_INTERVAL_US)
         return replaced
 
     def _freeze_gateways(self, step: Step) -> None:
@@ -117,7 +118,7 @@
     # Endpoints
 
     def _kill_endpoints(self, step: Step) -> None:
-        """Kill endpoints together, and start them one after another."""
+        """Kill endpoints at the same time, and start them one after another."""
         for spec in self._target_endpoints(step):
             self._claim(spec.name)
             self._kill_endpoint(spec)
@@ -127,7 +128,7 @@
             self._release(spec.name)
 
     def _drain_endpoints(self, step: Step) -> None:
-        """Drain, end and start endpoints one after another."""
+        """Drain, kill and start endpoints one after another."""
         for spec in self._target_endpoints(step):
             self._claim(spec.name)
             self._announce(spec, "draining")
@@ -142,7 +143,7 @@
         self._announce(spec, "gone")
 
     def _restart_endpoint(self, spec: EndpointSpec) -> None:
-        """Start an endpoint that warms up, and announce it once it listens."""
+        """Start an endpoint with a slow start, and announce it once it listens."""
         started_at_us = self.loop.now()
         self.fleet_backend.start_endpoint(msgspec.structs.replace(spec, slow_start=True))
         wait_until_listening(self.loop, spec.address)
@@ -169,7 +170,7 @@
             self._set_faults(spec, EndpointFaults())
 
     def _set_faults(self, spec: EndpointSpec, faults: EndpointFaults) -> None:
-        """Send faults to an endpoint; one that is down returns without faults."""
+        """Set the faults of an endpoint; one that is down is skipped, and will start without faults."""
         body = json.dumps(msgspec.to_builtins(faults)).encode()
         head = f"POST {FAULTS_TARGET} HTTP/1.1\r\nhost: node\r\ncontent-length: {len(body)}\r\n\r\n".encode()
         with contextlib.suppress(EventLoopError):
@@ -184,7 +185,7 @@
     # Networks
 
     def _partition(self, step: Step) -> None:
-        """Cut the datagrams between the gateways of the step and all others."""
+        """Drop all datagrams between the gateways of the step and all others."""
         others = [rank for rank in range(self.plan.scenario.gateway_count) if rank not in step.targets]
         pairs = {frozenset((rank, other)) for rank in step.targets for other in others}
         self.relay.cuts |= pairs
@@ -193,21 +194,21 @@
 
     def _disturb_datagrams(self, step: Step) -> None:
         relay = self.relay
-        before = relay.loss, relay.duplication, relay.delay_us
+        previous = relay.loss, relay.duplication, relay.delay_us
         relay.loss, relay.duplication, relay.delay_us = step.loss, step.duplication, (0, step.delay)
         self.loop.sleep(step.duration)
-        relay.loss, relay.duplication, relay.delay_us = before
+        relay.loss, relay.duplication, relay.delay_us = previous
 
     def _delay_discovery(self, step: Step) -> None:
-        before = self.discovery.delay_us
+        previous = self.discovery.delay_us
         self.discovery.delay_us = (step.delay // 2, step.delay)
         self.loop.sleep(step.duration)
-        self.discovery.delay_us = before
+        self.discovery.delay_us = previous
 
-    # Bookkeeping
+    # Processes that restart, and outages
 
     def _claim(self, process: str) -> None:
-        """Wait until no other step restarts a process."""
+        """Wait until no other step restarts a process, and mark it as restarting."""
         while process in self.restarting:
             self.loop.sleep(EXIT_POLL_INTERVAL_US)
         self.restarting.add(process)
--- a/orchidlane/simulation/scenario_load.py
+++ b/orchidlane/simulation/scenario_load.py
@@ -1,4 +1,4 @@
-"""The clients of a scenario, as its plan has them."""
+"""Creates the clients of a scenario from its plan."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from orchidlane.simulation.quota_clients import QuotaClients
 from orchidlane.simulation.scenario_plan import ScenarioPlan, api_key
 
-# Use of a customer's quota, drawn for each: most stay below it, some ask for a multiple
+# Load of a customer as a multiple of its quota, chosen at random: most stay below it, some request a multiple
 QUOTA_USE = (0.4, 0.8, 0.8, 4.0)
 
 
--- a/orchidlane/simulation/scenario_plan.py
+++ b/orchidlane/simulation/scenario_plan.py
@@ -1,4 +1,4 @@
-"""A scenario laid out in a folder: addresses, the fleet's settings, endpoints and customers."""
+"""The plan of a scenario's run in a folder: addresses, the fleet's settings, endpoints and customers."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from orchidlane.simulation.fake_discovery import ZONE
 from orchidlane.simulation.scenario import Scenario
 
-SECRET = b"a secret for stand-ins only"  # of the gateways' datagrams
-SETTINGS_NAME = "scenario"  # in error messages, in place of a file
+SECRET = b"a secret for stand-ins only"  # authenticates the gateways' datagrams
+SETTINGS_NAME = "scenario"  # in error messages, in place of a file name
 ADDRESSES_PER_GATEWAY = 5
 
 
 class FleetAddresses(NamedTuple):
-    """Addresses by rank or index. Datagrams to a gateway go to the relay, which sends them to the gateway."""
+    """Addresses by rank or index; ``relay`` receives the datagrams of a gateway, and sends them to it."""
 
     listen: list[Address]
     datagrams: list[Address]
@@ -42,12 +42,12 @@
 
 @dataclass
 class ScenarioPlan:
-    """A scenario with its addresses, customers and settings, the same for each kind of fleet backend."""
+    """A scenario with its addresses, customers and settings, for every kind of fleet backend."""
 
     scenario: Scenario
     fleet: FleetSettings
     generation: Generation
-    settings_text: str  # of the fleet, as a file for gateways
+    settings_text: str  # the fleet's settings as the text of a file
     folder: str
     secret_file: str
     gateways: list[Address]
@@ -63,14 +63,14 @@
     free_addresses: Callable[[int], list[Address]],
     keep_addresses: bool = False,
 ) -> ScenarioPlan:
-    """Lay out a scenario in a folder.
+    """Return the plan of a scenario's run in a folder.
 
-    ``keep_addresses`` uses the addresses of the fleet's file, so that a person finds the gateways.
+    With ``keep_addresses``, the gateways use the addresses in the fleet's file, which a user knows.
     """
     settings = config.plain_values(Path(scenario.fleet).read_text(), scenario.fleet, schema_text(), "#Fleet")
     addresses = _allocate_addresses(scenario, free_addresses)
     if keep_addresses:
-        addresses = _with_written_addresses(addresses, settings)
+        addresses = _with_configured_addresses(addresses, settings)
     settings_text = _fleet_settings_text(scenario, settings, addresses, folder)
     fleet = parse_settings(settings_text, SETTINGS_NAME)
     generation = _load_generation(fleet.description)
@@ -99,15 +99,15 @@
     return FleetAddresses(listen, datagrams, relay, admin, resp, discovery, endpoints)
 
 
-def _with_written_addresses(addresses: FleetAddresses, settings: dict[str, Any]) -> FleetAddresses:
-    def written(key: str) -> list[Address]:
+def _with_configured_addresses(addresses: FleetAddresses, settings: dict[str, Any]) -> FleetAddresses:
+    def configured(key: str) -> list[Address]:
         return [parse_host_port(entry[key]) for entry in settings["gateways"]]
 
     return addresses._replace(
-        listen=written("listen"),
-        relay=written("peer"),
-        admin=written("admin"),
-        resp=written("resp"),
+        listen=configured("listen"),
+        relay=configured("peer"),
+        admin=configured("admin"),
+        resp=configured("resp"),
         discovery=parse_host_port(settings["nodes"]["list"]),
     )
 
@@ -115,7 +115,7 @@
 def _fleet_settings_text(
     scenario: Scenario, settings: dict[str, Any], addresses: FleetAddresses, folder: str
 ) -> str:
-    """Return the settings with the scenario's addresses and files in place of the written ones."""
+    """Return the settings with the scenario's addresses and files in place of the configured ones."""
     settings |= {
         "description": str((Path(scenario.fleet).parent / settings["description"]).resolve()),
         "customers": f"{folder}/customers.json",
@@ -139,7 +139,7 @@
 
 
 def render_settings(settings: dict[str, Any]) -> str:
-    """Return settings as the text of a file: without the braces around the whole."""
+    """Return settings as the text of a file, which has no braces around all settings."""
     return config.render(settings)[1:-1]
 
 
@@ -153,7 +153,7 @@
 
 
 def gateway_settings(plan: ScenarioPlan, rank: int) -> str:
-    """Return one gateway's settings, in which its own datagram address is not the relay's."""
+    """Return one gateway's settings, in which its own datagram address replaces the relay's."""
     settings = config.plain_values(plan.settings_text, SETTINGS_NAME, schema_text(), "#Fleet")
     settings["gateways"][rank]["peer"] = format_address(plan.datagram_routes[rank].gateway)
     return render_settings(settings)
@@ -192,19 +192,23 @@
 
 
 def api_key(index: int) -> str:
-    """Return the API key of a customer by its place in the plan."""
+    """Return the API key of a customer by its index in the plan."""
     return f"key-of-{index}"
 
 
 def customers_file(plan: ScenarioPlan) -> bytes:
-    """Return the customers as the gateways read them."""
+    """Return the content of the customers file that the gateways read."""
     return msgspec.json.encode({"customers": plan.customers})
 
 
 def audit_limits(plan: ScenarioPlan) -> AuditLimits:
-    """Return the limits that the audit checks a run of a plan against."""
+    """Return the limits that the audit checks a run of this plan against."""
     plans = {customer.id: plan.fleet.plans[customer.plan] for customer in plan.customers}
-    ceilings = {customer: terms.ceiling for customer, terms in plans.items() if terms.ceiling is not None}
+    ceilings = {
+        customer: customer_plan.ceiling
+        for customer, customer_plan in plans.items()
+        if customer_plan.ceiling is not None
+    }
     return AuditLimits(
         classes=dict(zip(plan.generation.class_names, plan.generation.classes, strict=True)),
         drain_grace_us=plan.fleet.endpoints.drain_grace_us,
@@ -214,5 +218,8 @@
             customer: CeilingLimit(ceiling.rate, ceiling.burst, ceiling.slack)
             for customer, ceiling in ceilings.items()
         },
-        quotas={customer: RateLimit(terms.rate, terms.burst) for customer, terms in plans.items()},
+        quotas={
+            customer: RateLimit(customer_plan.rate, customer_plan.burst)
+            for customer, customer_plan in plans.items()
+        },
     )
--- a/orchidlane/simulation/scenario_runner.py
+++ b/orchidlane/simulation/scenario_runner.py
@@ -1,7 +1,7 @@
-"""Runs a scenario: the fleet with its fake servers, the load, the faults, and the audit at the end.
+"""Runs a scenario: the fleet with its fake endpoints and discovery, the load, the faults, and the audit.
 
-The same runner serves both fleet backends: processes that get signals, and a simulation in which everything
-lives in one process under a virtual clock.
+The same runner is used with both fleet backends: processes that are controlled by signals, and a simulation
+of the whole fleet in one process with a virtual clock.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from orchidlane.simulation.scenario_load import make_http_clients, make_quota_clients
 from orchidlane.simulation.scenario_plan import ScenarioPlan, audit_limits
 
-SETTLE_TIME_US = 1_500_000  # after the last request
+SETTLE_TIME_US = 1_500_000  # from the end of the load until the check for leaks
 POLL_INTERVAL_US = 100_000
 WATCH_POLL_INTERVAL_US = 10_000
 
 
 @dataclass
 class ScenarioRunner:
-    """Runs a plan on a fleet backend; ``records`` has what clients and discovery observed."""
+    """Runs a plan on a fleet backend; ``records`` collects what clients and discovery observe."""
 
     loop: EventLoop
     plan: ScenarioPlan
@@ -41,10 +41,10 @@
     discovery: FakeDiscovery | None = None
     http_clients: HttpClients | None = None
     quota_clients: QuotaClients | None = None
-    extra_servers: list[Callable[[], None]] = field(default_factory=list)  # each run as a task
+    extra_servers: list[Callable[[], None]] = field(default_factory=list)  # each one runs as a task
 
     def run(self) -> Verdict:
-        """Run the scenario from the first start to the end, and return the audit's verdict."""
+        """Start the fleet, run the scenario, stop the fleet, and return the audit's verdict."""
         plan, scenario = self.plan, self.plan.scenario
         self.relay = DatagramRelay(self.loop, plan.datagram_routes)
         self.relay.loss = scenario.peer_loss
@@ -63,11 +63,11 @@
                 self.fleet_backend.check_leaks()
                 scope.cancel()
         finally:
-            self.fleet_backend.end()
+            self.fleet_backend.stop_all()
         return audit([*self.records, *self._endpoint_records()], audit_limits(plan))
 
-    def end_load(self) -> None:
-        """Send no further requests; steps that have begun go on."""
+    def stop_load(self) -> None:
+        """Stop sending requests; the steps of the scenario are not affected."""
         for clients in (self.http_clients, self.quota_clients):
             if clients is not None:
                 clients.duration_us = 0
@@ -100,7 +100,7 @@
         self.loop.sleep(POLL_INTERVAL_US)
 
     def _spawn_load(self, scope: TaskGroup, injector: FaultInjector) -> list[Task]:
-        """Start clients and steps; return their tasks."""
+        """Start the clients and the faults of all steps; return their tasks."""
         scenario, record = self.plan.scenario, self.records.append
         self.http_clients = make_http_clients(self.loop, self.plan, record)
         tasks = [scope.spawn(injector.run, step, priority=CONTROL) for step in scenario.steps]
@@ -124,7 +124,7 @@
 
 
 def run_in_loop(runner: ScenarioRunner, extra_task: Callable[[], None] | None = None) -> Verdict:
-    """Run a scenario in its event loop to the end, with an extra task; return the verdict."""
+    """Run a scenario and an extra task in the runner's event loop; return the verdict."""
     loop = runner.loop
     verdicts: list[Verdict] = []
 
--- a/orchidlane/simulation/simulated_fleet.py
+++ b/orchidlane/simulation/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose gateways and endpoints live in one process, under a virtual clock, from one seed."""
+"""A fleet backend that simulates gateways and endpoints in one process, with a virtual clock and a seed."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 FOLDER = "sim"
 
 
-class Successor(NamedTuple):
-    """The process that is to replace a gateway; its gateway is there once it has started."""
+class NewProcess(NamedTuple):
+    """The new process of a gateway's hot restart; ``gateways`` has one entry once it has started."""
 
     process: Process
     gateways: list[GatewayProcess]
 
 
 class SimulatedFleetBackend:
-    """Controls the simulated gateways and endpoints; see ``FleetBackend``."""
+    """Controls simulated gateways and endpoints, as a ``FleetBackend``; gateways record to ``record_to``."""
 
     def __init__(self, loop: EventLoop, backend: SimulatedBackend, record_to: str | None = None) -> None:
         self.loop = loop
@@ -43,7 +43,7 @@
         self.plan: ScenarioPlan
         self.processes: dict[str, Process] = {}
         self.gateway_processes: dict[int, GatewayProcess] = {}
-        self.successors: dict[int, Successor] = {}
+        self.new_processes: dict[int, NewProcess] = {}
         self._last_port = FIRST_PORT
 
     def free_addresses(self, count: int) -> list[Address]:
@@ -52,7 +52,7 @@
         return [("127.0.0.1", self._last_port - i) for i in range(count)]
 
     def prepare(self, plan: ScenarioPlan) -> None:
-        """Load what the files of the gateways have."""
+        """Load the customers that real gateways read from a file."""
         self.plan = plan
         self.customers = load_customers(customers_file(plan), "customers.json", plan.fleet)
 
@@ -62,7 +62,7 @@
         self.processes[name] = self.backend.start(name, self._run_gateway, self.gateway_settings(rank), rank)
 
     def gateway_settings(self, rank: int) -> FleetSettings:
-        """Return one gateway's settings, in which its own datagram address is not the relay's."""
+        """Return one gateway's settings, in which its own datagram address replaces the relay's."""
         entries = list(self.plan.fleet.gateways)
         own_address = format_address(self.plan.datagram_routes[rank].gateway)
         entries[rank] = msgspec.structs.replace(entries[rank], peer=own_address)
@@ -71,7 +71,7 @@
     def make_gateway_process(
         self, fleet: FleetSettings, rank: int, is_hot_restart: bool = False
     ) -> GatewayProcess:
-        """Return a gateway that does not run yet."""
+        """Return a gateway that has not been started."""
         snapshot = ConfigurationSnapshot(self.plan.generation, self.customers, structlog.get_logger(), False)
         return GatewayProcess(self.loop, fleet, rank, SECRET, snapshot, self.record_to, is_hot_restart)
 
@@ -79,42 +79,42 @@
         self.gateway_processes[rank] = self.make_gateway_process(fleet, rank)
         self.gateway_processes[rank].run()
 
-    def begin_upgrade(self, rank: int) -> None:
-        """Start the successor of a gateway."""
+    def start_hot_restart(self, rank: int) -> None:
+        """Start the new process of a gateway's hot restart."""
         gateways: list[GatewayProcess] = []
 
         def run_new_process() -> None:
             gateways.append(self.make_gateway_process(self.gateway_settings(rank), rank, True))
             gateways[0].run()
 
-        self.successors[rank] = Successor(self.backend.start(f"gw-{rank}", run_new_process), gateways)
+        self.new_processes[rank] = NewProcess(self.backend.start(f"gw-{rank}", run_new_process), gateways)
 
     def kill_new_process(self, rank: int) -> None:
-        """Kill the successor of a gateway."""
-        self.backend.kill(self.successors[rank].process)
+        """Kill the new process of a gateway's hot restart."""
+        self.backend.kill(self.new_processes[rank].process)
 
-    def upgrade_result(self, rank: int, loop: EventLoop) -> bool | None:  # noqa: ARG002
-        """Return whether the successor has replaced the gateway; None while that is open."""
-        process, gateways = self.successors[rank]
+    def hot_restart_result(self, rank: int, loop: EventLoop) -> bool | None:  # noqa: ARG002
+        """Return whether the new process has replaced the old one; None while this is undecided."""
+        process, gateways = self.new_processes[rank]
         if gateways and gateways[0].new_side.machine.phase is new_process.Phase.INDEPENDENT:
             self.processes[f"gw-{rank}"] = process
             self.gateway_processes[rank] = gateways[0]
             return True
         return False if process.is_dead or (gateways and not process.tasks) else None
 
-    def end_gateway(self, rank: int, kill: bool) -> None:
-        """Kill a gateway, or let it shut down gracefully."""
+    def stop_gateway(self, rank: int, kill: bool) -> None:
+        """Kill a gateway, or start its graceful shutdown."""
         if kill:
             self.backend.kill(self.processes[f"gw-{rank}"])
         else:
             self.gateway_processes[rank].stop()
 
-    def gateway_ended(self, rank: int) -> bool:
-        """Return whether a gateway that was to end has ended."""
+    def gateway_has_exited(self, rank: int) -> bool:
+        """Return whether a gateway that is being stopped has exited."""
         process = self.processes[f"gw-{rank}"]
         if process.tasks:
             return False
-        self.backend.kill(process)  # closes what it had open, as a kernel does
+        self.backend.kill(process)  # closes its sockets and files, as a kernel does
         return True
 
     def freeze_gateway(self, rank: int, frozen: bool) -> None:
@@ -138,26 +138,28 @@
         self._freeze(name, frozen)
 
     def check_leaks(self) -> None:
-        """Check that no request is left once all have ended: a leak would make a gateway reject for ever.
+        """Check that no gateway keeps state of finished requests or attempts.
 
-        Raises AssertionError.
+        A leak would make a gateway reject requests indefinitely. Raises AssertionError.
         """
         for rank, gateway_process in self.gateway_processes.items():
             if self.processes[f"gw-{rank}"].is_dead:
                 continue
-            host = gateway_process.policy_driver
-            left = (
-                len(host.requests),
-                len(host.attempts),
-                len(host.gateway.requests),
-                len(host.gateway.attempts),
+            driver = gateway_process.policy_driver
+            leaked_counts = (
+                len(driver.requests),
+                len(driver.attempts),
+                len(driver.gateway.requests),
+                len(driver.gateway.attempts),
             )
-            in_flight = sum(endpoint.in_flight for endpoint in host.gateway.endpoints.values())
-            if any((*left, in_flight)):
-                raise AssertionError(f"gw-{rank} left behind: {left}, {in_flight} in flight")
-
-    def end(self) -> None:
-        """End everything that runs."""
+            in_flight = sum(endpoint.in_flight for endpoint in driver.gateway.endpoints.values())
+            if any((*leaked_counts, in_flight)):
+                raise AssertionError(
+                    f"gw-{rank} leaked requests or attempts: {leaked_counts}, {in_flight} in flight"
+                )
+
+    def stop_all(self) -> None:
+        """Kill all processes that run."""
         for process in self.processes.values():
             if not process.is_dead:
                 self.backend.kill(process)
--- a/orchidlane/simulation/state_exploration.py
+++ b/orchidlane/simulation/state_exploration.py
@@ -1,8 +1,8 @@
 """Exhaustive breadth-first search of the states of a model.
 
-For models small enough to be searched completely. A state is a value with ``key`` (equal where nothing that
-follows can differ), ``moves`` (each a name and the state that it leads to) and ``broken_invariant``. A
-counterexample is the shortest list of moves.
+The model must be small enough to be searched completely. Two states have the same ``key`` if their futures
+cannot differ; ``moves`` are the transitions from a state, each with a name and the next state. A
+counterexample is a shortest list of moves to a state that violates an invariant.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
     """One state of a model."""
 
     def key(self) -> Hashable:
-        """Return what distinguishes it."""
+        """Return a value that is equal for states with the same future."""
 
     def moves(self) -> Iterable[tuple[str, State]]:
-        """Return what can happen next; a name that begins with "!" is a fault."""
+        """Return the moves by name, each with the next state; a name that starts with "!" is a fault."""
 
     def broken_invariant(self) -> str | None:
-        """Return the invariant that it breaks."""
+        """Return the invariant that the state violates; None if it violates none."""
 
-    def is_good(self) -> bool:
-        """Tell whether it must stay within reach without a further fault."""
+    def is_goal(self) -> bool:
+        """Return whether the state is a goal; one must be reachable from each state without another fault."""
 
 
 class Violation(NamedTuple):
-    """A broken invariant, and the moves that led to it."""
+    """A violated invariant, and the moves from the first state to the violation."""
 
     invariant: str
     path: list[str]
@@ -38,7 +38,7 @@
 
 @dataclass
 class Exploration:
-    """What a search found; ``stuck_paths`` lead to states from which no good one is reached."""
+    """The result of a search; ``stuck_paths`` lead to states from which no goal is reachable."""
 
     state_count: int = 0
     move_count: int = 0
@@ -54,25 +54,25 @@
 
 
 def explore(first: State, max_states: int = 2_000_000, max_examples: int = 3) -> Exploration:
-    """Search all states from ``first``. Raises RuntimeError where there are more than ``max_states``."""
+    """Search all states reachable from ``first``. Raises RuntimeError beyond ``max_states`` states."""
     exploration = Exploration()
     origins: dict[Hashable, Origin] = {first.key(): Origin(None, "")}
-    predecessors: dict[Hashable, list[Hashable]] = {}  # by moves that are no faults
-    good: list[Hashable] = []
+    predecessors: dict[Hashable, list[Hashable]] = {}  # by key, over moves that are no faults
+    goals: list[Hashable] = []
     queue: deque[State] = deque([first])
     while queue:
         state = queue.popleft()
         key = state.key()
         exploration.state_count += 1
         if exploration.state_count > max_states:
-            raise RuntimeError(f"more than {max_states} states")
+            raise RuntimeError(f"the model has more than {max_states} states")
         invariant = state.broken_invariant()
         if invariant is not None:
             if len(exploration.violations) < max_examples:
                 exploration.violations.append(Violation(invariant, _path(origins, key)))
             continue
-        if state.is_good():
-            good.append(key)
+        if state.is_goal():
+            goals.append(key)
         for name, following in state.moves():
             exploration.move_count += 1
             following_key = following.key()
@@ -81,7 +81,7 @@
             if following_key not in origins:
                 origins[following_key] = Origin(key, name)
                 queue.append(following)
-    exploration.stuck_paths = _stuck_paths(origins, _reaching(good, predecessors), max_examples)
+    exploration.stuck_paths = _stuck_paths(origins, _reaching(goals, predecessors), max_examples)
     return exploration
 
 
@@ -93,7 +93,7 @@
 
 
 def _path(origins: dict[Hashable, Origin], key: Hashable) -> list[str]:
-    """Return the moves from the first state to this one."""
+    """Return the moves from the first state to the state with this key."""
     moves = []
     current: Hashable | None = key
     while current is not None:
@@ -102,10 +102,10 @@
     return moves[-2::-1] if len(moves) > 1 else []
 
 
-def _reaching(good: list[Hashable], predecessors: dict[Hashable, list[Hashable]]) -> set[Hashable]:
-    """Return all states from which a good one is reached without a fault."""
-    reaching = set(good)
-    pending = list(good)
+def _reaching(goals: list[Hashable], predecessors: dict[Hashable, list[Hashable]]) -> set[Hashable]:
+    """Return the keys of all states from which a goal is reachable without a fault."""
+    reaching = set(goals)
+    pending = list(goals)
     while pending:
         for predecessor in predecessors.get(pending.pop(), ()):
             if predecessor not in reaching:
--- a/tests/harness/hot_restart_model.py
+++ b/tests/harness/hot_restart_model.py
@@ -84,7 +84,7 @@
             return "both serve"
         return None
 
-    def is_good(self) -> bool:
+    def is_goal(self) -> bool:
         """Return whether one process serves and is independent of the other, or both are dead."""
         old_serves = self.old.phase is old_process.Phase.SERVING and self.serves[0]
         independent = self.new.phase is new_process.Phase.INDEPENDENT and self.serves[1]
--- a/tests/harness/roll_harness.py
+++ b/tests/harness/roll_harness.py
@@ -124,7 +124,7 @@
             while runner.http_clients is None or runner.http_clients.sent_count < REQUESTS_BEFORE_ROLL:
                 self.loop.sleep(50 * MS)
             drive(self)
-            runner.end_load()
+            runner.stop_load()
 
         def run_both() -> None:
             self.loop.spawn(drive_under_load, priority=CONTROL, process=self.loop.main_process)
--- a/tests/processes/test_rollout_stages.py
+++ b/tests/processes/test_rollout_stages.py
@@ -55,7 +55,7 @@
     """Return the gateways that the rollout's stage includes, read from a voter's file."""
     file = RolloutStorage(RealBackend(), str(fleet.folder / f"gw-{voter}")).read_voter()
     rollout = replicated_state.decode(file.accepted_state).rollout
-    return {rank for rank in range(fleet.count) if rollout.includes(rank)}
+    return {rank for rank in range(fleet.gateway_count) if rollout.includes(rank)}
 
 
 def latest_entry_number(status) -> int:
--- a/tests/test_account_recovery.py
+++ b/tests/test_account_recovery.py
@@ -225,7 +225,7 @@
         for _ in range(4):
             self.loop.sleep(2_500 * MS)
             for rank in range(3):
-                self.fleet_backend.end_gateway(rank, kill=True)
+                self.fleet_backend.stop_gateway(rank, kill=True)
             for rank in range(3):
                 self.fleet_backend.start_gateway(rank)
 
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,4 +1,4 @@
-"""Scenarios on both fleet backends, random faults, and the audit on gateways that are broken on purpose."""
+"""Scenarios on both fleet backends, random faults, and the audit of gateways with injected defects."""
 
 from __future__ import annotations
 
@@ -23,13 +23,14 @@
 pytestmark = pytest.mark.usefixtures("quiet_log")
 
 SEEDS = range(1, 201)
-REGRESSION_SEEDS = (194, 244, 341)  # broke once: see CHANGELOG
-UPGRADE_REGRESSION_SEEDS = (99, 102, 103, 105, 158, 163, 2067)  # broke once: see CHANGELOG
-ENDPOINTS = range(6)  # of the example fleet
+REGRESSION_SEEDS = (194, 244, 341)  # violated a rule before a fix: see CHANGELOG
+# Violated a rule in a hot restart before a fix: see CHANGELOG
+HOT_RESTART_REGRESSION_SEEDS = (99, 102, 103, 105, 158, 163, 2067)
+ENDPOINTS = range(6)  # indexes of the endpoints in the example fleet
 
 
 def simulate_seeds(seeds, **changes):
-    """Return the audits' reports of random faults over the example fleet."""
+    """Return the audit's report for each seed of random faults on the example fleet."""
     reports = run_seeds(load_example("random.cue", **changes), seeds, os.cpu_count() or 1)
     assert len(reports) == len(seeds)
     return reports
@@ -39,16 +40,16 @@
     assert verdict.rules == ALL_RULES_HOLD, verdict.as_json()
 
 
-def test_random_faults_break_no_rule():
+def test_random_faults_violate_no_rule():
     seeds = [*SEEDS, *(seed for seed in REGRESSION_SEEDS if seed not in SEEDS)]
     reports = simulate_seeds(seeds)
     assert broken_seeds(reports) == {}
     assert sum(report["runs"] for report in reports.values()) > 20_000
 
 
-def test_upgrades_break_no_rule_under_random_faults_whether_or_not_they_succeed():
-    """Three upgrades in each scenario; half of their successors are killed at any moment."""
-    reports = simulate_seeds([*range(60), *UPGRADE_REGRESSION_SEEDS], upgrade_count=3)
+def test_hot_restarts_under_random_faults_violate_no_rule():
+    """Each scenario has three hot restarts; half of their new processes are killed at a random time."""
+    reports = simulate_seeds([*range(60), *HOT_RESTART_REGRESSION_SEEDS], hot_restart_count=3)
     assert broken_seeds(reports) == {}
 
 
@@ -59,7 +60,7 @@
     assert simulate(scenario, 6).as_json() != first
 
 
-def test_processes_keep_all_rules_under_faults_of_each_kind():
+def test_processes_violate_no_rule_under_many_kinds_of_faults():
     steps = (
         make_step(
             0.5, "node_faults", 0, 1, span=4, reset_before=0.1, reset_after=0.1, truncate=0.1, reject=0.1
@@ -72,31 +73,31 @@
         make_step(3.0, "drain_gateway", 2),
         make_step(3.0, "cut_peers", 0, span=1.0),
     )
-    slack = Duration(SECOND // 4)  # a busy machine holds processes up
+    slack = Duration(SECOND // 4)  # a busy machine delays processes
     verdict = run_processes(make_scenario(*steps, response_slack=slack, arrival_slack=slack), 1)
     assert_rules_hold(verdict)
     assert verdict.responses["200"] > 50
     assert verdict.execution_count > 100
 
 
-def test_a_rolling_restart_of_all_endpoints_under_load_keeps_all_rules():
+def test_a_rolling_restart_of_all_endpoints_under_load_violates_no_rule():
     restart = make_step(0.3, "drain_node", *ENDPOINTS, span=0.7, back=0.1)
     verdict = simulate(make_scenario(restart, span=8), 5)
     assert_rules_hold(verdict)
     assert verdict.responses["200"] > 100
 
 
-# The audit must object to gateways that are broken on purpose.
+# The audit must report the defects that these tests inject into the gateways.
 
 
 def test_the_audit_reports_a_missing_response(monkeypatch):
     finish = PolicyDriver._finish
 
-    def loses(self, exchange, answer):
-        if exchange.number % 20:
-            finish(self, exchange, answer)
+    def finish_most(self, request, response):
+        if request.number % 20:
+            finish(self, request, response)
 
-    monkeypatch.setattr(PolicyDriver, "_finish", loses)
+    monkeypatch.setattr(PolicyDriver, "_finish", finish_most)
     verdict = simulate(make_scenario(span=3), 1)
     assert verdict.missing_responses
     assert not verdict.rules["1"]
@@ -105,11 +106,11 @@
 def test_the_audit_reports_a_duplicate_response(monkeypatch):
     write = ResponseWriter.write
 
-    def twice(self, connection, head, answer, keep):
-        write(self, connection, head, answer, keep)
-        return write(self, connection, head, answer, keep)
+    def write_twice(self, connection, head, response, keep):
+        write(self, connection, head, response, keep)
+        return write(self, connection, head, response, keep)
 
-    monkeypatch.setattr(ResponseWriter, "write", twice)
+    monkeypatch.setattr(ResponseWriter, "write", write_twice)
     verdict = simulate(make_scenario(span=3), 1)
     assert verdict.duplicate_responses
     assert not verdict.rules["1"]
@@ -118,25 +119,25 @@
 def test_the_audit_reports_a_late_response(monkeypatch):
     write = ResponseWriter.write
 
-    def late(self, connection, head, answer, keep):
-        self._server.loop.sleep(300_000 if answer.status == 503 else 0)
-        return write(self, connection, head, answer, keep)
+    def write_late(self, connection, head, response, keep):
+        self._server.loop.sleep(300_000 if response.status == 503 else 0)
+        return write(self, connection, head, response, keep)
 
-    monkeypatch.setattr(ResponseWriter, "write", late)
+    monkeypatch.setattr(ResponseWriter, "write", write_late)
     verdict = simulate(make_scenario(make_step(0, "node_faults", *ENDPOINTS, span=9, hang=0.3), span=4), 1)
     assert verdict.late_responses
     assert not verdict.rules["1"]
 
 
 def test_the_audit_reports_a_duplicate_effect(monkeypatch):
-    ended = PolicyDriver.attempt_finished
+    attempt_finished = PolicyDriver.attempt_finished
 
-    def lies(self, exchange, attempt, server, outcome, took, report=(), answer=None):
+    def report_not_sent(self, request, attempt, endpoint, outcome, took_us, load_report=(), response=None):
         if outcome is policy.Outcome.CONNECTION_BROKEN:
             outcome = policy.Outcome.NOT_SENT
-        ended(self, exchange, attempt, server, outcome, took, report, answer)
+        attempt_finished(self, request, attempt, endpoint, outcome, took_us, load_report, response)
 
-    monkeypatch.setattr(PolicyDriver, "attempt_finished", lies)
+    monkeypatch.setattr(PolicyDriver, "attempt_finished", report_not_sent)
     monkeypatch.setattr(attempts, "rejection_reason", lambda *_: None)
     steps = make_step(0, "node_faults", *ENDPOINTS, span=9, reset_after=0.3)
     verdict = simulate(make_scenario(steps, span=4), 1)
@@ -171,14 +172,14 @@
 
 
 def test_the_audit_reports_an_exceeded_ceiling(monkeypatch):
-    admits = admission.admits
+    original_admits = admission.admits
 
-    def lets_all_in(state, event, account):
-        admits(state, event, account)
+    def admit_all(state, event, account):
+        original_admits(state, event, account)
         account.ceiling_tokens = max(account.ceiling_tokens, event.units)
         return True
 
-    monkeypatch.setattr(admission, "admits", lets_all_in)
+    monkeypatch.setattr(admission, "admits", admit_all)
     verdict = simulate(make_scenario(customer_count=2, request_rate=120.0), 1)
     assert verdict.worst_ceiling_ratio > 1
     assert not verdict.rules["5"]
--- a/tests/test_foreign_successors.py
+++ b/tests/test_foreign_successors.py
@@ -103,7 +103,7 @@
     plan = make_plan(make_scenario(gateway_count=1), str(folder), fleet_backend.free_addresses)
     fleet_backend.prepare(plan)
     fleet_backend.start_gateway(0)
-    fleet_backend.end()
+    fleet_backend.stop_all()
     assert all_exit(folder)
 
 
@@ -113,7 +113,7 @@
     for _ in range(upgrades):
         upgrade(tmp_path / "gw-0.cue")
     assert processes_with_argument(tmp_path)
-    one_gateway.end()
+    one_gateway.stop_all()
     assert all_exit(tmp_path)
 
 
@@ -124,7 +124,7 @@
         deadline = time.monotonic() + TIMEOUT_S
         while not addresses_with_new_process([(f"{tmp_path}/gw-0.upgrade", 0)]):
             assert time.monotonic() < deadline
-        one_gateway.end()
+        one_gateway.stop_all()
         upgrading.wait(TIMEOUT_S)
     assert all_exit(tmp_path)
 
--- a/tests/test_rolling_upgrade_model.py
+++ b/tests/test_rolling_upgrade_model.py
@@ -71,7 +71,7 @@
             return "rolled back, but a gateway runs the new build"
         return None
 
-    def is_good(self) -> bool:
+    def is_goal(self) -> bool:
         return self.upgrade.state.phase in rolling_upgrade.FINAL_PHASES
 
     def moves(self) -> Iterable[tuple[str, RollModel]]:
--- a/tests/test_rollout_scenarios.py
+++ b/tests/test_rollout_scenarios.py
@@ -84,5 +84,7 @@
             run(RolloutScenario(seed, 5, 3, faults=frozenset(["cut", "still"])))
 
     monkeypatch.setattr(Dissemination, "rejection_reason", lambda _self, _now: "")
-    with pytest.raises(InvariantViolationError, match="serves by version"):
+    with pytest.raises(
+        InvariantViolationError, match=r"serves version \d+; the states of the last lease allow only"
+    ):
         run_seeds()
