--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -148,14 +148,14 @@
             name: harness.connect() for name in ("pending", "partly received", "idle", "sent after SIGTERM")
         }
         body = b"x" * 40
-        raw = call("put", body=body, left="1.500")
-        streams["pending"].send(call("put", body=body, left="1.500"))
+        raw = call("put", body=body, timeout="1.500")
+        streams["pending"].send(call("put", body=body, timeout="1.500"))
         streams["partly received"].send(raw[:-20])
         harness.until(lambda: harness.seen)
         harness.gateway.stop()
         harness.gateway.stop()  # a second SIGTERM has no effect
         harness.gateway.reload()  # nor has a SIGHUP without a configuration file
-        streams["sent after SIGTERM"].send(call("put", body=body, left="1.500"))
+        streams["sent after SIGTERM"].send(call("put", body=body, timeout="1.500"))
         streams["partly received"].send(raw[-20:])
         harness.until(lambda: len(harness.seen) == 3)
         harness.loop.sleep(ACCEPT_PERIOD_US)
@@ -163,7 +163,7 @@
         for name, stream in streams.items():
             response = read_to_end(harness, stream)
             assert response.count(b"HTTP/1.1 200") == (name != "idle"), name
-        harness.until(lambda: harness.ended)
+        harness.until(lambda: harness.has_stopped)
 
     assert len(run(responds_when_allowed, responds_when_allowed, responds_when_allowed, test=test).seen) == 3
 
@@ -193,13 +193,13 @@
         served = 0
         while True:
             with suppress(ConnectionClosedError):  # the gateway has closed the connection
-                client.send(call(left=f"{deadline / SECOND:.3f}"))
+                client.send(call(timeout=f"{deadline / SECOND:.3f}"))
             if not (response := client.recv(deadline=harness.loop.now() + 5 * SECOND)):
                 break
             assert response.startswith(b"HTTP/1.1 200")
             served += 1
         assert served > 3
-        harness.until(lambda: harness.ended)
+        harness.until(lambda: harness.has_stopped)
 
     classes = [
         {**request_class, "deadline": deadline, "target": deadline} for request_class in settings()["classes"]
