--- a/benchmarks/loaded_gateway.py
+++ b/benchmarks/loaded_gateway.py
@@ -103,11 +103,11 @@
             if not isinstance(attempt, ClientAttempt) or attempt.outcome != "answer":
                 continue
             is_during_restart = any(
-                attempt.at <= hot_restart.finished_at_us and attempt.ended_at >= hot_restart.started_at_us
+                attempt.at <= hot_restart.finished_at_us and attempt.finished_at >= hot_restart.started_at_us
                 for hot_restart in self.hot_restarts
             )
             series = times.during_restarts_ms if is_during_restart else times.otherwise_ms
-            series.append((attempt.ended_at - attempt.at) / 1e3)
+            series.append((attempt.finished_at - attempt.at) / 1e3)
         return times
 
     def pauses_ms(self) -> list[float]:
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -55,7 +55,7 @@
             for build in choose_builds(count):
                 gateway.hot_restart(build, programs.get(build, ""))
                 time.sleep(SETTLE_SECONDS)
-            gateway.runner.end_load()
+            gateway.runner.stop_load()
             with contextlib.suppress(OSError):  # once the gateway has exited, the last count is complete
                 while True:
                     counted_units = gateway.counted_units()
