--- a/tests/test_task_group_orders.py
+++ b/tests/test_task_group_orders.py
@@ -22,7 +22,7 @@
     assert failing_orders == []
 
 
-# The order in which that fault was first seen: the owner is woken, and a child fails before the owner runs.
+# Guards against a child's failure that is lost when the owner was woken just before and has not run yet.
 @pytest.mark.parametrize("wait_kind", ["park", "yield"])
 def test_a_failure_while_the_owner_is_ready_ends_the_owners_next_wait(
     loop: EventLoop, wait_kind: str
