--- a/tests/harness/hot_restart_model.py
+++ b/tests/harness/hot_restart_model.py
@@ -55,7 +55,7 @@
         self.timer_set = [False, False]
         self.checking = False  # whether the self-check of the new process runs
         self.stopped = False  # whether a process was requested to exit
-        self.faults = faults  # that may still happen
+        self.faults = faults  # how many faults may still happen
 
     def key(self) -> Any:
         """Return the values that distinguish this state from others."""
